--- a/gate/gate.go
+++ b/gate/gate.go
@@ -1,25 +1,26 @@
-// Package gate is the interface between the decision module and whatever carries its requests: the
-// terms a door works under, the events it is told, and the actions it answers with. It knows no wire.
-// Times are milliseconds with fractions; requests, backends, customers, classes, plans, zones and
-// cells are small dense indices that the carrier hands out.
+// Package gate is the interface between the decision module and its driver, which carries the requests: the
+// terms of a door, the events that the driver reports, and the actions that it carries out. It knows no wire format.
+//
+// Times are milliseconds with fractions, on the driver's clock. Requests, backends, customers, classes, plans, zones
+// and cells are small dense indices assigned by the driver.
 package gate
 
-// Decider is one door's decisions. Decide is called with the clock and the events of one batch, in
-// order, and returns the actions to carry out in order; the slice is valid until the next call.
+// Decider makes the decisions of one door. Decide takes the clock and the events of one batch, in order, and
+// returns the actions to carry out, in order. The slice is valid until the next call.
 type Decider interface {
 	Decide(now float64, events []Event) []Action
 }
 
-// Semantics says how often a request may run.
+// Semantics states how often a request may run.
 type Semantics uint8
 
 const (
 	Idempotent    Semantics = iota // may run again
-	Keyed                          // carries a mark by which a group of backends discards a repeat
+	Keyed                          // has an idempotency key by which a group of backends discards repeats
 	NonIdempotent                  // must never run twice
 )
 
-// Scope is the group of backends that together discard repeats of a keyed request.
+// Scope is the group of backends that shares the idempotency keys of a request, and so discards repeats together.
 type Scope uint8
 
 const (
@@ -28,101 +29,103 @@
 	ScopeCell
 )
 
-// Result tells how an attempt, probe or count ended.
+// Result is how an attempt, a probe or a counter call ended.
 type Result uint8
 
 const (
-	Finished    Result = iota // answered well
+	Finished    Result = iota // answered successfully
 	Errored                   // answered with an error; may have run
-	Full                      // turned away unseen
+	Full                      // refused without running
 	TimedOut                  // no answer in time; may have run
 	Unreachable               // no connection
-	Reset                     // connection broken; may have run
+	Reset                     // connection lost; may have run
 	Cancelled                 // cancelled; may have run
 	Skipped                   // never sent
-	Spoilt                    // answered with what cannot be read; may have run
+	Spoilt                    // the answer cannot be parsed; may have run
 )
 
 // NeverRan reports whether the result proves that the request did not run.
 func (r Result) NeverRan() bool { return r == Full || r == Unreachable || r == Skipped }
 
-// Class is a kind of request.
+// Class describes a kind of request.
 type Class struct {
-	Contract  float64 // answers within this time earn the full gain, ms
+	Contract  float64 // contract time, ms: an answer within it earns the full gain
 	Semantics Semantics
 	Scope     Scope
-	Window    float64 // how long a keyed repeat is remembered, ms
-	LateValue float64 // fraction of the gain earned after the contract time
-	Gain      float64
+	Window    float64 // how long the key of a keyed request is remembered, ms
+	LateValue float64 // share of the gain that a later answer earns
+	// Gain is what an answer within the contract time earns per unit.
+	Gain float64
 }
 
-// Plan is what a customer has bought; quotas hold over all doors together.
+// Plan describes what a customer has bought. Quotas apply to all doors together.
 type Plan struct {
 	Rate         float64 // units per ms; 0 means no such quota
-	Depth        float64 // most units the quota's store holds
-	AtOnce       int     // most attempts out at once; 0 means no such quota
+	Depth        float64 // depth of the quota's token bucket, units
+	AtOnce       int     // most attempts in flight; 0 means no such quota
 	CeilingRate  float64 // units per ms; 0 means no ceiling
-	CeilingDepth float64 // most units the ceiling's store holds
+	CeilingDepth float64 // depth of the ceiling's token bucket, units
 	Price        float64 // multiplies the gain
-	Beyond       float64 // share of its gain that a request earns where it is sent beyond the quota
-	OverCost     float64 // share of its gain that sending it beyond the quota costs
+	Beyond       float64 // share of its gain that a request earns when it is sent beyond the quota
+	OverCost     float64 // share of its gain that sending a request beyond the quota costs
 }
 
-// Terms are what a door is told at its start.
+// Terms configure a door at its start.
 type Terms struct {
+	// Doors is the number of doors, DoorNumber this door's number among them, from 0.
 	Doors, Number int
 	Classes       []Class
 	Plans         []Plan
 	MaxAttempts   int
-	Hedging       bool    // two attempts of one request may be out together
-	MayCancel     bool    // Cancel is allowed
-	MaxRetryAfter float64 // longest advice a client follows, ms; 0 where none may be given
-	MeterPeriod   float64 // period over which the meter totals use, ms; 0 means no meter
+	Hedging       bool    // two attempts of one request may be in flight together
+	MayCancel     bool    // the Cancel action is allowed
+	MaxRetryAfter float64 // longest Retry-After that clients follow, ms; 0 where none may be given
+	MeterPeriod   float64 // period over which the usage meter totals use, ms; 0 means no meter
 	Counter       bool    // a shared counter may be called
-	MustAsk       bool    // changes of the fleet list come only after Track
-	ColdFrom      float64 // a backend starts with this share of its capacity or more
-	ColdFor       float64 // and is warm no later than this, ms
-	FallMultiple  float64 // sent more than this multiple of its present capacity
-	FallWindow    float64 // for this long, a cold backend falls over, ms
+	MustAsk       bool    // fleet list updates come only after a SubscribeFleet action
+	ColdFrom      float64 // lower bound of the capacity share with which a backend starts, 0 to 1
+	ColdFor       float64 // time after which a started backend is warm at the latest, ms
+	FallMultiple  float64 // a cold backend is overloaded by more than this multiple of its present capacity
+	FallWindow    float64 // for this long, ms
 }
 
 // Event is one of the event types below.
 type Event any
 
-// Request arrives; it is owed exactly one final answer within TTL.
+// Request reports an arrival. The door must give it exactly one final answer within TTL.
 type Request struct {
 	Op, Class, Plan, Customer int
-	TTL                       float64 // ms
-	Units                     float64 // drawn from the customer's quota
-	Repeat                    bool    // a client's repeat, where clients mark it
-	First, Spread             int     // doors through which the customer's requests come: Spread from First on
-	Phase                     float64 // of the customer's own, from 0 to 1, the same at every door
+	TTL                       float64 // time to the client's deadline, ms
+	Units                     float64 // units that it takes from the customer's quota; an estimate where AttemptEnded gives the actual ones
+	Repeat                    bool    // the client marked the request as a retry
+	First, Spread             int     // the customer's requests come through Spread doors from number FirstDoor on
+	Phase                     float64 // offset of the customer's counter windows, 0 to 1; the same at every door
 }
 
-// Ended reports how one attempt ended.
+// AttemptEnded reports how one attempt ended.
 type Ended struct {
 	Op, Attempt, Backend int
 	Result               Result
 	Latency              float64 // ms
-	Over                 bool    // the request has its final answer
-	Use                  float64 // metered use as a share of the rate; negative when not told
-	Units                float64 // true units, where the request's were a guess; 0 when not told
-	Queue                float64 // requests waiting, as the backend reported; negative when not told
+	Over                 bool    // the client has its final answer
+	Use                  float64 // metered use of the quota, as a share of its rate; negative when not reported
+	Units                float64 // actual units, where the request's were an estimate; 0 when not reported
+	Queue                float64 // requests waiting, as reported by the backend; negative when not reported
 }
 
-// Streaming reports that the answer has begun and belongs to the client from here on.
+// Streaming reports that the response has started to reach the client, so the request must not be hedged or given up.
 type Streaming struct{ Op, Attempt int }
 
-// Vanished reports that the client left; nothing is owed any more.
+// ClientGone reports that the client left; it needs no answer any more.
 type Vanished struct{ Op int }
 
-// Closing tells that the door ends: every request gets its final answer by a clock, however long its client would wait.
+// ShuttingDown reports that the door shuts down: every request gets its final answer by Deadline, whatever its client's own.
 type Closing struct{ By float64 }
 
-// Woken reports a due Wake.
+// TimerFired reports that the timer of a SetTimer action fired.
 type Woken struct{}
 
-// Status of a backend on the list.
+// Status is the state of a backend on the fleet list.
 type Status uint8
 
 const (
@@ -131,36 +134,36 @@
 	Gone
 )
 
-// Entry is a line of the fleet list.
+// Entry describes one backend of the fleet list.
 type Entry struct {
 	Backend, Zone, Cell int
 	Status              Status
-	Since               float64 // clock of the latest start, ms; 0 means long ago
-	Size                float64 // figure for comparison with other backends; 1 where nothing is known
-	Mark                float64 // of the backend's own, from 0 to 1, the same at every door
+	Since               float64 // latest start, ms; 0 means long ago
+	Size                float64 // capacity relative to other backends; 1 when unknown
+	Mark                float64 // the backend's position on the ring by which doors choose their subsets, 0 to 1; the same at every door
 }
 
-// Fleet is news of the list; a complete one replaces all that was known.
+// FleetUpdate reports changes of the fleet list. A complete one replaces the whole list; a failed one has no entries.
 type Fleet struct {
 	Complete, Failed bool
 	Entries          []Entry
 }
 
-// Doors tells which doors of the fleet are here, as far as is known: Here by their numbers, this one's among them. It is a
-// belief, held by each door for itself, and may be wrong: parts of quotas may follow it, ceilings never. Without it all
-// doors that the terms tell of count as here.
+// DoorsUpdate reports which doors are believed to be present, this one included. Each door has its own view, which may be
+// wrong: quota shares may follow it, ceilings must not. Before the first update all doors of the terms count as present.
 type Doors struct {
-	Here  []bool // by number; one beyond its end counts as here
-	Count int    // all that are here, those without a number among them
+	Here  []bool // by door number; numbers beyond its end count as present
+	Count int    // number of doors present, including those without a number
 }
 
-// Probed and Counted answer Probe and Count.
+// Probed reports how a Probe ended.
 type Probed struct {
 	Backend int
 	Result  Result
 	Latency float64
 }
 
+// Counted reports how a Count ended; Total is the customer's number for the epoch after it, units.
 type Counted struct {
 	Customer int
 	Epoch    int64
@@ -171,91 +174,93 @@
 // Action is one of the action types below.
 type Action any
 
-// Send starts an attempt; they are numbered from 0 for each request.
+// Send starts an attempt. The attempts of a request are numbered from 0.
 type Send struct {
 	Op, Backend int
-	Cap         float64 // time-out, ms; 0 means until the client gives up
-	By          float64 // clock after which it must not begin any more, ms; 0 means whenever. What then has not is Skipped
+	Cap         float64 // timeout, ms; 0 means the client's deadline
+	By          float64 // clock after which the attempt must not start but ends as Skipped, ms; 0 means no bound
 }
 
-// Cancel stops waiting for one attempt.
+// Cancel aborts one attempt.
 type Cancel struct{ Op, Attempt int }
 
-// Cause says why a request is given up. It is for accounts alone: carriers count it and act alike whatever it is.
+// Cause is the reason for a rejection or failure. It is for statistics only: drivers count it and must not act on it.
 type Cause uint8
 
 const (
+	// Unspecified is the zero value, for deciders that give no cause.
 	Unsaid    Cause = iota
-	OverPart        // this door's part of the customer's quota does not hold it
-	OverQuota       // nor does what the customer's doors share, as this door last heard
-	AtCeiling       // its slice of the plan's ceiling does not hold it
-	Pressed         // its hold would eat the time left
-	Nowhere         // no backend on the list may have it
-	TimeUp          // its client's wait is nearly over
-	Late            // it can no longer come in its contract time, on a pressed fleet
-	Failed          // its attempts failed, and it may have no more
-	Causes          // how many there are
+	OverPart        // this door's share of the customer's quota does not hold it
+	OverQuota       // the quota shared by the customer's doors does not hold it, as last reported to this door
+	AtCeiling       // this door's slice of the plan's ceiling does not hold it
+	Pressed         // its hold would leave too little time
+	Nowhere         // no backend on the list is eligible
+	TimeUp          // the client's deadline is close
+	Late            // past its contract time on an overloaded fleet
+	Failed          // its attempts failed and it may have no more
+	Causes          // number of causes
 )
 
-// String names the cause as accounts and logs do.
+// String returns the name of the cause in statistics and logs.
 func (c Cause) String() string {
 	return [...]string{"unsaid", "over_part", "over_quota", "at_ceiling", "pressed", "nowhere", "time_up", "late", "failed"}[c]
 }
 
-// Reject is a final answer: trying again is harmless, best after RetryAfter.
+// Reject is a final answer: a retry is harmless, best after RetryAfter.
 type Reject struct {
 	Op         int
-	RetryAfter float64 // ms; 0 gives no advice
+	RetryAfter float64 // ms; 0 means no Retry-After
 	Why        Cause
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final answer that does not exclude that the request ran.
 type Fail struct {
 	Op  int
 	Why Cause
 }
 
-// Wake asks for a Woken at the given clock.
+// SetTimer requests a TimerFired event at the given clock.
 type Wake struct{ At float64 }
 
-// Probe tests a backend; Count adds to the customer's shared number.
+// Probe tests a backend.
 type Probe struct{ Backend int }
 
+// Count adds units to the customer's number on the shared counter.
 type Count struct {
 	Customer int
-	Epoch    int64   // a number of its own for each epoch; the same customer's is shared by all doors
+	Epoch    int64   // number of the customer's window; all doors use the same
 	Add      float64 // units
-	Keep     float64 // forgotten after this time, ms
+	Keep     float64 // time after which the counter may forget the number, ms
 }
 
-// Track subscribes to changes of the fleet list.
+// SubscribeFleet subscribes to changes of the fleet list.
 type Track struct{}
 
-// Forget tells the carrier that a customer's index is free again.
+// FreeCustomer reports that the driver may reuse a customer's index.
 type Forget struct{ Customer int }
 
-// Delist tells the carrier that the index of a backend that is gone is free again.
+// FreeBackend reports that the driver may reuse the index of a backend that is gone.
 type Delist struct{ Backend int }
 
-// Difference is a kind of decision that the terms under watch would have taken otherwise.
+// Difference is a kind of decision that the terms under comparison would have made differently.
 type Difference uint8
 
 const (
-	SentBeyond  Difference = iota // rejected beyond its quota; it would have been sent
-	NotCounted                    // the counter was called; it would not have been
-	OtherAdvice                   // rejected with a time to come back; it would have had another, or none
-	NoCopy                        // a hedge went out; none would have
-	NoFurther                     // held to be sent once more; it would have been given up
-	Differences                   // how many there are
+	SentBeyond  Difference = iota // rejected beyond its quota; would have been sent
+	NotCounted                    // the counter was called; would not have been
+	OtherAdvice                   // rejected with a Retry-After; would have had another or none
+	NoCopy                        // hedged; would not have been
+	NoFurther                     // held for another attempt; would have been given up
+	Differences                   // number of kinds
 )
 
-// String names the kind as accounts and logs do.
+// String returns the name of the kind in statistics and logs.
 func (d Difference) String() string {
 	return [...]string{"sent_beyond", "not_counted", "other_advice", "no_copy", "no_further"}[d]
 }
 
-// Differs reports one such decision. It is for accounts alone: carriers count it and do nothing.
+// Differs reports one such decision. It is for statistics only: drivers count it and must not act on it.
 type Differs struct{ Kind Difference }
 
-// Log adds a line to the report.
+// Log adds a line to the driver's report.
 type Log struct{ Text string }
--- a/lifecycle/shutdown.go
+++ b/lifecycle/shutdown.go
@@ -1,31 +1,33 @@
-// Package lifecycle decides how a front door's process ends. It does no I/O; times are milliseconds of the carrier's clock.
+// Package lifecycle sets the deadlines of a front door's graceful shutdown. It does no I/O. Times are milliseconds on the
+// driver's clock.
 package lifecycle
 
-// The protocol page lets a process be killed so long after SIGTERM at the earliest: the deployment's longest deadline, counted
-// as 3 s where it is longer, plus 0.7 s.
+// The protocol page allows a process to be killed this long after SIGTERM at the earliest: the deployment's longest deadline,
+// counted as at most maxCountedDeadline, plus killGrace.
 const (
-	longestCounted = 3000.0
-	killAfter      = 700.0
+	longestCounted = 3000.0 // ms
+	killAfter      = 700.0  // ms
 )
 
-// Parts of the time before the kill that answers need.
+// Time reserved for the final answers before the kill, ms.
 const (
-	noticeMost = 150.0 // a process may be held up so long between the signal and its notice,
-	writeMost  = 150.0 // and between a decision and its write
-	retryMost  = 50.0  // a write that fails for a moment is tried again for so long
-	firstLook  = 50.0  // a connection that was accepted last has so long before the final answers, to be read from
+	noticeMost = 150.0 // delay of a stalled process between the signal and its handling
+	writeMost  = 150.0 // delay of a stalled process between a decision and its write
+	retryMost  = 50.0  // time for which a write that fails transiently is retried
+	firstLook  = 50.0  // time to read from the last accepted connection before the final answers
 )
 
-// Shutdown is the one end that everything in a process has, fixed when it is told to end.
+// Shutdown holds the deadlines of a process that shuts down. They are fixed when the signal is handled and apply to
+// everything in the process.
 type Shutdown struct {
-	Began       float64 // clock at which the process noticed that it was told
-	AcceptUntil float64 // from here on no connection is waited for; what stands in the listener's queue is taken
-	AnswerBy    float64 // every request has its final answer by then
-	KillAt      float64 // the process may be killed from here on
+	Began       float64 // time at which the signal was handled
+	AcceptUntil float64 // from then on no new connection is awaited; those in the listener's backlog are still accepted
+	AnswerBy    float64 // time by which every request has its final answer
+	KillAt      float64 // time from which the process may be killed
 }
 
-// NewShutdown fixes the end of a process that is told to end now, whose deployment has a longest deadline and which takes
-// new connections for a while, linger, if there is time for it.
+// NewShutdown returns the deadlines of a process that handles the shutdown signal now. longestDeadline is the longest request
+// deadline of the deployment; new connections are accepted for linger, as far as time allows.
 func NewShutdown(now, longestDeadline, linger float64) *Shutdown {
 	s := &Shutdown{Began: now, KillAt: now + min(longestDeadline, longestCounted) + killAfter}
 	s.AnswerBy = s.KillAt - noticeMost - writeMost - retryMost
@@ -33,7 +35,7 @@
 	return s
 }
 
-// Deadline bounds the time by which something has to be over. A nil Shutdown bounds nothing.
+// Deadline returns the earlier of at and AnswerBy. A nil Shutdown returns at.
 func (s *Shutdown) Deadline(at float64) float64 {
 	if s == nil {
 		return at
@@ -41,14 +43,14 @@
 	return min(at, s.AnswerBy)
 }
 
-// Accepting tells whether connections are still waited for.
+// Accepting reports whether new connections are still awaited.
 func (s *Shutdown) Accepting(now float64) bool { return s == nil || now < s.AcceptUntil }
 
-// Answering tells whether requests may still wait for an answer.
+// Answering reports whether requests may still wait for an answer.
 func (s *Shutdown) Answering(now float64) bool { return s == nil || now < s.AnswerBy }
 
-// Past tells whether every request should have had its answer by now, also where the process was held up.
+// AnswersOverdue reports whether every request should have been answered by now, even in a process that was stalled.
 func (s *Shutdown) Past(now float64) bool { return s != nil && now >= s.AnswerBy+writeMost }
 
-// Over tells whether nothing that is left can be of use any more.
+// KillDue reports whether the process may be killed by now, so that no remaining work is of use.
 func (s *Shutdown) Over(now float64) bool { return s != nil && now >= s.KillAt }
--- a/lifecycle/shutdown_test.go
+++ b/lifecycle/shutdown_test.go
@@ -14,16 +14,16 @@
 		linger := rapid.Float64Range(0, 10e3).Draw(t, "linger")
 		s := NewShutdown(now, longest, linger)
 		assert.LessOrEqual(t, s.KillAt, now+min(longest, 3000)+700)
-		assert.LessOrEqual(t, s.AnswerBy, s.KillAt-2*150, "the door may be held up before the notice and before the write")
+		assert.LessOrEqual(t, s.AnswerBy, s.KillAt-2*150, "the process may stall before handling the signal and before the write")
 		assert.Less(t, s.AcceptUntil, s.AnswerBy)
-		assert.Greater(t, s.AcceptUntil, now-1e-3, "new connections come for a while")
+		assert.Greater(t, s.AcceptUntil, now-1e-3, "new connections are accepted for a while")
 		at := rapid.Float64Range(0, 2e12).Draw(t, "deadline")
 		assert.LessOrEqual(t, s.Deadline(at), s.AnswerBy)
 		assert.LessOrEqual(t, s.Deadline(at), at)
 	})
 }
 
-func TestADoorThatIsNotToldToEndHasNoEnd(t *testing.T) {
+func TestANilShutdownHasNoDeadlines(t *testing.T) {
 	var s *Shutdown
 	assert.Equal(t, 7.0, s.Deadline(7))
 	assert.True(t, s.Accepting(1e15))
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -2,7 +2,7 @@
 
 import "github.com/swifthall/swifthall/gate"
 
-// Classes and plans of the test door, by index.
+// Indices of the classes and plans in terms.
 const (
 	idempotent = iota
 	keyedInZone
@@ -33,7 +33,7 @@
 	}
 }
 
-// door returns a door at clock 100 s with n warm backends, every second one in zone 1.
+// door returns a door with latency statistics, at clock 100 s, with n warm backends, the odd ones in zone 1.
 func door(n int) *Door {
 	d := New(terms(), 1)
 	d.now, d.born, d.ticked = 100e3, 0, 100e3
@@ -49,26 +49,26 @@
 	return d
 }
 
-// arriving is a request of one unit from customer 0, which uses all three doors.
-func arriving(op, class, plan int) gate.Request {
+// newRequest returns a request of one unit from customer 0, which uses all three doors.
+func newRequest(op, class, plan int) gate.Request {
 	return gate.Request{Op: op, Class: class, Plan: plan, TTL: 3000, Units: 1, Spread: 3}
 }
 
-// sentEach returns a door of four backends with a request out at each.
+// sentEach returns a door with four backends and a request in flight at each.
 func sentEach() *Door {
 	d := door(4)
 	for i := range 4 {
-		d.arrive(arriving(i, idempotent, plain))
+		d.arrive(newRequest(i, idempotent, plain))
 		d.send(i, i)
 	}
 	d.settle()
 	return d
 }
 
-// sentOnce returns a door of four backends with request 0 out at the given one.
+// sentOnce returns a door with four backends and request 0 in flight at the given one.
 func sentOnce(class, backend int) *Door {
 	d := door(4)
-	d.arrive(arriving(0, class, plain))
+	d.arrive(newRequest(0, class, plain))
 	d.send(0, backend)
 	d.settle()
 	d.actions = d.actions[:0]
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,11 +1,14 @@
-// Package policy decides for one door of an admission gateway: which requests are held, sent, sent
-// again, rejected or failed, and to which backend they go.
-// A carrier calls New once with the door's terms and seed, then Decide for each batch of events, with the
-// clock, and carries out the actions in order. Events, actions and terms are in package gate; the plain
-// state types are in state.go. The same events always give the same actions.
-// To read it: Decide takes the events in, each changing what is wanted of a request (held, out, ended);
-// tick lets time act; settle emits the difference. The ordinary path is arrive, release (hold over, units
-// secured) and pick (draw of a backend). docs/design.md tells what comes from where, and each exception.
+// Package policy makes the decisions of one front door: which requests are held, sent, retried, hedged,
+// rejected or failed, and which backend receives each attempt.
+//
+// The driver calls New once with the door's terms and a seed. It then calls Decide with the clock and each
+// batch of events, and carries out the returned actions in order. Package gate defines the terms, events and
+// actions; state.go defines the state. The same events always lead to the same actions.
+//
+// Decide applies the events, each of which updates the wanted state of a request (held, in flight, ended);
+// tick applies the passage of time; emitActions emits the difference between wanted and present state. The
+// usual path of a request is handleRequest, release (its hold is over and its units are acquired) and
+// pickBackend. docs/design.md gives the origin of each rule and the exceptions.
 package policy
 
 import (
@@ -16,75 +19,197 @@
 )
 
 const (
-	// The delay controller.
-	alpha       = 6.0  // finish intervals of hold for each request of backlog; rejects near the contract time
-	marginShare = 0.2  // share of the contract time that latency may exceed its low by without any hold
-	tailTimes   = 5.0  // drains that a held request must have left: slow ones take far more than the mean
-	chance      = 1.0  // deviations of what is in flight (Poisson) or of a mean latency that count as chance
-	smoothing   = 0.06 // weight of a new latency; some 16 samples: a second of a class, ten at a door of few
-	lowAfter    = 16   // samples after which the smoothed latency may set a low; those that smoothing remembers
-	finishSpan  = 5e3  // ms over which the rate of finishing is averaged; some dozens of requests of a class
-	leastKnown  = 0.1  // least share of finishSpan that a rate is taken to be averaged over, after a start
-	bestDrift   = 20e3 // ms in which a best rate gives way after part of the fleet is lost
-	lowDrift    = 60e3 // ms in which a low or a best rate gives way to a lastingly heavier mix
-	lowMost     = 0.3  // most that a low may be, of the contract time: it may be learnt under pressure
-	firstGuess  = 0.1  // latency before any sample, as a share of the contract time
-	flightSpan  = 1e3  // ms over which what is in flight is averaged; some latencies of a pressed fleet
-	tickEvery   = 20.0 // ms between looks at what waits; small beside every contract time
+	// Admission delay: a request is held in proportion to the estimated backlog.
+
+	// Hold per request of backlog, in mean completion intervals. At this value requests are rejected when the
+	// expected latency comes near the contract time.
+	alpha = 6.0
+
+	// Share of the contract time by which latency may exceed its baseline without any hold.
+	marginShare = 0.2
+
+	// Drain times that must fit into the time left of a held request; slow requests take far longer than the mean.
+	tailTimes = 5.0
+
+	// Standard deviations of the requests in flight (Poisson) or of a mean latency that are treated as noise.
+	chance = 1.0
+
+	// EWMA weight of a new latency, about 16 samples: 1 s of one class, or 10 s at a door with little traffic.
+	smoothing = 0.06
+
+	// Samples before the smoothed latency may set the baseline; as many as ewmaWeight averages over.
+	lowAfter = 16
+
+	// Averaging time of completion and send rates, ms; a few dozen requests of one class.
+	finishSpan = 5e3
+
+	// Shortest averaging time assumed after a start, as a share of rateSpan.
+	leastKnown = 0.1
+
+	// Decay time of the best completion rate, ms; lets it fall after part of the fleet is lost.
+	bestDrift = 20e3
+
+	// Time in which the latency baseline follows a lasting change to slower requests, ms.
+	lowDrift = 60e3
+
+	// Upper bound of the baseline as a share of the contract time; it may have been learnt under overload.
+	lowMost = 0.3
+
+	// Baseline assumed before there are enough samples, as a share of the contract time.
+	firstGuess = 0.1
+
+	// Averaging time of the attempts in flight, ms; a few latencies of an overloaded fleet.
+	flightSpan = 1e3
+
+	// Interval between checks of waiting requests, ms; small beside every contract time.
+	tickEvery = 20.0
 
 	// Quotas.
-	demandSpan  = 4e3  // ms over which demand is averaged; a few requests of a middling customer
-	priorDemand = 0.25 // share of the rate's worth of evidence that the even slice counts for
-	trimOver    = 2.0  // meter periods in which parts are trimmed to the quota; the meter's word is one old
-	trimLeast   = 0.2  // least that a part is cut to, of itself
-	heardFor    = 15e3 // ms that a word of others' use is believed
-	wordFresh   = 2.0  // meter periods in which a word tells the store: it comes a period late at most
-	storeLeast  = 0.7  // share of the depth the meter's store keeps after what a thin part cannot hold
-	idleDrop    = 60e3 // ms after which an idle bucket is dropped (design page),
-	idleFull    = 15e3 // and one that is full again; others' use is no longer known by then
-	sweepEvery  = 1e3  // ms between looks for idle buckets; there may be thousands
-	countLump   = 0.5  // of a door's even slice of the room last seen on the counter, that one call asks for
-	easyLevel   = 0.6  // share of its depth left at this door over which a customer is counted with a later call
-	countGain   = 0.03 // by which the share of calls made grows with each answer,
-	countCut    = 0.7  // and what is left of it after a call without one: a few calls in a hundred fail
-	countAll    = 0.4  // share of calls under which a miss has them saved for customers whose part is small,
-	countLeast  = 0.05 // least of that share
-	crowdedFor  = 20e3 // for this time, ms; shorter, calls came back in waves that crowded it again
-	awayAfter   = 8    // calls in a row without a word: the counter was away, as a crowded one answers some
-	askFor      = 120. // ms in which a call that is answered at all is answered; a few ways there and back
-	takeOver    = 4e3  // ms in which parts of doors that are gone pass to others of a set; as demand is averaged
-	heldWeight  = 0.01 // weight of one more request in the share that meets a hold; a hundred of them
-	openUnder   = 0.08 // share of requests that may meet a hold while one goes beyond its quota
-	debtShare   = 0.2  // share of its depth, times the doors of its set, that a charge may put a bucket in debt
-
-	// Health of backends.
-	silentRate  = 0.1 // a broken backend answers at this share of the expected rate
-	failNats    = 3.0 // evidence in one failed attempt: some 20 times likelier of a broken backend
-	judgeAt     = 6.0 // nats that end the test: one false verdict in some 400 stretches of work
-	priorNats   = 3.0 // nats at which a backend is as likely broken as well; its odds are halved there
-	trialFirst  = 1e3 // ms from the verdict to the first trial
-	trialMost   = 8e3 // ms between trials at most
-	paceWeight  = 0.1 // weight of a new latency in a backend's pace; some 10 samples
-	queueWeight = 0.5 // weight of a new report of what waits at a backend; it comes once in a second or two
-	mostJudged  = 0.6 // share of the listed backends that may stand judged; more is the fleet's trouble
-	rescueAt    = 1.5 // expected latencies after which a request on a judged backend is sent elsewhere
-	lateLeast   = 0.5 // share of its gain that a late answer must earn to be waited for on a pressed fleet
-	fullRest    = 1e3 // ms a backend that turned a plan's work away is left alone by it, next time twice that
-
-	// The guards that the rules need.
-	coldShare = 0.8  // share of a cold backend's budget that the doors use; the rest is for chance
-	coldBlind = 2.0  // requests that the doors together send a cold backend in a window, knowing no warm one
-	workSpan  = 10e3 // ms over which work sent to a backend is averaged
-	repeatGap = 50.  // ms before a group may forget a key within which no repeat begins: a door may stop for so long unseen
-	sameOdds  = 1e-3 // odds left to a backend that has had the request, where there is another
-	memberGap = 1e3  // ms between requests to one member: idle connections are closed, evidence ages
-	memberMin = 8    // members at least; as many as may fail at once and leave some
-	roomPower = 3.0  // how fast thought room falls with own work out; less leaves queues at some and others idle
-	askRest   = 1e3  // ms between calls for the fleet list after one failed
-	lastLook  = 25.0 // ms before the client's wait ends at which a held request gets its answer; over a tick
+
+	// Averaging time of a customer's demand, ms; a few requests of an average customer.
+	demandSpan = 4e3
+
+	// Weight of the even split in a quota share, as a share of the plan's rate.
+	priorDemand = 0.25
+
+	// Meter periods over which quota shares are scaled down to the quota; a meter report is one period old.
+	trimOver = 2.0
+
+	// Lower bound of the factor that scales a quota share down.
+	trimLeast = 0.2
+
+	// Time for which a report of the other doors' use is valid, ms.
+	heardFor = 15e3
+
+	// Meter periods for which a report describes the bucket's level; a report is at most one period late.
+	wordFresh = 2.0
+
+	// Share of the depth that must stay in the metered bucket after a request that the local share cannot hold.
+	storeLeast = 0.7
+
+	// Time after which an idle bucket is dropped, ms (docs/design.md).
+	idleDrop = 60e3
+
+	// The same for a bucket that is full again, ms; reports of the other doors' use have expired by then.
+	idleFull = 15e3
+
+	// Interval between searches for idle buckets, ms; there may be thousands of buckets.
+	sweepEvery = 1e3
+
+	// Share of the door's even split of the units last seen free that one counter call asks for.
+	countLump = 0.5
+
+	// Share of the local depth above which a customer's units are added with a later counter call.
+	easyLevel = 0.6
+
+	// Additive increase of the share of counter calls made, after each answer.
+	countGain = 0.03
+
+	// Multiplicative decrease of that share after a call without an answer; a few percent of the calls fail.
+	countCut = 0.7
+
+	// Share of calls made below which a failed call reserves calls for customers with a small quota share.
+	countAll = 0.4
+
+	// Lower bound of the share of calls made.
+	countLeast = 0.05
+
+	// Duration of that reservation, ms. With shorter ones the calls came back in waves that overloaded the
+	// counter again.
+	crowdedFor = 20e3
+
+	// Failed calls in a row after which the counter was down; one that is only overloaded answers some calls.
+	awayAfter = 8
+
+	// Time within which a call is answered if it is answered at all, ms; a few round trips.
+	askFor = 120.
+
+	// Time in which the quota shares of absent doors pass to a customer's other doors, ms; equal to demandSpan.
+	takeOver = 4e3
+
+	// EWMA weight of one request in the share of requests that meet a hold; about 100 requests.
+	heldWeight = 0.01
+
+	// Share of requests that meet a hold below which a request may be sent beyond its quota.
+	openUnder = 0.08
+
+	// Debt that one charge may leave in a bucket, as a share of its depth times the customer's number of doors.
+	debtShare = 0.2
+
+	// Outlier ejection, hedging and backoff. Evidence is a log-likelihood ratio in nats.
+
+	// Rate of answers of a broken backend, as a share of the expected rate.
+	silentRate = 0.1
+
+	// Evidence in one failed attempt, nats: about 20 times likelier of a broken backend.
+	failNats = 3.0
+
+	// Evidence at which a backend is ejected, nats: one false ejection in about 400 busy periods.
+	judgeAt = 6.0
+
+	// Evidence at which a backend is as likely broken as healthy, nats; its routing weight is halved there.
+	priorNats = 3.0
+
+	// Delay from ejection to the first ejection probe, ms.
+	trialFirst = 1e3
+
+	// Longest interval between ejection probes, and longest backoff from a full backend, ms.
+	trialMost = 8e3
+
+	// EWMA weight of a new latency in a backend's latency ratio; about 10 samples.
+	paceWeight = 0.1
+
+	// EWMA weight of a reported queue length; a report comes every 1 to 2 s.
+	queueWeight = 0.5
+
+	// Largest share of the listed backends that may be ejected; beyond it the whole fleet has the problem.
+	mostJudged = 0.6
+
+	// Expected latencies after which a request at an ejected backend is hedged.
+	rescueAt = 1.5
+
+	// Share of its gain that a late answer must earn to be waited for on an overloaded fleet.
+	lateLeast = 0.5
+
+	// First backoff from a backend that refused a plan's request, ms; doubled at each further refusal.
+	fullRest = 1e3
+
+	// Slow start, repeats and the choice of backends.
+
+	// Share of a cold backend's budget that the doors use; the rest absorbs random variation.
+	coldShare = 0.8
+
+	// Requests per window that all doors together send to a cold backend while no warm backend is known.
+	coldBlind = 2.0
+
+	// Averaging time of the work sent to warm backends, ms.
+	workSpan = 10e3
+
+	// Time before the end of the deduplication window in which no repeat may start, ms: a door's process may be
+	// stopped for that long without noticing.
+	repeatGap = 50.
+
+	// Factor on the routing weight of a backend that already had the request, where there is another.
+	sameOdds = 1e-3
+
+	// Target time between requests to one backend of the subset, ms: idle connections are closed and evidence ages.
+	memberGap = 1e3
+
+	// Smallest subset; some of it must be left when several backends fail at once.
+	memberMin = 8
+
+	// Exponent of the door's own attempts in flight in the routing weight. With a smaller one queues form at
+	// some backends while others are idle.
+	roomPower = 3.0
+
+	// Delay before subscribing to the fleet list again after a failure, ms.
+	askRest = 1e3
+
+	// Time before the client's deadline at which a held request is answered, ms; more than tickInterval.
+	lastLook = 25.0
 )
 
-// New returns the decisions of a door that has just started and knows nothing.
+// New returns the decisions of a door that has just started, with no history.
 func New(t gate.Terms, seed uint64) *Door {
 	return &Door{terms: t, dice: newDice(seed), ask: t.MustAsk, lat: make([]latency, len(t.Classes)),
 		out: make([]int, len(t.Classes)), born: -1,
@@ -92,7 +217,7 @@
 		fleet: fleet{cases: make([][]suspicion, len(t.Classes)+1)}}
 }
 
-// Decide takes in one batch and returns what is to be done.
+// Decide applies one batch of events and returns the actions to carry out.
 func (d *Door) Decide(now float64, events []gate.Event) []gate.Action {
 	d.now, d.actions = now, d.actions[:0]
 	if d.born < 0 {
@@ -115,7 +240,7 @@
 		case gate.Closing:
 			d.endBy(e.By)
 		case gate.Woken:
-			d.bell = false // not judged by the clock: a carrier may round the time asked for
+			d.bell = false // not checked against the clock: the driver may round the requested time
 		case gate.Vanished:
 			d.ops[e.Op].want, d.ops[e.Op].given = answered, answered
 			d.buckets[d.ops[e.Op].customer].unpromise(&d.ops[e.Op])
@@ -127,13 +252,13 @@
 	return d.actions
 }
 
-// ---- The fleet list ----
+// ---- Fleet list ----
 
-// list keeps up with the fleet. A backend that drains, is gone or is missing gets nothing new at once.
+// updateFleet applies a fleet list update. A backend that drains, is gone or is missing receives nothing new.
 func (d *Door) list(e gate.Fleet) {
 	f := &d.fleet
 	if e.Failed {
-		d.ask, d.askAt = d.terms.MustAsk, d.now+askRest // a list service that fails is not helped by haste
+		d.ask, d.askAt = d.terms.MustAsk, d.now+askRest // wait, so as not to load a failing list service further
 		return
 	}
 	if e.Complete {
@@ -146,18 +271,19 @@
 		f.mark[b] = n.Mark
 		f.up[b], f.zone[b], f.cell[b] = n.Status == gate.Up, n.Zone, n.Cell
 		f.gone[b] = n.Status == gate.Gone
-		if !f.known[b] || n.Since != f.since[b] { // a new process: nothing held against the old one counts
+		if !f.known[b] || n.Since != f.since[b] { // a new process: drop the evidence against the old one
 			f.renew(b, n.Since)
 		}
 		f.size[b] = cmp.Or(n.Size, f.size[b])
 	}
-	// The doors begin at places of their own on one common ring, spread as evenly as numbers can be.
-	_, place := math.Modf(float64(d.terms.Number) * math.Phi)
-	f.rank(place)
+	// Golden-ratio spacing of the start positions spreads the doors evenly over the ring, whatever their number.
+	_, position := math.Modf(float64(d.terms.Number) * math.Phi)
+	f.rank(position)
 }
 
 // ---- Arrival: quota first, then the hold ----
 
+// handleRequest admits a new request as held, or rejects it for its quota or for the expected hold.
 func (d *Door) arrive(e gate.Request) {
 	d.ops = grown(d.ops, e.Op)
 	o := &d.ops[e.Op]
@@ -169,26 +295,26 @@
 	k.demand += o.units / demandSpan
 	k.phase = e.Phase
 	k.open++
-	hold, met := d.hold(o), 0.0
+	hold, holdSample := d.hold(o), 0.0
 	if hold > 0 {
-		met = 1
+		holdSample = 1
 	}
 	d.usualGain += max(smoothing, 1/float64(d.taken)) * (d.gain(o) - d.usualGain)
-	d.pressed += heldWeight * (met - d.pressed)
-	local, wait, why := !d.counts(k), 0.0, gate.OverQuota
+	d.pressed += heldWeight * (holdSample - d.pressed)
+	byShare, wait, cause := !d.counts(k), 0.0, gate.OverQuota
 	charged := true
-	if local {
-		if wait, why = d.shortfall(k, o.units); wait > 0 && d.welcome(&d.terms, o) {
+	if byShare {
+		if wait, cause = d.shortfall(k, o.units); wait > 0 && d.welcome(&d.terms, o) {
 			wait, charged = 0, false
 		}
 	} else if o.units >= k.barredUnits {
 		wait = k.barred - d.now
 	}
 	if wait > 0 {
-		d.reject(e.Op, wait, why)
+		d.reject(e.Op, wait, cause)
 		return
 	}
-	if local {
+	if byShare {
 		d.promise(k, o, charged)
 	}
 	if d.tooLong(o, hold) {
@@ -198,8 +324,8 @@
 	}
 }
 
-// fill brings a customer's bucket up to the clock. The ceiling's slice is empty when the door is born: it
-// does not know what its former life sent, and slices that only fill add up to the ceiling.
+// updateBucket refills a customer's bucket up to now. The door's slice of the ceiling starts empty: the door
+// does not know what its previous incarnation sent, and only slices that start empty add up to the ceiling.
 func (d *Door) fill(customer, plan, first, spread int) *bucket {
 	d.buckets = grown(d.buckets, customer)
 	k, p := &d.buckets[customer], &d.terms.Plans[plan]
@@ -208,28 +334,29 @@
 	k.filled = d.now
 	k.set += (d.ofSet(k) - k.set) * (1 - math.Exp(-dt/takeOver))
 	k.level = min(p.Depth, k.level+p.Rate*dt)
-	part := 1 / float64(k.spread) // what is granted is sent later, when it would have filled up: it holds less
-	most := p.CeilingDepth - 2*askFor*p.CeilingRate
-	k.ceiling = min(most*part, k.ceiling+p.CeilingRate*dt*part)
+	slice := 1 / float64(k.spread)
+	// Units are sent some time after they are granted, while the slice refills: it holds that much less.
+	depth := p.CeilingDepth - 2*askFor*p.CeilingRate
+	k.ceiling = min(depth*slice, k.ceiling+p.CeilingRate*dt*slice)
 	k.demand *= math.Exp(-dt / demandSpan)
 	k.sent *= math.Exp(-dt / demandSpan)
 	return k
 }
 
-// ofSet is how many of a customer's doors are here. Parts of those that are not pass to the others little by
-// little. Only parts of the quota do: slices of the ceiling stay, as two doors may each think the other gone.
+// countPresentDoors returns how many of a customer's doors are present. The quota shares of absent doors pass
+// to the others gradually. Slices of the ceiling do not, since two doors may each believe the other absent.
 func (d *Door) ofSet(k *bucket) float64 {
 	n := k.spread
 	for i := k.first; len(d.here) > 0 && i < k.first+k.spread; i++ {
-		if at := i % max(1, d.terms.Doors); at < len(d.here) && !d.here[at] && at != d.terms.Number {
+		if door := i % max(1, d.terms.Doors); door < len(d.here) && !d.here[door] && door != d.terms.Number {
 			n--
 		}
 	}
 	return float64(max(1, n))
 }
 
-// part is this door's part of the customer's recent demand: local demand over local demand plus others'
-// metered use, drawn to the even slice by a little prior weight, and wholly when nothing is heard.
+// quotaShare returns this door's share of the customer's recent demand: local demand over local demand plus
+// the others' metered use, with a small prior weight on the even split. Without a valid report it is the even split.
 func (d *Door) part(k *bucket) float64 {
 	even := 1 / k.set
 	if d.now-k.heard > heardFor {
@@ -239,10 +366,10 @@
 	return k.trim * min(1, (k.demand+prior*even)/(k.demand+k.others+prior))
 }
 
-// shortfall tells how long the customer's quota or ceiling keeps the request out, in ms; 0 lets it in.
-// The bucket is written in units of the whole quota: a charge of units/part against a fill at the whole
-// rate is the design's charge of units against a fill at rate x part.
-func (d *Door) shortfall(k *bucket, units float64) (wait float64, why gate.Cause) {
+// admissionWait returns the time in ms for which the customer's quota or ceiling keeps the request out; 0 admits
+// it. The bucket counts in units of the whole quota: charging units/share while refilling at the whole rate
+// equals charging units while refilling at rate x share, as the design states it.
+func (d *Door) shortfall(k *bucket, units float64) (wait float64, cause gate.Cause) {
 	quota, ceiling := d.quotaWait(k, units), d.ceilingWait(k, units)
 	if ceiling > quota {
 		return ceiling, gate.AtCeiling
@@ -250,6 +377,7 @@
 	return quota, gate.OverPart
 }
 
+// quotaWait returns the time in ms until the local bucket holds the units beyond those reserved.
 func (d *Door) quotaWait(k *bucket, units float64) float64 {
 	if rate := d.terms.Plans[k.plan].Rate; rate > 0 {
 		return max(0, units+k.promised-k.level) / rate
@@ -257,6 +385,7 @@
 	return 0
 }
 
+// ceilingWait returns the time in ms until the door's slice of the ceiling holds the units beyond those reserved.
 func (d *Door) ceilingWait(k *bucket, units float64) float64 {
 	if rate := d.terms.Plans[k.plan].CeilingRate / float64(k.spread); rate > 0 {
 		return max(0, units+k.promisedUnits-k.ceiling) / rate
@@ -264,8 +393,8 @@
 	return 0
 }
 
-// promise sets a request's units aside while it is held, and draw takes them when it is first sent. Taken
-// at arrival they would fill up again during the hold, and a long hold's end would pass the ceiling.
+// reserve sets a request's units aside while it is held; consume takes them when it is first sent. If they were
+// taken at arrival, they would refill during the hold, and the release after a long hold would exceed the ceiling.
 func (d *Door) promise(k *bucket, o *request, charged bool) {
 	o.promised = true
 	if o.charge = 0; charged {
@@ -276,6 +405,7 @@
 	k.promisedUnits += o.units
 }
 
+// consume takes a request's reserved units when it is first sent.
 func (d *Door) draw(o *request) {
 	k := d.refill(o.customer)
 	if o.promised {
@@ -286,8 +416,8 @@
 	k.sent += o.units / demandSpan
 }
 
-// repay puts a request's true units in the place of the guess that it was charged by; the counter gets the
-// difference with the next call.
+// correctUnits replaces the estimated units that a request was charged for with the actual ones. The next
+// counter call adds the difference.
 func (k *bucket) repay(o *request, units float64) {
 	more := units - o.units
 	k.level -= more * o.charge / o.units
@@ -295,7 +425,8 @@
 	k.count.owed += more
 }
 
-// secure gets a request its units, from counter or own part, and tells whether it has them.
+// acquireUnits obtains a request's units from the counter or from the local quota share, and reports whether it
+// has them. It gives up a request that cannot have them.
 func (d *Door) secure(i int) bool {
 	o := &d.ops[i]
 	k := d.refill(o.customer)
@@ -310,45 +441,46 @@
 			return o.granted
 		}
 	}
-	wait, why := d.shortfall(k, o.units)
-	metered := wait > 0 && why == gate.OverPart && d.ceilingWait(k, o.units) == 0 && d.metered(k, o.units)
-	if metered {
+	wait, cause := d.shortfall(k, o.units)
+	byMeter := wait > 0 && cause == gate.OverPart && d.ceilingWait(k, o.units) == 0 && d.metered(k, o.units)
+	if byMeter {
 		wait = 0
 	}
 	if wait > 0 {
-		d.giveUp(i, wait, why)
+		d.giveUp(i, wait, cause)
 	} else {
-		d.promise(k, o, !metered)
+		d.promise(k, o, !byMeter)
 	}
 	return wait == 0
 }
 
-// welcome tells whether a request beyond its customer's quota is sent all the same: where its plan earns
-// more by that than it costs, its ceiling holds it, and the fleet is not pressed. The quota is not charged.
+// admitsOverQuota reports whether a request beyond its customer's quota is sent all the same: its plan gains more
+// than it costs, its ceiling has room, and the fleet is not overloaded. The quota is not charged.
 func (d *Door) welcome(t *gate.Terms, o *request) bool {
 	return d.pays(t, o.plan) && d.ceilingWait(&d.buckets[o.customer], o.units) == 0
 }
 
-// pays tells whether what is sent beyond a plan's quota earns more than it costs, on a fleet not pressed.
+// overQuotaPays reports whether requests beyond a plan's quota earn more than they cost, on a fleet that is not
+// overloaded.
 func (d *Door) pays(t *gate.Terms, plan int) bool {
 	p := &t.Plans[plan]
 	return p.Beyond > p.OverCost && d.pressed < openUnder
 }
 
-// Watch has the door tell where it would have decided otherwise under other terms, of the same classes and
-// plans. It decides by its own as before.
+// CompareWith makes the door report each decision that other terms, with the same classes and plans, would have
+// made differently. The decisions themselves stay as they are; nil ends the comparison.
 func (d *Door) Watch(t *gate.Terms) { d.watch = t }
 
-// differs compares one decision with what the terms under watch would make of it.
+// reportDifference reports a decision that the terms under comparison would have made differently.
 func (d *Door) differs(kind gate.Difference, otherwise func(w *gate.Terms) bool) {
 	if d.watch != nil && otherwise(d.watch) {
 		d.actions = append(d.actions, gate.Differs{Kind: kind})
 	}
 }
 
-// metered tells whether the meter's fresh word leaves most of the customer's whole store after the request:
-// then a part too thin to hold it, as at a door of many that sees the customer seldom, keeps nothing out.
-// What is let in so is taken from the word, so that one word lets in no more than the store held.
+// admitByMeter reports whether a fresh meter report leaves most of the customer's whole bucket after the request.
+// Then a local share too small for the request does not keep it out, as happens where many doors each see the
+// customer rarely. The units are taken from the reported level, so one report admits no more than the bucket held.
 func (d *Door) metered(k *bucket, units float64) bool {
 	fresh := d.now-k.heard < wordFresh*d.terms.MeterPeriod
 	if !fresh || k.store-units <= storeLeast*d.terms.Plans[k.plan].Depth {
@@ -358,40 +490,43 @@
 	return true
 }
 
-// Where there is a shared counter, each customer has a number on it for each window, the time in which its
-// quota fills the whole depth. The doors may add to it the level at its beginning, and what refills since.
-// A crowded counter is called for fewer requests; others go by part.
+// Where there is a shared counter, each customer has a number on it per window; a window is the time in which
+// the quota refills the whole depth. The doors together may add to the number the level at the window's start and
+// what has refilled since. An overloaded counter is called for fewer requests; the others go by quota share.
 
+// usesCounter reports whether the customer's requests are counted on the shared counter.
 func (d *Door) counts(k *bucket) bool {
 	return d.terms.Counter && d.terms.Plans[k.plan].Rate > 0 && !d.pays(&d.terms, k.plan)
 }
 
-// window numbers a customer's windows, which turn at a time of its own, and tells what is left of this one.
+// counterWindow returns the number of a customer's window, whose start is offset by the customer's own phase,
+// and the time left in it, ms.
 func (d *Door) window(k *bucket) (n int64, left float64) {
 	span := d.terms.Plans[k.plan].Depth / d.terms.Plans[k.plan].Rate
-	at := d.now/span + k.phase
-	n = int64(at)
-	return n, (float64(n+1) - at) * span
+	position := d.now/span + k.phase
+	n = int64(position)
+	return n, (float64(n+1) - position) * span
 }
 
-// count takes units from what the counter has granted this door, or calls for more, and tells the wait in ms.
+// takeFromCounter takes units from those that the counter granted to this door, or calls for more. It returns the
+// time in ms for which the request is blocked; 0 while it waits for an answer, has its units, or skips the counter.
 func (d *Door) count(o *request, k *bucket) (wait float64) {
 	c, p := &k.count, &d.terms.Plans[k.plan]
 	n, left := d.window(k)
-	if c.window == n-1 { // else others may have emptied it unseen
-		turn := d.now + left - p.Depth/p.Rate
-		level := min(p.Depth, max(0, c.room)-c.owed+(p.Rate-min(p.Rate, k.others))*(turn-c.seen))
-		*c = counting{window: n, fill: p.Rate, before: level, room: level, seen: turn}
+	if c.window == n-1 { // after a longer gap other doors may have emptied the bucket unseen
+		windowStart := d.now + left - p.Depth/p.Rate
+		level := min(p.Depth, max(0, c.room)-c.owed+(p.Rate-min(p.Rate, k.others))*(windowStart-c.seen))
+		*c = counting{window: n, fill: p.Rate, before: level, room: level, seen: windowStart}
 	} else if c.window != n {
 		*c = counting{window: n, fill: p.Rate / float64(k.spread), before: p.Depth}
 	}
-	dense := p.Depth >= k.set*o.units // its part holds it
+	shareHolds := p.Depth >= k.set*o.units // this door's quota share holds the request
 	switch {
 	case c.granted >= o.units:
 		if wait = d.ceilingWait(k, o.units); wait == 0 {
 			c.granted -= o.units
 			o.granted = true
-			d.promise(k, o, true) // its part stays true for when the counter is crowded
+			d.promise(k, o, true) // keeps the local level correct for when the counter is overloaded
 		}
 	case c.calling:
 	case d.terms.MeterPeriod > 0 && k.level-k.promised-o.units/d.part(k) > easyLevel*p.Depth:
@@ -399,17 +534,17 @@
 		c.owed += o.units
 	case d.now < k.barred && o.units >= k.barredUnits:
 		return k.barred - d.now
-	case d.now < c.rest || !d.called(o) || d.now < d.crowdedAt+crowdedFor && (o.repeat || dense):
-		if o.uncounted = true; o.repeat && !dense { // a storm of repeats is not let past the counter that it crowds
+	case d.now < c.rest || !d.called(o) || d.now < d.crowdedAt+crowdedFor && (o.repeat || shareHolds):
+		if o.uncounted = true; o.repeat && !shareHolds { // a retry storm may not bypass the counter that it overloads
 			return left
 		}
 	default:
 		c.calling, c.least = true, o.units
 		d.differs(gate.NotCounted, func(w *gate.Terms) bool { return d.pays(w, k.plan) })
-		// Crowded, fewer and larger; but no more than this door's demand takes in the window's rest: the lumps of
-		// doors that see the customer seldom are counted at all and used at none.
-		lump := min(1, countLump/d.calling) * c.room / float64(k.spread)
-		c.asked = max(o.units, min(lump, k.demand*left))
+		// When overloaded, make fewer and larger calls, but ask for no more than this door's demand takes in the rest
+		// of the window: batches at doors that see the customer rarely are counted at each of them and used at none.
+		batch := min(1, countLump/d.calling) * c.room / float64(k.spread)
+		c.asked = max(o.units, min(batch, k.demand*left))
 		d.calls = append(d.calls, gate.Count{Customer: o.customer, Epoch: n, Add: c.asked + c.owed - c.back,
 			Keep: left + askFor})
 		c.owed = 0
@@ -417,21 +552,22 @@
 	return wait
 }
 
-// called tells whether the counter is to be called for a request. A crowded one is, sooner for what earns
-// more: where it bears some of the calls only, what it does not hear of should be what matters least.
+// shouldCallCounter reports whether to call the counter for a request. When only some calls are made, requests
+// with a higher gain come first, so that those left uncounted matter least.
 func (d *Door) called(o *request) bool {
-	rank := 1.0
+	gainRatio := 1.0
 	if gain := d.gain(o); gain > 0 {
-		rank = d.usualGain / gain
+		gainRatio = d.usualGain / gain
 	}
-	return d.dice.roll() <= math.Pow(d.calling, rank*rank)
+	return d.dice.roll() <= math.Pow(d.calling, gainRatio*gainRatio)
 }
 
+// gain returns what a finished request earns within its contract time.
 func (d *Door) gain(o *request) float64 {
 	return d.terms.Classes[o.class].Gain * d.terms.Plans[o.plan].Price * o.units
 }
 
-// counted takes a call's answer.
+// handleCounted applies the answer to a counter call, or its failure.
 func (d *Door) counted(e gate.Counted) {
 	k := d.refill(e.Customer)
 	c, p := &k.count, &d.terms.Plans[k.plan]
@@ -440,18 +576,18 @@
 	}
 	c.calling = false
 	if e.Result != gate.Finished {
-		if d.now >= d.cutAt+askFor && e.Result != gate.Spoilt { // what was called together is one crowd
+		if d.now >= d.cutAt+askFor && e.Result != gate.Spoilt { // calls that fail within one timeout are one overload signal
 			if d.calling, d.cutAt = max(countLeast, countCut*d.calling), d.now; d.calling < countAll {
 				d.crowdedAt = d.now
 			}
 		}
-		if d.misses++; e.Result == gate.Full { // it is there
+		if d.misses++; e.Result == gate.Full { // a refusal shows that the counter is up
 			d.misses = 0
 		}
-		if !e.Result.NeverRan() { // a crowded counter works on calls that nobody waits for
+		if !e.Result.NeverRan() { // an overloaded counter still executes calls after their caller timed out
 			c.back = c.asked
 		}
-		c.rest = d.now + tickEvery // what waits for this call goes by part
+		c.rest = d.now + tickEvery // requests waiting for this call go by quota share
 		return
 	}
 	if d.misses >= awayAfter {
@@ -460,19 +596,21 @@
 	d.calling, d.misses = min(1, d.calling+countGain), 0
 	d.before = d.calling
 	_, left := d.window(k)
-	// What refills is let in as it does: at once it would pass the store, at the next window's turn stay unused.
+	// Units are granted only as they refill: granted at once they would exceed the bucket, and granted at the end
+	// of the window they would go unused.
 	c.room, c.seen = c.before+c.fill*(p.Depth/p.Rate-left)-e.Total, d.now
 	c.spilt = max(c.spilt, c.room+c.asked-p.Depth)
 	c.room -= c.spilt
-	room := max(0, min(c.asked, c.room+c.asked))
-	c.back = c.asked - room
+	grantable := max(0, min(c.asked, c.room+c.asked))
+	c.back = c.asked - grantable
 	c.room += c.back
-	if c.granted += room; c.granted < c.least { // what is too little stays here for smaller ones
+	if c.granted += grantable; c.granted < c.least { // units too few for this request stay here for smaller ones
 		k.barred, k.barredUnits = d.now+min(left, (c.least-c.granted)/c.fill), c.least
 	}
 }
 
-// hear takes in the meter's word on a customer, less what this door sent of late: the rest is the others'.
+// recordMeteredUse applies a meter report on a customer. What this door sent recently is subtracted; the rest is
+// the other doors' use.
 func (d *Door) hear(k *bucket, use float64) {
 	p := &d.terms.Plans[k.plan]
 	if use < 0 || p.Rate == 0 || d.terms.MeterPeriod == 0 {
@@ -485,33 +623,33 @@
 	} else {
 		k.trim += (1 - k.trim) * dt / (trimOver * d.terms.MeterPeriod)
 	}
-	o := max(0, use*p.Rate-k.sent)
-	k.others += (o - k.others) * min(1, (d.now-k.heard)/d.terms.MeterPeriod)
+	others := max(0, use*p.Rate-k.sent)
+	k.others += (others - k.others) * min(1, (d.now-k.heard)/d.terms.MeterPeriod)
 	k.heard = d.now
 }
 
-// hold is alpha x the backlog estimate of the request's class: requests in flight times the fraction by
-// which recent latency exceeds its recent low, above a margin set from the contract time. Alpha counts in the
-// intervals at which this door finishes requests of the class at its recent best: the hold is the time in
-// which the backlog drains, whatever the traffic. The latest latency or rate would not do: once all were
-// rejected, no sample would ever lower the estimate again.
+// holdTime is holdFactor times the backlog estimate of the request's class: its requests in flight times the
+// fraction by which expected latency exceeds its baseline, above a margin set from the contract time. It is
+// counted in mean completion intervals at this door's recent best rate, so the hold is the time in which the
+// backlog drains, whatever the traffic. The current latency or rate cannot be used instead of the recent best:
+// once every request was rejected, no sample would ever lower the estimate again.
 func (d *Door) hold(o *request) float64 {
 	contract := d.terms.Classes[o.class].Contract
 	low, l := d.low(o.class), &d.lat[o.class]
 	margin := marginShare*contract + chance*l.spread/math.Sqrt(max(1, min(float64(l.samples), 2/smoothing)))
 	excess := max(0, d.recent(o.class)-low-margin) / low
-	// Hundreds of doors press a fleet with less than one request each: what was in flight of late counts, as
-	// nothing is out at most looks.
+	// Hundreds of doors overload a fleet with less than one request in flight each. The averaged count is used as
+	// well, since such a door has nothing in flight at most ticks.
 	flight := min(1, l.flight) * math.Exp((d.ticked-d.now)/flightSpan)
 	hold := alpha * excess * max(d.drain(o.class), flight/d.best(o.class))
-	if hold < tickEvery { // none: what fades never ends
+	if hold < tickEvery { // rounds to none; a decaying average never reaches 0
 		return 0
 	}
 	return hold
 }
 
-// low is a class's recent low, or a guess until the smoothed latency means something: the first few samples
-// can be far under any true low, and would make all that follows look like backlog.
+// baseline returns a class's latency baseline, or a default until there are enough samples: the first few may lie
+// far below the true minimum and would make everything after them look like backlog.
 func (d *Door) low(class int) float64 {
 	contract := d.terms.Classes[class].Contract
 	if l := &d.lat[class]; l.samples >= lowAfter {
@@ -520,24 +658,25 @@
 	return firstGuess * contract
 }
 
-// drain is the time in which a class's requests in flight finish at the recent best rate, ms; with too
-// few samples to know a rate, one a low. What is in flight by chance is no backlog, and nothing in flight is
-// none: a door of few requests whose first samples were slow would else reject all, and never have another.
+// drainTime is the time in which a class's requests in flight complete at the recent best rate, ms; with too few
+// samples for a rate, one completes per baseline latency. Requests in flight within random variation are no
+// backlog, and none in flight means 0: otherwise a door with little traffic whose first samples were slow
+// would reject every request and never have another sample.
 func (d *Door) drain(class int) float64 {
 	l := &d.lat[class]
 	n := float64(d.out[class])
 	contract := d.terms.Classes[class].Contract
 	if l.recent < l.low+marginShare*contract && !d.mute(class) {
-		n = max(0, n-float64(l.late)) // what does come back is fast: these are lost
+		n = max(0, n-float64(l.late)) // those that return are fast: the answers of these are lost
 	}
-	all := 0
+	total := 0
 	for _, out := range d.out {
-		all += out
+		total += out
 	}
-	return n * (1 - min(1, chance/math.Sqrt(max(1, float64(all))))) / d.best(class)
+	return n * (1 - min(1, chance/math.Sqrt(max(1, float64(total))))) / d.best(class)
 }
 
-// best is the rate at which this door finishes a class's requests at its recent best, requests per ms.
+// bestRate is this door's recent best completion rate of a class, requests per ms.
 func (d *Door) best(class int) float64 {
 	if l := &d.lat[class]; l.samples >= lowAfter {
 		return l.best
@@ -545,18 +684,19 @@
 	return 1 / d.low(class)
 }
 
-// mute tells whether the whole fleet has been silent for longer than an answer may take. Then what is out is
-// no matter of single backends or lost answers.
+// fleetSilent reports whether no backend has answered for longer than the contract time. Then requests in flight
+// point to neither single broken backends nor lost answers.
 func (d *Door) mute(class int) bool { return d.now > d.answeredAt+d.terms.Classes[class].Contract }
 
-// recent is a class's recent latency. Silence gives no sample, so what is out longer than that adds its
-// excess, as one sample among those that the smoothing remembers.
-// A latency is seen only once it has passed: what is in flight will take its drain at least (Little's law),
-// and without that a surge is let in whole before its first slow answer.
+// expectedLatency is a class's expected latency, ms. Silence gives no sample, so the excess age of what is in
+// flight is added as if it were one sample of the average. The result is at least the drain time (Little's law):
+// a latency is seen only after it has passed, and without that bound a surge is admitted whole before its first
+// slow answer.
 func (d *Door) recent(class int) float64 {
 	return max(d.smoothed(class)+smoothing*d.lat[class].overdue, d.drain(class))
 }
 
+// smoothedLatency returns a class's smoothed latency, or the baseline before any sample.
 func (d *Door) smoothed(class int) float64 {
 	if l := &d.lat[class]; l.samples > 0 {
 		return l.recent
@@ -564,8 +704,8 @@
 	return d.low(class)
 }
 
-// tooLong tells whether a hold eats the time left: the answer would come after the contract time, or
-// after the client has gone. Behind the hold the request waits for what is in flight to drain.
+// exceedsTimeLeft reports whether a hold leaves too little time: the answer would come after the contract time or
+// after the client's deadline. After the hold the request still waits for what is in flight to drain.
 func (d *Door) tooLong(o *request, hold float64) bool {
 	left := min(o.until, o.came+d.terms.Classes[o.class].Contract) - d.now
 	return hold > 0 && hold+tailTimes*max(d.low(o.class), d.drain(o.class)) > left
@@ -573,19 +713,19 @@
 
 // ---- Release and choice of backend ----
 
-// release looks at a held request: it goes out when its hold is over and a backend has room.
+// release sends a held request once its hold is over, its units are acquired and a backend may have it.
 func (d *Door) release(i int) {
 	o := &d.ops[i]
 	if d.now >= o.until-lastLook {
 		d.giveUp(i, 0, gate.TimeUp)
 		return
 	}
-	// Fixed at arrival, holds given in a quiet moment would all end in the same later one, in a wave.
+	// The hold is recomputed at each tick. Holds fixed at arrival in a quiet moment would all end together, as a burst.
 	if len(o.sends) == 0 && !o.granted {
-		if rest := o.came + d.hold(o) - d.now; d.tooLong(o, rest) {
+		if holdLeft := o.came + d.hold(o) - d.now; d.tooLong(o, holdLeft) {
 			d.giveUp(i, d.drain(o.class), gate.Pressed)
 			return
-		} else if rest > 0 {
+		} else if holdLeft > 0 {
 			return
 		}
 	}
@@ -595,76 +735,76 @@
 	if len(o.sends) == 0 && !d.secure(i) {
 		return
 	}
-	if b, any := d.pick(o); b >= 0 {
+	if b, anyEligible := d.pick(o); b >= 0 {
 		d.send(i, b)
-	} else if len(o.sends) > 0 && !any { // nothing listed may have it
+	} else if len(o.sends) > 0 && !anyEligible { // no listed backend may have it
 		d.giveUp(i, d.drain(o.class), gate.Nowhere)
 	}
 }
 
-// crowded holds a request whose customer has this door's part of the attempts allowed at once out.
+// atConcurrencyLimit reports whether the customer has this door's share of its concurrent attempts in flight.
 func (d *Door) crowded(o *request) bool {
 	p, k := &d.terms.Plans[o.plan], &d.buckets[o.customer]
 	return p.AtOnce > 0 && k.out >= max(1, int(math.Round(float64(p.AtOnce)*d.part(k))))
 }
 
-// members is how many backends this door keeps to: so many that it comes to each often enough to keep a
-// connection and know it. At a small site that is all of them. Who they are is told by the door's place on
-// the ring, so that the doors spread evenly; one that is lost moves a stretch by one at most.
+// subsetSize returns how many backends this door routes to: as many as it can visit often enough to keep a connection
+// and fresh evidence; at a small site all of them. The subset starts at the door's position on a ring common to
+// all doors, so it spreads them evenly, and the loss of a backend changes it by one at most.
 func (d *Door) members() int {
 	rate := d.fleet.sends * math.Exp((d.fleet.sendsAt-d.now)/finishSpan)
 	return max(memberMin, int(rate*memberGap))
 }
 
-// pick draws a backend with odds in step with thought room, among this door's members; one that may not have
-// the request, or is judged or full, is stood in for by the next. A judged backend whose trial is due comes
-// first, for a request that can be sent again elsewhere. It also tells whether any may have the request.
-func (d *Door) pick(o *request) (b int, any bool) {
+// pickBackend draws a backend at random by routing weight from this door's subset. One that is not eligible, or
+// is ejected or full, is replaced by the next on the ring. An ejected backend whose probe is due comes first, for a
+// request that can be repeated elsewhere. The second result reports whether any backend is eligible.
+func (d *Door) pick(o *request) (b int, anyEligible bool) {
 	f := &d.fleet
-	fresh := len(o.sends) == 0
-	odds := make([]float64, len(f.up))
-	left := d.members()
+	firstAttempt := len(o.sends) == 0
+	weights := make([]float64, len(f.up))
+	remaining := d.members()
 	for _, b := range f.order {
 		if !d.allowed(o, b) {
 			continue
 		}
-		if any = true; f.shunned(b, o.class) {
-			if fresh && d.trial(o, b) {
-				return b, any
+		if anyEligible = true; f.shunned(b, o.class) {
+			if firstAttempt && d.trial(o, b) {
+				return b, anyEligible
 			}
 			continue
 		}
-		odds[b] = d.room(b, o)
-		for j := range o.sends { // another backend than one that already had it, where there is one
+		weights[b] = d.room(b, o)
+		for j := range o.sends { // prefer a backend that has not had the request
 			if o.sends[j].backend == b {
-				odds[b] *= sameOdds
-				left++
+				weights[b] *= sameOdds
+				remaining++
 			}
 		}
-		if odds[b] > 0 {
-			if left--; left <= 0 {
+		if weights[b] > 0 {
+			if remaining--; remaining <= 0 {
 				break
 			}
 		}
 	}
-	return d.dice.draw(odds), any
+	return d.dice.draw(weights), anyEligible
 }
 
-// room is what a backend is thought to have free: size and pace, less for own work out and for what it says
-// that it has waiting, if it works at all.
+// routingWeight estimates a backend's free capacity: weight over latency ratio, reduced by the door's own attempts in
+// flight and the reported queue, and multiplied by the probability that the backend works.
 func (d *Door) room(b int, o *request) float64 {
 	f := &d.fleet
 	if d.now < f.fullUntil[b][o.plan] {
 		return 0
 	}
 	c := f.against(b, o.class)
-	well := 1 / (1 + math.Exp(max(c[0].doubt, c[1].doubt)-priorNats))
-	taken := (1 + f.queue[b]) * math.Pow(1+float64(f.out[b]), roomPower)
-	return well * d.warmth(b) * f.size[b] / f.pace[b] / taken
+	healthy := 1 / (1 + math.Exp(max(c[0].doubt, c[1].doubt)-priorNats))
+	load := (1 + f.queue[b]) * math.Pow(1+float64(f.out[b]), roomPower)
+	return healthy * d.warmth(b) * f.size[b] / f.pace[b] / load
 }
 
-// allowed holds the rules for where a request may go: listed, not yet told to drain, within the cold
-// budget, and for a keyed request that may have run within its group and window.
+// eligible reports whether a request may go to a backend: it is listed and not draining, has cold budget left, and for
+// a keyed request that may have run it lies in the same group and within the deduplication window.
 func (d *Door) allowed(o *request, b int) bool {
 	f, p := &d.fleet, &d.terms.Classes[o.class]
 	if !f.up[b] || !d.coldRoom(o, b) {
@@ -690,8 +830,8 @@
 	return true
 }
 
-// by is the clock after which an attempt may not begin, 0 for none: its connection may be long in coming, and the
-// groups that had a keyed request before may have forgotten it then.
+// startDeadline returns the clock after which an attempt must not start, 0 for none. Connecting may take long, and by
+// then the groups that had a keyed request before may have forgotten its key.
 func (d *Door) by(o *request, attempt int) (by float64) {
 	p := &d.terms.Classes[o.class]
 	for j := range attempt {
@@ -702,13 +842,13 @@
 	return by
 }
 
-// canRepeat tells whether a request that may have run may go anywhere at all once more.
+// canRunAgain reports whether a request that may have run can be repeated at any backend.
 func (d *Door) canRepeat(o *request) bool {
 	p := &d.terms.Classes[o.class]
 	return p.Semantics == gate.Idempotent || p.Semantics == gate.Keyed && p.Scope == gate.ScopeAll
 }
 
-// warmth is the share of its capacity that a backend has at least.
+// capacityShare returns a lower bound of a backend's warm capacity share during slow start, 0 to 1.
 func (d *Door) warmth(b int) float64 {
 	since := d.fleet.since[b]
 	if since == 0 || d.terms.ColdFor == 0 {
@@ -718,9 +858,9 @@
 	return min(1, d.terms.ColdFrom+(1-d.terms.ColdFrom)*age)
 }
 
-// coldRoom keeps what is sent to a cold backend under this door's share of what would push it over, window
-// by window, judged from the work that warm backends of like size take. A share under one request is
-// rounded up or down at random, so that the shares of any number of doors add up.
+// hasColdBudget limits what is sent to a cold backend, window by window, to this door's share of the load that would
+// overload it, estimated from the work that warm backends of the same weight receive. A budget below one request is
+// rounded up or down at random, so that the budgets of any number of doors add up.
 func (d *Door) coldRoom(o *request, b int) bool {
 	warm := d.warmth(b)
 	if warm >= 1 {
@@ -728,17 +868,17 @@
 	}
 	f := &d.fleet
 	if d.now >= f.coldUntil[b] {
-		share := coldShare * d.terms.FallMultiple * warm * d.warmRate(b) * d.terms.FallWindow / d.low(o.class)
-		if share == 0 { // no warm backend is known to compare with
-			share = coldBlind / float64(cmp.Or(d.doors, d.terms.Doors))
+		budget := coldShare * d.terms.FallMultiple * warm * d.warmRate(b) * d.terms.FallWindow / d.low(o.class)
+		if budget == 0 { // no warm backend to compare with
+			budget = coldBlind / float64(cmp.Or(d.doors, d.terms.Doors))
 		}
-		f.coldLeft[b], f.coldUntil[b] = int(share+d.dice.roll()), d.now+d.terms.FallWindow
+		f.coldLeft[b], f.coldUntil[b] = int(budget+d.dice.roll()), d.now+d.terms.FallWindow
 	}
 	return f.coldLeft[b] > 0 && d.now > d.born+d.terms.FallWindow
 }
 
-// warmRate is the work that warm backends take from this door, for a backend of b's size; where none is warm, what they took
-// when some were last. Without that a fleet that has lost them all would go by the number of doors it was told.
+// updateWarmWorkRate returns the rate of work that this door sends to a warm backend of b's weight; when none is warm, the
+// last known rate. Without that, a fleet that has lost all its warm backends would get a budget by the number of doors.
 func (d *Door) warmRate(b int) float64 {
 	f := &d.fleet
 	size := 0.0
@@ -753,7 +893,7 @@
 	return f.warmRate * f.size[b]
 }
 
-// send wants a request out at a backend.
+// send adds an attempt at a backend; emitActions emits it.
 func (d *Door) send(i, b int) {
 	o, f := &d.ops[i], &d.fleet
 	k := &d.buckets[o.customer]
@@ -778,6 +918,7 @@
 
 // ---- Outcomes ----
 
+// handleAttemptEnded applies an attempt's result. A request without an answer and with attempts left is held again.
 func (d *Door) ended(e gate.Ended) {
 	o, f := &d.ops[e.Op], &d.fleet
 	s := &o.sends[e.Attempt]
@@ -807,10 +948,10 @@
 	d.differs(gate.NoFurther, func(w *gate.Terms) bool { return len(o.sends) >= w.MaxAttempts })
 }
 
-// giveUp ends a request at once: a rejection where trying again is harmless, else a failure.
-func (d *Door) giveUp(i int, retryAfter float64, why gate.Cause) {
+// giveUp ends a request at once: with a rejection where a retry by the client is harmless, else with a failure.
+func (d *Door) giveUp(i int, retryAfter float64, cause gate.Cause) {
 	o := &d.ops[i]
-	o.why = why
+	o.why = cause
 	for j := range o.sends {
 		if !o.sends[j].proven && !d.canRepeat(o) {
 			o.want, o.held = failed, false
@@ -818,24 +959,26 @@
 			return
 		}
 	}
-	d.reject(i, retryAfter, why)
+	d.reject(i, retryAfter, cause)
 }
 
-func (d *Door) reject(i int, retryAfter float64, why gate.Cause) {
+// reject ends a request with a rejection that advises when to retry.
+func (d *Door) reject(i int, retryAfter float64, cause gate.Cause) {
 	o := &d.ops[i]
 	d.buckets[o.customer].unpromise(o)
-	o.want, o.held, o.retryAfter, o.why = rejected, false, min(retryAfter, d.terms.MaxRetryAfter), why
+	o.want, o.held, o.retryAfter, o.why = rejected, false, min(retryAfter, d.terms.MaxRetryAfter), cause
 	d.differs(gate.OtherAdvice, func(w *gate.Terms) bool {
 		return min(retryAfter, w.MaxRetryAfter) != o.retryAfter
 	})
 	d.differs(gate.SentBeyond, func(w *gate.Terms) bool {
-		return (why == gate.OverPart || why == gate.OverQuota) && d.welcome(w, o)
+		return (cause == gate.OverPart || cause == gate.OverQuota) && d.welcome(w, o)
 	})
 	d.touch(i)
 }
 
-// judge is the sequential test. A backend that works answers at the expected rate; a broken one fails, or
-// answers at a small share of it. Answers take evidence away, failures and silence (in tick) add it.
+// recordResult applies an attempt's result to its backend's sequential test. A working backend answers at the expected
+// rate; a broken one fails, or answers at a small share of that rate. Answers remove evidence, failures and silence
+// (in tick) add it. It also updates latency, queue length and backoff.
 func (d *Door) judge(o *request, s *attempt, e gate.Ended) {
 	f, b := &d.fleet, s.backend
 	switch e.Result {
@@ -852,15 +995,15 @@
 		f.pace[b] = max(0.1, f.pace[b]+paceWeight*(e.Latency/d.recent(o.class)-f.pace[b]))
 		d.sample(o.class, min(e.Latency, d.terms.Classes[o.class].Contract))
 	case gate.Full:
-		// A back end may turn away one plan alone, so each plan learns for itself; but being turned
-		// away is a sign of pressure, and a sample that no latency gives.
+		// A backend may refuse a single plan, so the backoff is kept per plan. A refusal is also a sign of overload and
+		// counts as a latency sample of the contract time, since a refused request has no latency of its own.
 		f.fullGap[b][o.plan] = min(trialMost, max(fullRest, 2*f.fullGap[b][o.plan]))
 		f.fullUntil[b][o.plan] = d.now + f.fullGap[b][o.plan]
 		l := &d.lat[o.class]
 		l.recent += smoothing * (d.terms.Classes[o.class].Contract - l.recent)
 	case gate.TimedOut, gate.Cancelled:
-		// All that is known is that the answer would have come later: where clients leave a pressed fleet
-		// unanswered, what does come back is the lucky rest. Covers lost answers in part, under the margin.
+		// Only a lower bound of the latency is known. Where clients leave an overloaded fleet unanswered, the remaining
+		// answers are the fast ones. Lost answers are partly counted in as well, below the margin.
 		if l := &d.lat[o.class]; e.Latency > l.recent && (!f.shunned(b, o.class) || d.mute(o.class)) {
 			l.recent += smoothing * (min(e.Latency, d.terms.Classes[o.class].Contract) - l.recent)
 		}
@@ -869,9 +1012,9 @@
 	}
 }
 
-// doubt adds evidence against a backend, as a whole and for one class: a backend may leave one class
-// alone unanswered, and the answers to the others must not hide that. Where too many would stand judged at
-// once the trouble is the fleet's, and judging more would only crowd the rest.
+// addEvidence adds evidence against a backend, as a whole and for one class: a backend may leave a single class
+// unanswered, which answers to other classes must not hide. Where too many backends would be ejected at once, the
+// whole fleet has the problem, and ejecting more would only overload the rest.
 func (d *Door) doubt(b, class int, nats float64) {
 	f := &d.fleet
 	for i, c := range f.against(b, class) {
@@ -882,7 +1025,8 @@
 	}
 }
 
-// trial tells whether a request is to try a judged backend; a non-idempotent one, none judged as a whole.
+// claimProbe reports whether a request is the due ejection probe of a backend, and schedules the next one. A request
+// that must not run twice never probes a backend ejected as a whole.
 func (d *Door) trial(o *request, b int) bool {
 	cs := d.fleet.against(b, o.class)
 	if cs[1].judged && !d.canRepeat(o) {
@@ -899,8 +1043,8 @@
 	return true
 }
 
-// sample takes a finished latency into its class's figures. The low follows at once downwards and
-// drifts up slowly, so that a mix turned heavy for good does not hold for ever.
+// recordLatency adds the latency of a finished attempt to its class's statistics. The baseline falls at once and rises
+// slowly, so that a lasting change to slower requests does not cause holds for ever.
 func (d *Door) sample(class int, ms float64) {
 	l := &d.lat[class]
 	l.samples++
@@ -918,7 +1062,7 @@
 
 // ---- Time ----
 
-// tick lets time act on what is out and held.
+// tick applies the passage of time to the requests that are held or in flight.
 func (d *Door) tick() {
 	dt := d.now - d.ticked
 	d.ticked = d.now
@@ -955,9 +1099,9 @@
 	}
 }
 
-// look takes in by how much what is out is out longer than is usual. What is out past the contract time is
-// late already, and where answers are lost on the way it would look like a backlog for as long as clients
-// wait. What waits at a judged backend is not overdue: one silent backend is no pressed fleet.
+// updateExcessAge sums by how much attempts in flight are older than the smoothed latency. One past the contract time is
+// late already and not counted: where answers are lost it would look like backlog until the client leaves. Attempts
+// at an ejected backend are not counted either: one silent backend does not mean an overloaded fleet.
 func (d *Door) look() {
 	for p := range d.lat {
 		d.lat[p].late, d.lat[p].overdue = 0, 0
@@ -978,13 +1122,13 @@
 	}
 }
 
-// rescue gives up what is late on a pressed fleet, and sends a hedge of what waits at a judged backend:
-// silence, a stall, a lost zone. Slowness that all share calls for no copy: expected latency grows with it.
+// hedgeOrGiveUp gives up late requests on an overloaded fleet, and hedges those waiting at an ejected backend (silent,
+// stalled, or in a lost zone). Slowness of the whole fleet causes no hedge: expected latency grows with it.
 func (d *Door) rescue(i int) {
 	o := &d.ops[i]
 	p := &d.terms.Classes[o.class]
-	// What can no longer come in time must not keep a pressed fleet from what can: without this a fleet that has
-	// fallen behind goes on working on what is late, for as long as clients wait.
+	// A request that can no longer meet its contract time must not displace those that can. Otherwise a fleet that has
+	// fallen behind keeps working on late requests for as long as clients wait.
 	if d.now > o.came+p.Contract && p.LateValue < lateLeast && !o.streaming && d.hold(o) > 0 {
 		d.giveUp(i, d.drain(o.class), gate.Late)
 		return
@@ -1001,9 +1145,9 @@
 	}
 }
 
-// ---- The difference between what is wanted and what is ----
+// ---- Emission of actions ----
 
-// settle emits, for all that changed, the difference between the wanted state and the present one.
+// emitActions emits the difference between the wanted and the present state of all requests that changed.
 func (d *Door) settle() {
 	if d.ask && d.now >= d.askAt {
 		d.ask = false
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -26,21 +26,21 @@
 
 func TestNothingInFlightMeansNoHold(t *testing.T) {
 	d := door(4)
-	d.lat[idempotent].recent = 5000 // all was rejected since; no sample will lower it
+	d.lat[idempotent].recent = 5000 // every request was rejected since, so no sample lowers it
 	assert.Zero(t, d.hold(&request{class: idempotent}))
 }
 
-func TestHoldThatEatsTheTimeLeftIsRejectedWithAdvice(t *testing.T) {
+func TestHoldLongerThanTheTimeLeftIsRejectedWithRetryAfter(t *testing.T) {
 	d := door(4)
 	d.out[idempotent], d.lat[idempotent].recent = 25, 950
-	d.arrive(arriving(0, idempotent, plain))
+	d.arrive(newRequest(0, idempotent, plain))
 	assert.Equal(t, rejected, d.ops[0].want)
 	assert.Positive(t, d.ops[0].retryAfter)
 	assert.LessOrEqual(t, d.ops[0].retryAfter, 500.0)
-	assert.Zero(t, d.buckets[0].promised, "units of an operation never sent are given back")
+	assert.Zero(t, d.buckets[0].promised, "units of a request never sent are released")
 }
 
-func TestFewSamplesSetNoLow(t *testing.T) {
+func TestFewSamplesSetNoBaseline(t *testing.T) {
 	d := door(1)
 	d.lat[idempotent] = latency{}
 	for range lowAfter - 1 {
@@ -51,7 +51,7 @@
 	assert.InDelta(t, 1, d.low(idempotent), 1e-9)
 }
 
-func TestLowFollowsALastinglyHeavierMix(t *testing.T) {
+func TestBaselineFollowsALastingRiseOfLatency(t *testing.T) {
 	d := door(1)
 	for range 600 {
 		d.now += 1000
@@ -60,17 +60,17 @@
 	assert.Greater(t, d.lat[idempotent].low, 300.0)
 }
 
-func TestSilenceOfTheFleetRaisesTheEstimate(t *testing.T) {
+func TestSilenceOfTheFleetRaisesExpectedLatency(t *testing.T) {
 	d := sentEach()
 	d.now += 800
 	d.look()
 	assert.InDelta(t, 100+smoothing*4*700, d.recent(idempotent), 1)
 }
 
-func TestOneSilentBackendDoesNotRaiseTheEstimate(t *testing.T) {
+func TestOneSilentBackendDoesNotRaiseExpectedLatency(t *testing.T) {
 	d := door(4)
 	for i := range 4 {
-		d.arrive(arriving(i, idempotent, plain))
+		d.arrive(newRequest(i, idempotent, plain))
 		d.send(i, 0)
 	}
 	d.settle()
@@ -80,7 +80,7 @@
 	assert.InDelta(t, 100, d.recent(idempotent), 1)
 }
 
-func TestPartIsEvenUntilOthersAreHeard(t *testing.T) {
+func TestQuotaShareIsEvenUntilAMeterReport(t *testing.T) {
 	d := door(1)
 	k := d.fill(0, plain, 0, 3)
 	k.demand = 0.001
@@ -95,29 +95,29 @@
 func TestBeyondQuotaIsRejectedAtOnce(t *testing.T) {
 	d := door(1)
 	d.fill(0, plain, 0, 3).level = 0.5
-	d.arrive(arriving(0, idempotent, plain))
+	d.arrive(newRequest(0, idempotent, plain))
 	assert.Equal(t, rejected, d.ops[0].want)
 	assert.InDelta(t, 250, d.ops[0].retryAfter, 1)
 }
 
-// Customers that come only once, and backends under their ids, must not stay for a minute where a new bucket would say
-// the same.
+// One-time customers, and connections counted under their ids, must not occupy a bucket for a minute where a new bucket
+// would hold the same.
 func TestAnIdleBucketThatIsFullAgainIsDropped(t *testing.T) {
 	d := door(1)
 	d.fill(0, plain, 0, 3)
 	d.now += idleFull + 1
 	d.buckets[0].level = -40
 	d.forget()
-	assert.Empty(t, d.forgets, "it would start full")
+	assert.Empty(t, d.forgets, "a new bucket would start full")
 	d.buckets[0].level = 12
 	d.forget()
 	assert.Equal(t, []gate.Action{gate.Forget{Customer: 0}}, d.forgets)
 }
 
-// The index of a customer that was forgotten goes to another, who finds nothing of the first.
-func TestAForgottenCustomersIndexStartsClean(t *testing.T) {
+// A freed customer index is reused, and must not inherit anything from its previous customer.
+func TestAFreedCustomerIndexStartsClean(t *testing.T) {
 	d := door(2)
-	d.arrive(arriving(0, idempotent, capped))
+	d.arrive(newRequest(0, idempotent, capped))
 	k := &d.buckets[0]
 	k.level, k.ceiling, k.others, k.heard, k.trim, k.barred, k.barredUnits = -5, -5, 1, d.now, 0.2, 1e12, 1
 	k.count = counting{window: 7, granted: 9, owed: 3, calling: true}
@@ -132,14 +132,14 @@
 	assert.Equal(t, fresh, d.buckets[0])
 }
 
-func TestANewCustomersSliceHasFilledSinceTheDoorWasBorn(t *testing.T) {
+func TestANewCustomersCeilingSliceFillsFromTheDoorsStart(t *testing.T) {
 	d := door(1)
 	d.born = d.now - 2000
 	assert.InDelta(t, 2, d.fill(0, capped, 0, 3).ceiling, 1e-9)
-	assert.Zero(t, d.fill(0, capped, 1, 3).ceiling, "nothing is known of a slice that changed")
+	assert.Zero(t, d.fill(0, capped, 1, 3).ceiling, "use of a changed slice is unknown")
 }
 
-func TestCeilingSliceStartsEmptyAndFillsByTheSlice(t *testing.T) {
+func TestCeilingSliceStartsEmptyAndFillsAtItsShareOfTheRate(t *testing.T) {
 	d := door(1)
 	d.born = d.now
 	assert.Zero(t, d.fill(0, capped, 0, 3).ceiling)
@@ -153,8 +153,8 @@
 	d := door(1)
 	full := (30 - 2*askFor*0.003) / 3
 	d.fill(0, capped, 0, 3).ceiling = full
-	d.arrive(arriving(0, idempotent, capped))
-	d.now += 60e3 // a hold long enough to fill what it had taken
+	d.arrive(newRequest(0, idempotent, capped))
+	d.now += 60e3 // long enough to refill what it would have taken at arrival
 	d.send(0, 0)
 	assert.InDelta(t, full-1, d.buckets[0].ceiling, 1e-9)
 	assert.Zero(t, d.buckets[0].promisedUnits)
@@ -164,7 +164,7 @@
 	d := door(4)
 	d.lat[idempotent].recent = 300
 	for i := range 50 {
-		o := arriving(i, idempotent, plain)
+		o := newRequest(i, idempotent, plain)
 		o.Units = 0
 		d.arrive(o)
 	}
@@ -174,7 +174,7 @@
 	assert.Less(t, d.out[idempotent], 30)
 }
 
-func TestNonIdempotentThatMayHaveRunIsFailed(t *testing.T) {
+func TestNonIdempotentThatMayHaveRunFails(t *testing.T) {
 	d := sentOnce(nonIdempotent, 0)
 	d.ended(gate.Ended{Result: gate.Reset, Use: -1})
 	d.tick()
@@ -187,7 +187,7 @@
 	assert.True(t, d.ops[0].held)
 }
 
-func TestKeyedStaysInItsGroupAndWindow(t *testing.T) {
+func TestKeyedRepeatStaysInItsGroupAndWindow(t *testing.T) {
 	d := sentOnce(keyedInZone, 0)
 	o := &d.ops[0]
 	assert.True(t, d.allowed(o, 2))
@@ -196,12 +196,12 @@
 	assert.False(t, d.allowed(o, 2), "past the window")
 }
 
-// A repeat is decided within the window, but its connection may be long in coming: it says by when it must begin, counted
-// from the earliest attempt that may have run.
-func TestARepeatSaysByWhenItMustBegin(t *testing.T) {
+// A repeat is decided within the deduplication window, but connecting may take long. Its Send must therefore carry the
+// latest start, counted from the earliest attempt that may have run.
+func TestARepeatCarriesItsStartDeadline(t *testing.T) {
 	for class, want := range map[int]float64{keyedAnywhere: 100e3 + 4000 - repeatGap, keyedInZone: 100e3 + 4000 - repeatGap, idempotent: 0} {
 		d := sentOnce(class, 0)
-		assert.Zero(t, d.by(&d.ops[0], 0), "the first may begin whenever")
+		assert.Zero(t, d.by(&d.ops[0], 0), "the first attempt has no start deadline")
 		d.now += 1000
 		d.ended(gate.Ended{Result: gate.Reset, Use: -1})
 		d.send(0, 2)
@@ -210,9 +210,9 @@
 		d.now += 1000
 		d.ended(gate.Ended{Attempt: 1, Result: gate.Skipped, Use: -1})
 		d.send(0, 2)
-		assert.Equal(t, want, d.by(&d.ops[0], 2), "one that never ran moves nothing")
+		assert.Equal(t, want, d.by(&d.ops[0], 2), "an attempt that never ran changes nothing")
 		d.ended(gate.Ended{Attempt: 2, Result: gate.Reset, Use: -1})
-		assert.Equal(t, want, d.by(&d.ops[0], 3), "of two that may have run, the earlier one's group forgets first")
+		assert.Equal(t, want, d.by(&d.ops[0], 3), "of two that may have run, the earlier one's key expires first")
 	}
 	d := sentOnce(keyedAnywhere, 0)
 	d.ended(gate.Ended{Result: gate.Unreachable, Use: -1})
@@ -222,7 +222,7 @@
 	assert.Contains(t, d.actions, gate.Send{Op: 0, Backend: 2})
 }
 
-func TestKeyedOfOneZoneIsNotRejectedOnceItMayHaveRun(t *testing.T) {
+func TestKeyedInZoneFailsOnceItMayHaveRun(t *testing.T) {
 	d := sentOnce(keyedInZone, 0)
 	d.fleet.up = make([]bool, 4)
 	d.ended(gate.Ended{Result: gate.Reset, Use: -1})
@@ -230,7 +230,7 @@
 	assert.Equal(t, failed, d.ops[0].want)
 }
 
-func TestDrainingBackendGetsNothingNew(t *testing.T) {
+func TestDrainingBackendReceivesNoNewAttempts(t *testing.T) {
 	d := door(2)
 	d.list(gate.Fleet{Entries: []gate.Entry{{Backend: 0, Status: gate.Draining}}})
 	for range 20 {
@@ -239,15 +239,15 @@
 	}
 }
 
-func TestColdBackendGetsTheSharesOfAnyNumberOfDoors(t *testing.T) {
+func TestColdBudgetSharesBelowOneRequestAddUp(t *testing.T) {
 	d := door(2)
-	d.arrive(arriving(0, idempotent, plain))
+	d.arrive(newRequest(0, idempotent, plain))
 	d.fleet.since[0], d.now = 50e3, 50e3
-	d.fleet.work, d.fleet.workAt = 200, 50e3 // 0.02 ms of work a ms: a thin door, 0.1 requests a window
+	d.fleet.work, d.fleet.workAt = 200, 50e3 // 0.02 ms of work per ms: a door with little traffic, 0.1 requests per window
 	sent := 0
 	for range 400 {
 		d.now += d.terms.FallWindow
-		d.fleet.since[0], d.fleet.workAt = d.now, d.now // as cold as on its first day
+		d.fleet.since[0], d.fleet.workAt = d.now, d.now // as cold as at its start
 		for d.coldRoom(&d.ops[0], 0) {
 			d.fleet.coldLeft[0]--
 			sent++
@@ -258,7 +258,7 @@
 	assert.Greater(t, float64(sent), budget/2)
 }
 
-func TestSilenceIsJudgedAndAnswersClear(t *testing.T) {
+func TestSilenceEjectsABackendAndAnswersReadmitIt(t *testing.T) {
 	d := sentOnce(idempotent, 0)
 	for range 10 {
 		d.now += 100
@@ -271,7 +271,7 @@
 	assert.False(t, d.fleet.shunned(0, idempotent))
 }
 
-func TestAWholeFleetIsNeverJudged(t *testing.T) {
+func TestAWholeFleetIsNeverEjected(t *testing.T) {
 	d := door(4)
 	for b := range 4 {
 		d.doubt(b, idempotent, judgeAt)
@@ -280,7 +280,7 @@
 	assert.False(t, d.fleet.shunned(2, idempotent))
 }
 
-func TestAClassLeftUnansweredIsJudgedWhereOthersAreAnswered(t *testing.T) {
+func TestABackendIsEjectedForASingleSilentClass(t *testing.T) {
 	d := sentOnce(idempotent, 0)
 	for range 10 {
 		d.now += 200
@@ -291,57 +291,56 @@
 	assert.False(t, d.fleet.shunned(0, nonIdempotent))
 }
 
-func TestHeldRequestIsAnsweredBeforeTheWaitEnds(t *testing.T) {
-	d := door(0) // nowhere to send
-	d.arrive(arriving(0, idempotent, plain))
+func TestHeldRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
+	d := door(0) // no backend
+	d.arrive(newRequest(0, idempotent, plain))
 	d.now = d.ops[0].until - tickEvery
 	d.tick()
 	assert.Equal(t, rejected, d.ops[0].want)
 }
 
-func TestWakeIsAskedForAgainWhateverTheClockSays(t *testing.T) {
+func TestTimerIsSetAgainAfterAnEarlyFiring(t *testing.T) {
 	d := door(0)
-	d.arrive(arriving(0, idempotent, plain))
+	d.arrive(newRequest(0, idempotent, plain))
 	d.Decide(d.now, nil)
 	acts := d.Decide(d.now+tickEvery-0.0001, []gate.Event{gate.Woken{}})
 	assert.Contains(t, acts, gate.Wake{At: d.now + tickEvery})
 }
 
-func TestAtOnceQuotaHolds(t *testing.T) {
+func TestConcurrencyLimitHoldsRequests(t *testing.T) {
 	d := door(4)
 	full := (30 - 2*askFor*0.003) / 3
 	d.fill(0, capped, 0, 3).ceiling = full
-	d.arrive(arriving(0, idempotent, capped))
-	d.arrive(arriving(1, idempotent, capped))
+	d.arrive(newRequest(0, idempotent, capped))
+	d.arrive(newRequest(1, idempotent, capped))
 	d.release(0)
 	d.release(1)
 	assert.Len(t, d.ops[0].sends, 1)
 	assert.True(t, d.ops[1].held)
 }
 
-// asking returns door 1 of 3, which may write to the others, with request 0 for a customer of doors 0 to 2.
-// counting2 returns a door with request 0 of two units waiting for the shared counter.
-func counting2() *Door {
+// doorAtCounter returns a door with request 0, of two units, waiting for the shared counter.
+func doorAtCounter() *Door {
 	d := door(4)
 	d.terms.Counter = true
-	e := arriving(0, idempotent, plain)
+	e := newRequest(0, idempotent, plain)
 	e.Units = 2
 	d.arrive(e)
 	d.tick()
 	return d
 }
 
-// Calls are for customers that come near their quota: called for each one, a counter that bears half of the calls fails
-// those that need it. What went without is added once there is a call.
-func TestACustomerWithAmpleRoomIsCountedWithALaterCall(t *testing.T) {
-	d := counting2()
+// Only customers close to their quota need the counter: with a call for every request, a counter that sustains half of the
+// calls would also fail those that matter. The units of the others are added by a later call.
+func TestUnitsFarBelowTheQuotaAreAddedByALaterCall(t *testing.T) {
+	d := doorAtCounter()
 	d.calls = nil
-	e := arriving(1, idempotent, plain)
+	e := newRequest(1, idempotent, plain)
 	e.Customer, e.Spread = 1, 1
 	d.arrive(e)
 	d.tick()
 	assert.Empty(t, d.calls)
-	assert.Equal(t, 1, d.out[idempotent], "it goes at once")
+	assert.Equal(t, 1, d.out[idempotent], "it is sent at once")
 	d.buckets[1].level = 4
 	e.Op = 2
 	d.arrive(e)
@@ -351,8 +350,8 @@
 	assert.Zero(t, c.owed)
 }
 
-func TestUnitsAreCalledForFromTheCounter(t *testing.T) {
-	d := counting2()
+func TestRequestWaitsForUnitsFromTheCounter(t *testing.T) {
+	d := doorAtCounter()
 	call := d.calls[0].(gate.Count)
 	assert.Equal(t, 2.0, call.Add)
 	assert.Zero(t, d.out[idempotent])
@@ -361,45 +360,45 @@
 	assert.Equal(t, 1, d.out[idempotent])
 }
 
-func TestRoomTooSmallOnTheCounterIsKeptForSmallerRequests(t *testing.T) {
-	d := counting2()
+func TestUnitsTooFewForARequestAreKeptForSmallerOnes(t *testing.T) {
+	d := doorAtCounter()
 	call := d.calls[0].(gate.Count)
 	c := &d.buckets[0].count
 	d.counted(gate.Counted{Epoch: call.Epoch, Total: 12 + c.fill*4000 + 1}) // 4 s into the window
 	d.tick()
 	assert.Equal(t, rejected, d.ops[0].want)
-	assert.InDelta(t, 1, c.back, 1e-9, "the next call takes off what was not granted")
-	d.arrive(arriving(1, idempotent, plain))
+	assert.InDelta(t, 1, c.back, 1e-9, "the next call subtracts what was not granted")
+	d.arrive(newRequest(1, idempotent, plain))
 	d.tick()
 	assert.Equal(t, 1, d.out[idempotent])
 }
 
 func TestUnitsRefillWithinAWindowFromTheLevelLastSeen(t *testing.T) {
-	d := counting2()
+	d := doorAtCounter()
 	c := &d.buckets[0].count
-	assert.InDelta(t, 0.002/3, c.fill, 1e-9, "beginning not seen: by the even slice")
+	assert.InDelta(t, 0.002/3, c.fill, 1e-9, "level at its start unknown: by the even split")
 	c.room, c.seen, c.back = 3, d.now, 0.5
 	d.calls, c.calling = nil, false
-	d.now += 6000 // the same place in the next window, whose beginning was 4 s ago
+	d.now += 6000 // the same offset in the next window, which began 4 s ago
 	d.count(&d.ops[0], &d.buckets[0])
 	assert.InDelta(t, 3+2000*0.002, c.before, 1e-9)
 	assert.InDelta(t, 0.002, c.fill, 1e-9)
 	d.counted(gate.Counted{Epoch: c.window, Total: 16})
 	assert.InDelta(t, 0, c.room, 1e-9)
 	assert.InDelta(t, 1, c.granted, 1e-9)
-	assert.InDelta(t, 500, d.buckets[0].barred-d.now, 1e-6, "until two units are there")
+	assert.InDelta(t, 500, d.buckets[0].barred-d.now, 1e-6, "until two units have refilled")
 }
 
-func TestACrowdedCounterIsCalledLess(t *testing.T) {
-	d := counting2()
+func TestAnOverloadedCounterIsCalledLess(t *testing.T) {
+	d := doorAtCounter()
 	d.counted(gate.Counted{Epoch: d.calls[0].(gate.Count).Epoch, Result: gate.Full})
 	assert.Less(t, d.calling, 1.0)
 	d.tick()
-	assert.Equal(t, 1, d.out[idempotent], "decided by part")
+	assert.Equal(t, 1, d.out[idempotent], "decided by quota share")
 }
 
-func TestACounterThatWasAwayIsCalledAsBefore(t *testing.T) {
-	d := counting2()
+func TestCallShareRecoversAtOnceAfterACounterOutage(t *testing.T) {
+	d := doorAtCounter()
 	epoch := d.calls[0].(gate.Count).Epoch
 	for range 2 * awayAfter {
 		d.now += askFor
@@ -411,16 +410,16 @@
 	for range awayAfter {
 		d.now += askFor
 		d.counted(gate.Counted{Epoch: epoch, Result: gate.TimedOut})
-		d.counted(gate.Counted{Epoch: epoch, Result: gate.Full}) // a crowd's word
+		d.counted(gate.Counted{Epoch: epoch, Result: gate.Full}) // the answer of an overloaded counter
 	}
 	d.counted(gate.Counted{Epoch: epoch})
 	assert.Less(t, d.calling, 0.1)
 }
 
-// Calls made together time out together. Taken for as many crowds, one line at the counter stopped the calls for
-// seconds; and what cannot be read was an answer, which says nothing of a crowd.
-func TestCallsThatFailTogetherAreOneCrowd(t *testing.T) {
-	d := counting2()
+// Calls made together time out together. When each counted as a separate overload, one delay at the counter stopped the
+// calls for seconds. A malformed answer is still an answer and no sign of overload.
+func TestCallsThatFailTogetherAreOneOverloadSignal(t *testing.T) {
+	d := doorAtCounter()
 	epoch := d.calls[0].(gate.Count).Epoch
 	d.counted(gate.Counted{Epoch: epoch, Result: gate.Spoilt})
 	assert.Equal(t, 1.0, d.calling)
@@ -428,7 +427,7 @@
 		d.counted(gate.Counted{Epoch: epoch, Result: gate.TimedOut})
 	}
 	assert.Equal(t, countCut, d.calling)
-	assert.Less(t, d.crowdedAt, d.now, "one line is no crowd yet")
+	assert.Less(t, d.crowdedAt, d.now, "one delay is no lasting overload")
 	for range 2 {
 		d.now += askFor
 		d.counted(gate.Counted{Epoch: epoch, Result: gate.TimedOut})
@@ -436,9 +435,9 @@
 	assert.Equal(t, d.now, d.crowdedAt)
 }
 
-// A call that may have been counted was, as a rule: left on the number, its units would be nobody's.
-func TestWhatACallMayHaveAddedInVainIsTakenOff(t *testing.T) {
-	d := counting2()
+// A call without an answer was usually executed: left on the number, its units would be usable by no door.
+func TestUnitsOfACallWithoutAnAnswerAreSubtracted(t *testing.T) {
+	d := doorAtCounter()
 	c := &d.buckets[0].count
 	d.counted(gate.Counted{Epoch: c.window, Result: gate.TimedOut})
 	assert.Equal(t, c.asked, c.back)
@@ -447,9 +446,9 @@
 	assert.Zero(t, c.back)
 }
 
-// A store that was full when a window was half over holds its depth, not the depth and what would have refilled.
-func TestAWindowLetsInNoMoreThanTheStoreCanHold(t *testing.T) {
-	d := counting2()
+// A bucket that was full halfway through a window holds its depth, not its depth plus what would have refilled.
+func TestAWindowGrantsNoMoreThanTheBucketHolds(t *testing.T) {
+	d := doorAtCounter()
 	c, p := &d.buckets[0].count, &d.terms.Plans[plain]
 	c.before, c.fill, c.asked = p.Depth, p.Rate, 2*p.Depth
 	_, left := d.window(&d.buckets[0])
@@ -458,15 +457,15 @@
 	assert.InDelta(t, p.Depth, c.granted, 1e-9)
 }
 
-// Each door's part goes by its demand against the others' use. Of a customer far beyond its quota all ask for more
-// than is used, so that the parts add up to more than the quota; the meter shows it. A burst from a full store is
-// none of that.
-func TestPartsAreTrimmedWhileTheyAddUpToTooMuch(t *testing.T) {
+// Each door's quota share follows its demand against the others' use. For a customer far beyond its quota every door's
+// demand exceeds its use, so the shares add up to more than the quota, which the meter shows. A burst from a full
+// bucket must not scale the shares down.
+func TestQuotaSharesAreScaledDownWhileTheyExceedTheQuota(t *testing.T) {
 	d := door(2)
 	k := d.fill(0, plain, 0, 3)
 	k.demand = 1
 	d.hear(k, 2)
-	assert.Equal(t, 1.0, k.trim, "the store was full")
+	assert.Equal(t, 1.0, k.trim, "the bucket was full")
 	whole := d.part(k)
 	for range 20 {
 		d.now += d.terms.MeterPeriod
@@ -481,10 +480,10 @@
 	assert.InDelta(t, 1, k.trim, 0.01)
 }
 
-func TestCallsAreNotSavedForEver(t *testing.T) {
-	d := counting2()
+func TestReservationOfCounterCallsEnds(t *testing.T) {
+	d := doorAtCounter()
 	d.crowdedAt, d.calls = d.now, nil
-	e := arriving(1, idempotent, plain) // of a customer whose part is fair
+	e := newRequest(1, idempotent, plain) // of a customer whose quota share holds it
 	e.Customer, e.Units = 1, 2
 	d.arrive(e)
 	d.tick()
@@ -499,7 +498,7 @@
 	assert.NotEmpty(t, d.calls)
 }
 
-func TestFailedListIsAskedForAgainButNotAtOnce(t *testing.T) {
+func TestFailedListIsSubscribedToAgainAfterADelay(t *testing.T) {
 	d := door(1)
 	d.terms.MustAsk = true
 	assert.NotContains(t, d.Decide(d.now, []gate.Event{gate.Fleet{Failed: true}}), gate.Track{})
@@ -510,7 +509,7 @@
 func TestLostAnswersAreNoBacklog(t *testing.T) {
 	d := sentEach()
 	assert.Positive(t, d.drain(idempotent))
-	d.now += 1500 // past the contract time, not yet given up by the clients
+	d.now += 1500 // past the contract time, before the clients' deadline
 	d.answeredAt = d.now - 100
 	d.look()
 	assert.Zero(t, d.drain(idempotent))
@@ -518,9 +517,9 @@
 	assert.Zero(t, d.hold(&d.ops[0]))
 }
 
-// When nothing at all comes back, what is out is no lost answer: a door whose few samples dated from before went on
-// sending to a fleet that had come to a stand.
-func TestAFleetThatAnswersNothingIsPressed(t *testing.T) {
+// Guards against taking a silent fleet for lost answers: a door whose few samples were old went on sending to a fleet that
+// had stopped.
+func TestASilentFleetCausesHolds(t *testing.T) {
 	d := sentEach()
 	d.now += 1500
 	d.answeredAt = d.now - 1500
@@ -529,20 +528,20 @@
 	assert.Positive(t, d.hold(&d.ops[0]))
 }
 
-func TestALatencyAtAJudgedBackendCountsOnceAllAreMute(t *testing.T) {
+func TestATimeoutAtAnEjectedBackendCountsOnceTheFleetIsSilent(t *testing.T) {
 	d := sentOnce(idempotent, 2)
 	d.fleet.cases[idempotent][2].judged = true
 	gone := gate.Ended{Result: gate.TimedOut, Latency: 900, Use: -1}
 	d.answeredAt = d.now
 	d.judge(&d.ops[0], &d.ops[0].sends[0], gone)
-	assert.Equal(t, 100.0, d.lat[idempotent].recent, "one silent backend is no pressed fleet")
+	assert.Equal(t, 100.0, d.lat[idempotent].recent, "one silent backend does not mean an overloaded fleet")
 	d.answeredAt = d.now - 1500
 	d.judge(&d.ops[0], &d.ops[0].sends[0], gone)
 	assert.Greater(t, d.lat[idempotent].recent, 100.0)
 }
 
-// Each of hundreds of doors may have one request in flight by chance, but not one of every class.
-func TestChanceInFlightCountsOnceForTheDoor(t *testing.T) {
+// Each of hundreds of doors may have one request in flight by random variation, but not one of every class.
+func TestRandomVariationInFlightCountsOncePerDoor(t *testing.T) {
 	d := door(4)
 	d.out[idempotent] = 1
 	assert.Zero(t, d.drain(idempotent))
@@ -550,66 +549,66 @@
 	assert.Positive(t, d.drain(idempotent))
 }
 
-func TestARepeatRejectedAtACrowdedCounterIsNotSent(t *testing.T) {
-	d := counting2()
+func TestARetryRejectedAtAnOverloadedCounterIsNotSent(t *testing.T) {
+	d := doorAtCounter()
 	d.calling = 0
-	e := arriving(1, idempotent, plain)
-	e.Customer, e.Repeat, e.Units = 1, true, 5 // more than its part holds
+	e := newRequest(1, idempotent, plain)
+	e.Customer, e.Repeat, e.Units = 1, true, 5 // more than its quota share holds
 	d.arrive(e)
 	d.tick()
 	assert.Equal(t, rejected, d.ops[1].want)
-	assert.Empty(t, d.ops[1].sends, "one never to be sent would count as out for ever")
+	assert.Empty(t, d.ops[1].sends, "an attempt never sent would count as in flight for ever")
 }
 
 func TestLateAttemptsAreBacklogWhileAnswersAreSlow(t *testing.T) {
 	d := door(4)
 	for i := range 9 {
-		d.arrive(arriving(i, idempotent, plain))
+		d.arrive(newRequest(i, idempotent, plain))
 		d.send(i, i%4)
 	}
 	d.settle()
 	d.lat[idempotent].recent = 900
 	d.now += 1500
 	d.look()
-	assert.Positive(t, d.hold(&d.ops[0]), "else the door goes on sending into a fleet that answers nothing in time")
+	assert.Positive(t, d.hold(&d.ops[0]), "otherwise the door keeps sending to a fleet that answers nothing in time")
 }
 
-func TestALowLearntOnAPressedFleetHasAMost(t *testing.T) {
+func TestBaselineHasAnUpperBound(t *testing.T) {
 	d := door(1)
 	d.lat[idempotent].low = 900
 	assert.Equal(t, lowMost*1000, d.low(idempotent))
 }
 
-func TestGivenUpIsALatencyOfItsAge(t *testing.T) {
+func TestATimeoutIsALatencySampleOfItsAge(t *testing.T) {
 	d := sentOnce(idempotent, 0)
 	d.ended(gate.Ended{Result: gate.TimedOut, Latency: 3000, Use: -1})
 	assert.InDelta(t, 100+smoothing*900, d.lat[idempotent].recent, 1)
 }
 
-func TestWhatIsLateOnAPressedFleetIsGivenUpAtOnce(t *testing.T) {
+func TestLateRequestsAreGivenUpOnAnOverloadedFleet(t *testing.T) {
 	d := door(4)
 	for i := range 9 {
-		d.arrive(arriving(i, idempotent, plain))
+		d.arrive(newRequest(i, idempotent, plain))
 		d.send(i, i%4)
 	}
 	d.settle()
 	d.now += 1500
 	d.answeredAt = d.now
 	d.tick()
-	assert.Equal(t, undecided, d.ops[0].want, "nothing says that the fleet is pressed")
+	assert.Equal(t, undecided, d.ops[0].want, "nothing shows that the fleet is overloaded")
 	d.lat[idempotent].recent = 900
 	d.tick()
 	assert.Equal(t, rejected, d.ops[0].want)
 }
 
-// Fleets whose backends are replaced all day: a gone one's index is free once no request that went there is open,
-// and the next one under it inherits no opinion.
+// Where backends are replaced all day, the index of a gone one is freed once no open request was sent to it, and the next
+// backend under that index inherits neither evidence nor weight.
 func TestAGoneBackendsIndexIsFreedOnce(t *testing.T) {
 	d := sentOnce(idempotent, 1)
 	d.fleet.cases[0][1].judged = true
 	d.list(gate.Fleet{Entries: []gate.Entry{{Backend: 1, Status: gate.Gone}}})
 	d.delist()
-	assert.Empty(t, d.forgets, "an operation is out there")
+	assert.Empty(t, d.forgets, "a request is in flight there")
 	d.ended(gate.Ended{Backend: 1, Result: gate.Reset, Use: -1})
 	d.ops[0].want = rejected
 	d.tick()
@@ -622,12 +621,12 @@
 	assert.Equal(t, 1.0, d.fleet.size[1])
 	d.list(gate.Fleet{Complete: true, Entries: []gate.Entry{{Backend: 0}}})
 	d.delist()
-	assert.Len(t, d.forgets, 4, "what a whole list leaves out is gone")
+	assert.Len(t, d.forgets, 4, "a backend missing from a complete list is gone")
 }
 
-// Hundreds of doors with some tens of requests a second each: over all backends, connections are opened anew for
-// half of them, and a backend is met too seldom to be known.
-func TestADoorKeepsToSoManyMembersAsItsTrafficReaches(t *testing.T) {
+// With hundreds of doors at a few dozen requests per second each, sending to all backends opens a new connection for half of
+// the requests and gathers too little evidence on each backend.
+func TestSubsetGrowsWithTheDoorsTraffic(t *testing.T) {
 	d := door(100)
 	met := func() map[int]bool {
 		met := map[int]bool{}
@@ -641,22 +640,22 @@
 	}
 	few := met()
 	assert.Len(t, few, memberMin)
-	d.fleet.sends, d.fleet.sendsAt = 0.02, d.now // 20 a second
+	d.fleet.sends, d.fleet.sendsAt = 0.02, d.now // 20 per second
 	more := met()
 	assert.Len(t, more, 20)
 	for b := range few {
-		assert.True(t, more[b], "those that there are stay")
+		assert.True(t, more[b], "a larger subset keeps the backends of the smaller one")
 	}
 	d.now += 60e3
-	assert.Equal(t, memberMin, d.members(), "quiet again")
+	assert.Equal(t, memberMin, d.members(), "traffic has stopped")
 }
 
-func TestWhatFailsIsStoodInForByTheNext(t *testing.T) {
+func TestEjectedBackendsAreReplacedByTheNextOnTheRing(t *testing.T) {
 	d := door(30)
 	o := request{class: idempotent, plan: plain}
 	f := &d.fleet
 	first := append([]int(nil), f.order[:memberMin]...)
-	for _, b := range first { // the whole lot is lost with its zone
+	for _, b := range first { // the whole subset is lost with its zone
 		f.cases[idempotent][b] = suspicion{judged: true, doubt: judgeAt, trialAt: d.now + 1e3}
 	}
 	for range 100 {
@@ -671,16 +670,16 @@
 	}
 }
 
-// By chance alone (each door drawing its own members) the deviation would be 4.7 doors, and a backend with a quarter
-// more doors than others is full when the fleet is not.
-func TestMembersSpreadEvenlyOverTheDoors(t *testing.T) {
+// With subsets drawn at random by each door the deviation would be 4.7 doors, and a backend with a quarter more doors than
+// others is full before the fleet is.
+func TestSubsetsSpreadEvenlyOverTheBackends(t *testing.T) {
 	const doors, backends = 300, 100
 	at := make([]int, backends)
 	for n := range doors {
 		d := New(terms(), uint64(n))
 		d.terms.Number = n
 		var e gate.Fleet
-		for b := range backends { // every door has its own indices
+		for b := range backends { // every door assigns its own indices
 			e.Entries = append(e.Entries, gate.Entry{Backend: (b + n) % backends, Mark: float64(b*37%backends) / backends})
 		}
 		d.list(e)
@@ -693,7 +692,7 @@
 	}
 }
 
-func TestALostBackendMovesADoorsStretchByOneAtMost(t *testing.T) {
+func TestALostBackendChangesASubsetByOneAtMost(t *testing.T) {
 	d := door(30)
 	d.terms.Number = 7
 	d.list(gate.Fleet{Entries: []gate.Entry{{Backend: 0}}})
@@ -708,52 +707,53 @@
 	assert.GreaterOrEqual(t, kept, memberMin-1)
 }
 
-// meteredDoor has request 0 of two units held, gone past a crowded counter, at a door whose part is empty.
-func meteredDoor(heardAgo float64) *Door {
+// meteredDoor returns a door with an empty local bucket and a held request 0, of two units, decided without the counter. The
+// customer's last meter report is reportAgeMs old and left 12 units.
+func meteredDoor(reportAgeMs float64) *Door {
 	d := door(2)
 	d.terms.Counter = true
-	e := arriving(0, idempotent, plain)
+	e := newRequest(0, idempotent, plain)
 	e.Units = 2
 	d.arrive(e)
 	d.ops[0].uncounted = true
 	k := &d.buckets[0]
-	k.level, k.heard, k.store = 0, d.now-heardAgo, 12
+	k.level, k.heard, k.store = 0, d.now-reportAgeMs, 12
 	return d
 }
 
-// At a door of many, the part of a customer seen seldom holds no request: a fresh word of the meter that leaves the
-// whole store full lets it in, and takes its units from what the word left.
-func TestAFreshMeterWordLetsInWhatAThinPartCannotHold(t *testing.T) {
+// Where many doors each see a customer rarely, the local share cannot hold a request. A fresh meter report of a full bucket
+// admits it, and its units are taken from the reported level.
+func TestAFreshMeterReportAdmitsWhatASmallShareCannotHold(t *testing.T) {
 	d := meteredDoor(500)
 	assert.True(t, d.secure(0))
 	assert.InDelta(t, 10, d.buckets[0].store, 1e-9)
-	assert.Zero(t, d.ops[0].charge, "the part is not put in debt")
+	assert.Zero(t, d.ops[0].charge, "the local bucket is not charged")
 }
 
-func TestAStaleMeterWordLetsNothingPastThePart(t *testing.T) {
+func TestAStaleMeterReportAdmitsNothingBeyondTheShare(t *testing.T) {
 	d := meteredDoor(2 * wordFresh * 1000)
 	assert.False(t, d.secure(0))
 	assert.Equal(t, rejected, d.ops[0].want)
 	assert.Equal(t, gate.OverPart, d.ops[0].why)
 }
 
-func TestAMeterWordIsNotSpentTwice(t *testing.T) {
+func TestAMeterReportIsNotSpentTwice(t *testing.T) {
 	d := meteredDoor(500)
 	d.buckets[0].store = 12
 	require.True(t, d.secure(0))
-	e := arriving(1, idempotent, plain)
+	e := newRequest(1, idempotent, plain)
 	e.Units = 2
 	d.arrive(e)
 	d.ops[1].uncounted = true
-	assert.False(t, d.secure(1), "8 units would be left of the word's 12, under the share it must keep")
+	assert.False(t, d.secure(1), "8 of the 12 reported units would be left, less than the share that must stay")
 }
 
-// callingWith returns the units that a door calls for from the counter for a request of two units, with the window's
-// room at 12 units and the customer's demand at this door as given, units/ms.
-func callingWith(demand float64) float64 {
+// unitsCalledFor returns the units that a door asks the counter for, for a request of two units, with 12 units free in the
+// window and the given demand of the customer at this door, units/ms.
+func unitsCalledFor(demand float64) float64 {
 	d := door(2)
 	d.terms.Counter = true
-	e := arriving(0, idempotent, plain)
+	e := newRequest(0, idempotent, plain)
 	e.Spread, e.Units = 1, 2
 	d.arrive(e)
 	k := &d.buckets[0]
@@ -763,70 +763,70 @@
 	return d.calls[0].(gate.Count).Add
 }
 
-// A door that sees a customer seldom would hold a lump of the window's room that only it may use, and the lumps of
-// many such doors would leave others with none: it calls for what its demand takes in the rest of the window.
-func TestACallAsksNoMoreThanTheDoorsDemandTakes(t *testing.T) {
-	assert.Equal(t, 2.0, callingWith(0), "its own units")
-	assert.Equal(t, 6.0, callingWith(1), "a lump of half the room")
+// A door that sees a customer rarely must not hold a batch of the window's units that only it may use: batches at many such
+// doors would leave nothing for the others. It asks for what its demand takes in the rest of the window.
+func TestACallAsksForNoMoreThanTheDoorsDemand(t *testing.T) {
+	assert.Equal(t, 2.0, unitsCalledFor(0), "the request's own units")
+	assert.Equal(t, 6.0, unitsCalledFor(1), "a batch of half the free units")
 }
 
-// payingBeyond is a door whose plain plan earns 0.3 of the gain beyond its quota at no cost, with the quota used up.
-func payingBeyond() *Door {
+// overQuotaDoor returns a door whose plain plan earns 0.3 of the gain beyond its quota at no cost, with the quota used up.
+func overQuotaDoor() *Door {
 	d := door(4)
 	d.terms.Plans[plain].Beyond = 0.3
-	d.arrive(arriving(0, idempotent, plain))
+	d.arrive(newRequest(0, idempotent, plain))
 	d.buckets[0].level = 0
 	return d
 }
 
-func TestWhatPaysBeyondItsQuotaIsSentWhileTheFleetIsNotPressed(t *testing.T) {
-	d := payingBeyond()
-	d.arrive(arriving(1, idempotent, plain))
+func TestOverQuotaRequestsThatPayAreSentWhileTheFleetIsNotOverloaded(t *testing.T) {
+	d := overQuotaDoor()
+	d.arrive(newRequest(1, idempotent, plain))
 	assert.Equal(t, undecided, d.ops[1].want)
-	assert.Zero(t, d.ops[1].charge, "it takes nothing from the quota")
+	assert.Zero(t, d.ops[1].charge, "the quota is not charged")
 
-	d.terms.Plans[plain].OverCost = 0.3 // no more than it costs
-	d.arrive(arriving(2, idempotent, plain))
+	d.terms.Plans[plain].OverCost = 0.3 // as much as it earns
+	d.arrive(newRequest(2, idempotent, plain))
 	assert.Equal(t, rejected, d.ops[2].want)
 }
 
-// Let in on a pressed fleet, what earns a part takes the place of what earns the whole.
-func TestNothingGoesBeyondItsQuotaOnAPressedFleet(t *testing.T) {
-	d := payingBeyond()
+// On an overloaded fleet a request that earns a share of its gain would displace one that earns all of it.
+func TestNothingIsSentOverQuotaOnAnOverloadedFleet(t *testing.T) {
+	d := overQuotaDoor()
 	d.pressed = 2 * openUnder
-	d.arrive(arriving(1, idempotent, plain))
+	d.arrive(newRequest(1, idempotent, plain))
 	assert.Equal(t, rejected, d.ops[1].want)
 }
 
-func TestACeilingHoldsForWhatPaysBeyondItsQuota(t *testing.T) {
+func TestACeilingAppliesToOverQuotaRequestsThatPay(t *testing.T) {
 	d := door(4)
 	d.terms.Plans[capped].Beyond = 0.3
-	d.arrive(arriving(0, idempotent, capped))
+	d.arrive(newRequest(0, idempotent, capped))
 	d.buckets[0].level, d.buckets[0].ceiling = 0, 0
-	d.arrive(arriving(1, idempotent, capped))
+	d.arrive(newRequest(1, idempotent, capped))
 	assert.Equal(t, rejected, d.ops[1].want)
 }
 
-func TestTheCounterIsNotCalledForWhatPaysBeyondItsQuota(t *testing.T) {
-	d := payingBeyond()
+func TestTheCounterIsNotCalledWhereOverQuotaRequestsPay(t *testing.T) {
+	d := overQuotaDoor()
 	d.terms.Counter = true
 	assert.False(t, d.counts(&d.buckets[0]))
 	d.pressed = 2 * openUnder
 	assert.True(t, d.counts(&d.buckets[0]))
 }
 
-// A door of one request a second needs ten seconds for its first samples. When those were slow it rejected all of the
-// class for good, as no sample came any more.
-func TestAClassOfFewSlowSamplesIsNotPressedWithNothingOut(t *testing.T) {
+// A door with one request per second needs ten seconds for its first samples. When these were slow, it rejected every
+// request of the class for ever, since no further sample came.
+func TestFewSlowSamplesCauseNoHoldWithNothingInFlight(t *testing.T) {
 	d := door(4)
 	d.lat[idempotent] = latency{recent: 1063, low: 1063, samples: lowAfter - 1, lowAt: d.now}
-	d.arrive(arriving(0, idempotent, plain))
+	d.arrive(newRequest(0, idempotent, plain))
 	assert.Equal(t, undecided, d.ops[0].want)
 	assert.Zero(t, d.hold(&d.ops[0]))
 }
 
-// A backend that turns one plan away for half a minute is met by a door of few requests once in seconds.
-func TestABackendThatTurnsAPlanAwayAgainIsLeftAloneForLonger(t *testing.T) {
+// A backend may refuse a plan for half a minute. Even a door with little traffic would try it every few seconds.
+func TestBackoffDoublesWhenABackendRefusesAPlanAgain(t *testing.T) {
 	d := sentOnce(idempotent, 2)
 	rest := func() float64 { return d.fleet.fullUntil[2][plain] - d.now }
 	d.judge(&d.ops[0], &d.ops[0].sends[0], gate.Ended{Result: gate.Full, Use: -1})
@@ -837,12 +837,12 @@
 		d.judge(&d.ops[0], &d.ops[0].sends[0], gate.Ended{Result: gate.Full, Use: -1})
 	}
 	assert.Equal(t, trialMost, rest())
-	assert.Zero(t, d.fleet.fullUntil[2][capped], "another plan's work is not")
+	assert.Zero(t, d.fleet.fullUntil[2][capped], "another plan is not affected")
 }
 
-// Denied calls have added their units too, so the number may stand far over what was there.
-func TestWhatWasAskedInVainDoesNotBarTheNextWindow(t *testing.T) {
-	d := counting2()
+// Denied calls add their units as well, so the number may stand far above what was available.
+func TestDeniedUnitsDoNotBlockTheNextWindow(t *testing.T) {
+	d := doorAtCounter()
 	k := &d.buckets[0]
 	k.count.room, k.count.seen = -100, d.now
 	_, left := d.window(k)
@@ -853,15 +853,15 @@
 	assert.Positive(t, k.count.before)
 }
 
-func TestTrueUnitsTakeThePlaceOfTheGuess(t *testing.T) {
+func TestActualUnitsReplaceTheEstimate(t *testing.T) {
 	d := sentOnce(idempotent, 0)
 	level, charge := d.buckets[0].level, d.ops[0].charge
 	d.ended(gate.Ended{Op: 0, Result: gate.Finished, Latency: 100, Over: true, Use: -1, Units: 3})
-	assert.InDelta(t, level-2*charge, d.buckets[0].level, 1e-9, "a guess of 1, and the door's part was charged")
+	assert.InDelta(t, level-2*charge, d.buckets[0].level, 1e-9, "estimated at 1 unit, charged by the door's share")
 	assert.Equal(t, 2.0, d.buckets[0].count.owed)
 }
 
-func TestACrowdedCounterIsCalledForWhatEarnsMore(t *testing.T) {
+func TestAnOverloadedCounterIsCalledForRequestsOfHigherGain(t *testing.T) {
 	d := door(1)
 	d.terms.Classes[idempotent].Gain, d.terms.Plans[plain].Price = 1, 1
 	d.usualGain, d.calling = 2, 0.4
@@ -877,11 +877,12 @@
 	assert.InDelta(t, 400, calls(2), 60)
 	assert.Less(t, calls(1), 60)
 	d.calling = 1
-	assert.Equal(t, 1000, calls(1), "an ample one is called for all")
+	assert.Equal(t, 1000, calls(1), "a counter with spare capacity is called for every request")
 }
 
-// watching is a door that compares its decisions with terms of another shape, and the kinds that it told since.
-func watching(d *Door) func() []gate.Difference {
+// comparing makes a door compare its decisions with other terms, and returns a function that returns the kinds reported
+// since its last call.
+func comparing(d *Door) func() []gate.Difference {
 	w := d.terms
 	w.Plans = []gate.Plan{{Rate: 0.002, Depth: 12, Beyond: 0.3}, d.terms.Plans[capped]}
 	w.MaxRetryAfter, w.Hedging, w.MaxAttempts = 0, false, 1
@@ -897,42 +898,42 @@
 	}
 }
 
-func TestWatchingTellsWhatOtherTermsWouldDecideAndDecidesAsBefore(t *testing.T) {
+func TestComparisonReportsDifferencesWithoutChangingDecisions(t *testing.T) {
 	d := door(4)
-	told := watching(d)
-	d.arrive(arriving(0, idempotent, plain))
-	assert.Empty(t, told(), "sent under both")
+	reported := comparing(d)
+	d.arrive(newRequest(0, idempotent, plain))
+	assert.Empty(t, reported(), "sent under both terms")
 	d.buckets[0].level = 0
-	d.arrive(arriving(1, idempotent, plain))
+	d.arrive(newRequest(1, idempotent, plain))
 	assert.Equal(t, rejected, d.ops[1].want)
-	assert.Equal(t, []gate.Difference{gate.OtherAdvice, gate.SentBeyond}, told())
+	assert.Equal(t, []gate.Difference{gate.OtherAdvice, gate.SentBeyond}, reported())
 	d.pressed = 2 * openUnder
-	d.arrive(arriving(2, idempotent, plain))
-	assert.Equal(t, []gate.Difference{gate.OtherAdvice}, told(), "a pressed fleet sends nothing beyond a quota")
+	d.arrive(newRequest(2, idempotent, plain))
+	assert.Equal(t, []gate.Difference{gate.OtherAdvice}, reported(), "nothing is sent beyond a quota on an overloaded fleet")
 }
 
-func TestWatchingTellsOfCallsCopiesAndFurtherAttempts(t *testing.T) {
-	d := counting2()
-	told := watching(d)
+func TestComparisonReportsCallsHedgesAndRetries(t *testing.T) {
+	d := doorAtCounter()
+	reported := comparing(d)
 	d.calls, d.buckets[0].count = nil, counting{}
 	d.count(&request{units: 2, class: idempotent}, &d.buckets[0])
 	assert.Len(t, d.calls, 1, "called as before")
-	assert.Equal(t, []gate.Difference{gate.NotCounted}, told())
+	assert.Equal(t, []gate.Difference{gate.NotCounted}, reported())
 
 	d = sentOnce(idempotent, 2)
-	told = watching(d)
+	reported = comparing(d)
 	d.fleet.cases[idempotent][2].judged = true
 	d.now += 10 * rescueAt * d.recent(idempotent)
 	d.ops[0].came = d.now
 	d.rescue(0)
-	assert.Len(t, d.ops[0].sends, 2, "copied as before")
-	assert.Equal(t, []gate.Difference{gate.NoCopy}, told())
+	assert.Len(t, d.ops[0].sends, 2, "hedged as before")
+	assert.Equal(t, []gate.Difference{gate.NoCopy}, reported())
 
 	d = sentOnce(idempotent, 2)
-	told = watching(d)
+	reported = comparing(d)
 	d.ended(gate.Ended{Op: 0, Result: gate.Errored, Latency: 100, Use: -1})
-	assert.True(t, d.ops[0].held, "held to be sent again as before")
-	assert.Equal(t, []gate.Difference{gate.NoFurther}, told())
+	assert.True(t, d.ops[0].held, "held for another attempt as before")
+	assert.Equal(t, []gate.Difference{gate.NoFurther}, reported())
 }
 
 func TestSlicesOfACeilingAddUp(t *testing.T) {
@@ -940,7 +941,7 @@
 	for n := range 3 {
 		d := door(1)
 		d.terms.Number = n
-		d.arrive(arriving(0, idempotent, capped))
+		d.arrive(newRequest(0, idempotent, capped))
 		d.now += 1e6
 		sum += d.refill(0).ceiling
 	}
@@ -948,36 +949,36 @@
 	assert.Greater(t, sum, 0.9*terms().Plans[capped].CeilingDepth)
 }
 
-func TestAtOnceADoorHasItsPartOut(t *testing.T) {
+func TestADoorSendsItsShareOfTheConcurrencyLimit(t *testing.T) {
 	d := door(4)
-	d.arrive(arriving(0, idempotent, capped))
+	d.arrive(newRequest(0, idempotent, capped))
 	d.send(0, 0)
-	d.arrive(arriving(1, idempotent, capped))
+	d.arrive(newRequest(1, idempotent, capped))
 	d.tick()
-	assert.Empty(t, d.ops[1].sends, "three at once over three doors is one at each")
+	assert.Empty(t, d.ops[1].sends, "three concurrent attempts over three doors are one at each")
 }
 
-func TestABackendThatReportsWorkWaitingIsDrawnLessOften(t *testing.T) {
+func TestAReportedQueueLowersTheRoutingWeight(t *testing.T) {
 	d := sentOnce(idempotent, 2)
 	o := request{class: idempotent, plan: plain}
 	before := d.room(2, &o)
 	d.judge(&d.ops[0], &d.ops[0].sends[0], gate.Ended{Result: gate.Finished, Latency: 100, Queue: -1})
-	assert.InEpsilon(t, before, d.room(2, &o), 0.1, "nothing told")
+	assert.InEpsilon(t, before, d.room(2, &o), 0.1, "no report")
 	d.judge(&d.ops[0], &d.ops[0].sends[0], gate.Ended{Result: gate.Finished, Latency: 100, Queue: 6})
 	assert.Less(t, d.room(2, &o), before/2)
 }
 
-// Each of hundreds of doors has nothing out at most looks, and together they keep a pressed fleet pressed.
-func TestWhatWasInFlightOfLatePressesAThinDoor(t *testing.T) {
+// Each of hundreds of doors has nothing in flight at most ticks, and yet together they keep an overloaded fleet overloaded.
+func TestAveragedInFlightCausesHoldsAtADoorWithLittleTraffic(t *testing.T) {
 	d := door(4)
 	d.lat[idempotent] = latency{recent: 900, low: 100, best: 0.001, samples: 100, flight: 0.8}
 	assert.Positive(t, d.hold(&request{class: idempotent}))
 	d.now += 10 * flightSpan
-	assert.Zero(t, d.hold(&request{class: idempotent}), "what fades ends")
+	assert.Zero(t, d.hold(&request{class: idempotent}), "the average decays to none")
 }
 
-// What waited at a process that is gone waits no longer: its successor would be shunned for a queue it never had.
-func TestASuccessorInheritsNoQueue(t *testing.T) {
+// The queue of a process that is gone is gone too: its successor must not be avoided for a queue that it never had.
+func TestARestartedBackendInheritsNoQueue(t *testing.T) {
 	d := sentOnce(idempotent, 2)
 	d.judge(&d.ops[0], &d.ops[0].sends[0], gate.Ended{Result: gate.Finished, Latency: 100, Queue: 6})
 	assert.Positive(t, d.fleet.queue[2])
@@ -985,7 +986,7 @@
 	assert.Zero(t, d.fleet.queue[2])
 }
 
-func TestPartsOfAbsentDoorsPassToTheOthersLittleByLittle(t *testing.T) {
+func TestQuotaSharesOfAbsentDoorsPassToTheOthersGradually(t *testing.T) {
 	d := door(4)
 	clock := d.now
 	even := func() float64 { k := d.fill(0, 0, 0, 3); return d.part(k) }
@@ -1001,7 +1002,7 @@
 		assert.Less(t, now-last, 0.2)
 		last = now
 	}
-	assert.InDelta(t, 1, last, 0.02, "it is alone with this customer")
+	assert.InDelta(t, 1, last, 0.02, "the only door present takes the whole quota")
 	d.Decide(clock, []gate.Event{gate.Doors{Here: []bool{true, true, true}, Count: 3}})
 	for range 40 {
 		clock += 500
@@ -1011,7 +1012,7 @@
 	assert.InDelta(t, before, last, 0.02)
 }
 
-func TestABeliefWidensNoCeiling(t *testing.T) {
+func TestAbsentDoorsDoNotWidenACeilingSlice(t *testing.T) {
 	d := door(4)
 	clock := d.now
 	apart := door(4)
@@ -1020,12 +1021,12 @@
 		clock += 100
 		d.now, apart.now = clock, clock
 		a, b := d.fill(0, capped, 0, 3), apart.fill(0, capped, 0, 3)
-		assert.InDelta(t, b.ceiling, a.ceiling, 1e-9, "whatever it believes of others, its slice is its own third")
+		assert.InDelta(t, b.ceiling, a.ceiling, 1e-9, "its slice is a third, whichever doors it believes present")
 		assert.InDelta(t, apart.ceilingWait(b, 2), d.ceilingWait(a, 2), 1e-9)
 	}
 }
 
-func TestColdBudgetsGoByTheDoorsThatAreHere(t *testing.T) {
+func TestColdBudgetsFollowTheNumberOfPresentDoors(t *testing.T) {
 	d := door(4)
 	clock := d.now
 	share := func() (n int) {
@@ -1039,20 +1040,20 @@
 		return n
 	}
 	d.Decide(clock, []gate.Event{gate.Fleet{Complete: true, Entries: []gate.Entry{{Backend: 0, Since: clock, Size: 1}}}})
-	told := share()
+	before := share()
 	d.Decide(clock, []gate.Event{gate.Doors{Here: []bool{true, true, true}, Count: 6}})
-	assert.InEpsilon(t, float64(told)/2, float64(share()), 0.15, "the fleet has doubled")
+	assert.InEpsilon(t, float64(before)/2, float64(share()), 0.15, "twice as many doors are present")
 }
 
-func TestWordThatAllDoorsAreHereChangesNoDecision(t *testing.T) {
-	alone, told := door(6), door(6)
-	told.Decide(told.now, []gate.Event{gate.Doors{Here: []bool{true, true, true}, Count: 3}})
+func TestAReportThatAllDoorsArePresentChangesNoDecision(t *testing.T) {
+	alone, notified := door(6), door(6)
+	notified.Decide(notified.now, []gate.Event{gate.Doors{Here: []bool{true, true, true}, Count: 3}})
 	alone.Decide(alone.now, nil)
 	sent := 0
 	for n := range 400 {
 		now := 100e3 + float64(n)*13
-		events := []gate.Event{arriving(n, n%4, n%2)}
-		for i := range alone.ops { // what went out earlier is answered, some of it badly
+		events := []gate.Event{newRequest(n, n%4, n%2)}
+		for i := range alone.ops { // earlier attempts are answered, some with errors
 			for s := range alone.ops[i].sends {
 				if tr := &alone.ops[i].sends[s]; tr.out() && now-tr.at > 120 {
 					how := gate.Finished
@@ -1064,7 +1065,7 @@
 			}
 		}
 		a := append([]gate.Action(nil), alone.Decide(now, events)...)
-		b := append([]gate.Action(nil), told.Decide(now, events)...)
+		b := append([]gate.Action(nil), notified.Decide(now, events)...)
 		require.Equal(t, a, b, "batch %d", n)
 		for _, x := range a {
 			if _, is := x.(gate.Send); is {
@@ -1075,9 +1076,9 @@
 	assert.Greater(t, sent, 50)
 }
 
-// A client that has gone gets no further attempt and no hedge: neither one that was held, nor one whose attempt fails
-// afterwards, nor one whose attempt stays out. Each would have got one had it stayed.
-func TestNothingBeginsForAClientThatHasGone(t *testing.T) {
+// A client that has gone gets no further attempt and no hedge, whether its request was held, its attempt fails afterwards,
+// or its attempt stays in flight. With the client present each of these leads to another attempt.
+func TestNoAttemptStartsForAClientThatHasGone(t *testing.T) {
 	const step = 10.
 	backends := gate.Fleet{}
 	for b := range 4 {
@@ -1085,13 +1086,13 @@
 	}
 	for name, c := range map[string]struct {
 		backends int
-		then     func(sent int) gate.Event // after its client has gone
+		then     func(sent int) gate.Event // event after the client has gone
 	}{
-		"held":           {0, func(int) gate.Event { return backends }},
-		"reset":          {4, func(int) gate.Event { return gate.Ended{Result: gate.Reset, Use: -1} }},
-		"unreachable":    {4, func(int) gate.Event { return gate.Ended{Result: gate.Unreachable, Use: -1} }},
-		"full":           {4, func(int) gate.Event { return gate.Ended{Result: gate.Full, Use: -1} }},
-		"without a word": {4, func(int) gate.Event { return gate.Woken{} }},
+		"held":             {0, func(int) gate.Event { return backends }},
+		"reset":            {4, func(int) gate.Event { return gate.Ended{Result: gate.Reset, Use: -1} }},
+		"unreachable":      {4, func(int) gate.Event { return gate.Ended{Result: gate.Unreachable, Use: -1} }},
+		"full":             {4, func(int) gate.Event { return gate.Ended{Result: gate.Full, Use: -1} }},
+		"no further event": {4, func(int) gate.Event { return gate.Woken{} }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, gone := range []bool{true, false} {
@@ -1104,7 +1105,7 @@
 						}
 					}
 				}
-				decide(arriving(0, idempotent, plain))
+				decide(newRequest(0, idempotent, plain))
 				before := sends
 				require.Equal(t, min(1, c.backends), before)
 				if gone {
@@ -1114,16 +1115,16 @@
 				for range 250 {
 					decide()
 				}
-				assert.Equal(t, gone, sends == before, "%d attempts more", sends-before)
+				assert.Equal(t, gone, sends == before, "%d further attempts", sends-before)
 			}
 		})
 	}
 }
 
-// A door that has just started does not know how fast the fleet finishes: it guesses that one request at a time is, so that six in
-// flight are pressure to it, and a crowded start rejects a few. Guesses that let them in cost more on pressed fleets than they
-// gained (docs/design.md). One that has had its first samples knows better.
-func TestOnlyADoorThatHasJustStartedTakesAFewInFlightForPressure(t *testing.T) {
+// A door that has just started does not know the fleet's completion rate. It assumes that one request completes per
+// baseline latency, so it takes six in flight for overload, and a busy start rejects a few requests. Defaults that
+// admit them cost more on overloaded fleets than they gained (docs/design.md). After its first samples it knows the rate.
+func TestOnlyANewlyStartedDoorTakesAFewInFlightForOverload(t *testing.T) {
 	d := door(4)
 	known := d.lat[idempotent]
 	known.recent, known.low, known.rate, known.best = 2, 2, 0.06, 0.06 // after 5 s of 60 requests a second
@@ -1136,18 +1137,18 @@
 	assert.True(t, reject(latency{}, 6))
 	assert.True(t, reject(latency{recent: 2, low: 2, samples: lowAfter - 1}, 6))
 	assert.False(t, reject(known, 6))
-	assert.False(t, reject(known, 8), "the most that a client of the rigs has out at a door")
+	assert.False(t, reject(known, 8), "the most requests that a test client has in flight at a door")
 }
 
-func TestEveryRequestHasItsAnswerByTheDoorsEnd(t *testing.T) {
+func TestEveryRequestIsAnsweredByTheShutdownDeadline(t *testing.T) {
 	d := door(1)
 	end := d.now + 100
-	d.Decide(d.now, []gate.Event{arriving(0, idempotent, plain)})
-	d.Decide(d.now, []gate.Event{gate.Closing{By: end}, arriving(1, idempotent, plain)})
+	d.Decide(d.now, []gate.Event{newRequest(0, idempotent, plain)})
+	d.Decide(d.now, []gate.Event{gate.Closing{By: end}, newRequest(1, idempotent, plain)})
 	given := map[int]bool{}
 	for now := end - 50; now <= end; now += tickEvery {
 		var ended []gate.Event
-		if now >= end-tickEvery { // the carrier stops waiting for what is out
+		if now >= end-tickEvery { // the driver stops waiting for what is in flight
 			for i := range 2 {
 				if o := &d.ops[i]; o.out > 0 {
 					ended = append(ended, gate.Ended{Op: i, Attempt: len(o.sends) - 1, Result: gate.TimedOut})
--- a/policy/shutdown.go
+++ b/policy/shutdown.go
@@ -1,7 +1,7 @@
 package policy
 
-// endBy has every request get its final answer by a clock: those that are here and those that still come. Their clients may
-// wait longer, but the door does not.
+// shutDownBy makes the door answer every request by the given time, those still to arrive included, even where a client's
+// deadline is later.
 func (d *Door) endBy(at float64) {
 	d.closing = at
 	for _, i := range d.live {
@@ -9,7 +9,7 @@
 	}
 }
 
-// bounded is the end of a client's wait, or the door's where that comes first.
+// clampDeadline returns a client's deadline, or the door's shutdown deadline if that is earlier.
 func (d *Door) bounded(until float64) float64 {
 	if d.closing > 0 {
 		return min(until, d.closing)
