--- a/lifecycle/shutdown.go
+++ b/lifecycle/shutdown.go
@@ -5,16 +5,16 @@
 // The protocol page allows a process to be killed this long after SIGTERM at the earliest: the deployment's longest deadline,
 // counted as at most maxCountedDeadline, plus killGrace.
 const (
-	longestCounted = 3000.0 // ms
-	killAfter      = 700.0  // ms
+	maxCountedDeadline = 3000.0 // ms
+	killGrace          = 700.0  // ms
 )
 
 // Time reserved for the final answers before the kill, ms.
 const (
-	noticeMost = 150.0 // delay of a stalled process between the signal and its handling
-	writeMost  = 150.0 // delay of a stalled process between a decision and its write
-	retryMost  = 50.0  // time for which a write that fails transiently is retried
-	firstLook  = 50.0  // time to read from the last accepted connection before the final answers
+	maxNoticeDelay = 150.0 // delay of a stalled process between the signal and its handling
+	maxWriteDelay  = 150.0 // delay of a stalled process between a decision and its write
+	maxWriteRetry  = 50.0  // time for which a write that fails transiently is retried
+	firstReadTime  = 50.0  // time to read from the last accepted connection before the final answers
 )
 
 // Shutdown holds the deadlines of a process that shuts down. They are fixed when the signal is handled and apply to
@@ -29,9 +29,9 @@
 // NewShutdown returns the deadlines of a process that handles the shutdown signal now. longestDeadline is the longest request
 // deadline of the deployment; new connections are accepted for linger, as far as time allows.
 func NewShutdown(now, longestDeadline, linger float64) *Shutdown {
-	s := &Shutdown{Began: now, KillAt: now + min(longestDeadline, longestCounted) + killAfter}
-	s.AnswerBy = s.KillAt - noticeMost - writeMost - retryMost
-	s.AcceptUntil = min(now+linger, s.AnswerBy-firstLook)
+	s := &Shutdown{Began: now, KillAt: now + min(longestDeadline, maxCountedDeadline) + killGrace}
+	s.AnswerBy = s.KillAt - maxNoticeDelay - maxWriteDelay - maxWriteRetry
+	s.AcceptUntil = min(now+linger, s.AnswerBy-firstReadTime)
 	return s
 }
 
@@ -50,7 +50,7 @@
 func (s *Shutdown) Answering(now float64) bool { return s == nil || now < s.AnswerBy }
 
 // AnswersOverdue reports whether every request should have been answered by now, even in a process that was stalled.
-func (s *Shutdown) Past(now float64) bool { return s != nil && now >= s.AnswerBy+writeMost }
+func (s *Shutdown) Past(now float64) bool { return s != nil && now >= s.AnswerBy+maxWriteDelay }
 
 // KillDue reports whether the process may be killed by now, so that no remaining work is of use.
 func (s *Shutdown) Over(now float64) bool { return s != nil && now >= s.KillAt }
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -36,15 +36,15 @@
 // door returns a door with latency statistics, at clock 100 s, with n warm backends, the odd ones in zone 1.
 func door(n int) *Door {
 	d := New(terms(), 1)
-	d.now, d.born, d.ticked = 100e3, 0, 100e3
+	d.now, d.startedAt, d.tickedAt = 100e3, 0, 100e3
 	var e gate.Fleet
 	for b := range n {
 		e.Entries = append(e.Entries, gate.Entry{Backend: b, Zone: b % 2, Cell: b, Size: 1})
 	}
-	d.list(e)
+	d.updateFleet(e)
 	d.buckets = make([]bucket, 1)
-	for p := range d.lat {
-		d.lat[p] = latency{recent: 100, low: 100, rate: 0.05, best: 0.05, lowAt: d.now, samples: 100}
+	for p := range d.latencies {
+		d.latencies[p] = latencyStats{smoothed: 100, baseline: 100, rate: 0.05, bestRate: 0.05, sampledAt: d.now, samples: 100}
 	}
 	return d
 }
@@ -58,19 +58,19 @@
 func sentEach() *Door {
 	d := door(4)
 	for i := range 4 {
-		d.arrive(newRequest(i, idempotent, plain))
+		d.handleRequest(newRequest(i, idempotent, plain))
 		d.send(i, i)
 	}
-	d.settle()
+	d.emitActions()
 	return d
 }
 
 // sentOnce returns a door with four backends and request 0 in flight at the given one.
 func sentOnce(class, backend int) *Door {
 	d := door(4)
-	d.arrive(newRequest(0, class, plain))
+	d.handleRequest(newRequest(0, class, plain))
 	d.send(0, backend)
-	d.settle()
+	d.emitActions()
 	d.actions = d.actions[:0]
 	return d
 }
