--- a/gate/gate.go
+++ b/gate/gate.go
@@ -163,7 +163,7 @@
 	Latency float64
 }
 
-// Counted reports how a Count ended; Total is the customer's number for the epoch after it, units.
+// Counted reports how a Count ended; Total is the customer's total for the epoch after it, units.
 type Counted struct {
 	Customer int
 	Epoch    int64
@@ -225,12 +225,12 @@
 // Probe tests a backend.
 type Probe struct{ Backend int }
 
-// Count adds units to the customer's number on the shared counter.
+// Count adds units to a customer's total on the shared counter.
 type Count struct {
 	Customer int
 	Epoch    int64   // number of the customer's window; all doors use the same
 	Add      float64 // units
-	Keep     float64 // time after which the counter may forget the number, ms
+	Keep     float64 // time after which the counter may forget the total, ms
 }
 
 // SubscribeFleet subscribes to changes of the fleet list.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -258,7 +258,8 @@
 func (d *Door) updateFleet(e gate.Fleet) {
 	f := &d.fleet
 	if e.Failed {
-		d.mustSubscribe, d.subscribeAt = d.terms.MustAsk, d.now+subscribeBackoff // wait, so as not to load a failing list service further
+		// The delay spares a failing list service further load.
+		d.mustSubscribe, d.subscribeAt = d.terms.MustAsk, d.now+subscribeBackoff
 		return
 	}
 	if e.Complete {
@@ -326,16 +327,16 @@
 
 // updateBucket refills a customer's bucket up to now. The door's slice of the ceiling starts empty: the door
 // does not know what its previous incarnation sent, and only slices that start empty add up to the ceiling.
-func (d *Door) updateBucket(customer, plan, first, spread int) *bucket {
+func (d *Door) updateBucket(customer, plan, firstDoor, spread int) *bucket {
 	d.buckets = growTo(d.buckets, customer)
 	k, p := &d.buckets[customer], &d.terms.Plans[plan]
-	k.assign(plan, first, max(1, spread), p.Depth, d.now, d.startedAt)
+	k.assign(plan, firstDoor, max(1, spread), p.Depth, d.now, d.startedAt)
 	dt := d.now - k.filledAt
 	k.filledAt = d.now
 	k.presentDoors += (d.countPresentDoors(k) - k.presentDoors) * (1 - math.Exp(-dt/shareTransferSpan))
 	k.level = min(p.Depth, k.level+p.Rate*dt)
 	slice := 1 / float64(k.spread)
-	// Units are sent some time after they are granted, while the slice refills: it holds that much less.
+	// Units are sent some time after they are granted, while the slice refills, so the slice holds that much less.
 	depth := p.CeilingDepth - 2*counterTimeout*p.CeilingRate
 	k.ceilingLevel = min(depth*slice, k.ceilingLevel+p.CeilingRate*dt*slice)
 	k.demand *= math.Exp(-dt / demandSpan)
@@ -490,9 +491,9 @@
 	return true
 }
 
-// Where there is a shared counter, each customer has a number on it per window; a window is the time in which
-// the quota refills the whole depth. The doors together may add to the number the level at the window's start and
-// what has refilled since. An overloaded counter is called for fewer requests; the others go by quota share.
+// Where there is a shared counter, it keeps a total per customer and window; a window is the time in which the
+// quota refills the whole depth. The doors together may add to the total the level at the window's start and what
+// has refilled since. An overloaded counter is called for fewer requests; the others go by quota share.
 
 // usesCounter reports whether the customer's requests are counted on the shared counter.
 func (d *Door) usesCounter(k *bucket) bool {
@@ -528,14 +529,15 @@
 			o.counterGranted = true
 			d.reserve(k, o, true) // keeps the local level correct for when the counter is overloaded
 		}
-	case c.callPending:
+	case c.callPending: // wait for its answer
 	case d.terms.MeterPeriod > 0 && k.level-k.reservedCharge-o.units/d.quotaShare(k) > lazyCountLevel*p.Depth:
 		o.skipsCounter = true
 		c.pendingUnits += o.units
 	case d.now < k.blockedUntil && o.units >= k.blockedUnits:
 		return k.blockedUntil - d.now
 	case d.now < c.retryAt || !d.shouldCallCounter(o) || d.now < d.callsScarceAt+reserveCallsFor && (o.clientRetry || shareHolds):
-		if o.skipsCounter = true; o.clientRetry && !shareHolds { // a retry storm may not bypass the counter that it overloads
+		// A retry storm may not bypass the counter that it overloads.
+		if o.skipsCounter = true; o.clientRetry && !shareHolds {
 			return left
 		}
 	default:
@@ -576,7 +578,8 @@
 	}
 	c.callPending = false
 	if e.Result != gate.Finished {
-		if d.now >= d.callShareCutAt+counterTimeout && e.Result != gate.Spoilt { // calls that fail within one timeout are one overload signal
+		// Calls that fail within one timeout are a single sign of overload.
+		if d.now >= d.callShareCutAt+counterTimeout && e.Result != gate.Spoilt {
 			if d.callShare, d.callShareCutAt = max(minCallShare, callShareDecrease*d.callShare), d.now; d.callShare < reserveCallsBelow {
 				d.callsScarceAt = d.now
 			}
@@ -604,7 +607,8 @@
 	grantable := max(0, min(c.askedUnits, c.available+c.askedUnits))
 	c.surplus = c.askedUnits - grantable
 	c.available += c.surplus
-	if c.granted += grantable; c.granted < c.requiredUnits { // units too few for this request stay here for smaller ones
+	// Units too few for the request that caused the call stay here for smaller ones.
+	if c.granted += grantable; c.granted < c.requiredUnits {
 		k.blockedUntil, k.blockedUnits = d.now+min(left, (c.requiredUnits-c.granted)/c.refillRate), c.requiredUnits
 	}
 }
@@ -635,13 +639,13 @@
 // once every request was rejected, no sample would ever lower the estimate again.
 func (d *Door) holdTime(o *request) float64 {
 	contract := d.terms.Classes[o.class].Contract
-	low, l := d.baseline(o.class), &d.latencies[o.class]
+	baseline, l := d.baseline(o.class), &d.latencies[o.class]
 	margin := latencyMargin*contract + noiseDeviations*l.deviation/math.Sqrt(max(1, min(float64(l.samples), 2/ewmaWeight)))
-	excess := max(0, d.expectedLatency(o.class)-low-margin) / low
+	excess := max(0, d.expectedLatency(o.class)-baseline-margin) / baseline
 	// Hundreds of doors overload a fleet with less than one request in flight each. The averaged count is used as
 	// well, since such a door has nothing in flight at most ticks.
-	flight := min(1, l.meanInFlight) * math.Exp((d.tickedAt-d.now)/inFlightSpan)
-	hold := holdFactor * excess * max(d.drainTime(o.class), flight/d.bestRate(o.class))
+	meanInFlight := min(1, l.meanInFlight) * math.Exp((d.tickedAt-d.now)/inFlightSpan)
+	hold := holdFactor * excess * max(d.drainTime(o.class), meanInFlight/d.bestRate(o.class))
 	if hold < tickInterval { // rounds to none; a decaying average never reaches 0
 		return 0
 	}
@@ -670,8 +674,8 @@
 		n = max(0, n-float64(l.late)) // those that return are fast: the answers of these are lost
 	}
 	total := 0
-	for _, out := range d.inFlight {
-		total += out
+	for _, inFlight := range d.inFlight {
+		total += inFlight
 	}
 	return n * (1 - min(1, noiseDeviations/math.Sqrt(max(1, float64(total))))) / d.bestRate(class)
 }
@@ -834,14 +838,14 @@
 
 // startDeadline returns the clock after which an attempt must not start, 0 for none. Connecting may take long, and by
 // then the groups that had a keyed request before may have forgotten its key.
-func (d *Door) startDeadline(o *request, attempt int) (by float64) {
+func (d *Door) startDeadline(o *request, attempt int) (deadline float64) {
 	p := &d.terms.Classes[o.class]
 	for j := range attempt {
 		if s := &o.attempts[j]; p.Semantics == gate.Keyed && !s.neverRan {
-			by = cmp.Or(min(by, s.sentAt+p.Window-dedupMargin), s.sentAt+p.Window-dedupMargin)
+			deadline = cmp.Or(min(deadline, s.sentAt+p.Window-dedupMargin), s.sentAt+p.Window-dedupMargin)
 		}
 	}
-	return by
+	return deadline
 }
 
 // canRunAgain reports whether a request that may have run can be repeated at any backend.
@@ -850,19 +854,20 @@
 	return p.Semantics == gate.Idempotent || p.Semantics == gate.Keyed && p.Scope == gate.ScopeAll
 }
 
-// capacityShare returns a lower bound of a backend's warm capacity share during slow start, 0 to 1.
+// capacityShare returns a lower bound of the share of its full capacity that a backend has during slow start, 0 to 1.
 func (d *Door) capacityShare(b int) float64 {
-	since := d.fleet.startedAt[b]
-	if since == 0 || d.terms.ColdFor == 0 {
+	startedAt := d.fleet.startedAt[b]
+	if startedAt == 0 || d.terms.ColdFor == 0 {
 		return 1
 	}
-	age := max(0, d.now-since) / d.terms.ColdFor
+	age := max(0, d.now-startedAt) / d.terms.ColdFor
 	return min(1, d.terms.ColdFrom+(1-d.terms.ColdFrom)*age)
 }
 
 // hasColdBudget limits what is sent to a cold backend, window by window, to this door's share of the load that would
 // overload it, estimated from the work that warm backends of the same weight receive. A budget below one request is
-// rounded up or down at random, so that the budgets of any number of doors add up.
+// rounded up or down at random, so that the budgets of any number of doors add up. A door that has just started sends
+// nothing to cold backends for one window.
 func (d *Door) hasColdBudget(o *request, b int) bool {
 	warm := d.capacityShare(b)
 	if warm >= 1 {
@@ -883,14 +888,14 @@
 // last known rate. Without that, a fleet that has lost all its warm backends would get a budget by the number of doors.
 func (d *Door) updateWarmWorkRate(b int) float64 {
 	f := &d.fleet
-	size := 0.0
-	for c := range f.up {
-		if f.up[c] && !f.suspicionsOf(c, 0)[1].ejected && d.capacityShare(c) >= 1 {
-			size += f.weight[c]
+	weight := 0.0
+	for other := range f.up {
+		if f.up[other] && !f.suspicionsOf(other, 0)[1].ejected && d.capacityShare(other) >= 1 {
+			weight += f.weight[other]
 		}
 	}
-	if size > 0 {
-		f.warmWorkRate = f.warmWork * math.Exp((f.warmWorkAt-d.now)/workSpan) / workSpan / size
+	if weight > 0 {
+		f.warmWorkRate = f.warmWork * math.Exp((f.warmWorkAt-d.now)/workSpan) / workSpan / weight
 	}
 	return f.warmWorkRate * f.weight[b]
 }
@@ -1027,8 +1032,8 @@
 	}
 }
 
-// claimProbe reports whether a request is the due ejection probe of a backend, and schedules the next one. A request
-// that must not run twice never probes a backend ejected as a whole.
+// claimProbe reports whether a request becomes the due ejection probe of a backend, and schedules the next probe. A request
+// that could not be repeated elsewhere never probes a backend ejected as a whole.
 func (d *Door) claimProbe(o *request, b int) bool {
 	cs := d.fleet.suspicionsOf(b, o.class)
 	if cs[1].ejected && !d.canRunAgain(o) {
@@ -1053,9 +1058,9 @@
 	l.deviation += max(ewmaWeight, 1/float64(l.samples)) * (math.Abs(ms-l.smoothed) - l.deviation)
 	l.smoothed += max(ewmaWeight, 1/float64(l.samples)) * (ms - l.smoothed)
 	l.rate = l.rate*math.Exp((l.sampledAt-d.now)/rateSpan) + 1/rateSpan
-	known := max(1-math.Exp((d.startedAt-d.now)/rateSpan), minRateSpanShare)
+	spanShare := max(1-math.Exp((d.startedAt-d.now)/rateSpan), minRateSpanShare)
 	drift := 1 - math.Exp((l.sampledAt-d.now)/baselineDrift)
-	l.bestRate = max(l.rate/known, l.bestRate*math.Exp((l.sampledAt-d.now)/bestRateDecay))
+	l.bestRate = max(l.rate/spanShare, l.bestRate*math.Exp((l.sampledAt-d.now)/bestRateDecay))
 	if l.baseline += (l.smoothed - l.baseline) * drift; l.samples <= minSamples || l.baseline > l.smoothed {
 		l.baseline = l.smoothed
 	}
@@ -1073,13 +1078,13 @@
 		l := &d.latencies[p]
 		l.meanInFlight += (float64(d.inFlight[p]) - l.meanInFlight) * (1 - math.Exp(-dt/inFlightSpan))
 	}
-	keep := d.active[:0]
+	stillActive := d.active[:0]
 	for _, i := range d.active {
 		o := &d.requests[i]
 		for j := range o.attempts {
 			if s := &o.attempts[j]; s.inFlight() {
-				slow := max(1, d.fleet.latencyRatio[s.backend]) / d.capacityShare(s.backend)
-				d.addEvidence(s.backend, o.class, (1-brokenAnswerRate)*dt/(max(1, d.expectedLatency(o.class))*slow))
+				slowdown := max(1, d.fleet.latencyRatio[s.backend]) / d.capacityShare(s.backend)
+				d.addEvidence(s.backend, o.class, (1-brokenAnswerRate)*dt/(max(1, d.expectedLatency(o.class))*slowdown))
 			}
 		}
 		if o.wantedOutcome == undecided && o.held {
@@ -1088,12 +1093,12 @@
 			d.hedgeOrGiveUp(i)
 		}
 		if o.wantedOutcome == undecided || o.inFlight > 0 {
-			keep = append(keep, i)
+			stillActive = append(stillActive, i)
 		} else {
 			d.buckets[o.customer].openRequests--
 		}
 	}
-	d.active = keep
+	d.active = stillActive
 	if d.now-d.sweptAt >= sweepInterval {
 		d.sweptAt = d.now
 		d.dropIdleBuckets()
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -100,7 +100,7 @@
 	assert.InDelta(t, 250, d.requests[0].retryAfter, 1)
 }
 
-// One-time customers, and connections counted under their ids, must not occupy a bucket for a minute where a new bucket
+// Customers that come only once, and backends kept under their ids, must not occupy memory for a minute where a new bucket
 // would hold the same.
 func TestAnIdleBucketThatIsFullAgainIsDropped(t *testing.T) {
 	d := door(1)
@@ -435,7 +435,7 @@
 	assert.Equal(t, d.now, d.callsScarceAt)
 }
 
-// A call without an answer was usually executed: left on the number, its units would be usable by no door.
+// A call without an answer was usually executed: left in the total, its units would be usable by no door.
 func TestUnitsOfACallWithoutAnAnswerAreSubtracted(t *testing.T) {
 	d := doorAtCounter()
 	c := &d.buckets[0].counter
@@ -531,12 +531,12 @@
 func TestATimeoutAtAnEjectedBackendCountsOnceTheFleetIsSilent(t *testing.T) {
 	d := sentOnce(idempotent, 2)
 	d.fleet.suspicions[idempotent][2].ejected = true
-	gone := gate.Ended{Result: gate.TimedOut, Latency: 900, Use: -1}
+	timedOut := gate.Ended{Result: gate.TimedOut, Latency: 900, Use: -1}
 	d.answeredAt = d.now
-	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gone)
+	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], timedOut)
 	assert.Equal(t, 100.0, d.latencies[idempotent].smoothed, "one silent backend does not mean an overloaded fleet")
 	d.answeredAt = d.now - 1500
-	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gone)
+	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], timedOut)
 	assert.Greater(t, d.latencies[idempotent].smoothed, 100.0)
 }
 
@@ -628,20 +628,20 @@
 // the requests and gathers too little evidence on each backend.
 func TestSubsetGrowsWithTheDoorsTraffic(t *testing.T) {
 	d := door(100)
-	met := func() map[int]bool {
-		met := map[int]bool{}
+	drawn := func() map[int]bool {
+		drawn := map[int]bool{}
 		for range 400 {
 			o := request{class: idempotent, plan: plain}
-			b, any := d.pickBackend(&o)
-			require.True(t, any)
-			met[b] = true
+			b, eligible := d.pickBackend(&o)
+			require.True(t, eligible)
+			drawn[b] = true
 		}
-		return met
+		return drawn
 	}
-	few := met()
+	few := drawn()
 	assert.Len(t, few, minSubset)
 	d.fleet.sendRate, d.fleet.sendRateAt = 0.02, d.now // 20 per second
-	more := met()
+	more := drawn()
 	assert.Len(t, more, 20)
 	for b := range few {
 		assert.True(t, more[b], "a larger subset keeps the backends of the smaller one")
@@ -674,7 +674,7 @@
 // others is full before the fleet is.
 func TestSubsetsSpreadEvenlyOverTheBackends(t *testing.T) {
 	const doors, backends = 300, 100
-	at := make([]int, backends)
+	doorsAt := make([]int, backends)
 	for n := range doors {
 		d := New(terms(), uint64(n))
 		d.terms.Number = n
@@ -684,10 +684,10 @@
 		}
 		d.updateFleet(e)
 		for _, b := range d.fleet.ringOrder[:minSubset] {
-			at[(b-n%backends+backends)%backends]++
+			doorsAt[(b-n%backends+backends)%backends]++
 		}
 	}
-	for _, n := range at {
+	for _, n := range doorsAt {
 		assert.InDelta(t, doors*minSubset/backends, n, 2)
 	}
 }
@@ -828,19 +828,19 @@
 // A backend may refuse a plan for half a minute. Even a door with little traffic would try it every few seconds.
 func TestBackoffDoublesWhenABackendRefusesAPlanAgain(t *testing.T) {
 	d := sentOnce(idempotent, 2)
-	rest := func() float64 { return d.fleet.fullUntil[2][plain] - d.now }
+	backoff := func() float64 { return d.fleet.fullUntil[2][plain] - d.now }
 	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gate.Ended{Result: gate.Full, Use: -1})
-	first := rest()
+	first := backoff()
 	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gate.Ended{Result: gate.Full, Use: -1})
-	assert.Equal(t, 2*first, rest())
+	assert.Equal(t, 2*first, backoff())
 	for range 10 {
 		d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gate.Ended{Result: gate.Full, Use: -1})
 	}
-	assert.Equal(t, maxProbeInterval, rest())
+	assert.Equal(t, maxProbeInterval, backoff())
 	assert.Zero(t, d.fleet.fullUntil[2][capped], "another plan is not affected")
 }
 
-// Denied calls add their units as well, so the number may stand far above what was available.
+// Denied calls add their units as well, so the total may be far above what was available.
 func TestDeniedUnitsDoNotBlockTheNextWindow(t *testing.T) {
 	d := doorAtCounter()
 	k := &d.buckets[0]
@@ -989,15 +989,15 @@
 func TestQuotaSharesOfAbsentDoorsPassToTheOthersGradually(t *testing.T) {
 	d := door(4)
 	clock := d.now
-	even := func() float64 { k := d.updateBucket(0, 0, 0, 3); return d.quotaShare(k) }
-	before := even()
+	share := func() float64 { k := d.updateBucket(0, 0, 0, 3); return d.quotaShare(k) }
+	before := share()
 	d.Decide(clock, []gate.Event{gate.Doors{Here: []bool{true, false, false}, Count: 1}})
-	assert.InDelta(t, before, even(), 1e-9, "no jump")
+	assert.InDelta(t, before, share(), 1e-9, "no jump")
 	last := before
 	for range 40 {
 		clock += 500
 		d.now = clock
-		now := even()
+		now := share()
 		assert.GreaterOrEqual(t, now, last-1e-9)
 		assert.Less(t, now-last, 0.2)
 		last = now
@@ -1007,7 +1007,7 @@
 	for range 40 {
 		clock += 500
 		d.now = clock
-		last = even()
+		last = share()
 	}
 	assert.InDelta(t, before, last, 0.02)
 }
@@ -1015,21 +1015,21 @@
 func TestAbsentDoorsDoNotWidenACeilingSlice(t *testing.T) {
 	d := door(4)
 	clock := d.now
-	apart := door(4)
+	other := door(4)
 	d.Decide(clock, []gate.Event{gate.Doors{Here: []bool{true, false, false}, Count: 1}})
 	for range 200 {
 		clock += 100
-		d.now, apart.now = clock, clock
-		a, b := d.updateBucket(0, capped, 0, 3), apart.updateBucket(0, capped, 0, 3)
+		d.now, other.now = clock, clock
+		a, b := d.updateBucket(0, capped, 0, 3), other.updateBucket(0, capped, 0, 3)
 		assert.InDelta(t, b.ceilingLevel, a.ceilingLevel, 1e-9, "its slice is a third, whichever doors it believes present")
-		assert.InDelta(t, apart.ceilingWait(b, 2), d.ceilingWait(a, 2), 1e-9)
+		assert.InDelta(t, other.ceilingWait(b, 2), d.ceilingWait(a, 2), 1e-9)
 	}
 }
 
 func TestColdBudgetsFollowTheNumberOfPresentDoors(t *testing.T) {
 	d := door(4)
 	clock := d.now
-	share := func() (n int) {
+	totalBudget := func() (n int) {
 		const draws = 4000
 		for range draws {
 			f := &d.fleet
@@ -1040,9 +1040,9 @@
 		return n
 	}
 	d.Decide(clock, []gate.Event{gate.Fleet{Complete: true, Entries: []gate.Entry{{Backend: 0, Since: clock, Size: 1}}}})
-	before := share()
+	before := totalBudget()
 	d.Decide(clock, []gate.Event{gate.Doors{Here: []bool{true, true, true}, Count: 6}})
-	assert.InEpsilon(t, float64(before)/2, float64(share()), 0.15, "twice as many doors are present")
+	assert.InEpsilon(t, float64(before)/2, float64(totalBudget()), 0.15, "twice as many doors are present")
 }
 
 func TestAReportThatAllDoorsArePresentChangesNoDecision(t *testing.T) {
@@ -1137,7 +1137,7 @@
 	assert.True(t, reject(latencyStats{}, 6))
 	assert.True(t, reject(latencyStats{smoothed: 2, baseline: 2, samples: minSamples - 1}, 6))
 	assert.False(t, reject(known, 6))
-	assert.False(t, reject(known, 8), "the most requests that a test client has in flight at a door")
+	assert.False(t, reject(known, 8), "the most that a client of the test rigs has in flight at a door")
 }
 
 func TestEveryRequestIsAnsweredByTheShutdownDeadline(t *testing.T) {
--- a/policy/state.go
+++ b/policy/state.go
@@ -85,14 +85,14 @@
 	openRequests      int          // requests not over
 }
 
-// assign binds the bucket to a customer's plan and doors; a change of either resets it to full. The slice of the ceiling of
-// a new one refills from the door's start on, since the door would know of any use after that.
-func (k *bucket) assign(plan, first, spread int, depth, now, born float64) {
+// assign binds the bucket to a customer's plan and doors; a change of either resets it to a full quota. A new customer's slice of
+// the ceiling has refilled since the door's start, as the door would know of any use since then.
+func (k *bucket) assign(plan, firstDoor, spread int, depth, now, startedAt float64) {
 	if !k.known {
-		now = born
+		now = startedAt
 	}
-	if !k.known || k.plan != plan || k.firstDoor != first || k.spread != spread {
-		*k = bucket{known: true, plan: plan, firstDoor: first, spread: spread, level: depth, filledAt: now, meteredLevel: depth, shareScale: 1,
+	if !k.known || k.plan != plan || k.firstDoor != firstDoor || k.spread != spread {
+		*k = bucket{known: true, plan: plan, firstDoor: firstDoor, spread: spread, level: depth, filledAt: now, meteredLevel: depth, shareScale: 1,
 			meteredAt: math.Inf(-1), presentDoors: float64(spread), openRequests: k.openRequests, inFlight: k.inFlight, reservedCharge: k.reservedCharge,
 			reservedUnits: k.reservedUnits}
 	}
@@ -107,7 +107,7 @@
 	}
 }
 
-// counterState is this door's view of a customer's number on the shared counter, for one window.
+// counterState is this door's view of a customer's total on the shared counter, for one window.
 type counterState struct {
 	window        int64   // number of the current window
 	granted       float64 // units granted by the counter and not used yet
@@ -117,8 +117,8 @@
 	seenAt        float64 // clock of available, ms
 	overflow      float64 // refilled units that the full bucket could not hold in this window
 	refillRate    float64 // refill in the window, units/ms; by the even split where the level at its start is unknown
-	surplus       float64 // units added to the number but not granted; the next call subtracts them
-	pendingUnits  float64 // units sent and not added to the number yet
+	surplus       float64 // units added to the total but not granted; the next call subtracts them
+	pendingUnits  float64 // units sent and not added to the total yet
 	askedUnits    float64 // units that the call in flight asks for
 	requiredUnits float64 // of these, for the request that caused the call
 	retryAt       float64 // clock before which no call is made, ms
@@ -158,11 +158,11 @@
 }
 
 // resetBackend drops the evidence and statistics of a backend's previous process.
-func (f *fleet) resetBackend(b int, since float64) {
+func (f *fleet) resetBackend(b int, startedAt float64) {
 	if !f.inUse[b] { // a new backend under a reused index
 		f.inUse[b], f.weight[b], f.coldLeft[b], f.coldWindowEnd[b] = true, 1, 0, 0
 	}
-	f.startedAt[b], f.latencyRatio[b], f.queueLen[b] = since, 1, 0
+	f.startedAt[b], f.latencyRatio[b], f.queueLen[b] = startedAt, 1, 0
 	for r := range f.suspicions {
 		f.suspicions[r][b] = suspicion{}
 	}
@@ -183,21 +183,21 @@
 
 // ejectedShareWith returns the share of the listed backends that would be ejected with one more, counting ejections for the
 // class alone or as a whole.
-func (f *fleet) ejectedShareWith(alone bool, class int) float64 {
+func (f *fleet) ejectedShareWith(classOnly bool, class int) float64 {
 	row := f.suspicions[len(f.suspicions)-1]
-	if alone {
+	if classOnly {
 		row = f.suspicions[class]
 	}
-	listed, judged := 0, 1
+	listed, ejected := 0, 1
 	for b, up := range f.up {
 		if up {
 			listed++
 			if row[b].ejected {
-				judged++
+				ejected++
 			}
 		}
 	}
-	return float64(judged) / float64(max(1, listed))
+	return float64(ejected) / float64(max(1, listed))
 }
 
 // orderFrom lists the backends in ring order from a start position on, given as a share of the ring.
