--- a/gate/gate.go
+++ b/gate/gate.go
@@ -96,7 +96,7 @@
 type Request struct {
 	Op, Class, Plan, Customer int
 	TTL                       float64 // time to the client's deadline, ms
-	Units                     float64 // units that it takes from the customer's quota; an estimate where AttemptEnded gives the actual ones
+	Units                     float64 // units taken from the customer's quota; an estimate where AttemptEnded reports others
 	Repeat                    bool    // the client marked the request as a retry
 	First, Spread             int     // the customer's requests come through Spread doors from number FirstDoor on
 	Phase                     float64 // offset of the customer's counter windows, 0 to 1; the same at every door
@@ -140,7 +140,7 @@
 	Status              Status
 	Since               float64 // latest start, ms; 0 means long ago
 	Size                float64 // capacity relative to other backends; 1 when unknown
-	Mark                float64 // the backend's position on the ring by which doors choose their subsets, 0 to 1; the same at every door
+	Mark                float64 // position on the ring by which doors choose their subsets, 0 to 1; the same at every door
 }
 
 // FleetUpdate reports changes of the fleet list. A complete one replaces the whole list; a failed one has no entries.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -127,8 +127,8 @@
 	d.freedIndices = nil
 	d.now += 1
 	d.handleRequest(gate.Request{Op: 1, Class: idempotent, Plan: plain, TTL: 3000, Units: 1, Spread: 2, First: 1})
-	fresh := bucket{known: true, plan: plain, firstDoor: 1, spread: 2, level: 12, filledAt: d.now, meteredLevel: 12, shareScale: 1, meteredAt: math.Inf(-1), presentDoors: 2,
-		windowPhase: 0, openRequests: 1, demand: 1 / demandSpan, reservedCharge: d.buckets[0].reservedCharge, reservedUnits: 1}
+	fresh := bucket{known: true, plan: plain, firstDoor: 1, spread: 2, level: 12, filledAt: d.now,
+		meteredLevel: 12, shareScale: 1, meteredAt: math.Inf(-1), presentDoors: 2, windowPhase: 0, openRequests: 1, demand: 1 / demandSpan, reservedCharge: d.buckets[0].reservedCharge, reservedUnits: 1}
 	assert.Equal(t, fresh, d.buckets[0])
 }
 
@@ -199,7 +199,8 @@
 // A repeat is decided within the deduplication window, but connecting may take long. Its Send must therefore carry the
 // latest start, counted from the earliest attempt that may have run.
 func TestARepeatCarriesItsStartDeadline(t *testing.T) {
-	for class, want := range map[int]float64{keyedAnywhere: 100e3 + 4000 - dedupMargin, keyedInZone: 100e3 + 4000 - dedupMargin, idempotent: 0} {
+	for class, want := range map[int]float64{keyedAnywhere: 100e3 + 4000 - dedupMargin,
+		keyedInZone: 100e3 + 4000 - dedupMargin, idempotent: 0} {
 		d := sentOnce(class, 0)
 		assert.Zero(t, d.startDeadline(&d.requests[0], 0), "the first attempt has no start deadline")
 		d.now += 1000
@@ -1060,7 +1061,8 @@
 					if i%7 == 0 {
 						how = gate.Errored
 					}
-					events = append(events, gate.Ended{Op: i, Attempt: s, Backend: tr.backend, Result: how, Latency: now - tr.sentAt, Over: how == gate.Finished, Use: 0.1, Queue: -1})
+					events = append(events, gate.Ended{Op: i, Attempt: s, Backend: tr.backend, Result: how,
+						Latency: now - tr.sentAt, Over: how == gate.Finished, Use: 0.1, Queue: -1})
 				}
 			}
 		}
--- a/policy/state.go
+++ b/policy/state.go
@@ -92,8 +92,9 @@
 		now = startedAt
 	}
 	if !k.known || k.plan != plan || k.firstDoor != firstDoor || k.spread != spread {
-		*k = bucket{known: true, plan: plan, firstDoor: firstDoor, spread: spread, level: depth, filledAt: now, meteredLevel: depth, shareScale: 1,
-			meteredAt: math.Inf(-1), presentDoors: float64(spread), openRequests: k.openRequests, inFlight: k.inFlight, reservedCharge: k.reservedCharge,
+		*k = bucket{known: true, plan: plan, firstDoor: firstDoor, spread: spread, level: depth, filledAt: now,
+			meteredLevel: depth, shareScale: 1, meteredAt: math.Inf(-1), presentDoors: float64(spread),
+			openRequests: k.openRequests, inFlight: k.inFlight, reservedCharge: k.reservedCharge,
 			reservedUnits: k.reservedUnits}
 	}
 }
