--- a/policy/policy.go
+++ b/policy/policy.go
@@ -90,7 +90,7 @@
 	// Time after which an idle bucket is dropped, ms (docs/design.md).
 	idleExpiry = 60e3
 
-	// The same for a bucket that is full again, ms; reports of the other doors' use have expired by then.
+	// Time after which an idle bucket that is full again is dropped, ms; reports of other doors' use have expired by then.
 	idleFullExpiry = 15e3
 
 	// Interval between searches for idle buckets, ms; there may be thousands of buckets.
@@ -105,23 +105,24 @@
 	// Additive increase of the share of counter calls made, after each answer.
 	callShareIncrease = 0.03
 
-	// Multiplicative decrease of that share after a call without an answer; a few percent of the calls fail.
+	// Multiplicative decrease of the share of counter calls made, after a call without an answer; a few percent of
+	// the calls fail.
 	callShareDecrease = 0.7
 
-	// Share of calls made below which a failed call reserves calls for customers with a small quota share.
+	// Share of counter calls made below which a failed call reserves calls for customers with a small quota share.
 	reserveCallsBelow = 0.4
 
-	// Lower bound of the share of calls made.
+	// Lower bound of the share of counter calls made.
 	minCallShare = 0.05
 
-	// Duration of that reservation, ms. With shorter ones the calls came back in waves that overloaded the
-	// counter again.
+	// Time for which counter calls stay reserved for customers with a small quota share, ms. With shorter ones the
+	// calls came back in waves that overloaded the counter again.
 	reserveCallsFor = 20e3
 
-	// Failed calls in a row after which the counter was down; one that is only overloaded answers some calls.
+	// Failed counter calls in a row after which the counter was down; one that is only overloaded answers some calls.
 	counterDownAfter = 8
 
-	// Time within which a call is answered if it is answered at all, ms; a few round trips.
+	// Time within which a counter call is answered if it is answered at all, ms; a few round trips.
 	counterTimeout = 120.
 
 	// Time in which the quota shares of absent doors pass to a customer's other doors, ms; equal to demandSpan.
