--- a/policy/shutdown.go
+++ b/policy/shutdown.go
@@ -1,18 +1,18 @@
 package policy
 
-// endBy has every request get its final answer by a clock: those that are here and those that still come. Their clients may
-// wait longer, but the door does not.
-func (d *Door) endBy(at float64) {
-	d.closing = at
-	for _, i := range d.live {
-		d.ops[i].until = d.bounded(d.ops[i].until)
+// shutDownBy makes the door answer every request by the given time, those still to arrive included, even where a client's
+// deadline is later.
+func (d *Door) shutDownBy(deadline float64) {
+	d.shutdownDeadline = deadline
+	for _, i := range d.active {
+		d.requests[i].deadline = d.clampDeadline(d.requests[i].deadline)
 	}
 }
 
-// bounded is the end of a client's wait, or the door's where that comes first.
-func (d *Door) bounded(until float64) float64 {
-	if d.closing > 0 {
-		return min(until, d.closing)
+// clampDeadline returns a client's deadline, or the door's shutdown deadline if that is earlier.
+func (d *Door) clampDeadline(deadline float64) float64 {
+	if d.shutdownDeadline > 0 {
+		return min(deadline, d.shutdownDeadline)
 	}
-	return until
+	return deadline
 }
