--- a/frontdoor/frontdoor.go
+++ b/frontdoor/frontdoor.go
@@ -72,11 +72,11 @@
 
 // Members tells the door which doors of its fleet are here, as far as is known. It may be called at any time, or never: no
 // request waits for it.
-func (d *Door) Members(e gate.Doors) { d.core.post(present(e)) }
+func (d *Door) Members(e gate.DoorsUpdate) { d.core.post(present(e)) }
 
-type present gate.Doors
+type present gate.DoorsUpdate
 
-func (n present) take(c *core) { c.pending = append(c.pending, gate.Doors(n)) }
+func (n present) take(c *core) { c.pending = append(c.pending, gate.DoorsUpdate(n)) }
 
 type reloaded struct{ discovery, counter string }
 
--- a/frontdoor/plan.go
+++ b/frontdoor/plan.go
@@ -28,7 +28,7 @@
 	before := c.withheld
 	c.withheld = n.names
 	if !maps.Equal(before, n.names) {
-		ev := gate.Fleet{}
+		ev := gate.FleetUpdate{}
 		for i := range c.backends {
 			if b := &c.backends[i]; b.listed && before[b.id] != n.names[b.id] {
 				ev.Entries = append(ev.Entries, c.entry(i))
@@ -104,7 +104,7 @@
 	now := c.clock.now()
 	for i := range c.backends {
 		if b := &c.backends[i]; b.listed {
-			t.Backends = append(t.Backends, Listed{b.id, c.zones.ID(b.zone), b.size, b.status == gate.Up, now-b.since >= c.cfg.Deal.Terms.ColdFor, float64(b.process), b.counts})
+			t.Backends = append(t.Backends, Listed{b.id, c.zones.ID(b.zone), b.size, b.status == gate.Up, now-b.since >= c.cfg.Deal.Terms.WarmupTime, float64(b.process), b.counts})
 		}
 	}
 	n <- t
--- a/frontdoor/tally.go
+++ b/frontdoor/tally.go
@@ -18,8 +18,8 @@
 type tally struct {
 	at               float64 // clock of the next account, ms; 0 before the first
 	arrived, sent    int
-	rejected, failed [gate.Causes]int
-	differs          [gate.Differences]int
+	rejected, failed [gate.CauseCount]int
+	differs          [gate.DifferenceCount]int
 	retried          int
 	ended            [endKinds]int
 	closed           [closings]int
@@ -29,7 +29,7 @@
 // fields is the account as log fields: counts that are 0 are left out.
 func (t *tally) fields() logrus.Fields {
 	f := logrus.Fields{fields.Arrived: t.arrived, fields.Sent: t.sent}
-	for why := range gate.Causes {
+	for why := range gate.CauseCount {
 		if n := t.rejected[why]; n > 0 {
 			f[fields.Rejected+why.String()] = n
 		}
@@ -37,7 +37,7 @@
 			f[fields.Failed+why.String()] = n
 		}
 	}
-	for kind := range gate.Differences {
+	for kind := range gate.DifferenceCount {
 		if n := t.differs[kind]; n > 0 {
 			f[fields.Differs+kind.String()] = n
 		}
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -41,7 +41,7 @@
 	Reset                     // connection lost; may have run
 	Cancelled                 // cancelled; may have run
 	Skipped                   // never sent
-	Spoilt                    // the answer cannot be parsed; may have run
+	Malformed                 // the answer cannot be parsed; may have run
 )
 
 // NeverRan reports whether the result proves that the request did not run.
@@ -49,44 +49,44 @@
 
 // Class describes a kind of request.
 type Class struct {
-	Contract  float64 // contract time, ms: an answer within it earns the full gain
-	Semantics Semantics
-	Scope     Scope
-	Window    float64 // how long the key of a keyed request is remembered, ms
-	LateValue float64 // share of the gain that a later answer earns
+	Contract    float64 // contract time, ms: an answer within it earns the full gain
+	Semantics   Semantics
+	Scope       Scope
+	DedupWindow float64 // how long the key of a keyed request is remembered, ms
+	LateValue   float64 // share of the gain that a later answer earns
 	// Gain is what an answer within the contract time earns per unit.
 	Gain float64
 }
 
 // Plan describes what a customer has bought. Quotas apply to all doors together.
 type Plan struct {
-	Rate         float64 // units per ms; 0 means no such quota
-	Depth        float64 // depth of the quota's token bucket, units
-	AtOnce       int     // most attempts in flight; 0 means no such quota
-	CeilingRate  float64 // units per ms; 0 means no ceiling
-	CeilingDepth float64 // depth of the ceiling's token bucket, units
-	Price        float64 // multiplies the gain
-	Beyond       float64 // share of its gain that a request earns when it is sent beyond the quota
-	OverCost     float64 // share of its gain that sending a request beyond the quota costs
+	Rate          float64 // units per ms; 0 means no such quota
+	Depth         float64 // depth of the quota's token bucket, units
+	MaxConcurrent int     // most attempts in flight; 0 means no such quota
+	CeilingRate   float64 // units per ms; 0 means no ceiling
+	CeilingDepth  float64 // depth of the ceiling's token bucket, units
+	Price         float64 // multiplies the gain
+	OverQuotaGain float64 // share of its gain that a request earns when it is sent beyond the quota
+	OverQuotaCost float64 // share of its gain that sending a request beyond the quota costs
 }
 
 // Terms configure a door at its start.
 type Terms struct {
 	// Doors is the number of doors, DoorNumber this door's number among them, from 0.
-	Doors, Number int
-	Classes       []Class
-	Plans         []Plan
-	MaxAttempts   int
-	Hedging       bool    // two attempts of one request may be in flight together
-	MayCancel     bool    // the Cancel action is allowed
-	MaxRetryAfter float64 // longest Retry-After that clients follow, ms; 0 where none may be given
-	MeterPeriod   float64 // period over which the usage meter totals use, ms; 0 means no meter
-	Counter       bool    // a shared counter may be called
-	MustAsk       bool    // fleet list updates come only after a SubscribeFleet action
-	ColdFrom      float64 // lower bound of the capacity share with which a backend starts, 0 to 1
-	ColdFor       float64 // time after which a started backend is warm at the latest, ms
-	FallMultiple  float64 // a cold backend is overloaded by more than this multiple of its present capacity
-	FallWindow    float64 // for this long, ms
+	Doors, DoorNumber int
+	Classes           []Class
+	Plans             []Plan
+	MaxAttempts       int
+	Hedging           bool    // two attempts of one request may be in flight together
+	MayCancel         bool    // the Cancel action is allowed
+	MaxRetryAfter     float64 // longest Retry-After that clients follow, ms; 0 where none may be given
+	MeterPeriod       float64 // period over which the usage meter totals use, ms; 0 means no meter
+	Counter           bool    // a shared counter may be called
+	MustSubscribe     bool    // fleet list updates come only after a SubscribeFleet action
+	ColdCapacity      float64 // lower bound of the capacity share with which a backend starts, 0 to 1
+	WarmupTime        float64 // time after which a started backend is warm at the latest, ms
+	OverloadMultiple  float64 // a cold backend is overloaded by more than this multiple of its present capacity
+	OverloadWindow    float64 // for this long, ms
 }
 
 // Event is one of the event types below.
@@ -97,19 +97,19 @@
 	Op, Class, Plan, Customer int
 	TTL                       float64 // time to the client's deadline, ms
 	Units                     float64 // units taken from the customer's quota; an estimate where AttemptEnded reports others
-	Repeat                    bool    // the client marked the request as a retry
-	First, Spread             int     // the customer's requests come through Spread doors from number FirstDoor on
+	ClientRetry               bool    // the client marked the request as a retry
+	FirstDoor, Spread         int     // the customer's requests come through Spread doors from number FirstDoor on
 	Phase                     float64 // offset of the customer's counter windows, 0 to 1; the same at every door
 }
 
 // AttemptEnded reports how one attempt ended.
-type Ended struct {
+type AttemptEnded struct {
 	Op, Attempt, Backend int
 	Result               Result
 	Latency              float64 // ms
-	Over                 bool    // the client has its final answer
-	Use                  float64 // metered use of the quota, as a share of its rate; negative when not reported
-	Units                float64 // actual units, where the request's were an estimate; 0 when not reported
+	Answered             bool    // the client has its final answer
+	MeteredUse           float64 // metered use of the quota, as a share of its rate; negative when not reported
+	ActualUnits          float64 // actual units, where the request's were an estimate; 0 when not reported
 	Queue                float64 // requests waiting, as reported by the backend; negative when not reported
 }
 
@@ -117,13 +117,13 @@
 type Streaming struct{ Op, Attempt int }
 
 // ClientGone reports that the client left; it needs no answer any more.
-type Vanished struct{ Op int }
+type ClientGone struct{ Op int }
 
 // ShuttingDown reports that the door shuts down: every request gets its final answer by Deadline, whatever its client's own.
-type Closing struct{ By float64 }
+type ShuttingDown struct{ Deadline float64 }
 
 // TimerFired reports that the timer of a SetTimer action fired.
-type Woken struct{}
+type TimerFired struct{}
 
 // Status is the state of a backend on the fleet list.
 type Status uint8
@@ -138,22 +138,22 @@
 type Entry struct {
 	Backend, Zone, Cell int
 	Status              Status
-	Since               float64 // latest start, ms; 0 means long ago
-	Size                float64 // capacity relative to other backends; 1 when unknown
-	Mark                float64 // position on the ring by which doors choose their subsets, 0 to 1; the same at every door
+	StartedAt           float64 // latest start, ms; 0 means long ago
+	Weight              float64 // capacity relative to other backends; 1 when unknown
+	RingPosition        float64 // position on the ring by which doors choose their subsets, 0 to 1; the same at every door
 }
 
 // FleetUpdate reports changes of the fleet list. A complete one replaces the whole list; a failed one has no entries.
-type Fleet struct {
+type FleetUpdate struct {
 	Complete, Failed bool
 	Entries          []Entry
 }
 
 // DoorsUpdate reports which doors are believed to be present, this one included. Each door has its own view, which may be
 // wrong: quota shares may follow it, ceilings must not. Before the first update all doors of the terms count as present.
-type Doors struct {
-	Here  []bool // by door number; numbers beyond its end count as present
-	Count int    // number of doors present, including those without a number
+type DoorsUpdate struct {
+	Present      []bool // by door number; numbers beyond its end count as present
+	PresentCount int    // number of doors present, including those without a number
 }
 
 // Probed reports how a Probe ended.
@@ -177,8 +177,8 @@
 // Send starts an attempt. The attempts of a request are numbered from 0.
 type Send struct {
 	Op, Backend int
-	Cap         float64 // timeout, ms; 0 means the client's deadline
-	By          float64 // clock after which the attempt must not start but ends as Skipped, ms; 0 means no bound
+	Timeout     float64 // timeout, ms; 0 means the client's deadline
+	StartBy     float64 // clock after which the attempt must not start but ends as Skipped, ms; 0 means no bound
 }
 
 // Cancel aborts one attempt.
@@ -189,16 +189,16 @@
 
 const (
 	// Unspecified is the zero value, for deciders that give no cause.
-	Unsaid    Cause = iota
-	OverPart        // this door's share of the customer's quota does not hold it
-	OverQuota       // the quota shared by the customer's doors does not hold it, as last reported to this door
-	AtCeiling       // this door's slice of the plan's ceiling does not hold it
-	Pressed         // its hold would leave too little time
-	Nowhere         // no backend on the list is eligible
-	TimeUp          // the client's deadline is close
-	Late            // past its contract time on an overloaded fleet
-	Failed          // its attempts failed and it may have no more
-	Causes          // number of causes
+	Unspecified    Cause = iota
+	OverQuotaShare       // this door's share of the customer's quota does not hold it
+	OverQuota            // the quota shared by the customer's doors does not hold it, as last reported to this door
+	AtCeiling            // this door's slice of the plan's ceiling does not hold it
+	Overloaded           // its hold would leave too little time
+	NoBackend            // no backend on the list is eligible
+	DeadlineNear         // the client's deadline is close
+	PastContract         // past its contract time on an overloaded fleet
+	AttemptsFailed       // its attempts failed and it may have no more
+	CauseCount           // number of causes
 )
 
 // String returns the name of the cause in statistics and logs.
@@ -220,7 +220,7 @@
 }
 
 // SetTimer requests a TimerFired event at the given clock.
-type Wake struct{ At float64 }
+type SetTimer struct{ At float64 }
 
 // Probe tests a backend.
 type Probe struct{ Backend int }
@@ -230,28 +230,28 @@
 	Customer int
 	Epoch    int64   // number of the customer's window; all doors use the same
 	Add      float64 // units
-	Keep     float64 // time after which the counter may forget the total, ms
+	TTL      float64 // time after which the counter may forget the total, ms
 }
 
 // SubscribeFleet subscribes to changes of the fleet list.
-type Track struct{}
+type SubscribeFleet struct{}
 
 // FreeCustomer reports that the driver may reuse a customer's index.
-type Forget struct{ Customer int }
+type FreeCustomer struct{ Customer int }
 
 // FreeBackend reports that the driver may reuse the index of a backend that is gone.
-type Delist struct{ Backend int }
+type FreeBackend struct{ Backend int }
 
 // Difference is a kind of decision that the terms under comparison would have made differently.
 type Difference uint8
 
 const (
-	SentBeyond  Difference = iota // rejected beyond its quota; would have been sent
-	NotCounted                    // the counter was called; would not have been
-	OtherAdvice                   // rejected with a Retry-After; would have had another or none
-	NoCopy                        // hedged; would not have been
-	NoFurther                     // held for another attempt; would have been given up
-	Differences                   // number of kinds
+	SentOverQuota   Difference = iota // rejected beyond its quota; would have been sent
+	NotCounted                        // the counter was called; would not have been
+	OtherRetryAfter                   // rejected with a Retry-After; would have had another or none
+	NoHedge                           // hedged; would not have been
+	NoRetry                           // held for another attempt; would have been given up
+	DifferenceCount                   // number of kinds
 )
 
 // String returns the name of the kind in statistics and logs.
--- a/lifecycle/shutdown.go
+++ b/lifecycle/shutdown.go
@@ -20,7 +20,7 @@
 // Shutdown holds the deadlines of a process that shuts down. They are fixed when the signal is handled and apply to
 // everything in the process.
 type Shutdown struct {
-	Began       float64 // time at which the signal was handled
+	NoticedAt   float64 // time at which the signal was handled
 	AcceptUntil float64 // from then on no new connection is awaited; those in the listener's backlog are still accepted
 	AnswerBy    float64 // time by which every request has its final answer
 	KillAt      float64 // time from which the process may be killed
@@ -29,7 +29,7 @@
 // NewShutdown returns the deadlines of a process that handles the shutdown signal now. longestDeadline is the longest request
 // deadline of the deployment; new connections are accepted for linger, as far as time allows.
 func NewShutdown(now, longestDeadline, linger float64) *Shutdown {
-	s := &Shutdown{Began: now, KillAt: now + min(longestDeadline, maxCountedDeadline) + killGrace}
+	s := &Shutdown{NoticedAt: now, KillAt: now + min(longestDeadline, maxCountedDeadline) + killGrace}
 	s.AnswerBy = s.KillAt - maxNoticeDelay - maxWriteDelay - maxWriteRetry
 	s.AcceptUntil = min(now+linger, s.AnswerBy-firstReadTime)
 	return s
@@ -50,7 +50,9 @@
 func (s *Shutdown) Answering(now float64) bool { return s == nil || now < s.AnswerBy }
 
 // AnswersOverdue reports whether every request should have been answered by now, even in a process that was stalled.
-func (s *Shutdown) Past(now float64) bool { return s != nil && now >= s.AnswerBy+maxWriteDelay }
+func (s *Shutdown) AnswersOverdue(now float64) bool {
+	return s != nil && now >= s.AnswerBy+maxWriteDelay
+}
 
 // KillDue reports whether the process may be killed by now, so that no remaining work is of use.
-func (s *Shutdown) Over(now float64) bool { return s != nil && now >= s.KillAt }
+func (s *Shutdown) KillDue(now float64) bool { return s != nil && now >= s.KillAt }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -212,7 +212,7 @@
 
 // New returns the decisions of a door that has just started, with no history.
 func New(t gate.Terms, seed uint64) *Door {
-	return &Door{terms: t, random: newRandomSource(seed), mustSubscribe: t.MustAsk, latencies: make([]latencyStats, len(t.Classes)),
+	return &Door{terms: t, random: newRandomSource(seed), mustSubscribe: t.MustSubscribe, latencies: make([]latencyStats, len(t.Classes)),
 		inFlight: make([]int, len(t.Classes)), startedAt: -1,
 		callShare: 1, answeredCallShare: 1, callShareCutAt: math.Inf(-1), callsScarceAt: math.Inf(-1),
 		fleet: fleet{suspicions: make([][]suspicion, len(t.Classes)+1)}}
@@ -226,23 +226,23 @@
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case gate.Fleet:
+		case gate.FleetUpdate:
 			d.updateFleet(e)
-		case gate.Doors:
-			d.presentDoors, d.presentCount = append(d.presentDoors[:0], e.Here...), e.Count
+		case gate.DoorsUpdate:
+			d.presentDoors, d.presentCount = append(d.presentDoors[:0], e.Present...), e.PresentCount
 		case gate.Request:
 			d.handleRequest(e)
-		case gate.Ended:
+		case gate.AttemptEnded:
 			d.handleAttemptEnded(e)
 		case gate.Streaming:
 			d.requests[e.Op].streaming = true
 		case gate.Counted:
 			d.handleCounted(e)
-		case gate.Closing:
-			d.shutDownBy(e.By)
-		case gate.Woken:
+		case gate.ShuttingDown:
+			d.shutDownBy(e.Deadline)
+		case gate.TimerFired:
 			d.timerSet = false // not checked against the clock: the driver may round the requested time
-		case gate.Vanished:
+		case gate.ClientGone:
 			d.requests[e.Op].wantedOutcome, d.requests[e.Op].givenOutcome = answered, answered
 			d.buckets[d.requests[e.Op].customer].unreserve(&d.requests[e.Op])
 			d.markChanged(e.Op)
@@ -256,11 +256,11 @@
 // ---- Fleet list ----
 
 // updateFleet applies a fleet list update. A backend that drains, is gone or is missing receives nothing new.
-func (d *Door) updateFleet(e gate.Fleet) {
+func (d *Door) updateFleet(e gate.FleetUpdate) {
 	f := &d.fleet
 	if e.Failed {
 		// The delay spares a failing list service further load.
-		d.mustSubscribe, d.subscribeAt = d.terms.MustAsk, d.now+subscribeBackoff
+		d.mustSubscribe, d.subscribeAt = d.terms.MustSubscribe, d.now+subscribeBackoff
 		return
 	}
 	if e.Complete {
@@ -270,16 +270,16 @@
 	for _, n := range e.Entries {
 		f.grow(n.Backend+1, len(d.terms.Plans))
 		b := n.Backend
-		f.ringPosition[b] = n.Mark
+		f.ringPosition[b] = n.RingPosition
 		f.up[b], f.zone[b], f.cell[b] = n.Status == gate.Up, n.Zone, n.Cell
 		f.gone[b] = n.Status == gate.Gone
-		if !f.inUse[b] || n.Since != f.startedAt[b] { // a new process: drop the evidence against the old one
-			f.resetBackend(b, n.Since)
+		if !f.inUse[b] || n.StartedAt != f.startedAt[b] { // a new process: drop the evidence against the old one
+			f.resetBackend(b, n.StartedAt)
 		}
-		f.weight[b] = cmp.Or(n.Size, f.weight[b])
+		f.weight[b] = cmp.Or(n.Weight, f.weight[b])
 	}
 	// Golden-ratio spacing of the start positions spreads the doors evenly over the ring, whatever their number.
-	_, position := math.Modf(float64(d.terms.Number) * math.Phi)
+	_, position := math.Modf(float64(d.terms.DoorNumber) * math.Phi)
 	f.orderFrom(position)
 }
 
@@ -290,10 +290,10 @@
 	d.requests = growTo(d.requests, e.Op)
 	o := &d.requests[e.Op]
 	*o = request{class: e.Class, plan: e.Plan, customer: e.Customer, units: e.Units,
-		arrivedAt: d.now, deadline: d.clampDeadline(d.now + e.TTL), clientRetry: e.Repeat, attempts: o.attempts[:0]}
+		arrivedAt: d.now, deadline: d.clampDeadline(d.now + e.TTL), clientRetry: e.ClientRetry, attempts: o.attempts[:0]}
 	d.active = append(d.active, e.Op)
 	d.arrivals++
-	k := d.updateBucket(e.Customer, e.Plan, e.First, e.Spread)
+	k := d.updateBucket(e.Customer, e.Plan, e.FirstDoor, e.Spread)
 	k.demand += o.units / demandSpan
 	k.windowPhase = e.Phase
 	k.openRequests++
@@ -320,7 +320,7 @@
 		d.reserve(k, o, charged)
 	}
 	if d.exceedsTimeLeft(o, hold) {
-		d.reject(e.Op, d.drainTime(o.class), gate.Pressed)
+		d.reject(e.Op, d.drainTime(o.class), gate.Overloaded)
 	} else {
 		o.held = true
 	}
@@ -350,7 +350,7 @@
 func (d *Door) countPresentDoors(k *bucket) float64 {
 	n := k.spread
 	for i := k.firstDoor; len(d.presentDoors) > 0 && i < k.firstDoor+k.spread; i++ {
-		if door := i % max(1, d.terms.Doors); door < len(d.presentDoors) && !d.presentDoors[door] && door != d.terms.Number {
+		if door := i % max(1, d.terms.Doors); door < len(d.presentDoors) && !d.presentDoors[door] && door != d.terms.DoorNumber {
 			n--
 		}
 	}
@@ -376,7 +376,7 @@
 	if ceiling > quota {
 		return ceiling, gate.AtCeiling
 	}
-	return quota, gate.OverPart
+	return quota, gate.OverQuotaShare
 }
 
 // quotaWait returns the time in ms until the local bucket holds the units beyond those reserved.
@@ -444,7 +444,7 @@
 		}
 	}
 	wait, cause := d.admissionWait(k, o.units)
-	byMeter := wait > 0 && cause == gate.OverPart && d.ceilingWait(k, o.units) == 0 && d.admitByMeter(k, o.units)
+	byMeter := wait > 0 && cause == gate.OverQuotaShare && d.ceilingWait(k, o.units) == 0 && d.admitByMeter(k, o.units)
 	if byMeter {
 		wait = 0
 	}
@@ -466,12 +466,12 @@
 // overloaded.
 func (d *Door) overQuotaPays(t *gate.Terms, plan int) bool {
 	p := &t.Plans[plan]
-	return p.Beyond > p.OverCost && d.heldShare < maxHeldShare
+	return p.OverQuotaGain > p.OverQuotaCost && d.heldShare < maxHeldShare
 }
 
 // CompareWith makes the door report each decision that other terms, with the same classes and plans, would have
 // made differently. The decisions themselves stay as they are; nil ends the comparison.
-func (d *Door) Watch(t *gate.Terms) { d.compareTerms = t }
+func (d *Door) CompareWith(t *gate.Terms) { d.compareTerms = t }
 
 // reportDifference reports a decision that the terms under comparison would have made differently.
 func (d *Door) reportDifference(kind gate.Difference, otherwise func(w *gate.Terms) bool) {
@@ -549,7 +549,7 @@
 		batch := min(1, counterBatchShare/d.callShare) * c.available / float64(k.spread)
 		c.askedUnits = max(o.units, min(batch, k.demand*left))
 		d.counterCalls = append(d.counterCalls, gate.Count{Customer: o.customer, Epoch: n, Add: c.askedUnits + c.pendingUnits - c.surplus,
-			Keep: left + counterTimeout})
+			TTL: left + counterTimeout})
 		c.pendingUnits = 0
 	}
 	return wait
@@ -580,7 +580,7 @@
 	c.callPending = false
 	if e.Result != gate.Finished {
 		// Calls that fail within one timeout are a single sign of overload.
-		if d.now >= d.callShareCutAt+counterTimeout && e.Result != gate.Spoilt {
+		if d.now >= d.callShareCutAt+counterTimeout && e.Result != gate.Malformed {
 			if d.callShare, d.callShareCutAt = max(minCallShare, callShareDecrease*d.callShare), d.now; d.callShare < reserveCallsBelow {
 				d.callsScarceAt = d.now
 			}
@@ -724,13 +724,13 @@
 func (d *Door) release(i int) {
 	o := &d.requests[i]
 	if d.now >= o.deadline-answerMargin {
-		d.giveUp(i, 0, gate.TimeUp)
+		d.giveUp(i, 0, gate.DeadlineNear)
 		return
 	}
 	// The hold is recomputed at each tick. Holds fixed at arrival in a quiet moment would all end together, as a burst.
 	if len(o.attempts) == 0 && !o.counterGranted {
 		if holdLeft := o.arrivedAt + d.holdTime(o) - d.now; d.exceedsTimeLeft(o, holdLeft) {
-			d.giveUp(i, d.drainTime(o.class), gate.Pressed)
+			d.giveUp(i, d.drainTime(o.class), gate.Overloaded)
 			return
 		} else if holdLeft > 0 {
 			return
@@ -745,14 +745,14 @@
 	if b, anyEligible := d.pickBackend(o); b >= 0 {
 		d.send(i, b)
 	} else if len(o.attempts) > 0 && !anyEligible { // no listed backend may have it
-		d.giveUp(i, d.drainTime(o.class), gate.Nowhere)
+		d.giveUp(i, d.drainTime(o.class), gate.NoBackend)
 	}
 }
 
 // atConcurrencyLimit reports whether the customer has this door's share of its concurrent attempts in flight.
 func (d *Door) atConcurrencyLimit(o *request) bool {
 	p, k := &d.terms.Plans[o.plan], &d.buckets[o.customer]
-	return p.AtOnce > 0 && k.inFlight >= max(1, int(math.Round(float64(p.AtOnce)*d.quotaShare(k))))
+	return p.MaxConcurrent > 0 && k.inFlight >= max(1, int(math.Round(float64(p.MaxConcurrent)*d.quotaShare(k))))
 }
 
 // subsetSize returns how many backends this door routes to: as many as it can visit often enough to keep a connection
@@ -826,7 +826,7 @@
 		case p.Semantics == gate.NonIdempotent:
 			return false
 		case p.Semantics == gate.Idempotent:
-		case d.now >= s.sentAt+p.Window-dedupMargin:
+		case d.now >= s.sentAt+p.DedupWindow-dedupMargin:
 			return false
 		case p.Scope == gate.ScopeZone && f.zone[b] != f.zone[s.backend]:
 			return false
@@ -843,7 +843,7 @@
 	p := &d.terms.Classes[o.class]
 	for j := range attempt {
 		if s := &o.attempts[j]; p.Semantics == gate.Keyed && !s.neverRan {
-			deadline = cmp.Or(min(deadline, s.sentAt+p.Window-dedupMargin), s.sentAt+p.Window-dedupMargin)
+			deadline = cmp.Or(min(deadline, s.sentAt+p.DedupWindow-dedupMargin), s.sentAt+p.DedupWindow-dedupMargin)
 		}
 	}
 	return deadline
@@ -858,11 +858,11 @@
 // capacityShare returns a lower bound of the share of its full capacity that a backend has during slow start, 0 to 1.
 func (d *Door) capacityShare(b int) float64 {
 	startedAt := d.fleet.startedAt[b]
-	if startedAt == 0 || d.terms.ColdFor == 0 {
+	if startedAt == 0 || d.terms.WarmupTime == 0 {
 		return 1
 	}
-	age := max(0, d.now-startedAt) / d.terms.ColdFor
-	return min(1, d.terms.ColdFrom+(1-d.terms.ColdFrom)*age)
+	age := max(0, d.now-startedAt) / d.terms.WarmupTime
+	return min(1, d.terms.ColdCapacity+(1-d.terms.ColdCapacity)*age)
 }
 
 // hasColdBudget limits what is sent to a cold backend, window by window, to this door's share of the load that would
@@ -876,13 +876,13 @@
 	}
 	f := &d.fleet
 	if d.now >= f.coldWindowEnd[b] {
-		budget := coldBudgetShare * d.terms.FallMultiple * warm * d.updateWarmWorkRate(b) * d.terms.FallWindow / d.baseline(o.class)
+		budget := coldBudgetShare * d.terms.OverloadMultiple * warm * d.updateWarmWorkRate(b) * d.terms.OverloadWindow / d.baseline(o.class)
 		if budget == 0 { // no warm backend to compare with
 			budget = coldFallbackRequests / float64(cmp.Or(d.presentCount, d.terms.Doors))
 		}
-		f.coldLeft[b], f.coldWindowEnd[b] = int(budget+d.random.uniform()), d.now+d.terms.FallWindow
+		f.coldLeft[b], f.coldWindowEnd[b] = int(budget+d.random.uniform()), d.now+d.terms.OverloadWindow
 	}
-	return f.coldLeft[b] > 0 && d.now > d.startedAt+d.terms.FallWindow
+	return f.coldLeft[b] > 0 && d.now > d.startedAt+d.terms.OverloadWindow
 }
 
 // updateWarmWorkRate returns the rate of work that this door sends to a warm backend of b's weight; when none is warm, the
@@ -927,7 +927,7 @@
 // ---- Outcomes ----
 
 // handleAttemptEnded applies an attempt's result. A request without an answer and with attempts left is held again.
-func (d *Door) handleAttemptEnded(e gate.Ended) {
+func (d *Door) handleAttemptEnded(e gate.AttemptEnded) {
 	o, f := &d.requests[e.Op], &d.fleet
 	s := &o.attempts[e.Attempt]
 	k := &d.buckets[o.customer]
@@ -937,12 +937,12 @@
 	f.inFlight[s.backend]--
 	d.inFlight[o.class]--
 	d.currentBucket(o.customer)
-	if e.Units > 0 {
-		k.correctUnits(o, e.Units)
+	if e.ActualUnits > 0 {
+		k.correctUnits(o, e.ActualUnits)
 	}
-	d.recordMeteredUse(k, e.Use)
+	d.recordMeteredUse(k, e.MeteredUse)
 	d.recordResult(o, s, e)
-	if e.Over {
+	if e.Answered {
 		o.wantedOutcome, o.givenOutcome = answered, answered
 	}
 	d.markChanged(e.Op)
@@ -950,10 +950,10 @@
 		return
 	}
 	if o.held = len(o.attempts) < d.terms.MaxAttempts; !o.held {
-		d.giveUp(e.Op, d.drainTime(o.class), gate.Failed)
+		d.giveUp(e.Op, d.drainTime(o.class), gate.AttemptsFailed)
 		return
 	}
-	d.reportDifference(gate.NoFurther, func(w *gate.Terms) bool { return len(o.attempts) >= w.MaxAttempts })
+	d.reportDifference(gate.NoRetry, func(w *gate.Terms) bool { return len(o.attempts) >= w.MaxAttempts })
 }
 
 // giveUp ends a request at once: with a rejection where a retry by the client is harmless, else with a failure.
@@ -975,11 +975,11 @@
 	o := &d.requests[i]
 	d.buckets[o.customer].unreserve(o)
 	o.wantedOutcome, o.held, o.retryAfter, o.cause = rejected, false, min(retryAfter, d.terms.MaxRetryAfter), cause
-	d.reportDifference(gate.OtherAdvice, func(w *gate.Terms) bool {
+	d.reportDifference(gate.OtherRetryAfter, func(w *gate.Terms) bool {
 		return min(retryAfter, w.MaxRetryAfter) != o.retryAfter
 	})
-	d.reportDifference(gate.SentBeyond, func(w *gate.Terms) bool {
-		return (cause == gate.OverPart || cause == gate.OverQuota) && d.admitsOverQuota(w, o)
+	d.reportDifference(gate.SentOverQuota, func(w *gate.Terms) bool {
+		return (cause == gate.OverQuotaShare || cause == gate.OverQuota) && d.admitsOverQuota(w, o)
 	})
 	d.markChanged(i)
 }
@@ -987,7 +987,7 @@
 // recordResult applies an attempt's result to its backend's sequential test. A working backend answers at the expected
 // rate; a broken one fails, or answers at a small share of that rate. Answers remove evidence, failures and silence
 // (in tick) add it. It also updates latency, queue length and backoff.
-func (d *Door) recordResult(o *request, s *attempt, e gate.Ended) {
+func (d *Door) recordResult(o *request, s *attempt, e gate.AttemptEnded) {
 	f, b := &d.fleet, s.backend
 	switch e.Result {
 	case gate.Finished:
@@ -1015,7 +1015,7 @@
 		if l := &d.latencies[o.class]; e.Latency > l.smoothed && (!f.ejected(b, o.class) || d.fleetSilent(o.class)) {
 			l.smoothed += ewmaWeight * (min(e.Latency, d.terms.Classes[o.class].Contract) - l.smoothed)
 		}
-	case gate.Errored, gate.Unreachable, gate.Reset, gate.Spoilt:
+	case gate.Errored, gate.Unreachable, gate.Reset, gate.Malformed:
 		d.addEvidence(b, o.class, failureEvidence)
 	}
 }
@@ -1138,7 +1138,7 @@
 	// A request that can no longer meet its contract time must not displace those that can. Otherwise a fleet that has
 	// fallen behind keeps working on late requests for as long as clients wait.
 	if d.now > o.arrivedAt+p.Contract && p.LateValue < minLateValue && !o.streaming && d.holdTime(o) > 0 {
-		d.giveUp(i, d.drainTime(o.class), gate.Late)
+		d.giveUp(i, d.drainTime(o.class), gate.PastContract)
 		return
 	}
 	if o.streaming || o.inFlight != 1 || len(o.attempts) >= d.terms.MaxAttempts || !d.terms.Hedging {
@@ -1148,7 +1148,7 @@
 	if s.inFlight() && d.fleet.ejected(s.backend, o.class) && d.now-s.sentAt > hedgeAfter*d.expectedLatency(o.class) {
 		if b, _ := d.pickBackend(o); b >= 0 && b != s.backend {
 			d.send(i, b)
-			d.reportDifference(gate.NoCopy, func(w *gate.Terms) bool { return !w.Hedging })
+			d.reportDifference(gate.NoHedge, func(w *gate.Terms) bool { return !w.Hedging })
 		}
 	}
 }
@@ -1159,7 +1159,7 @@
 func (d *Door) emitActions() {
 	if d.mustSubscribe && d.now >= d.subscribeAt {
 		d.mustSubscribe = false
-		d.actions = append(d.actions, gate.Track{})
+		d.actions = append(d.actions, gate.SubscribeFleet{})
 	}
 	for _, i := range d.changed {
 		o := &d.requests[i]
@@ -1169,7 +1169,7 @@
 			s.wanted = s.wanted && o.wantedOutcome == undecided
 			if s.wanted && !s.sent {
 				s.sent = true
-				d.actions = append(d.actions, gate.Send{Op: i, Backend: s.backend, By: d.startDeadline(o, j)})
+				d.actions = append(d.actions, gate.Send{Op: i, Backend: s.backend, StartBy: d.startDeadline(o, j)})
 			}
 			if !s.wanted && s.inFlight() && !s.cancelled && d.terms.MayCancel {
 				s.cancelled = true
@@ -1191,6 +1191,6 @@
 	d.freedIndices = d.freedIndices[:0]
 	if (len(d.active) > 0 || d.mustSubscribe) && !d.timerSet {
 		d.timerSet = true
-		d.actions = append(d.actions, gate.Wake{At: d.now + tickInterval})
+		d.actions = append(d.actions, gate.SetTimer{At: d.now + tickInterval})
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -111,7 +111,7 @@
 	assert.Empty(t, d.freedIndices, "a new bucket would start full")
 	d.buckets[0].level = 12
 	d.dropIdleBuckets()
-	assert.Equal(t, []gate.Action{gate.Forget{Customer: 0}}, d.freedIndices)
+	assert.Equal(t, []gate.Action{gate.FreeCustomer{Customer: 0}}, d.freedIndices)
 }
 
 // A freed customer index is reused, and must not inherit anything from its previous customer.
@@ -126,7 +126,7 @@
 	d.dropIdleBuckets()
 	d.freedIndices = nil
 	d.now += 1
-	d.handleRequest(gate.Request{Op: 1, Class: idempotent, Plan: plain, TTL: 3000, Units: 1, Spread: 2, First: 1})
+	d.handleRequest(gate.Request{Op: 1, Class: idempotent, Plan: plain, TTL: 3000, Units: 1, Spread: 2, FirstDoor: 1})
 	fresh := bucket{known: true, plan: plain, firstDoor: 1, spread: 2, level: 12, filledAt: d.now,
 		meteredLevel: 12, shareScale: 1, meteredAt: math.Inf(-1), presentDoors: 2, windowPhase: 0, openRequests: 1, demand: 1 / demandSpan, reservedCharge: d.buckets[0].reservedCharge, reservedUnits: 1}
 	assert.Equal(t, fresh, d.buckets[0])
@@ -176,14 +176,14 @@
 
 func TestNonIdempotentThatMayHaveRunFails(t *testing.T) {
 	d := sentOnce(nonIdempotent, 0)
-	d.handleAttemptEnded(gate.Ended{Result: gate.Reset, Use: -1})
+	d.handleAttemptEnded(gate.AttemptEnded{Result: gate.Reset, MeteredUse: -1})
 	d.tick()
 	assert.Equal(t, failed, d.requests[0].wantedOutcome)
 }
 
 func TestNonIdempotentThatNeverRanIsSentAgain(t *testing.T) {
 	d := sentOnce(nonIdempotent, 0)
-	d.handleAttemptEnded(gate.Ended{Result: gate.Full, Use: -1})
+	d.handleAttemptEnded(gate.AttemptEnded{Result: gate.Full, MeteredUse: -1})
 	assert.True(t, d.requests[0].held)
 }
 
@@ -204,19 +204,19 @@
 		d := sentOnce(class, 0)
 		assert.Zero(t, d.startDeadline(&d.requests[0], 0), "the first attempt has no start deadline")
 		d.now += 1000
-		d.handleAttemptEnded(gate.Ended{Result: gate.Reset, Use: -1})
+		d.handleAttemptEnded(gate.AttemptEnded{Result: gate.Reset, MeteredUse: -1})
 		d.send(0, 2)
 		d.emitActions()
-		assert.Contains(t, d.actions, gate.Send{Op: 0, Backend: 2, By: want})
+		assert.Contains(t, d.actions, gate.Send{Op: 0, Backend: 2, StartBy: want})
 		d.now += 1000
-		d.handleAttemptEnded(gate.Ended{Attempt: 1, Result: gate.Skipped, Use: -1})
+		d.handleAttemptEnded(gate.AttemptEnded{Attempt: 1, Result: gate.Skipped, MeteredUse: -1})
 		d.send(0, 2)
 		assert.Equal(t, want, d.startDeadline(&d.requests[0], 2), "an attempt that never ran changes nothing")
-		d.handleAttemptEnded(gate.Ended{Attempt: 2, Result: gate.Reset, Use: -1})
+		d.handleAttemptEnded(gate.AttemptEnded{Attempt: 2, Result: gate.Reset, MeteredUse: -1})
 		assert.Equal(t, want, d.startDeadline(&d.requests[0], 3), "of two that may have run, the earlier one's key expires first")
 	}
 	d := sentOnce(keyedAnywhere, 0)
-	d.handleAttemptEnded(gate.Ended{Result: gate.Unreachable, Use: -1})
+	d.handleAttemptEnded(gate.AttemptEnded{Result: gate.Unreachable, MeteredUse: -1})
 	d.now += 3000
 	d.send(0, 2)
 	d.emitActions()
@@ -226,14 +226,14 @@
 func TestKeyedInZoneFailsOnceItMayHaveRun(t *testing.T) {
 	d := sentOnce(keyedInZone, 0)
 	d.fleet.up = make([]bool, 4)
-	d.handleAttemptEnded(gate.Ended{Result: gate.Reset, Use: -1})
+	d.handleAttemptEnded(gate.AttemptEnded{Result: gate.Reset, MeteredUse: -1})
 	d.tick()
 	assert.Equal(t, failed, d.requests[0].wantedOutcome)
 }
 
 func TestDrainingBackendReceivesNoNewAttempts(t *testing.T) {
 	d := door(2)
-	d.updateFleet(gate.Fleet{Entries: []gate.Entry{{Backend: 0, Status: gate.Draining}}})
+	d.updateFleet(gate.FleetUpdate{Entries: []gate.Entry{{Backend: 0, Status: gate.Draining}}})
 	for range 20 {
 		b, _ := d.pickBackend(&request{class: idempotent})
 		assert.Equal(t, 1, b)
@@ -247,14 +247,14 @@
 	d.fleet.warmWork, d.fleet.warmWorkAt = 200, 50e3 // 0.02 ms of work per ms: a door with little traffic, 0.1 requests per window
 	sent := 0
 	for range 400 {
-		d.now += d.terms.FallWindow
+		d.now += d.terms.OverloadWindow
 		d.fleet.startedAt[0], d.fleet.warmWorkAt = d.now, d.now // as cold as at its start
 		for d.hasColdBudget(&d.requests[0], 0) {
 			d.fleet.coldLeft[0]--
 			sent++
 		}
 	}
-	budget := 400 * d.terms.FallMultiple * d.terms.ColdFrom * 0.02 * d.terms.FallWindow / 100
+	budget := 400 * d.terms.OverloadMultiple * d.terms.ColdCapacity * 0.02 * d.terms.OverloadWindow / 100
 	assert.Less(t, float64(sent), budget)
 	assert.Greater(t, float64(sent), budget/2)
 }
@@ -267,8 +267,8 @@
 	}
 	assert.True(t, d.fleet.ejected(0, idempotent))
 	o := &d.requests[0]
-	d.recordResult(o, &o.attempts[0], gate.Ended{Result: gate.Finished, Latency: 100})
-	d.recordResult(o, &o.attempts[0], gate.Ended{Result: gate.Finished, Latency: 100})
+	d.recordResult(o, &o.attempts[0], gate.AttemptEnded{Result: gate.Finished, Latency: 100})
+	d.recordResult(o, &o.attempts[0], gate.AttemptEnded{Result: gate.Finished, Latency: 100})
 	assert.False(t, d.fleet.ejected(0, idempotent))
 }
 
@@ -286,7 +286,7 @@
 	for range 10 {
 		d.now += 200
 		d.tick()
-		d.recordResult(&request{class: nonIdempotent}, &attempt{}, gate.Ended{Result: gate.Finished, Latency: 100})
+		d.recordResult(&request{class: nonIdempotent}, &attempt{}, gate.AttemptEnded{Result: gate.Finished, Latency: 100})
 	}
 	assert.True(t, d.fleet.ejected(0, idempotent))
 	assert.False(t, d.fleet.ejected(0, nonIdempotent))
@@ -304,8 +304,8 @@
 	d := door(0)
 	d.handleRequest(newRequest(0, idempotent, plain))
 	d.Decide(d.now, nil)
-	acts := d.Decide(d.now+tickInterval-0.0001, []gate.Event{gate.Woken{}})
-	assert.Contains(t, acts, gate.Wake{At: d.now + tickInterval})
+	acts := d.Decide(d.now+tickInterval-0.0001, []gate.Event{gate.TimerFired{}})
+	assert.Contains(t, acts, gate.SetTimer{At: d.now + tickInterval})
 }
 
 func TestConcurrencyLimitHoldsRequests(t *testing.T) {
@@ -422,7 +422,7 @@
 func TestCallsThatFailTogetherAreOneOverloadSignal(t *testing.T) {
 	d := doorAtCounter()
 	epoch := d.counterCalls[0].(gate.Count).Epoch
-	d.handleCounted(gate.Counted{Epoch: epoch, Result: gate.Spoilt})
+	d.handleCounted(gate.Counted{Epoch: epoch, Result: gate.Malformed})
 	assert.Equal(t, 1.0, d.callShare)
 	for range 5 {
 		d.handleCounted(gate.Counted{Epoch: epoch, Result: gate.TimedOut})
@@ -501,10 +501,10 @@
 
 func TestFailedListIsSubscribedToAgainAfterADelay(t *testing.T) {
 	d := door(1)
-	d.terms.MustAsk = true
-	assert.NotContains(t, d.Decide(d.now, []gate.Event{gate.Fleet{Failed: true}}), gate.Track{})
-	assert.Contains(t, d.Decide(d.now+subscribeBackoff, nil), gate.Track{})
-	assert.NotContains(t, d.Decide(d.now+1, nil), gate.Track{})
+	d.terms.MustSubscribe = true
+	assert.NotContains(t, d.Decide(d.now, []gate.Event{gate.FleetUpdate{Failed: true}}), gate.SubscribeFleet{})
+	assert.Contains(t, d.Decide(d.now+subscribeBackoff, nil), gate.SubscribeFleet{})
+	assert.NotContains(t, d.Decide(d.now+1, nil), gate.SubscribeFleet{})
 }
 
 func TestLostAnswersAreNoBacklog(t *testing.T) {
@@ -532,7 +532,7 @@
 func TestATimeoutAtAnEjectedBackendCountsOnceTheFleetIsSilent(t *testing.T) {
 	d := sentOnce(idempotent, 2)
 	d.fleet.suspicions[idempotent][2].ejected = true
-	timedOut := gate.Ended{Result: gate.TimedOut, Latency: 900, Use: -1}
+	timedOut := gate.AttemptEnded{Result: gate.TimedOut, Latency: 900, MeteredUse: -1}
 	d.answeredAt = d.now
 	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], timedOut)
 	assert.Equal(t, 100.0, d.latencies[idempotent].smoothed, "one silent backend does not mean an overloaded fleet")
@@ -554,7 +554,7 @@
 	d := doorAtCounter()
 	d.callShare = 0
 	e := newRequest(1, idempotent, plain)
-	e.Customer, e.Repeat, e.Units = 1, true, 5 // more than its quota share holds
+	e.Customer, e.ClientRetry, e.Units = 1, true, 5 // more than its quota share holds
 	d.handleRequest(e)
 	d.tick()
 	assert.Equal(t, rejected, d.requests[1].wantedOutcome)
@@ -582,7 +582,7 @@
 
 func TestATimeoutIsALatencySampleOfItsAge(t *testing.T) {
 	d := sentOnce(idempotent, 0)
-	d.handleAttemptEnded(gate.Ended{Result: gate.TimedOut, Latency: 3000, Use: -1})
+	d.handleAttemptEnded(gate.AttemptEnded{Result: gate.TimedOut, Latency: 3000, MeteredUse: -1})
 	assert.InDelta(t, 100+ewmaWeight*900, d.latencies[idempotent].smoothed, 1)
 }
 
@@ -607,20 +607,20 @@
 func TestAGoneBackendsIndexIsFreedOnce(t *testing.T) {
 	d := sentOnce(idempotent, 1)
 	d.fleet.suspicions[0][1].ejected = true
-	d.updateFleet(gate.Fleet{Entries: []gate.Entry{{Backend: 1, Status: gate.Gone}}})
+	d.updateFleet(gate.FleetUpdate{Entries: []gate.Entry{{Backend: 1, Status: gate.Gone}}})
 	d.freeGoneBackends()
 	assert.Empty(t, d.freedIndices, "a request is in flight there")
-	d.handleAttemptEnded(gate.Ended{Backend: 1, Result: gate.Reset, Use: -1})
+	d.handleAttemptEnded(gate.AttemptEnded{Backend: 1, Result: gate.Reset, MeteredUse: -1})
 	d.requests[0].wantedOutcome = rejected
 	d.tick()
 	d.freeGoneBackends()
-	assert.Equal(t, []gate.Action{gate.Delist{Backend: 1}}, d.freedIndices)
+	assert.Equal(t, []gate.Action{gate.FreeBackend{Backend: 1}}, d.freedIndices)
 	d.freeGoneBackends()
 	assert.Len(t, d.freedIndices, 1)
-	d.updateFleet(gate.Fleet{Entries: []gate.Entry{{Backend: 1}}})
+	d.updateFleet(gate.FleetUpdate{Entries: []gate.Entry{{Backend: 1}}})
 	assert.False(t, d.fleet.ejected(1, idempotent))
 	assert.Equal(t, 1.0, d.fleet.weight[1])
-	d.updateFleet(gate.Fleet{Complete: true, Entries: []gate.Entry{{Backend: 0}}})
+	d.updateFleet(gate.FleetUpdate{Complete: true, Entries: []gate.Entry{{Backend: 0}}})
 	d.freeGoneBackends()
 	assert.Len(t, d.freedIndices, 4, "a backend missing from a complete list is gone")
 }
@@ -663,7 +663,7 @@
 		b, _ := d.pickBackend(&o)
 		assert.NotContains(t, first, b)
 	}
-	d.updateFleet(gate.Fleet{Entries: []gate.Entry{{Backend: f.ringOrder[minSubset], Status: gate.Draining}}})
+	d.updateFleet(gate.FleetUpdate{Entries: []gate.Entry{{Backend: f.ringOrder[minSubset], Status: gate.Draining}}})
 	assert.Len(t, f.ringOrder, 29)
 	for range 100 {
 		b, _ := d.pickBackend(&o)
@@ -678,10 +678,10 @@
 	doorsAt := make([]int, backends)
 	for n := range doors {
 		d := New(terms(), uint64(n))
-		d.terms.Number = n
-		var e gate.Fleet
+		d.terms.DoorNumber = n
+		var e gate.FleetUpdate
 		for b := range backends { // every door assigns its own indices
-			e.Entries = append(e.Entries, gate.Entry{Backend: (b + n) % backends, Mark: float64(b*37%backends) / backends})
+			e.Entries = append(e.Entries, gate.Entry{Backend: (b + n) % backends, RingPosition: float64(b*37%backends) / backends})
 		}
 		d.updateFleet(e)
 		for _, b := range d.fleet.ringOrder[:minSubset] {
@@ -695,10 +695,10 @@
 
 func TestALostBackendChangesASubsetByOneAtMost(t *testing.T) {
 	d := door(30)
-	d.terms.Number = 7
-	d.updateFleet(gate.Fleet{Entries: []gate.Entry{{Backend: 0}}})
+	d.terms.DoorNumber = 7
+	d.updateFleet(gate.FleetUpdate{Entries: []gate.Entry{{Backend: 0}}})
 	before := append([]int(nil), d.fleet.ringOrder[:minSubset]...)
-	d.updateFleet(gate.Fleet{Entries: []gate.Entry{{Backend: 29, Status: gate.Gone}}})
+	d.updateFleet(gate.FleetUpdate{Entries: []gate.Entry{{Backend: 29, Status: gate.Gone}}})
 	kept := 0
 	for _, b := range d.fleet.ringOrder[:minSubset] {
 		if slices.Contains(before, b) {
@@ -735,7 +735,7 @@
 	d := meteredDoor(2 * meterFreshPeriods * 1000)
 	assert.False(t, d.acquireUnits(0))
 	assert.Equal(t, rejected, d.requests[0].wantedOutcome)
-	assert.Equal(t, gate.OverPart, d.requests[0].cause)
+	assert.Equal(t, gate.OverQuotaShare, d.requests[0].cause)
 }
 
 func TestAMeterReportIsNotSpentTwice(t *testing.T) {
@@ -774,7 +774,7 @@
 // overQuotaDoor returns a door whose plain plan earns 0.3 of the gain beyond its quota at no cost, with the quota used up.
 func overQuotaDoor() *Door {
 	d := door(4)
-	d.terms.Plans[plain].Beyond = 0.3
+	d.terms.Plans[plain].OverQuotaGain = 0.3
 	d.handleRequest(newRequest(0, idempotent, plain))
 	d.buckets[0].level = 0
 	return d
@@ -786,7 +786,7 @@
 	assert.Equal(t, undecided, d.requests[1].wantedOutcome)
 	assert.Zero(t, d.requests[1].charge, "the quota is not charged")
 
-	d.terms.Plans[plain].OverCost = 0.3 // as much as it earns
+	d.terms.Plans[plain].OverQuotaCost = 0.3 // as much as it earns
 	d.handleRequest(newRequest(2, idempotent, plain))
 	assert.Equal(t, rejected, d.requests[2].wantedOutcome)
 }
@@ -801,7 +801,7 @@
 
 func TestACeilingAppliesToOverQuotaRequestsThatPay(t *testing.T) {
 	d := door(4)
-	d.terms.Plans[capped].Beyond = 0.3
+	d.terms.Plans[capped].OverQuotaGain = 0.3
 	d.handleRequest(newRequest(0, idempotent, capped))
 	d.buckets[0].level, d.buckets[0].ceilingLevel = 0, 0
 	d.handleRequest(newRequest(1, idempotent, capped))
@@ -830,12 +830,12 @@
 func TestBackoffDoublesWhenABackendRefusesAPlanAgain(t *testing.T) {
 	d := sentOnce(idempotent, 2)
 	backoff := func() float64 { return d.fleet.fullUntil[2][plain] - d.now }
-	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gate.Ended{Result: gate.Full, Use: -1})
+	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gate.AttemptEnded{Result: gate.Full, MeteredUse: -1})
 	first := backoff()
-	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gate.Ended{Result: gate.Full, Use: -1})
+	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gate.AttemptEnded{Result: gate.Full, MeteredUse: -1})
 	assert.Equal(t, 2*first, backoff())
 	for range 10 {
-		d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gate.Ended{Result: gate.Full, Use: -1})
+		d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gate.AttemptEnded{Result: gate.Full, MeteredUse: -1})
 	}
 	assert.Equal(t, maxProbeInterval, backoff())
 	assert.Zero(t, d.fleet.fullUntil[2][capped], "another plan is not affected")
@@ -857,7 +857,7 @@
 func TestActualUnitsReplaceTheEstimate(t *testing.T) {
 	d := sentOnce(idempotent, 0)
 	level, charge := d.buckets[0].level, d.requests[0].charge
-	d.handleAttemptEnded(gate.Ended{Op: 0, Result: gate.Finished, Latency: 100, Over: true, Use: -1, Units: 3})
+	d.handleAttemptEnded(gate.AttemptEnded{Op: 0, Result: gate.Finished, Latency: 100, Answered: true, MeteredUse: -1, ActualUnits: 3})
 	assert.InDelta(t, level-2*charge, d.buckets[0].level, 1e-9, "estimated at 1 unit, charged by the door's share")
 	assert.Equal(t, 2.0, d.buckets[0].counter.pendingUnits)
 }
@@ -885,9 +885,9 @@
 // since its last call.
 func comparing(d *Door) func() []gate.Difference {
 	w := d.terms
-	w.Plans = []gate.Plan{{Rate: 0.002, Depth: 12, Beyond: 0.3}, d.terms.Plans[capped]}
+	w.Plans = []gate.Plan{{Rate: 0.002, Depth: 12, OverQuotaGain: 0.3}, d.terms.Plans[capped]}
 	w.MaxRetryAfter, w.Hedging, w.MaxAttempts = 0, false, 1
-	d.Watch(&w)
+	d.CompareWith(&w)
 	return func() (kinds []gate.Difference) {
 		for _, a := range d.actions {
 			if a, ok := a.(gate.Differs); ok {
@@ -907,10 +907,10 @@
 	d.buckets[0].level = 0
 	d.handleRequest(newRequest(1, idempotent, plain))
 	assert.Equal(t, rejected, d.requests[1].wantedOutcome)
-	assert.Equal(t, []gate.Difference{gate.OtherAdvice, gate.SentBeyond}, reported())
+	assert.Equal(t, []gate.Difference{gate.OtherRetryAfter, gate.SentOverQuota}, reported())
 	d.heldShare = 2 * maxHeldShare
 	d.handleRequest(newRequest(2, idempotent, plain))
-	assert.Equal(t, []gate.Difference{gate.OtherAdvice}, reported(), "nothing is sent beyond a quota on an overloaded fleet")
+	assert.Equal(t, []gate.Difference{gate.OtherRetryAfter}, reported(), "nothing is sent beyond a quota on an overloaded fleet")
 }
 
 func TestComparisonReportsCallsHedgesAndRetries(t *testing.T) {
@@ -928,20 +928,20 @@
 	d.requests[0].arrivedAt = d.now
 	d.hedgeOrGiveUp(0)
 	assert.Len(t, d.requests[0].attempts, 2, "hedged as before")
-	assert.Equal(t, []gate.Difference{gate.NoCopy}, reported())
+	assert.Equal(t, []gate.Difference{gate.NoHedge}, reported())
 
 	d = sentOnce(idempotent, 2)
 	reported = comparing(d)
-	d.handleAttemptEnded(gate.Ended{Op: 0, Result: gate.Errored, Latency: 100, Use: -1})
+	d.handleAttemptEnded(gate.AttemptEnded{Op: 0, Result: gate.Errored, Latency: 100, MeteredUse: -1})
 	assert.True(t, d.requests[0].held, "held for another attempt as before")
-	assert.Equal(t, []gate.Difference{gate.NoFurther}, reported())
+	assert.Equal(t, []gate.Difference{gate.NoRetry}, reported())
 }
 
 func TestSlicesOfACeilingAddUp(t *testing.T) {
 	sum := 0.0
 	for n := range 3 {
 		d := door(1)
-		d.terms.Number = n
+		d.terms.DoorNumber = n
 		d.handleRequest(newRequest(0, idempotent, capped))
 		d.now += 1e6
 		sum += d.currentBucket(0).ceilingLevel
@@ -963,9 +963,9 @@
 	d := sentOnce(idempotent, 2)
 	o := request{class: idempotent, plan: plain}
 	before := d.routingWeight(2, &o)
-	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gate.Ended{Result: gate.Finished, Latency: 100, Queue: -1})
+	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gate.AttemptEnded{Result: gate.Finished, Latency: 100, Queue: -1})
 	assert.InEpsilon(t, before, d.routingWeight(2, &o), 0.1, "no report")
-	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gate.Ended{Result: gate.Finished, Latency: 100, Queue: 6})
+	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gate.AttemptEnded{Result: gate.Finished, Latency: 100, Queue: 6})
 	assert.Less(t, d.routingWeight(2, &o), before/2)
 }
 
@@ -981,9 +981,9 @@
 // The queue of a process that is gone is gone too: its successor must not be avoided for a queue that it never had.
 func TestARestartedBackendInheritsNoQueue(t *testing.T) {
 	d := sentOnce(idempotent, 2)
-	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gate.Ended{Result: gate.Finished, Latency: 100, Queue: 6})
+	d.recordResult(&d.requests[0], &d.requests[0].attempts[0], gate.AttemptEnded{Result: gate.Finished, Latency: 100, Queue: 6})
 	assert.Positive(t, d.fleet.queueLen[2])
-	d.updateFleet(gate.Fleet{Entries: []gate.Entry{{Backend: 2, Since: 5}}})
+	d.updateFleet(gate.FleetUpdate{Entries: []gate.Entry{{Backend: 2, StartedAt: 5}}})
 	assert.Zero(t, d.fleet.queueLen[2])
 }
 
@@ -992,7 +992,7 @@
 	clock := d.now
 	share := func() float64 { k := d.updateBucket(0, 0, 0, 3); return d.quotaShare(k) }
 	before := share()
-	d.Decide(clock, []gate.Event{gate.Doors{Here: []bool{true, false, false}, Count: 1}})
+	d.Decide(clock, []gate.Event{gate.DoorsUpdate{Present: []bool{true, false, false}, PresentCount: 1}})
 	assert.InDelta(t, before, share(), 1e-9, "no jump")
 	last := before
 	for range 40 {
@@ -1004,7 +1004,7 @@
 		last = now
 	}
 	assert.InDelta(t, 1, last, 0.02, "the only door present takes the whole quota")
-	d.Decide(clock, []gate.Event{gate.Doors{Here: []bool{true, true, true}, Count: 3}})
+	d.Decide(clock, []gate.Event{gate.DoorsUpdate{Present: []bool{true, true, true}, PresentCount: 3}})
 	for range 40 {
 		clock += 500
 		d.now = clock
@@ -1017,7 +1017,7 @@
 	d := door(4)
 	clock := d.now
 	other := door(4)
-	d.Decide(clock, []gate.Event{gate.Doors{Here: []bool{true, false, false}, Count: 1}})
+	d.Decide(clock, []gate.Event{gate.DoorsUpdate{Present: []bool{true, false, false}, PresentCount: 1}})
 	for range 200 {
 		clock += 100
 		d.now, other.now = clock, clock
@@ -1040,15 +1040,15 @@
 		}
 		return n
 	}
-	d.Decide(clock, []gate.Event{gate.Fleet{Complete: true, Entries: []gate.Entry{{Backend: 0, Since: clock, Size: 1}}}})
+	d.Decide(clock, []gate.Event{gate.FleetUpdate{Complete: true, Entries: []gate.Entry{{Backend: 0, StartedAt: clock, Weight: 1}}}})
 	before := totalBudget()
-	d.Decide(clock, []gate.Event{gate.Doors{Here: []bool{true, true, true}, Count: 6}})
+	d.Decide(clock, []gate.Event{gate.DoorsUpdate{Present: []bool{true, true, true}, PresentCount: 6}})
 	assert.InEpsilon(t, float64(before)/2, float64(totalBudget()), 0.15, "twice as many doors are present")
 }
 
 func TestAReportThatAllDoorsArePresentChangesNoDecision(t *testing.T) {
 	alone, notified := door(6), door(6)
-	notified.Decide(notified.now, []gate.Event{gate.Doors{Here: []bool{true, true, true}, Count: 3}})
+	notified.Decide(notified.now, []gate.Event{gate.DoorsUpdate{Present: []bool{true, true, true}, PresentCount: 3}})
 	alone.Decide(alone.now, nil)
 	sent := 0
 	for n := range 400 {
@@ -1061,8 +1061,8 @@
 					if i%7 == 0 {
 						how = gate.Errored
 					}
-					events = append(events, gate.Ended{Op: i, Attempt: s, Backend: tr.backend, Result: how,
-						Latency: now - tr.sentAt, Over: how == gate.Finished, Use: 0.1, Queue: -1})
+					events = append(events, gate.AttemptEnded{Op: i, Attempt: s, Backend: tr.backend, Result: how,
+						Latency: now - tr.sentAt, Answered: how == gate.Finished, MeteredUse: 0.1, Queue: -1})
 				}
 			}
 		}
@@ -1082,19 +1082,19 @@
 // or its attempt stays in flight. With the client present each of these leads to another attempt.
 func TestNoAttemptStartsForAClientThatHasGone(t *testing.T) {
 	const step = 10.
-	backends := gate.Fleet{}
+	backends := gate.FleetUpdate{}
 	for b := range 4 {
-		backends.Entries = append(backends.Entries, gate.Entry{Backend: b, Zone: b % 2, Cell: b, Size: 1})
+		backends.Entries = append(backends.Entries, gate.Entry{Backend: b, Zone: b % 2, Cell: b, Weight: 1})
 	}
 	for name, c := range map[string]struct {
 		backends int
 		then     func(sent int) gate.Event // event after the client has gone
 	}{
 		"held":             {0, func(int) gate.Event { return backends }},
-		"reset":            {4, func(int) gate.Event { return gate.Ended{Result: gate.Reset, Use: -1} }},
-		"unreachable":      {4, func(int) gate.Event { return gate.Ended{Result: gate.Unreachable, Use: -1} }},
-		"full":             {4, func(int) gate.Event { return gate.Ended{Result: gate.Full, Use: -1} }},
-		"no further event": {4, func(int) gate.Event { return gate.Woken{} }},
+		"reset":            {4, func(int) gate.Event { return gate.AttemptEnded{Result: gate.Reset, MeteredUse: -1} }},
+		"unreachable":      {4, func(int) gate.Event { return gate.AttemptEnded{Result: gate.Unreachable, MeteredUse: -1} }},
+		"full":             {4, func(int) gate.Event { return gate.AttemptEnded{Result: gate.Full, MeteredUse: -1} }},
+		"no further event": {4, func(int) gate.Event { return gate.TimerFired{} }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, gone := range []bool{true, false} {
@@ -1111,7 +1111,7 @@
 				before := sends
 				require.Equal(t, min(1, c.backends), before)
 				if gone {
-					decide(gate.Vanished{Op: 0})
+					decide(gate.ClientGone{Op: 0})
 				}
 				decide(c.then(before))
 				for range 250 {
@@ -1146,14 +1146,14 @@
 	d := door(1)
 	end := d.now + 100
 	d.Decide(d.now, []gate.Event{newRequest(0, idempotent, plain)})
-	d.Decide(d.now, []gate.Event{gate.Closing{By: end}, newRequest(1, idempotent, plain)})
+	d.Decide(d.now, []gate.Event{gate.ShuttingDown{Deadline: end}, newRequest(1, idempotent, plain)})
 	given := map[int]bool{}
 	for now := end - 50; now <= end; now += tickInterval {
 		var ended []gate.Event
 		if now >= end-tickInterval { // the driver stops waiting for what is in flight
 			for i := range 2 {
 				if o := &d.requests[i]; o.inFlight > 0 {
-					ended = append(ended, gate.Ended{Op: i, Attempt: len(o.attempts) - 1, Result: gate.TimedOut})
+					ended = append(ended, gate.AttemptEnded{Op: i, Attempt: len(o.attempts) - 1, Result: gate.TimedOut})
 				}
 			}
 		}
--- a/policy/state.go
+++ b/policy/state.go
@@ -319,7 +319,7 @@
 		if p := &d.terms.Plans[k.plan]; k.known && k.openRequests == 0 && (idle > idleExpiry || idle > idleFullExpiry &&
 			k.level+p.Rate*idle >= p.Depth && p.CeilingRate*idle >= p.CeilingDepth) {
 			*k = bucket{}
-			d.freedIndices = append(d.freedIndices, gate.Forget{Customer: c})
+			d.freedIndices = append(d.freedIndices, gate.FreeCustomer{Customer: c})
 		}
 	}
 }
@@ -340,7 +340,7 @@
 	for b, gone := range f.gone {
 		if gone && !needed[b] && f.inFlight[b] == 0 {
 			f.inUse[b], f.gone[b] = false, false
-			d.freedIndices = append(d.freedIndices, gate.Delist{Backend: b})
+			d.freedIndices = append(d.freedIndices, gate.FreeBackend{Backend: b})
 		}
 	}
 }
