--- a/frontdoor/accept.go
+++ b/frontdoor/accept.go
@@ -12,57 +12,57 @@
 )
 
 const (
-	acceptAtOnce     = 4                     // tries in a row after one that failed, before the first pause
-	acceptPauseLeast = time.Millisecond      // before another try after those; it doubles
-	acceptPauseMost  = 20 * time.Millisecond // up to this: clients have begun to wait
-	socketLook       = 10 * time.Millisecond // between looks for a socket while the door ends
-	queueLook        = 5 * time.Millisecond  // for which a look at the listener's queue waits, while the door ends
-	queueEmptyLeast  = time.Millisecond      // an accept that takes longer has found the queue empty
-	acceptLogEvery   = time.Second           // between log lines of tries that failed
+	immediateAcceptRetries = 4                     // tries in a row after one that failed, before the first pause
+	minAcceptBackoff       = time.Millisecond      // before another try after those; it doubles
+	maxAcceptBackoff       = 20 * time.Millisecond // up to this: clients have begun to wait
+	socketPollInterval     = 10 * time.Millisecond // between looks for a socket while the door ends
+	queuePollTimeout       = 5 * time.Millisecond  // for which a look at the listener's queue waits, while the door ends
+	minBlockedAccept       = time.Millisecond      // an accept that takes longer has found the queue empty
+	acceptLogInterval      = time.Second           // between log lines of tries that failed
 )
 
 // acceptor takes client connections in, for as long as they may come.
 type acceptor struct {
-	c      *core
-	tries  int           // that have failed in a row
-	pause  time.Duration // before the next try, once more than a few have failed
-	logged time.Time     // when a failure was last logged
-	failed int           // tries that failed since
-	empty  time.Time     // when the listener's queue was last known to be empty
+	c            *core
+	failures     int           // that have failed in a row
+	backoff      time.Duration // before the next try, once more than a few have failed
+	lastLogged   time.Time     // when a failure was last logged
+	unlogged     int           // tries that failed since
+	queueEmptyAt time.Time     // when the listener's queue was last known to be empty
 }
 
-// accept takes connections in until the listener is closed. The system has accepted what stands in the listener's queue: its
+// acceptLoop takes connections in until the listener is closed. The system has accepted what stands in the listener's queue: its
 // clients may have written whole requests, and closing the listener resets them, so the queue is emptied before.
-func (c *core) accept(ctx context.Context) {
-	a := &acceptor{c: c, pause: acceptPauseLeast, empty: time.Now()}
-	defer c.post(accepted{})
+func (c *core) acceptLoop(ctx context.Context) {
+	a := &acceptor{c: c, backoff: minAcceptBackoff, queueEmptyAt: time.Now()}
+	defer c.post(acceptDone{})
 	defer c.listener.Close()
-	for a.socket(ctx) {
-		nc, err := a.next()
+	for a.acquireSocket(ctx) {
+		nc, err := a.acceptOne()
 		if err != nil {
-			c.budget.put()
-			if !a.goesOn(ctx, err) {
+			c.budget.release()
+			if !a.waitRetry(ctx, err) {
 				return
 			}
 			continue
 		}
-		a.tries, a.pause = 0, acceptPauseLeast
+		a.failures, a.backoff = 0, minAcceptBackoff
 		cl := newClient(c, nc)
-		cl.queued = time.Since(a.empty)
-		c.post(opened{cl})
+		cl.maxQueued = time.Since(a.queueEmptyAt)
+		c.post(clientOpened{cl})
 		go cl.run()
 	}
 }
 
-// socket waits until there is a socket for one more client. A quarter of them is kept for what clients come for.
-func (a *acceptor) socket(ctx context.Context) bool {
+// acquireSocket waits until there is a acquireSocket for one more client. A quarter of them is kept for what clients come for.
+func (a *acceptor) acquireSocket(ctx context.Context) bool {
 	c := a.c
-	for !c.budget.take(c.budget.kept) {
+	for !c.budget.acquire(c.budget.clientReserve) {
 		if !c.shutdown.Load().Answering(c.clock.now()) {
 			return false
 		}
-		c.post(crowded{})
-		wait := time.NewTimer(a.look())
+		c.post(socketNeeded{})
+		wait := time.NewTimer(a.pollInterval())
 		select {
 		case <-c.budget.freed:
 		case <-wait.C:
@@ -74,17 +74,17 @@
 	return true
 }
 
-// next accepts one connection. While the door ends it only looks at the queue, and fails with os.ErrDeadlineExceeded where
+// acceptOne accepts one connection. While the door ends it only looks at the queue, and fails with os.ErrDeadlineExceeded where
 // that is empty. A look that was held up before it came to the queue is no look.
-func (a *acceptor) next() (net.Conn, error) {
-	wait, halts := a.c.listener.(halting)
+func (a *acceptor) acceptOne() (net.Conn, error) {
+	wait, halts := a.c.listener.(deadlineListener)
 	for {
 		ending := !a.c.shutdown.Load().Accepting(a.c.clock.now())
 		if !ending || !halts {
 			began := time.Now()
 			nc, err := a.c.listener.Accept()
-			if time.Since(began) > queueEmptyLeast {
-				a.empty = time.Now()
+			if time.Since(began) > minBlockedAccept {
+				a.queueEmptyAt = time.Now()
 			}
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				continue // the owner has the listener close
@@ -92,9 +92,9 @@
 			return nc, err
 		}
 		began := time.Now()
-		_ = wait.SetDeadline(began.Add(queueLook))
+		_ = wait.SetDeadline(began.Add(queuePollTimeout))
 		nc, err := wait.Accept()
-		heldUp := time.Since(began) > 2*queueLook
+		heldUp := time.Since(began) > 2*queuePollTimeout
 		if errors.Is(err, os.ErrDeadlineExceeded) && heldUp && a.c.shutdown.Load().Answering(a.c.clock.now()) {
 			continue
 		}
@@ -102,9 +102,9 @@
 	}
 }
 
-// goesOn tells whether to accept on after a failure, and rests before. Other failures than the listener's end pass: the
+// waitRetry tells whether to accept on after a failure, and rests before. Other failures than the listener's end pass: the
 // system is short of something, or hands on what has befallen a connection in its queue.
-func (a *acceptor) goesOn(ctx context.Context, err error) bool {
+func (a *acceptor) waitRetry(ctx context.Context, err error) bool {
 	c := a.c
 	if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
@@ -114,27 +114,27 @@
 	}
 	a.log(err)
 	if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-		c.post(crowded{})
+		c.post(socketNeeded{})
 	}
-	if a.tries++; a.tries > acceptAtOnce {
-		sleep(ctx, a.pause)
-		a.pause = min(2*a.pause, acceptPauseMost)
+	if a.failures++; a.failures > immediateAcceptRetries {
+		sleep(ctx, a.backoff)
+		a.backoff = min(2*a.backoff, maxAcceptBackoff)
 	}
 	return ctx.Err() == nil
 }
 
-// look is the longest rest between looks for a socket.
-func (a *acceptor) look() time.Duration {
+// pollInterval is the longest rest between looks for a socket.
+func (a *acceptor) pollInterval() time.Duration {
 	if a.c.shutdown.Load() != nil {
-		return socketLook
+		return socketPollInterval
 	}
-	return span(a.c.cfg.Pace.Redial)
+	return duration(a.c.cfg.Pace.Redial)
 }
 
 func (a *acceptor) log(err error) {
-	if a.failed++; time.Since(a.logged) < acceptLogEvery {
+	if a.unlogged++; time.Since(a.lastLogged) < acceptLogInterval {
 		return
 	}
-	a.c.log.WithError(err).WithField(fields.Times, a.failed).Warn("accepting")
-	a.logged, a.failed = time.Now(), 0
+	a.c.log.WithError(err).WithField(fields.Times, a.unlogged).Warn("accepting")
+	a.lastLogged, a.unlogged = time.Now(), 0
 }
--- a/frontdoor/client.go
+++ b/frontdoor/client.go
@@ -18,279 +18,279 @@
 
 // client is one client connection. Its goroutine reads, and ends it; answers are written by one goroutine each.
 type client struct {
-	c      *core
-	id     uint64 // of the connection, counted from the door's start
-	nc     net.Conn
-	raw    syscall.RawConn // of nc, where it has one
-	wrote  chan struct{}   // an answer has left
-	shut   atomic.Bool     // no more requests are wanted on it
-	ahead  atomic.Bool     // its reader holds bytes that wait for an answer to leave
-	spilt  atomic.Bool     // more came ahead of an answer than is held: that answer is the last
-	ended  atomic.Bool     // its last answer has left, or could not: nothing more is taken from it
-	leaves atomic.Bool     // the answer owed is being written: what comes may come behind it
-	failed atomic.Bool     // an answer could not be written
-	why    atomic.Uint32   // why no more requests are wanted on it, a closing
-	began  float64         // clock, ms
-	queued time.Duration   // for which it may have stood in the listener's queue, at most
+	c              *core
+	id             uint64 // of the connection, counted from the door's start
+	nc             net.Conn
+	raw            syscall.RawConn // of nc, where it has one
+	answerDone     chan struct{}   // an answer has left
+	closeRequested atomic.Bool     // no more requests are wanted on it
+	holdsInput     atomic.Bool     // its reader holds bytes that wait for an answer to leave
+	overflowed     atomic.Bool     // more came ahead of an answer than is held: that answer is the last
+	finished       atomic.Bool     // its last answer has left, or could not: nothing more is taken from it
+	writing        atomic.Bool     // the answer owed is being written: what comes may come behind it
+	writeFailed    atomic.Bool     // an answer could not be written
+	reason         atomic.Uint32   // why no more requests are wanted on it, a closing
+	openedAt       float64         // clock, ms
+	maxQueued      time.Duration   // for which it may have stood in the listener's queue, at most
 
-	mu       sync.Mutex
-	woken    bool // the reader is wanted, whatever else it waits for
-	draining bool // it reads what is left behind the last answer
+	mu            sync.Mutex
+	wakeRequested bool // the reader is wanted, whatever else it waits for
+	draining      bool // it reads what is left behind the last answer
 
 	// The owner's.
-	op        int // open request; -1 is none
-	idleSince float64
-	known     bool // has brought a request
+	op           int // open request; -1 is none
+	idleSince    float64
+	hasRequested bool // has brought a request
 }
 
 func newClient(c *core, nc net.Conn) *client {
 	now := c.clock.now()
-	cl := &client{c: c, id: c.connections.Add(1), nc: nc, wrote: make(chan struct{}, 1), began: now, op: -1, idleSince: now}
+	cl := &client{c: c, id: c.connections.Add(1), nc: nc, answerDone: make(chan struct{}, 1), openedAt: now, op: -1, idleSince: now}
 	if sc, ok := nc.(syscall.Conn); ok {
 		cl.raw, _ = sc.SyscallConn()
 	}
 	return cl
 }
 
-// gone tells whether the client has closed its connection, also where its reader has not come to notice it.
-func (cl *client) gone() bool { return cl != nil && cl.raw != nil && sockio.Gone(cl.raw) }
+// peerClosed tells whether the client has closed its connection, also where its reader has not come to notice it.
+func (cl *client) peerClosed() bool { return cl != nil && cl.raw != nil && sockio.Gone(cl.raw) }
 
 // wake has the reader look at what it waits for, in or before its next read. Its wish and the deadline that carries it are
 // one step beside limit, or a deadline that the reader sets just then would take the wish along.
 func (cl *client) wake() {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	if cl.woken = true; !cl.draining { // that has an end of its own, and cut short it would take the answer along
+	if cl.wakeRequested = true; !cl.draining { // that has an end of its own, and cut short it would take the answer along
 		cl.nc.SetReadDeadline(time.Now())
 	}
 }
 
-// limit has reads end at a time, the zero one for never, unless the reader has been woken meanwhile.
-func (cl *client) limit(at time.Time) {
+// setReadDeadline has reads end at a time, the zero one for never, unless the reader has been woken meanwhile.
+func (cl *client) setReadDeadline(at time.Time) {
 	cl.mu.Lock()
-	if cl.woken {
+	if cl.wakeRequested {
 		at = time.Now()
 	}
 	cl.nc.SetReadDeadline(at)
 	cl.mu.Unlock()
 }
 
-// woke takes the wish: its reader is looking.
-func (cl *client) woke() {
+// clearWake takes the wish: its reader is looking.
+func (cl *client) clearWake() {
 	cl.mu.Lock()
-	cl.woken = false
+	cl.wakeRequested = false
 	cl.mu.Unlock()
 }
 
-// reading is the state of a client connection's goroutine.
-type reading struct {
-	in      http1.Requests
-	buf     []byte  // of one size
-	rest    []byte  // of it, what has come and is not fed yet
-	at      float64 // clock at which that came, ms
-	first   float64 // clock of the first byte of what is coming, ms
-	owed    bool    // an answer may not have left yet
-	limited bool    // a read deadline is set
-	brought bool    // a request has come
-	passed  int     // bytes passed over while an answer is owed
-	last    bool    // an answer has left behind which the connection is closed
-	why     closing // why the connection ends
+// readState is the state of a client connection's goroutine.
+type readState struct {
+	parser        http1.Requests
+	buf           []byte      // of one size
+	buffered      []byte      // of it, what has come and is not fed yet
+	receivedAt    float64     // clock at which that came, ms
+	firstByteAt   float64     // clock of the first byte of what is coming, ms
+	answerPending bool        // an answer may not have left yet
+	deadlineSet   bool        // a read deadline is set
+	hadRequest    bool        // a request has come
+	discarded     int         // bytes passed over while an answer is owed
+	finalAnswered bool        // an answer has left behind which the connection is closed
+	reason        closeReason // why the connection ends
 }
 
 const (
-	unreadLeast = 10 * time.Millisecond // in the listener's queue, from which on it is asked how long bytes stood unread
-	mostDrained = 32                    // buffers read behind a last answer
-	mostPassed  = 1 << 18               // bytes passed over ahead of an answer; its client is no longer listened to then
+	minQueueDelay = 10 * time.Millisecond // in the listener's queue, from which on it is asked how long bytes stood unread
+	maxDrainReads = 32                    // buffers read behind a last answer
+	maxDiscarded  = 1 << 18               // bytes passed over ahead of an answer; its client is no longer listened to then
 )
 
 func (cl *client) run() {
-	r := reading{buf: pool.Get()[:pool.Size]}
+	r := readState{buf: pool.Get()[:pool.Size]}
 	defer func() {
-		if r.last {
+		if r.finalAnswered {
 			cl.drain(r.buf)
 		}
 		cl.nc.Close()
-		r.in.Drop()
+		r.parser.Drop()
 		pool.Put(r.buf)
-		cl.c.budget.put()
-		cl.c.post(left{cl, r.why})
+		cl.c.budget.release()
+		cl.c.post(clientClosed{cl, r.reason})
 	}()
 	for cl.step(&r) {
 	}
 }
 
 // step does the next thing there is to do for a connection, and tells whether it goes on.
-func (cl *client) step(r *reading) bool {
-	r.settle(cl)
+func (cl *client) step(r *readState) bool {
+	r.pollAnswer(cl)
 	// What its client sent behind a last answer would run with no way to answer it; behind what was passed over it would
 	// be read from somewhere in the middle.
-	if cl.ended.Load() || cl.spilt.Load() && !r.owed {
-		r.last, r.why = true, closedLastAnswer
-		if cl.failed.Load() {
-			r.why = closedUnwritten
+	if cl.finished.Load() || cl.overflowed.Load() && !r.answerPending {
+		r.finalAnswered, r.reason = true, closedLastAnswer
+		if cl.writeFailed.Load() {
+			r.reason = closedWriteFailed
 		}
 		return false
 	}
 	switch {
-	case len(r.rest) > 0 && !r.owed: // nothing is fed ahead of an answer: a connection holds one body at a time
-		cl.ahead.Store(false)
-		return cl.take(r)
-	case len(r.rest) > 0 && !cl.ahead.Load():
-		cl.ahead.Store(true) // the answer may have left just before: look once more
+	case len(r.buffered) > 0 && !r.answerPending: // nothing is fed ahead of an answer: a connection holds one body at a time
+		cl.holdsInput.Store(false)
+		return cl.parse(r)
+	case len(r.buffered) > 0 && !cl.holdsInput.Load():
+		cl.holdsInput.Store(true) // the answer may have left just before: look once more
 		return true
 	}
 	return cl.read(r)
 }
 
-// settle notices that the answer owed has left.
-func (r *reading) settle(cl *client) {
+// pollAnswer notices that the answer owed has left.
+func (r *readState) pollAnswer(cl *client) {
 	select {
-	case <-cl.wrote:
-		r.left(cl)
+	case <-cl.answerDone:
+		r.answerWritten(cl)
 	default:
 	}
 }
 
-func (r *reading) left(cl *client) {
-	cl.leaves.Store(false)
-	r.owed = false
+func (r *readState) answerWritten(cl *client) {
+	cl.writing.Store(false)
+	r.answerPending = false
 }
 
 // read reads on, also while an answer is owed: a client that leaves is noticed behind whatever it sent. What comes ahead
 // of the answer is held as far as there is room, and then passed over.
-func (cl *client) read(r *reading) bool {
-	if cl.shut.Load() && !r.owed && len(r.rest) == 0 && !r.in.Begun() {
-		return cl.lastLook(r)
+func (cl *client) read(r *readState) bool {
+	if cl.closeRequested.Load() && !r.answerPending && len(r.buffered) == 0 && !r.parser.Begun() {
+		return cl.finalRead(r)
 	}
-	free := r.buf[len(r.rest):]
-	if len(r.rest) > 0 && &r.rest[0] != &r.buf[0] {
-		copy(r.buf, r.rest)
-		r.rest = r.buf[:len(r.rest)]
+	free := r.buf[len(r.buffered):]
+	if len(r.buffered) > 0 && &r.buffered[0] != &r.buf[0] {
+		copy(r.buf, r.buffered)
+		r.buffered = r.buf[:len(r.buffered)]
 	}
 	if len(free) > 0 {
 		n, err := sockio.Read(cl.nc, free)
 		if n > 0 {
-			r.rest, r.at = r.buf[:len(r.rest)+n], cl.c.clock.now()-cl.unread()
+			r.buffered, r.receivedAt = r.buf[:len(r.buffered)+n], cl.c.clock.now()-cl.queueDelay()
 		}
-		return err == nil || cl.goOn(r, err)
+		return err == nil || cl.afterReadError(r, err)
 	}
 	// A client may have its answer, and send its next request, before the answer's writer has said that it is written: that is
 	// not ahead of it. Taken for so, a large one would end the connection with no answer.
-	if cl.leaves.Load() {
-		<-cl.wrote
-		r.left(cl)
+	if cl.writing.Load() {
+		<-cl.answerDone
+		r.answerWritten(cl)
 		return true
 	}
-	cl.spilt.Store(true)
-	if r.passed >= mostPassed {
-		<-cl.wrote
-		r.left(cl)
+	cl.overflowed.Store(true)
+	if r.discarded >= maxDiscarded {
+		<-cl.answerDone
+		r.answerWritten(cl)
 		return true
 	}
 	over := pool.Get()[:pool.Size]
 	n, err := sockio.Read(cl.nc, over)
 	pool.Put(over)
-	r.passed += n
-	return err == nil || cl.goOn(r, err)
+	r.discarded += n
+	return err == nil || cl.afterReadError(r, err)
 }
 
-// unread is how long, in ms, the first bytes of a connection stood unread: it may have waited in the listener's queue, with its
+// queueDelay is how long, in ms, the first bytes of a connection stood queueDelay: it may have waited in the listener's queue, with its
 // client's time running.
-func (cl *client) unread() float64 {
-	most := cl.queued
-	if cl.queued = 0; most < unreadLeast || cl.raw == nil {
+func (cl *client) queueDelay() float64 {
+	most := cl.maxQueued
+	if cl.maxQueued = 0; most < minQueueDelay || cl.raw == nil {
 		return 0
 	}
 	return float64(min(most, sockio.LastReceived(cl.raw))) / float64(time.Millisecond)
 }
 
-// take feeds what came, up to one whole request, and tells whether the connection goes on.
-func (cl *client) take(r *reading) bool {
-	if !r.in.Begun() {
-		r.first = r.at
+// parse feeds what came, up to one whole request, and tells whether the connection goes on.
+func (cl *client) parse(r *readState) bool {
+	if !r.parser.Begun() {
+		r.firstByteAt = r.receivedAt
 	}
-	used, whole, err := r.in.Feed(r.rest)
-	r.rest = r.rest[used:]
+	used, whole, err := r.parser.Feed(r.buffered)
+	r.buffered = r.buffered[used:]
 	if err != nil {
-		cl.fault(r, err, true)
+		cl.rejectInput(r, err, true)
 		return false
 	}
 	if whole {
-		r.brought = true
-		if r.limited {
-			r.limited = false
-			cl.limit(time.Time{})
+		r.hadRequest = true
+		if r.deadlineSet {
+			r.deadlineSet = false
+			cl.setReadDeadline(time.Time{})
 		}
 		return cl.dispatch(r)
 	}
 	// One that dribbles its request must not keep the connection for ever.
-	if r.in.Begun() && !r.limited {
-		r.limited = true
-		cl.limit(time.Now().Add(span(cl.c.shutdown.Load().Deadline(r.since(cl)+cl.c.cfg.Pace.SlowInput) - r.at)))
+	if r.parser.Begun() && !r.deadlineSet {
+		r.deadlineSet = true
+		cl.setReadDeadline(time.Now().Add(duration(cl.c.shutdown.Load().Deadline(r.inputStart(cl)+cl.c.cfg.Pace.SlowInput) - r.receivedAt)))
 	}
 	return true
 }
 
-// since is the clock from which the time to bring a request counts: its first byte, or the connection's
+// inputStart is the clock from which the time to bring a request counts: its first byte, or the connection's
 // beginning for the first one, as its client may have been silent before.
-func (r *reading) since(cl *client) float64 {
-	if r.brought {
-		return r.first
+func (r *readState) inputStart(cl *client) float64 {
+	if r.hadRequest {
+		return r.firstByteAt
 	}
-	return cl.began
+	return cl.openedAt
 }
 
 // dispatch passes a whole request on, or answers what is none.
-func (cl *client) dispatch(r *reading) bool {
-	op, err := r.in.Take()
+func (cl *client) dispatch(r *readState) bool {
+	op, err := r.parser.Take()
 	if err == nil && (op.Path == http1.ReadyPath || op.Path == http1.LivePath) {
 		status := http.StatusOK
 		if op.Path == http1.ReadyPath && !cl.c.ready.Load() {
 			status = http.StatusServiceUnavailable
 		}
 		op.Free()
-		return cl.say(r, status, op.Last)
+		return cl.respond(r, status, op.Last)
 	}
 	var ev gate.Request
 	if err == nil {
-		if ev, err = cl.c.word(op); err != nil {
+		if ev, err = cl.c.gateRequest(op); err != nil {
 			op.Free()
 		}
 	}
 	if err != nil {
-		return cl.fault(r, err, op.Last)
+		return cl.rejectInput(r, err, op.Last)
 	}
-	r.owed = true
-	cl.c.post(arrived{cl, op, ev, r.first})
+	r.answerPending = true
+	cl.c.post(requestArrived{cl, op, ev, r.firstByteAt})
 	return true
 }
 
-// fault answers what is no request.
-func (cl *client) fault(r *reading, err error, last bool) bool {
+// rejectInput answers what is no request.
+func (cl *client) rejectInput(r *readState, err error, last bool) bool {
 	status := http.StatusBadRequest
 	var f *http1.Fault
 	if errors.As(err, &f) {
 		status = f.Status
 	}
-	r.why = closedFault
-	return cl.say(r, status, last)
+	r.reason = closedBadRequest
+	return cl.respond(r, status, last)
 }
 
-// say answers from the reader itself, and tells whether the connection goes on.
-func (cl *client) say(r *reading, status int, last bool) bool {
-	if !cl.write(http1.AppendAnswer(pool.Get(), status, 0, nil, last)) {
-		r.why = closedUnwritten
+// respond answers from the reader itself, and tells whether the connection goes on.
+func (cl *client) respond(r *readState, status int, last bool) bool {
+	if !cl.writeAnswer(http1.AppendAnswer(pool.Get(), status, 0, nil, last)) {
+		r.reason = closedWriteFailed
 		return false
 	}
-	if r.last = last; last && r.why == closedByClient {
-		r.why = closedLastAnswer
+	if r.finalAnswered = last; last && r.reason == closedByClient {
+		r.reason = closedLastAnswer
 	}
 	return !last
 }
 
-// write sends a whole answer. A client that does not read it is left.
-func (cl *client) write(answer []byte) bool {
-	until := time.Now().Add(span(cl.c.cfg.Pace.SlowInput))
+// writeAnswer sends a whole answer. A client that does not read it is left.
+func (cl *client) writeAnswer(answer []byte) bool {
+	until := time.Now().Add(duration(cl.c.cfg.Pace.SlowInput))
 	cl.nc.SetWriteDeadline(until)
 	_, err := sockio.Write(cl.nc, answer, until)
 	pool.Put(answer)
@@ -305,9 +305,9 @@
 	}
 	cl.mu.Lock()
 	cl.draining = true
-	cl.nc.SetReadDeadline(time.Now().Add(span(cl.c.cfg.Pace.Linger / 2)))
+	cl.nc.SetReadDeadline(time.Now().Add(duration(cl.c.cfg.Pace.Linger / 2)))
 	cl.mu.Unlock()
-	for range mostDrained {
+	for range maxDrainReads {
 		if _, err := sockio.Read(cl.nc, buf); err != nil {
 			return
 		}
@@ -316,67 +316,67 @@
 
 // answer writes a request's answer. Behind the last one the reader ends the connection.
 func (cl *client) answer(answer []byte, last bool) {
-	cl.leaves.Store(true)
-	if well := cl.write(answer); !well || last {
-		cl.failed.Store(!well)
-		cl.ended.Store(true)
+	cl.writing.Store(true)
+	if well := cl.writeAnswer(answer); !well || last {
+		cl.writeFailed.Store(!well)
+		cl.finished.Store(true)
 		if !well {
 			cl.nc.Close() // there is nothing to save
 		}
 	}
-	cl.wrote <- struct{}{}
-	if cl.ended.Load() || cl.ahead.Load() || cl.shut.Load() {
+	cl.answerDone <- struct{}{}
+	if cl.finished.Load() || cl.holdsInput.Load() || cl.closeRequested.Load() {
 		cl.wake()
 	}
 }
 
-// goOn tells whether a connection goes on after a read that failed.
-func (cl *client) goOn(r *reading, err error) bool {
+// afterReadError tells whether a connection goes on after a read that failed.
+func (cl *client) afterReadError(r *readState, err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
-	cl.woke()
-	if r.settle(cl); cl.ended.Load() {
+	cl.clearWake()
+	if r.pollAnswer(cl); cl.finished.Load() {
 		return true
 	}
-	if r.in.Begun() && !r.owed && len(r.rest) == 0 {
+	if r.parser.Begun() && !r.answerPending && len(r.buffered) == 0 {
 		pace := &cl.c.cfg.Pace
 		most := pace.SlowInput
-		if cl.shut.Load() {
+		if cl.closeRequested.Load() {
 			most = min(most, pace.Linger) // others wait for its socket
 		}
-		if rest := cl.c.shutdown.Load().Deadline(r.since(cl)+most) - cl.c.clock.now(); rest > 0 {
-			r.limited = true
-			cl.limit(time.Now().Add(span(rest)))
+		if rest := cl.c.shutdown.Load().Deadline(r.inputStart(cl)+most) - cl.c.clock.now(); rest > 0 {
+			r.deadlineSet = true
+			cl.setReadDeadline(time.Now().Add(duration(rest)))
 			return true
 		}
-		r.why = closedSlow
-		cl.say(r, http.StatusRequestTimeout, true)
+		r.reason = closedSlowRequest
+		cl.respond(r, http.StatusRequestTimeout, true)
 		return false
 	}
-	cl.limit(time.Time{})
+	cl.setReadDeadline(time.Time{})
 	return true
 }
 
-// lastLook reads once more before an idle connection is closed, so that no request is crossed that has come. What comes
+// finalRead reads once more before an idle connection is closed, so that no request is crossed that has come. What comes
 // later is never read, and its client is reset: it knows that the request was not taken.
-func (cl *client) lastLook(r *reading) bool {
+func (cl *client) finalRead(r *readState) bool {
 	n := 0
 	if cl.raw != nil {
 		// A read with a short deadline would not do: held up for that long, it never looks.
 		n = sockio.ReadNow(cl.raw, r.buf)
 	}
 	if n == 0 {
-		r.why = closing(cl.why.Load())
+		r.reason = closeReason(cl.reason.Load())
 		return false
 	}
-	r.rest, r.at = r.buf[:n], cl.c.clock.now()
+	r.buffered, r.receivedAt = r.buf[:n], cl.c.clock.now()
 	return true
 }
 
-// close asks an idle connection to end itself; what has come on it is answered first.
-func (cl *client) close(why closing) {
-	cl.why.Store(uint32(why))
-	cl.shut.Store(true)
+// requestClose asks an idle connection to end itself; what has come on it is answered first.
+func (cl *client) requestClose(why closeReason) {
+	cl.reason.Store(uint32(why))
+	cl.closeRequested.Store(true)
 	cl.wake()
 }
--- a/frontdoor/clock.go
+++ b/frontdoor/clock.go
@@ -22,10 +22,10 @@
 
 func (c *clock) now() float64 { return c.base + float64(time.Since(c.start))/1e6 }
 
-// ago is how long ago, in ms, an instant was that is heard of just now: not less than 0, and at most a bound, as the wall clock
+// elapsedSince is how long elapsedSince, in ms, an instant was that is heard of just now: not less than 0, and at most a bound, as the wall clock
 // may have been stepped between that instant and now.
-func (c *clock) ago(at wallTime, most float64) float64 {
+func (c *clock) elapsedSince(at wallTime, most float64) float64 {
 	return min(max(0, float64(c.wall()-at)), most)
 }
 
-func span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/frontdoor/clock_test.go
+++ b/frontdoor/clock_test.go
@@ -23,8 +23,8 @@
 }
 
 func tells(c *core, started, after float64) float64 {
-	listed{registry.List{Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready", Started: started}}}, 0, after}.take(c)
-	return c.clock.now() - c.backends[0].since
+	fleetUpdate{registry.List{Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready", Started: started}}}, 0, after}.handle(c)
+	return c.clock.now() - c.backends[0].startedAt
 }
 
 func TestAStartIsASpanThatNoStepOfTheWallClockChanges(t *testing.T) {
@@ -49,7 +49,7 @@
 	*step = -anHour
 	assert.InDelta(t, 0, tells(c, started, c.clock.now()-1500), 50, "when it is told, at the latest")
 	tells(c, 0, c.clock.now()-100)
-	assert.Zero(t, c.backends[0].since, "long ago")
+	assert.Zero(t, c.backends[0].startedAt, "long ago")
 }
 
 // What a watch says first, and a list that comes in pieces, don't bound the starts that the list tells of.
@@ -70,7 +70,7 @@
 	assert.Zero(t, await(t, lists, "the first list").after)
 	piece("\n")
 	piece("\n") // read by now: the pipe holds nothing
-	before := c.listHeardAt()
+	before := c.listReceivedAt()
 	assert.NotZero(t, before)
 	piece(`{"generation":2,"reset":false,`)
 	piece("\"instances\":[]}\n")
--- a/frontdoor/core.go
+++ b/frontdoor/core.go
@@ -18,51 +18,53 @@
 	"github.com/swifthall/swifthall/lifecycle"
 )
 
-// note is news for the owner of the decisions.
-type note interface{ take(*core) }
+// event is news for the owner of the decisions.
+type event interface{ handle(*core) }
 
 // request is what the carrier keeps of one request. It is over once its client has an answer or has left.
 type request struct {
-	client   *client
-	msg      *http1.Request // nil where the slot is free
-	class    int
-	until    float64 // end of the client's wait, ms
-	came     float64 // clock of its first byte, ms
-	contract float64 // contract time, ms
-	over     bool
-	out      int
-	attempts []*attempt
+	client       *client
+	msg          *http1.Request // nil where the slot is free
+	class        int
+	deadline     float64 // end of the client's wait, ms
+	firstByteAt  float64 // clock of its first byte, ms
+	contractTime float64 // contract time, ms
+	done         bool
+	outstanding  int
+	attempts     []*attempt
 }
 
 // backend is what the carrier keeps of one backend.
 type backend struct {
-	id      string
-	addr    string
-	status  gate.Status // by the list
-	process wallTime    // start of its process, as listed; 0 is long ago
-	since   float64     // the same by the door's clock, ms; 0 is long ago
-	size    float64
-	up      bool    // it may be sent to: not withheld either
-	counts  Counts  // of attempts that ended
-	idle    []*link // latest used last
+	id           string
+	addr         string
+	status       gate.Status // by the list
+	processStart wallTime    // start of its process, as listed; 0 is long ago
+	startedAt    float64     // the same by the door's clock, ms; 0 is long ago
+	size         float64
+	eligible     bool           // it may be sent to: not withheld either
+	counts       Counts         // of attempts that ended
+	idle         []*backendConn // latest used last
 
 	listed     bool // the index is in use
 	zone, cell int
 }
 
-// takes tells whether a connection may carry more: a backend that drains or has started anew gets nothing over
+// usable tells whether a connection may carry more: a backend that drains or has started anew gets nothing over
 // old ones.
-func (b *backend) takes(l *link) bool { return b.up && b.addr == l.addr && b.process == l.process }
+func (b *backend) usable(l *backendConn) bool {
+	return b.eligible && b.addr == l.addr && b.processStart == l.processStart
+}
 
 // core is the goroutine that owns the decider, and what it shares with the others.
 type core struct {
 	cfg    config.Door
 	log    logrus.FieldLogger
 	clock  clock
-	budget *budget
+	budget *socketBudget
 	dial   func(ctx context.Context, addr string) (net.Conn, error)
 	listen func(ctx context.Context, addr string) (net.Listener, error)
-	notes  chan note
+	events chan event
 	done   chan struct{} // closed when the owner has gone
 
 	background context.Context                    // ends with the door
@@ -70,67 +72,67 @@
 	ready      atomic.Bool
 
 	// From here on the owner's.
-	decider        gate.Decider
-	now            float64
-	pending        []gate.Event
-	ops            []request
-	ids            map[string]struct{} // of the requests in them
-	free           []int
-	closing        []int // requests that may be droppable at the end of the batch
-	customers      index.Table[uint64]
-	names          index.Table[string] // of backends
-	zones          index.Table[string]
-	cells          index.Table[int64]
-	backends       []backend
-	clients        map[*client]struct{}
-	known          int // of them, those that have brought a request
-	links          map[*link]struct{}
-	watches        int // number of the present watch
-	unwatch        context.CancelFunc
-	due            dueList
-	wakeAt         float64 // 0 is none
-	sweepAt        float64
-	counters       []*counterConn
-	withheld       map[string]bool // backends that get nothing new, whatever the list says
-	told           []func()        // called once the decisions know what is pending
-	aside          bool            // out by plan: not ready, serving what still comes
-	leaving        bool
-	accepting      bool
-	asked          bool          // discovery has been, once
-	listHeard      atomic.Uint64 // clock at which discovery last said anything, bits of its ms; 0 is never
-	listenerEnding bool          // no more connections are waited for
-	listener       net.Listener
-	tally          tally
-	guard          guard
-	total          Counts
-	traces         bool // the log takes single requests
+	decider         gate.Decider
+	now             float64
+	pending         []gate.Event
+	requests        []request
+	requestIDs      map[string]struct{} // of the requests in them
+	freeSlots       []int
+	releasable      []int // requests that may be droppable at the end of the batch
+	customers       index.Table[uint64]
+	backendIDs      index.Table[string] // of backends
+	zones           index.Table[string]
+	cells           index.Table[int64]
+	backends        []backend
+	clients         map[*client]struct{}
+	activeClients   int // of them, those that have brought a request
+	backendConns    map[*backendConn]struct{}
+	watchNumber     int // number of the present watch
+	cancelWatch     context.CancelFunc
+	timeouts        timeoutHeap
+	wakeAt          float64 // 0 is none
+	sweepAt         float64
+	counterConns    []*counterConn
+	withheld        map[string]bool // backends that get nothing new, whatever the list says
+	afterDecide     []func()        // called once the decisions know what is pending
+	outOfService    bool            // out by plan: not ready, serving what still comes
+	shuttingDown    bool
+	accepting       bool
+	discoveryTried  bool          // discovery has been, once
+	listReceived    atomic.Uint64 // clock at which discovery last said anything, bits of its ms; 0 is never
+	listenerClosing bool          // no more connections are waited for
+	listener        net.Listener
+	tally           tally
+	guard           guard
+	totals          Counts
+	traceEnabled    bool // the log takes single requests
 
 	connections atomic.Uint64 // of clients, since the start
 }
 
 const (
-	batch   = 256 // notes taken in before the decisions are asked; what waits stays in order
-	counted = 2   // connections to the counter: an answer in its turn holds up those behind it on the same one
-	margin  = 8   // descriptors left to the runtime and to connections on their way out
-
-	silentPart     = 3  // of the time in which a request may be on its way, for a connection that never brought one
-	keptPart       = 4  // part of the sockets, one in so many, over which client connections end with their answer
-	sweepsInLinger = 16 // looks at connections in the time in which new ones are served, while the door ends
-	looksIdle      = 8  // looks at idle connections in the time that one may be idle
+	maxBatch            = 256 // notes taken in before the decisions are asked; what waits stays in order
+	counterConnections  = 2   // connections to the counter: an answer in its turn holds up those behind it on the same one
+	reservedDescriptors = 8   // descriptors left to the runtime and to connections on their way out
+
+	silentLingerDivisor  = 3  // of the time in which a request may be on its way, for a connection that never brought one
+	persistentDivisor    = 4  // part of the sockets, one in so many, over which client connections end with their answer
+	sweepsPerLinger      = 16 // looks at connections in the time in which new ones are served, while the door ends
+	sweepsPerIdleTimeout = 8  // looks at idle connections in the time that one may be idle
 )
 
 func newCore(cfg config.Door, decider gate.Decider, log logrus.FieldLogger) *core {
-	c := &core{cfg: cfg, log: log, decider: decider, clock: newClock(), budget: newBudget(room(cfg.Sockets)),
-		notes: make(chan note, batch), done: make(chan struct{}), customers: index.New[uint64](), names: index.New[string](),
+	c := &core{cfg: cfg, log: log, decider: decider, clock: newClock(), budget: newSocketBudget(availableSockets(cfg.Sockets)),
+		events: make(chan event, maxBatch), done: make(chan struct{}), customers: index.New[uint64](), backendIDs: index.New[string](),
 		zones: index.New[string](), cells: index.New[int64](),
-		ids: map[string]struct{}{}, clients: map[*client]struct{}{}, links: map[*link]struct{}{}}
-	c.traces, c.guard = tracing(log), guard{log, &c.tally}
-	c.dial, c.listen = systemDial(span(cfg.Deal.ConnectTimeout)), systemListen
+		requestIDs: map[string]struct{}{}, clients: map[*client]struct{}{}, backendConns: map[*backendConn]struct{}{}}
+	c.traceEnabled, c.guard = debugEnabled(log), guard{log, &c.tally}
+	c.dial, c.listen = systemDial(duration(cfg.Deal.ConnectTimeout)), systemListen
 	return c
 }
 
-// word puts a request in the terms of the decisions, but for the indices that the owner hands out.
-func (c *core) word(o *http1.Request) (ev gate.Request, err error) {
+// gateRequest puts a request in the terms of the decisions, but for the indices that the owner hands out.
+func (c *core) gateRequest(o *http1.Request) (ev gate.Request, err error) {
 	d := &c.cfg.Deal
 	class, known := d.Classes[o.Class]
 	if !known {
@@ -154,9 +156,9 @@
 }
 
 // post hands a note to the owner while it is there.
-func (c *core) post(n note) {
+func (c *core) post(n event) {
 	select {
-	case c.notes <- n:
+	case c.events <- n:
 	case <-c.done:
 	}
 }
@@ -165,28 +167,28 @@
 func (c *core) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	defer c.quit()
+	defer c.closeAll()
 	stop := ctx.Done()
 	for {
 		select {
-		case n := <-c.notes:
-			n.take(c)
+		case n := <-c.events:
+			n.handle(c)
 		case <-timer.C:
 		case <-stop:
 			stop = nil
-			c.leave()
+			c.beginShutdown()
 		}
-		for more := batch; more > 0; more-- {
+		for more := maxBatch; more > 0; more-- {
 			select {
-			case n := <-c.notes:
-				n.take(c)
+			case n := <-c.events:
+				n.handle(c)
 				continue
 			default:
 			}
 			break
 		}
 		c.now = c.clock.now()
-		c.due.fire(c)
+		c.timeouts.expireDue(c)
 		if c.wakeAt > 0 && c.now >= c.wakeAt {
 			c.wakeAt = 0
 			c.pending = append(c.pending, gate.Woken{})
@@ -194,26 +196,26 @@
 		for len(c.pending) > 0 {
 			c.decide()
 		}
-		for _, done := range c.told {
+		for _, done := range c.afterDecide {
 			done()
 		}
-		c.told = c.told[:0]
-		c.tally.due(c.now, c.log)
-		if c.sweep(); c.gone() {
+		c.afterDecide = c.afterDecide[:0]
+		c.tally.writeIfDue(c.now, c.log)
+		if c.sweep(); c.shutdownComplete() {
 			return
 		}
-		timer.Reset(span(c.next() - c.clock.now()))
+		timer.Reset(duration(c.nextTimer() - c.clock.now()))
 	}
 }
 
-// next is the clock at which something is due.
-func (c *core) next() float64 {
-	at := min(c.sweepAt, c.tally.at)
+// nextTimer is the clock at which something is due.
+func (c *core) nextTimer() float64 {
+	at := min(c.sweepAt, c.tally.nextAt)
 	if c.wakeAt > 0 {
 		at = min(at, c.wakeAt)
 	}
-	if len(c.due) > 0 {
-		at = min(at, c.due[0].at)
+	if len(c.timeouts) > 0 {
+		at = min(at, c.timeouts[0].at)
 	}
 	return at
 }
@@ -223,28 +225,28 @@
 	events := c.pending
 	c.pending = nil
 	for _, a := range c.decider.Decide(c.now, events) {
-		c.act(a)
+		c.execute(a)
 	}
-	for _, op := range c.closing {
-		if o := &c.ops[op]; o.msg != nil && o.over && o.out == 0 {
-			delete(c.ids, o.msg.ID)
+	for _, op := range c.releasable {
+		if o := &c.requests[op]; o.msg != nil && o.done && o.outstanding == 0 {
+			delete(c.requestIDs, o.msg.ID)
 			o.msg.Free()
 			clear(o.attempts)
 			*o = request{attempts: o.attempts[:0]}
-			c.free = append(c.free, op)
+			c.freeSlots = append(c.freeSlots, op)
 		}
 	}
-	c.closing = c.closing[:0]
+	c.releasable = c.releasable[:0]
 }
 
-// act carries out one action.
-func (c *core) act(a gate.Action) {
+// execute carries out one action.
+func (c *core) execute(a gate.Action) {
 	switch a := a.(type) {
 	case gate.Send:
 		c.tally.sent++
 		c.send(a)
 	case gate.Cancel:
-		c.abandon(c.ops[a.Op].attempts[a.Attempt], endLeftUnsent, endLeft)
+		c.abandon(c.requests[a.Op].attempts[a.Attempt], outcomeAbandonedUnsent, outcomeAbandoned)
 	case gate.Reject:
 		c.tally.rejected[min(a.Why, gate.Causes-1)]++
 		c.answer(a.Op, http.StatusTooManyRequests, a.RetryAfter, nil, a.Why.String())
@@ -254,13 +256,13 @@
 	case gate.Wake:
 		c.wakeAt = a.At
 	case gate.Count:
-		c.count(a)
+		c.callCounter(a)
 	case gate.Forget:
 		c.customers.Drop(a.Customer)
 	case gate.Delist:
-		c.delist(a.Backend)
+		c.removeBackend(a.Backend)
 	case gate.Differs:
-		c.tally.differs[min(a.Kind, gate.Differences-1)]++
+		c.tally.differences[min(a.Kind, gate.Differences-1)]++
 	case gate.Track: // the watch runs from the start
 	case gate.Log:
 		c.log.Info(a.Text)
@@ -271,112 +273,112 @@
 
 // answer gives a request its one answer; for a request that is over it does nothing.
 func (c *core) answer(op, status int, retryAfter float64, body []byte, why string) {
-	o := &c.ops[op]
-	if o.over {
+	o := &c.requests[op]
+	if o.done {
 		return
 	}
-	o.over = true
+	o.done = true
 	c.traceAnswer(o, status, why)
-	c.holdBack(o)
-	c.total.answered(status, c.clock.now()-o.came, o.contract)
-	c.closing = append(c.closing, op)
+	c.cancelUnsent(o)
+	c.totals.addAnswer(status, c.clock.now()-o.firstByteAt, o.contractTime)
+	c.releasable = append(c.releasable, op)
 	cl := o.client
 	cl.op, cl.idleSince = -1, c.now
 	// Clients are given only so many connections: those that ask once and stay must not take all of them.
-	last := o.msg.Last || c.leaving || c.aside || cl.shut.Load() || cl.spilt.Load() || c.budget.short(c.budget.kept) || c.known*keptPart > c.cfg.Sockets
+	last := o.msg.Last || c.shuttingDown || c.outOfService || cl.closeRequested.Load() || cl.overflowed.Load() || c.budget.low(c.budget.clientReserve) || c.activeClients*persistentDivisor > c.cfg.Sockets
 	go cl.answer(http1.AppendAnswer(pool.Get(), status, retryAfter, body, last), last)
 }
 
-// arrived is a request whose last byte has come.
-type arrived struct {
-	cl *client
-	op *http1.Request
-	ev gate.Request
-	at float64 // clock of its first byte, ms
+// requestArrived is a request whose last byte has come.
+type requestArrived struct {
+	cl  *client
+	msg *http1.Request
+	ev  gate.Request
+	at  float64 // clock of its first byte, ms
 }
 
-func (n arrived) take(c *core) {
-	if !n.cl.known {
-		n.cl.known = true
-		c.known++
+func (n requestArrived) handle(c *core) {
+	if !n.cl.hasRequested {
+		n.cl.hasRequested = true
+		c.activeClients++
 	}
-	if _, open := c.ids[n.op.ID]; open { // a backend could not tell the two apart, nor the decisions their ends
+	if _, open := c.requestIDs[n.msg.ID]; open { // a backend could not tell the two apart, nor the decisions their ends
 		n.cl.idleSince = c.clock.now()
-		n.op.Free()
-		go n.cl.answer(http1.AppendAnswer(pool.Get(), http.StatusConflict, 0, nil, n.op.Last), n.op.Last)
+		n.msg.Free()
+		go n.cl.answer(http1.AppendAnswer(pool.Get(), http.StatusConflict, 0, nil, n.msg.Last), n.msg.Last)
 		return
 	}
-	c.ids[n.op.ID] = struct{}{}
+	c.requestIDs[n.msg.ID] = struct{}{}
 	c.tally.arrived++
-	c.total.Arrived++
-	if len(c.free) == 0 {
-		c.free = append(c.free, len(c.ops))
-		c.ops = append(c.ops, request{})
+	c.totals.Arrived++
+	if len(c.freeSlots) == 0 {
+		c.freeSlots = append(c.freeSlots, len(c.requests))
+		c.requests = append(c.requests, request{})
 	}
-	last := len(c.free) - 1
-	i := c.free[last]
-	c.free = c.free[:last]
-	o := &c.ops[i]
-	*o = request{client: n.cl, msg: n.op, class: n.ev.Class, came: n.at, until: c.shutdown.Load().Deadline(n.at + n.ev.TTL), contract: c.cfg.Deal.Terms.Classes[n.ev.Class].Contract, attempts: o.attempts[:0]}
+	last := len(c.freeSlots) - 1
+	i := c.freeSlots[last]
+	c.freeSlots = c.freeSlots[:last]
+	o := &c.requests[i]
+	*o = request{client: n.cl, msg: n.msg, class: n.ev.Class, firstByteAt: n.at, deadline: c.shutdown.Load().Deadline(n.at + n.ev.TTL), contractTime: c.cfg.Deal.Terms.Classes[n.ev.Class].Contract, attempts: o.attempts[:0]}
 	n.cl.op = i
-	n.ev.Op, n.ev.Customer = i, c.customers.Add(n.op.Customer)
-	n.ev.TTL = max(0, o.until-c.clock.now())
-	c.traceTaken(i)
+	n.ev.Op, n.ev.Customer = i, c.customers.Add(n.msg.Customer)
+	n.ev.TTL = max(0, o.deadline-c.clock.now())
+	c.traceRequest(i)
 	c.pending = append(c.pending, n.ev)
 }
 
-// opened and left are the beginning and the end of a client connection.
-type opened struct{ cl *client }
+// clientOpened and left are the beginning and the end of a client connection.
+type clientOpened struct{ cl *client }
 
-func (n opened) take(c *core) {
+func (n clientOpened) handle(c *core) {
 	c.clients[n.cl] = struct{}{}
 	c.traceConnection(n.cl, "connection opened", "")
 }
 
-type left struct {
-	cl  *client
-	why closing
+type clientClosed struct {
+	cl     *client
+	reason closeReason
 }
 
-func (n left) take(c *core) {
+func (n clientClosed) handle(c *core) {
 	delete(c.clients, n.cl)
-	c.tally.closed[n.why]++
-	c.checkClose(n.cl, n.why)
-	c.traceConnection(n.cl, "connection closed", n.why.String())
-	if n.cl.known {
-		c.known--
+	c.tally.closed[n.reason]++
+	c.checkClose(n.cl, n.reason)
+	c.traceConnection(n.cl, "connection closed", n.reason.String())
+	if n.cl.hasRequested {
+		c.activeClients--
 	}
 	if op := n.cl.op; op >= 0 {
 		n.cl.op = -1
-		c.ops[op].over = true
-		c.closing = append(c.closing, op)
+		c.requests[op].done = true
+		c.releasable = append(c.releasable, op)
 		c.pending = append(c.pending, gate.Vanished{Op: op})
-		c.holdBack(&c.ops[op])
+		c.cancelUnsent(&c.requests[op])
 	}
 }
 
-// crowded says that a client waits for a socket. The client connection idle longest is closed for it, but none
+// socketNeeded says that a client waits for a socket. The client connection idle longest is closed for it, but none
 // idle so briefly that a request may be on its way there: one that has brought none yet goes first, as those
 // who mean to ask do so at once. Else a backend connection gives way.
-type crowded struct{}
+type socketNeeded struct{}
 
-func (crowded) take(c *core) {
+func (socketNeeded) handle(c *core) {
 	var oldest *client
 	var most float64
 	now := c.clock.now()
 	for cl := range c.clients {
 		over := now - cl.idleSince - c.cfg.Pace.Linger
-		if !cl.known {
-			over = now - cl.idleSince - c.cfg.Pace.Linger/silentPart
+		if !cl.hasRequested {
+			over = now - cl.idleSince - c.cfg.Pace.Linger/silentLingerDivisor
 		}
-		if cl.op < 0 && !cl.shut.Load() && over > most {
+		if cl.op < 0 && !cl.closeRequested.Load() && over > most {
 			oldest, most = cl, over
 		}
 	}
 	if oldest != nil {
-		oldest.close(closedCrowded)
+		oldest.requestClose(closedForSocket)
 	} else {
-		c.spare()
+		c.evictIdle()
 	}
 }
 
@@ -386,83 +388,83 @@
 	if c.now < c.sweepAt {
 		return
 	}
-	for l := range c.links {
-		if l.cur == nil && c.now-l.idleSince > c.cfg.Pace.IdleBackend {
-			c.retire(l)
+	for l := range c.backendConns {
+		if l.attempt == nil && c.now-l.idleSince > c.cfg.Pace.IdleBackend {
+			c.closeConn(l)
 		}
 	}
 	for cl := range c.clients {
-		if cl.op < 0 && c.now-cl.idleSince > c.cfg.Pace.IdleClient && !cl.shut.Load() {
-			cl.close(closedIdle)
+		if cl.op < 0 && c.now-cl.idleSince > c.cfg.Pace.IdleClient && !cl.closeRequested.Load() {
+			cl.requestClose(closedIdle)
 		}
 	}
-	if c.sweepAt = c.now + min(c.cfg.Pace.IdleBackend, c.cfg.Pace.IdleClient)/looksIdle; !c.leaving && !c.aside {
+	if c.sweepAt = c.now + min(c.cfg.Pace.IdleBackend, c.cfg.Pace.IdleClient)/sweepsPerIdleTimeout; !c.shuttingDown && !c.outOfService {
 		return
 	}
 	shutdown := c.shutdown.Load()
-	c.sweepAt = c.now + c.cfg.Pace.Linger/sweepsInLinger
+	c.sweepAt = c.now + c.cfg.Pace.Linger/sweepsPerLinger
 	if shutdown != nil && c.now < shutdown.AnswerBy {
 		c.sweepAt = min(c.sweepAt, shutdown.AnswerBy)
 	}
 	if shutdown.Past(c.now) {
-		c.endAll()
+		c.failOpenRequests()
 	}
-	if c.listener != nil && !shutdown.Accepting(c.now) && !c.listenerEnding {
-		c.listenerEnding = true
-		if wait, ok := c.listener.(halting); ok {
+	if c.listener != nil && !shutdown.Accepting(c.now) && !c.listenerClosing {
+		c.listenerClosing = true
+		if wait, ok := c.listener.(deadlineListener); ok {
 			wait.SetDeadline(time.Now())
 		} else {
 			c.listener.Close()
 		}
 	}
 	for cl := range c.clients { // a new connection has the linger time to bring its first request
-		if cl.op < 0 && (cl.known || c.now >= shutdown.Deadline(cl.idleSince+c.cfg.Pace.Linger)) {
-			cl.close(closedShutdown)
+		if cl.op < 0 && (cl.hasRequested || c.now >= shutdown.Deadline(cl.idleSince+c.cfg.Pace.Linger)) {
+			cl.requestClose(closedShutdown)
 		}
 	}
 }
 
-// leave begins the way out: what still arrives is served, each connection's answer is its last, and all that is taken has its
+// beginShutdown begins the way out: what still arrives is served, each connection's answer is its last, and all that is taken has its
 // answer by one absolute end.
-func (c *core) leave() {
+func (c *core) beginShutdown() {
 	shutdown := lifecycle.NewShutdown(c.clock.now(), c.cfg.Deal.LongestWait, c.cfg.Pace.Linger)
 	c.shutdown.Store(shutdown)
-	c.leaving, c.sweepAt = true, 0
-	for i := range c.ops {
-		if o := &c.ops[i]; o.msg != nil {
-			c.bound(o, shutdown)
+	c.shuttingDown, c.sweepAt = true, 0
+	for i := range c.requests {
+		if o := &c.requests[i]; o.msg != nil {
+			c.limitDeadlines(o, shutdown)
 		}
 	}
 	c.pending = append(c.pending, gate.Closing{By: shutdown.AnswerBy})
-	c.setReady()
-	c.log.WithFields(logrus.Fields{fields.Requests: len(c.ops) - len(c.free), fields.Connections: len(c.clients),
+	c.updateReady()
+	c.log.WithFields(logrus.Fields{fields.Requests: len(c.requests) - len(c.freeSlots), fields.Connections: len(c.clients),
 		fields.AnswerMs: shutdown.AnswerBy - shutdown.Began, fields.KillMs: shutdown.KillAt - shutdown.Began}).Info("leaving")
 }
 
-// bound has a request and its attempts end by the door's own end.
-func (c *core) bound(o *request, shutdown *lifecycle.Shutdown) {
-	o.until = shutdown.Deadline(o.until)
+// limitDeadlines has a request and its attempts end by the door's own end.
+func (c *core) limitDeadlines(o *request, shutdown *lifecycle.Shutdown) {
+	o.deadline = shutdown.Deadline(o.deadline)
 	for _, f := range o.attempts {
-		if !f.ended && f.until > o.until {
-			f.until = o.until
-			c.due.add(f.until, f)
+		if !f.ended && f.deadline > o.deadline {
+			f.deadline = o.deadline
+			c.timeouts.add(f.deadline, f)
 		}
 	}
 }
 
-// gone tells whether all that was taken is answered and nothing more can come.
-func (c *core) gone() bool {
-	return c.leaving && (!c.accepting && len(c.clients) == 0 || c.shutdown.Load().Over(c.now))
+// shutdownComplete tells whether all that was taken is answered and nothing more can come.
+func (c *core) shutdownComplete() bool {
+	return c.shuttingDown && (!c.accepting && len(c.clients) == 0 || c.shutdown.Load().Over(c.now))
 }
 
-// quit ends what goroutines are left.
-func (c *core) quit() {
+// closeAll ends what goroutines are left.
+func (c *core) closeAll() {
 	for cl := range c.clients {
 		c.checkClose(cl, closedShutdown)
 	}
 	c.tally.write(c.log)
 	close(c.done)
-	for l := range c.links {
+	for l := range c.backendConns {
 		l.close()
 	}
 	for cl := range c.clients {
--- a/frontdoor/core_test.go
+++ b/frontdoor/core_test.go
@@ -44,12 +44,12 @@
 	log.SetOutput(io.Discard)
 	c = newCore(settled(), scripted(func(float64, []gate.Event) []gate.Action { return nil }), log)
 	c.now = c.clock.now()
-	listed{list: registry.List{Whole: true, Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready"}}}}.take(c)
+	fleetUpdate{list: registry.List{Whole: true, Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready"}}}}.handle(c)
 	far, near := net.Pipe()
 	t.Cleanup(func() { far.Close(); near.Close() })
 	cl := newClient(c, near)
-	opened{cl}.take(c)
-	arrived{cl, &http1.Request{Method: "GET", Target: "/look?key=1", ID: "x"}, gate.Request{TTL: 500}, c.now}.take(c)
+	clientOpened{cl}.handle(c)
+	requestArrived{cl, &http1.Request{Method: "GET", Target: "/look?key=1", ID: "x"}, gate.Request{TTL: 500}, c.now}.handle(c)
 	c.pending = nil
 	return c, far
 }
@@ -58,11 +58,11 @@
 func linked(t *testing.T, c *core) (*attempt, net.Conn) {
 	far, near := net.Pipe()
 	t.Cleanup(func() { far.Close(); near.Close() })
-	l := &link{c: c, addr: "127.0.0.1:1", nc: near, cancel: func() {}}
-	c.links[l] = struct{}{}
+	l := &backendConn{c: c, addr: "127.0.0.1:1", nc: near, cancel: func() {}}
+	c.backendConns[l] = struct{}{}
 	c.backends[0].idle = append(c.backends[0].idle, l)
 	c.send(gate.Send{})
-	return c.ops[0].attempts[0], far
+	return c.requests[0].attempts[0], far
 }
 
 // written takes all of an attempt at the backend's end.
@@ -73,15 +73,15 @@
 		require.NoError(t, err)
 		got = append(got, buf[:n]...)
 	}
-	for f.link.busy.Load() {
+	for f.conn.writeInProgress.Load() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
 // bringing is a reader that holds bytes.
-func bringing(text string) *reading {
-	r := &reading{buf: make([]byte, pool.Size)}
-	r.rest = r.buf[:copy(r.buf, text)]
+func bringing(text string) *readState {
+	r := &readState{buf: make([]byte, pool.Size)}
+	r.buffered = r.buf[:copy(r.buf, text)]
 	return r
 }
 
@@ -110,23 +110,23 @@
 }
 
 func TestEveryEndHasItsResult(t *testing.T) {
-	for e, want := range map[end]gate.Result{endWell: gate.Finished, endIll: gate.Errored, endTurnedAway: gate.Full,
-		endNoSocket: gate.Skipped, endNoConn: gate.Unreachable, endCutUnsent: gate.Unreachable, endCut: gate.Reset,
-		endGarbled: gate.Spoilt, endLateUnsent: gate.Skipped, endLate: gate.TimedOut, endLeftUnsent: gate.Skipped,
-		endLeft: gate.Cancelled} {
+	for e, want := range map[outcome]gate.Result{outcomeOK: gate.Finished, outcomeError: gate.Errored, outcomeTurnedAway: gate.Full,
+		outcomeNoSocket: gate.Skipped, outcomeNoConnection: gate.Unreachable, outcomeBrokenUnsent: gate.Unreachable, outcomeBroken: gate.Reset,
+		outcomeMalformed: gate.Spoilt, outcomeTimeoutUnsent: gate.Skipped, outcomeTimeout: gate.TimedOut, outcomeAbandonedUnsent: gate.Skipped,
+		outcomeAbandoned: gate.Cancelled} {
 		assert.Equal(t, want, e.result(), e)
 	}
-	for _, e := range []end{endNoSocket, endNoConn, endCutUnsent, endLateUnsent, endLeftUnsent, endTurnedAway} {
+	for _, e := range []outcome{outcomeNoSocket, outcomeNoConnection, outcomeBrokenUnsent, outcomeTimeoutUnsent, outcomeAbandonedUnsent, outcomeTurnedAway} {
 		assert.True(t, e.result().NeverRan(), e)
 	}
-	for _, e := range []end{endIll, endCut, endGarbled, endLate, endLeft} {
+	for _, e := range []outcome{outcomeError, outcomeBroken, outcomeMalformed, outcomeTimeout, outcomeAbandoned} {
 		assert.False(t, e.result().NeverRan(), e)
 	}
 }
 
 func TestAMachineOutOfSocketsIsNotTheBackendsFault(t *testing.T) {
-	assert.Equal(t, endNoSocket, endOfDial(&net.OpError{Err: os.NewSyscallError("socket", syscall.EMFILE)}))
-	assert.Equal(t, endNoConn, endOfDial(&net.OpError{Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}))
+	assert.Equal(t, outcomeNoSocket, dialOutcome(&net.OpError{Err: os.NewSyscallError("socket", syscall.EMFILE)}))
+	assert.Equal(t, outcomeNoConnection, dialOutcome(&net.OpError{Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}))
 }
 
 func TestADoorWithoutSocketsSaysSo(t *testing.T) {
@@ -136,17 +136,17 @@
 }
 
 func TestOnlyAMarkedAnswerIsTurnedAway(t *testing.T) {
-	for a, want := range map[*http1.Answer]end{{Status: 200}: endWell, {Status: 500}: endIll, {Status: 503}: endIll,
-		{Status: 503, TurnedAway: true}: endTurnedAway, {Status: 504, TurnedAway: true}: endTurnedAway,
-		{Status: 500, TurnedAway: true}: endIll, {Status: 201}: endIll} {
-		assert.Equal(t, want, endOf(a))
+	for a, want := range map[*http1.Answer]outcome{{Status: 200}: outcomeOK, {Status: 500}: outcomeError, {Status: 503}: outcomeError,
+		{Status: 503, TurnedAway: true}: outcomeTurnedAway, {Status: 504, TurnedAway: true}: outcomeTurnedAway,
+		{Status: 500, TurnedAway: true}: outcomeError, {Status: 201}: outcomeError} {
+		assert.Equal(t, want, answerOutcome(a))
 	}
 }
 
 func TestWhatTheTermsDoNotKnowIsAFault(t *testing.T) {
 	c, _ := owned(t)
 	good := http1.Request{Method: "POST", Class: "book", Mark: "m", Plan: "team", Units: 2, Spread: 3, First: 2, TTL: 1e12}
-	ev, err := c.word(&good)
+	ev, err := c.gateRequest(&good)
 	require.NoError(t, err)
 	assert.Equal(t, gate.Request{Class: 1, TTL: 2000, Units: 2, Spread: 3, First: 2}, ev, "no client waits longer")
 	for name, change := range map[string]func(*http1.Request){
@@ -157,7 +157,7 @@
 	} {
 		bad := good
 		change(&bad)
-		_, err := c.word(&bad)
+		_, err := c.gateRequest(&bad)
 		assert.Error(t, err, name)
 	}
 }
@@ -165,7 +165,7 @@
 func TestTimeLeftCountsFromTheFirstByte(t *testing.T) {
 	c, _ := owned(t)
 	cl := newClient(c, nil)
-	arrived{cl, &http1.Request{}, gate.Request{TTL: 500}, c.clock.now() - 200}.take(c)
+	requestArrived{cl, &http1.Request{}, gate.Request{TTL: 500}, c.clock.now() - 200}.handle(c)
 	ev := c.pending[0].(gate.Request)
 	assert.LessOrEqual(t, ev.TTL, 300.0)
 	assert.Greater(t, ev.TTL, 0.0)
@@ -175,13 +175,13 @@
 	c, client := owned(t)
 	f, far := linked(t, c)
 	written(t, f, far)
-	answered{f.link, http1.Answer{Status: 200, Use: 0.5, Body: []byte("hi")}, f.at + 30}.take(c)
+	answerArrived{f.conn, http1.Answer{Status: 200, Use: 0.5, Body: []byte("hi")}, f.startedAt + 30}.handle(c)
 	assert.Equal(t, gate.Ended{Result: gate.Finished, Latency: 30, Over: true, Use: 0.5, Queue: -1}, c.pending[0])
 	c.answer(0, http.StatusBadGateway, 0, nil, "") // a second answer
 	assert.Equal(t, http1.Answer{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}, heard(t, client))
 	assert.Len(t, c.backends[0].idle, 1, "the connection is used again")
 	c.decide()
-	assert.Equal(t, []int{0}, c.free)
+	assert.Equal(t, []int{0}, c.freeSlots)
 	client.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	n, _ := client.Read(make([]byte, 1))
 	assert.Zero(t, n)
@@ -190,20 +190,20 @@
 func TestOnlyWhatABackendAnsweredWellIsRelayed(t *testing.T) {
 	c, _ := owned(t)
 	f, _ := linked(t, c)
-	answered{f.link, http1.Answer{Status: 500, Use: -1, Body: []byte("secret")}, f.at}.take(c)
-	assert.False(t, c.ops[0].over, "the decisions say what becomes of it")
+	answerArrived{f.conn, http1.Answer{Status: 500, Use: -1, Body: []byte("secret")}, f.startedAt}.handle(c)
+	assert.False(t, c.requests[0].done, "the decisions say what becomes of it")
 	assert.Equal(t, gate.Errored, c.pending[0].(gate.Ended).Result)
 }
 
 func TestAWriterThatComesAfterGivingUpWritesNothing(t *testing.T) {
 	c, _ := owned(t)
 	f, far := linked(t, c)
-	other := &attempt{op: 0, link: f.link}
-	c.ops[0].attempts = append(c.ops[0].attempts, other)
-	c.ops[0].out++
-	c.abandon(other, endLeftUnsent, endLeft)
+	other := &attempt{op: 0, conn: f.conn}
+	c.requests[0].attempts = append(c.requests[0].attempts, other)
+	c.requests[0].outstanding++
+	c.abandon(other, outcomeAbandonedUnsent, outcomeAbandoned)
 	assert.Equal(t, gate.Skipped, c.pending[0].(gate.Ended).Result)
-	go f.link.write(other, []byte("late"))
+	go f.conn.writeAttempt(other, []byte("late"))
 	got, _ := io.ReadAll(far)
 	assert.NotContains(t, string(got), "late")
 }
@@ -213,12 +213,12 @@
 	f, far := linked(t, c)
 	_, err := far.Read(make([]byte, 1)) // the writer has begun
 	require.NoError(t, err)
-	c.abandon(f, endLeftUnsent, endLeft)
+	c.abandon(f, outcomeAbandonedUnsent, outcomeAbandoned)
 	assert.Equal(t, gate.Cancelled, c.pending[0].(gate.Ended).Result)
-	assert.Empty(t, c.links, "its connection is closed")
+	assert.Empty(t, c.backendConns, "its connection is closed")
 	_, err = io.ReadAll(far)
 	assert.NoError(t, err)
-	c.abandon(f, endLeftUnsent, endLeft)
+	c.abandon(f, outcomeAbandonedUnsent, outcomeAbandoned)
 	assert.Len(t, c.pending, 1, "one end each")
 }
 
@@ -228,10 +228,10 @@
 	_, err := far.Read(make([]byte, 9))
 	require.NoError(t, err)
 	far.Close()
-	for f.stage.Load() != broken { // the writer finds out
+	for f.stage.Load() != stageBroken { // the writer finds out
 		time.Sleep(time.Millisecond)
 	}
-	cut{f.link, endCut}.take(c)
+	connClosed{f.conn, outcomeBroken}.handle(c)
 	assert.Equal(t, gate.Unreachable, c.pending[0].(gate.Ended).Result)
 }
 
@@ -240,7 +240,7 @@
 	f, far := linked(t, c)
 	_, err := far.Read(make([]byte, 1)) // the rest is stuck
 	require.NoError(t, err)
-	answered{f.link, http1.Answer{Status: 503, TurnedAway: true}, c.now}.take(c)
+	answerArrived{f.conn, http1.Answer{Status: 503, TurnedAway: true}, c.now}.handle(c)
 	assert.Empty(t, c.backends[0].idle)
 }
 
@@ -248,49 +248,49 @@
 	c, _ := owned(t)
 	far, near := net.Pipe()
 	go far.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-	assert.Equal(t, endGarbled, (&link{c: c, nc: near}).read())
+	assert.Equal(t, outcomeMalformed, (&backendConn{c: c, nc: near}).readAnswers())
 }
 
 func TestAnOldProcessGetsNothingNew(t *testing.T) {
 	c, _ := owned(t)
 	f, far := linked(t, c)
 	written(t, f, far)
-	answered{f.link, http1.Answer{Status: 500}, c.now}.take(c)
+	answerArrived{f.conn, http1.Answer{Status: 500}, c.now}.handle(c)
 	require.Len(t, c.backends[0].idle, 1)
-	listed{list: registry.List{Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready", Started: 5}}}}.take(c)
+	fleetUpdate{list: registry.List{Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready", Started: 5}}}}.handle(c)
 	assert.Empty(t, c.backends[0].idle)
-	assert.Empty(t, c.links)
+	assert.Empty(t, c.backendConns)
 }
 
 func TestAnIdleConnectionIsRetiredInTime(t *testing.T) {
 	c, _ := owned(t)
 	f, far := linked(t, c)
 	written(t, f, far)
-	answered{f.link, http1.Answer{Status: 500}, c.now}.take(c)
+	answerArrived{f.conn, http1.Answer{Status: 500}, c.now}.handle(c)
 	c.now += c.cfg.Pace.IdleBackend + 1
 	c.sweep()
-	assert.Empty(t, c.links)
+	assert.Empty(t, c.backendConns)
 }
 
 func TestASpentBudgetIsAResult(t *testing.T) {
 	c, _ := owned(t)
-	for c.budget.take(0) {
+	for c.budget.acquire(0) {
 	}
 	c.send(gate.Send{})
 	assert.Equal(t, gate.Skipped, c.pending[0].(gate.Ended).Result)
-	assert.Zero(t, c.ops[0].out)
+	assert.Zero(t, c.requests[0].outstanding)
 }
 
 func TestAnIdleConnectionGivesWayToOneThatIsWanted(t *testing.T) {
 	c, _ := owned(t)
 	f, far := linked(t, c)
 	written(t, f, far)
-	answered{f.link, http1.Answer{Status: 500}, c.now}.take(c)
-	for c.budget.take(0) {
+	answerArrived{f.conn, http1.Answer{Status: 500}, c.now}.handle(c)
+	for c.budget.acquire(0) {
 	}
-	assert.True(t, c.spare())
-	assert.Empty(t, c.links)
-	assert.False(t, c.spare())
+	assert.True(t, c.evictIdle())
+	assert.Empty(t, c.backendConns)
+	assert.False(t, c.evictIdle())
 }
 
 func TestACrowdClosesTheLongestIdleClientButNoneJustCome(t *testing.T) {
@@ -299,14 +299,14 @@
 	defer far.Close()
 	fresh, old := newClient(c, near), newClient(c, near)
 	old.idleSince -= c.cfg.Pace.Linger + 1
-	opened{fresh}.take(c)
-	crowded{}.take(c)
-	assert.False(t, fresh.shut.Load(), "an operation may be on its way")
-	opened{old}.take(c)
-	crowded{}.take(c)
-	assert.True(t, old.shut.Load())
-	assert.False(t, fresh.shut.Load())
-	assert.False(t, c.ops[0].client.shut.Load(), "one that is owed an answer stays")
+	clientOpened{fresh}.handle(c)
+	socketNeeded{}.handle(c)
+	assert.False(t, fresh.closeRequested.Load(), "an operation may be on its way")
+	clientOpened{old}.handle(c)
+	socketNeeded{}.handle(c)
+	assert.True(t, old.closeRequested.Load())
+	assert.False(t, fresh.closeRequested.Load())
+	assert.False(t, c.requests[0].client.closeRequested.Load(), "one that is owed an answer stays")
 }
 
 // A client that sends its next request before the answer that closes its connection gets no answer for it: run,
@@ -316,14 +316,14 @@
 	cl := newClient(c, dialled(t, loopbacktest.Serve(t, keep)))
 	cl.answer(http1.AppendAnswer(nil, http.StatusOK, 0, nil, true), true)
 	r := bringing(look)
-	r.owed = true
+	r.answerPending = true
 	assert.False(t, cl.step(r))
-	assert.Empty(t, c.notes, "nothing is passed on")
+	assert.Empty(t, c.events, "nothing is passed on")
 }
 
 func TestWhenSocketsAreShortAnAnswerIsItsConnectionsLast(t *testing.T) {
 	c, client := owned(t)
-	for c.budget.take(c.budget.kept) {
+	for c.budget.acquire(c.budget.clientReserve) {
 	}
 	c.answer(0, http.StatusTooManyRequests, 250, nil, "")
 	assert.True(t, heard(t, client).Last)
@@ -333,23 +333,23 @@
 // next requests had none until idle ones were closed.
 func TestWithManyClientsAnAnswerIsItsConnectionsLast(t *testing.T) {
 	c, client := owned(t)
-	c.known = c.cfg.Sockets/keptPart + 1
+	c.activeClients = c.cfg.Sockets/persistentDivisor + 1
 	c.answer(0, http.StatusOK, 0, []byte("hi"), "")
 	assert.True(t, heard(t, client).Last)
-	known := c.known
-	left{c.ops[0].client, closedByClient}.take(c)
-	assert.Equal(t, known-1, c.known)
+	known := c.activeClients
+	clientClosed{c.requests[0].client, closedByClient}.handle(c)
+	assert.Equal(t, known-1, c.activeClients)
 }
 
 func TestAClientThatLeavesIsReportedOnce(t *testing.T) {
 	c, _ := owned(t)
-	cl := c.ops[0].client
-	left{cl, closedByClient}.take(c)
+	cl := c.requests[0].client
+	clientClosed{cl, closedByClient}.handle(c)
 	assert.Equal(t, []gate.Event{gate.Vanished{Op: 0}}, c.pending)
 	c.answer(0, http.StatusOK, 0, []byte("hi"), "")
 	c.decide()
-	assert.Equal(t, []int{0}, c.free)
-	left{cl, closedByClient}.take(c)
+	assert.Equal(t, []int{0}, c.freeSlots)
+	clientClosed{cl, closedByClient}.handle(c)
 	assert.Empty(t, c.pending)
 }
 
@@ -358,8 +358,8 @@
 	f, far := linked(t, c)
 	_, err := far.Read(make([]byte, 1))
 	require.NoError(t, err)
-	c.now = c.ops[0].until
-	c.due.fire(c)
+	c.now = c.requests[0].deadline
+	c.timeouts.expireDue(c)
 	assert.True(t, f.ended)
 	assert.Equal(t, gate.TimedOut, c.pending[0].(gate.Ended).Result)
 	assert.False(t, c.pending[0].(gate.Ended).Over)
@@ -368,44 +368,44 @@
 func TestReadyOnlyWhenItCanServe(t *testing.T) {
 	c, _ := owned(t)
 	assert.False(t, c.ready.Load(), "discovery was not asked")
-	asked{}.take(c)
+	discoveryAttempted{}.handle(c)
 	assert.True(t, c.ready.Load())
-	listed{list: registry.List{Whole: true}}.take(c)
+	fleetUpdate{list: registry.List{Whole: true}}.handle(c)
 	assert.False(t, c.ready.Load(), "no backend")
-	listed{list: registry.List{Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready"}}}}.take(c)
-	c.leave()
+	fleetUpdate{list: registry.List{Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready"}}}}.handle(c)
+	c.beginShutdown()
 	assert.False(t, c.ready.Load())
 }
 
 func TestACallIsToldOnceAndItsCustomerMayBeForgotten(t *testing.T) {
 	c, _ := owned(t)
 	conn := newCounterConn(c, "")
-	c.counters = []*counterConn{conn}
-	c.count(gate.Count{Customer: 0, Epoch: 7, Add: 2, Keep: 4000})
+	c.counterConns = []*counterConn{conn}
+	c.callCounter(gate.Count{Customer: 0, Epoch: 7, Add: 2, Keep: 4000})
 	k := conn.queue[0]
-	assert.Equal(t, "0/7", countName(k))
+	assert.Equal(t, "0/7", counterKey(k))
 	c.now += c.cfg.Deal.CounterTimeout
-	c.due.fire(c)
-	called{k, endWell, 5}.take(c)
+	c.timeouts.expireDue(c)
+	callEnded{k, outcomeOK, 5}.handle(c)
 	assert.Equal(t, []gate.Event{gate.Counted{Epoch: 7, Result: gate.TimedOut}}, c.pending)
-	assert.Zero(t, conn.calls)
-	c.count(gate.Count{Customer: 0, Epoch: 8})
+	assert.Zero(t, conn.outstanding)
+	c.callCounter(gate.Count{Customer: 0, Epoch: 8})
 	c.customers.Drop(0)
-	called{conn.queue[1], endWell, 5}.take(c)
+	callEnded{conn.queue[1], outcomeOK, 5}.handle(c)
 	assert.Len(t, c.pending, 1)
 }
 
 func TestCallsThatNobodyWaitsForAreNotMade(t *testing.T) {
 	c, _ := owned(t)
-	old, fresh := &call{at: c.clock.now() - 1000}, &call{at: c.clock.now() + 1000}
+	old, fresh := &counterCall{startedAt: c.clock.now() - 1000}, &counterCall{startedAt: c.clock.now() + 1000}
 	conn := newCounterConn(c, "")
-	conn.queue = []*call{old, fresh}
+	conn.queue = []*counterCall{old, fresh}
 	conn.nc, _ = net.Pipe()
-	calls, late, up := conn.load(conn.nc)
+	calls, late, up := conn.takeQueued(conn.nc)
 	assert.True(t, up)
-	assert.Equal(t, []*call{fresh}, calls)
-	assert.Equal(t, []*call{old}, late)
-	assert.Equal(t, calls, conn.flying)
+	assert.Equal(t, []*counterCall{fresh}, calls)
+	assert.Equal(t, []*counterCall{old}, late)
+	assert.Equal(t, calls, conn.awaitingReply)
 }
 
 // A connection that ends between the look for it and the load of its calls has ended what flew on it. Loaded all the same,
@@ -414,18 +414,18 @@
 	c, _ := owned(t)
 	conn := newCounterConn(c, loopbacktest.Serve(t, func(nc net.Conn) { nc.Close() }))
 	nc, how := conn.connect(t.Context())
-	require.Equal(t, endWell, how)
-	for conn.up() != nil { // its reader sees the end and is over
+	require.Equal(t, outcomeOK, how)
+	for conn.current() != nil { // its reader sees the end and is over
 		runtime.Gosched()
 	}
-	k := &call{conn: conn, at: c.clock.now()}
-	conn.queue = []*call{k}
-	calls, late, up := conn.load(nc)
+	k := &counterCall{conn: conn, startedAt: c.clock.now()}
+	conn.queue = []*counterCall{k}
+	calls, late, up := conn.takeQueued(nc)
 	assert.False(t, up)
-	assert.Equal(t, []*call{k}, calls)
+	assert.Equal(t, []*counterCall{k}, calls)
 	assert.Empty(t, late)
-	assert.Empty(t, conn.flying, "nothing waits for a reply that can't come")
-	assert.True(t, how.unsent().result().NeverRan(), "and nothing was added")
+	assert.Empty(t, conn.awaitingReply, "nothing waits for a reply that can't come")
+	assert.True(t, how.asUnsent().result().NeverRan(), "and nothing was added")
 }
 
 func TestAConnectionThatOwesACallForTooLongIsClosed(t *testing.T) {
@@ -433,7 +433,7 @@
 	far, near := net.Pipe()
 	conn := newCounterConn(c, "")
 	conn.nc = near
-	k := &call{conn: conn, at: c.now - c.cfg.Pace.DeadCounter}
+	k := &counterCall{conn: conn, startedAt: c.now - c.cfg.Pace.DeadCounter}
 	k.expire(c)
 	_, err := far.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
@@ -446,11 +446,11 @@
 	defer far.Close()
 	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 	go io.WriteString(far, answer+answer)
-	assert.Equal(t, endGarbled, (&link{c: c, nc: near, owes: true}).read())
-	n := (<-c.notes).(answered)
-	assert.Equal(t, "hi", string(n.a.Body), "the answer stands")
-	assert.True(t, n.a.Last)
-	assert.Empty(t, c.notes, "the copy is nobody's")
+	assert.Equal(t, outcomeMalformed, (&backendConn{c: c, nc: near, answerPending: true}).readAnswers())
+	n := (<-c.events).(answerArrived)
+	assert.Equal(t, "hi", string(n.answer.Body), "the answer stands")
+	assert.True(t, n.answer.Last)
+	assert.Empty(t, c.events, "the copy is nobody's")
 }
 
 // Surplus that comes later, or the backend's close, is seen before the connection is used again.
@@ -465,36 +465,36 @@
 		near := dialled(t, c.backends[0].addr)
 		raw, err := near.(syscall.Conn).SyscallConn()
 		require.NoError(t, err)
-		l := &link{c: c, addr: c.backends[0].addr, nc: near, raw: raw, cancel: func() {}, used: true}
-		c.links[l], c.backends[0].idle = struct{}{}, []*link{l}
+		l := &backendConn{c: c, addr: c.backends[0].addr, nc: near, raw: raw, cancel: func() {}, hasAnswered: true}
+		c.backendConns[l], c.backends[0].idle = struct{}{}, []*backendConn{l}
 		spoil(<-far)
 		for sockio.Untouched(raw) {
 			time.Sleep(time.Millisecond)
 		}
 		c.send(gate.Send{})
-		cut{l, l.read()}.take(c)
+		connClosed{l, l.readAnswers()}.handle(c)
 		assert.Empty(t, c.pending, name+": the decisions hear nothing of it")
 		fresh := <-far
 		req := make([]byte, 4096)
 		n, err := fresh.Read(req)
 		require.NoError(t, err)
 		assert.Contains(t, string(req[:n]), "X-Txn: x", name)
-		assert.Len(t, c.ops[0].attempts, 1, name)
-		assert.Equal(t, 1, c.ops[0].out, name)
+		assert.Len(t, c.requests[0].attempts, 1, name)
+		assert.Equal(t, 1, c.requests[0].outstanding, name)
 	}
 }
 
 // What was read before a request was let out is no part of its answer, however late the reader looks at it.
 func TestOnlyWhatComesAfterAnAttemptIsItsAnswer(t *testing.T) {
 	far, near := net.Pipe()
-	l := &link{nc: near}
+	l := &backendConn{nc: near}
 	go io.WriteString(far, "x")
 	_, owed, err := l.receive(make([]byte, 9))
 	require.NoError(t, err)
 	assert.False(t, owed)
-	assert.False(t, l.carry(&attempt{}), "what the reader has taken is seen no more")
-	l = &link{nc: near}
-	assert.True(t, l.carry(&attempt{}))
+	assert.False(t, l.begin(&attempt{}), "what the reader has taken is seen no more")
+	l = &backendConn{nc: near}
+	assert.True(t, l.begin(&attempt{}))
 	go io.WriteString(far, "x")
 	_, owed, err = l.receive(make([]byte, 9))
 	require.NoError(t, err)
@@ -503,10 +503,10 @@
 
 func TestAFreshConnectionThatBreaksUnusedIsTheBackendsFault(t *testing.T) {
 	c, _ := owned(t)
-	f := &attempt{op: 0, link: &link{c: c, cancel: func() {}}}
-	f.link.cur = f
-	c.ops[0].attempts, c.ops[0].out = append(c.ops[0].attempts, f), 1
-	cut{f.link, endCut}.take(c)
+	f := &attempt{op: 0, conn: &backendConn{c: c, cancel: func() {}}}
+	f.conn.attempt = f
+	c.requests[0].attempts, c.requests[0].outstanding = append(c.requests[0].attempts, f), 1
+	connClosed{f.conn, outcomeBroken}.handle(c)
 	assert.Equal(t, gate.Unreachable, c.pending[0].(gate.Ended).Result, "it never ran")
 }
 
@@ -516,13 +516,13 @@
 	far, near := net.Pipe()
 	defer far.Close()
 	cl := newClient(c, near)
-	again := arrived{cl, &http1.Request{ID: "x"}, gate.Request{TTL: 500}, c.now}
-	again.take(c)
+	again := requestArrived{cl, &http1.Request{ID: "x"}, gate.Request{TTL: 500}, c.now}
+	again.handle(c)
 	assert.Empty(t, c.pending)
 	assert.Equal(t, http.StatusConflict, heard(t, far).Status)
-	left{c.ops[0].client, closedByClient}.take(c)
+	clientClosed{c.requests[0].client, closedByClient}.handle(c)
 	c.decide()
-	again.take(c)
+	again.handle(c)
 	assert.Len(t, c.pending, 1, "free again once the other is over")
 }
 
@@ -532,22 +532,22 @@
 	far, near := net.Pipe()
 	defer far.Close()
 	idle := newClient(c, near)
-	opened{idle}.take(c)
+	clientOpened{idle}.handle(c)
 	c.now += c.cfg.Pace.IdleClient - 1
 	c.sweep()
-	assert.False(t, idle.shut.Load())
+	assert.False(t, idle.closeRequested.Load())
 	c.now += c.cfg.Pace.IdleClient
 	c.sweep()
-	assert.True(t, idle.shut.Load())
-	assert.False(t, c.ops[0].client.shut.Load(), "one that is owed an answer stays")
+	assert.True(t, idle.closeRequested.Load())
+	assert.False(t, c.requests[0].client.closeRequested.Load(), "one that is owed an answer stays")
 }
 
 // The time to bring a first request counts from the connection's beginning: one that is silent, then half-sent,
 // would else hold a socket twice as long.
 func TestAFirstRequestsTimeCountsFromItsConnection(t *testing.T) {
-	cl := &client{began: 100}
-	assert.Equal(t, 100.0, (&reading{first: 900}).since(cl))
-	assert.Equal(t, 900.0, (&reading{first: 900, brought: true}).since(cl))
+	cl := &client{openedAt: 100}
+	assert.Equal(t, 100.0, (&readState{firstByteAt: 900}).inputStart(cl))
+	assert.Equal(t, 900.0, (&readState{firstByteAt: 900, hadRequest: true}).inputStart(cl))
 }
 
 func TestInACrowdSilentConnectionsGoFirst(t *testing.T) {
@@ -555,14 +555,14 @@
 	far, near := net.Pipe()
 	defer far.Close()
 	silent, known := newClient(c, near), newClient(c, near)
-	known.known = true
+	known.hasRequested = true
 	silent.idleSince -= c.cfg.Pace.Linger / 2
 	known.idleSince -= c.cfg.Pace.Linger / 2
-	opened{silent}.take(c)
-	opened{known}.take(c)
-	crowded{}.take(c)
-	assert.True(t, silent.shut.Load())
-	assert.False(t, known.shut.Load(), "its next operation may be on its way")
+	clientOpened{silent}.handle(c)
+	clientOpened{known}.handle(c)
+	socketNeeded{}.handle(c)
+	assert.True(t, silent.closeRequested.Load())
+	assert.False(t, known.closeRequested.Load(), "its next operation may be on its way")
 }
 
 // A configuration read again moves discovery and counter; what the old ones still say of the fleet is passed over,
@@ -570,27 +570,27 @@
 func TestAReloadGoesOverToTheNewAddresses(t *testing.T) {
 	c, _ := owned(t)
 	c.background, c.cfg.Deal.Terms.Counter = t.Context(), true
-	c.countOn("127.0.0.1:1")
-	old := c.counters[0]
-	old.calls = 1
+	c.useCounter("127.0.0.1:1")
+	old := c.counterConns[0]
+	old.outstanding = 1
 	stopped := false
 	old.stop = func() { stopped = true }
 	asks := make(chan string, 9)
 	next := loopbacktest.Serve(t, registryOf("127.0.0.1:7", asks, keep))
-	reloaded{next, "127.0.0.1:2"}.take(c)
+	reloadRequest{next, "127.0.0.1:2"}.handle(c)
 	assert.Equal(t, "/registry/instances?stream=1", <-asks, "the whole list, at once")
-	assert.Equal(t, []string{"127.0.0.1:2", "127.0.0.1:2"}, []string{c.counters[0].addr, c.counters[1].addr})
+	assert.Equal(t, []string{"127.0.0.1:2", "127.0.0.1:2"}, []string{c.counterConns[0].addr, c.counterConns[1].addr})
 	assert.False(t, stopped, "it owes an answer")
-	called{&call{conn: old}, endWell, 5}.take(c)
+	callEnded{&counterCall{conn: old}, outcomeOK, 5}.handle(c)
 	assert.True(t, stopped)
-	listed{list: registry.List{Whole: true}}.take(c)
-	assert.True(t, c.backends[0].up, "word of the old discovery")
+	fleetUpdate{list: registry.List{Whole: true}}.handle(c)
+	assert.True(t, c.backends[0].eligible, "word of the old discovery")
 	for c.backends[0].addr != "127.0.0.1:7" {
-		(<-c.notes).take(c)
+		(<-c.events).handle(c)
 	}
-	watch := c.watches
-	reloaded{next, "127.0.0.1:2"}.take(c)
-	assert.Equal(t, watch, c.watches, "nothing has moved")
+	watch := c.watchNumber
+	reloadRequest{next, "127.0.0.1:2"}.handle(c)
+	assert.Equal(t, watch, c.watchNumber, "nothing has moved")
 }
 
 // Backends are replaced all day: an index that were never used again would grow every array, and one used too early
@@ -599,10 +599,10 @@
 	c, _ := owned(t)
 	f, far := linked(t, c)
 	written(t, f, far)
-	answered{f.link, http1.Answer{Status: 500}, c.now}.take(c)
-	c.act(gate.Delist{Backend: 0})
-	assert.Empty(t, c.links)
-	listed{list: registry.List{Backends: []registry.Entry{{ID: "new", Addr: "127.0.0.1:1", Zone: "b", Cell: 9, State: "Ready"}}}}.take(c)
+	answerArrived{f.conn, http1.Answer{Status: 500}, c.now}.handle(c)
+	c.execute(gate.Delist{Backend: 0})
+	assert.Empty(t, c.backendConns)
+	fleetUpdate{list: registry.List{Backends: []registry.Entry{{ID: "new", Addr: "127.0.0.1:1", Zone: "b", Cell: 9, State: "Ready"}}}}.handle(c)
 	require.Len(t, c.backends, 1)
 	assert.Empty(t, c.backends[0].idle)
 	assert.Equal(t, [2]int{0, 0}, [2]int{c.backends[0].zone, c.backends[0].cell}, "zones and cells come back too")
@@ -613,7 +613,7 @@
 		c, _ := owned(t)
 		c.cfg.Deal.Reports = names
 		f, _ := linked(t, c)
-		answered{f.link, http1.Answer{Status: 200, Use: -1, Queue: 4, Body: []byte("hi")}, f.at + 30}.take(c)
+		answerArrived{f.conn, http1.Answer{Status: 200, Use: -1, Queue: 4, Body: []byte("hi")}, f.startedAt + 30}.handle(c)
 		want := -1.0
 		if names != nil {
 			want = 4
--- a/frontdoor/counter.go
+++ b/frontdoor/counter.go
@@ -13,90 +13,90 @@
 	"github.com/swifthall/swifthall/internal/sockio"
 )
 
-// call is one call of the counter.
-type call struct {
-	conn      *counterConn
-	customer  uint64
-	epoch     int64
-	add, keep float64
+// counterCall is one counterCall of the counter.
+type counterCall struct {
+	conn     *counterConn
+	customer uint64
+	epoch    int64
+	add, ttl float64
 
 	// The owner's.
-	at   float64
-	told bool // the decisions have its result
-	over bool // its connection owes nothing for it any more
+	startedAt float64
+	reported  bool // the decisions have its result
+	done      bool // its connection owes nothing for it any more
 }
 
 // expire first ends the wait for a call, then a connection that owes its answer for too long: what comes over
 // one that is cut off would never be noticed otherwise.
-func (k *call) expire(c *core) {
-	switch dead := k.at + c.cfg.Pace.DeadCounter; {
-	case k.over:
+func (k *counterCall) expire(c *core) {
+	switch dead := k.startedAt + c.cfg.Pace.DeadCounter; {
+	case k.done:
 	case c.now < dead:
-		c.tell(k, endLate, 0)
-		c.due.add(dead, k)
+		c.reportCall(k, outcomeTimeout, 0)
+		c.timeouts.add(dead, k)
 	default:
-		c.tell(k, endLate, 0)
-		k.conn.drop()
+		c.reportCall(k, outcomeTimeout, 0)
+		k.conn.disconnect()
 	}
 }
 
-// tell gives the decisions a call's result, once.
-func (c *core) tell(k *call, how end, total float64) {
-	if k.told {
+// reportCall gives the decisions a call's result, once.
+func (c *core) reportCall(k *counterCall, how outcome, total float64) {
+	if k.reported {
 		return
 	}
-	k.told = true
+	k.reported = true
 	if customer, known := c.customers.Find(k.customer); known {
 		c.pending = append(c.pending, gate.Counted{Customer: customer, Epoch: k.epoch, Result: how.result(), Total: total})
 	}
 }
 
-// count makes a call over the connection that owes least.
-func (c *core) count(a gate.Count) {
-	k := &call{customer: c.customers.ID(a.Customer), epoch: a.Epoch, add: a.Add, keep: a.Keep, at: c.now}
-	for _, conn := range c.counters {
-		if k.conn == nil || conn.calls < k.conn.calls {
+// callCounter makes a call over the connection that owes least.
+func (c *core) callCounter(a gate.Count) {
+	k := &counterCall{customer: c.customers.ID(a.Customer), epoch: a.Epoch, add: a.Add, ttl: a.Keep, startedAt: c.now}
+	for _, conn := range c.counterConns {
+		if k.conn == nil || conn.outstanding < k.conn.outstanding {
 			k.conn = conn
 		}
 	}
-	k.conn.calls++
-	c.due.add(k.at+c.cfg.Deal.CounterTimeout, k)
-	k.conn.put(k)
+	k.conn.outstanding++
+	c.timeouts.add(k.startedAt+c.cfg.Deal.CounterTimeout, k)
+	k.conn.enqueue(k)
 }
 
-// called is the end of a call on its connection.
-type called struct {
-	k     *call
-	how   end
-	total float64
+// callEnded is the end of a call on its connection.
+type callEnded struct {
+	call    *counterCall
+	outcome outcome
+	total   float64
 }
 
-func (n called) take(c *core) {
-	n.k.over = true
-	n.k.conn.calls--
-	c.tell(n.k, n.how, n.total)
-	n.k.conn.rest()
+func (n callEnded) handle(c *core) {
+	n.call.done = true
+	n.call.conn.outstanding--
+	c.reportCall(n.call, n.outcome, n.total)
+	n.call.conn.stopIfUnused()
 }
 
-// countOn calls the counter at an address from now on. Calls made at the one before come to their own end there.
-func (c *core) countOn(addr string) {
-	for _, k := range c.counters {
+// useCounter calls the counter at an address from now on. Calls made at the one before come to their own end there.
+func (c *core) useCounter(addr string) {
+	for _, k := range c.counterConns {
 		k.replaced = true
-		k.rest()
+		k.stopIfUnused()
 	}
-	c.counters = c.counters[:0]
-	for range counted {
+	c.counterConns = c.counterConns[:0]
+	for range counterConnections {
 		k := newCounterConn(c, addr)
 		var ctx context.Context
 		ctx, k.stop = context.WithCancel(c.background)
-		c.counters = append(c.counters, k)
+		c.counterConns = append(c.counterConns, k)
 		go k.run(ctx)
 	}
 }
 
-// rest stops a connection that has been replaced and owes nothing.
-func (k *counterConn) rest() {
-	if k.replaced && k.calls == 0 {
+// stopIfUnused stops a connection that has been replaced and owes nothing.
+func (k *counterConn) stopIfUnused() {
+	if k.replaced && k.outstanding == 0 {
 		k.stop()
 	}
 }
@@ -105,35 +105,35 @@
 type counterConn struct {
 	c    *core
 	addr string
-	kick chan struct{}
+	wake chan struct{}
 
 	// The owner's.
-	calls    int // put and not over
-	replaced bool
-	stop     context.CancelFunc
+	outstanding int // put and not over
+	replaced    bool
+	stop        context.CancelFunc
 
-	mu     sync.Mutex
-	nc     net.Conn
-	queue  []*call // not written yet
-	flying []*call // written, oldest first
+	mu            sync.Mutex
+	nc            net.Conn
+	queue         []*counterCall // not written yet
+	awaitingReply []*counterCall // written, oldest first
 }
 
 func newCounterConn(c *core, addr string) *counterConn {
-	return &counterConn{c: c, addr: addr, kick: make(chan struct{}, 1), stop: func() {}}
+	return &counterConn{c: c, addr: addr, wake: make(chan struct{}, 1), stop: func() {}}
 }
 
-func (k *counterConn) put(a *call) {
+func (k *counterConn) enqueue(a *counterCall) {
 	k.mu.Lock()
 	k.queue = append(k.queue, a)
 	k.mu.Unlock()
 	select {
-	case k.kick <- struct{}{}:
+	case k.wake <- struct{}{}:
 	default:
 	}
 }
 
-// drop ends the connection, if it is up.
-func (k *counterConn) drop() {
+// disconnect ends the connection, if it is up.
+func (k *counterConn) disconnect() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.nc != nil {
@@ -142,43 +142,43 @@
 }
 
 func (k *counterConn) run(ctx context.Context) {
-	defer context.AfterFunc(ctx, k.drop)()
+	defer context.AfterFunc(ctx, k.disconnect)()
 	for ctx.Err() == nil {
 		select {
-		case <-k.kick:
+		case <-k.wake:
 		case <-ctx.Done():
 			return
 		}
 		nc, how := k.connect(ctx)
-		calls, late, up := k.load(nc)
-		k.end(late, endLateUnsent)
+		calls, late, up := k.takeQueued(nc)
+		k.endCalls(late, outcomeTimeoutUnsent)
 		if !up {
-			k.end(calls, how.unsent())
-			rest(ctx, k.c.cfg.Pace.Redial)
+			k.endCalls(calls, how.asUnsent())
+			sleepMs(ctx, k.c.cfg.Pace.Redial)
 			continue
 		}
 		msg := pool.Get()
 		for _, a := range calls {
-			msg = resp.AppendTally(msg, countName(a), a.add, a.keep)
+			msg = resp.AppendTally(msg, counterKey(a), a.add, a.ttl)
 		}
-		if _, err := sockio.Write(nc, msg, time.Now().Add(span(k.c.cfg.Deal.CounterTimeout))); err != nil {
+		if _, err := sockio.Write(nc, msg, time.Now().Add(duration(k.c.cfg.Deal.CounterTimeout))); err != nil {
 			nc.Close() // its reader ends the calls
 		}
 		pool.Put(msg)
 	}
 }
 
-// load takes the calls that wait, apart from those whose time has run out: units that nobody waits for must
+// takeQueued takes the calls that wait, apart from those whose time has run out: units that nobody waits for must
 // not be added. up says that the others will fly over nc, which then is still the connection. One that ended since it was
 // looked up has ended its calls already: those loaded after would have no end, and the next connection's replies would
 // be taken for theirs, one customer's total for another's.
-func (k *counterConn) load(nc net.Conn) (calls, late []*call, up bool) {
+func (k *counterConn) takeQueued(nc net.Conn) (calls, late []*counterCall, up bool) {
 	oldest := k.c.clock.now() - k.c.cfg.Deal.CounterTimeout
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	up = nc != nil && k.nc == nc
 	for _, a := range k.queue {
-		if a.at < oldest {
+		if a.startedAt < oldest {
 			late = append(late, a)
 		} else {
 			calls = append(calls, a)
@@ -186,52 +186,52 @@
 	}
 	k.queue = nil
 	if up {
-		k.flying = append(k.flying, calls...)
+		k.awaitingReply = append(k.awaitingReply, calls...)
 	}
 	return calls, late, up
 }
 
-// countName names a customer's number for an epoch, the same at every door.
-func countName(a *call) string {
+// counterKey names a customer's number for an epoch, the same at every door.
+func counterKey(a *counterCall) string {
 	return strconv.FormatUint(a.customer, 16) + "/" + strconv.FormatInt(a.epoch, 10)
 }
 
-// up returns the connection, nil where there is none.
-func (k *counterConn) up() net.Conn {
+// current returns the connection, nil where there is none.
+func (k *counterConn) current() net.Conn {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.nc
 }
 
 // connect returns the connection, a new one where there is none.
-func (k *counterConn) connect(ctx context.Context) (net.Conn, end) {
-	if nc := k.up(); nc != nil {
-		return nc, endWell
+func (k *counterConn) connect(ctx context.Context) (net.Conn, outcome) {
+	if nc := k.current(); nc != nil {
+		return nc, outcomeOK
 	}
-	if !k.c.budget.take(0) {
-		return nil, endNoSocket
+	if !k.c.budget.acquire(0) {
+		return nil, outcomeNoSocket
 	}
 	nc, err := k.c.dial(ctx, k.addr)
 	if err != nil {
-		k.c.budget.put()
-		return nil, endOfDial(err)
+		k.c.budget.release()
+		return nil, dialOutcome(err)
 	}
 	k.mu.Lock()
 	k.nc = nc
 	k.mu.Unlock()
 	go k.read(nc)
-	return nc, endWell
+	return nc, outcomeOK
 }
 
-func (k *counterConn) end(calls []*call, how end) {
+func (k *counterConn) endCalls(calls []*counterCall, how outcome) {
 	for _, a := range calls {
-		k.c.post(called{a, how, 0})
+		k.c.post(callEnded{a, how, 0})
 	}
 }
 
 // read takes replies, each for the oldest call, until the connection ends.
 func (k *counterConn) read(nc net.Conn) {
-	defer k.c.budget.put()
+	defer k.c.budget.release()
 	var in resp.Replies
 	buf := pool.Get()[:pool.Size]
 	defer pool.Put(buf)
@@ -239,33 +239,33 @@
 	for err == nil && fault == nil {
 		var n int
 		n, err = sockio.Read(nc, buf)
-		fault = in.Feed(buf[:n], k.reply)
+		fault = in.Feed(buf[:n], k.handleReply)
 	}
 	nc.Close()
 	k.mu.Lock()
-	calls := k.flying
-	k.nc, k.flying = nil, nil
+	calls := k.awaitingReply
+	k.nc, k.awaitingReply = nil, nil
 	k.mu.Unlock()
 	if fault != nil && len(calls) > 0 { // it was the oldest one's answer; those behind it may have been added
-		k.end(calls[:1], endGarbled)
+		k.endCalls(calls[:1], outcomeMalformed)
 		calls = calls[1:]
 	}
-	k.end(calls, endCut)
+	k.endCalls(calls, outcomeBroken)
 }
 
-func (k *counterConn) reply(r resp.Reply) error {
+func (k *counterConn) handleReply(r resp.Reply) error {
 	k.mu.Lock()
-	if len(k.flying) == 0 {
+	if len(k.awaitingReply) == 0 {
 		k.mu.Unlock()
-		return errUncalled
+		return errUnexpectedReply
 	}
-	a := k.flying[0]
-	k.flying = k.flying[1:]
+	a := k.awaitingReply[0]
+	k.awaitingReply = k.awaitingReply[1:]
 	k.mu.Unlock()
-	how := endWell
+	how := outcomeOK
 	if r.Busy || r.Fault != "" {
-		how = endTurnedAway
+		how = outcomeTurnedAway
 	}
-	k.c.post(called{a, how, r.Total})
+	k.c.post(callEnded{a, how, r.Total})
 	return nil
 }
--- a/frontdoor/crossing_test.go
+++ b/frontdoor/crossing_test.go
@@ -469,21 +469,21 @@
 // linksOf is how many backend connections the door has.
 func (g *rig) linksOf() int {
 	n := make(chan int, 1)
-	g.door.core.post(does(func(c *core) { n <- len(c.links) }))
+	g.door.core.post(does(func(c *core) { n <- len(c.backendConns) }))
 	return <-n
 }
 
 // does has the owner of the decisions do something between two of its lines.
 type does func(*core)
 
-func (n does) take(c *core) { n(c) }
+func (n does) handle(c *core) { n(c) }
 
 // A wish that the reader look at its connection is not lost to a deadline that the reader sets just then.
 func TestAWishIsNotLostToADeadline(t *testing.T) {
 	c, _ := owned(t)
 	cl := newClient(c, dialled(t, loopbacktest.Serve(t, keep)))
 	cl.wake()
-	cl.limit(time.Time{}) // the line after, in the reader
+	cl.setReadDeadline(time.Time{}) // the line after, in the reader
 	ended := make(chan error, 1)
 	go func() {
 		_, err := cl.nc.Read(make([]byte, 1))
@@ -502,7 +502,7 @@
 			asks <- req.RequestURI
 		}
 	})
-	go c.follow(t.Context(), c.cfg.Discovery, 41, 0)
+	go c.runWatch(t.Context(), c.cfg.Discovery, 41, 0)
 	await(t, asks, "the first call")
 	assert.Equal(t, "/registry/instances?stream=1&index=41", await(t, asks, "the next"))
 }
@@ -520,7 +520,7 @@
 	g.serve(t)
 	g.ready(t)
 	await(t, asks, "the first watch")
-	for i := 0; !g.door.core.budget.short(g.door.core.budget.kept); i++ {
+	for i := 0; !g.door.core.budget.low(g.door.core.budget.clientReserve); i++ {
 		nc := dialled(t, g.addr)
 		status, _ := say(t, nc, "GET /health/live HTTP/1.1\r\nHost: d\r\n\r\n")
 		require.Equal(t, http.StatusOK, status)
@@ -579,9 +579,9 @@
 func TestNothingIsReadBehindAGap(t *testing.T) {
 	c, _ := owned(t)
 	cl := newClient(c, dialled(t, loopbacktest.Serve(t, keep)))
-	cl.spilt.Store(true) // after its answer was worded, which does not say that it is the last
+	cl.overflowed.Store(true) // after its answer was worded, which does not say that it is the last
 	assert.False(t, cl.step(bringing(look)))
-	assert.Empty(t, c.notes)
+	assert.Empty(t, c.events)
 }
 
 type endless struct{}
@@ -607,7 +607,7 @@
 		}
 	}})
 	r := bringing(strings.Repeat("x", pool.Size))
-	r.owed = true
+	r.answerPending = true
 	go cl.answer([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), false)
 	await(t, wrote, "the answer's write")
 	assert.Equal(t, http.StatusOK, heard(t, nc).Status, "its client has it")
@@ -615,9 +615,9 @@
 	go func() { on <- cl.read(r) }()
 	close(goOn)
 	assert.True(t, await(t, on, "the reader"))
-	assert.False(t, cl.spilt.Load())
-	assert.False(t, r.owed)
-	assert.Len(t, r.rest, pool.Size, "nothing of it is lost")
+	assert.False(t, cl.overflowed.Load())
+	assert.False(t, r.answerPending)
+	assert.Len(t, r.buffered, pool.Size, "nothing of it is lost")
 }
 
 // The same from end to end: each answer is at its client before its writer goes on, and each next request is larger than what is
--- a/frontdoor/discovery_test.go
+++ b/frontdoor/discovery_test.go
@@ -96,7 +96,7 @@
 			mine := cfg
 			mine.Seed = uint64(i) // as each door has one of its own
 			c := newCore(mine, scripted(func(float64, []gate.Event) []gate.Action { return nil }), log)
-			c.budget = newBudget(100)
+			c.budget = newSocketBudget(100)
 			c.dial = func(ctx context.Context, _ string) (net.Conn, error) {
 				mu.Lock()
 				calls[int(since()/bucket)]++
@@ -109,12 +109,12 @@
 				served.Go(func() { serve(far) })
 				return near, nil
 			}
-			doors.Go(func() { c.follow(ctx, "discovery", 0, i) })
+			doors.Go(func() { c.runWatch(ctx, "discovery", 0, i) })
 			doors.Go(func() {
 				for {
 					select {
-					case n := <-c.notes:
-						if n, is := n.(listed); is && n.list.Version == 43 && late[i] == 0 {
+					case n := <-c.events:
+						if n, is := n.(fleetUpdate); is && n.list.Version == 43 && late[i] == 0 {
 							late[i] = since() - goesBad - isBad
 						}
 					case <-ctx.Done():
--- a/frontdoor/errors.go
+++ b/frontdoor/errors.go
@@ -46,7 +46,7 @@
 }
 
 var (
-	errNoSocket  = &LinkError{"no socket is free"}
-	errUncalled  = &LinkError{"a reply to no call"}
-	errWatchOver = &LinkError{"the watch was ended"}
+	errNoSocket        = &LinkError{"no socket is free"}
+	errUnexpectedReply = &LinkError{"a reply to no call"}
+	errWatchEnded      = &LinkError{"the watch was ended"}
 )
--- a/frontdoor/fleet.go
+++ b/frontdoor/fleet.go
@@ -15,120 +15,120 @@
 	"github.com/swifthall/swifthall/internal/sockio"
 )
 
-// listed is news of the fleet, from the watch of that number.
-type listed struct {
-	list  registry.List
-	watch int
-	after float64 // clock at which a watch had last said anything before this list began, ms; 0 is never
+// fleetUpdate is news of the fleet, from the watch of that number.
+type fleetUpdate struct {
+	list         registry.List
+	watch        int
+	lastReceived float64 // clock at which a watch had last said anything before this list began, ms; 0 is never
 }
 
-func (n listed) take(c *core) {
-	if n.watch != c.watches { // that watch has been replaced
+func (n fleetUpdate) handle(c *core) {
+	if n.watch != c.watchNumber { // that watch has been replaced
 		return
 	}
 	ev := gate.Fleet{Complete: n.list.Whole}
 	if n.list.Whole {
 		for i := range c.backends {
-			c.backends[i].up, c.backends[i].status = false, gate.Gone
+			c.backends[i].eligible, c.backends[i].status = false, gate.Gone
 		}
 	}
 	for _, e := range n.list.Backends {
-		i := c.names.Add(e.ID)
+		i := c.backendIDs.Add(e.ID)
 		if i == len(c.backends) {
 			c.backends = append(c.backends, backend{})
 		}
 		b := &c.backends[i]
-		c.started(b, wallTime(e.Started), n.after)
+		c.setProcessStart(b, wallTime(e.Started), n.lastReceived)
 		b.id, b.status, b.size, b.listed = e.ID, e.Status(), e.Size, true
 		b.zone, b.cell = c.zones.Add(e.Zone), c.cells.Add(e.Cell)
 		if e.Addr != "" {
 			b.addr = e.Addr
 		}
-		ev.Entries = append(ev.Entries, c.entry(i))
+		ev.Entries = append(ev.Entries, c.gateEntry(i))
 	}
-	c.news(ev)
+	c.fleetChanged(ev)
 }
 
-// started takes when a backend's process was started, by the wall clock, as a span: that clock may be stepped afterwards. One
-// that is heard of as new was started after discovery last said something; without that, as a door starts, the wall clock alone
+// setProcessStart takes when a backend's process was setProcessStart, by the wall clock, as a span: that clock may be stepped afterwards. One
+// that is heard of as new was setProcessStart after discovery last said something; without that, as a door starts, the wall clock alone
 // tells.
-func (c *core) started(b *backend, process wallTime, after float64) {
+func (c *core) setProcessStart(b *backend, process wallTime, after float64) {
 	switch {
 	case process == 0:
-		b.since = 0
-	case process != b.process || b.since == 0:
+		b.startedAt = 0
+	case process != b.processStart || b.startedAt == 0:
 		now, most := c.clock.now(), math.Inf(1)
 		if after > 0 {
 			most = now - after
 		}
-		b.since = now - c.clock.ago(process, most)
+		b.startedAt = now - c.clock.elapsedSince(process, most)
 	}
-	b.process = process
+	b.processStart = process
 }
 
-// entry words what the list says of a backend. One that is withheld drains, whatever the list says of it.
-func (c *core) entry(i int) gate.Entry {
+// gateEntry words what the list says of a backend. One that is withheld drains, whatever the list says of it.
+func (c *core) gateEntry(i int) gate.Entry {
 	b := &c.backends[i]
 	status := b.status
 	if c.withheld[b.id] && status == gate.Up {
 		status = gate.Draining
 	}
-	b.up = status == gate.Up
-	return gate.Entry{Backend: i, Zone: b.zone, Cell: b.cell, Status: status, Since: b.since, Size: b.size, Mark: index.Mark(b.id)}
+	b.eligible = status == gate.Up
+	return gate.Entry{Backend: i, Zone: b.zone, Cell: b.cell, Status: status, Since: b.startedAt, Size: b.size, Mark: index.Mark(b.id)}
 }
 
-// news passes changes of the list on to the decisions.
-func (c *core) news(ev gate.Fleet) {
-	for l := range c.links { // nothing new goes over these
-		if !c.backends[l.backend].takes(l) {
-			c.withdraw(l)
+// fleetChanged passes changes of the list on to the decisions.
+func (c *core) fleetChanged(ev gate.Fleet) {
+	for l := range c.backendConns { // nothing new goes over these
+		if !c.backends[l.backend].usable(l) {
+			c.withdrawConn(l)
 		}
 	}
 	c.pending = append(c.pending, ev)
-	c.setReady()
+	c.updateReady()
 }
 
-// withdraw takes back a connection to a backend that is to get nothing new, and an attempt on it that has not begun; one that
+// withdrawConn takes back a connection to a backend that is to get nothing new, and an attempt on it that has not begun; one that
 // has goes on.
-func (c *core) withdraw(l *link) {
-	f := l.cur
+func (c *core) withdrawConn(l *backendConn) {
+	f := l.attempt
 	switch {
 	case f == nil:
-		c.retire(l)
-	case !f.ended && f.stage.CompareAndSwap(waiting, dropped):
-		c.retire(l)
-		c.finish(f, endLeftUnsent, c.now, -1, -1)
+		c.closeConn(l)
+	case !f.ended && f.stage.CompareAndSwap(stageWaiting, stageDropped):
+		c.closeConn(l)
+		c.finish(f, outcomeAbandonedUnsent, c.now, -1, -1)
 	}
 }
 
-// asked says that discovery has been asked once, whatever came of it.
-type asked struct{}
+// discoveryAttempted says that discovery has been discoveryAttempted once, whatever came of it.
+type discoveryAttempted struct{}
 
-func (asked) take(c *core) {
-	c.asked = true
-	c.setReady()
+func (discoveryAttempted) handle(c *core) {
+	c.discoveryTried = true
+	c.updateReady()
 }
 
-// setReady has the door admitted once discovery was asked and a backend is known.
-func (c *core) setReady() {
+// updateReady has the door admitted once discovery was asked and a backend is known.
+func (c *core) updateReady() {
 	can := false
 	for i := range c.backends {
-		can = can || c.backends[i].up
+		can = can || c.backends[i].eligible
 	}
-	c.ready.Store(can && c.asked && !c.leaving && !c.aside)
+	c.ready.Store(can && c.discoveryTried && !c.shuttingDown && !c.outOfService)
 }
 
-// delist forgets a backend that is gone and lets its index be used again. Nothing may be carried over to the next
+// removeBackend forgets a backend that is gone and lets its index be used again. Nothing may be carried over to the next
 // one under it.
-func (c *core) delist(i int) {
-	for l := range c.links {
+func (c *core) removeBackend(i int) {
+	for l := range c.backendConns {
 		if l.backend == i {
-			c.retire(l)
+			c.closeConn(l)
 		}
 	}
 	zone, cell := c.backends[i].zone, c.backends[i].cell
 	c.backends[i] = backend{}
-	c.names.Drop(i)
+	c.backendIDs.Drop(i)
 	lastZone, lastCell := true, true
 	for j := range c.backends {
 		b := &c.backends[j]
@@ -143,39 +143,39 @@
 	}
 }
 
-// watchOn follows the list at an address from now on, and no longer at the one before.
-func (c *core) watchOn(addr string, version int64) {
-	if c.unwatch != nil {
-		c.unwatch()
+// startWatch follows the list at an address from now on, and no longer at the one before.
+func (c *core) startWatch(addr string, version int64) {
+	if c.cancelWatch != nil {
+		c.cancelWatch()
 	}
-	c.watches++
+	c.watchNumber++
 	var ctx context.Context
-	ctx, c.unwatch = context.WithCancel(c.background)
-	go c.follow(ctx, addr, version, c.watches)
+	ctx, c.cancelWatch = context.WithCancel(c.background)
+	go c.runWatch(ctx, addr, version, c.watchNumber)
 }
 
-// follow keeps a watch of the fleet list until ctx ends. A watch that breaks, falls silent or is taken and never answered is
+// runWatch keeps a watch of the fleet list until ctx ends. A watch that breaks, falls silent or is taken and never answered is
 // dialled again and goes on from the version that came last; config.Pace bounds what that may take, whatever came before. What discovery holds it tells at once: a door that has waited as
 // long as a connection may take serves by what it knew.
-func (c *core) follow(ctx context.Context, addr string, version int64, number int) {
-	defer time.AfterFunc(span(c.cfg.Deal.ConnectTimeout), func() { c.post(asked{}) }).Stop()
+func (c *core) runWatch(ctx context.Context, addr string, version int64, number int) {
+	defer time.AfterFunc(duration(c.cfg.Deal.ConnectTimeout), func() { c.post(discoveryAttempted{}) }).Stop()
 	well, dice := true, rand.New(rand.NewPCG(c.cfg.Seed, uint64(number)))
 	pause := c.cfg.Pace.Redial
 	for ctx.Err() == nil {
-		err := c.watch(ctx, addr, version, dice, func(l registry.List, after float64) {
+		err := c.watchOnce(ctx, addr, version, dice, func(l registry.List, after float64) {
 			version, pause = l.Version, c.cfg.Pace.Redial
-			c.post(listed{l, number, after})
+			c.post(fleetUpdate{l, number, after})
 			if !well {
 				well = true
 				c.log.Info("fleet watch is back")
 			}
-			c.post(asked{})
+			c.post(discoveryAttempted{})
 		})
 		if ctx.Err() == nil && well {
 			well = false
 			c.log.WithError(err).Warn("fleet watch ended")
 		}
-		rest(ctx, sooner(pause, redialJitter, dice))
+		sleepMs(ctx, shortened(pause, redialJitter, dice))
 		pause = min(2*pause, config.RedialGrows*c.cfg.Pace.Redial)
 	}
 }
@@ -186,9 +186,9 @@
 	silenceJitter = 0.2 // of the time that a watch may be silent; what is left is over the 2 s in which it says something
 )
 
-func sooner(ms, most float64, dice *rand.Rand) float64 { return ms * (1 - most*dice.Float64()) }
+func shortened(ms, most float64, dice *rand.Rand) float64 { return ms * (1 - most*dice.Float64()) }
 
-func rest(ctx context.Context, ms float64) { sleep(ctx, span(ms)) }
+func sleepMs(ctx context.Context, ms float64) { sleep(ctx, duration(ms)) }
 
 // sleep waits for a time, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
@@ -200,12 +200,12 @@
 	}
 }
 
-// watch follows the list over one connection.
-func (c *core) watch(ctx context.Context, addr string, version int64, dice *rand.Rand, heard func(l registry.List, after float64)) error {
-	if !c.budget.take(0) {
+// watchOnce follows the list over one connection.
+func (c *core) watchOnce(ctx context.Context, addr string, version int64, dice *rand.Rand, heard func(l registry.List, after float64)) error {
+	if !c.budget.acquire(0) {
 		return errNoSocket
 	}
-	defer c.budget.put()
+	defer c.budget.release()
 	nc, err := c.dial(ctx, addr)
 	if err != nil {
 		return err
@@ -214,7 +214,7 @@
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
 	buf := pool.Get()
 	defer pool.Put(buf)
-	patience := span(sooner(c.cfg.Pace.FirstWord, redialJitter, dice))
+	patience := duration(shortened(c.cfg.Pace.FirstWord, redialJitter, dice))
 	first := time.Now().Add(patience)
 	if _, err := sockio.Write(nc, registry.AppendWatch(buf, addr, version), first); err != nil {
 		return err
@@ -222,8 +222,8 @@
 	return c.readWatch(nc, buf[:pool.Size], first, dice, heard)
 }
 
-// listHeardAt is the clock at which a watch that tells lists last said anything, ms; 0 is never.
-func (c *core) listHeardAt() float64 { return math.Float64frombits(c.listHeard.Load()) }
+// listReceivedAt is the clock at which a watch that tells lists last said anything, ms; 0 is never.
+func (c *core) listReceivedAt() float64 { return math.Float64frombits(c.listReceived.Load()) }
 
 // readWatch reads what a watch tells; its first word comes by a time.
 func (c *core) readWatch(nc net.Conn, buf []byte, first time.Time, dice *rand.Rand, heard func(l registry.List, after float64)) error {
@@ -232,13 +232,13 @@
 	nc.SetReadDeadline(first)
 	for {
 		n, err := sockio.Read(nc, buf)
-		after := c.listHeardAt()
+		after := c.listReceivedAt()
 		done, fault := w.Feed(buf[:n], func(l registry.List) {
 			told = true
 			heard(l, after)
 		})
 		if told && n > 0 && w.Between() {
-			c.listHeard.Store(math.Float64bits(c.clock.now()))
+			c.listReceived.Store(math.Float64bits(c.clock.now()))
 		}
 		switch {
 		case fault != nil:
@@ -246,8 +246,8 @@
 		case err != nil:
 			return err
 		case done:
-			return errWatchOver
+			return errWatchEnded
 		}
-		nc.SetReadDeadline(time.Now().Add(span(sooner(c.cfg.Pace.Silence, silenceJitter, dice))))
+		nc.SetReadDeadline(time.Now().Add(duration(shortened(c.cfg.Pace.Silence, silenceJitter, dice))))
 	}
 }
--- a/frontdoor/frontdoor.go
+++ b/frontdoor/frontdoor.go
@@ -34,17 +34,17 @@
 	d.core.listen = func(context.Context, string) (net.Listener, error) { return ln, nil }
 }
 
-const listenMost = 5 * time.Second // in which a listener that can't be had for a moment is asked for again
+const listenRetryTime = 5 * time.Second // in which a listener that can't be had for a moment is asked for again
 
 // Serve listens and serves until ctx ends; then it answers all that was taken, and what still comes for a
 // while, and returns. A door serves once.
 func (d *Door) Serve(ctx context.Context) error {
 	c := d.core
-	if c.budget.short(0) {
+	if c.budget.low(0) {
 		close(c.done)
 		return &SocketsError{c.cfg.Sockets}
 	}
-	ln, err := retry.Within(ctx, listenMost, func() (net.Listener, error) { return c.listen(ctx, c.cfg.Listen) })
+	ln, err := retry.Within(ctx, listenRetryTime, func() (net.Listener, error) { return c.listen(ctx, c.cfg.Listen) })
 	if err != nil {
 		close(c.done)
 		return &ListenError{c.cfg.Listen, err}
@@ -54,12 +54,12 @@
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	c.background = background
-	listed{list: c.cfg.Known}.take(c)
+	fleetUpdate{list: c.cfg.Known}.handle(c)
 	if c.cfg.Deal.Terms.Counter {
-		c.countOn(c.cfg.Counter)
+		c.useCounter(c.cfg.Counter)
 	}
-	c.watchOn(c.cfg.Discovery, c.cfg.Known.Version)
-	go c.accept(background)
+	c.startWatch(c.cfg.Discovery, c.cfg.Known.Version)
+	go c.acceptLoop(background)
 	c.log.WithFields(logrus.Fields{fields.Door: c.cfg.Name, fields.Listen: c.cfg.Listen}).Info("serving")
 	c.run(ctx)
 	c.log.Info("left")
@@ -68,47 +68,47 @@
 
 // Reload has the door go over to another discovery and counter; all else of the configuration stays as it was. What
 // is under way goes on, and so does the fleet list until the new discovery has told its own.
-func (d *Door) Reload(cfg config.Door) { d.core.post(reloaded{cfg.Discovery, cfg.Counter}) }
+func (d *Door) Reload(cfg config.Door) { d.core.post(reloadRequest{cfg.Discovery, cfg.Counter}) }
 
 // Members tells the door which doors of its fleet are here, as far as is known. It may be called at any time, or never: no
 // request waits for it.
-func (d *Door) Members(e gate.Doors) { d.core.post(present(e)) }
+func (d *Door) Members(e gate.Doors) { d.core.post(membersUpdate(e)) }
 
-type present gate.Doors
+type membersUpdate gate.Doors
 
-func (n present) take(c *core) { c.pending = append(c.pending, gate.Doors(n)) }
+func (n membersUpdate) handle(c *core) { c.pending = append(c.pending, gate.Doors(n)) }
 
-type reloaded struct{ discovery, counter string }
+type reloadRequest struct{ discovery, counter string }
 
-func (n reloaded) take(c *core) {
+func (n reloadRequest) handle(c *core) {
 	if n.discovery != c.cfg.Discovery {
 		c.cfg.Discovery = n.discovery
-		c.watchOn(n.discovery, 0)
+		c.startWatch(n.discovery, 0)
 	}
 	if n.counter != c.cfg.Counter && c.cfg.Deal.Terms.Counter {
 		c.cfg.Counter = n.counter
-		c.countOn(n.counter)
+		c.useCounter(n.counter)
 	}
 	c.log.WithFields(logrus.Fields{fields.Discovery: n.discovery, fields.Counter: n.counter}).Info("configuration read again")
 }
 
-// accepted says that no more connections are taken.
-type accepted struct{}
+// acceptDone says that no more connections are taken.
+type acceptDone struct{}
 
-func (accepted) take(c *core) { c.accepting = false }
+func (acceptDone) handle(c *core) { c.accepting = false }
 
-// room is how many sockets there are for connections: of those allowed, by configuration and system, what the
+// availableSockets is how many sockets there are for connections: of those allowed, by configuration and system, what the
 // process does not hold already, less a margin.
-func room(sockets int) int {
+func availableSockets(sockets int) int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil {
 		sockets = int(min(uint64(sockets), limit.Cur))
 	}
-	return sockets - held() - margin
+	return sockets - openDescriptors() - reservedDescriptors
 }
 
-// held counts the descriptors that the process holds already.
-func held() int {
+// openDescriptors counts the descriptors that the process holds already.
+func openDescriptors() int {
 	files, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return 3 // the standard ones
--- a/frontdoor/guard.go
+++ b/frontdoor/guard.go
@@ -13,14 +13,14 @@
 type invariant uint8
 
 const (
-	startForNobody  invariant = iota // an attempt for a request that has its answer, or whose client has gone
-	startTooLate                     // an attempt for a request whose time, or the door's, is over
-	startAtUnlisted                  // an attempt to a backend that drains, is gone or is withheld
-	repeatUnsafe                     // a second attempt of what may have run and must not run twice
-	repeatForgotten                  // a repeat of a keyed request where its first attempt is not remembered
-	closeOwing                       // a connection closed by the door with a request on it that has no answer
-	openPastEnd                      // a request with no answer past the end of a door that was told to end
-	invariants                       // how many there are
+	startWithoutClient invariant = iota // an attempt for a request that has its answer, or whose client has gone
+	startTooLate                        // an attempt for a request whose time, or the door's, is over
+	startAtIneligible                   // an attempt to a backend that drains, is gone or is withheld
+	repeatUnsafe                        // a second attempt of what may have run and must not run twice
+	repeatPastWindow                    // a repeat of a keyed request where its first attempt is not remembered
+	closeUnanswered                     // a connection closed by the door with a request on it that has no answer
+	openPastShutdown                    // a request with no answer past the end of a door that was told to end
+	invariants                          // how many there are
 )
 
 // String names the invariant as accounts and logs do.
@@ -31,58 +31,58 @@
 // guard is the one place that every start and repeat of an attempt, every close of a connection by the door and the end of
 // every request pass. What would break an invariant is counted, logged and not done. It belongs to the owner.
 type guard struct {
-	log    logrus.FieldLogger
-	counts *tally
+	log   logrus.FieldLogger
+	tally *tally
 }
 
-// breaks counts a violation and logs it with the ids that it is about.
-func (g *guard) breaks(which invariant, about logrus.Fields) {
-	g.counts.broken[which]++
+// violation counts a violation and logs it with the ids that it is about.
+func (g *guard) violation(which invariant, about logrus.Fields) {
+	g.tally.violations[which]++
 	g.log.WithFields(about).WithField(fields.Invariant, which.String()).Error("an invariant would have been broken")
 }
 
 // mayStart tells whether an attempt may start now.
 func (c *core) mayStart(o *request, backend int) bool {
-	which, broken := c.startBreaks(o, &c.backends[backend])
+	which, broken := c.startViolation(o, &c.backends[backend])
 	if !broken {
-		which, broken = c.repeatBreaks(o, &c.backends[backend])
+		which, broken = c.repeatViolation(o, &c.backends[backend])
 	}
 	if broken {
-		c.guard.breaks(which, logrus.Fields{fields.Request: o.msg.ID, fields.Attempt: len(o.attempts), fields.Backend: c.backends[backend].id,
-			fields.LeftMs: o.until - c.now})
+		c.guard.violation(which, logrus.Fields{fields.Request: o.msg.ID, fields.Attempt: len(o.attempts), fields.Backend: c.backends[backend].id,
+			fields.LeftMs: o.deadline - c.now})
 	}
 	return !broken
 }
 
-func (c *core) startBreaks(o *request, b *backend) (invariant, bool) {
+func (c *core) startViolation(o *request, b *backend) (invariant, bool) {
 	switch {
-	case o.over:
-		return startForNobody, true
-	case c.now >= o.until:
+	case o.done:
+		return startWithoutClient, true
+	case c.now >= o.deadline:
 		return startTooLate, true
-	case !b.up:
-		return startAtUnlisted, true
+	case !b.eligible:
+		return startAtIneligible, true
 	}
 	return 0, false
 }
 
-// repeatBreaks tells whether an attempt would repeat what must not be repeated there.
-func (c *core) repeatBreaks(o *request, b *backend) (invariant, bool) {
+// repeatViolation tells whether an attempt would repeat what must not be repeated there.
+func (c *core) repeatViolation(o *request, b *backend) (invariant, bool) {
 	class := &c.cfg.Deal.Terms.Classes[o.class]
 	for _, before := range o.attempts {
 		switch {
-		case before.ended && before.how.result().NeverRan(), class.Semantics == gate.Idempotent:
+		case before.ended && before.outcome.result().NeverRan(), class.Semantics == gate.Idempotent:
 		case class.Semantics == gate.NonIdempotent:
 			return repeatUnsafe, true
-		case c.now >= before.at+class.Window, !c.sameGroup(class.Scope, b, &c.backends[before.backend]):
-			return repeatForgotten, true
+		case c.now >= before.startedAt+class.Window, !c.sameDedupGroup(class.Scope, b, &c.backends[before.backend]):
+			return repeatPastWindow, true
 		}
 	}
 	return 0, false
 }
 
-// sameGroup tells whether two backends discard each other's repeats.
-func (c *core) sameGroup(scope gate.Scope, a, b *backend) bool {
+// sameDedupGroup tells whether two backends discard each other's repeats.
+func (c *core) sameDedupGroup(scope gate.Scope, a, b *backend) bool {
 	switch scope {
 	case gate.ScopeZone:
 		return a.zone == b.zone
@@ -93,18 +93,18 @@
 }
 
 // checkClose looks at a connection that has ended: the door may have ended it only with nothing owed on it.
-func (c *core) checkClose(cl *client, why closing) {
-	if cl.op >= 0 && why != closedByClient && why != closedUnwritten {
-		c.guard.breaks(closeOwing, logrus.Fields{fields.Connection: cl.id, fields.Request: c.ops[cl.op].msg.ID, fields.Why: why.String()})
+func (c *core) checkClose(cl *client, why closeReason) {
+	if cl.op >= 0 && why != closedByClient && why != closedWriteFailed {
+		c.guard.violation(closeUnanswered, logrus.Fields{fields.Connection: cl.id, fields.Request: c.requests[cl.op].msg.ID, fields.Why: why.String()})
 	}
 }
 
-// endAll gives every request that is still open its answer, past the end by which the decisions were to.
-func (c *core) endAll() {
-	for op := range c.ops {
-		if o := &c.ops[op]; o.msg != nil && !o.over {
-			c.guard.breaks(openPastEnd, logrus.Fields{fields.Request: o.msg.ID, fields.LeftMs: o.until - c.now})
-			c.answer(op, http.StatusBadGateway, 0, nil, openPastEnd.String())
+// failOpenRequests gives every request that is still open its answer, past the end by which the decisions were to.
+func (c *core) failOpenRequests() {
+	for op := range c.requests {
+		if o := &c.requests[op]; o.msg != nil && !o.done {
+			c.guard.violation(openPastShutdown, logrus.Fields{fields.Request: o.msg.ID, fields.LeftMs: o.deadline - c.now})
+			c.answer(op, http.StatusBadGateway, 0, nil, openPastShutdown.String())
 		}
 	}
 }
--- a/frontdoor/guard_test.go
+++ b/frontdoor/guard_test.go
@@ -20,42 +20,42 @@
 // What decisions with a fault ask for is counted, and not done.
 func TestTheGuardCountsAndRefusesWhatWouldBreakAnInvariant(t *testing.T) {
 	const semantics = 1 // class that a case sets
-	ran := func(c *core, how end) {
-		c.ops[0].attempts = append(c.ops[0].attempts, &attempt{at: c.now, ended: true, how: how})
+	ran := func(c *core, how outcome) {
+		c.requests[0].attempts = append(c.requests[0].attempts, &attempt{startedAt: c.now, ended: true, outcome: how})
 	}
 	for name, k := range map[string]struct {
 		which invariant
 		plant func(*core)
 	}{
-		"the client has gone": {startForNobody, func(c *core) { c.ops[0].over = true }},
-		"its time is over":    {startTooLate, func(c *core) { c.ops[0].until = c.now }},
-		"the backend drains":  {startAtUnlisted, func(c *core) { c.backends[0].up = false }},
+		"the client has gone": {startWithoutClient, func(c *core) { c.requests[0].done = true }},
+		"its time is over":    {startTooLate, func(c *core) { c.requests[0].deadline = c.now }},
+		"the backend drains":  {startAtIneligible, func(c *core) { c.backends[0].eligible = false }},
 		"unsafe, may have run": {repeatUnsafe, func(c *core) {
 			c.cfg.Deal.Terms.Classes[semantics] = gate.Class{Semantics: gate.NonIdempotent}
-			ran(c, endCut)
+			ran(c, outcomeBroken)
 		}},
-		"keyed, past its window": {repeatForgotten, func(c *core) {
+		"keyed, past its window": {repeatPastWindow, func(c *core) {
 			c.cfg.Deal.Terms.Classes[semantics] = gate.Class{Semantics: gate.Keyed, Window: 0}
-			ran(c, endLate)
+			ran(c, outcomeTimeout)
 		}},
-		"keyed, in another zone": {repeatForgotten, func(c *core) {
+		"keyed, in another zone": {repeatPastWindow, func(c *core) {
 			c.cfg.Deal.Terms.Classes[semantics] = gate.Class{Semantics: gate.Keyed, Window: 1e3, Scope: gate.ScopeZone}
-			ran(c, endLate)
+			ran(c, outcomeTimeout)
 			c.backends = append(c.backends, backend{zone: 7})
-			c.ops[0].attempts[0].backend = 1
+			c.requests[0].attempts[0].backend = 1
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, _ := owned(t)
 			c.cfg.Deal.Terms.Classes = append([]gate.Class{}, c.cfg.Deal.Terms.Classes...)
-			c.ops[0].class = semantics
+			c.requests[0].class = semantics
 			k.plant(c)
 			c.pending = nil
 			c.send(gate.Send{})
-			assert.Equal(t, 1, c.tally.broken[k.which])
+			assert.Equal(t, 1, c.tally.violations[k.which])
 			require.Len(t, c.pending, 1)
 			assert.Equal(t, gate.Skipped, c.pending[0].(gate.Ended).Result)
-			assert.Empty(t, c.links, "nothing is dialled")
+			assert.Empty(t, c.backendConns, "nothing is dialled")
 		})
 	}
 }
@@ -65,20 +65,20 @@
 		"a first attempt": func(*core) {},
 		"unsafe, never ran": func(c *core) {
 			c.cfg.Deal.Terms.Classes[1] = gate.Class{Semantics: gate.NonIdempotent}
-			c.ops[0].attempts = append(c.ops[0].attempts, &attempt{ended: true, how: endTurnedAway})
+			c.requests[0].attempts = append(c.requests[0].attempts, &attempt{ended: true, outcome: outcomeTurnedAway})
 		},
 		"keyed, within its window": func(c *core) {
 			c.cfg.Deal.Terms.Classes[1] = gate.Class{Semantics: gate.Keyed, Window: 1e3}
-			c.ops[0].attempts = append(c.ops[0].attempts, &attempt{at: c.now, ended: true, how: endCut})
+			c.requests[0].attempts = append(c.requests[0].attempts, &attempt{startedAt: c.now, ended: true, outcome: outcomeBroken})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, _ := owned(t)
 			c.cfg.Deal.Terms.Classes = append([]gate.Class{}, c.cfg.Deal.Terms.Classes...)
-			c.ops[0].class = 1
+			c.requests[0].class = 1
 			plant(c)
 			linked(t, c)
-			assert.Equal(t, [invariants]int{}, c.tally.broken)
+			assert.Equal(t, [invariants]int{}, c.tally.violations)
 		})
 	}
 }
@@ -86,17 +86,17 @@
 func TestARequestPastTheDoorsEndIsAnsweredAndCounted(t *testing.T) {
 	c, client := owned(t)
 	c.shutdown.Store(&lifecycle.Shutdown{AnswerBy: c.now - 1e3, KillAt: c.now + 1e3})
-	c.leaving = true
+	c.shuttingDown = true
 	c.sweep()
 	assert.Equal(t, http.StatusBadGateway, heard(t, client).Status)
-	assert.Equal(t, 1, c.tally.broken[openPastEnd])
+	assert.Equal(t, 1, c.tally.violations[openPastShutdown])
 }
 
 func TestAConnectionThatTheDoorClosesWithARequestOnItIsCounted(t *testing.T) {
-	for why, counted := range map[closing]int{closedIdle: 1, closedCrowded: 1, closedShutdown: 1, closedByClient: 0, closedUnwritten: 0} {
+	for why, counted := range map[closeReason]int{closedIdle: 1, closedForSocket: 1, closedShutdown: 1, closedByClient: 0, closedWriteFailed: 0} {
 		c, _ := owned(t)
-		left{c.ops[0].client, why}.take(c)
-		assert.Equal(t, counted, c.tally.broken[closeOwing], why)
+		clientClosed{c.requests[0].client, why}.handle(c)
+		assert.Equal(t, counted, c.tally.violations[closeUnanswered], why)
 	}
 }
 
@@ -121,7 +121,7 @@
 			require.NoError(t, err)
 			defer near.Close()
 			cl := newClient(c, near) // nobody reads it
-			c.ops[0].client, cl.op = cl, 0
+			c.requests[0].client, cl.op = cl, 0
 			_, err = io.WriteString(far, behind)
 			require.NoError(t, err)
 			require.NoError(t, far.Close())
@@ -132,8 +132,8 @@
 			backend.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 			n, _ := backend.Read(make([]byte, 1))
 			assert.Zero(t, n)
-			left{cl, closedByClient}.take(c)
-			assert.Equal(t, dropped, f.stage.Load())
+			clientClosed{cl, closedByClient}.handle(c)
+			assert.Equal(t, stageDropped, f.stage.Load())
 			assert.Equal(t, gate.Skipped, c.pending[len(c.pending)-1].(gate.Ended).Result)
 		})
 	}
--- a/frontdoor/network.go
+++ b/frontdoor/network.go
@@ -34,8 +34,8 @@
 	return (&net.ListenConfig{KeepAlive: -1}).Listen(ctx, "tcp", addr)
 }
 
-// halting is a listener whose waiting can be ended, as TCP's can.
-type halting interface {
+// deadlineListener is a listener whose waiting can be ended, as TCP's can.
+type deadlineListener interface {
 	net.Listener
 	SetDeadline(time.Time) error
 }
--- a/frontdoor/plan.go
+++ b/frontdoor/plan.go
@@ -12,53 +12,53 @@
 // Withhold has the door send nothing new to the backends named, in place of those named before; to the decisions they drain.
 // done is called once the decisions have been told, and must not block. No request waits for it.
 func (d *Door) Withhold(names []string, done func()) {
-	w := withheld{map[string]bool{}, done}
+	w := withholdRequest{map[string]bool{}, done}
 	for _, n := range names {
 		w.names[n] = true
 	}
 	d.core.post(w)
 }
 
-type withheld struct {
+type withholdRequest struct {
 	names map[string]bool
 	done  func()
 }
 
-func (n withheld) take(c *core) {
+func (n withholdRequest) handle(c *core) {
 	before := c.withheld
 	c.withheld = n.names
 	if !maps.Equal(before, n.names) {
 		ev := gate.Fleet{}
 		for i := range c.backends {
 			if b := &c.backends[i]; b.listed && before[b.id] != n.names[b.id] {
-				ev.Entries = append(ev.Entries, c.entry(i))
+				ev.Entries = append(ev.Entries, c.gateEntry(i))
 			}
 		}
 		if len(ev.Entries) > 0 {
-			c.news(ev)
+			c.fleetChanged(ev)
 		}
 	}
-	c.told = append(c.told, n.done)
+	c.afterDecide = append(c.afterDecide, n.done)
 }
 
 // Aside takes the door out by plan, or brings it back. Out, it isn't ready, each answer is its connection's last, and what
 // still comes is served. It goes out only until a time: a process that was stopped on the way to the step doesn't take it.
 // done hears at the step whether it was taken, and must not block.
 func (d *Door) Aside(out bool, until time.Time, done func(taken bool)) {
-	d.core.post(aside{out, until, done})
+	d.core.post(serviceRequest{out, until, done})
 }
 
-type aside struct {
+type serviceRequest struct {
 	out   bool
 	until time.Time
 	done  func(bool)
 }
 
-func (n aside) take(c *core) {
-	taken := !c.leaving && (!n.out || time.Now().Before(n.until))
+func (n serviceRequest) handle(c *core) {
+	taken := !c.shuttingDown && (!n.out || time.Now().Before(n.until))
 	if taken {
-		c.aside, c.sweepAt = n.out, 0
-		c.setReady()
+		c.outOfService, c.sweepAt = n.out, 0
+		c.updateReady()
 	}
 	n.done(taken)
 }
@@ -88,7 +88,7 @@
 // Tell tells the door's list of backends and what it has done; nothing where the door has left.
 func (d *Door) Tell() Told {
 	got := make(chan Told, 1)
-	d.core.post(asking(got))
+	d.core.post(snapshotRequest(got))
 	select {
 	case t := <-got:
 		return t
@@ -97,14 +97,14 @@
 	}
 }
 
-type asking chan<- Told
+type snapshotRequest chan<- Told
 
-func (n asking) take(c *core) {
-	t := Told{Backends: []Listed{}, Counts: c.total}
+func (n snapshotRequest) handle(c *core) {
+	t := Told{Backends: []Listed{}, Counts: c.totals}
 	now := c.clock.now()
 	for i := range c.backends {
 		if b := &c.backends[i]; b.listed {
-			t.Backends = append(t.Backends, Listed{b.id, c.zones.ID(b.zone), b.size, b.status == gate.Up, now-b.since >= c.cfg.Deal.Terms.ColdFor, float64(b.process), b.counts})
+			t.Backends = append(t.Backends, Listed{b.id, c.zones.ID(b.zone), b.size, b.status == gate.Up, now-b.startedAt >= c.cfg.Deal.Terms.ColdFor, float64(b.processStart), b.counts})
 		}
 	}
 	n <- t
--- a/frontdoor/serve_test.go
+++ b/frontdoor/serve_test.go
@@ -158,13 +158,13 @@
 	c, _ := owned(t)
 	cl := newClient(c, dialled(t, loopbacktest.Serve(t, keep)))
 	r := bringing("GET /health/live HTTP/1.1\r\n")
-	r.owed = true
+	r.answerPending = true
 	assert.True(t, cl.step(r))
-	assert.True(t, cl.ahead.Load(), "whoever answers is to wake the reader")
-	assert.False(t, r.in.Begun(), "a client that sends ahead holds one body, not two")
-	cl.wrote <- struct{}{}
+	assert.True(t, cl.holdsInput.Load(), "whoever answers is to wake the reader")
+	assert.False(t, r.parser.Begun(), "a client that sends ahead holds one body, not two")
+	cl.answerDone <- struct{}{}
 	assert.True(t, cl.step(r))
-	assert.True(t, r.in.Begun())
+	assert.True(t, r.parser.Begun())
 }
 
 func TestASlowRequestIsGivenUp(t *testing.T) {
@@ -179,7 +179,7 @@
 	nc := dialled(t, loopbacktest.Serve(t, func(nc net.Conn) {
 		<-come
 		cl := newClient(c, nc)
-		cl.close(closedIdle)
+		cl.requestClose(closedIdle)
 		cl.run()
 	}))
 	_, err := io.WriteString(nc, "GET /health/live HTTP/1.1\r\nHost: d\r\n\r\n")
@@ -231,7 +231,7 @@
 	c, _ := owned(t)
 	asks := make(chan string, 9)
 	c.cfg.Discovery = loopbacktest.Serve(t, registryOf("127.0.0.1:1", asks, func(nc net.Conn) { nc.Close() }))
-	go c.follow(t.Context(), c.cfg.Discovery, 0, 0)
+	go c.runWatch(t.Context(), c.cfg.Discovery, 0, 0)
 	assert.Equal(t, "/registry/instances?stream=1", <-asks)
 	assert.Equal(t, "/registry/instances?stream=1&index=41", <-asks)
 }
@@ -241,7 +241,7 @@
 	c.cfg.Pace.Silence = 20
 	asks := make(chan string, 9)
 	c.cfg.Discovery = loopbacktest.Serve(t, registryOf("127.0.0.1:1", asks, keep))
-	go c.follow(t.Context(), c.cfg.Discovery, 0, 0)
+	go c.runWatch(t.Context(), c.cfg.Discovery, 0, 0)
 	<-asks
 	assert.Equal(t, "/registry/instances?stream=1&index=41", <-asks)
 }
@@ -254,14 +254,14 @@
 		io.WriteString(nc, "$3\r\n2.5\r\n")
 	})
 	conn := newCounterConn(c, c.cfg.Counter)
-	c.counters = []*counterConn{conn}
+	c.counterConns = []*counterConn{conn}
 	go conn.run(t.Context())
 	for range 2 {
 		c.now = c.clock.now()
-		c.count(gate.Count{Add: 2.5, Keep: 1000})
-		n := (<-c.notes).(called)
-		assert.Equal(t, called{n.k, endWell, 2.5}, n)
-		for conn.up() != nil {
+		c.callCounter(gate.Count{Add: 2.5, Keep: 1000})
+		n := (<-c.events).(callEnded)
+		assert.Equal(t, callEnded{n.call, outcomeOK, 2.5}, n)
+		for conn.current() != nil {
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/frontdoor/tally.go
+++ b/frontdoor/tally.go
@@ -16,14 +16,14 @@
 // tally counts what a door did since its last account, so that the logs of a whole fleet can be added up; the log
 // still never tells single requests.
 type tally struct {
-	at               float64 // clock of the next account, ms; 0 before the first
+	nextAt           float64 // clock of the next account, ms; 0 before the first
 	arrived, sent    int
 	rejected, failed [gate.Causes]int
-	differs          [gate.Differences]int
+	differences      [gate.Differences]int
 	retried          int
-	ended            [endKinds]int
-	closed           [closings]int
-	broken           [invariants]int
+	ended            [outcomes]int
+	closed           [closeReasons]int
+	violations       [invariants]int
 }
 
 // fields is the account as log fields: counts that are 0 are left out.
@@ -38,7 +38,7 @@
 		}
 	}
 	for kind := range gate.Differences {
-		if n := t.differs[kind]; n > 0 {
+		if n := t.differences[kind]; n > 0 {
 			f[fields.Differs+kind.String()] = n
 		}
 	}
@@ -47,15 +47,15 @@
 	}
 	for how, n := range t.ended {
 		if n > 0 {
-			f[fields.Ended+end(how).String()] = n
+			f[fields.Ended+outcome(how).String()] = n
 		}
 	}
 	for why, n := range t.closed {
 		if n > 0 {
-			f[fields.Closed+closing(why).String()] = n
+			f[fields.Closed+closeReason(why).String()] = n
 		}
 	}
-	for which, n := range t.broken {
+	for which, n := range t.violations {
 		if n > 0 {
 			f[fields.Violated+invariant(which).String()] = n
 		}
@@ -63,25 +63,25 @@
 	return f
 }
 
-// due writes the account when its time has come and begins the next one.
-func (t *tally) due(now float64, log logrus.FieldLogger) {
-	if t.at == 0 {
-		t.at = now + AccountEvery
+// writeIfDue writes the account when its time has come and begins the next one.
+func (t *tally) writeIfDue(now float64, log logrus.FieldLogger) {
+	if t.nextAt == 0 {
+		t.nextAt = now + AccountEvery
 	}
-	if now >= t.at {
+	if now >= t.nextAt {
 		t.write(log)
-		*t = tally{at: now + AccountEvery}
+		*t = tally{nextAt: now + AccountEvery}
 	}
 }
 
 // write writes the account, if there is anything to tell.
 func (t *tally) write(log logrus.FieldLogger) {
-	if f := t.fields(); len(f) > leastFields || t.arrived > 0 || t.sent > 0 {
+	if f := t.fields(); len(f) > fixedFields || t.arrived > 0 || t.sent > 0 {
 		log.WithFields(f).Info("account")
 	}
 }
 
-const leastFields = 2 // that every account has
+const fixedFields = 2 // that every account has
 
 // Counts are what a door has done since it began; they only grow.
 type Counts struct {
@@ -89,8 +89,8 @@
 	LatencyMs                                   float64 // of all finished, from their first byte, added up
 }
 
-// answered counts one final answer.
-func (n *Counts) answered(status int, latency, contract float64) {
+// addAnswer counts one final answer.
+func (n *Counts) addAnswer(status int, latency, contract float64) {
 	switch status {
 	case http.StatusOK:
 		n.Finished++
@@ -105,8 +105,8 @@
 	}
 }
 
-// transmitted counts one attempt to a backend. What was never sent, or was given up for another, tells nothing of it.
-func (n *Counts) transmitted(how gate.Result, latency float64) {
+// addAttempt counts one attempt to a backend. What was never sent, or was given up for another, tells nothing of it.
+func (n *Counts) addAttempt(how gate.Result, latency float64) {
 	switch how {
 	case gate.Skipped, gate.Cancelled:
 		return
--- a/frontdoor/tally_test.go
+++ b/frontdoor/tally_test.go
@@ -13,12 +13,12 @@
 
 func TestTallyWritesItsAccountWhenDueAndBeginsAnew(t *testing.T) {
 	log, hook := test.NewNullLogger()
-	tl := tally{at: 5e3, arrived: 7, sent: 5}
+	tl := tally{nextAt: 5e3, arrived: 7, sent: 5}
 	tl.rejected[gate.OverPart] = 2
 
-	tl.due(5e3, log)
+	tl.writeIfDue(5e3, log)
 
 	require.Len(t, hook.AllEntries(), 1)
 	assert.Equal(t, logrus.Fields{"arrived": 7, "sent": 5, "rejected_over_part": 2}, hook.LastEntry().Data)
-	assert.Equal(t, tally{at: 10e3}, tl)
+	assert.Equal(t, tally{nextAt: 10e3}, tl)
 }
--- a/frontdoor/terms_test.go
+++ b/frontdoor/terms_test.go
@@ -396,7 +396,7 @@
 	}
 	down.Store(true)
 	(await(t, watches, "the watch")).Close()
-	for i := 0; !g.door.core.budget.short(g.door.core.budget.kept); i++ {
+	for i := 0; !g.door.core.budget.low(g.door.core.budget.clientReserve); i++ {
 		require.Less(t, i, sockets)
 		status, _ := say(t, dialled(t, g.addr), "GET /health/live HTTP/1.1\r\nHost: d\r\n\r\n")
 		require.Equal(t, http.StatusOK, status)
--- a/frontdoor/trace_test.go
+++ b/frontdoor/trace_test.go
@@ -28,15 +28,15 @@
 		}
 		assert.Equal(t, told, bytes.Contains(out.Bytes(), []byte("request=a1")))
 		assert.Contains(t, out.String(), fields.Closed, "the last account tells why connections ended")
-		assert.Contains(t, out.String(), fields.Ended+endWell.String())
+		assert.Contains(t, out.String(), fields.Ended+outcomeOK.String())
 	}
 }
 
 func TestEveryReasonAndEndHasItsName(t *testing.T) {
-	for w := range closings {
+	for w := range closeReasons {
 		assert.NotEmpty(t, w.String())
 	}
-	for e := range endKinds {
+	for e := range outcomes {
 		assert.NotEmpty(t, e.String())
 	}
 }
