--- a/frontdoor/accept.go
+++ b/frontdoor/accept.go
@@ -12,27 +12,28 @@
 )
 
 const (
-	immediateAcceptRetries = 4                     // tries in a row after one that failed, before the first pause
-	minAcceptBackoff       = time.Millisecond      // before another try after those; it doubles
-	maxAcceptBackoff       = 20 * time.Millisecond // up to this: clients have begun to wait
-	socketPollInterval     = 10 * time.Millisecond // between looks for a socket while the door ends
-	queuePollTimeout       = 5 * time.Millisecond  // for which a look at the listener's queue waits, while the door ends
-	minBlockedAccept       = time.Millisecond      // an accept that takes longer has found the queue empty
-	acceptLogInterval      = time.Second           // between log lines of tries that failed
+	immediateAcceptRetries = 4                     // consecutive failures that are retried without a pause
+	minAcceptBackoff       = time.Millisecond      // first pause after those; it doubles with each failure
+	maxAcceptBackoff       = 20 * time.Millisecond // limit of the pause: clients are waiting by then
+	socketPollInterval     = 10 * time.Millisecond // between checks for a free socket during shutdown
+	queuePollTimeout       = 5 * time.Millisecond  // how long an accept waits for the listener's queue during shutdown
+	minBlockedAccept       = time.Millisecond      // an accept that takes longer than this has found the queue empty
+	acceptLogInterval      = time.Second           // between log lines for failed accepts
 )
 
-// acceptor takes client connections in, for as long as they may come.
+// acceptor accepts client connections until the listener is closed.
 type acceptor struct {
 	c            *core
-	failures     int           // that have failed in a row
-	backoff      time.Duration // before the next try, once more than a few have failed
+	failures     int           // consecutive failed accepts
+	backoff      time.Duration // next pause, once immediateAcceptRetries are used up
 	lastLogged   time.Time     // when a failure was last logged
-	unlogged     int           // tries that failed since
+	unlogged     int           // failures since lastLogged
 	queueEmptyAt time.Time     // when the listener's queue was last known to be empty
 }
 
-// acceptLoop takes connections in until the listener is closed. The system has accepted what stands in the listener's queue: its
-// clients may have written whole requests, and closing the listener resets them, so the queue is emptied before.
+// acceptLoop accepts connections until the listener is closed. The kernel has already completed the handshake of connections in
+// the listener's queue: their clients may have written whole requests, and closing the listener resets them. The queue is
+// therefore emptied before the listener is closed.
 func (c *core) acceptLoop(ctx context.Context) {
 	a := &acceptor{c: c, backoff: minAcceptBackoff, queueEmptyAt: time.Now()}
 	defer c.post(acceptDone{})
@@ -54,7 +55,8 @@
 	}
 }
 
-// acquireSocket waits until there is a acquireSocket for one more client. A quarter of them is kept for what clients come for.
+// acquireSocket waits until the budget has a socket for one more client and reports whether it got one. The client reserve is
+// left untouched: it serves the requests that clients send.
 func (a *acceptor) acquireSocket(ctx context.Context) bool {
 	c := a.c
 	for !c.budget.acquire(c.budget.clientReserve) {
@@ -74,36 +76,36 @@
 	return true
 }
 
-// acceptOne accepts one connection. While the door ends it only looks at the queue, and fails with os.ErrDeadlineExceeded where
-// that is empty. A look that was held up before it came to the queue is no look.
+// acceptOne accepts one connection. During shutdown it only polls the queue, and fails with os.ErrDeadlineExceeded if the queue
+// is empty. A poll that took too long may have reached its deadline before it checked the queue, and is repeated.
 func (a *acceptor) acceptOne() (net.Conn, error) {
-	wait, halts := a.c.listener.(deadlineListener)
+	ln, hasDeadline := a.c.listener.(deadlineListener)
 	for {
 		ending := !a.c.shutdown.Load().Accepting(a.c.clock.now())
-		if !ending || !halts {
-			began := time.Now()
+		if !ending || !hasDeadline {
+			start := time.Now()
 			nc, err := a.c.listener.Accept()
-			if time.Since(began) > minBlockedAccept {
+			if time.Since(start) > minBlockedAccept {
 				a.queueEmptyAt = time.Now()
 			}
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				continue // the owner has the listener close
+				continue // the event loop has set a deadline to interrupt this accept for shutdown
 			}
 			return nc, err
 		}
-		began := time.Now()
-		_ = wait.SetDeadline(began.Add(queuePollTimeout))
-		nc, err := wait.Accept()
-		heldUp := time.Since(began) > 2*queuePollTimeout
-		if errors.Is(err, os.ErrDeadlineExceeded) && heldUp && a.c.shutdown.Load().Answering(a.c.clock.now()) {
+		start := time.Now()
+		_ = ln.SetDeadline(start.Add(queuePollTimeout))
+		nc, err := ln.Accept()
+		delayed := time.Since(start) > 2*queuePollTimeout
+		if errors.Is(err, os.ErrDeadlineExceeded) && delayed && a.c.shutdown.Load().Answering(a.c.clock.now()) {
 			continue
 		}
 		return nc, err
 	}
 }
 
-// waitRetry tells whether to accept on after a failure, and rests before. Other failures than the listener's end pass: the
-// system is short of something, or hands on what has befallen a connection in its queue.
+// waitRetry pauses after a failed accept as needed and reports whether to accept again. Only the listener's end is final; other
+// failures are temporary: the system is short of a resource, or reports an error of a connection in the queue.
 func (a *acceptor) waitRetry(ctx context.Context, err error) bool {
 	c := a.c
 	if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -123,7 +125,7 @@
 	return ctx.Err() == nil
 }
 
-// pollInterval is the longest rest between looks for a socket.
+// pollInterval returns the longest pause between checks for a free socket.
 func (a *acceptor) pollInterval() time.Duration {
 	if a.c.shutdown.Load() != nil {
 		return socketPollInterval
@@ -131,6 +133,7 @@
 	return duration(a.c.cfg.Pace.Redial)
 }
 
+// log logs a failed accept, at most once per acceptLogInterval, with the number of failures since the last line.
 func (a *acceptor) log(err error) {
 	if a.unlogged++; time.Since(a.lastLogged) < acceptLogInterval {
 		return
--- a/frontdoor/backend.go
+++ b/frontdoor/backend.go
@@ -16,82 +16,85 @@
 	"github.com/swifthall/swifthall/internal/sockio"
 )
 
-// attempt is one attempt on its way.
+// attempt is one attempt of a request at a backend.
 type attempt struct {
 	op, number, backend int
-	startedAt, deadline float64 // clock of its start and of the end of its time, ms
-	startBy             float64 // clock after which it must not begin, ms; 0 is none
+	startedAt, deadline float64 // clock, ms
+	startBy             float64 // clock after which it must not begin to be written, ms; 0 is none
 	conn                *backendConn
 	client              *client
 	stage               atomic.Int32
 	ended               bool
-	outcome             outcome // where it has ended
+	outcome             outcome // valid once ended
 }
 
-const maxRemainingAge = 50 * time.Millisecond // for which the time that a backend is told may go on being written
+// maxRemainingAge is how long writing an attempt may take before its header with the remaining time must be computed anew.
+const maxRemainingAge = 50 * time.Millisecond
 
-// tooLate tells whether an attempt must not begin any more.
-func (f *attempt) tooLate(now float64) bool {
-	return now >= f.deadline || f.startBy > 0 && now > f.startBy
+// tooLate reports whether an attempt must not begin to be written any more.
+func (att *attempt) tooLate(now float64) bool {
+	return now >= att.deadline || att.startBy > 0 && now > att.startBy
 }
 
-// Stages of an attempt. Who brings it out of waiting, its writer or the owner that gives it up, has it.
+// Stages of an attempt. The writing goroutine and the event loop, when it cancels the attempt, compete to change it from
+// stageWaiting; whichever succeeds owns the attempt.
 const (
 	stageWaiting int32 = iota
 	stageWriting       // its last byte may have been written
-	stageBroken        // was cut off before its last byte was written
-	stageDropped       // will not be written
+	stageBroken        // its connection broke before its last byte was written
+	stageDropped       // it will not be written
 )
 
-// claimUnsent claims an attempt that has not begun, or tells that one never left whole.
-func (f *attempt) claimUnsent() bool {
-	return f.stage.CompareAndSwap(stageWaiting, stageDropped) || f.stage.Load() != stageWriting
+// claimUnsent drops an attempt that has not begun to be written, and reports whether the backend cannot have received it whole.
+func (att *attempt) claimUnsent() bool {
+	return att.stage.CompareAndSwap(stageWaiting, stageDropped) || att.stage.Load() != stageWriting
 }
 
-// expire ends an attempt whose time has run out.
-func (f *attempt) expire(c *core) {
-	if !f.ended {
-		c.abandon(f, outcomeTimeoutUnsent, outcomeTimeout)
+// expire abandons an attempt that has timed out.
+func (att *attempt) expire(c *core) {
+	if !att.ended {
+		c.abandon(att, outcomeTimeoutUnsent, outcomeTimeout)
 	}
 }
 
-// backendConn is one connection to a backend. Its goroutine dials and reads.
+// backendConn is one connection to a backend. Its goroutine dials and reads; each attempt but the first is written by a goroutine
+// of its own.
 type backendConn struct {
 	c               *core
 	backend         int
 	addr            string
-	processStart    wallTime           // start of the process that it leads to, as listed
+	processStart    wallTime           // start of the backend process it is connected to, as listed
 	cancel          context.CancelFunc // ends the dial
 	writeInProgress atomic.Bool        // an attempt is being written
 
 	mu            sync.Mutex
 	nc            net.Conn
-	raw           syscall.RawConn // of nc, where it has one
-	dead          bool
-	answerPending bool // an answer is awaited
-
-	// The owner's.
-	attempt     *attempt
-	idleSince   float64
-	hasAnswered bool // has brought an answer
+	raw           syscall.RawConn // of nc, if it has one
+	dead          bool            // no more attempts may begin
+	answerPending bool
+
+	// Used by the event loop only.
+	attempt     *attempt // in progress; nil if idle
+	idleSince   float64  // clock, ms
+	hasAnswered bool     // has carried an answer
 	closed      bool
 }
 
-// begin has the connection begin an attempt from here on, unless something has come or it has ended since the
-// answer before: what is left over must not be taken for the next answer.
-func (l *backendConn) begin(f *attempt) bool {
+// begin claims an attempt for writing and marks its answer as pending. It reports false if the connection has ended, if bytes have
+// arrived since the previous answer, which must not be taken for the next one, or if the attempt has been dropped.
+func (l *backendConn) begin(att *attempt) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.dead || l.raw != nil && !sockio.Untouched(l.raw) {
 		return false
 	}
-	l.answerPending = f.stage.CompareAndSwap(stageWaiting, stageWriting)
+	l.answerPending = att.stage.CompareAndSwap(stageWaiting, stageWriting)
 	return l.answerPending
 }
 
-// receive reads what has come and tells whether an answer was owed then. The two are one step beside carry: what
-// was read before is no part of an answer to what carry lets out.
-func (l *backendConn) receive(p []byte) (n int, owed bool, err error) {
+// receive reads once and reports whether an answer was pending at that time. Reading and checking happen under the same lock as
+// begin: bytes read before begin are no part of the answer to the attempt that it starts.
+func (l *backendConn) receive(p []byte) (n int, answerPending bool, err error) {
 	if l.raw == nil {
 		n, err = sockio.Read(l.nc, p)
 		l.mu.Lock()
@@ -99,35 +102,35 @@
 		l.dead = l.dead || !l.answerPending
 		return n, l.answerPending, err
 	}
-	var fault error
+	var readErr error
 	err = l.raw.Read(func(fd uintptr) bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		n, fault = sockio.ReadFD(fd, p)
-		owed = l.answerPending
-		come := fault != syscall.EAGAIN
-		l.dead = l.dead || come && !owed // carry can no longer see what was taken here
-		return come
+		n, readErr = sockio.ReadFD(fd, p)
+		answerPending = l.answerPending
+		done := readErr != syscall.EAGAIN
+		l.dead = l.dead || done && !answerPending // begin cannot see the bytes that were read here
+		return done
 	})
 	switch {
 	case err != nil:
-		return 0, owed, err
-	case fault != nil:
-		return 0, owed, fault
+		return 0, answerPending, err
+	case readErr != nil:
+		return 0, answerPending, readErr
 	case n == 0:
-		return 0, owed, io.EOF
+		return 0, answerPending, io.EOF
 	}
-	return n, owed, nil
+	return n, answerPending, nil
 }
 
-// answerReceived marks what was owed as come.
+// answerReceived records that the pending answer has been received.
 func (l *backendConn) answerReceived() {
 	l.mu.Lock()
 	l.answerPending = false
 	l.mu.Unlock()
 }
 
-// close ends the connection, whatever it is at.
+// close ends the connection in any state, also while it is being dialled.
 func (l *backendConn) close() {
 	l.mu.Lock()
 	l.dead = true
@@ -139,7 +142,7 @@
 	}
 }
 
-// dial brings the connection up, and tells how it ended where that did not work or came too late.
+// dial establishes the connection. If that fails or comes too late, it returns the attempt's outcome.
 func (l *backendConn) dial(ctx context.Context) (up bool, how outcome) {
 	nc, err := l.c.dial(ctx, l.addr)
 	if err != nil {
@@ -158,7 +161,7 @@
 	return true, outcomeOK
 }
 
-// dialOutcome tells how a dial ended: that this machine has no socket to give is not held against the other.
+// dialOutcome returns the outcome of a failed dial. A shortage of sockets on this machine is not counted against the peer.
 func dialOutcome(err error) outcome {
 	if sockio.OwnShortage(err) {
 		return outcomeNoSocket
@@ -166,6 +169,7 @@
 	return outcomeNoConnection
 }
 
+// run dials, writes the first attempt and reads answers until the connection ends.
 func (l *backendConn) run(ctx context.Context, first *attempt, msg []byte) {
 	defer l.c.budget.release()
 	defer l.cancel()
@@ -178,65 +182,66 @@
 	l.c.post(connClosed{l, l.readAnswers()})
 }
 
-// writeAttempt sends an attempt, unless it was given up before or the connection is of no more use.
-func (l *backendConn) writeAttempt(f *attempt, msg []byte) {
+// writeAttempt writes an attempt, unless it has been dropped or the connection is no longer usable.
+func (l *backendConn) writeAttempt(att *attempt, msg []byte) {
 	defer func() { pool.Put(msg) }()
 	l.writeInProgress.Store(true)
 	defer l.writeInProgress.Store(false)
-	// A connection may have been long in coming, or the process held up: what its time has passed by would run for nobody, or at
-	// a backend that may have forgotten the request's key, and twice.
-	if f.tooLate(l.c.clock.now()) && f.stage.CompareAndSwap(stageWaiting, stageDropped) {
-		l.c.post(attemptTooLate{f})
+	// Dialling may have taken long, or the process may have been suspended. An attempt past its time would run for nobody, or run
+	// twice at a backend that may have forgotten the request's key.
+	if att.tooLate(l.c.clock.now()) && att.stage.CompareAndSwap(stageWaiting, stageDropped) {
+		l.c.post(attemptTooLate{att})
 		return
 	}
-	if f.client.peerClosed() {
-		return // its reader is about to say so, and the owner takes the attempt back
+	if att.client.peerClosed() {
+		return // the client's reader is about to report this, and the event loop then drops the attempt
 	}
-	if !l.begin(f) {
-		if f.stage.Load() == stageWaiting {
-			l.nc.Close() // the owner takes another
+	if !l.begin(att) {
+		if att.stage.Load() == stageWaiting {
+			l.nc.Close() // the event loop then launches the attempt on another connection
 		}
 		return
 	}
-	n, err := l.writeMessage(f, &msg)
+	n, err := l.writeMessage(att, &msg)
 	if err != nil {
 		if n < len(msg) {
-			f.stage.Store(stageBroken)
+			att.stage.Store(stageBroken)
 		}
 		l.nc.Close()
 	}
 }
 
-// writeMessage writes an attempt's message. The time that it tells its backend is the one left when its first byte leaves.
-func (l *backendConn) writeMessage(f *attempt, msg *[]byte) (n int, err error) {
+// writeMessage writes an attempt's message. The remaining time in its header is computed right before the first byte is written.
+func (l *backendConn) writeMessage(att *attempt, msg *[]byte) (n int, err error) {
 	for {
-		*msg = http1.SetRemaining(*msg, f.deadline-l.c.clock.now())
+		*msg = http1.SetRemaining(*msg, att.deadline-l.c.clock.now())
 		n, err = sockio.Write(l.nc, *msg, time.Now().Add(maxRemainingAge))
-		if n > 0 || !sockio.Passing(err) || f.tooLate(l.c.clock.now()) {
+		if n > 0 || !sockio.Passing(err) || att.tooLate(l.c.clock.now()) {
 			break
 		}
 	}
 	if sockio.Passing(err) {
 		var rest int
-		rest, err = sockio.Write(l.nc, (*msg)[n:], time.Now().Add(duration(f.deadline-l.c.clock.now())))
+		rest, err = sockio.Write(l.nc, (*msg)[n:], time.Now().Add(duration(att.deadline-l.c.clock.now())))
 		n += rest
 	}
 	return n, err
 }
 
-// readAnswers passes answers on until the connection ends.
+// readAnswers posts answers to the event loop until the connection ends, and returns the outcome of an attempt that is then still
+// in progress.
 func (l *backendConn) readAnswers() outcome {
 	var in http1.Answers
 	defer in.Drop()
 	buf := pool.Get()[:pool.Size]
 	defer pool.Put(buf)
 	for {
-		n, owed, err := l.receive(buf)
+		n, answerPending, err := l.receive(buf)
 		if err != nil {
 			return outcomeBroken
 		}
-		if !owed {
-			return outcomeMalformed // a second answer would be taken for the next one's
+		if !answerPending {
+			return outcomeMalformed // a second answer would be taken for the next attempt's
 		}
 		at := l.c.clock.now()
 		used, whole, err := in.Feed(buf[:n])
@@ -248,7 +253,7 @@
 		}
 		l.answerReceived()
 		a := in.Take()
-		a.Last = a.Last || used < n // what is behind an answer belongs to none
+		a.Last = a.Last || used < n // extra bytes after an answer belong to no attempt
 		last := a.Last
 		l.c.post(answerArrived{l, a, at})
 		if last {
@@ -257,7 +262,7 @@
 	}
 }
 
-// answerOutcome tells how a whole answer ends its attempt.
+// answerOutcome returns the outcome of an attempt that received a complete answer.
 func answerOutcome(a *http1.Answer) outcome {
 	switch {
 	case a.Status == http.StatusOK:
@@ -268,69 +273,70 @@
 	return outcomeError
 }
 
-// send starts an attempt, on an idle connection where there is one.
+// send starts an attempt, unless that would violate an invariant.
 func (c *core) send(a gate.Send) {
-	o := &c.requests[a.Op]
-	f := &attempt{op: a.Op, number: len(o.attempts), backend: a.Backend, startedAt: c.now, deadline: o.deadline, startBy: a.By, client: o.client}
+	req := &c.requests[a.Op]
+	att := &attempt{op: a.Op, number: len(req.attempts), backend: a.Backend, startedAt: c.now, deadline: req.deadline, startBy: a.By, client: req.client}
 	if a.Cap > 0 {
-		f.deadline = min(f.deadline, c.now+a.Cap)
+		att.deadline = min(att.deadline, c.now+a.Cap)
 	}
-	allowed := c.mayStart(o, a.Backend)
-	o.attempts = append(o.attempts, f)
-	o.outstanding++
+	allowed := c.mayStart(req, a.Backend)
+	req.attempts = append(req.attempts, att)
+	req.outstanding++
 	if !allowed {
-		c.finish(f, outcomeAbandonedUnsent, c.now, -1, -1)
+		c.finish(att, outcomeAbandonedUnsent, c.now, -1, -1)
 		return
 	}
-	if f.number > 0 {
+	if att.number > 0 {
 		c.tally.retried++
 	}
-	c.traceAttempt(f)
-	c.launch(f)
+	c.traceAttempt(att)
+	c.launch(att)
 }
 
-// takeIdle takes the connection used last that has been idle for long enough. A second answer may come some time behind the
-// first: on a connection that carries the next attempt already, it would be taken for that one's.
+// takeIdle removes and returns the most recently used connection that has been idle since before a clock, nil if there is none. The
+// pause matters as a backend may send a second answer shortly after the first: on a connection that already carries the next
+// attempt, it would be taken for that attempt's answer.
 func (b *backend) takeIdle(before float64) *backendConn {
 	for i := len(b.idle) - 1; i >= 0; i-- {
-		if l := b.idle[i]; l.idleSince <= before {
+		if conn := b.idle[i]; conn.idleSince <= before {
 			b.idle = append(b.idle[:i], b.idle[i+1:]...)
-			return l
+			return conn
 		}
 	}
 	return nil
 }
 
-// launch puts an attempt on an idle connection where there is one.
-func (c *core) launch(f *attempt) {
-	b := &c.backends[f.backend]
-	if f.conn = b.takeIdle(c.now - c.cfg.Pace.Settle); f.conn == nil {
+// launch assigns an attempt to an idle connection, or to a new one if there is none, and starts writing it.
+func (c *core) launch(att *attempt) {
+	b := &c.backends[att.backend]
+	if att.conn = b.takeIdle(c.now - c.cfg.Pace.Settle); att.conn == nil {
 		if !c.budget.acquire(c.budget.backendReserve) && !(c.evictIdle() && c.budget.acquire(c.budget.backendReserve)) {
-			c.finish(f, outcomeNoSocket, c.now, -1, -1)
+			c.finish(att, outcomeNoSocket, c.now, -1, -1)
 			return
 		}
-		f.conn = &backendConn{c: c, backend: f.backend, addr: b.addr, processStart: b.processStart}
-	}
-	l := f.conn
-	l.attempt = f
-	msg := http1.AppendAttempt(pool.Get(), c.requests[f.op].msg, l.addr, f.deadline-c.now)
-	c.timeouts.add(f.deadline, f)
-	if l.nc != nil {
-		go l.writeAttempt(f, msg)
+		att.conn = &backendConn{c: c, backend: att.backend, addr: b.addr, processStart: b.processStart}
+	}
+	conn := att.conn
+	conn.attempt = att
+	msg := http1.AppendAttempt(pool.Get(), c.requests[att.op].msg, conn.addr, att.deadline-c.now)
+	c.timeouts.add(att.deadline, att)
+	if conn.nc != nil {
+		go conn.writeAttempt(att, msg)
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	l.cancel = cancel
-	c.backendConns[l] = struct{}{}
-	go l.run(ctx, f, msg)
+	conn.cancel = cancel
+	c.backendConns[conn] = struct{}{}
+	go conn.run(ctx, att, msg)
 }
 
-// evictIdle closes the backend connection that has been idle longest, for one that is wanted now.
+// evictIdle closes the backend connection that has been idle longest, to free its socket, and reports whether there was one.
 func (c *core) evictIdle() bool {
 	var oldest *backendConn
-	for l := range c.backendConns {
-		if l.attempt == nil && (oldest == nil || l.idleSince < oldest.idleSince) {
-			oldest = l
+	for conn := range c.backendConns {
+		if conn.attempt == nil && (oldest == nil || conn.idleSince < oldest.idleSince) {
+			oldest = conn
 		}
 	}
 	if oldest == nil {
@@ -340,123 +346,126 @@
 	return true
 }
 
-// closeConn closes a connection and forgets it.
-func (c *core) closeConn(l *backendConn) {
-	idle := c.backends[l.backend].idle
+// closeConn closes a backend connection and removes it from the event loop's state.
+func (c *core) closeConn(conn *backendConn) {
+	idle := c.backends[conn.backend].idle
 	for i := range idle {
-		if idle[i] == l {
-			c.backends[l.backend].idle = append(idle[:i], idle[i+1:]...)
+		if idle[i] == conn {
+			c.backends[conn.backend].idle = append(idle[:i], idle[i+1:]...)
 			break
 		}
 	}
-	l.closed = true
-	delete(c.backendConns, l)
-	l.close()
+	conn.closed = true
+	delete(c.backendConns, conn)
+	conn.close()
 }
 
-// abandon stops waiting for an attempt, which closes its connection.
-func (c *core) abandon(f *attempt, unsent, sent outcome) {
-	if f.ended {
+// abandon ends an attempt that is no longer waited for, and closes its connection. The outcome depends on whether the attempt was
+// sent.
+func (c *core) abandon(att *attempt, unsent, sent outcome) {
+	if att.ended {
 		return
 	}
 	how := sent
-	if f.claimUnsent() {
+	if att.claimUnsent() {
 		how = unsent
 	}
-	c.closeConn(f.conn)
-	c.finish(f, how, c.now, -1, -1)
+	c.closeConn(att.conn)
+	c.finish(att, how, c.now, -1, -1)
 }
 
-// cancelUnsent keeps attempts from leaving that have not yet, of a request that is over: none may begin for a client that has
-// gone or has its answer. That needs no leave to cancel, as nothing is out.
-func (c *core) cancelUnsent(o *request) {
-	for _, f := range o.attempts {
-		if !f.ended && f.stage.CompareAndSwap(stageWaiting, stageDropped) {
-			c.closeConn(f.conn)
-			c.finish(f, outcomeAbandonedUnsent, c.now, -1, -1)
+// cancelUnsent drops the attempts of a done request that have not begun to be written: none may begin for a client that has gone or
+// has its answer. This is allowed even where the terms forbid to cancel, as nothing has been sent.
+func (c *core) cancelUnsent(req *request) {
+	for _, att := range req.attempts {
+		if !att.ended && att.stage.CompareAndSwap(stageWaiting, stageDropped) {
+			c.closeConn(att.conn)
+			c.finish(att, outcomeAbandonedUnsent, c.now, -1, -1)
 		}
 	}
 }
 
-// attemptTooLate is an attempt whose connection came too late for it to begin. The connection goes with it: it may be on its way
-// down, and another attempt takes one that is known.
+// attemptTooLate reports that an attempt's connection was established too late for it to begin. The connection is closed too: its
+// backend may be going down, and a later attempt should use a connection known to work.
 type attemptTooLate struct{ attempt *attempt }
 
-func (n attemptTooLate) handle(c *core) {
-	c.abandon(n.attempt, outcomeTimeoutUnsent, outcomeTimeoutUnsent)
+func (e attemptTooLate) handle(c *core) {
+	c.abandon(e.attempt, outcomeTimeoutUnsent, outcomeTimeoutUnsent)
 }
 
-// finish tells the decisions how an attempt ended.
-func (c *core) finish(f *attempt, how outcome, at, use, queue float64) {
-	o := &c.requests[f.op]
-	f.ended, f.outcome = true, how
+// finish records the outcome of an attempt and reports it to the decider. use and queue are the backend's metered use and queue
+// length as told in the answer, negative if there is none.
+func (c *core) finish(att *attempt, how outcome, at, use, queue float64) {
+	req := &c.requests[att.op]
+	att.ended, att.outcome = true, how
 	c.tally.ended[how]++
-	c.traceAttemptEnd(f, how)
-	o.outstanding--
-	c.releasable = append(c.releasable, f.op)
-	c.backends[f.backend].counts.addAttempt(how.result(), at-f.startedAt)
-	c.pending = append(c.pending, gate.Ended{Op: f.op, Attempt: f.number, Backend: f.backend,
-		Result: how.result(), Latency: at - f.startedAt, Over: o.done, Use: use, Queue: queue})
+	c.traceAttemptEnd(att, how)
+	req.outstanding--
+	c.releasable = append(c.releasable, att.op)
+	c.backends[att.backend].counts.addAttempt(how.result(), at-att.startedAt)
+	c.pending = append(c.pending, gate.Ended{Op: att.op, Attempt: att.number, Backend: att.backend,
+		Result: how.result(), Latency: at - att.startedAt, Over: req.done, Use: use, Queue: queue})
 }
 
-// answerArrived is a whole answer of a backend.
+// answerArrived reports a complete answer of a backend.
 type answerArrived struct {
 	conn   *backendConn
 	answer http1.Answer
-	at     float64
+	at     float64 // clock, ms
 }
 
-func (n answerArrived) handle(c *core) {
-	defer n.answer.Free()
-	l, f := n.conn, n.conn.attempt
-	if l.closed || f == nil {
+func (e answerArrived) handle(c *core) {
+	defer e.answer.Free()
+	conn, att := e.conn, e.conn.attempt
+	if conn.closed || att == nil {
 		return
 	}
-	f.stage.CompareAndSwap(stageWaiting, stageWriting) // what has an answer has left
-	l.attempt, l.idleSince, l.hasAnswered = nil, n.at, true
-	how := answerOutcome(&n.answer)
+	att.stage.CompareAndSwap(stageWaiting, stageWriting) // an answered attempt counts as sent
+	conn.attempt, conn.idleSince, conn.hasAnswered = nil, e.at, true
+	how := answerOutcome(&e.answer)
 	if how == outcomeOK {
-		c.answer(f.op, http.StatusOK, 0, n.answer.Body, "")
+		c.answer(att.op, http.StatusOK, 0, e.answer.Body, "")
 	}
-	queue := n.answer.Queue
+	queue := e.answer.Queue
 	if !c.cfg.Deal.TellsQueue() {
-		queue = -1 // the settings say that answers hold no reports
+		queue = -1 // by the settings, answers contain no load reports
 	}
-	c.finish(f, how, n.at, n.answer.Use, queue)
-	// An answer may come before all of its attempt has left.
-	if b := &c.backends[l.backend]; n.answer.Last || l.writeInProgress.Load() || !b.usable(l) {
-		c.closeConn(l)
+	c.finish(att, how, e.at, e.answer.Use, queue)
+	// A backend may answer before its attempt has been written completely.
+	if b := &c.backends[conn.backend]; e.answer.Last || conn.writeInProgress.Load() || !b.usable(conn) {
+		c.closeConn(conn)
 	} else {
-		b.idle = append(b.idle, l)
+		b.idle = append(b.idle, conn)
 	}
 }
 
-// connClosed is the end of a backend connection.
+// connClosed reports the end of a backend connection.
 type connClosed struct {
 	conn    *backendConn
 	outcome outcome
 }
 
-func (n connClosed) handle(c *core) {
-	l, f := n.conn, n.conn.attempt
-	if l.closed {
+func (e connClosed) handle(c *core) {
+	conn, att := e.conn, e.conn.attempt
+	if conn.closed {
 		return
 	}
-	l.attempt = nil
-	c.closeConn(l)
-	if f == nil {
+	conn.attempt = nil
+	c.closeConn(conn)
+	if att == nil {
 		return
 	}
-	unsent := f.stage.CompareAndSwap(stageWaiting, stageDropped)
-	if _, broken := c.startViolation(&c.requests[f.op], &c.backends[f.backend]); unsent && l.hasAnswered && !broken { // the connection had gone stale, which is no news of the backend
-		f.ended = true
-		again := &attempt{op: f.op, number: f.number, backend: f.backend, startedAt: f.startedAt, deadline: f.deadline, startBy: f.startBy, client: f.client}
-		c.requests[f.op].attempts[f.number] = again
+	unsent := att.stage.CompareAndSwap(stageWaiting, stageDropped)
+	// An idle connection that turns out to be closed says nothing about the backend: the attempt is launched again.
+	if _, violated := c.startViolation(&c.requests[att.op], &c.backends[att.backend]); unsent && conn.hasAnswered && !violated {
+		att.ended = true
+		again := &attempt{op: att.op, number: att.number, backend: att.backend, startedAt: att.startedAt, deadline: att.deadline, startBy: att.startBy, client: att.client}
+		c.requests[att.op].attempts[att.number] = again
 		c.launch(again)
 		return
 	}
-	if (unsent || f.stage.Load() != stageWriting) && !n.outcome.result().NeverRan() {
-		n.outcome = outcomeBrokenUnsent
+	if (unsent || att.stage.Load() != stageWriting) && !e.outcome.result().NeverRan() {
+		e.outcome = outcomeBrokenUnsent
 	}
-	c.finish(f, n.outcome, c.now, -1, -1)
+	c.finish(att, e.outcome, c.now, -1, -1)
 }
--- a/frontdoor/budget.go
+++ b/frontdoor/budget.go
@@ -2,46 +2,48 @@
 
 import "sync"
 
-// Who may take the last sockets: what a door needs to know where it may send goes before what it sends, and that before
-// who comes. Without the first, idle clients and attempts that hang would keep a door from hearing that discovery is back.
+// Reserves decide who may use the last sockets: discovery and the counter come before backends, and backends before new
+// clients. Without the first reserve, idle clients and hanging attempts would keep a door from noticing that discovery is
+// available again.
 const (
-	clientReserveDivisor = 4                                       // part of the sockets, one in so many, that clients leave for what they come for
-	maxBackendReserve    = 2*counterConnections + watchConnections // of these, what backends leave for the counter and the fleet list
-	watchConnections     = 2                                       // connections of the fleet list: one that is ending, and the next
+	clientReserveDivisor = 4                                       // clients leave 1/4 of the sockets to backends, counter and discovery
+	maxBackendReserve    = 2*counterConnections + watchConnections // of those, sockets that backends leave to counter and discovery
+	watchConnections     = 2                                       // fleet watches that overlap: one that is ending, and the next
 )
 
-// socketBudget shares out the sockets that a door may hold.
+// socketBudget limits the number of sockets that a door holds open.
 type socketBudget struct {
-	clientReserve  int // what clients leave
-	backendReserve int // what backends leave
+	clientReserve  int // sockets that client connections leave free
+	backendReserve int // sockets that backend connections leave free
 	mu             sync.Mutex
 	free           int
-	freed          chan struct{} // told when one comes back
+	freed          chan struct{} // receives when a socket is released
 }
 
 func newSocketBudget(sockets int) *socketBudget {
-	kept := sockets / clientReserveDivisor
-	return &socketBudget{clientReserve: kept, backendReserve: min(maxBackendReserve, kept/2), free: sockets, freed: make(chan struct{}, 1)}
+	reserve := sockets / clientReserveDivisor
+	return &socketBudget{clientReserve: reserve, backendReserve: min(maxBackendReserve, reserve/2), free: sockets, freed: make(chan struct{}, 1)}
 }
 
-// acquire takes a socket if more than keep are free.
-func (b *socketBudget) acquire(keep int) bool {
+// acquire takes a socket if more than reserve are free, and reports whether it did.
+func (b *socketBudget) acquire(reserve int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.free <= keep {
+	if b.free <= reserve {
 		return false
 	}
 	b.free--
 	return true
 }
 
-// low tells whether no more than keep are free.
-func (b *socketBudget) low(keep int) bool {
+// low reports whether no more than reserve sockets are free.
+func (b *socketBudget) low(reserve int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.free <= keep
+	return b.free <= reserve
 }
 
+// release returns a socket to the budget and wakes a waiting acceptor.
 func (b *socketBudget) release() {
 	b.mu.Lock()
 	b.free++
--- a/frontdoor/client.go
+++ b/frontdoor/client.go
@@ -16,31 +16,32 @@
 	"github.com/swifthall/swifthall/internal/sockio"
 )
 
-// client is one client connection. Its goroutine reads, and ends it; answers are written by one goroutine each.
+// client is one client connection. Its goroutine reads, and closes the connection at the end; each answer is written by a
+// goroutine of its own.
 type client struct {
 	c              *core
-	id             uint64 // of the connection, counted from the door's start
+	id             uint64 // number of the connection since the door's start
 	nc             net.Conn
-	raw            syscall.RawConn // of nc, where it has one
-	answerDone     chan struct{}   // an answer has left
-	closeRequested atomic.Bool     // no more requests are wanted on it
-	holdsInput     atomic.Bool     // its reader holds bytes that wait for an answer to leave
-	overflowed     atomic.Bool     // more came ahead of an answer than is held: that answer is the last
-	finished       atomic.Bool     // its last answer has left, or could not: nothing more is taken from it
-	writing        atomic.Bool     // the answer owed is being written: what comes may come behind it
+	raw            syscall.RawConn // of nc, if it has one
+	answerDone     chan struct{}   // receives when an answer has been written
+	closeRequested atomic.Bool     // the event loop wants the connection closed after what has arrived is answered
+	holdsInput     atomic.Bool     // the reader holds bytes that are parsed only after the pending answer
+	overflowed     atomic.Bool     // more input arrived before an answer than is held: that answer is the last
+	finished       atomic.Bool     // the last answer has been written, or failed: no more requests are accepted
+	writing        atomic.Bool     // the pending answer is being written: new input may follow it
 	writeFailed    atomic.Bool     // an answer could not be written
-	reason         atomic.Uint32   // why no more requests are wanted on it, a closing
+	reason         atomic.Uint32   // closeReason, valid if closeRequested is set
 	openedAt       float64         // clock, ms
-	maxQueued      time.Duration   // for which it may have stood in the listener's queue, at most
+	maxQueued      time.Duration   // upper bound of the time that the connection was in the listener's queue
 
 	mu            sync.Mutex
-	wakeRequested bool // the reader is wanted, whatever else it waits for
-	draining      bool // it reads what is left behind the last answer
+	wakeRequested bool // the reader must return from its read
+	draining      bool // the reader discards input after the last answer
 
-	// The owner's.
-	op           int // open request; -1 is none
-	idleSince    float64
-	hasRequested bool // has brought a request
+	// Used by the event loop only.
+	op           int     // index of the open request; -1 is none
+	idleSince    float64 // clock, ms
+	hasRequested bool    // has sent a request
 }
 
 func newClient(c *core, nc net.Conn) *client {
@@ -52,20 +53,20 @@
 	return cl
 }
 
-// peerClosed tells whether the client has closed its connection, also where its reader has not come to notice it.
+// peerClosed reports whether the client has closed its connection, even if the reader has not reached the end of its input yet.
 func (cl *client) peerClosed() bool { return cl != nil && cl.raw != nil && sockio.Gone(cl.raw) }
 
-// wake has the reader look at what it waits for, in or before its next read. Its wish and the deadline that carries it are
-// one step beside limit, or a deadline that the reader sets just then would take the wish along.
+// wake makes the reader return from its present or next read. The flag and the deadline are set under the same lock that
+// setReadDeadline takes: a deadline that the reader sets at the same moment would otherwise cancel the wake-up.
 func (cl *client) wake() {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	if cl.wakeRequested = true; !cl.draining { // that has an end of its own, and cut short it would take the answer along
+	if cl.wakeRequested = true; !cl.draining { // draining has its own deadline; ending it early could reset the connection and lose the answer
 		cl.nc.SetReadDeadline(time.Now())
 	}
 }
 
-// setReadDeadline has reads end at a time, the zero one for never, unless the reader has been woken meanwhile.
+// setReadDeadline sets the deadline of reads, zero for none, unless the reader has been woken in the meantime.
 func (cl *client) setReadDeadline(at time.Time) {
 	cl.mu.Lock()
 	if cl.wakeRequested {
@@ -75,34 +76,35 @@
 	cl.mu.Unlock()
 }
 
-// clearWake takes the wish: its reader is looking.
+// clearWake resets the wake-up request before the reader checks the connection's state.
 func (cl *client) clearWake() {
 	cl.mu.Lock()
 	cl.wakeRequested = false
 	cl.mu.Unlock()
 }
 
-// readState is the state of a client connection's goroutine.
+// readState is the state of a client connection's reader.
 type readState struct {
 	parser        http1.Requests
-	buf           []byte      // of one size
-	buffered      []byte      // of it, what has come and is not fed yet
-	receivedAt    float64     // clock at which that came, ms
-	firstByteAt   float64     // clock of the first byte of what is coming, ms
-	answerPending bool        // an answer may not have left yet
+	buf           []byte      // of fixed size
+	buffered      []byte      // part of buf: bytes received and not parsed yet
+	receivedAt    float64     // clock at which they were received, ms
+	firstByteAt   float64     // clock of the first byte of the request being parsed, ms
+	answerPending bool        // an answer may not have been written yet
 	deadlineSet   bool        // a read deadline is set
-	hadRequest    bool        // a request has come
-	discarded     int         // bytes passed over while an answer is owed
-	finalAnswered bool        // an answer has left behind which the connection is closed
+	hadRequest    bool        // a request has been received
+	discarded     int         // bytes discarded while an answer was pending
+	finalAnswered bool        // the last answer has been written; the connection is closed after it
 	reason        closeReason // why the connection ends
 }
 
 const (
-	minQueueDelay = 10 * time.Millisecond // in the listener's queue, from which on it is asked how long bytes stood unread
-	maxDrainReads = 32                    // buffers read behind a last answer
-	maxDiscarded  = 1 << 18               // bytes passed over ahead of an answer; its client is no longer listened to then
+	minQueueDelay = 10 * time.Millisecond // from this time in the listener's queue on, the kernel is asked how long bytes were unread
+	maxDrainReads = 32                    // buffers read after a last answer
+	maxDiscarded  = 1 << 18               // bytes discarded before an answer; beyond that the client is not read from until the answer
 )
 
+// run reads from the connection until it ends.
 func (cl *client) run() {
 	r := readState{buf: pool.Get()[:pool.Size]}
 	defer func() {
@@ -119,11 +121,11 @@
 	}
 }
 
-// step does the next thing there is to do for a connection, and tells whether it goes on.
+// step does the connection's next step and reports whether the connection continues.
 func (cl *client) step(r *readState) bool {
 	r.pollAnswer(cl)
-	// What its client sent behind a last answer would run with no way to answer it; behind what was passed over it would
-	// be read from somewhere in the middle.
+	// A request sent after the last answer would run without a way to answer it. After discarded input, the parser would start in
+	// the middle of a message.
 	if cl.finished.Load() || cl.overflowed.Load() && !r.answerPending {
 		r.finalAnswered, r.reason = true, closedLastAnswer
 		if cl.writeFailed.Load() {
@@ -132,17 +134,17 @@
 		return false
 	}
 	switch {
-	case len(r.buffered) > 0 && !r.answerPending: // nothing is fed ahead of an answer: a connection holds one body at a time
+	case len(r.buffered) > 0 && !r.answerPending: // nothing is parsed before the pending answer: a connection holds one body at a time
 		cl.holdsInput.Store(false)
 		return cl.parse(r)
 	case len(r.buffered) > 0 && !cl.holdsInput.Load():
-		cl.holdsInput.Store(true) // the answer may have left just before: look once more
+		cl.holdsInput.Store(true) // the answer may have been written just before: check again
 		return true
 	}
 	return cl.read(r)
 }
 
-// pollAnswer notices that the answer owed has left.
+// pollAnswer clears answerPending if the answer has been written.
 func (r *readState) pollAnswer(cl *client) {
 	select {
 	case <-cl.answerDone:
@@ -151,13 +153,14 @@
 	}
 }
 
+// answerWritten records that the pending answer has been written.
 func (r *readState) answerWritten(cl *client) {
 	cl.writing.Store(false)
 	r.answerPending = false
 }
 
-// read reads on, also while an answer is owed: a client that leaves is noticed behind whatever it sent. What comes ahead
-// of the answer is held as far as there is room, and then passed over.
+// read reads once. It does so while an answer is pending too, so that a closed connection is noticed whatever the client sent
+// before. Input that arrives before the answer is held while the buffer has room, and then discarded.
 func (cl *client) read(r *readState) bool {
 	if cl.closeRequested.Load() && !r.answerPending && len(r.buffered) == 0 && !r.parser.Begun() {
 		return cl.finalRead(r)
@@ -174,8 +177,8 @@
 		}
 		return err == nil || cl.afterReadError(r, err)
 	}
-	// A client may have its answer, and send its next request, before the answer's writer has said that it is written: that is
-	// not ahead of it. Taken for so, a large one would end the connection with no answer.
+	// A client may receive its answer and send its next request before the answer's writer has reported completion. That input
+	// follows the answer; treated as preceding it, a large request would end the connection unanswered.
 	if cl.writing.Load() {
 		<-cl.answerDone
 		r.answerWritten(cl)
@@ -187,24 +190,24 @@
 		r.answerWritten(cl)
 		return true
 	}
-	over := pool.Get()[:pool.Size]
-	n, err := sockio.Read(cl.nc, over)
-	pool.Put(over)
+	scratch := pool.Get()[:pool.Size]
+	n, err := sockio.Read(cl.nc, scratch)
+	pool.Put(scratch)
 	r.discarded += n
 	return err == nil || cl.afterReadError(r, err)
 }
 
-// queueDelay is how long, in ms, the first bytes of a connection stood queueDelay: it may have waited in the listener's queue, with its
-// client's time running.
+// queueDelay returns how long, in ms, the first bytes of a connection were unread: it may have waited in the listener's queue while
+// its client's time was running. Later calls return 0.
 func (cl *client) queueDelay() float64 {
-	most := cl.maxQueued
-	if cl.maxQueued = 0; most < minQueueDelay || cl.raw == nil {
+	limit := cl.maxQueued
+	if cl.maxQueued = 0; limit < minQueueDelay || cl.raw == nil {
 		return 0
 	}
-	return float64(min(most, sockio.LastReceived(cl.raw))) / float64(time.Millisecond)
+	return float64(min(limit, sockio.LastReceived(cl.raw))) / float64(time.Millisecond)
 }
 
-// parse feeds what came, up to one whole request, and tells whether the connection goes on.
+// parse parses buffered input, up to one complete request, and reports whether the connection continues.
 func (cl *client) parse(r *readState) bool {
 	if !r.parser.Begun() {
 		r.firstByteAt = r.receivedAt
@@ -223,7 +226,7 @@
 		}
 		return cl.dispatch(r)
 	}
-	// One that dribbles its request must not keep the connection for ever.
+	// A client that sends its request very slowly must not hold the connection indefinitely.
 	if r.parser.Begun() && !r.deadlineSet {
 		r.deadlineSet = true
 		cl.setReadDeadline(time.Now().Add(duration(cl.c.shutdown.Load().Deadline(r.inputStart(cl)+cl.c.cfg.Pace.SlowInput) - r.receivedAt)))
@@ -231,8 +234,8 @@
 	return true
 }
 
-// inputStart is the clock from which the time to bring a request counts: its first byte, or the connection's
-// beginning for the first one, as its client may have been silent before.
+// inputStart returns the clock from which the time limit for receiving a request counts: its first byte, or for the first request
+// the opening of the connection, as the client may have been silent before.
 func (r *readState) inputStart(cl *client) float64 {
 	if r.hadRequest {
 		return r.firstByteAt
@@ -240,32 +243,32 @@
 	return cl.openedAt
 }
 
-// dispatch passes a whole request on, or answers what is none.
+// dispatch passes a complete request to the event loop. It answers health checks and invalid requests itself.
 func (cl *client) dispatch(r *readState) bool {
-	op, err := r.parser.Take()
-	if err == nil && (op.Path == http1.ReadyPath || op.Path == http1.LivePath) {
+	msg, err := r.parser.Take()
+	if err == nil && (msg.Path == http1.ReadyPath || msg.Path == http1.LivePath) {
 		status := http.StatusOK
-		if op.Path == http1.ReadyPath && !cl.c.ready.Load() {
+		if msg.Path == http1.ReadyPath && !cl.c.ready.Load() {
 			status = http.StatusServiceUnavailable
 		}
-		op.Free()
-		return cl.respond(r, status, op.Last)
+		msg.Free()
+		return cl.respond(r, status, msg.Last)
 	}
 	var ev gate.Request
 	if err == nil {
-		if ev, err = cl.c.gateRequest(op); err != nil {
-			op.Free()
+		if ev, err = cl.c.gateRequest(msg); err != nil {
+			msg.Free()
 		}
 	}
 	if err != nil {
-		return cl.rejectInput(r, err, op.Last)
+		return cl.rejectInput(r, err, msg.Last)
 	}
 	r.answerPending = true
-	cl.c.post(requestArrived{cl, op, ev, r.firstByteAt})
+	cl.c.post(requestArrived{cl, msg, ev, r.firstByteAt})
 	return true
 }
 
-// rejectInput answers what is no request.
+// rejectInput answers input that is no valid request.
 func (cl *client) rejectInput(r *readState, err error, last bool) bool {
 	status := http.StatusBadRequest
 	var f *http1.Fault
@@ -276,7 +279,7 @@
 	return cl.respond(r, status, last)
 }
 
-// respond answers from the reader itself, and tells whether the connection goes on.
+// respond writes an answer from the reader itself and reports whether the connection continues.
 func (cl *client) respond(r *readState, status int, last bool) bool {
 	if !cl.writeAnswer(http1.AppendAnswer(pool.Get(), status, 0, nil, last)) {
 		r.reason = closedWriteFailed
@@ -288,7 +291,7 @@
 	return !last
 }
 
-// writeAnswer sends a whole answer. A client that does not read it is left.
+// writeAnswer writes a complete answer and reports whether it succeeded. It gives up on clients that do not read it.
 func (cl *client) writeAnswer(answer []byte) bool {
 	until := time.Now().Add(duration(cl.c.cfg.Pace.SlowInput))
 	cl.nc.SetWriteDeadline(until)
@@ -297,8 +300,8 @@
 	return err == nil
 }
 
-// drain ends the sending side behind a last answer and reads on for a while: a connection closed with bytes unread is
-// reset, and takes the answer with it. Nothing of what comes is looked at.
+// drain closes the sending side after a last answer, and reads and discards input for a while: a connection closed with unread
+// input is reset, which can destroy the answer before the client reads it.
 func (cl *client) drain(buf []byte) {
 	if half, ok := cl.nc.(interface{ CloseWrite() error }); !ok || half.CloseWrite() != nil {
 		return
@@ -314,14 +317,14 @@
 	}
 }
 
-// answer writes a request's answer. Behind the last one the reader ends the connection.
+// answer writes a request's answer. After the last one the reader closes the connection.
 func (cl *client) answer(answer []byte, last bool) {
 	cl.writing.Store(true)
-	if well := cl.writeAnswer(answer); !well || last {
-		cl.writeFailed.Store(!well)
+	if ok := cl.writeAnswer(answer); !ok || last {
+		cl.writeFailed.Store(!ok)
 		cl.finished.Store(true)
-		if !well {
-			cl.nc.Close() // there is nothing to save
+		if !ok {
+			cl.nc.Close() // draining would be of no use
 		}
 	}
 	cl.answerDone <- struct{}{}
@@ -330,7 +333,8 @@
 	}
 }
 
-// afterReadError tells whether a connection goes on after a read that failed.
+// afterReadError reports whether the connection continues after a failed read. It does after a wake-up, and while a partly
+// received request has time left.
 func (cl *client) afterReadError(r *readState, err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
@@ -341,11 +345,11 @@
 	}
 	if r.parser.Begun() && !r.answerPending && len(r.buffered) == 0 {
 		pace := &cl.c.cfg.Pace
-		most := pace.SlowInput
+		limit := pace.SlowInput
 		if cl.closeRequested.Load() {
-			most = min(most, pace.Linger) // others wait for its socket
+			limit = min(limit, pace.Linger) // other clients wait for its socket
 		}
-		if rest := cl.c.shutdown.Load().Deadline(r.inputStart(cl)+most) - cl.c.clock.now(); rest > 0 {
+		if rest := cl.c.shutdown.Load().Deadline(r.inputStart(cl)+limit) - cl.c.clock.now(); rest > 0 {
 			r.deadlineSet = true
 			cl.setReadDeadline(time.Now().Add(duration(rest)))
 			return true
@@ -358,12 +362,12 @@
 	return true
 }
 
-// finalRead reads once more before an idle connection is closed, so that no request is crossed that has come. What comes
-// later is never read, and its client is reset: it knows that the request was not taken.
+// finalRead reads once more before an idle connection is closed, so that a request that has already arrived is served. Input that
+// arrives later is never read, and the connection is reset: that tells the client that its request was not accepted.
 func (cl *client) finalRead(r *readState) bool {
 	n := 0
 	if cl.raw != nil {
-		// A read with a short deadline would not do: held up for that long, it never looks.
+		// A read with a short deadline could time out without checking the socket, if the process is suspended for that long.
 		n = sockio.ReadNow(cl.raw, r.buf)
 	}
 	if n == 0 {
@@ -374,9 +378,9 @@
 	return true
 }
 
-// requestClose asks an idle connection to end itself; what has come on it is answered first.
-func (cl *client) requestClose(why closeReason) {
-	cl.reason.Store(uint32(why))
+// requestClose asks the reader to close an idle connection. Requests that have arrived are answered first.
+func (cl *client) requestClose(reason closeReason) {
+	cl.reason.Store(uint32(reason))
 	cl.closeRequested.Store(true)
 	cl.wake()
 }
--- a/frontdoor/clock.go
+++ b/frontdoor/clock.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// clock tells Unix time in ms with fractions. The wall clock is read once; from then on time is monotonic.
+// clock returns Unix time in ms with fractions. The wall clock is read once, at the start; from then on the clock is monotonic.
 type clock struct {
 	start time.Time
 	base  float64
-	wall  func() wallTime // the machine's wall clock
+	wall  func() wallTime // reads the machine's wall clock
 }
 
-// wallTime is an instant by the machine's wall clock, Unix ms. It may be stepped, so that two of them tell no span unless both
-// were read within a moment.
+// wallTime is an instant on the machine's wall clock, Unix ms. The wall clock may be stepped, so the difference of two such
+// instants is a valid duration only if both were read at nearly the same time.
 type wallTime float64
 
 func newClock() clock {
@@ -22,10 +22,11 @@
 
 func (c *clock) now() float64 { return c.base + float64(time.Since(c.start))/1e6 }
 
-// elapsedSince is how long elapsedSince, in ms, an instant was that is heard of just now: not less than 0, and at most a bound, as the wall clock
-// may have been stepped between that instant and now.
-func (c *clock) elapsedSince(at wallTime, most float64) float64 {
-	return min(max(0, float64(c.wall()-at)), most)
+// elapsedSince returns the ms from a wall-clock instant, just learned, until now. The result is clamped to [0, limit], as the
+// wall clock may have been stepped in between.
+func (c *clock) elapsedSince(at wallTime, limit float64) float64 {
+	return min(max(0, float64(c.wall()-at)), limit)
 }
 
+// duration converts ms to a time.Duration.
 func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/frontdoor/closing.go
+++ b/frontdoor/closing.go
@@ -1,21 +1,21 @@
 package frontdoor
 
-// closeReason says why a client connection ended.
+// closeReason is why a client connection was closed.
 type closeReason uint32
 
 const (
-	closedByClient    closeReason = iota // it closed or reset the connection
-	closedLastAnswer                     // the answer that said so has left
+	closedByClient    closeReason = iota // the client closed or reset the connection
+	closedLastAnswer                     // an answer with Connection: close was sent
 	closedWriteFailed                    // an answer could not be written
-	closedBadRequest                     // what came is no request
-	closedSlowRequest                    // a request took too long to come
-	closedIdle                           // no request came for too long
-	closedForSocket                      // its socket was wanted for another client
-	closedShutdown                       // the door is on its way out, and no request was on it
-	closeReasons                         // how many there are
+	closedBadRequest                     // the input was no valid request
+	closedSlowRequest                    // a request took too long to arrive
+	closedIdle                           // no request arrived for too long
+	closedForSocket                      // its socket was needed for another client
+	closedShutdown                       // the door is shutting down, and no request was open on the connection
+	closeReasons                         // number of reasons
 )
 
-// String names the reason as accounts and logs do.
-func (w closeReason) String() string {
-	return [...]string{"by_client", "last_answer", "unwritten", "fault", "slow", "idle", "crowded", "shutdown"}[w]
+// String returns the name of the reason in periodic summaries and logs.
+func (r closeReason) String() string {
+	return [...]string{"by_client", "last_answer", "unwritten", "fault", "slow", "idle", "crowded", "shutdown"}[r]
 }
--- a/frontdoor/core.go
+++ b/frontdoor/core.go
@@ -18,45 +18,46 @@
 	"github.com/swifthall/swifthall/lifecycle"
 )
 
-// event is news for the owner of the decisions.
+// event is something that the event loop handles: a result of another goroutine, or a call of a Door method.
 type event interface{ handle(*core) }
 
-// request is what the carrier keeps of one request. It is over once its client has an answer or has left.
+// request is the event loop's state of one request. A request is done once it is answered or its client has gone; its slot is
+// freed once its attempts have ended as well.
 type request struct {
 	client       *client
-	msg          *http1.Request // nil where the slot is free
+	msg          *http1.Request // nil if the slot is free
 	class        int
 	deadline     float64 // end of the client's wait, ms
 	firstByteAt  float64 // clock of its first byte, ms
-	contractTime float64 // contract time, ms
+	contractTime float64 // an answer within this time is in time, ms
 	done         bool
-	outstanding  int
+	outstanding  int // attempts that have not ended
 	attempts     []*attempt
 }
 
-// backend is what the carrier keeps of one backend.
+// backend is the event loop's state of one backend.
 type backend struct {
 	id           string
 	addr         string
-	status       gate.Status // by the list
+	status       gate.Status // on the list
 	processStart wallTime    // start of its process, as listed; 0 is long ago
-	startedAt    float64     // the same by the door's clock, ms; 0 is long ago
+	startedAt    float64     // the same on the door's clock, ms; 0 is long ago
 	size         float64
-	eligible     bool           // it may be sent to: not withheld either
+	eligible     bool           // new attempts may be sent to it: up on the list, and not withheld
 	counts       Counts         // of attempts that ended
-	idle         []*backendConn // latest used last
+	idle         []*backendConn // most recently used last
 
 	listed     bool // the index is in use
 	zone, cell int
 }
 
-// usable tells whether a connection may carry more: a backend that drains or has started anew gets nothing over
-// old ones.
-func (b *backend) usable(l *backendConn) bool {
-	return b.eligible && b.addr == l.addr && b.processStart == l.processStart
+// usable reports whether a connection may carry further attempts. Connections to a backend that drains, or to an earlier process
+// of one that has restarted, are not used again.
+func (b *backend) usable(conn *backendConn) bool {
+	return b.eligible && b.addr == conn.addr && b.processStart == conn.processStart
 }
 
-// core is the goroutine that owns the decider, and what it shares with the others.
+// core is the event loop that owns the decider, and the state that it shares with other goroutines.
 type core struct {
 	cfg    config.Door
 	log    logrus.FieldLogger
@@ -65,60 +66,60 @@
 	dial   func(ctx context.Context, addr string) (net.Conn, error)
 	listen func(ctx context.Context, addr string) (net.Listener, error)
 	events chan event
-	done   chan struct{} // closed when the owner has gone
+	done   chan struct{} // closed when the event loop has ended
 
 	background context.Context                    // ends with the door
-	shutdown   atomic.Pointer[lifecycle.Shutdown] // nil before the door is told to end
+	shutdown   atomic.Pointer[lifecycle.Shutdown] // nil until shutdown begins
 	ready      atomic.Bool
 
-	// From here on the owner's.
+	// Used by the event loop only, except for listReceived, which watches set, and listener, which acceptLoop uses too.
 	decider         gate.Decider
-	now             float64
+	now             float64 // clock of the present batch, ms
 	pending         []gate.Event
 	requests        []request
-	requestIDs      map[string]struct{} // of the requests in them
-	freeSlots       []int
-	releasable      []int // requests that may be droppable at the end of the batch
+	requestIDs      map[string]struct{} // of open requests
+	freeSlots       []int               // free indices of requests
+	releasable      []int               // requests to check at the end of the batch: their slots may be free
 	customers       index.Table[uint64]
-	backendIDs      index.Table[string] // of backends
+	backendIDs      index.Table[string]
 	zones           index.Table[string]
 	cells           index.Table[int64]
 	backends        []backend
 	clients         map[*client]struct{}
-	activeClients   int // of them, those that have brought a request
+	activeClients   int // clients that have sent a request
 	backendConns    map[*backendConn]struct{}
-	watchNumber     int // number of the present watch
+	watchNumber     int // of the present watch
 	cancelWatch     context.CancelFunc
 	timeouts        timeoutHeap
-	wakeAt          float64 // 0 is none
+	wakeAt          float64 // when the decider asked to be called again; 0 is none
 	sweepAt         float64
 	counterConns    []*counterConn
-	withheld        map[string]bool // backends that get nothing new, whatever the list says
-	afterDecide     []func()        // called once the decisions know what is pending
-	outOfService    bool            // out by plan: not ready, serving what still comes
+	withheld        map[string]bool // ids of backends that get no new attempts, whatever their listed status
+	afterDecide     []func()        // called once the decider has received the pending events
+	outOfService    bool            // by plan: not ready, but still serving the requests that arrive
 	shuttingDown    bool
 	accepting       bool
-	discoveryTried  bool          // discovery has been, once
-	listReceived    atomic.Uint64 // clock at which discovery last said anything, bits of its ms; 0 is never
-	listenerClosing bool          // no more connections are waited for
+	discoveryTried  bool          // discovery has been asked once
+	listReceived    atomic.Uint64 // clock at which discovery last sent anything, bits of its ms; 0 is never
+	listenerClosing bool          // accept has been interrupted: it only empties the listener's queue
 	listener        net.Listener
 	tally           tally
 	guard           guard
 	totals          Counts
-	traceEnabled    bool // the log takes single requests
+	traceEnabled    bool // single requests are logged
 
-	connections atomic.Uint64 // of clients, since the start
+	connections atomic.Uint64 // client connections since the start, which numbers them
 }
 
 const (
-	maxBatch            = 256 // notes taken in before the decisions are asked; what waits stays in order
-	counterConnections  = 2   // connections to the counter: an answer in its turn holds up those behind it on the same one
-	reservedDescriptors = 8   // descriptors left to the runtime and to connections on their way out
-
-	silentLingerDivisor  = 3  // of the time in which a request may be on its way, for a connection that never brought one
-	persistentDivisor    = 4  // part of the sockets, one in so many, over which client connections end with their answer
-	sweepsPerLinger      = 16 // looks at connections in the time in which new ones are served, while the door ends
-	sweepsPerIdleTimeout = 8  // looks at idle connections in the time that one may be idle
+	maxBatch            = 256 // events handled before the decider is called; the others wait in order
+	counterConnections  = 2   // replies come in order, so a slow call delays all calls behind it on its connection
+	reservedDescriptors = 8   // descriptors left to the runtime and to connections that are being closed
+
+	silentLingerDivisor  = 3  // a client that never sent a request may be closed after this fraction (1/3) of Pace.Linger
+	persistentDivisor    = 4  // if active clients exceed this fraction (1/4) of the sockets, connections close after their answer
+	sweepsPerLinger      = 16 // checks of connections in Pace.Linger, during shutdown or out of service
+	sweepsPerIdleTimeout = 8  // checks of idle connections in the shorter idle timeout
 )
 
 func newCore(cfg config.Door, decider gate.Decider, log logrus.FieldLogger) *core {
@@ -131,39 +132,39 @@
 	return c
 }
 
-// gateRequest puts a request in the terms of the decisions, but for the indices that the owner hands out.
-func (c *core) gateRequest(o *http1.Request) (ev gate.Request, err error) {
+// gateRequest validates a request and converts it to the decider's form, except for the indices that the event loop assigns.
+func (c *core) gateRequest(msg *http1.Request) (ev gate.Request, err error) {
 	d := &c.cfg.Deal
-	class, known := d.Classes[o.Class]
+	class, known := d.Classes[msg.Class]
 	if !known {
 		return ev, &http1.Fault{Status: http.StatusNotFound, Text: "profile"}
 	}
-	plan, known := d.Plans[o.Plan]
+	plan, known := d.Plans[msg.Plan]
 	switch {
 	case !known:
 		return ev, &http1.Fault{Status: http.StatusBadRequest, Text: "plan"}
-	case (o.Method == http.MethodGet) != (d.Terms.Classes[class].Semantics == gate.Idempotent):
+	case (msg.Method == http.MethodGet) != (d.Terms.Classes[class].Semantics == gate.Idempotent):
 		return ev, &http1.Fault{Status: http.StatusMethodNotAllowed, Text: "method"}
-	case o.Method == http.MethodGet && len(o.Body) > 0:
+	case msg.Method == http.MethodGet && len(msg.Body) > 0:
 		return ev, &http1.Fault{Status: http.StatusBadRequest, Text: "body"}
-	case d.Terms.Classes[class].Semantics == gate.Keyed && o.Mark == "":
+	case d.Terms.Classes[class].Semantics == gate.Keyed && msg.Mark == "":
 		return ev, &http1.Fault{Status: http.StatusBadRequest, Text: "no mark"}
-	case o.First >= d.Terms.Doors || o.Spread > d.Terms.Doors || d.MostUnits > 0 && o.Units > d.MostUnits:
+	case msg.First >= d.Terms.Doors || msg.Spread > d.Terms.Doors || d.MostUnits > 0 && msg.Units > d.MostUnits:
 		return ev, &http1.Fault{Status: http.StatusBadRequest, Text: "weight"}
 	}
-	return gate.Request{Class: class, Plan: plan, TTL: min(o.TTL, d.LongestWait), Units: o.Units, Repeat: o.Repeat,
-		First: o.First, Spread: o.Spread, Phase: index.Phase(o.Customer)}, nil
+	return gate.Request{Class: class, Plan: plan, TTL: min(msg.TTL, d.LongestWait), Units: msg.Units, Repeat: msg.Repeat,
+		First: msg.First, Spread: msg.Spread, Phase: index.Phase(msg.Customer)}, nil
 }
 
-// post hands a note to the owner while it is there.
-func (c *core) post(n event) {
+// post sends an event to the event loop, or drops it if the event loop has ended.
+func (c *core) post(ev event) {
 	select {
-	case c.events <- n:
+	case c.events <- ev:
 	case <-c.done:
 	}
 }
 
-// run owns the decisions until the door has left.
+// run is the event loop. It returns once the door has shut down.
 func (c *core) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -171,8 +172,8 @@
 	stop := ctx.Done()
 	for {
 		select {
-		case n := <-c.events:
-			n.handle(c)
+		case ev := <-c.events:
+			ev.handle(c)
 		case <-timer.C:
 		case <-stop:
 			stop = nil
@@ -180,8 +181,8 @@
 		}
 		for more := maxBatch; more > 0; more-- {
 			select {
-			case n := <-c.events:
-				n.handle(c)
+			case ev := <-c.events:
+				ev.handle(c)
 				continue
 			default:
 			}
@@ -208,7 +209,7 @@
 	}
 }
 
-// nextTimer is the clock at which something is due.
+// nextTimer returns the clock at which the event loop next has something to do.
 func (c *core) nextTimer() float64 {
 	at := min(c.sweepAt, c.tally.nextAt)
 	if c.wakeAt > 0 {
@@ -220,7 +221,7 @@
 	return at
 }
 
-// decide asks the decisions about what is pending and carries out their actions.
+// decide passes the pending events to the decider, executes its actions and frees the slots of requests that are complete.
 func (c *core) decide() {
 	events := c.pending
 	c.pending = nil
@@ -228,18 +229,18 @@
 		c.execute(a)
 	}
 	for _, op := range c.releasable {
-		if o := &c.requests[op]; o.msg != nil && o.done && o.outstanding == 0 {
-			delete(c.requestIDs, o.msg.ID)
-			o.msg.Free()
-			clear(o.attempts)
-			*o = request{attempts: o.attempts[:0]}
+		if req := &c.requests[op]; req.msg != nil && req.done && req.outstanding == 0 {
+			delete(c.requestIDs, req.msg.ID)
+			req.msg.Free()
+			clear(req.attempts)
+			*req = request{attempts: req.attempts[:0]}
 			c.freeSlots = append(c.freeSlots, op)
 		}
 	}
 	c.releasable = c.releasable[:0]
 }
 
-// execute carries out one action.
+// execute executes one action.
 func (c *core) execute(a gate.Action) {
 	switch a := a.(type) {
 	case gate.Send:
@@ -263,7 +264,7 @@
 		c.removeBackend(a.Backend)
 	case gate.Differs:
 		c.tally.differences[min(a.Kind, gate.Differences-1)]++
-	case gate.Track: // the watch runs from the start
+	case gate.Track: // the fleet watch runs from the start
 	case gate.Log:
 		c.log.Info(a.Text)
 	default:
@@ -271,25 +272,25 @@
 	}
 }
 
-// answer gives a request its one answer; for a request that is over it does nothing.
-func (c *core) answer(op, status int, retryAfter float64, body []byte, why string) {
-	o := &c.requests[op]
-	if o.done {
+// answer sends a request's final answer; it does nothing if the request is done already.
+func (c *core) answer(op, status int, retryAfter float64, body []byte, reason string) {
+	req := &c.requests[op]
+	if req.done {
 		return
 	}
-	o.done = true
-	c.traceAnswer(o, status, why)
-	c.cancelUnsent(o)
-	c.totals.addAnswer(status, c.clock.now()-o.firstByteAt, o.contractTime)
+	req.done = true
+	c.traceAnswer(req, status, reason)
+	c.cancelUnsent(req)
+	c.totals.addAnswer(status, c.clock.now()-req.firstByteAt, req.contractTime)
 	c.releasable = append(c.releasable, op)
-	cl := o.client
+	cl := req.client
 	cl.op, cl.idleSince = -1, c.now
-	// Clients are given only so many connections: those that ask once and stay must not take all of them.
-	last := o.msg.Last || c.shuttingDown || c.outOfService || cl.closeRequested.Load() || cl.overflowed.Load() || c.budget.low(c.budget.clientReserve) || c.activeClients*persistentDivisor > c.cfg.Sockets
+	// The number of persistent client connections is limited: clients that send one request and stay must not use up all sockets.
+	last := req.msg.Last || c.shuttingDown || c.outOfService || cl.closeRequested.Load() || cl.overflowed.Load() || c.budget.low(c.budget.clientReserve) || c.activeClients*persistentDivisor > c.cfg.Sockets
 	go cl.answer(http1.AppendAnswer(pool.Get(), status, retryAfter, body, last), last)
 }
 
-// requestArrived is a request whose last byte has come.
+// requestArrived reports that a complete request has arrived.
 type requestArrived struct {
 	cl  *client
 	msg *http1.Request
@@ -297,18 +298,18 @@
 	at  float64 // clock of its first byte, ms
 }
 
-func (n requestArrived) handle(c *core) {
-	if !n.cl.hasRequested {
-		n.cl.hasRequested = true
+func (e requestArrived) handle(c *core) {
+	if !e.cl.hasRequested {
+		e.cl.hasRequested = true
 		c.activeClients++
 	}
-	if _, open := c.requestIDs[n.msg.ID]; open { // a backend could not tell the two apart, nor the decisions their ends
-		n.cl.idleSince = c.clock.now()
-		n.msg.Free()
-		go n.cl.answer(http1.AppendAnswer(pool.Get(), http.StatusConflict, 0, nil, n.msg.Last), n.msg.Last)
+	if _, open := c.requestIDs[e.msg.ID]; open { // backends could not tell the two apart, nor could their attempts be told apart afterwards
+		e.cl.idleSince = c.clock.now()
+		e.msg.Free()
+		go e.cl.answer(http1.AppendAnswer(pool.Get(), http.StatusConflict, 0, nil, e.msg.Last), e.msg.Last)
 		return
 	}
-	c.requestIDs[n.msg.ID] = struct{}{}
+	c.requestIDs[e.msg.ID] = struct{}{}
 	c.tally.arrived++
 	c.totals.Arrived++
 	if len(c.freeSlots) == 0 {
@@ -318,38 +319,39 @@
 	last := len(c.freeSlots) - 1
 	i := c.freeSlots[last]
 	c.freeSlots = c.freeSlots[:last]
-	o := &c.requests[i]
-	*o = request{client: n.cl, msg: n.msg, class: n.ev.Class, firstByteAt: n.at, deadline: c.shutdown.Load().Deadline(n.at + n.ev.TTL), contractTime: c.cfg.Deal.Terms.Classes[n.ev.Class].Contract, attempts: o.attempts[:0]}
-	n.cl.op = i
-	n.ev.Op, n.ev.Customer = i, c.customers.Add(n.msg.Customer)
-	n.ev.TTL = max(0, o.deadline-c.clock.now())
+	req := &c.requests[i]
+	*req = request{client: e.cl, msg: e.msg, class: e.ev.Class, firstByteAt: e.at, deadline: c.shutdown.Load().Deadline(e.at + e.ev.TTL), contractTime: c.cfg.Deal.Terms.Classes[e.ev.Class].Contract, attempts: req.attempts[:0]}
+	e.cl.op = i
+	e.ev.Op, e.ev.Customer = i, c.customers.Add(e.msg.Customer)
+	e.ev.TTL = max(0, req.deadline-c.clock.now())
 	c.traceRequest(i)
-	c.pending = append(c.pending, n.ev)
+	c.pending = append(c.pending, e.ev)
 }
 
-// clientOpened and left are the beginning and the end of a client connection.
+// clientOpened reports that a client connection was accepted.
 type clientOpened struct{ cl *client }
 
-func (n clientOpened) handle(c *core) {
-	c.clients[n.cl] = struct{}{}
-	c.traceConnection(n.cl, "connection opened", "")
+func (e clientOpened) handle(c *core) {
+	c.clients[e.cl] = struct{}{}
+	c.traceConnection(e.cl, "connection opened", "")
 }
 
+// clientClosed reports that a client connection has ended.
 type clientClosed struct {
 	cl     *client
 	reason closeReason
 }
 
-func (n clientClosed) handle(c *core) {
-	delete(c.clients, n.cl)
-	c.tally.closed[n.reason]++
-	c.checkClose(n.cl, n.reason)
-	c.traceConnection(n.cl, "connection closed", n.reason.String())
-	if n.cl.hasRequested {
+func (e clientClosed) handle(c *core) {
+	delete(c.clients, e.cl)
+	c.tally.closed[e.reason]++
+	c.checkClose(e.cl, e.reason)
+	c.traceConnection(e.cl, "connection closed", e.reason.String())
+	if e.cl.hasRequested {
 		c.activeClients--
 	}
-	if op := n.cl.op; op >= 0 {
-		n.cl.op = -1
+	if op := e.cl.op; op >= 0 {
+		e.cl.op = -1
 		c.requests[op].done = true
 		c.releasable = append(c.releasable, op)
 		c.pending = append(c.pending, gate.Vanished{Op: op})
@@ -357,22 +359,22 @@
 	}
 }
 
-// socketNeeded says that a client waits for a socket. The client connection idle longest is closed for it, but none
-// idle so briefly that a request may be on its way there: one that has brought none yet goes first, as those
-// who mean to ask do so at once. Else a backend connection gives way.
+// socketNeeded reports that a client waits for a socket. The client connection that has been idle longest is closed for it, except
+// connections idle so briefly that a request may be on its way. A connection that never sent a request may be closed sooner, as
+// clients normally send their first request at once. If there is none, an idle backend connection is closed.
 type socketNeeded struct{}
 
 func (socketNeeded) handle(c *core) {
 	var oldest *client
-	var most float64
+	var longest float64
 	now := c.clock.now()
 	for cl := range c.clients {
 		over := now - cl.idleSince - c.cfg.Pace.Linger
 		if !cl.hasRequested {
 			over = now - cl.idleSince - c.cfg.Pace.Linger/silentLingerDivisor
 		}
-		if cl.op < 0 && !cl.closeRequested.Load() && over > most {
-			oldest, most = cl, over
+		if cl.op < 0 && !cl.closeRequested.Load() && over > longest {
+			oldest, longest = cl, over
 		}
 	}
 	if oldest != nil {
@@ -382,15 +384,16 @@
 	}
 }
 
-// sweep closes connections idle for too long, and on the way out client connections that are idle. Clients that
-// ask once and keep their connection would else fill the door.
+// sweep closes connections that have been idle too long, as clients that send one request and keep their connection would
+// otherwise fill the door. During shutdown and out of service it closes all idle client connections and carries out the steps of
+// the shutdown that are due.
 func (c *core) sweep() {
 	if c.now < c.sweepAt {
 		return
 	}
-	for l := range c.backendConns {
-		if l.attempt == nil && c.now-l.idleSince > c.cfg.Pace.IdleBackend {
-			c.closeConn(l)
+	for conn := range c.backendConns {
+		if conn.attempt == nil && c.now-conn.idleSince > c.cfg.Pace.IdleBackend {
+			c.closeConn(conn)
 		}
 	}
 	for cl := range c.clients {
@@ -411,28 +414,28 @@
 	}
 	if c.listener != nil && !shutdown.Accepting(c.now) && !c.listenerClosing {
 		c.listenerClosing = true
-		if wait, ok := c.listener.(deadlineListener); ok {
-			wait.SetDeadline(time.Now())
+		if ln, ok := c.listener.(deadlineListener); ok {
+			ln.SetDeadline(time.Now())
 		} else {
 			c.listener.Close()
 		}
 	}
-	for cl := range c.clients { // a new connection has the linger time to bring its first request
+	for cl := range c.clients { // a new connection has Pace.Linger to send its first request
 		if cl.op < 0 && (cl.hasRequested || c.now >= shutdown.Deadline(cl.idleSince+c.cfg.Pace.Linger)) {
 			cl.requestClose(closedShutdown)
 		}
 	}
 }
 
-// beginShutdown begins the way out: what still arrives is served, each connection's answer is its last, and all that is taken has its
-// answer by one absolute end.
+// beginShutdown begins the shutdown: requests that still arrive are served, each connection closes with its next answer, and every
+// accepted request is answered by one fixed deadline.
 func (c *core) beginShutdown() {
 	shutdown := lifecycle.NewShutdown(c.clock.now(), c.cfg.Deal.LongestWait, c.cfg.Pace.Linger)
 	c.shutdown.Store(shutdown)
 	c.shuttingDown, c.sweepAt = true, 0
 	for i := range c.requests {
-		if o := &c.requests[i]; o.msg != nil {
-			c.limitDeadlines(o, shutdown)
+		if req := &c.requests[i]; req.msg != nil {
+			c.limitDeadlines(req, shutdown)
 		}
 	}
 	c.pending = append(c.pending, gate.Closing{By: shutdown.AnswerBy})
@@ -441,31 +444,31 @@
 		fields.AnswerMs: shutdown.AnswerBy - shutdown.Began, fields.KillMs: shutdown.KillAt - shutdown.Began}).Info("leaving")
 }
 
-// limitDeadlines has a request and its attempts end by the door's own end.
-func (c *core) limitDeadlines(o *request, shutdown *lifecycle.Shutdown) {
-	o.deadline = shutdown.Deadline(o.deadline)
-	for _, f := range o.attempts {
-		if !f.ended && f.deadline > o.deadline {
-			f.deadline = o.deadline
-			c.timeouts.add(f.deadline, f)
+// limitDeadlines limits the deadlines of a request and its attempts to that of the shutdown.
+func (c *core) limitDeadlines(req *request, shutdown *lifecycle.Shutdown) {
+	req.deadline = shutdown.Deadline(req.deadline)
+	for _, att := range req.attempts {
+		if !att.ended && att.deadline > req.deadline {
+			att.deadline = req.deadline
+			c.timeouts.add(att.deadline, att)
 		}
 	}
 }
 
-// shutdownComplete tells whether all that was taken is answered and nothing more can come.
+// shutdownComplete reports whether all accepted requests are answered and no more can arrive, or the shutdown's time is over.
 func (c *core) shutdownComplete() bool {
 	return c.shuttingDown && (!c.accepting && len(c.clients) == 0 || c.shutdown.Load().Over(c.now))
 }
 
-// closeAll ends what goroutines are left.
+// closeAll closes all remaining connections, which ends their goroutines.
 func (c *core) closeAll() {
 	for cl := range c.clients {
 		c.checkClose(cl, closedShutdown)
 	}
 	c.tally.write(c.log)
 	close(c.done)
-	for l := range c.backendConns {
-		l.close()
+	for conn := range c.backendConns {
+		conn.close()
 	}
 	for cl := range c.clients {
 		cl.nc.Close()
--- a/frontdoor/counter.go
+++ b/frontdoor/counter.go
@@ -13,21 +13,21 @@
 	"github.com/swifthall/swifthall/internal/sockio"
 )
 
-// counterCall is one counterCall of the counter.
+// counterCall is one call of the counter: it adds to a customer's total in an epoch.
 type counterCall struct {
 	conn     *counterConn
 	customer uint64
 	epoch    int64
-	add, ttl float64
+	add, ttl float64 // units to add; how long the counter keeps the total, ms
 
-	// The owner's.
-	startedAt float64
-	reported  bool // the decisions have its result
-	done      bool // its connection owes nothing for it any more
+	// Used by the event loop only.
+	startedAt float64 // clock, ms
+	reported  bool    // the decider has its result
+	done      bool    // its connection has no answer pending for it
 }
 
-// expire first ends the wait for a call, then a connection that owes its answer for too long: what comes over
-// one that is cut off would never be noticed otherwise.
+// expire first reports a timeout of the call. If the answer is still pending after Pace.DeadCounter, it closes the connection:
+// no read ever fails on a connection whose peer has become unreachable.
 func (k *counterCall) expire(c *core) {
 	switch dead := k.startedAt + c.cfg.Pace.DeadCounter; {
 	case k.done:
@@ -40,7 +40,7 @@
 	}
 }
 
-// reportCall gives the decisions a call's result, once.
+// reportCall reports the result of a call to the decider, once.
 func (c *core) reportCall(k *counterCall, how outcome, total float64) {
 	if k.reported {
 		return
@@ -51,7 +51,7 @@
 	}
 }
 
-// callCounter makes a call over the connection that owes least.
+// callCounter makes a call over the connection with the fewest outstanding calls.
 func (c *core) callCounter(a gate.Count) {
 	k := &counterCall{customer: c.customers.ID(a.Customer), epoch: a.Epoch, add: a.Add, ttl: a.Keep, startedAt: c.now}
 	for _, conn := range c.counterConns {
@@ -64,51 +64,51 @@
 	k.conn.enqueue(k)
 }
 
-// callEnded is the end of a call on its connection.
+// callEnded reports that a call has ended on its connection.
 type callEnded struct {
 	call    *counterCall
 	outcome outcome
 	total   float64
 }
 
-func (n callEnded) handle(c *core) {
-	n.call.done = true
-	n.call.conn.outstanding--
-	c.reportCall(n.call, n.outcome, n.total)
-	n.call.conn.stopIfUnused()
+func (e callEnded) handle(c *core) {
+	e.call.done = true
+	e.call.conn.outstanding--
+	c.reportCall(e.call, e.outcome, e.total)
+	e.call.conn.stopIfUnused()
 }
 
-// useCounter calls the counter at an address from now on. Calls made at the one before come to their own end there.
+// useCounter directs new calls to the counter at an address. Outstanding calls finish on the connections they were made on.
 func (c *core) useCounter(addr string) {
-	for _, k := range c.counterConns {
-		k.replaced = true
-		k.stopIfUnused()
+	for _, conn := range c.counterConns {
+		conn.replaced = true
+		conn.stopIfUnused()
 	}
 	c.counterConns = c.counterConns[:0]
 	for range counterConnections {
-		k := newCounterConn(c, addr)
+		conn := newCounterConn(c, addr)
 		var ctx context.Context
-		ctx, k.stop = context.WithCancel(c.background)
-		c.counterConns = append(c.counterConns, k)
-		go k.run(ctx)
+		ctx, conn.stop = context.WithCancel(c.background)
+		c.counterConns = append(c.counterConns, conn)
+		go conn.run(ctx)
 	}
 }
 
-// stopIfUnused stops a connection that has been replaced and owes nothing.
+// stopIfUnused stops a connection that has been replaced and has no outstanding calls.
 func (k *counterConn) stopIfUnused() {
 	if k.replaced && k.outstanding == 0 {
 		k.stop()
 	}
 }
 
-// counterConn is one connection to the counter, dialled when there are calls. One goroutine writes, one reads.
+// counterConn is one connection to the counter, dialled when there are calls. One goroutine writes, another reads.
 type counterConn struct {
 	c    *core
 	addr string
-	wake chan struct{}
+	wake chan struct{} // receives when a call is queued
 
-	// The owner's.
-	outstanding int // put and not over
+	// Used by the event loop only.
+	outstanding int // calls enqueued and not done
 	replaced    bool
 	stop        context.CancelFunc
 
@@ -122,9 +122,10 @@
 	return &counterConn{c: c, addr: addr, wake: make(chan struct{}, 1), stop: func() {}}
 }
 
-func (k *counterConn) enqueue(a *counterCall) {
+// enqueue queues a call and wakes the writer.
+func (k *counterConn) enqueue(call *counterCall) {
 	k.mu.Lock()
-	k.queue = append(k.queue, a)
+	k.queue = append(k.queue, call)
 	k.mu.Unlock()
 	select {
 	case k.wake <- struct{}{}:
@@ -132,7 +133,7 @@
 	}
 }
 
-// disconnect ends the connection, if it is up.
+// disconnect closes the connection, if it is established.
 func (k *counterConn) disconnect() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -141,6 +142,7 @@
 	}
 }
 
+// run writes queued calls, dialling as needed, until ctx ends.
 func (k *counterConn) run(ctx context.Context) {
 	defer context.AfterFunc(ctx, k.disconnect)()
 	for ctx.Err() == nil {
@@ -158,30 +160,30 @@
 			continue
 		}
 		msg := pool.Get()
-		for _, a := range calls {
-			msg = resp.AppendTally(msg, counterKey(a), a.add, a.ttl)
+		for _, call := range calls {
+			msg = resp.AppendTally(msg, counterKey(call), call.add, call.ttl)
 		}
 		if _, err := sockio.Write(nc, msg, time.Now().Add(duration(k.c.cfg.Deal.CounterTimeout))); err != nil {
-			nc.Close() // its reader ends the calls
+			nc.Close() // the reading goroutine ends the calls
 		}
 		pool.Put(msg)
 	}
 }
 
-// takeQueued takes the calls that wait, apart from those whose time has run out: units that nobody waits for must
-// not be added. up says that the others will fly over nc, which then is still the connection. One that ended since it was
-// looked up has ended its calls already: those loaded after would have no end, and the next connection's replies would
-// be taken for theirs, one customer's total for another's.
+// takeQueued empties the queue. Calls that have timed out are returned as late and must not be sent: nobody waits for them, so
+// their units must not be added. up reports whether nc is still the connection; only then are the other calls registered as
+// awaiting a reply. If nc ended after it was looked up, its reader has already ended the calls on it: calls registered later
+// would never end, and replies on the next connection would be matched to them, giving one customer the total of another.
 func (k *counterConn) takeQueued(nc net.Conn) (calls, late []*counterCall, up bool) {
 	oldest := k.c.clock.now() - k.c.cfg.Deal.CounterTimeout
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	up = nc != nil && k.nc == nc
-	for _, a := range k.queue {
-		if a.startedAt < oldest {
-			late = append(late, a)
+	for _, call := range k.queue {
+		if call.startedAt < oldest {
+			late = append(late, call)
 		} else {
-			calls = append(calls, a)
+			calls = append(calls, call)
 		}
 	}
 	k.queue = nil
@@ -191,19 +193,19 @@
 	return calls, late, up
 }
 
-// counterKey names a customer's number for an epoch, the same at every door.
-func counterKey(a *counterCall) string {
-	return strconv.FormatUint(a.customer, 16) + "/" + strconv.FormatInt(a.epoch, 10)
+// counterKey returns the counter's key for a customer in an epoch. All doors use the same one.
+func counterKey(call *counterCall) string {
+	return strconv.FormatUint(call.customer, 16) + "/" + strconv.FormatInt(call.epoch, 10)
 }
 
-// current returns the connection, nil where there is none.
+// current returns the connection, nil if there is none.
 func (k *counterConn) current() net.Conn {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.nc
 }
 
-// connect returns the connection, a new one where there is none.
+// connect returns the connection, and dials if there is none.
 func (k *counterConn) connect(ctx context.Context) (net.Conn, outcome) {
 	if nc := k.current(); nc != nil {
 		return nc, outcomeOK
@@ -224,48 +226,49 @@
 }
 
 func (k *counterConn) endCalls(calls []*counterCall, how outcome) {
-	for _, a := range calls {
-		k.c.post(callEnded{a, how, 0})
+	for _, call := range calls {
+		k.c.post(callEnded{call, how, 0})
 	}
 }
 
-// read takes replies, each for the oldest call, until the connection ends.
+// read reads replies, each for the oldest call, until the connection ends, and then ends the calls left.
 func (k *counterConn) read(nc net.Conn) {
 	defer k.c.budget.release()
 	var in resp.Replies
 	buf := pool.Get()[:pool.Size]
 	defer pool.Put(buf)
-	var err, fault error
-	for err == nil && fault == nil {
+	var err, parseErr error
+	for err == nil && parseErr == nil {
 		var n int
 		n, err = sockio.Read(nc, buf)
-		fault = in.Feed(buf[:n], k.handleReply)
+		parseErr = in.Feed(buf[:n], k.handleReply)
 	}
 	nc.Close()
 	k.mu.Lock()
 	calls := k.awaitingReply
 	k.nc, k.awaitingReply = nil, nil
 	k.mu.Unlock()
-	if fault != nil && len(calls) > 0 { // it was the oldest one's answer; those behind it may have been added
+	if parseErr != nil && len(calls) > 0 { // the malformed reply was the oldest call's; the calls behind it may have been added
 		k.endCalls(calls[:1], outcomeMalformed)
 		calls = calls[1:]
 	}
 	k.endCalls(calls, outcomeBroken)
 }
 
+// handleReply ends the oldest call with a reply.
 func (k *counterConn) handleReply(r resp.Reply) error {
 	k.mu.Lock()
 	if len(k.awaitingReply) == 0 {
 		k.mu.Unlock()
 		return errUnexpectedReply
 	}
-	a := k.awaitingReply[0]
+	call := k.awaitingReply[0]
 	k.awaitingReply = k.awaitingReply[1:]
 	k.mu.Unlock()
 	how := outcomeOK
 	if r.Busy || r.Fault != "" {
 		how = outcomeTurnedAway
 	}
-	k.c.post(callEnded{a, how, r.Total})
+	k.c.post(callEnded{call, how, r.Total})
 	return nil
 }
--- a/frontdoor/due.go
+++ b/frontdoor/due.go
@@ -2,35 +2,36 @@
 
 import "container/heap"
 
-// expirer is something with a time-out.
+// expirer is something with a timeout. expire is called when the timeout is due.
 type expirer interface{ expire(*core) }
 
+// timeout is one entry of a timeoutHeap.
 type timeout struct {
-	at     float64
+	at     float64 // clock at which it is due, ms
 	target expirer
 }
 
-// timeoutHeap is a heap of time-outs, the earliest first. What has ended meanwhile stays until its time and is
-// then passed over.
+// timeoutHeap is a heap of timeouts, the earliest first. A timeout is not removed when its target ends early; the target then
+// ignores it.
 type timeoutHeap []timeout
 
-func (d timeoutHeap) Len() int           { return len(d) }
-func (d timeoutHeap) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d timeoutHeap) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *timeoutHeap) Push(x any)        { *d = append(*d, x.(timeout)) }
-func (d *timeoutHeap) Pop() any {
-	n := len(*d) - 1
-	x := (*d)[n]
-	(*d)[n] = timeout{}
-	*d = (*d)[:n]
+func (h timeoutHeap) Len() int           { return len(h) }
+func (h timeoutHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timeoutHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *timeoutHeap) Push(x any)        { *h = append(*h, x.(timeout)) }
+func (h *timeoutHeap) Pop() any {
+	n := len(*h) - 1
+	x := (*h)[n]
+	(*h)[n] = timeout{}
+	*h = (*h)[:n]
 	return x
 }
 
-func (d *timeoutHeap) add(at float64, what expirer) { heap.Push(d, timeout{at, what}) }
+func (h *timeoutHeap) add(at float64, target expirer) { heap.Push(h, timeout{at, target}) }
 
-// expireDue expires what is due.
-func (d *timeoutHeap) expireDue(c *core) {
-	for len(*d) > 0 && (*d)[0].at <= c.now {
-		heap.Pop(d).(timeout).target.expire(c)
+// expireDue expires the targets of all timeouts that are due.
+func (h *timeoutHeap) expireDue(c *core) {
+	for len(*h) > 0 && (*h)[0].at <= c.now {
+		heap.Pop(h).(timeout).target.expire(c)
 	}
 }
--- a/frontdoor/end.go
+++ b/frontdoor/end.go
@@ -2,32 +2,32 @@
 
 import "github.com/swifthall/swifthall/gate"
 
-// outcome is how a connection's part in an attempt or in a call of the counter came to its outcome.
+// outcome is how an attempt, or a call of the counter, ended on its connection.
 type outcome uint8
 
 const (
-	outcomeOK              outcome = iota // whole answer, 200
-	outcomeError                          // whole answer of another kind
-	outcomeTurnedAway                     // whole answer: unseen
-	outcomeNoSocket                       // the socket budget is spent
-	outcomeNoConnection                   // the connection was refused or never came up
-	outcomeBrokenUnsent                   // broke before the last byte was written
-	outcomeBroken                         // broke after that
-	outcomeMalformed                      // what came was no answer
-	outcomeTimeoutUnsent                  // time ran out before the last byte was written
-	outcomeTimeout                        // time ran out after that
-	outcomeAbandonedUnsent                // given up by the door before the last byte was written
-	outcomeAbandoned                      // given up after that
-	outcomes                              // how many there are
+	outcomeOK              outcome = iota // complete answer with status 200
+	outcomeError                          // complete answer with any other status
+	outcomeTurnedAway                     // complete answer: the request was turned away without being run
+	outcomeNoSocket                       // the socket budget is used up
+	outcomeNoConnection                   // the connection was refused or not established
+	outcomeBrokenUnsent                   // connection broke before the last byte was written
+	outcomeBroken                         // connection broke after the last byte was written
+	outcomeMalformed                      // the bytes received were no valid answer
+	outcomeTimeoutUnsent                  // timed out before the last byte was written
+	outcomeTimeout                        // timed out after the last byte was written
+	outcomeAbandonedUnsent                // abandoned by the door before the last byte was written
+	outcomeAbandoned                      // abandoned by the door after the last byte was written
+	outcomes                              // number of outcomes
 )
 
-// String names the end as accounts and logs do.
-func (e outcome) String() string {
+// String returns the name of the outcome in periodic summaries and logs.
+func (o outcome) String() string {
 	return [...]string{"well", "ill", "turned_away", "no_socket", "no_connection", "cut_unsent", "cut", "garbled", "late_unsent", "late",
-		"left_unsent", "left"}[e]
+		"left_unsent", "left"}[o]
 }
 
-// results holds what each end means to the decisions. What was not written to its last byte never ran.
+// results maps each outcome to the result reported to the decider. A request whose last byte was not written never ran.
 var results = [...]gate.Result{
 	outcomeOK: gate.Finished, outcomeError: gate.Errored, outcomeTurnedAway: gate.Full,
 	outcomeNoSocket: gate.Skipped, outcomeNoConnection: gate.Unreachable,
@@ -36,12 +36,12 @@
 	outcomeAbandonedUnsent: gate.Skipped, outcomeAbandoned: gate.Cancelled,
 }
 
-func (e outcome) result() gate.Result { return results[e] }
+func (o outcome) result() gate.Result { return results[o] }
 
-// asUnsent is the end of what had not been written when a connection ended.
-func (e outcome) asUnsent() outcome {
-	if e == outcomeOK {
+// asUnsent returns the outcome of a call that was still unwritten when its connection ended with outcome o.
+func (o outcome) asUnsent() outcome {
+	if o == outcomeOK {
 		return outcomeBrokenUnsent
 	}
-	return e
+	return o
 }
--- a/frontdoor/errors.go
+++ b/frontdoor/errors.go
@@ -6,20 +6,20 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// SocketsError is a door that may hold too few descriptors to serve.
+// SocketsError is a limit on file descriptors that leaves the door none for connections.
 type SocketsError struct{ Allowed int }
 
 func (e *SocketsError) Error() string {
-	return fmt.Sprintf("key \"limits.sockets\": %d, or what the system allows, leave none for connections", e.Allowed)
+	return fmt.Sprintf("key \"limits.sockets\": %d, or the system's limit, leaves no sockets for connections", e.Allowed)
 }
 func (e *SocketsError) Kind() remedy.Kind { return remedy.Configuration }
 
-// Remedy names the key and the system's limit.
+// Remedy names the configuration key and the system's limit.
 func (e *SocketsError) Remedy() string {
 	return "Raise the key \"limits.sockets\", or the process's limit of open files (ulimit -n)."
 }
 
-// ListenError is an address that the door can't take clients at.
+// ListenError is a failure to listen for clients on an address.
 type ListenError struct {
 	Address string
 	Cause   error
@@ -34,19 +34,19 @@
 	return fmt.Sprintf("Free %s, or name another address in the key \"listen\" or in GW_LISTEN.", e.Address)
 }
 
-// LinkError is why a connection to discovery or to the counter isn't used further. It is logged and dialled again.
+// LinkError is the reason why a connection to discovery or to the counter is closed. The door logs it and dials again.
 type LinkError struct{ Says string }
 
 func (e *LinkError) Error() string     { return e.Says }
 func (e *LinkError) Kind() remedy.Kind { return remedy.Unreachable }
 
-// Remedy says where to look, as the door itself dials again.
+// Remedy names the settings to check if the error persists; the door dials again by itself.
 func (e *LinkError) Remedy() string {
 	return "The door dials again by itself; if this goes on, look at the addresses in the keys \"discovery\" and \"counter\" and at \"limits.sockets\"."
 }
 
 var (
 	errNoSocket        = &LinkError{"no socket is free"}
-	errUnexpectedReply = &LinkError{"a reply to no call"}
-	errWatchEnded      = &LinkError{"the watch was ended"}
+	errUnexpectedReply = &LinkError{"a reply without a pending call"}
+	errWatchEnded      = &LinkError{"discovery ended the watch"}
 )
--- a/frontdoor/fleet.go
+++ b/frontdoor/fleet.go
@@ -15,30 +15,30 @@
 	"github.com/swifthall/swifthall/internal/sockio"
 )
 
-// fleetUpdate is news of the fleet, from the watch of that number.
+// fleetUpdate is a change of the fleet list, received by the watch of that number.
 type fleetUpdate struct {
 	list         registry.List
 	watch        int
-	lastReceived float64 // clock at which a watch had last said anything before this list began, ms; 0 is never
+	lastReceived float64 // clock at which a watch had last received anything before this list began, ms; 0 is never
 }
 
-func (n fleetUpdate) handle(c *core) {
-	if n.watch != c.watchNumber { // that watch has been replaced
+func (u fleetUpdate) handle(c *core) {
+	if u.watch != c.watchNumber { // that watch has been replaced
 		return
 	}
-	ev := gate.Fleet{Complete: n.list.Whole}
-	if n.list.Whole {
+	ev := gate.Fleet{Complete: u.list.Whole}
+	if u.list.Whole {
 		for i := range c.backends {
 			c.backends[i].eligible, c.backends[i].status = false, gate.Gone
 		}
 	}
-	for _, e := range n.list.Backends {
+	for _, e := range u.list.Backends {
 		i := c.backendIDs.Add(e.ID)
 		if i == len(c.backends) {
 			c.backends = append(c.backends, backend{})
 		}
 		b := &c.backends[i]
-		c.setProcessStart(b, wallTime(e.Started), n.lastReceived)
+		c.setProcessStart(b, wallTime(e.Started), u.lastReceived)
 		b.id, b.status, b.size, b.listed = e.ID, e.Status(), e.Size, true
 		b.zone, b.cell = c.zones.Add(e.Zone), c.cells.Add(e.Cell)
 		if e.Addr != "" {
@@ -49,24 +49,25 @@
 	c.fleetChanged(ev)
 }
 
-// setProcessStart takes when a backend's process was setProcessStart, by the wall clock, as a span: that clock may be stepped afterwards. One
-// that is heard of as new was setProcessStart after discovery last said something; without that, as a door starts, the wall clock alone
-// tells.
-func (c *core) setProcessStart(b *backend, process wallTime, after float64) {
+// setProcessStart records the listed start of a backend's process and converts it to the door's clock at once, as the wall clock
+// may be stepped later. A start that was not listed before happened after discovery last sent something, which bounds its age;
+// while the door has received nothing (at its own start), the wall clock alone decides.
+func (c *core) setProcessStart(b *backend, process wallTime, lastReceived float64) {
 	switch {
 	case process == 0:
 		b.startedAt = 0
 	case process != b.processStart || b.startedAt == 0:
-		now, most := c.clock.now(), math.Inf(1)
-		if after > 0 {
-			most = now - after
+		now, limit := c.clock.now(), math.Inf(1)
+		if lastReceived > 0 {
+			limit = now - lastReceived
 		}
-		b.startedAt = now - c.clock.elapsedSince(process, most)
+		b.startedAt = now - c.clock.elapsedSince(process, limit)
 	}
 	b.processStart = process
 }
 
-// gateEntry words what the list says of a backend. One that is withheld drains, whatever the list says of it.
+// gateEntry returns a backend's fleet list entry for the decider and updates whether the backend is eligible. A withheld backend
+// that is listed as up is reported as draining.
 func (c *core) gateEntry(i int) gate.Entry {
 	b := &c.backends[i]
 	status := b.status
@@ -77,31 +78,31 @@
 	return gate.Entry{Backend: i, Zone: b.zone, Cell: b.cell, Status: status, Since: b.startedAt, Size: b.size, Mark: index.Mark(b.id)}
 }
 
-// fleetChanged passes changes of the list on to the decisions.
+// fleetChanged withdraws connections to backends that are no longer eligible and reports the change to the decider.
 func (c *core) fleetChanged(ev gate.Fleet) {
-	for l := range c.backendConns { // nothing new goes over these
-		if !c.backends[l.backend].usable(l) {
-			c.withdrawConn(l)
+	for conn := range c.backendConns {
+		if !c.backends[conn.backend].usable(conn) {
+			c.withdrawConn(conn)
 		}
 	}
 	c.pending = append(c.pending, ev)
 	c.updateReady()
 }
 
-// withdrawConn takes back a connection to a backend that is to get nothing new, and an attempt on it that has not begun; one that
-// has goes on.
-func (c *core) withdrawConn(l *backendConn) {
-	f := l.attempt
+// withdrawConn closes a connection that must carry no new attempts, if it is idle or its attempt has not begun to be written. An
+// attempt that has begun goes on.
+func (c *core) withdrawConn(conn *backendConn) {
+	att := conn.attempt
 	switch {
-	case f == nil:
-		c.closeConn(l)
-	case !f.ended && f.stage.CompareAndSwap(stageWaiting, stageDropped):
-		c.closeConn(l)
-		c.finish(f, outcomeAbandonedUnsent, c.now, -1, -1)
+	case att == nil:
+		c.closeConn(conn)
+	case !att.ended && att.stage.CompareAndSwap(stageWaiting, stageDropped):
+		c.closeConn(conn)
+		c.finish(att, outcomeAbandonedUnsent, c.now, -1, -1)
 	}
 }
 
-// discoveryAttempted says that discovery has been discoveryAttempted once, whatever came of it.
+// discoveryAttempted reports that discovery has been asked once, with or without an answer.
 type discoveryAttempted struct{}
 
 func (discoveryAttempted) handle(c *core) {
@@ -109,7 +110,7 @@
 	c.updateReady()
 }
 
-// updateReady has the door admitted once discovery was asked and a backend is known.
+// updateReady updates the door's readiness: it is ready once discovery has been asked and a backend is eligible.
 func (c *core) updateReady() {
 	can := false
 	for i := range c.backends {
@@ -118,12 +119,12 @@
 	c.ready.Store(can && c.discoveryTried && !c.shuttingDown && !c.outOfService)
 }
 
-// removeBackend forgets a backend that is gone and lets its index be used again. Nothing may be carried over to the next
-// one under it.
+// removeBackend removes a backend that is gone and frees its index. The next backend that gets the index must inherit nothing
+// from it.
 func (c *core) removeBackend(i int) {
-	for l := range c.backendConns {
-		if l.backend == i {
-			c.closeConn(l)
+	for conn := range c.backendConns {
+		if conn.backend == i {
+			c.closeConn(conn)
 		}
 	}
 	zone, cell := c.backends[i].zone, c.backends[i].cell
@@ -143,7 +144,7 @@
 	}
 }
 
-// startWatch follows the list at an address from now on, and no longer at the one before.
+// startWatch starts a watch of the fleet list at an address, in place of the present one.
 func (c *core) startWatch(addr string, version int64) {
 	if c.cancelWatch != nil {
 		c.cancelWatch()
@@ -154,43 +155,47 @@
 	go c.runWatch(ctx, addr, version, c.watchNumber)
 }
 
-// runWatch keeps a watch of the fleet list until ctx ends. A watch that breaks, falls silent or is taken and never answered is
-// dialled again and goes on from the version that came last; config.Pace bounds what that may take, whatever came before. What discovery holds it tells at once: a door that has waited as
-// long as a connection may take serves by what it knew.
+// runWatch keeps a watch of the fleet list until ctx ends. If the connection breaks, falls silent or is accepted but never
+// answered, it dials again and resumes from the last version received; config.Pace bounds how long that takes. Discovery sends
+// what it knows at once: a door that has waited for the connect timeout becomes ready with the list it was configured with.
 func (c *core) runWatch(ctx context.Context, addr string, version int64, number int) {
 	defer time.AfterFunc(duration(c.cfg.Deal.ConnectTimeout), func() { c.post(discoveryAttempted{}) }).Stop()
-	well, dice := true, rand.New(rand.NewPCG(c.cfg.Seed, uint64(number)))
+	healthy, random := true, rand.New(rand.NewPCG(c.cfg.Seed, uint64(number)))
 	pause := c.cfg.Pace.Redial
 	for ctx.Err() == nil {
-		err := c.watchOnce(ctx, addr, version, dice, func(l registry.List, after float64) {
+		err := c.watchOnce(ctx, addr, version, random, func(l registry.List, lastReceived float64) {
 			version, pause = l.Version, c.cfg.Pace.Redial
-			c.post(fleetUpdate{l, number, after})
-			if !well {
-				well = true
-				c.log.Info("fleet watch is back")
+			c.post(fleetUpdate{l, number, lastReceived})
+			if !healthy {
+				healthy = true
+				c.log.Info("fleet watch restored")
 			}
 			c.post(discoveryAttempted{})
 		})
-		if ctx.Err() == nil && well {
-			well = false
+		if ctx.Err() == nil && healthy {
+			healthy = false
 			c.log.WithError(err).Warn("fleet watch ended")
 		}
-		sleepMs(ctx, shortened(pause, redialJitter, dice))
+		sleepMs(ctx, shortened(pause, redialJitter, random))
 		pause = min(2*pause, config.RedialGrows*c.cfg.Pace.Redial)
 	}
 }
 
-// Doors that lose discovery together would call on it together ever after: chance takes so much of each time at most.
+// Jitter: doors that lose discovery at the same moment would otherwise call it in step ever after. Each wait is shortened by a
+// random part, at most this fraction.
 const (
-	redialJitter  = 0.5 // of a pause, or of the time for the first byte
-	silenceJitter = 0.2 // of the time that a watch may be silent; what is left is over the 2 s in which it says something
+	redialJitter  = 0.5 // of a pause between dials, and of the wait for the first byte
+	silenceJitter = 0.2 // of the time a watch may be silent; the rest stays above the 2 s within which discovery sends something
 )
 
-func shortened(ms, most float64, dice *rand.Rand) float64 { return ms * (1 - most*dice.Float64()) }
+// shortened returns ms less a random fraction, at most limit.
+func shortened(ms, limit float64, random *rand.Rand) float64 {
+	return ms * (1 - limit*random.Float64())
+}
 
 func sleepMs(ctx context.Context, ms float64) { sleep(ctx, duration(ms)) }
 
-// sleep waits for a time, or until ctx ends.
+// sleep waits for a duration, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	wait := time.NewTimer(d)
 	defer wait.Stop()
@@ -200,8 +205,8 @@
 	}
 }
 
-// watchOnce follows the list over one connection.
-func (c *core) watchOnce(ctx context.Context, addr string, version int64, dice *rand.Rand, heard func(l registry.List, after float64)) error {
+// watchOnce watches the list over one connection and returns why it ended.
+func (c *core) watchOnce(ctx context.Context, addr string, version int64, random *rand.Rand, received func(l registry.List, lastReceived float64)) error {
 	if !c.budget.acquire(0) {
 		return errNoSocket
 	}
@@ -214,40 +219,40 @@
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
 	buf := pool.Get()
 	defer pool.Put(buf)
-	patience := duration(shortened(c.cfg.Pace.FirstWord, redialJitter, dice))
-	first := time.Now().Add(patience)
-	if _, err := sockio.Write(nc, registry.AppendWatch(buf, addr, version), first); err != nil {
+	wait := duration(shortened(c.cfg.Pace.FirstWord, redialJitter, random))
+	firstBy := time.Now().Add(wait)
+	if _, err := sockio.Write(nc, registry.AppendWatch(buf, addr, version), firstBy); err != nil {
 		return err
 	}
-	return c.readWatch(nc, buf[:pool.Size], first, dice, heard)
+	return c.readWatch(nc, buf[:pool.Size], firstBy, random, received)
 }
 
-// listReceivedAt is the clock at which a watch that tells lists last said anything, ms; 0 is never.
+// listReceivedAt returns the clock at which a watch that has received a list last received anything, ms; 0 is never.
 func (c *core) listReceivedAt() float64 { return math.Float64frombits(c.listReceived.Load()) }
 
-// readWatch reads what a watch tells; its first word comes by a time.
-func (c *core) readWatch(nc net.Conn, buf []byte, first time.Time, dice *rand.Rand, heard func(l registry.List, after float64)) error {
+// readWatch reads a watch's stream until it ends or falls silent. The first byte must arrive by firstBy.
+func (c *core) readWatch(nc net.Conn, buf []byte, firstBy time.Time, random *rand.Rand, received func(l registry.List, lastReceived float64)) error {
 	var w registry.Watch
-	told := false // this watch has told a list
-	nc.SetReadDeadline(first)
+	hasList := false // a list has arrived on this watch
+	nc.SetReadDeadline(firstBy)
 	for {
 		n, err := sockio.Read(nc, buf)
-		after := c.listReceivedAt()
-		done, fault := w.Feed(buf[:n], func(l registry.List) {
-			told = true
-			heard(l, after)
+		lastReceived := c.listReceivedAt()
+		done, parseErr := w.Feed(buf[:n], func(l registry.List) {
+			hasList = true
+			received(l, lastReceived)
 		})
-		if told && n > 0 && w.Between() {
+		if hasList && n > 0 && w.Between() {
 			c.listReceived.Store(math.Float64bits(c.clock.now()))
 		}
 		switch {
-		case fault != nil:
-			return fault
+		case parseErr != nil:
+			return parseErr
 		case err != nil:
 			return err
 		case done:
 			return errWatchEnded
 		}
-		nc.SetReadDeadline(time.Now().Add(duration(shortened(c.cfg.Pace.Silence, silenceJitter, dice))))
+		nc.SetReadDeadline(time.Now().Add(duration(shortened(c.cfg.Pace.Silence, silenceJitter, random))))
 	}
 }
--- a/frontdoor/frontdoor.go
+++ b/frontdoor/frontdoor.go
@@ -1,8 +1,8 @@
-// Package frontdoor is a front door on sockets, built around the decisions. A door takes requests from
-// clients, has a gate.Decider decide on them, and carries its actions out; it decides nothing itself.
+// Package frontdoor implements an HTTP/1.1 front door: it accepts requests from clients, passes them as events to a
+// gate.Decider, and executes the actions that the decider returns. It makes no decisions of its own.
 //
-// One goroutine, core.run, owns the decider. Each connection has a goroutine that reads, feeds a state machine
-// (internal/http1, internal/resp, internal/registry) and passes what it yields on as notes.
+// One goroutine, core.run, is the event loop that owns the decider. Each connection has a goroutine that reads, feeds a protocol
+// state machine (internal/http1, internal/resp, internal/registry) and posts the results to the event loop.
 package frontdoor
 
 import (
@@ -23,21 +23,22 @@
 // Door is one front door.
 type Door struct{ core *core }
 
-// New returns a door that will serve by the decider, which is its own from here on.
+// New returns a door that serves by a decider. The door owns the decider from then on.
 func New(cfg config.Door, decider gate.Decider, log logrus.FieldLogger) *Door {
 	return &Door{core: newCore(cfg, decider, log)}
 }
 
-// On has the door serve clients of a listener that another process listens at as well, in place of listening itself: one door
-// can follow another with no connection refused. It is called before Serve, which closes the listener.
+// UseListener makes the door serve clients of an existing listener instead of opening its own. The listener's socket may be shared
+// with another process, so that one door can replace another with no connection refused. It must be called before Serve, which
+// closes the listener.
 func (d *Door) On(ln *net.TCPListener) {
 	d.core.listen = func(context.Context, string) (net.Listener, error) { return ln, nil }
 }
 
-const listenRetryTime = 5 * time.Second // in which a listener that can't be had for a moment is asked for again
+const listenRetryTime = 5 * time.Second // how long listening is retried while the address is temporarily unavailable
 
-// Serve listens and serves until ctx ends; then it answers all that was taken, and what still comes for a
-// while, and returns. A door serves once.
+// Serve listens and serves until ctx ends. It then shuts down: it answers all accepted requests and those that still arrive for a
+// while, and returns. A door can serve only once.
 func (d *Door) Serve(ctx context.Context) error {
 	c := d.core
 	if c.budget.low(0) {
@@ -66,39 +67,39 @@
 	return nil
 }
 
-// Reload has the door go over to another discovery and counter; all else of the configuration stays as it was. What
-// is under way goes on, and so does the fleet list until the new discovery has told its own.
+// Reload switches the door to the discovery and counter addresses of another configuration; all other settings keep their values.
+// Open requests and calls go on, and the present fleet list stays in use until the new discovery has sent one.
 func (d *Door) Reload(cfg config.Door) { d.core.post(reloadRequest{cfg.Discovery, cfg.Counter}) }
 
-// Members tells the door which doors of its fleet are here, as far as is known. It may be called at any time, or never: no
-// request waits for it.
+// SetMembers reports which doors of the fleet are here, as far as is known. It may be called at any time, or never: no request
+// waits for it.
 func (d *Door) Members(e gate.Doors) { d.core.post(membersUpdate(e)) }
 
 type membersUpdate gate.Doors
 
-func (n membersUpdate) handle(c *core) { c.pending = append(c.pending, gate.Doors(n)) }
+func (u membersUpdate) handle(c *core) { c.pending = append(c.pending, gate.Doors(u)) }
 
 type reloadRequest struct{ discovery, counter string }
 
-func (n reloadRequest) handle(c *core) {
-	if n.discovery != c.cfg.Discovery {
-		c.cfg.Discovery = n.discovery
-		c.startWatch(n.discovery, 0)
+func (r reloadRequest) handle(c *core) {
+	if r.discovery != c.cfg.Discovery {
+		c.cfg.Discovery = r.discovery
+		c.startWatch(r.discovery, 0)
 	}
-	if n.counter != c.cfg.Counter && c.cfg.Deal.Terms.Counter {
-		c.cfg.Counter = n.counter
-		c.useCounter(n.counter)
+	if r.counter != c.cfg.Counter && c.cfg.Deal.Terms.Counter {
+		c.cfg.Counter = r.counter
+		c.useCounter(r.counter)
 	}
-	c.log.WithFields(logrus.Fields{fields.Discovery: n.discovery, fields.Counter: n.counter}).Info("configuration read again")
+	c.log.WithFields(logrus.Fields{fields.Discovery: r.discovery, fields.Counter: r.counter}).Info("configuration read again")
 }
 
-// acceptDone says that no more connections are taken.
+// acceptDone reports that no more connections will be accepted.
 type acceptDone struct{}
 
 func (acceptDone) handle(c *core) { c.accepting = false }
 
-// availableSockets is how many sockets there are for connections: of those allowed, by configuration and system, what the
-// process does not hold already, less a margin.
+// availableSockets returns how many sockets the door may open: the smaller of the configured and the system's limit, less the
+// descriptors already open and a reserve.
 func availableSockets(sockets int) int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil {
@@ -107,11 +108,11 @@
 	return sockets - openDescriptors() - reservedDescriptors
 }
 
-// openDescriptors counts the descriptors that the process holds already.
+// openDescriptors returns the number of descriptors that the process has open.
 func openDescriptors() int {
 	files, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
-		return 3 // the standard ones
+		return 3 // stdin, stdout and stderr
 	}
 	return len(files)
 }
--- a/frontdoor/guard.go
+++ b/frontdoor/guard.go
@@ -9,56 +9,59 @@
 	"github.com/swifthall/swifthall/internal/fields"
 )
 
-// invariant is a rule that the door keeps whatever its decisions say and whatever fails.
+// invariant is a rule that the door enforces independently of its decider and of any failure. Each constant names the action
+// that violates the rule.
 type invariant uint8
 
 const (
-	startWithoutClient invariant = iota // an attempt for a request that has its answer, or whose client has gone
-	startTooLate                        // an attempt for a request whose time, or the door's, is over
+	startWithoutClient invariant = iota // an attempt for a request that has been answered or whose client has gone
+	startTooLate                        // an attempt after the deadline of the request or the end of the door
 	startAtIneligible                   // an attempt to a backend that drains, is gone or is withheld
-	repeatUnsafe                        // a second attempt of what may have run and must not run twice
-	repeatPastWindow                    // a repeat of a keyed request where its first attempt is not remembered
-	closeUnanswered                     // a connection closed by the door with a request on it that has no answer
-	openPastShutdown                    // a request with no answer past the end of a door that was told to end
-	invariants                          // how many there are
+	repeatUnsafe                        // a second attempt of a non-idempotent request that may have run
+	repeatPastWindow                    // a repeat of a keyed request where the first attempt's key may be forgotten
+	closeUnanswered                     // a connection closed by the door while a request on it has no answer
+	openPastShutdown                    // a request without an answer after the end of the door's shutdown
+	invariants                          // number of invariants
 )
 
-// String names the invariant as accounts and logs do.
+// String returns the name of the invariant in periodic summaries and logs.
 func (i invariant) String() string {
 	return [...]string{"start_for_nobody", "start_too_late", "start_at_unlisted", "repeat_unsafe", "repeat_forgotten", "close_owing", "open_past_end"}[i]
 }
 
-// guard is the one place that every start and repeat of an attempt, every close of a connection by the door and the end of
-// every request pass. What would break an invariant is counted, logged and not done. It belongs to the owner.
+// guard is the single check that every start and repeat of an attempt, every close of a connection by the door and the end of
+// every request passes. An action that would violate an invariant is counted, logged and not executed. It is used by the event
+// loop only.
 type guard struct {
 	log   logrus.FieldLogger
 	tally *tally
 }
 
-// violation counts a violation and logs it with the ids that it is about.
-func (g *guard) violation(which invariant, about logrus.Fields) {
+// violation counts a violation and logs it with the ids concerned.
+func (g *guard) violation(which invariant, ids logrus.Fields) {
 	g.tally.violations[which]++
-	g.log.WithFields(about).WithField(fields.Invariant, which.String()).Error("an invariant would have been broken")
+	g.log.WithFields(ids).WithField(fields.Invariant, which.String()).Error("invariant violation prevented")
 }
 
-// mayStart tells whether an attempt may start now.
-func (c *core) mayStart(o *request, backend int) bool {
-	which, broken := c.startViolation(o, &c.backends[backend])
-	if !broken {
-		which, broken = c.repeatViolation(o, &c.backends[backend])
+// mayStart reports whether an attempt may start now.
+func (c *core) mayStart(req *request, backend int) bool {
+	which, violated := c.startViolation(req, &c.backends[backend])
+	if !violated {
+		which, violated = c.repeatViolation(req, &c.backends[backend])
 	}
-	if broken {
-		c.guard.violation(which, logrus.Fields{fields.Request: o.msg.ID, fields.Attempt: len(o.attempts), fields.Backend: c.backends[backend].id,
-			fields.LeftMs: o.deadline - c.now})
+	if violated {
+		c.guard.violation(which, logrus.Fields{fields.Request: req.msg.ID, fields.Attempt: len(req.attempts), fields.Backend: c.backends[backend].id,
+			fields.LeftMs: req.deadline - c.now})
 	}
-	return !broken
+	return !violated
 }
 
-func (c *core) startViolation(o *request, b *backend) (invariant, bool) {
+// startViolation returns the invariant, if any, that an attempt would violate if it started now.
+func (c *core) startViolation(req *request, b *backend) (invariant, bool) {
 	switch {
-	case o.done:
+	case req.done:
 		return startWithoutClient, true
-	case c.now >= o.deadline:
+	case c.now >= req.deadline:
 		return startTooLate, true
 	case !b.eligible:
 		return startAtIneligible, true
@@ -66,22 +69,22 @@
 	return 0, false
 }
 
-// repeatViolation tells whether an attempt would repeat what must not be repeated there.
-func (c *core) repeatViolation(o *request, b *backend) (invariant, bool) {
-	class := &c.cfg.Deal.Terms.Classes[o.class]
-	for _, before := range o.attempts {
+// repeatViolation returns the invariant, if any, that an attempt would violate by repeating earlier attempts.
+func (c *core) repeatViolation(req *request, b *backend) (invariant, bool) {
+	class := &c.cfg.Deal.Terms.Classes[req.class]
+	for _, earlier := range req.attempts {
 		switch {
-		case before.ended && before.outcome.result().NeverRan(), class.Semantics == gate.Idempotent:
+		case earlier.ended && earlier.outcome.result().NeverRan(), class.Semantics == gate.Idempotent:
 		case class.Semantics == gate.NonIdempotent:
 			return repeatUnsafe, true
-		case c.now >= before.startedAt+class.Window, !c.sameDedupGroup(class.Scope, b, &c.backends[before.backend]):
+		case c.now >= earlier.startedAt+class.Window, !c.sameDedupGroup(class.Scope, b, &c.backends[earlier.backend]):
 			return repeatPastWindow, true
 		}
 	}
 	return 0, false
 }
 
-// sameDedupGroup tells whether two backends discard each other's repeats.
+// sameDedupGroup reports whether two backends discard each other's repeats.
 func (c *core) sameDedupGroup(scope gate.Scope, a, b *backend) bool {
 	switch scope {
 	case gate.ScopeZone:
@@ -92,18 +95,18 @@
 	return true
 }
 
-// checkClose looks at a connection that has ended: the door may have ended it only with nothing owed on it.
-func (c *core) checkClose(cl *client, why closeReason) {
-	if cl.op >= 0 && why != closedByClient && why != closedWriteFailed {
-		c.guard.violation(closeUnanswered, logrus.Fields{fields.Connection: cl.id, fields.Request: c.requests[cl.op].msg.ID, fields.Why: why.String()})
+// checkClose reports a violation if the door closed a client connection that had an unanswered request.
+func (c *core) checkClose(cl *client, reason closeReason) {
+	if cl.op >= 0 && reason != closedByClient && reason != closedWriteFailed {
+		c.guard.violation(closeUnanswered, logrus.Fields{fields.Connection: cl.id, fields.Request: c.requests[cl.op].msg.ID, fields.Why: reason.String()})
 	}
 }
 
-// failOpenRequests gives every request that is still open its answer, past the end by which the decisions were to.
+// failOpenRequests answers every request that is still open after the decider should have answered all of them.
 func (c *core) failOpenRequests() {
 	for op := range c.requests {
-		if o := &c.requests[op]; o.msg != nil && !o.done {
-			c.guard.violation(openPastShutdown, logrus.Fields{fields.Request: o.msg.ID, fields.LeftMs: o.deadline - c.now})
+		if req := &c.requests[op]; req.msg != nil && !req.done {
+			c.guard.violation(openPastShutdown, logrus.Fields{fields.Request: req.msg.ID, fields.LeftMs: req.deadline - c.now})
 			c.answer(op, http.StatusBadGateway, 0, nil, openPastShutdown.String())
 		}
 	}
--- a/frontdoor/network.go
+++ b/frontdoor/network.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Network is how a door reaches others and is reached. The zero value is the system's TCP. Whoever embeds a door may put
-// functions of its own in: a listener that is held elsewhere, or connections that stop where a test wants them to.
+// Network holds the functions by which a door dials and listens. A nil function stands for the system's TCP. A program that
+// embeds a door may provide its own: for a listener that is opened elsewhere, or for connections that a test can pause.
 type Network struct {
 	Dial   func(ctx context.Context, addr string) (net.Conn, error)
 	Listen func(ctx context.Context, addr string) (net.Listener, error)
 }
 
-// Over has the door use a network in place of the system's. It is called before Serve.
+// UseNetwork replaces the system's network by another. It must be called before Serve.
 func (d *Door) Over(n Network) {
 	if n.Dial != nil {
 		d.core.dial = n.Dial
@@ -23,8 +23,8 @@
 	}
 }
 
-// systemDial dials by TCP for as long as a connection may take. TCP's own keep-alive would notice nothing here: watches and
-// attempts have times of their own.
+// systemDial returns a TCP dial function with a timeout. TCP keep-alive is off: watches and attempts have timeouts of their
+// own, which notice a dead peer earlier.
 func systemDial(timeout time.Duration) func(context.Context, string) (net.Conn, error) {
 	d := &net.Dialer{Timeout: timeout, KeepAlive: -1}
 	return func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) }
@@ -34,7 +34,7 @@
 	return (&net.ListenConfig{KeepAlive: -1}).Listen(ctx, "tcp", addr)
 }
 
-// deadlineListener is a listener whose waiting can be ended, as TCP's can.
+// deadlineListener is a listener whose blocking Accept can be interrupted, as that of *net.TCPListener can.
 type deadlineListener interface {
 	net.Listener
 	SetDeadline(time.Time) error
--- a/frontdoor/plan.go
+++ b/frontdoor/plan.go
@@ -7,10 +7,10 @@
 	"github.com/swifthall/swifthall/gate"
 )
 
-// What goes out by plan: backends that the fleet has agreed to withhold, and the door itself.
+// Planned maintenance: withholding backends and taking the door itself out of service, as the fleet has agreed.
 
-// Withhold has the door send nothing new to the backends named, in place of those named before; to the decisions they drain.
-// done is called once the decisions have been told, and must not block. No request waits for it.
+// Withhold makes the door send nothing new to the named backends, which replace those named before; the decider sees them as
+// draining. done is called once the decider has been notified, and must not block. No request waits for it.
 func (d *Door) Withhold(names []string, done func()) {
 	w := withholdRequest{map[string]bool{}, done}
 	for _, n := range names {
@@ -24,13 +24,13 @@
 	done  func()
 }
 
-func (n withholdRequest) handle(c *core) {
+func (r withholdRequest) handle(c *core) {
 	before := c.withheld
-	c.withheld = n.names
-	if !maps.Equal(before, n.names) {
+	c.withheld = r.names
+	if !maps.Equal(before, r.names) {
 		ev := gate.Fleet{}
 		for i := range c.backends {
-			if b := &c.backends[i]; b.listed && before[b.id] != n.names[b.id] {
+			if b := &c.backends[i]; b.listed && before[b.id] != r.names[b.id] {
 				ev.Entries = append(ev.Entries, c.gateEntry(i))
 			}
 		}
@@ -38,12 +38,12 @@
 			c.fleetChanged(ev)
 		}
 	}
-	c.afterDecide = append(c.afterDecide, n.done)
+	c.afterDecide = append(c.afterDecide, r.done)
 }
 
-// Aside takes the door out by plan, or brings it back. Out, it isn't ready, each answer is its connection's last, and what
-// still comes is served. It goes out only until a time: a process that was stopped on the way to the step doesn't take it.
-// done hears at the step whether it was taken, and must not block.
+// SetOutOfService takes the door out of service, or brings it back. Out of service, the door is not ready, closes each connection
+// with its next answer, and serves the requests that still arrive. It goes out only before until: a process that was suspended in
+// between does not act on an outdated request. done is called with whether the change was made, and must not block.
 func (d *Door) Aside(out bool, until time.Time, done func(taken bool)) {
 	d.core.post(serviceRequest{out, until, done})
 }
@@ -54,38 +54,38 @@
 	done  func(bool)
 }
 
-func (n serviceRequest) handle(c *core) {
-	taken := !c.shuttingDown && (!n.out || time.Now().Before(n.until))
+func (r serviceRequest) handle(c *core) {
+	taken := !c.shuttingDown && (!r.out || time.Now().Before(r.until))
 	if taken {
-		c.outOfService, c.sweepAt = n.out, 0
+		c.outOfService, c.sweepAt = r.out, 0
 		c.updateReady()
 	}
-	n.done(taken)
+	r.done(taken)
 }
 
-// Done is closed once the door has answered all that it took, and sends nothing any more.
+// Done returns a channel that is closed once the door has answered all accepted requests and sends nothing more.
 func (d *Door) Done() <-chan struct{} { return d.core.done }
 
-// Ready tells whether the door says that it can serve.
+// Ready reports whether the door is ready to serve, as its readiness endpoint does.
 func (d *Door) Ready() bool { return d.core.ready.Load() }
 
-// Listed is one backend as the door's list has it.
+// BackendSnapshot is the state of one backend on the door's list.
 type Listed struct {
 	ID, Zone string
 	Size     float64
-	Up       bool // by the list
-	Warm     bool // it has run for as long as the terms let one be cold
+	Up       bool // up on the list; a withheld backend may be
+	Warm     bool // it has run for at least Terms.ColdFor
 	Started  float64
-	Counts   Counts // of this door's attempts to it
+	Counts   Counts // of this door's attempts to the backend
 }
 
-// Told is what a door tells of itself.
+// Snapshot is the state of a door.
 type Told struct {
 	Backends []Listed
 	Counts   Counts
 }
 
-// Tell tells the door's list of backends and what it has done; nothing where the door has left.
+// Snapshot returns the door's list of backends and its counts since the start. It returns the zero value once the door has ended.
 func (d *Door) Tell() Told {
 	got := make(chan Told, 1)
 	d.core.post(snapshotRequest(got))
@@ -99,7 +99,7 @@
 
 type snapshotRequest chan<- Told
 
-func (n snapshotRequest) handle(c *core) {
+func (r snapshotRequest) handle(c *core) {
 	t := Told{Backends: []Listed{}, Counts: c.totals}
 	now := c.clock.now()
 	for i := range c.backends {
@@ -107,5 +107,5 @@
 			t.Backends = append(t.Backends, Listed{b.id, c.zones.ID(b.zone), b.size, b.status == gate.Up, now-b.startedAt >= c.cfg.Deal.Terms.ColdFor, float64(b.processStart), b.counts})
 		}
 	}
-	n <- t
+	r <- t
 }
--- a/frontdoor/tally.go
+++ b/frontdoor/tally.go
@@ -9,14 +9,14 @@
 	"github.com/swifthall/swifthall/internal/fields"
 )
 
-// AccountEvery is the clock between two accounts in the log, ms: a day of the fleet's is some tens of seconds, and a
-// line a door every 5 s keeps a log of hundreds of doors readable.
+// AccountIntervalMs is the interval between two summaries in the log, ms. Test runs of a fleet last some tens of seconds, and
+// one line per door every 5 s keeps a log of hundreds of doors readable.
 const AccountEvery = 5e3
 
-// tally counts what a door did since its last account, so that the logs of a whole fleet can be added up; the log
-// still never tells single requests.
+// tally counts what a door did since its last summary in the log. Summaries of all doors can be added up to get the fleet's
+// counts, without logging single requests.
 type tally struct {
-	nextAt           float64 // clock of the next account, ms; 0 before the first
+	nextAt           float64 // clock of the next summary, ms; 0 before the first
 	arrived, sent    int
 	rejected, failed [gate.Causes]int
 	differences      [gate.Differences]int
@@ -26,15 +26,15 @@
 	violations       [invariants]int
 }
 
-// fields is the account as log fields: counts that are 0 are left out.
+// fields returns the tally as log fields. Optional counts that are 0 are left out.
 func (t *tally) fields() logrus.Fields {
 	f := logrus.Fields{fields.Arrived: t.arrived, fields.Sent: t.sent}
-	for why := range gate.Causes {
-		if n := t.rejected[why]; n > 0 {
-			f[fields.Rejected+why.String()] = n
+	for cause := range gate.Causes {
+		if n := t.rejected[cause]; n > 0 {
+			f[fields.Rejected+cause.String()] = n
 		}
-		if n := t.failed[why]; n > 0 {
-			f[fields.Failed+why.String()] = n
+		if n := t.failed[cause]; n > 0 {
+			f[fields.Failed+cause.String()] = n
 		}
 	}
 	for kind := range gate.Differences {
@@ -50,9 +50,9 @@
 			f[fields.Ended+outcome(how).String()] = n
 		}
 	}
-	for why, n := range t.closed {
+	for reason, n := range t.closed {
 		if n > 0 {
-			f[fields.Closed+closeReason(why).String()] = n
+			f[fields.Closed+closeReason(reason).String()] = n
 		}
 	}
 	for which, n := range t.violations {
@@ -63,7 +63,7 @@
 	return f
 }
 
-// writeIfDue writes the account when its time has come and begins the next one.
+// writeIfDue writes the summary when it is due and starts the next one.
 func (t *tally) writeIfDue(now float64, log logrus.FieldLogger) {
 	if t.nextAt == 0 {
 		t.nextAt = now + AccountEvery
@@ -74,22 +74,22 @@
 	}
 }
 
-// write writes the account, if there is anything to tell.
+// write writes the summary, unless all counts are 0.
 func (t *tally) write(log logrus.FieldLogger) {
 	if f := t.fields(); len(f) > fixedFields || t.arrived > 0 || t.sent > 0 {
 		log.WithFields(f).Info("account")
 	}
 }
 
-const fixedFields = 2 // that every account has
+const fixedFields = 2 // fields that every summary has
 
-// Counts are what a door has done since it began; they only grow.
+// Counts are totals since the start; they only grow. They count requests of a door, or a door's attempts to one backend.
 type Counts struct {
 	Arrived, Finished, InTime, Rejected, Failed uint64
-	LatencyMs                                   float64 // of all finished, from their first byte, added up
+	LatencyMs                                   float64 // sum over all finished, from the first byte
 }
 
-// addAnswer counts one final answer.
+// addAnswer counts one final answer of the door.
 func (n *Counts) addAnswer(status int, latency, contract float64) {
 	switch status {
 	case http.StatusOK:
@@ -105,9 +105,9 @@
 	}
 }
 
-// addAttempt counts one attempt to a backend. What was never sent, or was given up for another, tells nothing of it.
-func (n *Counts) addAttempt(how gate.Result, latency float64) {
-	switch how {
+// addAttempt counts one attempt to a backend. Attempts never sent or cancelled say nothing about the backend and are not counted.
+func (n *Counts) addAttempt(result gate.Result, latency float64) {
+	switch result {
 	case gate.Skipped, gate.Cancelled:
 		return
 	case gate.Finished:
--- a/frontdoor/trace.go
+++ b/frontdoor/trace.go
@@ -6,10 +6,10 @@
 	"github.com/swifthall/swifthall/internal/fields"
 )
 
-// The log tells single requests, attempts and connections at the level debug only: their ids, their steps, and why each
-// ended. A door that does not log at that level pays one comparison a step.
+// Single requests, attempts and connections are logged at debug level only: their ids, their steps, and why each ended. At
+// other levels tracing costs one comparison per step.
 
-// debugEnabled tells whether a log takes single requests.
+// debugEnabled reports whether a logger writes debug messages.
 func debugEnabled(log logrus.FieldLogger) bool {
 	levels, ok := log.(interface{ IsLevelEnabled(logrus.Level) bool })
 	return ok && levels.IsLevelEnabled(logrus.DebugLevel)
@@ -17,35 +17,35 @@
 
 func (c *core) traceRequest(op int) {
 	if c.traceEnabled {
-		o := &c.requests[op]
-		c.log.WithFields(logrus.Fields{fields.Request: o.msg.ID, fields.Connection: o.client.id, fields.LeftMs: o.deadline - c.now,
+		req := &c.requests[op]
+		c.log.WithFields(logrus.Fields{fields.Request: req.msg.ID, fields.Connection: req.client.id, fields.LeftMs: req.deadline - c.now,
 			fields.Leaving: c.shuttingDown}).Debug("request taken")
 	}
 }
 
-func (c *core) traceAnswer(o *request, status int, why string) {
+func (c *core) traceAnswer(req *request, status int, reason string) {
 	if c.traceEnabled {
-		c.log.WithFields(logrus.Fields{fields.Request: o.msg.ID, fields.Connection: o.client.id, fields.Status: status, fields.Why: why,
-			fields.LeftMs: o.deadline - c.now}).Debug("request answered")
+		c.log.WithFields(logrus.Fields{fields.Request: req.msg.ID, fields.Connection: req.client.id, fields.Status: status, fields.Why: reason,
+			fields.LeftMs: req.deadline - c.now}).Debug("request answered")
 	}
 }
 
-func (c *core) traceAttempt(f *attempt) {
+func (c *core) traceAttempt(att *attempt) {
 	if c.traceEnabled {
-		c.log.WithFields(logrus.Fields{fields.Request: c.requests[f.op].msg.ID, fields.Attempt: f.number, fields.Backend: c.backends[f.backend].id,
-			fields.LeftMs: f.deadline - c.now}).Debug("attempt started")
+		c.log.WithFields(logrus.Fields{fields.Request: c.requests[att.op].msg.ID, fields.Attempt: att.number, fields.Backend: c.backends[att.backend].id,
+			fields.LeftMs: att.deadline - c.now}).Debug("attempt started")
 	}
 }
 
-func (c *core) traceAttemptEnd(f *attempt, how outcome) {
+func (c *core) traceAttemptEnd(att *attempt, how outcome) {
 	if c.traceEnabled {
-		c.log.WithFields(logrus.Fields{fields.Request: c.requests[f.op].msg.ID, fields.Attempt: f.number, fields.Backend: c.backends[f.backend].id,
+		c.log.WithFields(logrus.Fields{fields.Request: c.requests[att.op].msg.ID, fields.Attempt: att.number, fields.Backend: c.backends[att.backend].id,
 			fields.Why: how.String()}).Debug("attempt ended")
 	}
 }
 
-func (c *core) traceConnection(cl *client, what, why string) {
+func (c *core) traceConnection(cl *client, message, reason string) {
 	if c.traceEnabled {
-		c.log.WithFields(logrus.Fields{fields.Connection: cl.id, fields.Why: why}).Debug(what)
+		c.log.WithFields(logrus.Fields{fields.Connection: cl.id, fields.Why: reason}).Debug(message)
 	}
 }
