--- a/frontdoor/backend.go
+++ b/frontdoor/backend.go
@@ -394,7 +394,7 @@
 }
 
 // finish records the outcome of an attempt and reports it to the decider. use and queue are the backend's metered use and queue
-// length as told in the answer, negative if there is none.
+// length as reported in the answer, negative if it reports none.
 func (c *core) finish(att *attempt, how outcome, at, use, queue float64) {
 	req := &c.requests[att.op]
 	att.ended, att.outcome = true, how
--- a/frontdoor/budget.go
+++ b/frontdoor/budget.go
@@ -3,11 +3,11 @@
 import "sync"
 
 // Reserves decide who may use the last sockets: discovery and the counter come before backends, and backends before new
-// clients. Without the first reserve, idle clients and hanging attempts would keep a door from noticing that discovery is
-// available again.
+// clients. Without the reserve for discovery, idle clients and hanging attempts would keep a door from noticing that discovery
+// is available again.
 const (
 	clientReserveDivisor = 4                                       // clients leave 1/4 of the sockets to backends, counter and discovery
-	maxBackendReserve    = 2*counterConnections + watchConnections // of those, sockets that backends leave to counter and discovery
+	maxBackendReserve    = 2*counterConnections + watchConnections // of those, left by backends to counter and discovery
 	watchConnections     = 2                                       // fleet watches that overlap: one that is ending, and the next
 )
 
--- a/frontdoor/client.go
+++ b/frontdoor/client.go
@@ -61,7 +61,7 @@
 func (cl *client) wake() {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	if cl.wakeRequested = true; !cl.draining { // draining has its own deadline; ending it early could reset the connection and lose the answer
+	if cl.wakeRequested = true; !cl.draining { // drain has its own deadline; cut short, it could lose the answer to a reset
 		cl.nc.SetReadDeadline(time.Now())
 	}
 }
--- a/frontdoor/core.go
+++ b/frontdoor/core.go
@@ -303,7 +303,7 @@
 		e.cl.hasRequested = true
 		c.activeClients++
 	}
-	if _, open := c.requestIDs[e.msg.ID]; open { // backends could not tell the two apart, nor could their attempts be told apart afterwards
+	if _, open := c.requestIDs[e.msg.ID]; open { // a backend could not tell the two apart, nor the decider their ends
 		e.cl.idleSince = c.clock.now()
 		e.msg.Free()
 		go e.cl.answer(http1.AppendAnswer(pool.Get(), http.StatusConflict, 0, nil, e.msg.Last), e.msg.Last)
@@ -360,8 +360,8 @@
 }
 
 // socketNeeded reports that a client waits for a socket. The client connection that has been idle longest is closed for it, except
-// connections idle so briefly that a request may be on its way. A connection that never sent a request may be closed sooner, as
-// clients normally send their first request at once. If there is none, an idle backend connection is closed.
+// connections idle so briefly that a request may be on its way. A connection that never sent a request goes first, after a shorter
+// time, as clients normally send their first request at once. If there is none, an idle backend connection is closed.
 type socketNeeded struct{}
 
 func (socketNeeded) handle(c *core) {
--- a/frontdoor/core_test.go
+++ b/frontdoor/core_test.go
@@ -408,8 +408,8 @@
 	assert.Equal(t, calls, conn.awaitingReply)
 }
 
-// A connection that ends between the look for it and the load of its calls has ended what flew on it. Loaded all the same,
-// a call would have no end, and the reply to the next connection's first would be taken for its.
+// A connection that ends between current and takeQueued has ended the calls awaiting a reply on it. A call registered on it
+// afterwards would never end, and would take the first reply on the next connection.
 func TestACallIsNotLoadedOntoAConnectionThatHasEnded(t *testing.T) {
 	c, _ := owned(t)
 	conn := newCounterConn(c, loopbacktest.Serve(t, func(nc net.Conn) { nc.Close() }))
--- a/frontdoor/crossing_test.go
+++ b/frontdoor/crossing_test.go
@@ -473,7 +473,7 @@
 	return <-n
 }
 
-// does has the owner of the decisions do something between two of its lines.
+// does is an event that runs a function in the event loop.
 type does func(*core)
 
 func (n does) handle(c *core) { n(c) }
--- a/frontdoor/plan.go
+++ b/frontdoor/maintenance.go
@@ -45,16 +45,16 @@
 // with its next answer, and serves the requests that still arrive. It goes out only before until: a process that was suspended in
 // between does not act on an outdated request. done is called with whether the change was made, and must not block.
 func (d *Door) Aside(out bool, until time.Time, done func(taken bool)) {
-	d.core.post(serviceRequest{out, until, done})
+	d.core.post(outOfServiceRequest{out, until, done})
 }
 
-type serviceRequest struct {
+type outOfServiceRequest struct {
 	out   bool
 	until time.Time
 	done  func(bool)
 }
 
-func (r serviceRequest) handle(c *core) {
+func (r outOfServiceRequest) handle(c *core) {
 	taken := !c.shuttingDown && (!r.out || time.Now().Before(r.until))
 	if taken {
 		c.outOfService, c.sweepAt = r.out, 0
--- a/frontdoor/plan_test.go
+++ b/frontdoor/maintenance_test.go
@@ -45,7 +45,7 @@
 	assert.True(t, c.ready.Load())
 	taken := []bool{}
 	step := func(out bool, until time.Time) {
-		serviceRequest{out, until, func(is bool) { taken = append(taken, is) }}.handle(c)
+		outOfServiceRequest{out, until, func(is bool) { taken = append(taken, is) }}.handle(c)
 	}
 	step(true, time.Now().Add(-time.Millisecond))
 	assert.True(t, c.ready.Load(), "it was stopped on the way")
