--- a/frontdoor/backend.go
+++ b/frontdoor/backend.go
@@ -276,9 +276,9 @@
 // send starts an attempt, unless that would violate an invariant.
 func (c *core) send(a gate.Send) {
 	req := &c.requests[a.Op]
-	att := &attempt{op: a.Op, number: len(req.attempts), backend: a.Backend, startedAt: c.now, deadline: req.deadline, startBy: a.By, client: req.client}
-	if a.Cap > 0 {
-		att.deadline = min(att.deadline, c.now+a.Cap)
+	att := &attempt{op: a.Op, number: len(req.attempts), backend: a.Backend, startedAt: c.now, deadline: req.deadline, startBy: a.StartBy, client: req.client}
+	if a.Timeout > 0 {
+		att.deadline = min(att.deadline, c.now+a.Timeout)
 	}
 	allowed := c.mayStart(req, a.Backend)
 	req.attempts = append(req.attempts, att)
@@ -403,8 +403,8 @@
 	req.outstanding--
 	c.releasable = append(c.releasable, att.op)
 	c.backends[att.backend].counts.addAttempt(how.result(), at-att.startedAt)
-	c.pending = append(c.pending, gate.Ended{Op: att.op, Attempt: att.number, Backend: att.backend,
-		Result: how.result(), Latency: at - att.startedAt, Over: req.done, Use: use, Queue: queue})
+	c.pending = append(c.pending, gate.AttemptEnded{Op: att.op, Attempt: att.number, Backend: att.backend,
+		Result: how.result(), Latency: at - att.startedAt, Answered: req.done, MeteredUse: use, Queue: queue})
 }
 
 // answerArrived reports a complete answer of a backend.
--- a/frontdoor/core.go
+++ b/frontdoor/core.go
@@ -152,8 +152,8 @@
 	case msg.First >= d.Terms.Doors || msg.Spread > d.Terms.Doors || d.MostUnits > 0 && msg.Units > d.MostUnits:
 		return ev, &http1.Fault{Status: http.StatusBadRequest, Text: "weight"}
 	}
-	return gate.Request{Class: class, Plan: plan, TTL: min(msg.TTL, d.LongestWait), Units: msg.Units, Repeat: msg.Repeat,
-		First: msg.First, Spread: msg.Spread, Phase: index.Phase(msg.Customer)}, nil
+	return gate.Request{Class: class, Plan: plan, TTL: min(msg.TTL, d.LongestWait), Units: msg.Units, ClientRetry: msg.Repeat,
+		FirstDoor: msg.First, Spread: msg.Spread, Phase: index.Phase(msg.Customer)}, nil
 }
 
 // post sends an event to the event loop, or drops it if the event loop has ended.
@@ -192,7 +192,7 @@
 		c.timeouts.expireDue(c)
 		if c.wakeAt > 0 && c.now >= c.wakeAt {
 			c.wakeAt = 0
-			c.pending = append(c.pending, gate.Woken{})
+			c.pending = append(c.pending, gate.TimerFired{})
 		}
 		for len(c.pending) > 0 {
 			c.decide()
@@ -249,22 +249,22 @@
 	case gate.Cancel:
 		c.abandon(c.requests[a.Op].attempts[a.Attempt], outcomeAbandonedUnsent, outcomeAbandoned)
 	case gate.Reject:
-		c.tally.rejected[min(a.Why, gate.Causes-1)]++
+		c.tally.rejected[min(a.Why, gate.CauseCount-1)]++
 		c.answer(a.Op, http.StatusTooManyRequests, a.RetryAfter, nil, a.Why.String())
 	case gate.Fail:
-		c.tally.failed[min(a.Why, gate.Causes-1)]++
+		c.tally.failed[min(a.Why, gate.CauseCount-1)]++
 		c.answer(a.Op, http.StatusBadGateway, 0, nil, a.Why.String())
-	case gate.Wake:
+	case gate.SetTimer:
 		c.wakeAt = a.At
 	case gate.Count:
 		c.callCounter(a)
-	case gate.Forget:
+	case gate.FreeCustomer:
 		c.customers.Drop(a.Customer)
-	case gate.Delist:
+	case gate.FreeBackend:
 		c.removeBackend(a.Backend)
 	case gate.Differs:
-		c.tally.differences[min(a.Kind, gate.Differences-1)]++
-	case gate.Track: // the fleet watch runs from the start
+		c.tally.differences[min(a.Kind, gate.DifferenceCount-1)]++
+	case gate.SubscribeFleet: // the fleet watch runs from the start
 	case gate.Log:
 		c.log.Info(a.Text)
 	default:
@@ -354,7 +354,7 @@
 		e.cl.op = -1
 		c.requests[op].done = true
 		c.releasable = append(c.releasable, op)
-		c.pending = append(c.pending, gate.Vanished{Op: op})
+		c.pending = append(c.pending, gate.ClientGone{Op: op})
 		c.cancelUnsent(&c.requests[op])
 	}
 }
@@ -409,7 +409,7 @@
 	if shutdown != nil && c.now < shutdown.AnswerBy {
 		c.sweepAt = min(c.sweepAt, shutdown.AnswerBy)
 	}
-	if shutdown.Past(c.now) {
+	if shutdown.AnswersOverdue(c.now) {
 		c.failOpenRequests()
 	}
 	if c.listener != nil && !shutdown.Accepting(c.now) && !c.listenerClosing {
@@ -438,10 +438,10 @@
 			c.limitDeadlines(req, shutdown)
 		}
 	}
-	c.pending = append(c.pending, gate.Closing{By: shutdown.AnswerBy})
+	c.pending = append(c.pending, gate.ShuttingDown{Deadline: shutdown.AnswerBy})
 	c.updateReady()
 	c.log.WithFields(logrus.Fields{fields.Requests: len(c.requests) - len(c.freeSlots), fields.Connections: len(c.clients),
-		fields.AnswerMs: shutdown.AnswerBy - shutdown.Began, fields.KillMs: shutdown.KillAt - shutdown.Began}).Info("leaving")
+		fields.AnswerMs: shutdown.AnswerBy - shutdown.NoticedAt, fields.KillMs: shutdown.KillAt - shutdown.NoticedAt}).Info("leaving")
 }
 
 // limitDeadlines limits the deadlines of a request and its attempts to that of the shutdown.
@@ -457,7 +457,7 @@
 
 // shutdownComplete reports whether all accepted requests are answered and no more can arrive, or the shutdown's time is over.
 func (c *core) shutdownComplete() bool {
-	return c.shuttingDown && (!c.accepting && len(c.clients) == 0 || c.shutdown.Load().Over(c.now))
+	return c.shuttingDown && (!c.accepting && len(c.clients) == 0 || c.shutdown.Load().KillDue(c.now))
 }
 
 // closeAll closes all remaining connections, which ends their goroutines.
--- a/frontdoor/counter.go
+++ b/frontdoor/counter.go
@@ -53,7 +53,7 @@
 
 // callCounter makes a call over the connection with the fewest outstanding calls.
 func (c *core) callCounter(a gate.Count) {
-	k := &counterCall{customer: c.customers.ID(a.Customer), epoch: a.Epoch, add: a.Add, ttl: a.Keep, startedAt: c.now}
+	k := &counterCall{customer: c.customers.ID(a.Customer), epoch: a.Epoch, add: a.Add, ttl: a.TTL, startedAt: c.now}
 	for _, conn := range c.counterConns {
 		if k.conn == nil || conn.outstanding < k.conn.outstanding {
 			k.conn = conn
--- a/frontdoor/fleet.go
+++ b/frontdoor/fleet.go
@@ -26,7 +26,7 @@
 	if u.watch != c.watchNumber { // that watch has been replaced
 		return
 	}
-	ev := gate.Fleet{Complete: u.list.Whole}
+	ev := gate.FleetUpdate{Complete: u.list.Whole}
 	if u.list.Whole {
 		for i := range c.backends {
 			c.backends[i].eligible, c.backends[i].status = false, gate.Gone
@@ -75,11 +75,11 @@
 		status = gate.Draining
 	}
 	b.eligible = status == gate.Up
-	return gate.Entry{Backend: i, Zone: b.zone, Cell: b.cell, Status: status, Since: b.startedAt, Size: b.size, Mark: index.Mark(b.id)}
+	return gate.Entry{Backend: i, Zone: b.zone, Cell: b.cell, Status: status, StartedAt: b.startedAt, Weight: b.size, RingPosition: index.Mark(b.id)}
 }
 
 // fleetChanged withdraws connections to backends that are no longer eligible and reports the change to the decider.
-func (c *core) fleetChanged(ev gate.Fleet) {
+func (c *core) fleetChanged(ev gate.FleetUpdate) {
 	for conn := range c.backendConns {
 		if !c.backends[conn.backend].usable(conn) {
 			c.withdrawConn(conn)
--- a/frontdoor/frontdoor.go
+++ b/frontdoor/frontdoor.go
@@ -73,11 +73,11 @@
 
 // SetMembers reports which doors of the fleet are here, as far as is known. It may be called at any time, or never: no request
 // waits for it.
-func (d *Door) Members(e gate.Doors) { d.core.post(membersUpdate(e)) }
+func (d *Door) Members(e gate.DoorsUpdate) { d.core.post(membersUpdate(e)) }
 
-type membersUpdate gate.Doors
+type membersUpdate gate.DoorsUpdate
 
-func (u membersUpdate) handle(c *core) { c.pending = append(c.pending, gate.Doors(u)) }
+func (u membersUpdate) handle(c *core) { c.pending = append(c.pending, gate.DoorsUpdate(u)) }
 
 type reloadRequest struct{ discovery, counter string }
 
--- a/frontdoor/guard.go
+++ b/frontdoor/guard.go
@@ -77,7 +77,7 @@
 		case earlier.ended && earlier.outcome.result().NeverRan(), class.Semantics == gate.Idempotent:
 		case class.Semantics == gate.NonIdempotent:
 			return repeatUnsafe, true
-		case c.now >= earlier.startedAt+class.Window, !c.sameDedupGroup(class.Scope, b, &c.backends[earlier.backend]):
+		case c.now >= earlier.startedAt+class.DedupWindow, !c.sameDedupGroup(class.Scope, b, &c.backends[earlier.backend]):
 			return repeatPastWindow, true
 		}
 	}
--- a/frontdoor/maintenance.go
+++ b/frontdoor/maintenance.go
@@ -28,7 +28,7 @@
 	before := c.withheld
 	c.withheld = r.names
 	if !maps.Equal(before, r.names) {
-		ev := gate.Fleet{}
+		ev := gate.FleetUpdate{}
 		for i := range c.backends {
 			if b := &c.backends[i]; b.listed && before[b.id] != r.names[b.id] {
 				ev.Entries = append(ev.Entries, c.gateEntry(i))
@@ -104,7 +104,7 @@
 	now := c.clock.now()
 	for i := range c.backends {
 		if b := &c.backends[i]; b.listed {
-			t.Backends = append(t.Backends, Listed{b.id, c.zones.ID(b.zone), b.size, b.status == gate.Up, now-b.startedAt >= c.cfg.Deal.Terms.ColdFor, float64(b.processStart), b.counts})
+			t.Backends = append(t.Backends, Listed{b.id, c.zones.ID(b.zone), b.size, b.status == gate.Up, now-b.startedAt >= c.cfg.Deal.Terms.WarmupTime, float64(b.processStart), b.counts})
 		}
 	}
 	r <- t
--- a/frontdoor/maintenance_test.go
+++ b/frontdoor/maintenance_test.go
@@ -16,22 +16,22 @@
 	c.pending = nil
 	told := 0
 	withholdRequest{map[string]bool{"s": true}, func() { told++ }}.handle(c)
-	assert.Equal(t, gate.Draining, c.pending[0].(gate.Fleet).Entries[0].Status)
-	assert.False(t, c.pending[0].(gate.Fleet).Complete)
+	assert.Equal(t, gate.Draining, c.pending[0].(gate.FleetUpdate).Entries[0].Status)
+	assert.False(t, c.pending[0].(gate.FleetUpdate).Complete)
 	assert.False(t, c.backends[0].eligible)
 	assert.False(t, c.ready.Load(), "it was the only one")
 	assert.Len(t, c.afterDecide, 1)
 	assert.Zero(t, told, "not before the decisions know")
 	c.pending = nil
 	fleetUpdate{list: registry.List{Whole: true, Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready"}, {ID: "t", Addr: "127.0.0.1:2", State: "Ready"}}}}.handle(c)
-	e := c.pending[0].(gate.Fleet).Entries
+	e := c.pending[0].(gate.FleetUpdate).Entries
 	assert.Equal(t, []gate.Status{gate.Draining, gate.Up}, []gate.Status{e[0].Status, e[1].Status})
 	got := make(chan Told, 1)
 	snapshotRequest(got).handle(c)
 	assert.True(t, (<-got).Backends[0].Up, "by the list")
 	c.pending = nil
 	withholdRequest{map[string]bool{}, func() {}}.handle(c)
-	assert.Equal(t, gate.Up, c.pending[0].(gate.Fleet).Entries[0].Status)
+	assert.Equal(t, gate.Up, c.pending[0].(gate.FleetUpdate).Entries[0].Status)
 	assert.True(t, c.backends[0].eligible)
 	c.pending = nil
 	withholdRequest{map[string]bool{"unheard-of": true}, func() {}}.handle(c)
--- a/frontdoor/outcome.go
+++ b/frontdoor/outcome.go
@@ -31,7 +31,7 @@
 var results = [...]gate.Result{
 	outcomeOK: gate.Finished, outcomeError: gate.Errored, outcomeTurnedAway: gate.Full,
 	outcomeNoSocket: gate.Skipped, outcomeNoConnection: gate.Unreachable,
-	outcomeBrokenUnsent: gate.Unreachable, outcomeBroken: gate.Reset, outcomeMalformed: gate.Spoilt,
+	outcomeBrokenUnsent: gate.Unreachable, outcomeBroken: gate.Reset, outcomeMalformed: gate.Malformed,
 	outcomeTimeoutUnsent: gate.Skipped, outcomeTimeout: gate.TimedOut,
 	outcomeAbandonedUnsent: gate.Skipped, outcomeAbandoned: gate.Cancelled,
 }
--- a/frontdoor/serve_test.go
+++ b/frontdoor/serve_test.go
@@ -61,8 +61,8 @@
 			switch e := e.(type) {
 			case gate.Request:
 				out = append(out, gate.Send{Op: e.Op})
-			case gate.Ended:
-				if !e.Over {
+			case gate.AttemptEnded:
+				if !e.Answered {
 					out = append(out, gate.Fail{Op: e.Op})
 				}
 			}
@@ -197,7 +197,7 @@
 	for _, isRequest := (<-events).(gate.Request); !isRequest; _, isRequest = (<-events).(gate.Request) {
 	}
 	nc.Close()
-	assert.Equal(t, gate.Vanished{Op: 0}, <-events)
+	assert.Equal(t, gate.ClientGone{Op: 0}, <-events)
 }
 
 func TestADoorThatLeavesAnswersWhatItHasAndWhatStillComes(t *testing.T) {
@@ -258,7 +258,7 @@
 	go conn.run(t.Context())
 	for range 2 {
 		c.now = c.clock.now()
-		c.callCounter(gate.Count{Add: 2.5, Keep: 1000})
+		c.callCounter(gate.Count{Add: 2.5, TTL: 1000})
 		n := (<-c.events).(callEnded)
 		assert.Equal(t, callEnded{n.call, outcomeOK, 2.5}, n)
 		for conn.current() != nil {
@@ -276,9 +276,9 @@
 	terms.Classes = []gate.Class{{Contract: 1000}, {Contract: 1000, Semantics: gate.Keyed}}
 	terms.Plans = []gate.Plan{{Rate: 1e-6, Depth: 3}} // nothing fills up while the test runs
 	other := *terms
-	other.Plans = []gate.Plan{{Rate: 1e-6, Depth: 3, Beyond: 0.3}}
+	other.Plans = []gate.Plan{{Rate: 1e-6, Depth: 3, OverQuotaGain: 0.3}}
 	decider := policy.New(*terms, 1)
-	decider.Watch(&other)
+	decider.CompareWith(&other)
 	log, hook := test.NewNullLogger()
 	addr, _, _ := servingBy(t, cfg, open(), decider, log)
 	nc := dialled(t, addr)
--- a/frontdoor/tally.go
+++ b/frontdoor/tally.go
@@ -18,8 +18,8 @@
 type tally struct {
 	nextAt           float64 // clock of the next summary, ms; 0 before the first
 	arrived, sent    int
-	rejected, failed [gate.Causes]int
-	differences      [gate.Differences]int
+	rejected, failed [gate.CauseCount]int
+	differences      [gate.DifferenceCount]int
 	retried          int
 	ended            [outcomes]int
 	closed           [closeReasons]int
@@ -29,7 +29,7 @@
 // fields returns the tally as log fields. Optional counts that are 0 are left out.
 func (t *tally) fields() logrus.Fields {
 	f := logrus.Fields{fields.Arrived: t.arrived, fields.Sent: t.sent}
-	for cause := range gate.Causes {
+	for cause := range gate.CauseCount {
 		if n := t.rejected[cause]; n > 0 {
 			f[fields.Rejected+cause.String()] = n
 		}
@@ -37,7 +37,7 @@
 			f[fields.Failed+cause.String()] = n
 		}
 	}
-	for kind := range gate.Differences {
+	for kind := range gate.DifferenceCount {
 		if n := t.differences[kind]; n > 0 {
 			f[fields.Differs+kind.String()] = n
 		}
