--- a/frontdoor/counter.go
+++ b/frontdoor/counter.go
@@ -13,127 +13,128 @@
 	"github.com/swifthall/swifthall/internal/sockio"
 )
 
-// call is one call of the counter.
-type call struct {
-	conn      *counterConn
-	customer  uint64
-	epoch     int64
-	add, keep float64
+// counterCall is one call of the counter: it adds to a customer's total in an epoch.
+type counterCall struct {
+	conn     *counterConn
+	customer uint64
+	epoch    int64
+	add, ttl float64 // units to add; how long the counter keeps the total, ms
 
-	// The owner's.
-	at   float64
-	told bool // the decisions have its result
-	over bool // its connection owes nothing for it any more
+	// Used by the event loop only.
+	startedAt float64 // clock, ms
+	reported  bool    // the decider has its result
+	done      bool    // its connection has no answer pending for it
 }
 
-// expire first ends the wait for a call, then a connection that owes its answer for too long: what comes over
-// one that is cut off would never be noticed otherwise.
-func (k *call) expire(c *core) {
-	switch dead := k.at + c.cfg.Pace.DeadCounter; {
-	case k.over:
+// expire first reports a timeout of the call. If the answer is still pending after Pace.DeadCounter, it closes the connection:
+// no read ever fails on a connection whose peer has become unreachable.
+func (k *counterCall) expire(c *core) {
+	switch dead := k.startedAt + c.cfg.Pace.DeadCounter; {
+	case k.done:
 	case c.now < dead:
-		c.tell(k, endLate, 0)
-		c.due.add(dead, k)
+		c.reportCall(k, outcomeTimeout, 0)
+		c.timeouts.add(dead, k)
 	default:
-		c.tell(k, endLate, 0)
-		k.conn.drop()
+		c.reportCall(k, outcomeTimeout, 0)
+		k.conn.disconnect()
 	}
 }
 
-// tell gives the decisions a call's result, once.
-func (c *core) tell(k *call, how end, total float64) {
-	if k.told {
+// reportCall reports the result of a call to the decider, once.
+func (c *core) reportCall(k *counterCall, how outcome, total float64) {
+	if k.reported {
 		return
 	}
-	k.told = true
+	k.reported = true
 	if customer, known := c.customers.Find(k.customer); known {
 		c.pending = append(c.pending, gate.Counted{Customer: customer, Epoch: k.epoch, Result: how.result(), Total: total})
 	}
 }
 
-// count makes a call over the connection that owes least.
-func (c *core) count(a gate.Count) {
-	k := &call{customer: c.customers.ID(a.Customer), epoch: a.Epoch, add: a.Add, keep: a.TTL, at: c.now}
-	for _, conn := range c.counters {
-		if k.conn == nil || conn.calls < k.conn.calls {
+// callCounter makes a call over the connection with the fewest outstanding calls.
+func (c *core) callCounter(a gate.Count) {
+	k := &counterCall{customer: c.customers.ID(a.Customer), epoch: a.Epoch, add: a.Add, ttl: a.TTL, startedAt: c.now}
+	for _, conn := range c.counterConns {
+		if k.conn == nil || conn.outstanding < k.conn.outstanding {
 			k.conn = conn
 		}
 	}
-	k.conn.calls++
-	c.due.add(k.at+c.cfg.Deal.CounterTimeout, k)
-	k.conn.put(k)
+	k.conn.outstanding++
+	c.timeouts.add(k.startedAt+c.cfg.Deal.CounterTimeout, k)
+	k.conn.enqueue(k)
 }
 
-// called is the end of a call on its connection.
-type called struct {
-	k     *call
-	how   end
-	total float64
+// callEnded reports that a call has ended on its connection.
+type callEnded struct {
+	call    *counterCall
+	outcome outcome
+	total   float64
 }
 
-func (n called) take(c *core) {
-	n.k.over = true
-	n.k.conn.calls--
-	c.tell(n.k, n.how, n.total)
-	n.k.conn.rest()
+func (e callEnded) handle(c *core) {
+	e.call.done = true
+	e.call.conn.outstanding--
+	c.reportCall(e.call, e.outcome, e.total)
+	e.call.conn.stopIfUnused()
 }
 
-// countOn calls the counter at an address from now on. Calls made at the one before come to their own end there.
-func (c *core) countOn(addr string) {
-	for _, k := range c.counters {
-		k.replaced = true
-		k.rest()
+// useCounter directs new calls to the counter at an address. Outstanding calls finish on the connections they were made on.
+func (c *core) useCounter(addr string) {
+	for _, conn := range c.counterConns {
+		conn.replaced = true
+		conn.stopIfUnused()
 	}
-	c.counters = c.counters[:0]
-	for range counted {
-		k := newCounterConn(c, addr)
+	c.counterConns = c.counterConns[:0]
+	for range counterConnections {
+		conn := newCounterConn(c, addr)
 		var ctx context.Context
-		ctx, k.stop = context.WithCancel(c.background)
-		c.counters = append(c.counters, k)
-		go k.run(ctx)
+		ctx, conn.stop = context.WithCancel(c.background)
+		c.counterConns = append(c.counterConns, conn)
+		go conn.run(ctx)
 	}
 }
 
-// rest stops a connection that has been replaced and owes nothing.
-func (k *counterConn) rest() {
-	if k.replaced && k.calls == 0 {
+// stopIfUnused stops a connection that has been replaced and has no outstanding calls.
+func (k *counterConn) stopIfUnused() {
+	if k.replaced && k.outstanding == 0 {
 		k.stop()
 	}
 }
 
-// counterConn is one connection to the counter, dialled when there are calls. One goroutine writes, one reads.
+// counterConn is one connection to the counter, dialled when there are calls. One goroutine writes, another reads.
 type counterConn struct {
 	c    *core
 	addr string
-	kick chan struct{}
+	wake chan struct{} // receives when a call is queued
 
-	// The owner's.
-	calls    int // put and not over
-	replaced bool
-	stop     context.CancelFunc
+	// Used by the event loop only.
+	outstanding int // calls enqueued and not done
+	replaced    bool
+	stop        context.CancelFunc
 
-	mu     sync.Mutex
-	nc     net.Conn
-	queue  []*call // not written yet
-	flying []*call // written, oldest first
+	mu            sync.Mutex
+	nc            net.Conn
+	queue         []*counterCall // not written yet
+	awaitingReply []*counterCall // written, oldest first
 }
 
 func newCounterConn(c *core, addr string) *counterConn {
-	return &counterConn{c: c, addr: addr, kick: make(chan struct{}, 1), stop: func() {}}
+	return &counterConn{c: c, addr: addr, wake: make(chan struct{}, 1), stop: func() {}}
 }
 
-func (k *counterConn) put(a *call) {
+// enqueue queues a call and wakes the writer.
+func (k *counterConn) enqueue(call *counterCall) {
 	k.mu.Lock()
-	k.queue = append(k.queue, a)
+	k.queue = append(k.queue, call)
 	k.mu.Unlock()
 	select {
-	case k.kick <- struct{}{}:
+	case k.wake <- struct{}{}:
 	default:
 	}
 }
 
-// drop ends the connection, if it is up.
-func (k *counterConn) drop() {
+// disconnect closes the connection, if it is established.
+func (k *counterConn) disconnect() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.nc != nil {
@@ -141,131 +142,133 @@
 	}
 }
 
+// run writes queued calls, dialling as needed, until ctx ends.
 func (k *counterConn) run(ctx context.Context) {
-	defer context.AfterFunc(ctx, k.drop)()
+	defer context.AfterFunc(ctx, k.disconnect)()
 	for ctx.Err() == nil {
 		select {
-		case <-k.kick:
+		case <-k.wake:
 		case <-ctx.Done():
 			return
 		}
 		nc, how := k.connect(ctx)
-		calls, late, up := k.load(nc)
-		k.end(late, endLateUnsent)
+		calls, late, up := k.takeQueued(nc)
+		k.endCalls(late, outcomeTimeoutUnsent)
 		if !up {
-			k.end(calls, how.unsent())
-			rest(ctx, k.c.cfg.Pace.Redial)
+			k.endCalls(calls, how.asUnsent())
+			sleepMs(ctx, k.c.cfg.Pace.Redial)
 			continue
 		}
 		msg := pool.Get()
-		for _, a := range calls {
-			msg = resp.AppendTally(msg, countName(a), a.add, a.keep)
+		for _, call := range calls {
+			msg = resp.AppendTally(msg, counterKey(call), call.add, call.ttl)
 		}
-		if _, err := sockio.Write(nc, msg, time.Now().Add(span(k.c.cfg.Deal.CounterTimeout))); err != nil {
-			nc.Close() // its reader ends the calls
+		if _, err := sockio.Write(nc, msg, time.Now().Add(duration(k.c.cfg.Deal.CounterTimeout))); err != nil {
+			nc.Close() // the reading goroutine ends the calls
 		}
 		pool.Put(msg)
 	}
 }
 
-// load takes the calls that wait, apart from those whose time has run out: units that nobody waits for must
-// not be added. up says that the others will fly over nc, which then is still the connection. One that ended since it was
-// looked up has ended its calls already: those loaded after would have no end, and the next connection's replies would
-// be taken for theirs, one customer's total for another's.
-func (k *counterConn) load(nc net.Conn) (calls, late []*call, up bool) {
+// takeQueued empties the queue. Calls that have timed out are returned as late and must not be sent: nobody waits for them, so
+// their units must not be added. up reports whether nc is still the connection; only then are the other calls registered as
+// awaiting a reply. If nc ended after it was looked up, its reader has already ended the calls on it: calls registered later
+// would never end, and replies on the next connection would be matched to them, giving one customer the total of another.
+func (k *counterConn) takeQueued(nc net.Conn) (calls, late []*counterCall, up bool) {
 	oldest := k.c.clock.now() - k.c.cfg.Deal.CounterTimeout
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	up = nc != nil && k.nc == nc
-	for _, a := range k.queue {
-		if a.at < oldest {
-			late = append(late, a)
+	for _, call := range k.queue {
+		if call.startedAt < oldest {
+			late = append(late, call)
 		} else {
-			calls = append(calls, a)
+			calls = append(calls, call)
 		}
 	}
 	k.queue = nil
 	if up {
-		k.flying = append(k.flying, calls...)
+		k.awaitingReply = append(k.awaitingReply, calls...)
 	}
 	return calls, late, up
 }
 
-// countName names a customer's number for an epoch, the same at every door.
-func countName(a *call) string {
-	return strconv.FormatUint(a.customer, 16) + "/" + strconv.FormatInt(a.epoch, 10)
+// counterKey returns the counter's key for a customer in an epoch. All doors use the same one.
+func counterKey(call *counterCall) string {
+	return strconv.FormatUint(call.customer, 16) + "/" + strconv.FormatInt(call.epoch, 10)
 }
 
-// up returns the connection, nil where there is none.
-func (k *counterConn) up() net.Conn {
+// current returns the connection, nil if there is none.
+func (k *counterConn) current() net.Conn {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.nc
 }
 
-// connect returns the connection, a new one where there is none.
-func (k *counterConn) connect(ctx context.Context) (net.Conn, end) {
-	if nc := k.up(); nc != nil {
-		return nc, endWell
+// connect returns the connection, and dials if there is none.
+func (k *counterConn) connect(ctx context.Context) (net.Conn, outcome) {
+	if nc := k.current(); nc != nil {
+		return nc, outcomeOK
 	}
-	if !k.c.budget.take(0) {
-		return nil, endNoSocket
+	if !k.c.budget.acquire(0) {
+		return nil, outcomeNoSocket
 	}
 	nc, err := k.c.dial(ctx, k.addr)
 	if err != nil {
-		k.c.budget.put()
-		return nil, endOfDial(err)
+		k.c.budget.release()
+		return nil, dialOutcome(err)
 	}
 	k.mu.Lock()
 	k.nc = nc
 	k.mu.Unlock()
 	go k.read(nc)
-	return nc, endWell
+	return nc, outcomeOK
 }
 
-func (k *counterConn) end(calls []*call, how end) {
-	for _, a := range calls {
-		k.c.post(called{a, how, 0})
+func (k *counterConn) endCalls(calls []*counterCall, how outcome) {
+	for _, call := range calls {
+		k.c.post(callEnded{call, how, 0})
 	}
 }
 
-// read takes replies, each for the oldest call, until the connection ends.
+// read reads replies, each for the oldest call, until the connection ends, and then ends the calls left.
 func (k *counterConn) read(nc net.Conn) {
-	defer k.c.budget.put()
+	defer k.c.budget.release()
 	var in resp.Replies
 	buf := pool.Get()[:pool.Size]
 	defer pool.Put(buf)
-	var err, fault error
-	for err == nil && fault == nil {
+	var err, parseErr error
+	for err == nil && parseErr == nil {
 		var n int
 		n, err = sockio.Read(nc, buf)
-		fault = in.Feed(buf[:n], k.reply)
+		parseErr = in.Feed(buf[:n], k.handleReply)
 	}
 	nc.Close()
 	k.mu.Lock()
-	calls := k.flying
-	k.nc, k.flying = nil, nil
+	calls := k.awaitingReply
+	k.nc, k.awaitingReply = nil, nil
 	k.mu.Unlock()
-	if fault != nil && len(calls) > 0 { // it was the oldest one's answer; those behind it may have been added
-		k.end(calls[:1], endGarbled)
+	if parseErr != nil && len(calls) > 0 { // the malformed reply was the oldest call's; the calls behind it may have been added
+		k.endCalls(calls[:1], outcomeMalformed)
 		calls = calls[1:]
 	}
-	k.end(calls, endCut)
+	k.endCalls(calls, outcomeBroken)
 }
 
-func (k *counterConn) reply(r resp.Reply) error {
+// handleReply ends the oldest call with a reply.
+func (k *counterConn) handleReply(r resp.Reply) error {
 	k.mu.Lock()
-	if len(k.flying) == 0 {
+	if len(k.awaitingReply) == 0 {
 		k.mu.Unlock()
-		return errUncalled
+		return errUnexpectedReply
 	}
-	a := k.flying[0]
-	k.flying = k.flying[1:]
+	call := k.awaitingReply[0]
+	k.awaitingReply = k.awaitingReply[1:]
 	k.mu.Unlock()
-	how := endWell
+	how := outcomeOK
 	if r.Busy || r.Fault != "" {
-		how = endTurnedAway
+		how = outcomeTurnedAway
 	}
-	k.c.post(called{a, how, r.Total})
+	k.c.post(callEnded{call, how, r.Total})
 	return nil
 }
--- a/frontdoor/tally.go
+++ b/frontdoor/tally.go
@@ -9,36 +9,36 @@
 	"github.com/swifthall/swifthall/internal/fields"
 )
 
-// AccountEvery is the clock between two accounts in the log, ms: a day of the fleet's is some tens of seconds, and a
-// line a door every 5 s keeps a log of hundreds of doors readable.
+// AccountIntervalMs is the interval between two summaries in the log, ms. Test runs of a fleet last some tens of seconds, and
+// one line per door every 5 s keeps a log of hundreds of doors readable.
 const AccountEvery = 5e3
 
-// tally counts what a door did since its last account, so that the logs of a whole fleet can be added up; the log
-// still never tells single requests.
+// tally counts what a door did since its last summary in the log. Summaries of all doors can be added up to get the fleet's
+// counts, without logging single requests.
 type tally struct {
-	at               float64 // clock of the next account, ms; 0 before the first
+	nextAt           float64 // clock of the next summary, ms; 0 before the first
 	arrived, sent    int
 	rejected, failed [gate.CauseCount]int
-	differs          [gate.DifferenceCount]int
+	differences      [gate.DifferenceCount]int
 	retried          int
-	ended            [endKinds]int
-	closed           [closings]int
-	broken           [invariants]int
+	ended            [outcomes]int
+	closed           [closeReasons]int
+	violations       [invariants]int
 }
 
-// fields is the account as log fields: counts that are 0 are left out.
+// fields returns the tally as log fields. Optional counts that are 0 are left out.
 func (t *tally) fields() logrus.Fields {
 	f := logrus.Fields{fields.Arrived: t.arrived, fields.Sent: t.sent}
-	for why := range gate.CauseCount {
-		if n := t.rejected[why]; n > 0 {
-			f[fields.Rejected+why.String()] = n
+	for cause := range gate.CauseCount {
+		if n := t.rejected[cause]; n > 0 {
+			f[fields.Rejected+cause.String()] = n
 		}
-		if n := t.failed[why]; n > 0 {
-			f[fields.Failed+why.String()] = n
+		if n := t.failed[cause]; n > 0 {
+			f[fields.Failed+cause.String()] = n
 		}
 	}
 	for kind := range gate.DifferenceCount {
-		if n := t.differs[kind]; n > 0 {
+		if n := t.differences[kind]; n > 0 {
 			f[fields.Differs+kind.String()] = n
 		}
 	}
@@ -47,15 +47,15 @@
 	}
 	for how, n := range t.ended {
 		if n > 0 {
-			f[fields.Ended+end(how).String()] = n
+			f[fields.Ended+outcome(how).String()] = n
 		}
 	}
-	for why, n := range t.closed {
+	for reason, n := range t.closed {
 		if n > 0 {
-			f[fields.Closed+closing(why).String()] = n
+			f[fields.Closed+closeReason(reason).String()] = n
 		}
 	}
-	for which, n := range t.broken {
+	for which, n := range t.violations {
 		if n > 0 {
 			f[fields.Violated+invariant(which).String()] = n
 		}
@@ -63,34 +63,34 @@
 	return f
 }
 
-// due writes the account when its time has come and begins the next one.
-func (t *tally) due(now float64, log logrus.FieldLogger) {
-	if t.at == 0 {
-		t.at = now + AccountEvery
+// writeIfDue writes the summary when it is due and starts the next one.
+func (t *tally) writeIfDue(now float64, log logrus.FieldLogger) {
+	if t.nextAt == 0 {
+		t.nextAt = now + AccountEvery
 	}
-	if now >= t.at {
+	if now >= t.nextAt {
 		t.write(log)
-		*t = tally{at: now + AccountEvery}
+		*t = tally{nextAt: now + AccountEvery}
 	}
 }
 
-// write writes the account, if there is anything to tell.
+// write writes the summary, unless all counts are 0.
 func (t *tally) write(log logrus.FieldLogger) {
-	if f := t.fields(); len(f) > leastFields || t.arrived > 0 || t.sent > 0 {
+	if f := t.fields(); len(f) > fixedFields || t.arrived > 0 || t.sent > 0 {
 		log.WithFields(f).Info("account")
 	}
 }
 
-const leastFields = 2 // that every account has
+const fixedFields = 2 // fields that every summary has
 
-// Counts are what a door has done since it began; they only grow.
+// Counts are totals since the start; they only grow. They count requests of a door, or a door's attempts to one backend.
 type Counts struct {
 	Arrived, Finished, InTime, Rejected, Failed uint64
-	LatencyMs                                   float64 // of all finished, from their first byte, added up
+	LatencyMs                                   float64 // sum over all finished, from the first byte
 }
 
-// answered counts one final answer.
-func (n *Counts) answered(status int, latency, contract float64) {
+// addAnswer counts one final answer of the door.
+func (n *Counts) addAnswer(status int, latency, contract float64) {
 	switch status {
 	case http.StatusOK:
 		n.Finished++
@@ -105,9 +105,9 @@
 	}
 }
 
-// transmitted counts one attempt to a backend. What was never sent, or was given up for another, tells nothing of it.
-func (n *Counts) transmitted(how gate.Result, latency float64) {
-	switch how {
+// addAttempt counts one attempt to a backend. Attempts never sent or cancelled say nothing about the backend and are not counted.
+func (n *Counts) addAttempt(result gate.Result, latency float64) {
+	switch result {
 	case gate.Skipped, gate.Cancelled:
 		return
 	case gate.Finished:
