--- a/frontdoor/crossing_test.go
+++ b/frontdoor/crossing_test.go
@@ -109,7 +109,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	g.door = New(g.cfg, g.decider, log)
-	g.door.Over(g.network)
+	g.door.UseNetwork(g.network)
 	ctx, cancel := context.WithCancel(t.Context())
 	g.stop, g.ended = cancel, make(chan error, 1)
 	go func() { g.ended <- g.door.Serve(ctx) }()
--- a/frontdoor/frontdoor.go
+++ b/frontdoor/frontdoor.go
@@ -31,7 +31,7 @@
 // UseListener makes the door serve clients of an existing listener instead of opening its own. The listener's socket may be shared
 // with another process, so that one door can replace another with no connection refused. It must be called before Serve, which
 // closes the listener.
-func (d *Door) On(ln *net.TCPListener) {
+func (d *Door) UseListener(ln *net.TCPListener) {
 	d.core.listen = func(context.Context, string) (net.Listener, error) { return ln, nil }
 }
 
@@ -73,7 +73,7 @@
 
 // SetMembers reports which doors of the fleet are here, as far as is known. It may be called at any time, or never: no request
 // waits for it.
-func (d *Door) Members(e gate.DoorsUpdate) { d.core.post(membersUpdate(e)) }
+func (d *Door) SetMembers(e gate.DoorsUpdate) { d.core.post(membersUpdate(e)) }
 
 type membersUpdate gate.DoorsUpdate
 
--- a/frontdoor/maintenance.go
+++ b/frontdoor/maintenance.go
@@ -44,7 +44,7 @@
 // SetOutOfService takes the door out of service, or brings it back. Out of service, the door is not ready, closes each connection
 // with its next answer, and serves the requests that still arrive. It goes out only before until: a process that was suspended in
 // between does not act on an outdated request. done is called with whether the change was made, and must not block.
-func (d *Door) Aside(out bool, until time.Time, done func(taken bool)) {
+func (d *Door) SetOutOfService(out bool, until time.Time, done func(taken bool)) {
 	d.core.post(outOfServiceRequest{out, until, done})
 }
 
@@ -70,7 +70,7 @@
 func (d *Door) Ready() bool { return d.core.ready.Load() }
 
 // BackendSnapshot is the state of one backend on the door's list.
-type Listed struct {
+type BackendSnapshot struct {
 	ID, Zone string
 	Size     float64
 	Up       bool // up on the list; a withheld backend may be
@@ -80,31 +80,31 @@
 }
 
 // Snapshot is the state of a door.
-type Told struct {
-	Backends []Listed
+type Snapshot struct {
+	Backends []BackendSnapshot
 	Counts   Counts
 }
 
 // Snapshot returns the door's list of backends and its counts since the start. It returns the zero value once the door has ended.
-func (d *Door) Tell() Told {
-	got := make(chan Told, 1)
+func (d *Door) Snapshot() Snapshot {
+	got := make(chan Snapshot, 1)
 	d.core.post(snapshotRequest(got))
 	select {
 	case t := <-got:
 		return t
 	case <-d.core.done:
-		return Told{}
+		return Snapshot{}
 	}
 }
 
-type snapshotRequest chan<- Told
+type snapshotRequest chan<- Snapshot
 
 func (r snapshotRequest) handle(c *core) {
-	t := Told{Backends: []Listed{}, Counts: c.totals}
+	t := Snapshot{Backends: []BackendSnapshot{}, Counts: c.totals}
 	now := c.clock.now()
 	for i := range c.backends {
 		if b := &c.backends[i]; b.listed {
-			t.Backends = append(t.Backends, Listed{b.id, c.zones.ID(b.zone), b.size, b.status == gate.Up, now-b.startedAt >= c.cfg.Deal.Terms.WarmupTime, float64(b.processStart), b.counts})
+			t.Backends = append(t.Backends, BackendSnapshot{b.id, c.zones.ID(b.zone), b.size, b.status == gate.Up, now-b.startedAt >= c.cfg.Deal.Terms.WarmupTime, float64(b.processStart), b.counts})
 		}
 	}
 	r <- t
--- a/frontdoor/maintenance_test.go
+++ b/frontdoor/maintenance_test.go
@@ -26,7 +26,7 @@
 	fleetUpdate{list: registry.List{Whole: true, Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready"}, {ID: "t", Addr: "127.0.0.1:2", State: "Ready"}}}}.handle(c)
 	e := c.pending[0].(gate.FleetUpdate).Entries
 	assert.Equal(t, []gate.Status{gate.Draining, gate.Up}, []gate.Status{e[0].Status, e[1].Status})
-	got := make(chan Told, 1)
+	got := make(chan Snapshot, 1)
 	snapshotRequest(got).handle(c)
 	assert.True(t, (<-got).Backends[0].Up, "by the list")
 	c.pending = nil
--- a/frontdoor/network.go
+++ b/frontdoor/network.go
@@ -14,7 +14,7 @@
 }
 
 // UseNetwork replaces the system's network by another. It must be called before Serve.
-func (d *Door) Over(n Network) {
+func (d *Door) UseNetwork(n Network) {
 	if n.Dial != nil {
 		d.core.dial = n.Dial
 	}
--- a/frontdoor/serve_test.go
+++ b/frontdoor/serve_test.go
@@ -92,7 +92,7 @@
 	t.Cleanup(cancel)
 	end := make(chan error, 1)
 	door := New(cfg, d, log)
-	door.On(ln.(*net.TCPListener))
+	door.UseListener(ln.(*net.TCPListener))
 	go func() { end <- door.Serve(ctx) }()
 	for range 500 {
 		if nc, err := net.Dial("tcp", cfg.Listen); err == nil {
@@ -295,5 +295,5 @@
 			}
 		}
 		return false
-	}, 3*AccountEvery*time.Millisecond, 50*time.Millisecond)
+	}, 3*AccountIntervalMs*time.Millisecond, 50*time.Millisecond)
 }
--- a/frontdoor/tally.go
+++ b/frontdoor/tally.go
@@ -11,7 +11,7 @@
 
 // AccountIntervalMs is the interval between two summaries in the log, ms. Test runs of a fleet last some tens of seconds, and
 // one line per door every 5 s keeps a log of hundreds of doors readable.
-const AccountEvery = 5e3
+const AccountIntervalMs = 5e3
 
 // tally counts what a door did since its last summary in the log. Summaries of all doors can be added up to get the fleet's
 // counts, without logging single requests.
@@ -66,11 +66,11 @@
 // writeIfDue writes the summary when it is due and starts the next one.
 func (t *tally) writeIfDue(now float64, log logrus.FieldLogger) {
 	if t.nextAt == 0 {
-		t.nextAt = now + AccountEvery
+		t.nextAt = now + AccountIntervalMs
 	}
 	if now >= t.nextAt {
 		t.write(log)
-		*t = tally{nextAt: now + AccountEvery}
+		*t = tally{nextAt: now + AccountIntervalMs}
 	}
 }
 
--- a/internal/doorfleet/doorfleet.go
+++ b/internal/doorfleet/doorfleet.go
@@ -100,7 +100,7 @@
 				l.WithError(err).Error("no status is told")
 			}
 		case <-changed:
-			door.Members(Word(d.View().Rows, cfg.Deal.Terms.Doors))
+			door.SetMembers(Word(d.View().Rows, cfg.Deal.Terms.Doors))
 			select {
 			case <-time.After(tellAtMost):
 			case <-ctx.Done():
