--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where a door's configuration is read, checked and given defaults.
-// Errors name the faulty key.
+// Package config reads and checks the configuration of doors and coordinators and fills in defaults. Errors name the
+// invalid key.
 package config
 
 import (
@@ -17,74 +17,75 @@
 	"github.com/swifthall/swifthall/internal/registry"
 )
 
-// Door is all that a front door is told before it starts.
+// Door is the complete configuration of a front door.
 type Door struct {
 	Name, Listen, Discovery string
-	Counter                 string // empty where there is none
+	Counter                 string // address of the shared counter; empty for none
 	Seed                    uint64
 	Cores                   float64
 	MemoryMB, Sockets       int
 	Known                   registry.List
 	Deal                    Deal
-	Watch                   *gate.Terms // terms of another shape that decisions are compared with; nil where there is no watch
+	Watch                   *gate.Terms // alternative terms whose decisions are compared with the actual ones; nil for none
 	Pace                    Pace
 	Log                     Log
-	Fleet                   *Fleet   // nil where the door goes by itself
-	Odd                     []string // keys that nothing reads, each with a word on it
+	Fleet                   *Fleet   // nil if the door belongs to no fleet
+	Odd                     []string // warnings: unknown keys, and values that are valid but questionable
 }
 
-// One rule bounds how late a door hears what discovery could have told it, whatever came before: a watch that falls silent
-// is noticed after Silence, and then a call may fail and the next one must be answered, each after ConnectTimeout at most
-// for its connection, FirstWord for its first byte, and the longest pause behind it. The sum stays within toldWithin.
+// Limits on the delay before a door notices a change that discovery has published. In the worst case a silent watch is
+// detected after Silence, the first redial fails and the second succeeds. Each of the two takes at most ConnectTimeout to
+// connect, FirstWord to the first byte and the longest pause after it. The sum must not exceed maxDiscoveryDelay.
 const (
-	RedialGrows    = 5   // times Redial, up to which the pause between failed calls doubles
-	toldWithin     = 6e3 // ms after which what discovery has told counts as known
-	firstWordMost  = 1e3 // an agent answers at once; over that it is down, and the next dial may find it back
-	firstWordLeast = 100 // less would give up an answer that is on its way
+	RedialGrows       = 5   // the pause between failed dials doubles up to this multiple of Redial
+	maxDiscoveryDelay = 6e3 // ms after which the door is expected to know a published change
+	maxFirstByte      = 1e3 // ms; a working agent answers at once, a slower one is down and the next dial may reach it
+	minFirstByte      = 100 // ms; less would abandon responses that are on their way
 )
 
-// told is that sum, ms.
-func (p *Pace) told(connectTimeout float64) float64 {
+// discoveryDelay returns the worst-case delay before a published change is noticed, in ms.
+func (p *Pace) discoveryDelay(connectTimeout float64) float64 {
 	return p.Silence + 2*(connectTimeout+p.FirstWord+RedialGrows*p.Redial)
 }
 
-// Pace holds the carrier's own times, ms. The key "pace" overrides the defaults.
+// Pace holds the timeouts and intervals of the driver, in ms. The key "pace" overrides the defaults.
 type Pace struct {
-	SlowInput   float64 `json:"slow_input_ms"`   // a message that takes longer to arrive or leave is given up
-	IdleClient  float64 `json:"idle_client_ms"`  // a client connection with no request for longer is closed
-	IdleBackend float64 `json:"idle_backend_ms"` // a backend connection idle for longer is closed
-	Settle      float64 `json:"settle_ms"`       // a backend connection carries nothing for so long after an answer
-	Silence     float64 `json:"silence_ms"`      // a watch silent for longer is dialled again
-	FirstWord   float64 `json:"first_word_ms"`   // and so is one that has not begun to answer for longer
-	DeadCounter float64 `json:"dead_counter_ms"` // a counter connection that owes an answer for longer is closed
-	Redial      float64 `json:"redial_ms"`       // rest between failed dials of the counter, and the first between those of discovery
-	Linger      float64 `json:"linger_ms"`       // new connections are served for this long after the call to stop
+	SlowInput   float64 `json:"slow_input_ms"`   // timeout for reading or writing one message
+	IdleClient  float64 `json:"idle_client_ms"`  // client connections without a request for longer are closed
+	IdleBackend float64 `json:"idle_backend_ms"` // backend connections that are idle for longer are closed
+	Settle      float64 `json:"settle_ms"`       // pause after a response before a backend connection is reused
+	Silence     float64 `json:"silence_ms"`      // a watch that receives nothing for longer is redialled
+	FirstWord   float64 `json:"first_word_ms"`   // a watch that has not started to respond within this time is redialled
+	DeadCounter float64 `json:"dead_counter_ms"` // a counter connection with a reply outstanding for longer is closed
+	Redial      float64 `json:"redial_ms"`       // pause between failed dials of the counter, and the initial one for discovery
+	Linger      float64 `json:"linger_ms"`       // new connections are accepted for this long after the signal to terminate
 }
 
-// Log is how the door logs. It never logs single requests.
+// Log configures logging. Single requests are logged at the level debug only.
 type Log struct {
 	Level  string `json:"level"`  // debug, info, warn or error
 	Format string `json:"format"` // text or json
 }
 
-// Formats of the log.
+// Log formats.
 const (
 	LogText = "text"
 	LogJSON = "json"
 )
 
-// Check tells what is wrong with the keys.
+// Check returns an error that joins one error per invalid key, or nil.
 func (l Log) Check() error {
-	var faults []error
+	var errs []error
 	if !slices.Contains([]string{"debug", "info", "warn", "error"}, l.Level) {
-		faults = append(faults, keyFault("log.level", "%q, one of debug, info, warn, error is wanted", l.Level))
+		errs = append(errs, keyErrorf("log.level", "%q: must be debug, info, warn or error", l.Level))
 	}
 	if l.Format != LogText && l.Format != LogJSON {
-		faults = append(faults, keyFault("log.format", "%q, text or json is wanted", l.Format))
+		errs = append(errs, keyErrorf("log.format", "%q: must be text or json", l.Format))
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
+// file mirrors the configuration file.
 type file struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -104,8 +105,9 @@
 	Fleet    *Fleet          `json:"fleet"`
 }
 
-// Again reads a file that has been replaced. Its discovery counts, as the environment is older than it.
-func Again(getenv func(string) string) (Door, error) {
+// Reload reads the configuration file again after it has been replaced. It ignores GW_DISCOVERY, because the environment is
+// older than the file.
+func Reload(getenv func(string) string) (Door, error) {
 	return Load(func(name string) string {
 		if name == "GW_DISCOVERY" {
 			return ""
@@ -114,7 +116,7 @@
 	})
 }
 
-// Load reads the file that GW_CONFIG names; GW_NAME, GW_LISTEN and GW_DISCOVERY win over it.
+// Load reads the file that GW_CONFIG names. GW_NAME, GW_LISTEN and GW_DISCOVERY override its keys.
 func Load(getenv func(string) string) (Door, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
@@ -127,7 +129,7 @@
 	return Read(raw, getenv)
 }
 
-// Faults takes apart what Load, Read or Again say is wrong: one fault for each key.
+// Faults splits an error of Load, Read or Reload into one error per invalid key.
 func Faults(err error) []error {
 	var joined interface{ Unwrap() []error }
 	switch {
@@ -143,11 +145,11 @@
 	return []error{err}
 }
 
-// Read decodes and checks a configuration. Its error joins all that is wrong, key by key.
+// Read decodes and checks a configuration. The returned error joins one error per invalid key.
 func Read(raw []byte, getenv func(string) string) (Door, error) {
 	var f file
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return Door{}, decodeFault("", err)
+		return Door{}, decodeError("", err)
 	}
 	for name, into := range map[string]*string{"GW_NAME": &f.Name, "GW_LISTEN": &f.Listen, "GW_DISCOVERY": &f.Discovery} {
 		if v := getenv(name); v != "" {
@@ -155,93 +157,94 @@
 		}
 	}
 	d := Door{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Counter: f.Counter, Cores: f.Limits.Cores,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Pace: f.Pace, Log: f.Log, Fleet: f.Fleet, Odd: oddKeys(raw)}
-	var faults []error
+		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Pace: f.Pace, Log: f.Log, Fleet: f.Fleet, Odd: unknownKeys(raw)}
+	var errs []error
 	for _, a := range []struct {
 		key, value string
-		may        bool
+		optional   bool
 	}{{"listen", d.Listen, false}, {"discovery", d.Discovery, false}, {"counter", d.Counter, true}} {
-		if _, port, err := net.SplitHostPort(a.value); (err != nil || port == "") && !(a.may && a.value == "") {
-			faults = append(faults, keyFault(a.key, "%q is not an address with a port", a.value))
+		if _, port, err := net.SplitHostPort(a.value); (err != nil || port == "") && !(a.optional && a.value == "") {
+			errs = append(errs, keyErrorf(a.key, "%q is not an address with a port", a.value))
 		}
 	}
 	var err error
 	if f.Seed != "" {
 		if d.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-			faults = append(faults, keyFault("seed", "%q is not a hexadecimal number of 64 bits", f.Seed))
+			errs = append(errs, keyErrorf("seed", "%q is not a 64-bit hexadecimal number", f.Seed))
 		}
 	}
 	if len(f.Known) > 0 {
 		if d.Known, err = registry.ReadList(f.Known); err != nil {
-			faults = append(faults, &KeyError{Key: "known", Cause: err})
+			errs = append(errs, &KeyError{Key: "known", Cause: err})
 		}
 	}
-	d.logDefaults()
-	faults = append(faults, d.Log.Check())
+	d.setLogDefaults()
+	errs = append(errs, d.Log.Check())
 	if d.Fleet != nil {
-		faults = append(faults, d.Fleet.check(d.Name)...)
+		errs = append(errs, d.Fleet.check(d.Name)...)
 	}
 	if len(f.Settings) == 0 {
-		faults = append(faults, keyFault("settings", "missing"))
+		errs = append(errs, keyErrorf("settings", "missing"))
 	} else if d.Deal, err = ReadDeal(f.Settings); err != nil {
-		faults = append(faults, err)
+		errs = append(errs, err)
 	} else {
-		faults = append(faults, d.check()...)
-		faults = append(faults, d.watch(f.Watch)...)
+		errs = append(errs, d.check()...)
+		errs = append(errs, d.readWatch(f.Watch)...)
 	}
-	if err := errors.Join(faults...); err != nil {
+	if err := errors.Join(errs...); err != nil {
 		return Door{Odd: d.Odd}, err
 	}
-	d.defaults()
-	if sum := d.Pace.told(d.Deal.ConnectTimeout); sum > toldWithin {
-		d.Odd = append(d.Odd, fmt.Sprintf("key \"pace.silence_ms\": with connect_timeout, pace.first_word_ms and pace.redial_ms a change of the fleet list may be heard %.0f ms late, and counts as told after %.0f", sum, toldWithin))
+	d.setDefaults()
+	if sum := d.Pace.discoveryDelay(d.Deal.ConnectTimeout); sum > maxDiscoveryDelay {
+		d.Odd = append(d.Odd, fmt.Sprintf("key \"pace.silence_ms\": together with connect_timeout, pace.first_word_ms and pace.redial_ms it allows a change of the fleet list to go unnoticed for %.0f ms; the limit is %.0f ms", sum, maxDiscoveryDelay))
 	}
 	return d, nil
 }
 
-// oddKeys names the keys that nothing reads. Those of the settings are the platform's, which may add some.
-func oddKeys(raw []byte) []string {
+// unknownKeys lists the unknown keys of a configuration. Keys of the settings are not checked, because the platform defines
+// them and may add some.
+func unknownKeys(raw []byte) []string {
 	var tree map[string]json.RawMessage
 	if json.Unmarshal(raw, &tree) != nil {
 		return nil
 	}
-	var odd []string
-	look := func(under string, of map[string]json.RawMessage, into any) {
+	var unknown []string
+	collect := func(under string, of map[string]json.RawMessage, into any) {
 		known := map[string]bool{}
 		for t, i := reflect.TypeOf(into), 0; i < t.NumField(); i++ {
 			known[t.Field(i).Tag.Get("json")] = true
 		}
 		for key := range of {
 			if !known[key] {
-				odd = append(odd, fmt.Sprintf("key %q: nothing reads it", under+key))
+				unknown = append(unknown, fmt.Sprintf("key %q: unknown, ignored", under+key))
 			}
 		}
 	}
-	look("", tree, file{})
+	collect("", tree, file{})
 	for under, into := range map[string]any{"limits": file{}.Limits, "pace": Pace{}, "log": Log{}, "fleet": Fleet{}} {
 		var inner map[string]json.RawMessage
 		if json.Unmarshal(tree[under], &inner) == nil {
-			look(under+".", inner, into)
+			collect(under+".", inner, into)
 		}
 	}
-	slices.Sort(odd)
-	return odd
+	slices.Sort(unknown)
+	return unknown
 }
 
-// check holds what serving needs, over what the simulator's first message must have.
-func (d *Door) check() (faults []error) {
+// check verifies what serving needs beyond what ReadDeal requires.
+func (d *Door) check() (errs []error) {
 	t := &d.Deal.Terms
-	fault := func(key, format string, args ...any) { faults = append(faults, keyFault(key, format, args...)) }
+	fail := func(key, format string, args ...any) { errs = append(errs, keyErrorf(key, format, args...)) }
 	if t.Doors < 1 {
-		fault("settings.fleet_size", "%d doors", t.Doors)
+		fail("settings.fleet_size", "%d: must be at least 1", t.Doors)
 	} else if t.Number < 0 || t.Number >= t.Doors {
-		fault("settings.my_number", "%d of %d doors", t.Number, t.Doors)
+		fail("settings.my_number", "%d: out of range for %d doors", t.Number, t.Doors)
 	}
-	faults = append(faults, termFaults("settings", t)...)
+	errs = append(errs, termErrors("settings", t)...)
 	if t.Counter && d.Counter == "" {
-		fault("counter", "missing, though settings.extra.counter is true")
+		fail("counter", "missing, but settings.extra.counter is true")
 	}
-	return append(faults, below0([]figure{{"limits.cores", d.Cores}, {"limits.memory_mb", float64(d.MemoryMB)}, {"limits.sockets", float64(d.Sockets)},
+	return append(errs, negativeErrors([]keyValue{{"limits.cores", d.Cores}, {"limits.memory_mb", float64(d.MemoryMB)}, {"limits.sockets", float64(d.Sockets)},
 		{"pace.slow_input_ms", d.Pace.SlowInput}, {"pace.idle_client_ms", d.Pace.IdleClient}, {"pace.idle_backend_ms", d.Pace.IdleBackend},
 		{"pace.settle_ms", d.Pace.Settle}, {"pace.silence_ms", d.Pace.Silence}, {"pace.first_word_ms", d.Pace.FirstWord}, {"pace.dead_counter_ms", d.Pace.DeadCounter},
 		{"pace.redial_ms", d.Pace.Redial}, {"pace.linger_ms", d.Pace.Linger},
@@ -249,13 +252,13 @@
 		{"settings.extra.counter_timeout", d.Deal.CounterTimeout}, {"settings.extra.units_top", d.Deal.MostUnits}})...)
 }
 
-// watch reads the settings of another shape. They must name the same classes and plans in the same order, as an
-// request is one and the same under both.
-func (d *Door) watch(raw json.RawMessage) (faults []error) {
+// readWatch reads the alternative settings. They must name the same classes and plans in the same order, because one
+// request is decided under both.
+func (d *Door) readWatch(raw json.RawMessage) (errs []error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return nil
 	}
-	other, err := readDeal("watch", raw)
+	other, err := readSettings("watch", raw)
 	if err != nil {
 		return []error{err}
 	}
@@ -264,68 +267,69 @@
 		present, next map[string]int
 	}{{"profiles", d.Deal.Classes, other.Classes}, {"tariffs", d.Deal.Plans, other.Plans}} {
 		if !maps.Equal(n.present, n.next) {
-			faults = append(faults, keyFault("watch."+n.of, "other names than settings.%s has, or in another order", n.of))
+			errs = append(errs, keyErrorf("watch."+n.of, "names differ from those in settings.%s, or are in another order", n.of))
 		}
 	}
 	d.Watch = &other.Terms
-	return append(faults, termFaults("watch", d.Watch)...)
+	return append(errs, termErrors("watch", d.Watch)...)
 }
 
-// termFaults holds what decisions need of classes, plans and limits, whether they go by them or are compared.
-func termFaults(under string, t *gate.Terms) (faults []error) {
-	fault := func(key, format string, args ...any) {
-		faults = append(faults, keyFault(under+"."+key, format, args...))
+// termErrors verifies the classes, plans and limits of the actual or the alternative terms.
+func termErrors(under string, t *gate.Terms) (errs []error) {
+	fail := func(key, format string, args ...any) {
+		errs = append(errs, keyErrorf(under+"."+key, format, args...))
 	}
 	if len(t.Classes) == 0 {
-		fault("profiles", "none")
+		fail("profiles", "none")
 	}
 	if len(t.Plans) == 0 {
-		fault("tariffs", "none")
+		fail("tariffs", "none")
 	}
 	if t.MaxAttempts < 1 {
-		fault("limits.max_attempts", "%d", t.MaxAttempts)
+		fail("limits.max_attempts", "%d", t.MaxAttempts)
 	}
 	for i, p := range t.Classes {
 		at := fmt.Sprintf("profiles[%d].", i)
 		if p.Contract <= 0 {
-			fault(at+"aim", "%g", p.Contract/msPerSecond)
+			fail(at+"aim", "%g", p.Contract/msPerSecond)
 		}
 		if p.Gain < 0 {
-			fault(at+"worth", "below 0")
+			fail(at+"worth", "below 0")
 		}
 		if p.Semantics == gate.Keyed && p.Window <= 0 {
-			fault(at+"window", "%g, though the class is deduplicated", p.Window/msPerSecond)
+			fail(at+"window", "%g: must be above 0 for a deduplicated class", p.Window/msPerSecond)
 		}
 	}
 	for i, p := range t.Plans {
 		at := fmt.Sprintf("tariffs[%d].", i)
 		if p.Rate > 0 && p.Depth <= 0 {
-			fault(at+"depth", "%g, though there is a rate", p.Depth)
+			fail(at+"depth", "%g: must be above 0 if there is a rate", p.Depth)
 		}
 		at = under + "." + at
-		faults = append(faults, below0([]figure{{at + "rate", p.Rate}, {at + "depth", p.Depth}, {at + "never_over_rate", p.CeilingRate},
+		errs = append(errs, negativeErrors([]keyValue{{at + "rate", p.Rate}, {at + "depth", p.Depth}, {at + "never_over_rate", p.CeilingRate},
 			{at + "ceiling_burst", p.CeilingDepth}, {at + "beyond_earns", p.Beyond}, {at + "over_cost", p.OverCost},
 			{at + "pays", p.Price}})...)
 	}
-	return faults
+	return errs
 }
 
-type figure struct {
+// keyValue is a numeric value with the key it comes from.
+type keyValue struct {
 	key   string
 	value float64
 }
 
-// below0 names the figures that are below 0.
-func below0(figures []figure) (faults []error) {
-	for _, f := range figures {
+// negativeErrors returns an error for each value below 0.
+func negativeErrors(values []keyValue) (errs []error) {
+	for _, f := range values {
 		if f.value < 0 {
-			faults = append(faults, keyFault(f.key, "below 0"))
+			errs = append(errs, keyErrorf(f.key, "below 0"))
 		}
 	}
-	return faults
+	return errs
 }
 
-func (d *Door) logDefaults() {
+func (d *Door) setLogDefaults() {
 	if d.Log.Level == "" {
 		d.Log.Level = "info"
 	}
@@ -334,27 +338,28 @@
 	}
 }
 
-// or returns v, or the default where v is not told.
-func or[T int | float64](v, def T) T {
+// orDefault returns v, or the default if v is 0.
+func orDefault[T int | float64](v, def T) T {
 	if v == 0 {
 		return def
 	}
 	return v
 }
 
-func (d *Door) defaults() {
-	d.Cores, d.Sockets = or(d.Cores, 1), or(d.Sockets, 1024)
+// setDefaults fills in the values that the configuration leaves at 0.
+func (d *Door) setDefaults() {
+	d.Cores, d.Sockets = orDefault(d.Cores, 1), orDefault(d.Sockets, 1024)
 	l, p := &d.Deal, &d.Pace
-	l.ConnectTimeout = or(l.ConnectTimeout, 250)
-	l.CounterTimeout = or(l.CounterTimeout, 100)
-	l.LongestWait = or(l.LongestWait, 10e3)
-	p.SlowInput = or(p.SlowInput, 2400) // clients write in one go; with a look at idle ones it stays under 3 s
-	p.IdleClient = or(p.IdleClient, 2200)
-	p.IdleBackend = or(p.IdleBackend, or(l.ConnIdle, 10e3)/2)
-	p.Settle = or(p.Settle, 20)    // a second answer comes some milliseconds behind the first
-	p.Silence = or(p.Silence, 3e3) // a watch says something every 2 s
-	p.DeadCounter = or(p.DeadCounter, 10*l.CounterTimeout)
-	p.Redial = or(p.Redial, 100)
-	p.FirstWord = or(p.FirstWord, max(firstWordLeast, min(firstWordMost, (toldWithin-p.Silence)/2-l.ConnectTimeout-RedialGrows*p.Redial)))
-	p.Linger = or(p.Linger, 700) // clients come for up to 0.4 s, and may for 0.3 s more
+	l.ConnectTimeout = orDefault(l.ConnectTimeout, 250)
+	l.CounterTimeout = orDefault(l.CounterTimeout, 100)
+	l.LongestWait = orDefault(l.LongestWait, 10e3)
+	p.SlowInput = orDefault(p.SlowInput, 2400) // clients write a request in one go; with the check interval for idle connections the total stays below 3 s
+	p.IdleClient = orDefault(p.IdleClient, 2200)
+	p.IdleBackend = orDefault(p.IdleBackend, orDefault(l.ConnIdle, 10e3)/2)
+	p.Settle = orDefault(p.Settle, 20)    // a surplus response arrives a few ms after the first
+	p.Silence = orDefault(p.Silence, 3e3) // a watch sends something every 2 s
+	p.DeadCounter = orDefault(p.DeadCounter, 10*l.CounterTimeout)
+	p.Redial = orDefault(p.Redial, 100)
+	p.FirstWord = orDefault(p.FirstWord, max(minFirstByte, min(maxFirstByte, (maxDiscoveryDelay-p.Silence)/2-l.ConnectTimeout-RedialGrows*p.Redial)))
+	p.Linger = orDefault(p.Linger, 700) // new connections arrive for up to 0.4 s, with a margin of 0.3 s
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -23,7 +23,7 @@
 
 func unset(string) string { return "" }
 
-func TestAWholeConfigurationIsRead(t *testing.T) {
+func TestCompleteConfigurationIsRead(t *testing.T) {
 	d, err := Read([]byte(full), func(name string) string { return map[string]string{"GW_LISTEN": "127.0.0.9:1"}[name] })
 	require.NoError(t, err)
 	assert.Equal(t, "127.0.0.9:1", d.Listen, "the environment wins")
@@ -42,13 +42,13 @@
 	assert.Equal(t, Pace{SlowInput: 2400, IdleClient: 2200, IdleBackend: 7500, Settle: 20, Silence: 3000, FirstWord: 750, DeadCounter: 800, Redial: 100, Linger: 5}, d.Pace)
 }
 
-// Whatever failed before, what discovery could tell is heard within 6 s: by default, and with connections slow to come.
-func TestWhatDiscoveryTellsIsHeardInTime(t *testing.T) {
+// The worst-case delay of a change published by discovery stays within 6 s, by default and with longer connect timeouts.
+func TestDiscoveryDelayIsBounded(t *testing.T) {
 	for connect, want := range map[string]float64{"0.25": 750, "0.15": 850, "0.6": 400, "0.8": 200} {
 		d, err := Read([]byte(strings.Replace(full, `"connect_timeout":0.25`, `"connect_timeout":`+connect, 1)), unset)
 		require.NoError(t, err)
 		assert.InDelta(t, want, d.Pace.FirstWord, 1e-6, connect)
-		assert.LessOrEqual(t, d.Pace.told(d.Deal.ConnectTimeout), toldWithin, connect)
+		assert.LessOrEqual(t, d.Pace.discoveryDelay(d.Deal.ConnectTimeout), maxDiscoveryDelay, connect)
 		assert.Empty(t, d.Odd)
 	}
 	d, err := Read([]byte(strings.Replace(full, `"seed"`, `"pace":{"silence_ms":9000},"seed"`, 1)), unset)
@@ -57,7 +57,7 @@
 	assert.Contains(t, d.Odd[0], "pace.silence_ms")
 }
 
-func TestErrorsNameTheFaultyKey(t *testing.T) {
+func TestErrorsNameTheInvalidKey(t *testing.T) {
 	for key, swap := range map[string][2]string{
 		`"listen"`:                              {"127.0.0.1:8000", "nowhere"},
 		`"discovery"`:                           {"127.0.0.2:8500", ""},
@@ -96,7 +96,7 @@
 	return strings.Replace(full, `"seed"`, `"watch":`+settings+`,"seed"`, 1)
 }
 
-func TestTheSettingsUnderWatchAreReadBesideThoseThatDecide(t *testing.T) {
+func TestAlternativeSettingsAreReadBesideTheActualOnes(t *testing.T) {
 	d, err := Read([]byte(watchingConfig(`{"profiles":[{"name":"read","aim":0.5,"semantics":"idempotent"}],
 		"tariffs":[{"name":"basic","rate":2,"depth":8,"beyond_earns":0.3}],"limits":{"max_attempts":4}}`)), unset)
 	require.NoError(t, err)
@@ -109,15 +109,15 @@
 	assert.Nil(t, d.Watch)
 }
 
-func TestFaultsUnderWatchNameTheirKeys(t *testing.T) {
+func TestErrorsUnderWatchNameTheirKeys(t *testing.T) {
 	_, err := Read([]byte(watchingConfig(`{"profiles":[{"name":"read","semantics":"idempotent"}],
 		"tariffs":[{"name":"gold","over_cost":-1}]}`)), unset)
-	for _, want := range []string{`key "watch.tariffs": other names than settings.tariffs has`,
+	for _, want := range []string{`key "watch.tariffs": names differ from those in settings.tariffs`,
 		`key "watch.limits.max_attempts": 0`, `key "watch.tariffs[0].over_cost": below 0`, `key "watch.profiles[0].aim": 0`} {
 		assert.ErrorContains(t, err, want)
 	}
 	_, err = Read([]byte(watchingConfig(`{"reporting":{"how":"loudly"}}`)), unset)
-	assert.ErrorContains(t, err, `key "watch.reporting.how": unknown word "loudly"`)
+	assert.ErrorContains(t, err, `key "watch.reporting.how": unknown value "loudly"`)
 }
 
 func TestPlansThatEarnBeyondTheirQuotaAreReadAndChecked(t *testing.T) {
@@ -157,7 +157,7 @@
 	bad["zones"] = "a"
 	d, err = read(bad)
 	require.NoError(t, err)
-	assert.Equal(t, []string{`key "fleet.zones": nothing reads it`}, d.Odd)
+	assert.Equal(t, []string{`key "fleet.zones": unknown, ignored`}, d.Odd)
 }
 
 func TestTheExamplesCanBeServed(t *testing.T) {
@@ -171,7 +171,7 @@
 	}
 }
 
-func TestWhatIsLaidOverLeavesADoorItself(t *testing.T) {
+func TestOverlayKeepsPerDoorKeys(t *testing.T) {
 	base := []byte(`{"name":"a","listen":"x","settings":{"my_number":3,"profiles":[1],"extra":{"counter":true}},"pace":{"linger_ms":1}}`)
 	raw, err := Over(base, []byte(`{"settings":{"profiles":[2,3],"extra":{"cold_for":1}},"log":{"level":"debug"}}`))
 	require.NoError(t, err)
--- a/config/coordinator.go
+++ b/config/coordinator.go
@@ -9,57 +9,57 @@
 	"strings"
 )
 
-// Coordinator is all that a coordinator is told before it starts. Addresses are of IP and port, loopback or private: neither
-// messages between coordinators nor commands are secured.
+// Coordinator is the configuration of a coordinator. Addresses consist of an IP address and a port and are loopback or
+// private, because neither messages between coordinators nor commands are secured.
 type Coordinator struct {
 	Name   string            `json:"name"`
 	Fleet  string            `json:"fleet"`
-	Listen string            `json:"listen"` // where other coordinators reach it
-	API    string            `json:"api"`    // where doors and operators do
-	Data   string            `json:"data"`   // folder of its file
-	Peers  []string          `json:"peers"`  // those that begin together, itself among them, each as "name/address"
-	Join   bool              `json:"join"`   // it begins empty, and waits until it is added
-	Routes map[string]string `json:"routes"` // where it reaches others, by name, if not where they say
+	Listen string            `json:"listen"` // address for other coordinators
+	API    string            `json:"api"`    // address for doors and operators
+	Data   string            `json:"data"`   // directory of its database
+	Peers  []string          `json:"peers"`  // the initial members, including itself, as "name/address"
+	Join   bool              `json:"join"`   // it starts without members and waits until it is added
+	Routes map[string]string `json:"routes"` // addresses of other coordinators by name, where they differ from those they advertise
 	Log    Log               `json:"log"`
 
-	Calendar Told `json:"calendar"`
+	Calendar EventSinks `json:"calendar"`
 
-	Members []NamedAddress `json:"-"` // Peers, taken apart
+	Members []NamedAddress `json:"-"` // parsed from Peers
 }
 
-// Told is who is told what happens in the calendar, besides the log.
-type Told struct {
-	Events string   `json:"events"`  // file that each event is added to, as a line of JSON
-	Hook   []string `json:"hook"`    // command that is run for each, with the line for its input
-	HookMs float64  `json:"hook_ms"` // that it is given
-	Tries  int      `json:"tries"`   // for each, a second apart
+// EventSinks configures where calendar events go besides the log.
+type EventSinks struct {
+	Events string   `json:"events"`  // file to which each event is appended as a line of JSON
+	Hook   []string `json:"hook"`    // command that is run for each event, with that line on its standard input
+	HookMs float64  `json:"hook_ms"` // timeout of the command
+	Tries  int      `json:"tries"`   // attempts per event, one second apart
 }
 
 const (
-	defaultHookMs = 5e3 // a message to a chat or a mail takes some seconds at most
-	mostHookMs    = 60e3
+	defaultHookMs = 5e3 // posting a chat message or a mail takes a few seconds at most
+	maxHookMs     = 60e3
 	defaultTries  = 5
-	mostTries     = 100
+	maxTries      = 100
 )
 
-// NamedAddress is "name/address", taken apart.
+// NamedAddress is a parsed "name/address" pair.
 type NamedAddress struct{ Name, Address string }
 
-// Named takes "name/address" apart. The address is of IP and port.
+// Named parses a "name/address" pair. The address consists of an IP address and a port.
 func Named(text string) (n NamedAddress, err error) {
 	name, address, ok := strings.Cut(text, "/")
 	if !ok || name == "" {
-		return n, &KeyError{Says: `"name/address" is wanted`}
+		return n, &KeyError{Reason: `must have the form "name/address"`}
 	}
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		return n, &KeyError{Says: "not an IP address with a port", Cause: err}
+		return n, &KeyError{Reason: "not an IP address with a port", Cause: err}
 	}
 	return NamedAddress{name, address}, nil
 }
 
-func private(a netip.Addr) bool { return a.IsLoopback() || a.IsPrivate() || a.IsLinkLocalUnicast() }
+func isPrivate(a netip.Addr) bool { return a.IsLoopback() || a.IsPrivate() || a.IsLinkLocalUnicast() }
 
-// LoadCoordinator reads a coordinator's file.
+// LoadCoordinator reads and checks a coordinator's configuration file.
 func LoadCoordinator(path string) (Coordinator, error) {
 	if path == "" {
 		return Coordinator{}, &FileError{}
@@ -71,32 +71,32 @@
 	return ReadCoordinator(raw)
 }
 
-// ReadCoordinator decodes and checks a coordinator's file. Its error joins all that is wrong, key by key.
+// ReadCoordinator decodes and checks a coordinator's configuration. The returned error joins one error per invalid key.
 func ReadCoordinator(raw []byte) (Coordinator, error) {
 	var c Coordinator
 	dec := json.NewDecoder(strings.NewReader(string(raw)))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&c); err != nil {
-		return c, &KeyError{Says: "the file can't be read", Cause: err, In: "coordinator"}
+		return c, &KeyError{Reason: "the file cannot be decoded", Cause: err, Owner: "coordinator"}
 	}
-	var faults []error
+	var errs []error
 	bad := func(key, format string, args ...any) {
-		faults = append(faults, &KeyError{Key: key, Says: fmt.Sprintf(format, args...), In: "coordinator"})
+		errs = append(errs, &KeyError{Key: key, Reason: fmt.Sprintf(format, args...), Owner: "coordinator"})
 	}
-	if c.Name == "" || strings.Contains(c.Name, "/") || len(c.Name) > longestName {
-		bad("name", "%q: 1 to %d bytes without / are wanted", c.Name, longestName)
+	if c.Name == "" || strings.Contains(c.Name, "/") || len(c.Name) > maxNameBytes {
+		bad("name", "%q: must have 1 to %d bytes and no /", c.Name, maxNameBytes)
 	}
 	if c.Fleet == "" {
 		bad("fleet", "missing")
 	}
 	if c.Data == "" {
-		bad("data", "missing: a folder that outlives the process")
+		bad("data", "missing: a directory that outlives the process")
 	}
 	for key, address := range map[string]string{"listen": c.Listen, "api": c.API} {
 		if at, err := netip.ParseAddrPort(address); err != nil {
 			bad(key, "%q is not an IP address with a port", address)
-		} else if !private(at.Addr()) {
-			bad(key, "%q is neither loopback nor private: what comes there is not secured", address)
+		} else if !isPrivate(at.Addr()) {
+			bad(key, "%q is neither loopback nor private: connections to it are not secured", address)
 		}
 	}
 	self := false
@@ -109,16 +109,16 @@
 		c.Members = append(c.Members, n)
 		self = self || n.Name == c.Name
 		if n.Name == c.Name && n.Address != c.Listen {
-			bad(fmt.Sprintf("peers[%d]", i), "%q, though this one listens at %s", p, c.Listen)
+			bad(fmt.Sprintf("peers[%d]", i), "%q: differs from the listen address %s of this coordinator", p, c.Listen)
 		}
 	}
 	switch {
 	case c.Join && len(c.Peers) > 0:
-		bad("peers", "there are some, though the coordinator waits to be added")
+		bad("peers", "must be empty if join is set")
 	case !c.Join && !self:
-		bad("peers", "this coordinator is not among them")
+		bad("peers", "must include this coordinator")
 	case !c.Join && len(c.Peers)%2 == 0:
-		bad("peers", "%d: an odd number is wanted, three or five", len(c.Peers))
+		bad("peers", "%d peers: must be an odd number, such as three or five", len(c.Peers))
 	}
 	for name, at := range c.Routes {
 		if _, err := netip.ParseAddrPort(at); err != nil {
@@ -133,13 +133,13 @@
 		t.Tries = defaultTries
 	}
 	if len(t.Hook) > 0 && t.Hook[0] == "" {
-		bad("calendar.hook", "a command with its arguments is wanted")
+		bad("calendar.hook", "must be a command with its arguments")
 	}
-	if !(t.HookMs >= 1 && t.HookMs <= mostHookMs) {
-		bad("calendar.hook_ms", "%g, 1 to %g are wanted", t.HookMs, mostHookMs)
+	if !(t.HookMs >= 1 && t.HookMs <= maxHookMs) {
+		bad("calendar.hook_ms", "%g: must be 1 to %g", t.HookMs, maxHookMs)
 	}
-	if t.Tries < 1 || t.Tries > mostTries {
-		bad("calendar.tries", "%d, 1 to %d are wanted", t.Tries, mostTries)
+	if t.Tries < 1 || t.Tries > maxTries {
+		bad("calendar.tries", "%d: must be 1 to %d", t.Tries, maxTries)
 	}
 	if c.Log.Level == "" {
 		c.Log.Level = "info"
@@ -147,6 +147,6 @@
 	if c.Log.Format == "" {
 		c.Log.Format = LogText
 	}
-	faults = append(faults, c.Log.Check())
-	return c, errors.Join(faults...)
+	errs = append(errs, c.Log.Check())
+	return c, errors.Join(errs...)
 }
--- a/config/errors.go
+++ b/config/errors.go
@@ -6,38 +6,38 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// KeyError is a key of the configuration, or of a simulator's settings, whose value can't be used.
+// KeyError is an invalid value of a configuration key, or of a key in the simulator's settings.
 type KeyError struct {
-	Key   string // with the keys it stands under, as in pace.redial_ms; empty for the whole file
-	Says  string
-	Cause error
-	In    string // whose file, where it isn't a door's
+	Key    string // full path, as in pace.redial_ms; empty for the whole file
+	Reason string
+	Cause  error
+	Owner  string // kind of process that the file belongs to; empty for a door
 }
 
 func (e *KeyError) Error() string {
-	return fmt.Sprintf("key %q: %s", e.Key, remedy.Because(e.Says, e.Cause))
+	return fmt.Sprintf("key %q: %s", e.Key, remedy.Because(e.Reason, e.Cause))
 }
 func (e *KeyError) Unwrap() error     { return e.Cause }
 func (e *KeyError) Kind() remedy.Kind { return remedy.Configuration }
 
-// Remedy names the key and how to see whether it is mended.
+// Remedy names the key and the command that checks the file.
 func (e *KeyError) Remedy() string {
-	if e.In != "" {
-		return fmt.Sprintf("Set the key %q in the %s's file; swifthall coordinate --check says whether it can be started.", e.Key, e.In)
+	if e.Owner != "" {
+		return fmt.Sprintf("Set the key %q in the %s's file; swifthall coordinate --check reports whether the file is valid.", e.Key, e.Owner)
 	}
 	if e.Key == "" {
-		return "Mend the JSON of the file that GW_CONFIG names; swifthall check FILE says whether it can be served."
+		return "Fix the JSON of the file that GW_CONFIG names; swifthall check FILE reports whether the file is valid."
 	}
-	return fmt.Sprintf("Set the key %q in the file that GW_CONFIG names; swifthall check FILE says whether it can be served.", e.Key)
+	return fmt.Sprintf("Set the key %q in the file that GW_CONFIG names; swifthall check FILE reports whether the file is valid.", e.Key)
 }
 
-func keyFault(key, format string, args ...any) error {
-	return &KeyError{Key: key, Says: fmt.Sprintf(format, args...)}
+func keyErrorf(key, format string, args ...any) error {
+	return &KeyError{Key: key, Reason: fmt.Sprintf(format, args...)}
 }
 
-// FileError is a configuration file that isn't named or can't be read.
+// FileError is a configuration file that is not set or cannot be read.
 type FileError struct {
-	Path  string // empty where none is named
+	Path  string // empty if GW_CONFIG is not set
 	Cause error
 }
 
@@ -55,10 +55,10 @@
 	if e.Path == "" {
 		return "Set GW_CONFIG to the path of a configuration file, such as examples/config.json."
 	}
-	return fmt.Sprintf("Have GW_CONFIG name a file that the door may read; it names %s.", e.Path)
+	return fmt.Sprintf("Set GW_CONFIG to a file that the door can read; it is set to %s.", e.Path)
 }
 
-// ReportError is a backend's load report with more values than the settings name.
+// ReportError is a backend load report with more values than the settings name.
 type ReportError struct{ Values, Named int }
 
 func (e *ReportError) Error() string {
@@ -66,7 +66,7 @@
 }
 func (e *ReportError) Kind() remedy.Kind { return remedy.Configuration }
 
-// Remedy names the key that says what reports hold.
+// Remedy names the key that lists the values of a report.
 func (e *ReportError) Remedy() string {
-	return fmt.Sprintf("Name all %d values that backends report in the key \"settings.reporting.names\".", e.Values)
+	return fmt.Sprintf("List all %d values that backends report in the key \"settings.reporting.names\".", e.Values)
 }
--- a/config/fleet.go
+++ b/config/fleet.go
@@ -9,47 +9,48 @@
 	"strings"
 )
 
-// Fleet is a door's place among the doors of its fleet, the key "fleet". Addresses are of IP and port: no name is looked up.
+// Fleet configures a door's membership in a fleet, under the key "fleet". Addresses consist of an IP address and a port;
+// host names are not resolved.
 type Fleet struct {
-	Name    string            `json:"name"`          // of the fleet: only doors that name the same one are members
-	Zone    string            `json:"zone"`          // of this door; verdicts want observers of more than one
-	Listen  string            `json:"listen"`        // loopback or private, for UDP and TCP; others reach the door there
-	Peers   []string          `json:"peers"`         // some doors that others can be asked of, as "address" or "name/address"
-	Routes  map[string]string `json:"routes"`        // where this door reaches others, by name, if not where they say
-	Status  string            `json:"status"`        // loopback address that tells the door's own status; empty for none
-	JoinMs  float64           `json:"join_again_ms"` // between tries to find any other door; 0 for the default
-	LeaveMs float64           `json:"leave_ms"`      // at most, in which the door says that it leaves; 0 for the default
+	Name    string            `json:"name"`          // name of the fleet; doors of other fleets are not members
+	Zone    string            `json:"zone"`          // zone of this door; a verdict on a member needs observers in more than one zone
+	Listen  string            `json:"listen"`        // loopback or private address for UDP and TCP, reachable by the other doors
+	Peers   []string          `json:"peers"`         // some doors to learn the other members from, as "address" or "name/address"
+	Routes  map[string]string `json:"routes"`        // addresses of other doors by name, where they differ from those they advertise
+	Status  string            `json:"status"`        // loopback address that serves the door's status; empty for none
+	JoinMs  float64           `json:"join_again_ms"` // interval between attempts to reach any other door; 0 for the default
+	LeaveMs float64           `json:"leave_ms"`      // limit on the time to announce that the door leaves; 0 for the default
 
-	Releases     string   `json:"releases"`     // folder of what is released to this door, by digest; empty where it takes none
-	Coordinators []string `json:"coordinators"` // of drains and releases, each as "name/address" of its API; none where the door goes without
+	Releases     string   `json:"releases"`     // directory of released files, named by digest; empty if the door accepts no releases
+	Coordinators []string `json:"coordinators"` // APIs of the coordinators of drains and releases, as "name/address"; may be empty
 }
 
-const longestName = 255 // bytes of a fleet's name, as memberlist's labels
+const maxNameBytes = 255 // limit on a memberlist label, which carries the fleet's name
 
-// Defaults of a fleet's times, ms.
+// Defaults of the fleet's timeouts, in ms.
 const (
-	JoinAgain = 1000 // a fleet that starts at once finds itself in a second or two
-	LeaveMost = 3000 // well under the time that a platform gives a process to end
+	JoinAgain = 1000 // doors that start together find each other within a second or two
+	LeaveMost = 3000 // well below the time that a platform gives a process to terminate
 )
 
-func (f *Fleet) check(door string) (faults []error) {
+func (f *Fleet) check(door string) (errs []error) {
 	bad := func(key, format string, args ...any) {
-		faults = append(faults, keyFault("fleet."+key, format, args...))
+		errs = append(errs, keyErrorf("fleet."+key, format, args...))
 	}
 	switch {
 	case door == "":
-		faults = append(faults, keyFault("name", "missing, though there is a fleet"))
-	case strings.Contains(door, "/") || len(door) > longestName:
-		faults = append(faults, keyFault("name", "%q: up to %d bytes without / are wanted in a fleet", door, longestName))
+		errs = append(errs, keyErrorf("name", "missing: a door in a fleet needs a name"))
+	case strings.Contains(door, "/") || len(door) > maxNameBytes:
+		errs = append(errs, keyErrorf("name", "%q: in a fleet it must have at most %d bytes and no /", door, maxNameBytes))
 	}
-	if f.Name == "" || len(f.Name) > longestName {
-		bad("name", "%q: 1 to %d bytes are wanted", f.Name, longestName)
+	if f.Name == "" || len(f.Name) > maxNameBytes {
+		bad("name", "%q: must have 1 to %d bytes", f.Name, maxNameBytes)
 	}
 	at, err := netip.ParseAddrPort(f.Listen)
 	switch {
 	case err != nil:
 		bad("listen", "%q is not an IP address with a port", f.Listen)
-	case !private(at.Addr()):
+	case !isPrivate(at.Addr()):
 		bad("listen", "%q is neither loopback nor private: messages between doors are not secured", f.Listen)
 	}
 	for i, p := range f.Peers {
@@ -62,7 +63,7 @@
 		}
 	}
 	if f.Releases != "" && len(f.Coordinators) == 0 {
-		bad("releases", "there is a folder, and no coordinators")
+		bad("releases", "set, but fleet.coordinators is empty")
 	}
 	for i, p := range f.Coordinators {
 		if _, err := Named(p); err != nil {
@@ -75,14 +76,14 @@
 		}
 	}
 	if f.Status != "" {
-		if host, port, err := net.SplitHostPort(f.Status); err != nil || port == "" || !loopback(host) {
+		if host, port, err := net.SplitHostPort(f.Status); err != nil || port == "" || !isLoopback(host) {
 			bad("status", "%q is not a loopback address with a port", f.Status)
 		}
 	}
-	return append(faults, below0([]figure{{"fleet.join_again_ms", f.JoinMs}, {"fleet.leave_ms", f.LeaveMs}})...)
+	return append(errs, negativeErrors([]keyValue{{"fleet.join_again_ms", f.JoinMs}, {"fleet.leave_ms", f.LeaveMs}})...)
 }
 
-func loopback(host string) bool {
+func isLoopback(host string) bool {
 	ip, err := netip.ParseAddr(host)
 	return host == "localhost" || err == nil && ip.IsLoopback()
 }
--- a/config/fuzz_test.go
+++ b/config/fuzz_test.go
@@ -26,7 +26,7 @@
 	})
 }
 
-func TestEveryFaultyKeyIsNamedAtOnce(t *testing.T) {
+func TestEveryInvalidKeyIsReported(t *testing.T) {
 	_, err := Read([]byte(`{"listen":"x","log":{"level":"loud","format":"xml"},"settings":{"fleet_size":0}}`), unset)
 	var keys []string
 	for _, f := range Faults(err) {
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestAKeyThatNothingReadsIsNamed(t *testing.T) {
+func TestUnknownKeyIsReported(t *testing.T) {
 	d, _ := Read([]byte(`{"listne":"x","pace":{"linger":1},"settings":{"new_one":1}}`), unset)
-	require.Equal(t, []string{`key "listne": nothing reads it`, `key "pace.linger": nothing reads it`}, d.Odd)
+	require.Equal(t, []string{`key "listne": unknown, ignored`, `key "pace.linger": unknown, ignored`}, d.Odd)
 }
--- a/config/deal.go
+++ b/config/settings.go
@@ -11,39 +11,41 @@
 
 const msPerSecond = 1000
 
-// Deal is what the settings say: the terms of the decisions, the names of classes and plans by their
-// indices, and what the carrier needs besides.
+// Deal holds the decoded settings: the terms for the decision engine, the indices of classes and plans by name, and the
+// values that the driver needs besides.
 type Deal struct {
 	Terms          gate.Terms
 	Classes, Plans map[string]int
-	ConnIdle       float64  // a backend closes a connection idle for this long, ms; 0 where not told
-	ConnectTimeout float64  // a connection that takes longer is given up, ms
-	CounterTimeout float64  // a call of the counter that takes longer is given up, ms
-	LongestWait    float64  // no client waits longer, ms
-	MostUnits      float64  // no request takes more; 0 where not told
-	Reports        []string // what the values of a load report are, in their order; empty where answers hold none
+	ConnIdle       float64  // ms after which a backend closes an idle connection; 0 if unknown
+	ConnectTimeout float64  // ms
+	CounterTimeout float64  // of a call to the shared counter, ms
+	LongestWait    float64  // upper bound on the time a client waits, ms
+	MostUnits      float64  // upper bound on the units of a request; 0 if unknown
+	Reports        []string // names of the values in a load report, in order; empty if responses carry none
 }
 
-// What the bench's pages call the one value of a load report that the decisions read; others are skipped.
+// Names of the one value of a load report that the decisions use, the number of requests waiting at the backend. All other
+// values are ignored.
 const (
-	reportQueue  = "backlog"
-	pressedQueue = "queue" // in an answer's header
+	queueReportName = "backlog"
+	queueHeaderName = "queue" // in the X-Pressure header of a response
 )
 
-// Queue takes what waits at a backend from its report, the values in the order of Reports; -1 where none tells.
+// Queue returns the number of requests waiting at a backend according to its load report, or -1 if the report does not
+// contain it. The values are in the order of Reports.
 func (d *Deal) Queue(row []float64) (float64, error) {
 	if len(row) > len(d.Reports) {
 		return -1, &ReportError{len(row), len(d.Reports)}
 	}
-	if i := slices.Index(d.Reports, reportQueue); i >= 0 && i < len(row) && row[i] >= 0 {
+	if i := slices.Index(d.Reports, queueReportName); i >= 0 && i < len(row) && row[i] >= 0 {
 		return row[i], nil
 	}
 	return -1, nil
 }
 
-// TellsQueue tells whether answers may say what waits at their backend.
+// TellsQueue reports whether responses may contain the number of requests waiting at the backend.
 func (d *Deal) TellsQueue() bool {
-	return slices.Contains(d.Reports, reportQueue) || slices.Contains(d.Reports, pressedQueue)
+	return slices.Contains(d.Reports, queueReportName) || slices.Contains(d.Reports, queueHeaderName)
 }
 
 var semantics = map[string]gate.Semantics{
@@ -54,8 +56,8 @@
 	"": gate.ScopeAll, "all": gate.ScopeAll, "zone": gate.ScopeZone, "cell": gate.ScopeCell,
 }
 
-// settings has the names of the wire.
-type settings struct {
+// encodedSettings mirrors the settings as they are encoded in JSON. Durations are in s, rates per s.
+type encodedSettings struct {
 	FleetSize int    `json:"fleet_size"`
 	MyNumber  int    `json:"my_number"`
 	Registry  string `json:"registry_mode"`
@@ -108,14 +110,14 @@
 	} `json:"safety"`
 }
 
-// ReadDeal decodes the settings, which an adapter's first message and a door's configuration share.
-func ReadDeal(raw json.RawMessage) (Deal, error) { return readDeal("settings", raw) }
+// ReadDeal decodes settings. The simulator's first message and a door's configuration share this format.
+func ReadDeal(raw json.RawMessage) (Deal, error) { return readSettings("settings", raw) }
 
-// readDeal decodes settings found under a key.
-func readDeal(under string, raw json.RawMessage) (Deal, error) {
-	var s settings
+// readSettings decodes the settings found under the given key.
+func readSettings(under string, raw json.RawMessage) (Deal, error) {
+	var s encodedSettings
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return Deal{}, decodeFault(under, err)
+		return Deal{}, decodeError(under, err)
 	}
 	d := Deal{
 		Terms: gate.Terms{
@@ -135,9 +137,9 @@
 	switch s.Reporting.How {
 	case "inline":
 		d.Reports = s.Reporting.Names
-	case "", "off", "on_probe": // the decisions probe nothing
+	case "", "off", "on_probe": // the decision engine never probes for reports
 	default:
-		return Deal{}, keyFault(under+".reporting.how", "unknown word %q", s.Reporting.How)
+		return Deal{}, keyErrorf(under+".reporting.how", "unknown value %q", s.Reporting.How)
 	}
 	if s.Limits.RetryAfter {
 		d.Terms.MaxRetryAfter = s.Limits.MaxRetryAfter * msPerSecond
@@ -145,24 +147,24 @@
 	for i, p := range s.Classes {
 		sem, ok := semantics[p.Semantics]
 		if !ok {
-			return Deal{}, keyFault(fmt.Sprintf("%s.profiles[%d].semantics", under, i), "unknown word %q", p.Semantics)
+			return Deal{}, keyErrorf(fmt.Sprintf("%s.profiles[%d].semantics", under, i), "unknown value %q", p.Semantics)
 		}
 		scope, ok := scopes[p.Scope]
 		if !ok {
-			return Deal{}, keyFault(fmt.Sprintf("%s.profiles[%d].dedup_scope", under, i), "unknown word %q", p.Scope)
+			return Deal{}, keyErrorf(fmt.Sprintf("%s.profiles[%d].dedup_scope", under, i), "unknown value %q", p.Scope)
 		}
 		at := fmt.Sprintf("%s.profiles[%d].", under, i)
-		if err := named(d.Classes, p.Name, i, at, "class"); err != nil {
+		if err := addName(d.Classes, p.Name, i, at, "class"); err != nil {
 			return Deal{}, err
 		}
 		if p.GiveUp != nil {
 			if *p.GiveUp <= 0 {
-				return Deal{}, keyFault(at+"give_up", "%g: no request could be answered", *p.GiveUp)
+				return Deal{}, keyErrorf(at+"give_up", "%g: must be above 0", *p.GiveUp)
 			}
 			d.LongestWait = max(d.LongestWait, *p.GiveUp*msPerSecond)
 		}
 		if first := s.Classes[0].Fraction; (p.Fraction == nil) != (first == nil) || p.Fraction != nil && *p.Fraction < 0 {
-			return Deal{}, keyFault(at+"fraction", "missing or below 0, though other classes have theirs")
+			return Deal{}, keyErrorf(at+"fraction", "missing or below 0; it must be set for all classes or for none")
 		}
 		d.Terms.Classes = append(d.Terms.Classes, gate.Class{
 			Contract: p.Aim * msPerSecond, Semantics: sem, Scope: scope,
@@ -170,7 +172,7 @@
 		})
 	}
 	for i, p := range s.Tariffs {
-		if err := named(d.Plans, p.Name, i, fmt.Sprintf("%s.tariffs[%d].", under, i), "plan"); err != nil {
+		if err := addName(d.Plans, p.Name, i, fmt.Sprintf("%s.tariffs[%d].", under, i), "plan"); err != nil {
 			return Deal{}, err
 		}
 		d.Terms.Plans = append(d.Terms.Plans, gate.Plan{
@@ -182,26 +184,26 @@
 	return d, nil
 }
 
-// named gives a name its index. Two of one name would share settings that are meant for one.
-func named(all map[string]int, name string, i int, at, what string) error {
+// addName records the index of a name. Duplicate names are rejected because they would share the settings of one entry.
+func addName(all map[string]int, name string, i int, at, what string) error {
 	if before, is := all[name]; is || name == "" {
 		if !is {
-			return keyFault(at+"name", "missing")
+			return keyErrorf(at+"name", "missing")
 		}
-		return keyFault(at+"name", "%q is the name of %s %d already", name, what, before)
+		return keyErrorf(at+"name", "%q is already the name of %s %d", name, what, before)
 	}
 	all[name] = i
 	return nil
 }
 
-// decodeFault names the key that a JSON error is about.
-func decodeFault(under string, err error) error {
+// decodeError converts a JSON error to a KeyError that names the affected key.
+func decodeError(under string, err error) error {
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) && wrong.Field != "" {
 		if under != "" {
 			under += "."
 		}
-		return keyFault(under+wrong.Field, "%s where %s is wanted", wrong.Value, wrong.Type)
+		return keyErrorf(under+wrong.Field, "%s, expected %s", wrong.Value, wrong.Type)
 	}
 	return &KeyError{Key: under, Cause: err}
 }
--- a/internal/holding/errors.go
+++ b/internal/holding/errors.go
@@ -6,52 +6,52 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// FolderError is a folder of releases that can't be used.
-type FolderError struct {
+// DirectoryError is a directory of releases that cannot be used.
+type DirectoryError struct {
 	Path  string
 	Cause error
 }
 
-func (e *FolderError) Error() string     { return remedy.Because("releases in "+e.Path, e.Cause) }
-func (e *FolderError) Unwrap() error     { return e.Cause }
-func (e *FolderError) Kind() remedy.Kind { return remedy.Configuration }
+func (e *DirectoryError) Error() string     { return remedy.Because("releases in "+e.Path, e.Cause) }
+func (e *DirectoryError) Unwrap() error     { return e.Cause }
+func (e *DirectoryError) Kind() remedy.Kind { return remedy.Configuration }
 
 // Remedy names the key.
-func (e *FolderError) Remedy() string {
-	return fmt.Sprintf("See that the folder in the key \"fleet.releases\" may be written to; a damaged %s/%s may be deleted, the door then runs its own file and program.", e.Path, stateName)
+func (e *DirectoryError) Remedy() string {
+	return fmt.Sprintf("Make the directory in the key \"fleet.releases\" writable; a corrupt %s/%s may be deleted, the door then runs its own configuration and program.", e.Path, stateFile)
 }
 
-// DigestError is a file that isn't what its digest names, or isn't there.
+// DigestError is a released file that is missing, cannot be read or does not match its digest.
 type DigestError struct {
-	Path, Is string
-	Cause    error
+	Path, Actual string
+	Cause        error
 }
 
 func (e *DigestError) Error() string {
-	if e.Is != "" {
-		return fmt.Sprintf("%s has the digest %s", e.Path, e.Is)
+	if e.Actual != "" {
+		return fmt.Sprintf("%s has the digest %s", e.Path, e.Actual)
 	}
 	return remedy.Because("reading "+e.Path, e.Cause)
 }
 func (e *DigestError) Unwrap() error     { return e.Cause }
 func (e *DigestError) Kind() remedy.Kind { return remedy.Configuration }
 
-// Remedy says what to do.
+// Remedy names the path where the file is expected.
 func (e *DigestError) Remedy() string {
-	return fmt.Sprintf("Copy the file that was released to %s, named by its sha256; the door runs on as it was.", e.Path)
+	return fmt.Sprintf("Copy the released file to %s, named by its SHA-256 digest; the door continues unchanged.", e.Path)
 }
 
-// StartError is a process of the door that can't be started, or can't serve.
+// StartError is a process of the door that cannot be started or does not become ready.
 type StartError struct {
-	Program, Says string
-	Cause         error // nil where it was started and then could not serve
+	Program, Reason string
+	Cause           error // nil if the process was started but did not become ready
 }
 
-func (e *StartError) Error() string     { return remedy.Because(e.Program+": "+e.Says, e.Cause) }
+func (e *StartError) Error() string     { return remedy.Because(e.Program+": "+e.Reason, e.Cause) }
 func (e *StartError) Unwrap() error     { return e.Cause }
 func (e *StartError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names where it says why.
+// Remedy points to the log.
 func (e *StartError) Remedy() string {
-	return "Look at the lines before this one in the log; the door runs on as it was, if it ran."
+	return "Check the preceding lines of the log; if the door was running, it continues unchanged."
 }
--- a/internal/holding/holding.go
+++ b/internal/holding/holding.go
@@ -1,7 +1,7 @@
-// Package holding keeps a door's listener while the door's processes follow each other: a new configuration or program is
-// started beside the one that serves, takes clients once it is ready, and only then the old one leaves. No connection is
-// refused. One that can't be checked or can't start is not taken; one that ends by itself soon after is given up for what
-// ran before.
+// Package holding supervises the process of a front door. It owns the listening socket and passes it to each process, so that
+// a new configuration or program can replace the running one without refusing a connection: the new process is started beside
+// the old one, accepts clients once it is ready, and only then the old one is stopped. A configuration or program that is
+// invalid or cannot start is not applied. If its process exits soon after the change, the supervisor rolls back.
 package holding
 
 import (
@@ -41,139 +41,139 @@
 	listenerFD = 3
 	readyFD    = 4
 
-	readyFor  = 20 * time.Second       // in which a process must be able to serve: discovery may take some seconds
-	startMost = 3 * time.Second        // in which what a start needs and fails for a moment is asked for again
-	leaveFor  = 30 * time.Second       // in which one must have left; over the longest request
-	probation = 60 * time.Second       // after a change, in which a process that ends by itself is the change's fault
-	againRest = 200 * time.Millisecond // before a process that ended by itself is started again
-	againMost = 5 * time.Second        // rest at most: it grows while it ends again and again
-	answerFor = 2 * time.Second        // that a question to the coordinators may take
-	waiting   = 16                     // events that wait for the changer; it is asked again for what is lost
-	mostFile  = 512 << 20              // bytes of what a digest names
-	private   = 0o600
-	runnable  = 0o700
-	stateName = "runs.json"
+	readyTimeout       = 20 * time.Second       // until a new process must be ready; discovery may take some seconds
+	startRetryFor      = 3 * time.Second        // for which transient errors during a start are retried
+	stopTimeout        = 30 * time.Second       // until a process that was told to stop is killed; longer than any request takes
+	probation          = 60 * time.Second       // after a change, during which an exit of the process is attributed to the change
+	minRestartPause    = 200 * time.Millisecond // between attempts to restart a process that exited; doubles with each failure
+	maxRestartPause    = 5 * time.Second        // limit on that pause
+	coordinatorTimeout = 2 * time.Second        // of a call to the coordinators
+	eventQueueLen      = 16                     // events queued for the changer, which repeats calls whose answer is lost
+	maxArtifactBytes   = 512 << 20              // limit on the size of a released file
+	filePerm           = 0o600
+	execPerm           = 0o700
+	stateFile          = "runs.json"
 )
 
-// Messages of the log lines that tell of a change, with the machine's clock at the step.
+// Log messages that record a change, with the machine's clock at the time of the step.
 const (
 	Changed = "changed"
 	Refused = "not changed"
 )
 
-// holder is the process that holds.
-type holder struct {
-	cfg    config.Door
-	folder string
-	base   string // the door's own file
-	log    logrus.FieldLogger
-	ln     *os.File
-	client *client.Client
-	began  time.Time
-	events chan any
-	ctx    context.Context
-
-	mu      sync.Mutex
-	runs    release.Runs // of the process that serves, or is to
-	before  release.Runs // of the one before it
-	changed time.Time
-	failed  map[string]string // digests that were not taken, why
-	cur     *worker
-	alive   map[*worker]bool // every process that runs
-	ending  bool
-	hups    int // times that the door was told to read its file again
-
-	steps sync.WaitGroup                      // changes and watches under way
-	write func(path string, raw []byte) error // puts a file in place, whole or not at all
+// supervisor starts, replaces and restarts the door's processes.
+type supervisor struct {
+	cfg      config.Door
+	dir      string // holds the released files and the state
+	baseFile string // the door's own configuration file
+	log      logrus.FieldLogger
+	ln       *os.File
+	client   *client.Client
+	started  time.Time
+	events   chan any
+	ctx      context.Context
+
+	mu        sync.Mutex
+	runs      release.Runs // what the current process runs, or is about to run
+	previous  release.Runs // what the process before it ran
+	changedAt time.Time
+	failed    map[string]string // reasons why digests were not applied
+	current   *worker
+	workers   map[*worker]bool // all running processes
+	ending    bool
+	reloads   int // number of requests to reload the configuration file
+
+	tasks sync.WaitGroup                      // changes and keepRunning loops in progress
+	write func(path string, raw []byte) error // writes a file atomically
 }
 
-// writeWhole writes a file by way of another one, and has it on the disk before it takes the place.
-func writeWhole(path string, raw []byte) error { return renameio.WriteFile(path, raw, private) }
+// writeAtomic writes a temporary file, syncs it to disk and renames it to path.
+func writeAtomic(path string, raw []byte) error { return renameio.WriteFile(path, raw, filePerm) }
 
 // worker is one process of the door.
 type worker struct {
-	cmd   *exec.Cmd
-	done  chan struct{}
-	meant bool // its end is; the holder's lock
-	told  bool // SIGTERM was sent; the holder's lock
+	cmd       *exec.Cmd
+	done      chan struct{}
+	stopping  bool // its exit is intended; guarded by supervisor.mu
+	signalled bool // SIGTERM was sent; guarded by supervisor.mu
 }
 
-// Run holds until ctx ends, and returns once the door has left.
+// Run supervises the door until ctx ends, and returns once all of its processes have exited.
 func Run(ctx context.Context, cfg config.Door, base string, log logrus.FieldLogger) error {
-	h := &holder{cfg: cfg, folder: cfg.Fleet.Releases, base: base, log: log, began: time.Now(), events: make(chan any, waiting), ctx: ctx, failed: map[string]string{},
-		alive: map[*worker]bool{}, write: writeWhole}
+	s := &supervisor{cfg: cfg, dir: cfg.Fleet.Releases, baseFile: base, log: log, started: time.Now(), events: make(chan any, eventQueueLen), ctx: ctx, failed: map[string]string{},
+		workers: map[*worker]bool{}, write: writeAtomic}
 	var err error
-	if h.runs, err = retry.Within(ctx, startMost, h.open); err != nil {
+	if s.runs, err = retry.Within(ctx, startRetryFor, s.openState); err != nil {
 		return err
 	}
-	ln, err := retry.Within(ctx, startMost, func() (net.Listener, error) {
+	ln, err := retry.Within(ctx, startRetryFor, func() (net.Listener, error) {
 		return (&net.ListenConfig{KeepAlive: -1}).Listen(ctx, "tcp", cfg.Listen)
 	})
 	if err != nil {
 		return &frontdoor.ListenError{Address: cfg.Listen, Cause: err}
 	}
-	h.ln, err = ln.(*net.TCPListener).File()
-	ln.Close() // the file goes on to listen
+	s.ln, err = ln.(*net.TCPListener).File()
+	ln.Close() // the duplicated descriptor keeps the socket listening
 	if err != nil {
 		return &frontdoor.ListenError{Address: cfg.Listen, Cause: err}
 	}
-	defer h.ln.Close()
+	defer s.ln.Close()
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
 	go func() {
 		for range hup {
-			h.reload()
+			s.reload()
 		}
 	}()
-	if err := h.first(); err != nil {
+	if err := s.startFirst(); err != nil {
 		return err
 	}
 	over := make(chan struct{})
-	go func() { defer close(over); h.change() }()
+	go func() { defer close(over); s.runChanger() }()
 	<-ctx.Done()
-	h.end()
+	s.shutdown()
 	<-over
 	return nil
 }
 
-// end has the door leave, and returns once nothing of it runs. The processes' time until a kill runs from the signal that the
-// holder got, so every one is told at once, whatever else is under way: one that a change is about to replace, too. A start
-// that is under way finds that the holder is ending, and has what it started leave as well. What the holder has of the
-// listener is closed first: else connections would go on being accepted by the system, for nobody.
-func (h *holder) end() {
-	h.mu.Lock()
-	h.ending = true
-	w := h.cur
-	_ = h.ln.Close()
-	for one := range h.alive {
-		h.tellToLeave(one)
-	}
-	h.mu.Unlock()
-	h.leave(w)
-	h.steps.Wait()
+// shutdown stops all processes of the door and returns once they have exited. The time until the platform kills them starts
+// with the signal that the supervisor received, so all of them are signalled at once, including one that a change is about to
+// replace. A start in progress sees that the supervisor is ending and stops its process as well. The supervisor closes its
+// copy of the listener first: otherwise the kernel would go on accepting connections that no process serves.
+func (s *supervisor) shutdown() {
+	s.mu.Lock()
+	s.ending = true
+	w := s.current
+	_ = s.ln.Close()
+	for one := range s.workers {
+		s.terminate(one)
+	}
+	s.mu.Unlock()
+	s.stop(w)
+	s.tasks.Wait()
 }
 
-// tellToLeave sends a process SIGTERM, once. The holder's lock is held.
-func (h *holder) tellToLeave(w *worker) {
-	w.meant = true
-	if !w.told {
-		w.told = true
+// terminate sends SIGTERM to a process, at most once. The caller holds s.mu.
+func (s *supervisor) terminate(w *worker) {
+	w.stopping = true
+	if !w.signalled {
+		w.signalled = true
 		_ = w.cmd.Process.Signal(syscall.SIGTERM)
 	}
 }
 
-// open makes the folder where there is none, and reads what the door ran last.
-func (h *holder) open() (release.Runs, error) {
-	if err := os.MkdirAll(h.folder, runnable); err != nil {
-		return nil, &FolderError{h.folder, err}
+// openState creates the directory if necessary and loads the state.
+func (s *supervisor) openState() (release.Runs, error) {
+	if err := os.MkdirAll(s.dir, execPerm); err != nil {
+		return nil, &DirectoryError{s.dir, err}
 	}
-	return h.load()
+	return s.loadState()
 }
 
-// load reads what the door ran last.
-func (h *holder) load() (release.Runs, error) {
-	raw, err := os.ReadFile(filepath.Join(h.folder, stateName))
+// loadState reads what the door ran last.
+func (s *supervisor) loadState() (release.Runs, error) {
+	raw, err := os.ReadFile(filepath.Join(s.dir, stateFile))
 	if errors.Is(err, os.ErrNotExist) {
 		return release.Runs{}, nil
 	}
@@ -182,92 +182,94 @@
 		err = json.Unmarshal(raw, &runs)
 	}
 	if err != nil {
-		return nil, &FolderError{h.folder, err}
+		return nil, &DirectoryError{s.dir, err}
 	}
 	return runs, nil
 }
 
-// save writes down what the door runs, whole or not at all.
-func (h *holder) save(runs release.Runs) {
+// saveState records what the door runs.
+func (s *supervisor) saveState(runs release.Runs) {
 	raw, err := json.Marshal(runs)
 	if err == nil {
-		err = h.write(filepath.Join(h.folder, stateName), raw)
+		err = s.write(filepath.Join(s.dir, stateFile), raw)
 	}
-	if err != nil { // the door runs it all the same; after a restart of the holder it runs what it ran before
-		e := &FolderError{h.folder, err}
-		h.log.WithError(e).WithField(fields.Remedy, e.Remedy()).Error("what the door runs is not written down")
+	if err != nil { // the door keeps running it, but a restarted supervisor falls back to the state on disk
+		e := &DirectoryError{s.dir, err}
+		s.log.WithError(e).WithField(fields.Remedy, e.Remedy()).Error("cannot save what the door runs")
 	}
 }
 
-// first starts the door's first process. One that can't run what it ran last runs its own file and program.
-func (h *holder) first() error {
-	w, err := h.startWithin(h.runs)
-	if err != nil && len(h.runs) > 0 {
-		h.log.WithError(err).Error("the door can't run what it ran last; it runs its own")
-		h.note(h.runs, err)
-		h.runs = release.Runs{}
-		w, err = h.startWithin(h.runs)
+// startFirst starts the door's first process. If what the door ran last cannot run, it falls back to the door's own
+// configuration file and program.
+func (s *supervisor) startFirst() error {
+	w, err := s.startWithRetry(s.runs)
+	if err != nil && len(s.runs) > 0 {
+		s.log.WithError(err).Error("cannot run what the door ran last; falling back to its own configuration and program")
+		s.recordFailure(s.runs, err)
+		s.runs = release.Runs{}
+		w, err = s.startWithRetry(s.runs)
 	}
 	if err != nil {
 		return err
 	}
-	h.mu.Lock()
-	h.cur, h.before = w, h.runs
-	h.mu.Unlock()
-	h.steps.Go(func() { h.watch(w) })
+	s.mu.Lock()
+	s.current, s.previous = w, s.runs
+	s.mu.Unlock()
+	s.tasks.Go(func() { s.keepRunning(w) })
 	return nil
 }
 
-// note remembers why something was not taken.
-func (h *holder) note(runs release.Runs, err error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// recordFailure records why digests were not applied.
+func (s *supervisor) recordFailure(runs release.Runs, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, digest := range runs {
 		if digest != "" {
-			h.failed[digest] = err.Error()
+			s.failed[digest] = err.Error()
 		}
 	}
 }
 
-// file finds what a digest names, and checks that it is that.
-func (h *holder) file(digest string) (string, error) {
-	path := filepath.Join(h.folder, digest)
+// artifact returns the path of the released file with the given digest, after verifying its content.
+func (s *supervisor) artifact(digest string) (string, error) {
+	path := filepath.Join(s.dir, digest)
 	f, err := os.Open(path)
 	if err != nil {
 		return "", &DigestError{path, "", err}
 	}
 	defer f.Close()
 	sum := sha256.New()
-	if _, err := io.Copy(sum, io.LimitReader(f, mostFile)); err != nil {
+	if _, err := io.Copy(sum, io.LimitReader(f, maxArtifactBytes)); err != nil {
 		return "", &DigestError{path, "", err}
 	}
-	if is := hex.EncodeToString(sum.Sum(nil)); is != digest {
-		return "", &DigestError{path, is, nil}
+	if actual := hex.EncodeToString(sum.Sum(nil)); actual != digest {
+		return "", &DigestError{path, actual, nil}
 	}
 	return path, nil
 }
 
-// prepare checks what is to run, without running it: the program, and the configuration with what is laid over the door's own.
-func (h *holder) prepare(runs release.Runs) (program, file string, err error) {
-	file = h.base
+// prepare verifies the program and the configuration without running them. It returns the path of the program and that of the
+// configuration file, to which a released configuration is written after merging it over the door's own.
+func (s *supervisor) prepare(runs release.Runs) (program, file string, err error) {
+	file = s.baseFile
 	if program, err = os.Executable(); err != nil {
-		return "", "", &StartError{"this program", "finding it", err}
+		return "", "", &StartError{"this program", "locating the executable", err}
 	}
 	if d := runs[release.Program]; d != "" {
-		if program, err = h.file(d); err != nil {
+		if program, err = s.artifact(d); err != nil {
 			return "", "", err
 		}
-		if err := os.Chmod(program, runnable); err != nil {
+		if err := os.Chmod(program, execPerm); err != nil {
 			return "", "", &DigestError{program, "", err}
 		}
 	}
 	if d := runs[release.Configuration]; d != "" {
-		over, err := h.file(d)
+		over, err := s.artifact(d)
 		if err != nil {
 			return "", "", err
 		}
 		var raw, top []byte
-		if raw, err = os.ReadFile(h.base); err == nil {
+		if raw, err = os.ReadFile(s.baseFile); err == nil {
 			top, err = os.ReadFile(over)
 		}
 		if err != nil {
@@ -279,55 +281,56 @@
 		if _, err := config.Read(raw, os.Getenv); err != nil {
 			return "", "", err
 		}
-		file = filepath.Join(h.folder, "door-"+d+".json")
-		if err := h.put(file, raw); err != nil {
-			return "", "", &FolderError{h.folder, err}
+		file = filepath.Join(s.dir, "door-"+d+".json")
+		if err := s.writeIfChanged(file, raw); err != nil {
+			return "", "", &DirectoryError{s.dir, err}
 		}
 	}
 	return program, file, nil
 }
 
-// put puts a file in place. One that holds the same already is left: a process must start again while the folder can't be
-// written.
-func (h *holder) put(path string, raw []byte) error {
-	if before, err := os.ReadFile(path); err == nil && bytes.Equal(before, raw) {
+// writeIfChanged writes a file unless it already has the given content, so that a process can be restarted while the directory
+// is not writable.
+func (s *supervisor) writeIfChanged(path string, raw []byte) error {
+	if present, err := os.ReadFile(path); err == nil && bytes.Equal(present, raw) {
 		return nil
 	}
-	return h.write(path, raw)
+	return s.write(path, raw)
 }
 
-// startWithin starts a process, again where a call or the folder failed for a moment: neither is the fault of what is to run.
-func (h *holder) startWithin(runs release.Runs) (*worker, error) {
-	return retry.Within(h.ctx, startMost, func() (*worker, error) { return h.start(runs) })
+// startWithRetry starts a process and retries transient errors of system calls and of the directory, because they say nothing
+// about what is to run.
+func (s *supervisor) startWithRetry(runs release.Runs) (*worker, error) {
+	return retry.Within(s.ctx, startRetryFor, func() (*worker, error) { return s.start(runs) })
 }
 
-// start starts a process and waits until it can serve. It takes clients from its first instant, as it has the listener that
-// the one before it has: one that does not get ready, or is not wanted any more, is told to leave as any other.
-func (h *holder) start(runs release.Runs) (*worker, error) {
-	h.mu.Lock()
-	hups := h.hups
-	h.mu.Unlock()
-	program, file, err := h.prepare(runs)
+// start starts a process and waits until it is ready. The process shares the listener and may accept clients from the start, so
+// one that does not become ready in time or is no longer needed is stopped gracefully like any other.
+func (s *supervisor) start(runs release.Runs) (*worker, error) {
+	s.mu.Lock()
+	reloads := s.reloads
+	s.mu.Unlock()
+	program, file, err := s.prepare(runs)
 	if err != nil {
 		return nil, err
 	}
-	ready, tell, err := os.Pipe()
+	ready, notify, err := os.Pipe()
 	if err != nil {
-		return nil, &StartError{program, "starting it", err}
+		return nil, &StartError{program, "starting the process", err}
 	}
 	defer ready.Close()
-	cmd := exec.Command(program, "serve", "--log-level", h.cfg.Log.Level, "--log-format", h.cfg.Log.Format)
+	cmd := exec.Command(program, "serve", "--log-level", s.cfg.Log.Level, "--log-format", s.cfg.Log.Format)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+file, fmt.Sprintf("%s=%d", serving.ListenerVariable, listenerFD), fmt.Sprintf("%s=%d", serving.ReadyVariable, readyFD))
-	cmd.ExtraFiles = []*os.File{h.ln, tell}
+	cmd.ExtraFiles = []*os.File{s.ln, notify}
 	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
-	// Without its holder it answers what it took, and ends. What is killed is killed with all that it started.
+	// If the supervisor dies, the process finishes its requests and exits. A kill reaches the whole process group.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGTERM, Setpgid: true}
 	err = cmd.Start()
-	tell.Close()
+	notify.Close()
 	if err != nil {
-		return nil, &StartError{program, "starting it", err}
+		return nil, &StartError{program, "starting the process", err}
 	}
-	w := h.launched(cmd)
+	w := s.track(cmd)
 	got := make(chan bool, 1)
 	go func() {
 		n, _ := ready.Read(make([]byte, 1))
@@ -336,250 +339,255 @@
 	select {
 	case ok := <-got:
 		if !ok {
-			<-w.done // it closed its end: it has ended, or is about to
+			<-w.done // it closed its end of the pipe: it has exited or is about to
 			return nil, &StartError{program, cmd.ProcessState.String(), nil}
 		}
-		h.mu.Lock()
-		missed := h.hups != hups
-		h.mu.Unlock()
-		if missed { // it may have read its file before that was replaced
-			h.again(w, runs)
+		s.mu.Lock()
+		missed := s.reloads != reloads
+		s.mu.Unlock()
+		if missed { // it may have read its file before the file was replaced
+			s.reloadWorker(w, runs)
 		}
 		return w, nil
-	case <-time.After(readyFor):
-		h.leave(w)
-		return nil, &StartError{program, fmt.Sprintf("not ready after %v", readyFor), nil}
-	case <-h.ctx.Done():
-		h.leave(w)
-		return nil, &StartError{program, "the holder was told to end", nil}
+	case <-time.After(readyTimeout):
+		s.stop(w)
+		return nil, &StartError{program, fmt.Sprintf("not ready after %v", readyTimeout), nil}
+	case <-s.ctx.Done():
+		s.stop(w)
+		return nil, &StartError{program, "the supervisor is shutting down", nil}
 	}
 }
 
-// launched takes a process that has just begun among those that run. It is told to leave where the holder is ending.
-func (h *holder) launched(cmd *exec.Cmd) *worker {
+// track registers a process that has just been started, and stops it if the supervisor is shutting down.
+func (s *supervisor) track(cmd *exec.Cmd) *worker {
 	w := &worker{cmd: cmd, done: make(chan struct{})}
-	h.mu.Lock()
-	h.alive[w] = true
-	if h.ending {
-		h.tellToLeave(w)
+	s.mu.Lock()
+	s.workers[w] = true
+	if s.ending {
+		s.terminate(w)
 	}
-	h.mu.Unlock()
+	s.mu.Unlock()
 	go func() {
 		_ = cmd.Wait()
-		h.mu.Lock()
-		delete(h.alive, w)
-		h.mu.Unlock()
+		s.mu.Lock()
+		delete(s.workers, w)
+		s.mu.Unlock()
 		close(w.done)
 	}()
 	return w
 }
 
-func (h *holder) kill(w *worker) {
+// kill kills the process group and waits until the process has exited.
+func (s *supervisor) kill(w *worker) {
 	_ = syscall.Kill(-w.cmd.Process.Pid, syscall.SIGKILL)
 	<-w.done
 }
 
-// leave tells a process to leave, and waits until it has.
-func (h *holder) leave(w *worker) {
-	h.mu.Lock()
-	h.tellToLeave(w)
-	h.mu.Unlock()
+// stop sends SIGTERM to a process and waits until it has exited; after stopTimeout it kills the process.
+func (s *supervisor) stop(w *worker) {
+	s.mu.Lock()
+	s.terminate(w)
+	s.mu.Unlock()
 	select {
 	case <-w.done:
-	case <-time.After(leaveFor):
-		h.kill(w)
+	case <-time.After(stopTimeout):
+		s.kill(w)
 	}
 }
 
-// reload has the door read its file again. A process that is being started is told once it can serve: before that it may not
-// listen to signals yet, and would end.
-func (h *holder) reload() {
-	h.mu.Lock()
-	h.hups++
-	w, runs := h.cur, h.runs
-	h.mu.Unlock()
+// reload makes the door reload its configuration file. A process that is being started is signalled once it is ready, because
+// before that it may not handle signals yet and SIGHUP would end it.
+func (s *supervisor) reload() {
+	s.mu.Lock()
+	s.reloads++
+	w, runs := s.current, s.runs
+	s.mu.Unlock()
 	if w != nil {
-		h.again(w, runs)
+		s.reloadWorker(w, runs)
 	}
 }
 
-// again has one process read its file again; where that is the door's own with something laid over it, it is made anew.
-func (h *holder) again(w *worker, runs release.Runs) {
-	if _, _, err := h.prepare(runs); err != nil {
-		h.log.WithError(err).Error("configuration left as it was")
+// reloadWorker makes one process reload its configuration file, after merging a released configuration over the door's own file
+// again.
+func (s *supervisor) reloadWorker(w *worker, runs release.Runs) {
+	if _, _, err := s.prepare(runs); err != nil {
+		s.log.WithError(err).Error("configuration left as it was")
 		return
 	}
 	_ = w.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// watch starts a process again that ended by itself. Soon after a change that is the change's fault: what ran before runs again,
-// with nobody's leave, as the door is out already.
-func (h *holder) watch(w *worker) {
-	for rest := againRest; ; {
+// keepRunning restarts the process whenever it exits unexpectedly. An exit soon after a change is attributed to the change, and
+// the previous configuration and program are restarted; this needs no permit, because the door is already down.
+func (s *supervisor) keepRunning(w *worker) {
+	for pause := minRestartPause; ; {
 		<-w.done
-		h.mu.Lock()
-		if h.ending || w.meant || h.cur != w || h.ctx.Err() != nil {
-			h.mu.Unlock()
+		s.mu.Lock()
+		if s.ending || w.stopping || s.current != w || s.ctx.Err() != nil {
+			s.mu.Unlock()
 			return
 		}
-		runs, faulty := h.runs, time.Since(h.changed) < probation && !maps.Equal(h.runs, h.before)
-		if faulty {
-			for what, digest := range h.runs {
-				if digest != "" && h.before[what] != digest {
-					h.failed[digest] = "its process ended by itself: " + w.cmd.ProcessState.String()
+		runs, changeFailed := s.runs, time.Since(s.changedAt) < probation && !maps.Equal(s.runs, s.previous)
+		if changeFailed {
+			for what, digest := range s.runs {
+				if digest != "" && s.previous[what] != digest {
+					s.failed[digest] = "its process exited unexpectedly: " + w.cmd.ProcessState.String()
 				}
 			}
-			runs = h.before
+			runs = s.previous
 		}
-		h.mu.Unlock()
-		h.log.WithField(fields.Why, w.cmd.ProcessState.String()).Error("the door's process ended by itself")
-		next, err := h.start(runs)
-		for err != nil && h.ctx.Err() == nil {
-			h.log.WithError(err).Error("the door's process can't be started; it is tried again")
+		s.mu.Unlock()
+		s.log.WithField(fields.Why, w.cmd.ProcessState.String()).Error("the door's process ended by itself")
+		next, err := s.start(runs)
+		for err != nil && s.ctx.Err() == nil {
+			s.log.WithError(err).Error("cannot start the door's process; retrying")
 			select {
-			case <-time.After(rest):
-			case <-h.ctx.Done():
+			case <-time.After(pause):
+			case <-s.ctx.Done():
 			}
-			rest = min(2*rest, againMost)
-			next, err = h.start(runs)
+			pause = min(2*pause, maxRestartPause)
+			next, err = s.start(runs)
 		}
 		if err != nil {
 			return
 		}
-		h.mu.Lock()
-		late := h.ending || h.cur != w // a change has put another in its place meanwhile
-		if !late {
-			h.cur, h.runs = next, runs
+		s.mu.Lock()
+		superseded := s.ending || s.current != w // a change has replaced it meanwhile
+		if !superseded {
+			s.current, s.runs = next, runs
 		}
-		h.mu.Unlock()
-		if late {
-			h.leave(next)
+		s.mu.Unlock()
+		if superseded {
+			s.stop(next)
 			return
 		}
-		h.save(runs)
-		h.tell()
-		w, rest = next, againRest
+		s.saveState(runs)
+		s.reportState()
+		w, pause = next, minRestartPause
 	}
 }
 
 // ---- Changes ----
 
-// tell has the changer know what runs.
-func (h *holder) tell() {
-	h.mu.Lock()
-	e := permits.Runs{Runs: maps.Clone(h.runs), Failed: maps.Clone(h.failed)}
-	h.mu.Unlock()
-	h.post(e)
+// reportState notifies the changer of what runs.
+func (s *supervisor) reportState() {
+	s.mu.Lock()
+	e := permits.Runs{Runs: maps.Clone(s.runs), Failed: maps.Clone(s.failed)}
+	s.mu.Unlock()
+	s.post(e)
 }
 
-func (h *holder) post(e any) {
+// post queues an event for the changer.
+func (s *supervisor) post(e any) {
 	select {
-	case h.events <- e:
-	case <-h.ctx.Done():
+	case s.events <- e:
+	case <-s.ctx.Done():
 	}
 }
 
-func (h *holder) now() float64 { return float64(time.Since(h.began)) / float64(time.Millisecond) }
+// now returns the time since the start in ms.
+func (s *supervisor) now() float64 { return float64(time.Since(s.started)) / float64(time.Millisecond) }
 
-// change is the driver of the changer, until the holder is told to end.
-func (h *holder) change() {
+// runChanger drives the changer until ctx ends: it passes events to it and performs its actions.
+func (s *supervisor) runChanger() {
 	var all []config.NamedAddress
-	for _, c := range h.cfg.Fleet.Coordinators {
+	for _, c := range s.cfg.Fleet.Coordinators {
 		if n, err := config.Named(c); err == nil {
 			all = append(all, n)
 		}
 	}
-	h.client = client.New(all)
-	defer h.client.Close()
-	h.mu.Lock()
-	c := permits.NewChanger(h.cfg.Name, rand.Uint64(), maps.Clone(h.runs), maps.Clone(h.failed))
-	h.mu.Unlock()
+	s.client = client.New(all)
+	defer s.client.Close()
+	s.mu.Lock()
+	c := permits.NewChanger(s.cfg.Name, rand.Uint64(), maps.Clone(s.runs), maps.Clone(s.failed))
+	s.mu.Unlock()
 	tick := time.NewTicker(permits.TickEvery * time.Millisecond)
 	defer tick.Stop()
 	for {
 		var e any = permits.Tick{}
 		select {
-		case <-h.ctx.Done():
+		case <-s.ctx.Done():
 			return
 		case <-tick.C:
-		case e = <-h.events:
+		case e = <-s.events:
 		}
-		for _, a := range c.Step(h.now(), e) {
+		for _, a := range c.Step(s.now(), e) {
 			switch a := a.(type) {
 			case permits.Post:
-				go h.ask(a)
+				go s.callCoordinators(a)
 			case permits.Take:
-				h.steps.Go(func() { h.take(a) })
+				s.tasks.Go(func() { s.apply(a) })
 			}
 		}
 	}
 }
 
-// ask carries one question to the coordinators.
-func (h *holder) ask(q permits.Post) {
-	ctx, stop := context.WithTimeout(h.ctx, answerFor)
+// callCoordinators sends one call to the coordinators and posts the result.
+func (s *supervisor) callCoordinators(q permits.Post) {
+	ctx, stop := context.WithTimeout(s.ctx, coordinatorTimeout)
 	defer stop()
 	var e any
 	var err error
 	if q.Hold != nil {
 		var g permits.Given
-		g, err = h.client.Hold(ctx, q.Hold)
+		g, err = s.client.Hold(ctx, q.Hold)
 		e = permits.Gave{Seq: q.Seq, Given: g}
 	} else {
 		var a permits.Answer
-		a, err = h.client.Command(ctx, permits.Command{Caller: q.Caller, Seq: q.Seq, Do: q.Do})
+		a, err = s.client.Command(ctx, permits.Command{Caller: q.Caller, Seq: q.Seq, Do: q.Do})
 		e = permits.Answered{Seq: q.Seq, Answer: a}
 	}
 	if err != nil {
 		e = permits.Unanswered{Seq: q.Seq}
 	}
-	h.post(e)
+	s.post(e)
 }
 
-// take has the door run something else: the new process beside the old one, then the old one leaves. The step is the start of
-// the new one; a holder that was stopped before it does not take it.
-func (h *holder) take(t permits.Take) {
-	defer h.tell()
-	h.mu.Lock()
-	before := h.runs
-	runs := maps.Clone(before)
+// apply changes what the door runs: it starts the new process beside the old one, then stops the old one. The change takes
+// effect with the start of the new process. If the time limit has passed before that, because this process was stopped for a
+// while, the change is dropped.
+func (s *supervisor) apply(t permits.Take) {
+	defer s.reportState()
+	s.mu.Lock()
+	previous := s.runs
+	runs := maps.Clone(previous)
 	if runs == nil {
 		runs = release.Runs{}
 	}
 	runs[t.Changes] = t.Digest
-	h.mu.Unlock()
-	entry := h.log.WithFields(logrus.Fields{fields.Why: t.Name, fields.To: t.Digest, fields.Number: t.Release})
-	if h.now() > t.UntilMs {
-		entry.Warn("stopped before the step; it isn't taken")
+	s.mu.Unlock()
+	entry := s.log.WithFields(logrus.Fields{fields.Why: t.Name, fields.To: t.Digest, fields.Number: t.Release})
+	if s.now() > t.UntilMs {
+		entry.Warn("the time limit of the change has passed; not applied")
 		return
 	}
-	w, err := h.startWithin(runs)
+	w, err := s.startWithRetry(runs)
 	if err != nil {
-		if h.ctx.Err() == nil {
+		if s.ctx.Err() == nil {
 			if !t.Back {
-				h.note(release.Runs{t.Changes: t.Digest}, err)
+				s.recordFailure(release.Runs{t.Changes: t.Digest}, err)
 			}
 			entry.WithError(err).Error(Refused)
 		}
 		return
 	}
-	h.mu.Lock()
-	if h.ending { // it was told so between the start and here
-		h.mu.Unlock()
-		h.leave(w)
+	s.mu.Lock()
+	if s.ending { // shutdown began after the start
+		s.mu.Unlock()
+		s.stop(w)
 		return
 	}
-	old := h.cur
-	h.cur, h.runs, h.before, h.changed = w, runs, before, time.Now()
+	old := s.current
+	s.current, s.runs, s.previous, s.changedAt = w, runs, previous, time.Now()
 	if t.Back {
-		h.before = runs // there is nothing better to fall back on
+		s.previous = runs // a rollback has nothing better to fall back to
 	}
-	h.mu.Unlock()
+	s.mu.Unlock()
 	entry.Info(Changed)
-	h.steps.Go(func() { h.watch(w) })
-	h.mu.Lock()
-	h.tellToLeave(old) // a folder that can't be written must not keep it
-	h.mu.Unlock()
-	h.save(runs)
-	h.leave(old)
+	s.tasks.Go(func() { s.keepRunning(w) })
+	s.mu.Lock()
+	s.terminate(old) // before saving the state: a directory that is not writable must not delay it
+	s.mu.Unlock()
+	s.saveState(runs)
+	s.stop(old)
 }
--- a/internal/holding/holding_test.go
+++ b/internal/holding/holding_test.go
@@ -16,34 +16,34 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-func held(t *testing.T) *holder {
+func newSupervisor(t *testing.T) *supervisor {
 	raw, err := os.ReadFile("../../examples/fleet.json")
 	require.NoError(t, err)
 	dir := t.TempDir()
 	base := filepath.Join(dir, "door.json")
-	require.NoError(t, os.WriteFile(base, raw, private))
+	require.NoError(t, os.WriteFile(base, raw, filePerm))
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return &holder{folder: dir, base: base, log: log, failed: map[string]string{}, alive: map[*worker]bool{}, write: writeWhole}
+	return &supervisor{dir: dir, baseFile: base, log: log, failed: map[string]string{}, workers: map[*worker]bool{}, write: writeAtomic}
 }
 
-// give puts a file into the folder under its digest.
-func (h *holder) give(t *testing.T, text string) string {
+// addRelease writes a file into the directory under its digest and returns the digest.
+func (s *supervisor) addRelease(t *testing.T, text string) string {
 	sum := sha256.Sum256([]byte(text))
 	digest := hex.EncodeToString(sum[:])
-	require.NoError(t, os.WriteFile(filepath.Join(h.folder, digest), []byte(text), private))
+	require.NoError(t, os.WriteFile(filepath.Join(s.dir, digest), []byte(text), filePerm))
 	return digest
 }
 
-func TestWhatIsToRunIsCheckedBeforeItRuns(t *testing.T) {
-	h := held(t)
-	program, file, err := h.prepare(release.Runs{})
+func TestReleasesAreVerifiedBeforeTheyRun(t *testing.T) {
+	s := newSupervisor(t)
+	program, file, err := s.prepare(release.Runs{})
 	require.NoError(t, err)
-	assert.Equal(t, h.base, file)
+	assert.Equal(t, s.baseFile, file)
 	assert.NotEmpty(t, program)
 
-	digest := h.give(t, `{"pace":{"linger_ms":900}}`)
-	_, file, err = h.prepare(release.Runs{release.Configuration: digest})
+	digest := s.addRelease(t, `{"pace":{"linger_ms":900}}`)
+	_, file, err = s.prepare(release.Runs{release.Configuration: digest})
 	require.NoError(t, err)
 	raw, err := os.ReadFile(file)
 	require.NoError(t, err)
@@ -52,34 +52,34 @@
 	assert.Equal(t, 900.0, door.Pace.Linger)
 
 	var key *config.KeyError
-	_, _, err = h.prepare(release.Runs{release.Configuration: h.give(t, `{"settings":{"profiles":[]}}`)})
+	_, _, err = s.prepare(release.Runs{release.Configuration: s.addRelease(t, `{"settings":{"profiles":[]}}`)})
 	require.ErrorAs(t, err, &key)
 	assert.Equal(t, "settings.profiles", key.Key)
-	_, _, err = h.prepare(release.Runs{release.Configuration: h.give(t, `{"name":"another"}`)})
+	_, _, err = s.prepare(release.Runs{release.Configuration: s.addRelease(t, `{"name":"another"}`)})
 	require.ErrorAs(t, err, &key)
 
 	var wrong *DigestError
-	require.NoError(t, os.WriteFile(filepath.Join(h.folder, digest), []byte(`{}`), private))
-	_, _, err = h.prepare(release.Runs{release.Configuration: digest})
+	require.NoError(t, os.WriteFile(filepath.Join(s.dir, digest), []byte(`{}`), filePerm))
+	_, _, err = s.prepare(release.Runs{release.Configuration: digest})
 	require.ErrorAs(t, err, &wrong)
-	assert.NotEqual(t, digest, wrong.Is)
-	_, _, err = h.prepare(release.Runs{release.Program: "0123"})
+	assert.NotEqual(t, digest, wrong.Actual)
+	_, _, err = s.prepare(release.Runs{release.Program: "0123"})
 	require.ErrorAs(t, err, &wrong)
 	assert.Contains(t, wrong.Remedy(), "0123")
 }
 
-func TestWhatADoorRunsIsReadAgain(t *testing.T) {
-	h := held(t)
-	runs, err := h.load()
+func TestStateIsLoadedAgain(t *testing.T) {
+	s := newSupervisor(t)
+	runs, err := s.loadState()
 	require.NoError(t, err)
 	assert.Empty(t, runs)
-	h.save(release.Runs{release.Program: "ab"})
-	runs, err = h.load()
+	s.saveState(release.Runs{release.Program: "ab"})
+	runs, err = s.loadState()
 	require.NoError(t, err)
 	assert.Equal(t, release.Runs{release.Program: "ab"}, runs)
-	require.NoError(t, os.WriteFile(filepath.Join(h.folder, stateName), []byte("{"), private))
-	var folder *FolderError
-	_, err = h.load()
-	require.ErrorAs(t, err, &folder)
-	assert.Contains(t, folder.Remedy(), "deleted")
+	require.NoError(t, os.WriteFile(filepath.Join(s.dir, stateFile), []byte("{"), filePerm))
+	var broken *DirectoryError
+	_, err = s.loadState()
+	require.ErrorAs(t, err, &broken)
+	assert.Contains(t, broken.Remedy(), "deleted")
 }
