--- a/internal/serving/log.go
+++ b/internal/serving/log.go
@@ -13,8 +13,8 @@
 	"github.com/swifthall/swifthall/internal/logsink"
 )
 
-// NewLog returns the log of a process that serves, to standard error. Nothing waits for who reads it, and the process outlives
-// a reader that has gone. flush waits a moment until what was logged is written.
+// NewLog returns a logger that writes to standard error without blocking. A reader of the log that is slow or gone neither
+// delays nor ends the process. flush waits briefly until the buffered lines are written.
 func NewLog() (log *logrus.Logger, flush func()) {
 	signal.Ignore(syscall.SIGPIPE)
 	log = logrus.New()
@@ -31,36 +31,36 @@
 	return log, sink.Close
 }
 
-// Log is what the flags say of the log; empty where they say nothing.
+// Log holds the values of the log flags; an empty value leaves the configuration as it is.
 type Log struct{ Level, Format string }
 
-// over puts the flags over the file's keys.
-func (l Log) over(of config.Log) (config.Log, error) {
+// override applies the flags to the configuration and checks the result.
+func (l Log) override(cfg config.Log) (config.Log, error) {
 	if l.Level != "" {
-		of.Level = l.Level
+		cfg.Level = l.Level
 	}
 	if l.Format != "" {
-		of.Format = l.Format
+		cfg.Format = l.Format
 	}
-	return of, of.Check()
+	return cfg, cfg.Check()
 }
 
-// Apply has a logger do as the file's keys say, and the flags over them, and returns what it did.
-func (l Log) Apply(log *logrus.Logger, of config.Log) (config.Log, error) {
-	of, err := l.over(of)
+// Apply configures a logger from the configuration and the flags that override it, and returns the resulting configuration.
+func (l Log) Apply(log *logrus.Logger, cfg config.Log) (config.Log, error) {
+	cfg, err := l.override(cfg)
 	if err == nil {
-		apply(log, of)
+		apply(log, cfg)
 	}
-	return of, err
+	return cfg, err
 }
 
-// apply has a logger do as the configuration says, which has been checked.
-func apply(log *logrus.Logger, of config.Log) {
-	if level, err := logrus.ParseLevel(of.Level); err == nil {
+// apply configures a logger from a configuration that has been checked.
+func apply(log *logrus.Logger, cfg config.Log) {
+	if level, err := logrus.ParseLevel(cfg.Level); err == nil {
 		log.SetLevel(level)
 	}
 	log.SetFormatter(&logrus.TextFormatter{})
-	if of.Format == config.LogJSON {
+	if cfg.Format == config.LogJSON {
 		log.SetFormatter(&logrus.JSONFormatter{})
 	}
 }
--- a/internal/serving/process_test.go
+++ b/internal/serving/process_test.go
@@ -24,14 +24,14 @@
 	"github.com/swifthall/swifthall/internal/loopback/loopbacktest"
 )
 
-// Doors as processes: this test's program serves as one where it is told to.
+// These tests run doors as processes: the test binary serves as a door if processVariable is set.
 
 const (
 	processVariable = "SERVING_TEST_DOOR"
-	patience        = 30 * time.Second
+	timeout         = 30 * time.Second
 )
 
-var restarts = flag.Int("restarts", 0, "how many restarts to measure for each state of discovery; 0 for a few")
+var restarts = flag.Int("restarts", 0, "number of restarts to measure for each state of discovery; 0 for a few")
 
 func TestMain(m *testing.M) {
 	if os.Getenv(processVariable) != "" {
@@ -44,15 +44,16 @@
 	os.Exit(m.Run())
 }
 
-// place is where doors run: their file, a backend that answers when it may, and a discovery that does as the test says.
-type place struct {
+// environment holds what doors need to run: a configuration file, a backend that answers when the test allows it, and a
+// discovery server that the test provides.
+type environment struct {
 	file, listen string
-	came         chan string   // at the backend
-	may          chan struct{} // closed when it may answer
+	arrived      chan string   // ids of requests that have reached the backend
+	release      chan struct{} // closed to let the backend answer
 }
 
-func placed(t *testing.T, discovery func(backend string) func(net.Conn)) *place {
-	p := &place{came: make(chan string, 99), may: make(chan struct{})}
+func newEnvironment(t *testing.T, discovery func(backend string) func(net.Conn)) *environment {
+	p := &environment{arrived: make(chan string, 99), release: make(chan struct{})}
 	backend := loopbacktest.Serve(t, func(nc net.Conn) {
 		defer nc.Close()
 		for r := bufio.NewReader(nc); ; {
@@ -60,8 +61,8 @@
 			if err != nil {
 				return
 			}
-			p.came <- req.Header.Get("X-Txn")
-			<-p.may
+			p.arrived <- req.Header.Get("X-Txn")
+			<-p.release
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
 		}
 	})
@@ -78,8 +79,8 @@
 	return p
 }
 
-// tells is a discovery that knows one backend.
-func tells(backend string) func(net.Conn) {
+// listing is a discovery server that lists one backend.
+func listing(backend string) func(net.Conn) {
 	return func(nc net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(nc)); err == nil {
 			line := fmt.Sprintf(`{"generation":41,"reset":true,"instances":[{"instanceId":"s","hostPort":%q,"lifecycle":"Ready","weight":1}]}`, backend)
@@ -88,34 +89,34 @@
 	}
 }
 
-// process is a door's. It has its listener from the test, so that nobody else can have its port.
+// process is a door's process. It inherits its listener from the test, so that no other process can take its port.
 type process struct {
 	cmd   *exec.Cmd
 	addr  string
-	ready chan time.Duration // closed with nothing where it ended before
+	ready chan time.Duration // closed without a value if the process exits before it is ready
 	ended chan error
 	log   *strings.Builder
 }
 
-func (p *place) start(t *testing.T) *process {
+func (p *environment) start(t *testing.T) *process {
 	ln, err := net.Listen("tcp", p.listen)
 	require.NoError(t, err)
 	file, err := ln.(*net.TCPListener).File()
 	require.NoError(t, err)
 	defer file.Close()
-	heard, tell, err := os.Pipe()
+	readEnd, writeEnd, err := os.Pipe()
 	require.NoError(t, err)
 	d := &process{cmd: exec.Command(os.Args[0]), addr: ln.Addr().String(), ready: make(chan time.Duration, 1), ended: make(chan error, 1), log: &strings.Builder{}}
 	d.cmd.Env = append(os.Environ(), processVariable+"=1", "GW_CONFIG="+p.file, ListenerVariable+"=3", ReadyVariable+"=4")
-	d.cmd.ExtraFiles, d.cmd.Stderr, d.cmd.Stdout = []*os.File{file, tell}, d.log, d.log
+	d.cmd.ExtraFiles, d.cmd.Stderr, d.cmd.Stdout = []*os.File{file, writeEnd}, d.log, d.log
 	begun := time.Now()
 	require.NoError(t, d.cmd.Start())
 	ln.Close()
-	tell.Close()
+	writeEnd.Close()
 	go func() {
 		defer close(d.ready)
-		defer heard.Close()
-		if n, _ := heard.Read(make([]byte, 1)); n == 1 {
+		defer readEnd.Close()
+		if n, _ := readEnd.Read(make([]byte, 1)); n == 1 {
 			d.ready <- time.Since(begun)
 		}
 	}()
@@ -133,10 +134,10 @@
 func (d *process) isReady(t *testing.T) time.Duration {
 	select {
 	case took, is := <-d.ready:
-		require.True(t, is, "it ended before it was ready:\n%s", d.log)
+		require.True(t, is, "the process exited before it was ready:\n%s", d.log)
 		return took
-	case <-time.After(patience):
-		require.Fail(t, "never ready")
+	case <-time.After(timeout):
+		require.Fail(t, "the process did not become ready")
 		return 0
 	}
 }
@@ -145,30 +146,30 @@
 	select {
 	case err := <-d.ended:
 		assert.NoError(t, err, "%s", d.log)
-	case <-time.After(patience):
-		require.Fail(t, "never ended")
+	case <-time.After(timeout):
+		require.Fail(t, "the process did not exit")
 	}
 }
 
-// Signals in any order, twice, and at once: what was taken is answered, what comes in the time after is served, and the
-// process ends by itself with no fault.
+// Signals in any order, repeated or in quick succession: accepted requests are answered, requests during the linger period are
+// served, and the process exits without an error.
 func TestSignalsInAnyOrder(t *testing.T) {
 	const term, hup = syscall.SIGTERM, syscall.SIGHUP
-	for name, all := range map[string][]syscall.Signal{"once": {term}, "twice": {term, term}, "read again first": {hup, term},
-		"read again after": {term, hup}, "all of them": {hup, term, hup, term, term, hup}} {
+	for name, all := range map[string][]syscall.Signal{"once": {term}, "twice": {term, term}, "reload first": {hup, term},
+		"reload after": {term, hup}, "mixed": {hup, term, hup, term, term, hup}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := placed(t, tells)
+			p := newEnvironment(t, listing)
 			d := p.start(t)
 			d.isReady(t)
 			nc, err := net.Dial("tcp", d.addr)
 			require.NoError(t, err)
 			defer nc.Close()
 			io.WriteString(nc, "GET /look?key=0000000000000001 HTTP/1.1\r\nHost: d\r\nX-Txn: a1\r\nX-Tariff: team\r\nX-Remaining: 2000m\r\nX-Weight: units=1,spread=1,first=0\r\n\r\n")
-			<-p.came
+			<-p.arrived
 			d.signals(t, all...)
-			close(p.may)
-			nc.SetReadDeadline(time.Now().Add(patience))
+			close(p.release)
+			nc.SetReadDeadline(time.Now().Add(timeout))
 			res, err := http.ReadResponse(bufio.NewReader(nc), nil)
 			require.NoError(t, err, "%s", d.log)
 			assert.Equal(t, http.StatusOK, res.StatusCode)
@@ -177,17 +178,17 @@
 	}
 }
 
-// SIGTERM before the door can serve: discovery has taken its call and says nothing.
+// SIGTERM before the door is ready: discovery has accepted the connection and sends nothing.
 func TestSIGTERMBeforeReady(t *testing.T) {
 	called := make(chan struct{}, 99)
-	p := placed(t, func(string) func(net.Conn) {
+	p := newEnvironment(t, func(string) func(net.Conn) {
 		return func(nc net.Conn) { called <- struct{}{} }
 	})
 	d := p.start(t)
 	select {
 	case <-called:
-	case <-time.After(patience):
-		require.Fail(t, "never called")
+	case <-time.After(timeout):
+		require.Fail(t, "discovery was not called")
 	}
 	d.signals(t, syscall.SIGTERM)
 	d.hasEnded(t)
@@ -195,10 +196,10 @@
 	assert.False(t, was)
 }
 
-// A file that can't be used leaves all as it was on SIGHUP, and the log names the key.
-func TestAFileThatCannotBeUsedIsNotTaken(t *testing.T) {
-	p := placed(t, tells)
-	close(p.may)
+// On SIGHUP an invalid file leaves the configuration unchanged, and the log names the key.
+func TestAnInvalidFileIsNotApplied(t *testing.T) {
+	p := newEnvironment(t, listing)
+	close(p.release)
 	d := p.start(t)
 	d.isReady(t)
 	raw, err := os.ReadFile(p.file)
@@ -218,25 +219,25 @@
 	assert.Contains(t, d.log.String(), `settings.profiles[1].window`)
 }
 
-// Nine in ten restarted processes are ready within 10 s: singly and thirty at once, with discovery up, slow, and down for 8 s
-// into their start. Run with -restarts 100 it measures; without, it looks at a few.
+// Nine in ten restarted processes are ready within 10 s, one at a time or thirty at once, with discovery up, slow, or down for
+// the first 8 s of the start. With -restarts 100 the test measures; by default it runs only a few restarts.
 func TestRestartedProcessesAreReadyInTime(t *testing.T) {
 	const slow, down, most = 2 * time.Second, 8 * time.Second, 10 * time.Second
 	after := func(wait time.Duration) func(string) func(net.Conn) {
 		return func(backend string) func(net.Conn) {
 			back := time.Now().Add(wait)
 			return func(nc net.Conn) {
-				if time.Now().Before(back) { // it takes the call, and never answers it
+				if time.Now().Before(back) { // the connection is accepted and never answered
 					return
 				}
-				tells(backend)(nc)
+				listing(backend)(nc)
 			}
 		}
 	}
 	slowly := func(backend string) func(net.Conn) {
 		return func(nc net.Conn) {
 			time.Sleep(slow / 4)
-			tells(backend)(nc)
+			listing(backend)(nc)
 		}
 	}
 	all, crowd := *restarts, 30
@@ -246,9 +247,9 @@
 	for _, c := range []struct {
 		name      string
 		discovery func(string) func(net.Conn)
-		at        int // once
+		at        int // number of processes started at once
 		n         int
-	}{{"up, singly", tells, 1, all}, {"up, at once", tells, crowd, all}, {"slow, at once", slowly, crowd, all},
+	}{{"up, singly", listing, 1, all}, {"up, at once", listing, crowd, all}, {"slow, at once", slowly, crowd, all},
 		{"down for 8 s, at once", nil, crowd, all}} {
 		t.Run(c.name, func(t *testing.T) {
 			var took []time.Duration
@@ -257,7 +258,7 @@
 				if with == nil {
 					with = after(down)
 				}
-				p := placed(t, with)
+				p := newEnvironment(t, with)
 				var mu sync.Mutex
 				var wait sync.WaitGroup
 				for range min(c.at, c.n-len(took)) {
@@ -265,7 +266,7 @@
 					wait.Go(func() {
 						one, is := <-d.ready
 						if !is {
-							one = patience
+							one = timeout
 						}
 						mu.Lock()
 						took = append(took, one)
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -1,4 +1,4 @@
-// Package serving is one front door as a program: configuration, log, limits, signals, and what runs beside it.
+// Package serving runs one front door as a process: configuration, log, resource limits, signals and companion tasks.
 package serving
 
 import (
@@ -21,23 +21,23 @@
 	"github.com/swifthall/swifthall/policy"
 )
 
-// Times in which what fails for a moment is tried again.
+// Periods for which transient errors are retried.
 const (
-	startMost  = 3 * time.Second // of what a start needs, before it listens: a restarted process is to be ready within 10 s
-	reloadMost = 4 * time.Second // of a new configuration, which counts so long after SIGHUP
+	startRetryFor  = 3 * time.Second // before the door listens; a restarted process must be ready within 10 s
+	reloadRetryFor = 4 * time.Second // of reading a new configuration, which must apply within that time after SIGHUP
 )
 
-// Load reads the configuration that the environment names, again where that fails for a moment.
+// Load reads the configuration that the environment names, and retries transient errors.
 func Load(ctx context.Context) (config.Door, error) {
-	return retry.Within(ctx, startMost, func() (config.Door, error) { return config.Load(os.Getenv) })
+	return retry.Within(ctx, startRetryFor, func() (config.Door, error) { return config.Load(os.Getenv) })
 }
 
-// Beside is what runs beside a door that serves, until ctx ends and it has said what it has to say.
-type Beside func(ctx context.Context, cfg config.Door, door *frontdoor.Door, log logrus.FieldLogger) error
+// Companion runs beside a serving door until ctx ends. It may delay its return to send its last messages.
+type Companion func(ctx context.Context, cfg config.Door, door *frontdoor.Door, log logrus.FieldLogger) error
 
-// Door is one front door from its start to its end. before sees the configuration first, and may go over into another
-// program; what runs beside the door is started with it. Both may be nil. The door serves whatever becomes of the latter.
-func Door(l Log, before func(config.Door) error, beside Beside) error {
+// Door runs one front door until it is told to stop. before is called with the configuration and may replace the process by
+// another program. The companion is started with the door; if it fails, the door goes on serving. Both may be nil.
+func Door(l Log, before func(config.Door) error, companion Companion) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	log, flush := NewLog()
@@ -56,8 +56,8 @@
 			return err
 		}
 	}
-	for _, odd := range cfg.Odd {
-		log.Warn(odd)
+	for _, warning := range cfg.Odd {
+		log.Warn(warning)
 	}
 	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
 	if cfg.MemoryMB > 0 {
@@ -66,12 +66,12 @@
 	decider := policy.New(cfg.Deal.Terms, cfg.Seed)
 	decider.Watch(cfg.Watch)
 	door := frontdoor.New(cfg, decider, log)
-	if err := handedOver(ctx, door); err != nil {
+	if err := inheritDescriptors(ctx, door); err != nil {
 		return err
 	}
 	go func() {
 		for range hup {
-			next, err := retry.Within(ctx, reloadMost, func() (config.Door, error) { return config.Again(os.Getenv) })
+			next, err := retry.Within(ctx, reloadRetryFor, func() (config.Door, error) { return config.Reload(os.Getenv) })
 			if err != nil {
 				log.WithError(err).Error("configuration left as it was")
 			} else {
@@ -79,19 +79,19 @@
 			}
 		}
 	}()
-	if beside == nil {
+	if companion == nil {
 		return door.Serve(ctx)
 	}
 	over := make(chan struct{})
-	with, end := context.WithCancel(ctx)
+	running, end := context.WithCancel(ctx)
 	go func() {
 		defer close(over)
-		if err := beside(with, cfg, door, log); err != nil {
+		if err := companion(running, cfg, door, log); err != nil {
 			entry := log.WithError(err)
 			for _, what := range remedy.Of(err) {
 				entry = entry.WithField(fields.Remedy, what)
 			}
-			entry.Error("the door serves by itself")
+			entry.Error("companion failed; the door goes on serving without it")
 		}
 	}()
 	err = door.Serve(ctx)
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -11,13 +11,13 @@
 	"github.com/swifthall/swifthall/config"
 )
 
-func TestFlagsWinOverTheFilesLog(t *testing.T) {
-	of, err := Log{Format: "json"}.over(config.Log{Level: "warn", Format: "text"})
+func TestFlagsOverrideTheLogConfiguration(t *testing.T) {
+	cfg, err := Log{Format: "json"}.override(config.Log{Level: "warn", Format: "text"})
 	require.NoError(t, err)
 	log := logrus.New()
 	var out bytes.Buffer
 	log.SetOutput(&out)
-	apply(log, of)
+	apply(log, cfg)
 	log.Info("quiet")
 	log.Warn("loud")
 	assert.NotContains(t, out.String(), "quiet")
--- a/internal/serving/version.go
+++ b/internal/serving/version.go
@@ -5,7 +5,7 @@
 	"runtime/debug"
 )
 
-// Version is the module's, with the commit that it was built from.
+// Version returns the version of the module, the commit it was built from and the Go version.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("swifthall %s%s, %s", info.Main.Version, rev, info.GoVersion)
 }
 
-// Release is the version in few bytes, for others to see.
+// Release returns a short version for other members of the fleet to show: the abbreviated commit, else the module version.
 func Release() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
