--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -8,73 +8,74 @@
 
 const msPerSecond = 1000
 
-// fields reads the fields of one message; the first fault sticks.
+// fields decodes the fields of one message and keeps the first error.
 type fields struct {
-	m     map[string]json.RawMessage
-	fault error
+	m   map[string]json.RawMessage
+	err error
 }
 
-func read[T any](f *fields, name string, required bool) (v T) {
+func decode[T any](f *fields, name string, mandatory bool) (v T) {
 	raw, ok := f.m[name]
 	if !ok || string(raw) == "null" {
-		if required && f.fault == nil {
-			f.fault = &FieldError{Field: name, Says: "is missing"}
+		if mandatory && f.err == nil {
+			f.err = &FieldError{Field: name, Reason: "is missing"}
 		}
 		return v
 	}
-	if err := json.Unmarshal(raw, &v); err != nil && f.fault == nil {
-		f.fault = &FieldError{Field: name, Says: "has the wrong type", Cause: err}
+	if err := json.Unmarshal(raw, &v); err != nil && f.err == nil {
+		f.err = &FieldError{Field: name, Reason: "has the wrong type", Cause: err}
 	}
 	return v
 }
 
-func need[T any](f *fields, name string) T  { return read[T](f, name, true) }
-func maybe[T any](f *fields, name string) T { return read[T](f, name, false) }
+func required[T any](f *fields, name string) T { return decode[T](f, name, true) }
+func optional[T any](f *fields, name string) T { return decode[T](f, name, false) }
 
 func (f *fields) fail(name string, format string, args ...any) {
-	if f.fault == nil {
-		f.fault = &FieldError{Field: name, Says: fmt.Sprintf(format, args...)}
+	if f.err == nil {
+		f.err = &FieldError{Field: name, Reason: fmt.Sprintf(format, args...)}
 	}
 }
 
-// choice looks a word of the wire up in a table.
-func choice[T any](f *fields, name string, table map[string]T) T {
-	word := need[string](f, name)
-	v, ok := table[word]
+// lookup translates an enumerated value with a table.
+func lookup[T any](f *fields, name string, table map[string]T) T {
+	value := required[string](f, name)
+	v, ok := table[value]
 	if !ok {
-		f.fail(name, "unknown word %q", word)
+		f.fail(name, "unknown value %q", value)
 	}
 	return v
 }
 
-// part is what one batch holds for one door.
+// part is the share of a batch that is addressed to one door.
 type part struct {
 	door int
 	in   []message
 }
 
+// message is one named event.
 type message struct {
 	name string
 	fields
 }
 
-// parseBatch reads one input line.
+// parseBatch parses one line of input. The returned time is in ms.
 func parseBatch(line []byte) (now float64, parts []part, err error) {
 	top := fields{}
 	if err := json.Unmarshal(line, &top.m); err != nil {
-		return 0, nil, &FieldError{Says: "not a JSON object", Cause: err}
+		return 0, nil, &FieldError{Reason: "not a JSON object", Cause: err}
 	}
-	now = need[float64](&top, "t") * msPerSecond
-	raws := need[[]map[string]json.RawMessage](&top, "parts")
-	if top.fault != nil {
-		return 0, nil, top.fault
+	now = required[float64](&top, "t") * msPerSecond
+	raws := required[[]map[string]json.RawMessage](&top, "parts")
+	if top.err != nil {
+		return 0, nil, top.err
 	}
 	for i, raw := range raws {
 		pf := fields{m: raw}
-		p := part{door: need[int](&pf, "door_id")}
-		msgs := need[[]map[string]json.RawMessage](&pf, "in")
-		if pf.fault != nil {
-			return 0, nil, at(pf.fault, "part %d", i)
+		p := part{door: required[int](&pf, "door_id")}
+		msgs := required[[]map[string]json.RawMessage](&pf, "in")
+		if pf.err != nil {
+			return 0, nil, atPosition(pf.err, "part %d", i)
 		}
 		for _, msg := range msgs {
 			if len(msg) != 1 {
@@ -83,12 +84,12 @@
 					names = append(names, name)
 				}
 				sort.Strings(names)
-				return 0, nil, at(&FieldError{Says: fmt.Sprintf("an event needs one name, got %q", names)}, "door %d", p.door)
+				return 0, nil, atPosition(&FieldError{Reason: fmt.Sprintf("an event must have exactly one name, got %q", names)}, "door %d", p.door)
 			}
 			for name, body := range msg {
 				m := message{name: name}
 				if err := json.Unmarshal(body, &m.m); err != nil {
-					return 0, nil, at(&FieldError{Field: name, Says: "is not an object", Cause: err}, "door %d: event %s", p.door, name)
+					return 0, nil, atPosition(&FieldError{Field: name, Reason: "is not an object", Cause: err}, "door %d: event %s", p.door, name)
 				}
 				p.in = append(p.in, m)
 			}
--- a/internal/wire/door.go
+++ b/internal/wire/door.go
@@ -9,38 +9,38 @@
 	"github.com/swifthall/swifthall/internal/index"
 )
 
-// door holds the ids of one instance; only the decider knows what they mean.
+// door holds the decider of one door and maps the ids of the protocol to the indices that the decider uses.
 type door struct {
 	decider                                gate.Decider
 	pending                                []gate.Event
-	deal                                   config.Deal
+	settings                               config.Deal
 	ops, backends, customers, zones, cells index.Table[string]
-	out                                    []int  // attempts outstanding, by request
-	over                                   []bool // final answer known, by request
-	counts                                 map[uint64]*counting
-	closing                                []int // requests that may be droppable at the end of the batch
+	outstanding                            []int  // number of outstanding attempts, by request
+	finished                               []bool // the final outcome is known, by request
+	counts                                 map[uint64]*pendingCount
+	releasable                             []int // requests whose index may be released at the end of the batch
 }
 
-func newDoor(deal config.Deal) *door {
-	return &door{deal: deal, ops: index.New[string](), backends: index.New[string](),
+func newDoor(settings config.Deal) *door {
+	return &door{settings: settings, ops: index.New[string](), backends: index.New[string](),
 		customers: index.New[string](), zones: index.New[string](), cells: index.New[string](),
-		counts: map[uint64]*counting{}}
+		counts: map[uint64]*pendingCount{}}
 }
 
-// endBatch frees the indices of requests that are over with nothing outstanding.
+// endBatch releases the indices of finished requests without outstanding attempts.
 func (d *door) endBatch() {
 	d.pending = d.pending[:0]
-	for _, op := range d.closing {
-		if d.ops.ID(op) != "" && d.over[op] && d.out[op] == 0 {
+	for _, op := range d.releasable {
+		if d.ops.ID(op) != "" && d.finished[op] && d.outstanding[op] == 0 {
 			d.ops.Drop(op)
 		}
 	}
-	d.closing = d.closing[:0]
+	d.releasable = d.releasable[:0]
 }
 
-func (d *door) end(op int) {
-	d.over[op] = true
-	d.closing = append(d.closing, op)
+func (d *door) finish(op int) {
+	d.finished[op] = true
+	d.releasable = append(d.releasable, op)
 }
 
 var results = map[string]gate.Result{
@@ -51,7 +51,7 @@
 
 var statuses = map[string]gate.Status{"U": gate.Up, "L": gate.Draining, "D": gate.Gone}
 
-// events translates each event of the wire; nil means that there is nothing to pass on.
+// events maps the name of an event to the function that decodes it. A nil event is not passed to the decider.
 var events = map[string]func(*door, *fields) gate.Event{
 	"UPDATE":     (*door).fleet,
 	"SUBMIT":     (*door).submit,
@@ -60,118 +60,118 @@
 	"VANISHED":   (*door).vanished,
 	"BELL":       func(*door, *fields) gate.Event { return gate.Woken{} },
 	"PROBE_DONE": func(d *door, f *fields) gate.Event {
-		return gate.Probed{Backend: d.backend(f), Result: choice(f, "outcome", results),
-			Latency: maybe[float64](f, "latency") * msPerSecond}
+		return gate.Probed{Backend: d.backend(f), Result: lookup(f, "outcome", results),
+			Latency: optional[float64](f, "latency") * msPerSecond}
 	},
-	"HEARD": func(*door, *fields) gate.Event { return nil }, // the decisions write to no other door
-	"TOTAL": (*door).counted,
+	"HEARD": func(*door, *fields) gate.Event { return nil }, // the decider sends no messages to other doors
+	"TOTAL": (*door).counterReply,
 }
 
 func (d *door) backend(f *fields) int {
-	id := need[string](f, "backend")
+	id := required[string](f, "backend")
 	i, ok := d.backends.Find(id)
 	if !ok {
-		f.fail("backend", "%q was never listed", id)
+		f.fail("backend", "%q is not on the fleet list", id)
 	}
 	return i
 }
 
-// op finds a request; known is false for one already dropped.
+// op returns the index of a request; known is false if the index has been released.
 func (d *door) op(f *fields) (i int, known bool) {
-	i, known = d.ops.Find(need[string](f, "op_id"))
+	i, known = d.ops.Find(required[string](f, "op_id"))
 	return i, known
 }
 
 func (d *door) fleet(f *fields) gate.Event {
 	ev := gate.Fleet{}
-	switch how := need[string](f, "how"); how {
+	switch how := required[string](f, "how"); how {
 	case "Partial":
 	case "Complete", "Persisted":
 		ev.Complete = true
 	case "Error":
 		return gate.Fleet{Failed: true}
 	default:
-		f.fail("how", "unknown word %q", how)
+		f.fail("how", "unknown value %q", how)
 	}
-	for _, raw := range maybe[[]map[string]json.RawMessage](f, "nodes_list") {
+	for _, raw := range optional[[]map[string]json.RawMessage](f, "nodes_list") {
 		ef := fields{m: raw}
-		name := need[string](&ef, "backend")
+		name := required[string](&ef, "backend")
 		e := gate.Entry{Backend: d.backends.Add(name), Mark: index.Mark(name),
-			Zone:   d.zones.Add(maybe[string](&ef, "dc")),
-			Cell:   d.cells.Add(fmt.Sprint(maybe[int64](&ef, "stripe"))),
-			Status: choice(&ef, "status", statuses),
-			Since:  maybe[float64](&ef, "online_since") * msPerSecond,
-			Size:   maybe[float64](&ef, "units")}
-		if ef.fault != nil && f.fault == nil {
-			f.fault = at(ef.fault, "nodes_list")
+			Zone:   d.zones.Add(optional[string](&ef, "dc")),
+			Cell:   d.cells.Add(fmt.Sprint(optional[int64](&ef, "stripe"))),
+			Status: lookup(&ef, "status", statuses),
+			Since:  optional[float64](&ef, "online_since") * msPerSecond,
+			Size:   optional[float64](&ef, "units")}
+		if ef.err != nil && f.err == nil {
+			f.err = atPosition(ef.err, "nodes_list")
 		}
 		ev.Entries = append(ev.Entries, e)
 	}
 	return ev
 }
 
-const markRepeat = 2 // the bit of a client's repeat
+const repeatMark = 2 // bit that marks a request as a repeat by the client
 
 func (d *door) submit(f *fields) gate.Event {
-	id := need[string](f, "op_id")
-	ev := gate.Request{TTL: need[float64](f, "ttl") * msPerSecond, Units: need[float64](f, "cost_units"),
-		Repeat: maybe[int](f, "marks")&markRepeat != 0, First: maybe[int](f, "first_door"), Spread: need[int](f, "spread"),
-		Class: choice(f, "kind", d.deal.Classes), Plan: choice(f, "tier", d.deal.Plans)}
-	customer := need[string](f, "customer")
-	if f.fault != nil {
+	id := required[string](f, "op_id")
+	ev := gate.Request{TTL: required[float64](f, "ttl") * msPerSecond, Units: required[float64](f, "cost_units"),
+		Repeat: optional[int](f, "marks")&repeatMark != 0, First: optional[int](f, "first_door"), Spread: required[int](f, "spread"),
+		Class: lookup(f, "kind", d.settings.Classes), Plan: lookup(f, "tier", d.settings.Plans)}
+	customer := required[string](f, "customer")
+	if f.err != nil {
 		return nil
 	}
 	ev.Op, ev.Customer = d.ops.Add(id), d.customers.Add(customer)
 	ev.Phase = index.Phase(countName(customer, 0))
-	for len(d.out) <= ev.Op {
-		d.out, d.over = append(d.out, 0), append(d.over, false)
+	for len(d.outstanding) <= ev.Op {
+		d.outstanding, d.finished = append(d.outstanding, 0), append(d.finished, false)
 	}
-	d.out[ev.Op], d.over[ev.Op] = 0, false
+	d.outstanding[ev.Op], d.finished[ev.Op] = 0, false
 	return ev
 }
 
 func (d *door) done(f *fields) gate.Event {
 	op, known := d.op(f)
-	ev := gate.Ended{Op: op, Attempt: need[int](f, "send_no"), Backend: d.backend(f),
-		Result: choice(f, "outcome", results), Latency: need[float64](f, "latency") * msPerSecond,
-		Over: maybe[bool](f, "over"), Use: (maybe[float64](f, "fleet_use") - 1) / 100,
-		Units: maybe[float64](f, "final_units")}
+	ev := gate.Ended{Op: op, Attempt: required[int](f, "send_no"), Backend: d.backend(f),
+		Result: lookup(f, "outcome", results), Latency: required[float64](f, "latency") * msPerSecond,
+		Over: optional[bool](f, "over"), Use: (optional[float64](f, "fleet_use") - 1) / 100,
+		Units: optional[float64](f, "final_units")}
 	var err error
-	if ev.Queue, err = d.deal.Queue(maybe[[]float64](f, "telemetry")); err != nil {
+	if ev.Queue, err = d.settings.Queue(optional[[]float64](f, "telemetry")); err != nil {
 		f.fail("telemetry", "%v", err)
 	}
 	if !known {
-		f.fail("op_id", "unknown operation")
+		f.fail("op_id", "unknown request")
 	}
-	if f.fault != nil {
+	if f.err != nil {
 		return nil
 	}
-	d.out[op]--
+	d.outstanding[op]--
 	if ev.Over {
-		d.over[op] = true
+		d.finished[op] = true
 	}
-	d.closing = append(d.closing, op)
+	d.releasable = append(d.releasable, op)
 	return ev
 }
 
-// countName names a customer's number for an epoch, the same at every door.
+// countName returns the shared counter's key for a customer and an epoch. It is the same at every door.
 func countName(customer string, epoch int64) uint64 {
 	return index.Hash(fmt.Sprintf("%s/%d", customer, epoch)) >> 1
 }
 
-// counting is a customer's number that was called for and not yet answered.
-type counting struct {
+// pendingCount tracks counter calls for one customer and epoch that are not answered yet.
+type pendingCount struct {
 	customer string
 	epoch    int64
 	calls    int
 }
 
-func (d *door) counted(f *fields) gate.Event {
-	name := need[uint64](f, "cname")
-	ev := gate.Counted{Result: choice(f, "outcome", results), Total: maybe[float64](f, "total")}
+func (d *door) counterReply(f *fields) gate.Event {
+	name := required[uint64](f, "cname")
+	ev := gate.Counted{Result: lookup(f, "outcome", results), Total: optional[float64](f, "total")}
 	c, called := d.counts[name]
 	if !called {
-		f.fail("cname", "was never called for")
+		f.fail("cname", "no call is outstanding for it")
 		return nil
 	}
 	if c.calls--; c.calls == 0 {
@@ -185,11 +185,11 @@
 	return ev
 }
 
-func (d *door) count(a gate.Count) map[string]any {
+func (d *door) counterCall(a gate.Count) map[string]any {
 	id := d.customers.ID(a.Customer)
 	name := countName(id, a.Epoch)
 	if d.counts[name] == nil {
-		d.counts[name] = &counting{customer: id, epoch: a.Epoch}
+		d.counts[name] = &pendingCount{customer: id, epoch: a.Epoch}
 	}
 	d.counts[name].calls++
 	return map[string]any{"INCR": map[string]any{"cname": name, "qty": a.Add, "keep_for": a.Keep / msPerSecond}}
@@ -197,7 +197,7 @@
 
 func (d *door) streaming(f *fields) gate.Event {
 	op, known := d.op(f)
-	ev := gate.Streaming{Op: op, Attempt: need[int](f, "send_no")}
+	ev := gate.Streaming{Op: op, Attempt: required[int](f, "send_no")}
 	if !known {
 		return nil
 	}
@@ -209,15 +209,15 @@
 	if !known {
 		return nil
 	}
-	d.end(op)
+	d.finish(op)
 	return gate.Vanished{Op: op}
 }
 
-// action words one action for the wire; nil where it concerns only the indices kept here.
-func (d *door) action(a gate.Action) map[string]any {
+// encode encodes an action for the simulator. It returns nil if the simulator needs no message.
+func (d *door) encode(a gate.Action) map[string]any {
 	switch a := a.(type) {
 	case gate.Send:
-		d.out[a.Op]++
+		d.outstanding[a.Op]++
 		body := map[string]any{"op_id": d.ops.ID(a.Op), "backend": d.backends.ID(a.Backend)}
 		if a.Cap > 0 {
 			body["cap"] = a.Cap / msPerSecond
@@ -226,21 +226,21 @@
 	case gate.Cancel:
 		return map[string]any{"ABANDON": map[string]any{"op_id": d.ops.ID(a.Op), "send_no": a.Attempt}}
 	case gate.Reject:
-		d.end(a.Op)
+		d.finish(a.Op)
 		body := map[string]any{"op_id": d.ops.ID(a.Op)}
 		if a.RetryAfter > 0 {
 			body["not_before_for"] = a.RetryAfter / msPerSecond
 		}
 		return map[string]any{"REFUSE": body}
 	case gate.Fail:
-		d.end(a.Op)
+		d.finish(a.Op)
 		return map[string]any{"LOSE": map[string]any{"op_id": d.ops.ID(a.Op)}}
 	case gate.Wake:
 		return map[string]any{"SCHEDULE": map[string]any{"when": a.At / msPerSecond, "cookie": 0}}
 	case gate.Probe:
 		return map[string]any{"SOUND_OUT": map[string]any{"backend": d.backends.ID(a.Backend)}}
 	case gate.Count:
-		return d.count(a)
+		return d.counterCall(a)
 	case gate.Track:
 		return map[string]any{"TRACK": map[string]any{"enable": true}}
 	case gate.Forget:
@@ -249,10 +249,10 @@
 	case gate.Delist:
 		d.backends.Drop(a.Backend)
 		return nil
-	case gate.Differs: // nothing on the wire words it
+	case gate.Differs: // the protocol has no message for it
 		return nil
 	case gate.Log:
 		return map[string]any{"DEBUG": map[string]any{"body_text": a.Text}}
 	}
-	panic(fmt.Sprintf("no word for action %T", a))
+	panic(fmt.Sprintf("no encoding for action %T", a))
 }
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -6,46 +6,47 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// PlaceError is where on the wire something went wrong.
-type PlaceError struct {
-	At    string // a line, a door, an event
+// PositionError is an error with the position in the input or output where it occurred.
+type PositionError struct {
+	At    string // a line, a door or an event
 	Cause error
 }
 
-func (e *PlaceError) Error() string     { return remedy.Because(e.At, e.Cause) }
-func (e *PlaceError) Unwrap() error     { return e.Cause }
-func (e *PlaceError) Kind() remedy.Kind { return remedy.Refused }
+func (e *PositionError) Error() string     { return remedy.Because(e.At, e.Cause) }
+func (e *PositionError) Unwrap() error     { return e.Cause }
+func (e *PositionError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy holds where no FieldError stands within.
-func (e *PlaceError) Remedy() string {
-	return "Compare what the simulator sent in that place with its page on the wire; the adapter has ended."
+// Remedy applies if the cause is not a FieldError.
+func (e *PositionError) Remedy() string {
+	return "Compare what the simulator sent at that position with the simulator's protocol documentation; the adapter has exited."
 }
 
-func at(cause error, format string, args ...any) error {
-	return &PlaceError{fmt.Sprintf(format, args...), cause}
+// atPosition wraps an error with a position.
+func atPosition(cause error, format string, args ...any) error {
+	return &PositionError{fmt.Sprintf(format, args...), cause}
 }
 
-// FieldError is a message of the simulator that can't be read.
+// FieldError is an invalid message from the simulator.
 type FieldError struct {
-	Field string // empty for the whole message
-	Says  string
-	Cause error
+	Field  string // empty for the whole message
+	Reason string
+	Cause  error
 }
 
 func (e *FieldError) Error() string {
-	says := remedy.Because(e.Says, e.Cause)
+	text := remedy.Because(e.Reason, e.Cause)
 	switch {
 	case e.Field == "":
-		return says
-	case e.Cause == nil && e.Says == "is missing", e.Cause != nil:
-		return fmt.Sprintf("field %q %s", e.Field, says)
+		return text
+	case e.Cause == nil && e.Reason == "is missing", e.Cause != nil:
+		return fmt.Sprintf("field %q %s", e.Field, text)
 	}
-	return fmt.Sprintf("field %q: %s", e.Field, says)
+	return fmt.Sprintf("field %q: %s", e.Field, text)
 }
 func (e *FieldError) Unwrap() error     { return e.Cause }
 func (e *FieldError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy names the field.
 func (e *FieldError) Remedy() string {
-	return fmt.Sprintf("Compare the field %q with the simulator's page on the wire; the adapter may be older than the simulator.", e.Field)
+	return fmt.Sprintf("Compare the field %q with the simulator's protocol documentation; the adapter may be older than the simulator.", e.Field)
 }
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -1,5 +1,5 @@
-// Package wire speaks the simulator's wire: it reads batches, maps their ids to small indices, hosts
-// the doors' deciders and writes their actions. It decides nothing.
+// Package wire implements the simulator's protocol. It reads batches of events, maps ids to small indices, passes the events to
+// one decider per door and writes the deciders' actions. It makes no decisions itself.
 package wire
 
 import (
@@ -14,29 +14,31 @@
 	"github.com/swifthall/swifthall/gate"
 )
 
-// Host serves any number of doors, which share nothing.
+// Host serves any number of doors, which share no state.
 type Host struct {
-	log     io.Writer
-	build   func(gate.Terms, uint64) gate.Decider
-	doors   map[int]*door
-	unknown map[string]bool
+	log        io.Writer
+	newDecider func(gate.Terms, uint64) gate.Decider
+	doors      map[int]*door
+	unknown    map[string]bool
 }
 
-// NewHost returns a host that builds a decider for each door born and reports oddities on log.
-func NewHost(log io.Writer, build func(gate.Terms, uint64) gate.Decider) *Host {
-	return &Host{log: log, build: build, doors: map[int]*door{}, unknown: map[string]bool{}}
+// NewHost returns a host that creates a decider for each door that is started and writes warnings to log.
+func NewHost(log io.Writer, newDecider func(gate.Terms, uint64) gate.Decider) *Host {
+	return &Host{log: log, newDecider: newDecider, doors: map[int]*door{}, unknown: map[string]bool{}}
 }
 
+// outPart holds the actions of one door.
 type outPart struct {
 	Door int              `json:"door_id"`
 	Out  []map[string]any `json:"out"`
 }
 
+// reply is the response to one batch.
 type reply struct {
 	Parts []outPart `json:"parts"`
 }
 
-// Serve answers batches until the input ends.
+// Serve replies to each batch until the input ends.
 func (h *Host) Serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriter(out)
 	enc := json.NewEncoder(w)
@@ -44,19 +46,19 @@
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
 		if err != nil && !errors.Is(err, io.EOF) {
-			return at(err, "input line %d", n)
+			return atPosition(err, "input line %d", n)
 		}
 		ended := err != nil
 		if len(bytes.TrimSpace(line)) > 0 {
 			answer, err := h.batch(line)
 			if err != nil {
-				return at(err, "input line %d", n)
+				return atPosition(err, "input line %d", n)
 			}
 			if err := enc.Encode(answer); err != nil {
-				return at(err, "writing the reply to line %d", n)
+				return atPosition(err, "writing the reply to line %d", n)
 			}
 			if err := w.Flush(); err != nil {
-				return at(err, "writing the reply to line %d", n)
+				return atPosition(err, "writing the reply to line %d", n)
 			}
 		}
 		if ended {
@@ -65,6 +67,7 @@
 	}
 }
 
+// batch processes one batch.
 func (h *Host) batch(line []byte) (reply, error) {
 	now, parts, err := parseBatch(line)
 	if err != nil {
@@ -74,7 +77,7 @@
 	for _, p := range parts {
 		out, err := h.serve(now, p)
 		if err != nil {
-			return reply{}, at(err, "door %d", p.door)
+			return reply{}, atPosition(err, "door %d", p.door)
 		}
 		if len(out) > 0 {
 			answer.Parts = append(answer.Parts, outPart{p.door, out})
@@ -83,7 +86,7 @@
 	return answer, nil
 }
 
-// serve runs one door's part. A door may die and be born again within one part.
+// serve processes the events of one door. A door may be stopped and started again within one part.
 func (h *Host) serve(now float64, p part) ([]map[string]any, error) {
 	var out []map[string]any
 	d := h.doors[p.door]
@@ -91,17 +94,17 @@
 		m := &p.in[i]
 		switch m.name {
 		case "BORN":
-			seed, settings := need[uint64](&m.fields, "entropy"), need[json.RawMessage](&m.fields, "settings")
-			if m.fault != nil {
-				return nil, at(m.fault, "event BORN")
+			seed, encoded := required[uint64](&m.fields, "entropy"), required[json.RawMessage](&m.fields, "settings")
+			if m.err != nil {
+				return nil, atPosition(m.err, "event BORN")
 			}
-			deal, err := config.ReadDeal(settings)
+			settings, err := config.ReadDeal(encoded)
 			if err != nil {
-				return nil, at(err, "event BORN")
+				return nil, atPosition(err, "event BORN")
 			}
-			d = newDoor(deal)
+			d = newDoor(settings)
 			h.doors[p.door] = d
-			if text := guard(func() { d.decider = h.build(deal.Terms, seed) }); text != "" {
+			if text := guard(func() { d.decider = h.newDecider(settings.Terms, seed) }); text != "" {
 				return append(out, giveIn(text)), nil
 			}
 			continue
@@ -119,11 +122,11 @@
 			continue
 		}
 		if d == nil {
-			return nil, &FieldError{Says: fmt.Sprintf("event %s for a door that was never born", m.name)}
+			return nil, &FieldError{Reason: fmt.Sprintf("event %s for a door that was not started", m.name)}
 		}
 		ev := translate(d, &m.fields)
-		if m.fault != nil {
-			return nil, at(m.fault, "event %s", m.name)
+		if m.err != nil {
+			return nil, atPosition(m.err, "event %s", m.name)
 		}
 		if ev != nil {
 			d.pending = append(d.pending, ev)
@@ -137,7 +140,7 @@
 		return append(out, giveIn(text)), nil
 	}
 	for _, a := range actions {
-		if msg := d.action(a); msg != nil {
+		if msg := d.encode(a); msg != nil {
 			out = append(out, msg)
 		}
 	}
@@ -145,7 +148,7 @@
 	return out, nil
 }
 
-// guard turns a panic into its text.
+// guard calls f and returns the text of a panic, or an empty string.
 func guard(f func()) (text string) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -156,6 +159,7 @@
 	return ""
 }
 
+// giveIn encodes the message that reports a door's failure.
 func giveIn(text string) map[string]any {
 	return map[string]any{"GIVE_IN": map[string]any{"body_text": text}}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,10 +11,10 @@
 	"github.com/swifthall/swifthall/gate"
 )
 
-// scripted answers every batch with what its function says.
-type scripted func(now float64, events []gate.Event) []gate.Action
+// deciderFunc is a decider that calls a function for each batch.
+type deciderFunc func(now float64, events []gate.Event) []gate.Action
 
-func (s scripted) Decide(now float64, events []gate.Event) []gate.Action { return s(now, events) }
+func (s deciderFunc) Decide(now float64, events []gate.Event) []gate.Action { return s(now, events) }
 
 const born = `{"BORN":{"entropy":7,"settings":{"fleet_size":3,"my_number":1,` +
 	`"profiles":[{"name":"read","aim":0.5,"semantics":"idempotent"}],` +
@@ -30,7 +30,7 @@
 	return `{"t":8.5,"parts":[{"door_id":3,"in":[` + strings.Join(events, ",") + "]}]}\n"
 }
 
-func serve(s scripted, input string) (out, log string, err error) {
+func serve(s deciderFunc, input string) (out, log string, err error) {
 	var o, l bytes.Buffer
 	h := NewHost(&l, func(gate.Terms, uint64) gate.Decider { return s })
 	err = h.Serve(strings.NewReader(input), &o)
@@ -39,7 +39,7 @@
 
 func silent(float64, []gate.Event) []gate.Action { return nil }
 
-func TestEventsAndActionsCrossTheWire(t *testing.T) {
+func TestEventsAndActionsAreTranslated(t *testing.T) {
 	var got []gate.Event
 	out, _, err := serve(func(now float64, events []gate.Event) []gate.Action {
 		assert.Equal(t, 8500.0, now)
@@ -49,24 +49,24 @@
 	require.NoError(t, err)
 	require.Len(t, got, 2)
 	op := got[1].(gate.Request)
-	assert.True(t, op.Phase > 0 && op.Phase < 1, "of the customer's own")
+	assert.True(t, op.Phase > 0 && op.Phase < 1, "derived from the customer")
 	op.Phase = 0
 	assert.Equal(t, gate.Request{TTL: 240, Units: 2, Spread: 2}, op)
 	assert.JSONEq(t, `{"parts":[{"door_id":3,"out":[{"SUBMIT_TO":{"op_id":"x","backend":"10.0.0.1:80",`+
 		`"cap":0.08}},{"SCHEDULE":{"when":9,"cookie":0}},{"REFUSE":{"op_id":"x","not_before_for":0.25}}]}]}`, out)
 }
 
-func TestEmptyBatchAndRebirthInOneBatch(t *testing.T) {
-	births := 0
-	h := NewHost(&bytes.Buffer{}, func(gate.Terms, uint64) gate.Decider { births++; return scripted(silent) })
+func TestEmptyBatchAndRestartInOneBatch(t *testing.T) {
+	starts := 0
+	h := NewHost(&bytes.Buffer{}, func(gate.Terms, uint64) gate.Decider { starts++; return deciderFunc(silent) })
 	var out bytes.Buffer
 	input := "{\"t\":1,\"parts\":[]}\n" + batch(born, listed) + batch(`{"HALT":{}}`, born, listed)
 	require.NoError(t, h.Serve(strings.NewReader(input), &out))
-	assert.Equal(t, 2, births)
+	assert.Equal(t, 2, starts)
 	assert.Equal(t, strings.Repeat("{\"parts\":[]}\n", 3), out.String())
 }
 
-func TestLateOutcomeAfterTheEndIsDeliveredAndThenTheIdIsDropped(t *testing.T) {
+func TestLateOutcomeIsDeliveredAndThenTheIdIsReleased(t *testing.T) {
 	var got []gate.Event
 	done := `{"DONE":{"op_id":"x","send_no":0,"backend":"10.0.0.1:80","latency":0.1,` +
 		`"outcome":"ecanceled","over":true}}`
@@ -79,38 +79,38 @@
 		return nil
 	}, batch(born, listed, submit)+batch(done)+batch(vanished, `{"BELL":{"cookie":0}}`))
 	require.NoError(t, err)
-	assert.Equal(t, []gate.Event{gate.Woken{}}, got, "an id already dropped is passed over")
+	assert.Equal(t, []gate.Event{gate.Woken{}}, got, "events for a released id are ignored")
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestInvalidInputIsReported(t *testing.T) {
 	for name, c := range map[string]struct{ input, want string }{
 		"no JSON":       {"nonsense\n", "input line 1: not a JSON object"},
 		"no parts":      {"{\"t\":1}\n", `field "parts" is missing`},
 		"no door":       {`{"t":1,"parts":[{"in":[]}]}`, `field "door_id" is missing`},
 		"missing field": {batch(born, `{"SUBMIT":{"op_id":"x"}}`), `door 3: event SUBMIT: field "ttl" is missing`},
 		"wrong type":    {batch(born, `{"VANISHED":{"op_id":4}}`), `event VANISHED: field "op_id" has the wrong type`},
-		"never born":    {batch(`{"BELL":{"cookie":0}}`), "door 3: event BELL for a door that was never born"},
-		"unknown word":  {batch(born, `{"UPDATE":{"how":"Odd"}}`), `field "how": unknown word "Odd"`},
+		"not started":   {batch(`{"BELL":{"cookie":0}}`), "door 3: event BELL for a door that was not started"},
+		"unknown value": {batch(born, `{"UPDATE":{"how":"Odd"}}`), `field "how": unknown value "Odd"`},
 	} {
 		_, _, err := serve(silent, c.input)
 		assert.ErrorContains(t, err, c.want, name)
 	}
 }
 
-func TestUnknownEventIsNamedOnceAndUnknownKeysAreSkipped(t *testing.T) {
+func TestUnknownEventIsReportedOnceAndUnknownKeysAreSkipped(t *testing.T) {
 	_, log, err := serve(silent, batch(born, `{"NEWS":{}}`, `{"NEWS":{}}`, `{"BELL":{"cookie":0,"extra":1}}`))
 	require.NoError(t, err)
 	assert.Equal(t, 1, strings.Count(log, "NEWS"))
 }
 
-func TestPanicBecomesGiveIn(t *testing.T) {
+func TestPanicIsReportedAsGiveIn(t *testing.T) {
 	out, _, err := serve(func(float64, []gate.Event) []gate.Action { panic("broken") }, batch(born, listed))
 	require.NoError(t, err)
 	assert.JSONEq(t, `{"parts":[{"door_id":3,"out":[{"GIVE_IN":{"body_text":"panic: broken"}}]}]}`, out)
 }
 
-// A settings object and an answer of the new shape: units that are a guess, plans that earn beyond their quota, reports.
-func TestTheNewShapeCrossesTheWire(t *testing.T) {
+// Settings and results with estimated units, plans that earn beyond their quota, and load reports.
+func TestReportsAndEstimatedUnitsAreDecoded(t *testing.T) {
 	born := strings.Replace(strings.Replace(born, `"rate":2.0`, `"rate":2.0,"beyond_earns":0.3,"over_cost":1.2`, 1), `"profiles"`,
 		`"reporting":{"how":"inline","names":["recent_ms","utilization","backlog"]},"profiles"`, 1)
 	done := func(row string) string {
@@ -127,7 +127,7 @@
 	}
 	h := NewHost(&bytes.Buffer{}, func(terms gate.Terms, _ uint64) gate.Decider {
 		plan = terms.Plans[0]
-		return scripted(decide)
+		return deciderFunc(decide)
 	})
 	require.NoError(t, h.Serve(strings.NewReader(batch(born, listed, submit)+batch(done("[12.5,0.4,3]"))), &bytes.Buffer{}))
 	assert.Equal(t, gate.Plan{Rate: 0.002, Depth: 8, Beyond: 0.3, OverCost: 1.2}, plan)
