--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is what a running door tells of itself: a listener on loopback, net/http and JSON, and the client of it.
-// It tells, and changes one thing: what the door was ordered to do by plan is ended by hand.
+// Package admin serves the status of a running door as JSON over HTTP on a loopback address, and contains the client. The only
+// change that it allows is to end an order that the door received by plan.
 package admin
 
 import (
@@ -16,50 +16,50 @@
 	"github.com/swifthall/swifthall/fleet"
 )
 
-// MembersPath tells what a door holds of its fleet.
+// MembersPath serves a door's view of its fleet.
 const MembersPath = "/members"
 
 const (
-	patience = 2 * time.Second // of a question and its answer
-	mostBody = 8 << 20         // bytes of an answer; some tens of thousands of members
+	timeout = 2 * time.Second // of a request with its response
+	maxBody = 8 << 20         // bytes of a response; enough for some tens of thousands of members
 )
 
-// Members is what a door holds of its fleet, as JSON.
+// Members is a door's view of its fleet.
 type Members struct {
 	Self      string   `json:"self"`
 	Fleet     string   `json:"fleet"`
-	AloneMs   float64  `json:"alone_ms"`          // since any other was heard
-	StoppedMs float64  `json:"stopped_ms"`        // that the process was stopped in all
-	Refused   string   `json:"refused,omitempty"` // why the door is no member
+	AloneMs   float64  `json:"alone_ms"`          // time since a message from any other member
+	StoppedMs float64  `json:"stopped_ms"`        // total time for which the process was suspended
+	Refused   string   `json:"refused,omitempty"` // reason why the door is not a member
 	Remedy    string   `json:"remedy,omitempty"`
 	Members   []Member `json:"members"`
 }
 
-// Member is one row.
+// Member is the state of one member.
 type Member struct {
-	Name      string  `json:"name"`
-	Zone      string  `json:"zone"`
-	Number    int     `json:"number"`
-	Address   string  `json:"address"`
-	State     string  `json:"state"`
-	SinceMs   float64 `json:"since_ms"`
-	SeenBy    int     `json:"seen_by"`   // observers that don't doubt it
-	Observers int     `json:"observers"` // that it has
-	Life      uint32  `json:"life"`
-	Release   string  `json:"release"`
-	TripMs    float64 `json:"round_trip_ms"`     // 0 where this door doesn't look at it
-	Reached   *bool   `json:"reached,omitempty"` // by this door, where it looks at it
+	Name        string  `json:"name"`
+	Zone        string  `json:"zone"`
+	Number      int     `json:"number"`
+	Address     string  `json:"address"`
+	State       string  `json:"state"`
+	SinceMs     float64 `json:"since_ms"`
+	SeenBy      int     `json:"seen_by"`   // number of observers that do not suspect it
+	Observers   int     `json:"observers"` // number of its observers
+	Incarnation uint32  `json:"life"`
+	Release     string  `json:"release"`
+	RoundTripMs float64 `json:"round_trip_ms"`     // 0 if this door does not probe it
+	Reached     *bool   `json:"reached,omitempty"` // whether this door has recently received an answer from it; nil if this door does not probe it
 }
 
-// Word words what a door holds.
-func Word(v fleet.View) Members {
+// NewMembers converts a door's view of its fleet.
+func NewMembers(v fleet.View) Members {
 	m := Members{Self: v.Self, Fleet: v.Fleet, AloneMs: v.Alone, StoppedMs: v.Stopped, Members: []Member{}}
 	if v.Taken != nil {
 		m.Refused, m.Remedy = v.Taken.Error(), v.Taken.Remedy()
 	}
 	for _, r := range v.Rows {
 		row := Member{Name: r.Name, Zone: r.Zone, Number: r.Number, Address: r.Address, State: r.State.String(), SinceMs: r.Since,
-			SeenBy: max(0, r.Looks-r.Doubts), Observers: r.Looks, Life: r.Life, Release: r.Release, TripMs: r.Trip}
+			SeenBy: max(0, r.Looks-r.Doubts), Observers: r.Looks, Incarnation: r.Life, Release: r.Release, RoundTripMs: r.Trip}
 		if r.Observe {
 			reached := r.Reach
 			row.Reached = &reached
@@ -69,57 +69,57 @@
 	return m
 }
 
-// Paths of what a door does by plan.
+// Paths that concern the orders a door has received by plan.
 const (
 	PlanPath = "/plan"
-	BackPath = "/back" // POST: it comes back, whoever can't be reached
+	BackPath = "/back" // POST: the door returns to service even if no coordinator can be reached
 )
 
-// Plan is what a door was ordered to do, as JSON.
+// Plan describes the orders that a door has received.
 type Plan struct {
-	Out      bool     `json:"out"` // aside by order
+	Out      bool     `json:"out"` // the door is out of service by order
 	Number   uint64   `json:"number,omitempty"`
 	Who      string   `json:"who,omitempty"`
 	Why      string   `json:"why,omitempty"`
 	Withheld []string `json:"withheld"`
-	SilentMs float64  `json:"silent_ms"` // since a coordinator answered
+	SilentMs float64  `json:"silent_ms"` // time since a coordinator last answered
 }
 
-// Plans is a door's side of what the fleet agrees on.
+// Plans gives access to the orders of a door.
 type Plans interface {
 	Plan() Plan
 	Back()
 }
 
-// Handler answers questions from what view tells, and from plans where there are any.
+// Handler serves the status. plans may be nil; then only MembersPath is served.
 func Handler(view func() fleet.View, plans Plans) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+MembersPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(Word(view()))
+		_ = json.NewEncoder(w).Encode(NewMembers(view()))
 	})
 	if plans == nil {
 		return mux
 	}
-	tell := func(w http.ResponseWriter) {
+	writePlan := func(w http.ResponseWriter) {
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(plans.Plan())
 	}
-	mux.HandleFunc("GET "+PlanPath, func(w http.ResponseWriter, _ *http.Request) { tell(w) })
+	mux.HandleFunc("GET "+PlanPath, func(w http.ResponseWriter, _ *http.Request) { writePlan(w) })
 	mux.HandleFunc("POST "+BackPath, func(w http.ResponseWriter, _ *http.Request) {
 		plans.Back()
-		tell(w)
+		writePlan(w)
 	})
 	return mux
 }
 
-// Serve listens at a loopback address until ctx ends.
+// Serve serves the status on a loopback address until ctx ends.
 func Serve(ctx context.Context, address string, view func() fleet.View, plans Plans) error {
 	ln, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
 		return &ListenError{address, err}
 	}
-	srv := &http.Server{Handler: Handler(view, plans), ReadTimeout: patience, WriteTimeout: patience, IdleTimeout: patience}
+	srv := &http.Server{Handler: Handler(view, plans), ReadTimeout: timeout, WriteTimeout: timeout, IdleTimeout: timeout}
 	defer context.AfterFunc(ctx, func() { srv.Close() })()
 	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		return &ListenError{address, err}
@@ -127,68 +127,70 @@
 	return nil
 }
 
-// Ask asks a door whom it holds to be here.
+// Ask queries a door for its view of the fleet.
 func Ask(ctx context.Context, address string) (m Members, err error) {
-	err = ask(ctx, http.MethodGet, address, MembersPath, &m)
+	err = call(ctx, http.MethodGet, address, MembersPath, &m)
 	return m, err
 }
 
-// AskPlan asks a door what it was ordered to do.
-func AskPlan(ctx context.Context, address string) (p Plan, err error) {
-	err = ask(ctx, http.MethodGet, address, PlanPath, &p)
+// GetPlan queries a door for the orders it has received.
+func GetPlan(ctx context.Context, address string) (p Plan, err error) {
+	err = call(ctx, http.MethodGet, address, PlanPath, &p)
 	return p, err
 }
 
-// Back has a door come back from what it was ordered to do.
+// Back makes a door return to service, whatever it was ordered to do.
 func Back(ctx context.Context, address string) (p Plan, err error) {
-	err = ask(ctx, http.MethodPost, address, BackPath, &p)
+	err = call(ctx, http.MethodPost, address, BackPath, &p)
 	return p, err
 }
 
-func ask(ctx context.Context, method, address, path string, into any) error {
-	ctx, stop := context.WithTimeout(ctx, patience)
+// call sends a request to a door and decodes the response into the given value.
+func call(ctx context.Context, method, address, path string, into any) error {
+	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
 	if err != nil {
-		return &AskError{Address: address, Cause: err}
+		return &StatusError{Address: address, Cause: err}
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return &AskError{Address: address, Cause: err}
+		return &StatusError{Address: address, Cause: err}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return &AskError{Address: address, Says: resp.Status}
+		return &StatusError{Address: address, Reason: resp.Status}
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, mostBody)).Decode(into); err != nil {
-		return &AskError{Address: address, Says: "not a door's answer", Cause: err}
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxBody)).Decode(into); err != nil {
+		return &StatusError{Address: address, Reason: "not the response of a door", Cause: err}
 	}
 	return nil
 }
 
-// Print writes a table for people.
+// Print writes the members as a table.
 func (m Members) Print(out io.Writer) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer t.Flush()
-	fmt.Fprintf(t, "fleet %s, as %s holds it\n", m.Fleet, m.Self)
+	fmt.Fprintf(t, "fleet %s, as seen by %s\n", m.Fleet, m.Self)
 	if m.Refused != "" {
 		fmt.Fprintf(t, "no member: %s\nto do: %s\n", m.Refused, m.Remedy)
 	}
 	if m.AloneMs > 3000 && len(m.Members) > 1 {
-		fmt.Fprintf(t, "this door has heard nobody for %s\n", span(m.AloneMs))
+		fmt.Fprintf(t, "this door has received no message from another member for %s\n", span(m.AloneMs))
 	}
 	fmt.Fprintln(t, "name\tzone\tstate\tsince\tseen by\tlife\trelease\tround trip\taddress")
 	for _, r := range m.Members {
-		trip := "-"
+		roundTrip := "-"
 		if r.Reached != nil && !*r.Reached {
-			trip = "no answer"
-		} else if r.TripMs > 0 {
-			trip = fmt.Sprintf("%.1f ms", r.TripMs)
+			roundTrip = "no answer"
+		} else if r.RoundTripMs > 0 {
+			roundTrip = fmt.Sprintf("%.1f ms", r.RoundTripMs)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d of %d\t%d\t%s\t%s\t%s\n", r.Name, r.Zone, r.State, span(r.SinceMs), r.SeenBy, r.Observers, r.Life, r.Release, trip, r.Address)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d of %d\t%d\t%s\t%s\t%s\n", r.Name, r.Zone, r.State, span(r.SinceMs), r.SeenBy, r.Observers, r.Incarnation, r.Release, roundTrip, r.Address)
 	}
 }
 
+// span formats a duration in ms for people.
 func span(ms float64) string {
 	return time.Duration(ms * float64(time.Millisecond)).Round(100 * time.Millisecond).String()
 }
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -22,12 +22,12 @@
 	}}
 }
 
-func TestADoorsStatusIsToldAndAsked(t *testing.T) {
+func TestStatusIsServedAndQueried(t *testing.T) {
 	srv := httptest.NewServer(Handler(view, nil))
 	defer srv.Close()
 	m, err := Ask(context.Background(), strings.TrimPrefix(srv.URL, "http://"))
 	require.NoError(t, err)
-	assert.Equal(t, Word(view()), m)
+	assert.Equal(t, NewMembers(view()), m)
 	require.Len(t, m.Members, 2)
 	assert.Equal(t, 1, m.Members[1].SeenBy)
 	assert.False(t, *m.Members[1].Reached)
@@ -38,24 +38,24 @@
 	assert.Contains(t, out.String(), "1m1s")
 }
 
-func TestARefusedDoorSaysWhatToDo(t *testing.T) {
+func TestARefusedDoorPrintsItsRemedy(t *testing.T) {
 	v := view()
 	v.Taken = &members.NameTakenError{Name: "a", Address: "10.0.0.9:7946"}
 	var out bytes.Buffer
-	Word(v).Print(&out)
+	NewMembers(v).Print(&out)
 	assert.Contains(t, out.String(), "no member: ")
 	assert.Contains(t, out.String(), "GW_NAME")
 }
 
-func TestNobodyThereOrNoDoorIsToldWithWhatToDo(t *testing.T) {
-	var ask *AskError
+func TestErrorsOfTheClientHaveRemedies(t *testing.T) {
+	var status *StatusError
 	_, err := Ask(context.Background(), "127.0.0.1:1")
-	require.ErrorAs(t, err, &ask)
-	assert.Contains(t, ask.Remedy(), "fleet.status")
+	require.ErrorAs(t, err, &status)
+	assert.Contains(t, status.Remedy(), "fleet.status")
 	for _, answer := range []http.HandlerFunc{http.NotFound, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) }} {
 		srv := httptest.NewServer(answer)
 		_, err = Ask(context.Background(), strings.TrimPrefix(srv.URL, "http://"))
-		assert.ErrorAs(t, err, &ask)
+		assert.ErrorAs(t, err, &status)
 		srv.Close()
 	}
 	err = Serve(context.Background(), "127.0.0.1:99999", view, nil)
@@ -68,11 +68,11 @@
 func (p *plans) Plan() Plan { return Plan{Out: p.out, Number: 7, Withheld: []string{"b"}} }
 func (p *plans) Back()      { p.out = false }
 
-func TestADoorComesBackByHand(t *testing.T) {
+func TestADoorReturnsToServiceOnRequest(t *testing.T) {
 	srv := httptest.NewServer(Handler(view, &plans{out: true}))
 	defer srv.Close()
 	at := strings.TrimPrefix(srv.URL, "http://")
-	p, err := AskPlan(context.Background(), at)
+	p, err := GetPlan(context.Background(), at)
 	require.NoError(t, err)
 	assert.Equal(t, Plan{Out: true, Number: 7, Withheld: []string{"b"}}, p)
 	p, err = Back(context.Background(), at)
@@ -80,7 +80,7 @@
 	assert.False(t, p.Out)
 	none := httptest.NewServer(Handler(view, nil))
 	defer none.Close()
-	var ask *AskError
+	var status *StatusError
 	_, err = Back(context.Background(), strings.TrimPrefix(none.URL, "http://"))
-	assert.ErrorAs(t, err, &ask)
+	assert.ErrorAs(t, err, &status)
 }
--- a/admin/errors.go
+++ b/admin/errors.go
@@ -6,7 +6,7 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// ListenError is an address at which a door's status can't be told.
+// ListenError is an address at which a door's status cannot be served.
 type ListenError struct {
 	Address string
 	Cause   error
@@ -21,23 +21,23 @@
 	return fmt.Sprintf("Free %s, or name another loopback address in the key \"fleet.status\".", e.Address)
 }
 
-// AskError is a door whose status can't be had.
-type AskError struct {
+// StatusError is a door whose status cannot be queried.
+type StatusError struct {
 	Address string
-	Says    string
+	Reason  string
 	Cause   error
 }
 
-func (e *AskError) Error() string {
-	if e.Says != "" {
-		return remedy.Because("status at "+e.Address+": "+e.Says, e.Cause)
+func (e *StatusError) Error() string {
+	if e.Reason != "" {
+		return remedy.Because("status at "+e.Address+": "+e.Reason, e.Cause)
 	}
 	return remedy.Because("status at "+e.Address, e.Cause)
 }
-func (e *AskError) Unwrap() error     { return e.Cause }
-func (e *AskError) Kind() remedy.Kind { return remedy.Unreachable }
+func (e *StatusError) Unwrap() error     { return e.Cause }
+func (e *StatusError) Kind() remedy.Kind { return remedy.Unreachable }
 
 // Remedy names the key and the flag.
-func (e *AskError) Remedy() string {
-	return fmt.Sprintf("See that a door with the key \"fleet.status\" at %s runs on this machine, or name its address with --at.", e.Address)
+func (e *StatusError) Remedy() string {
+	return fmt.Sprintf("Make sure that a door with the key \"fleet.status\" at %s runs on this machine, or give its address with --at.", e.Address)
 }
