--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	mostUse   = 1e6 // percent; a figure past it was not measured
-	mostQueue = 1e6 // requests; likewise
+	maxUse   = 1e6 // percent; larger values are implausible and ignored
+	maxQueue = 1e6 // requests; likewise
 )
 
-// Answer is what a backend says.
+// Answer is a backend's response.
 type Answer struct {
 	Status     int
-	TurnedAway bool    // unseen
-	Use        float64 // the customer's metered use as a share of its rate; negative where not told
-	Queue      float64 // requests that wait at the backend, by its load report; negative where not told
+	TurnedAway bool    // the backend rejected the request without processing it
+	Use        float64 // the customer's metered usage as a share of its rate; negative if unknown
+	Queue      float64 // requests waiting at the backend according to its load report; negative if unknown
 	Body       []byte
-	Last       bool // the connection is of no more use
+	Last       bool // the connection cannot be reused
 }
 
-// Free gives the body's buffer back.
+// Free returns the body's buffer to the pool.
 func (a *Answer) Free() {
 	pool.Put(a.Body)
 	a.Body = nil
 }
 
-// Answers reads what one backend connection brings.
+// Answers parses the responses on one backend connection.
 type Answers struct {
 	msg message
 	res *http.Response
 }
 
-// Feed takes bytes up to the end of one answer, and tells whether Take has it.
+// Feed consumes bytes up to the end of one response and reports whether Take can return it.
 func (r *Answers) Feed(p []byte) (used int, whole bool, err error) { return r.msg.feed(p, r.begin) }
 
 func (r *Answers) begin(raw []byte) (length int64, isChunked bool, err error) {
@@ -49,22 +49,22 @@
 		return 0, false, errHead
 	case r.res.StatusCode < 200:
 		return interim, false, nil
-	case length < 0 && !isChunked: // where it ends could not be told from where it broke
+	case length < 0 && !isChunked: // a complete body would be indistinguishable from a truncated one
 		return 0, false, errUnframed
 	}
 	return length, isChunked, nil
 }
 
-// Drop gives back what an unfinished answer holds.
+// Drop releases the buffers of an incomplete response.
 func (r *Answers) Drop() { r.msg.drop() }
 
-// Take returns the answer that Feed or End found whole.
+// Take returns the response that Feed has completed.
 func (r *Answers) Take() Answer {
 	h := r.res.Header
 	a := Answer{Status: r.res.StatusCode, Use: -1, Queue: queueOf(h["X-Pressure"]), Last: r.res.Close,
 		TurnedAway: h.Get("X-Turned-Away") == "1"}
-	if told := h["X-Allowance-Used"]; len(told) == 1 {
-		if v, err := strconv.ParseFloat(told[0], 64); err == nil && v >= 0 && v <= mostUse {
+	if values := h["X-Allowance-Used"]; len(values) == 1 {
+		if v, err := strconv.ParseFloat(values[0], 64); err == nil && v >= 0 && v <= maxUse {
 			a.Use = v / 100
 		}
 	}
@@ -72,15 +72,15 @@
 	return a
 }
 
-// queueOf reads what waits from a load report such as inflight=7,queue=2,util=0.61. A figure that cannot be was not
-// told: a report is no reason to lose an answer.
+// queueOf returns the number of waiting requests from a load report such as inflight=7,queue=2,util=0.61, or -1 if it is missing
+// or implausible. An invalid report must not invalidate the response.
 func queueOf(reports []string) float64 {
 	if len(reports) != 1 {
 		return -1
 	}
 	for field := range strings.SplitSeq(reports[0], ",") {
-		if name, figure, _ := strings.Cut(strings.TrimSpace(field), "="); name == "queue" {
-			if v, err := strconv.ParseFloat(figure, 64); err == nil && v >= 0 && v <= mostQueue {
+		if name, value, _ := strings.Cut(strings.TrimSpace(field), "="); name == "queue" {
+			if v, err := strconv.ParseFloat(value, 64); err == nil && v >= 0 && v <= maxQueue {
 				return v
 			}
 		}
@@ -88,23 +88,24 @@
 	return -1
 }
 
-const remaining = "\r\nX-Remaining: "
+const remainingHeader = "\r\nX-Remaining: "
 
-func appendLeft(dst []byte, left float64) []byte {
+// appendMs appends a duration in ms without fraction; negative values become 0.
+func appendMs(dst []byte, left float64) []byte {
 	return strconv.AppendInt(dst, int64(max(0, left)), 10)
 }
 
-// SetRemaining puts the time left, in ms, in the place of the one that a message of AppendAttempt tells. It may only have
-// become less: some time passes until the message can be written.
+// SetRemaining replaces the remaining time in a message of AppendAttempt by left, in ms, because time passes until the message
+// can be written. A value with more digits than the present one leaves the message unchanged.
 func SetRemaining(msg []byte, left float64) []byte {
-	at := bytes.Index(msg, []byte(remaining))
+	at := bytes.Index(msg, []byte(remainingHeader))
 	if at < 0 {
 		return msg
 	}
-	at += len(remaining)
+	at += len(remainingHeader)
 	end := at + bytes.IndexByte(msg[at:], 'm')
 	var digits [20]byte
-	now := appendLeft(digits[:0], left)
+	now := appendMs(digits[:0], left)
 	if len(now) > end-at {
 		return msg
 	}
@@ -112,7 +113,7 @@
 	return append(msg[:at+len(now)], msg[end:]...)
 }
 
-// AppendAttempt appends a request as a backend is sent it; left is how long the door waits, in ms.
+// AppendAttempt appends the request that is sent to a backend. left is the time the door waits for the response, in ms.
 func AppendAttempt(dst []byte, o *Request, host string, left float64) []byte {
 	dst = append(append(append(dst, o.Method...), ' '), o.Target...)
 	dst = append(append(dst, " HTTP/1.1\r\nHost: "...), host...)
@@ -120,7 +121,7 @@
 	if o.Mark != "" {
 		dst = append(append(dst, "\r\nIdempotency-Key: "...), o.Mark...)
 	}
-	dst = append(appendLeft(append(dst, remaining...), left), 'm')
+	dst = append(appendMs(append(dst, remainingHeader...), left), 'm')
 	if o.Method != http.MethodGet || len(o.Body) > 0 {
 		dst = strconv.AppendInt(append(dst, "\r\nContent-Length: "...), int64(len(o.Body)), 10)
 	}
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -5,51 +5,52 @@
 	"strconv"
 )
 
-// framing says how the end of a body is found.
+// framing is the way in which the end of a body is determined.
 type framing uint8
 
 const (
-	counted framing = iota // after a known number of bytes
-	chunked
-	toEnd // with the connection
+	byLength   framing = iota // by a known number of bytes
+	chunked                   // by a chunk of size 0 and the trailers
+	untilClose                // by the end of the connection
 )
 
 const (
-	longestLine    = 256  // bytes in a chunk's size line or a trailer
-	longestTrailer = 8192 // bytes in all trailers: as a head. One without end would be read for as long as its peer writes
+	maxLine     = 256  // bytes of a chunk's size line or of one trailer line
+	maxTrailers = 8192 // bytes of all trailers, as for a head; without a limit a peer could send trailers forever
 )
 
-// body hands out what it is fed without its framing.
+// body strips the framing from the bytes of a body.
 type body struct {
-	framing framing
-	left    int64 // of the body, or of the chunk
-	line    []byte
-	inLine  bool // a size line is awaited, else a chunk's data
-	closing bool // the line after a chunk's data is awaited
-	trailer bool // the last chunk has come
-	trailed int  // bytes behind it
+	framing      framing
+	left         int64 // bytes left in the body or in the current chunk
+	line         []byte
+	inLine       bool // a line is expected next, not the data of a chunk
+	closing      bool // the empty line after the data of a chunk is expected next
+	trailer      bool // the last chunk has been received
+	trailerBytes int  // received so far
 }
 
+// newBody returns a body of the given length, or one without a known length if length is below 0.
 func newBody(length int64, isChunked bool) body {
 	switch {
 	case isChunked:
 		return body{framing: chunked, inLine: true}
 	case length < 0:
-		return body{framing: toEnd}
+		return body{framing: untilClose}
 	}
 	return body{left: length}
 }
 
-// done tells whether the body has ended; one that ends with its connection never says so.
-func (b *body) done() bool { return b.framing == counted && b.left == 0 }
+// done reports whether the body has ended. It is always false for a body that ends with the connection.
+func (b *body) done() bool { return b.framing == byLength && b.left == 0 }
 
-// next returns the data at the start of p, how many bytes of p that took, and whether the body has ended.
-// What is left of p is fed again.
+// next returns the data at the start of p, the number of bytes of p that it consumed, and whether the body has ended. The
+// caller passes the rest of p to the next call.
 func (b *body) next(p []byte) (data []byte, used int, done bool, err error) {
-	if b.framing == toEnd {
+	if b.framing == untilClose {
 		return p, len(p), false, nil
 	}
-	if !b.inLine || b.framing == counted {
+	if !b.inLine || b.framing == byLength {
 		n := int(min(b.left, int64(len(p))))
 		b.left -= int64(n)
 		if b.left == 0 && b.framing == chunked {
@@ -63,7 +64,7 @@
 		used = len(p)
 	}
 	b.line = append(b.line, p[:used]...)
-	if len(b.line) > longestLine {
+	if len(b.line) > maxLine {
 		return nil, used, false, errChunk
 	}
 	if i < 0 {
@@ -71,15 +72,15 @@
 	}
 	line := bytes.TrimSuffix(b.line[:len(b.line)-1], []byte("\r"))
 	b.line = b.line[:0]
-	done, err = b.took(line)
+	done, err = b.handleLine(line)
 	return nil, used, done, err
 }
 
-// took acts on a whole line.
-func (b *body) took(line []byte) (done bool, err error) {
+// handleLine processes a complete line: the size of a chunk, the end of a chunk or a trailer.
+func (b *body) handleLine(line []byte) (done bool, err error) {
 	switch {
 	case b.trailer:
-		if b.trailed += len(line); b.trailed > longestTrailer {
+		if b.trailerBytes += len(line); b.trailerBytes > maxTrailers {
 			return false, errChunk
 		}
 		return len(line) == 0, nil
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -6,37 +6,38 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// FormError is a message that can't be taken: its bytes are not HTTP/1.1 as the door speaks it, or are too many.
-type FormError struct{ Says string }
+// ProtocolError is a message that is not strict HTTP/1.1 or exceeds the size limits.
+type ProtocolError struct{ Reason string }
 
-func (e *FormError) Error() string     { return e.Says }
-func (e *FormError) Kind() remedy.Kind { return remedy.Refused }
+func (e *ProtocolError) Error() string     { return e.Reason }
+func (e *ProtocolError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy points to the sender: the door answers 4xx, or ends the connection, by itself.
-func (e *FormError) Remedy() string {
-	return "Have the client or backend that sent it send strict HTTP/1.1: CR LF, one word on the length, one Host, heads and bodies within the limits."
+// Remedy points to the sender: the door responds with a 4xx status or closes the connection on its own.
+func (e *ProtocolError) Remedy() string {
+	return "Make the client or backend that sent it send strict HTTP/1.1: CR LF line ends, one Content-Length or Transfer-Encoding, one Host, heads and bodies within the limits."
 }
 
-// StatusError is an answer other than 200 where a stream was asked for.
+// StatusError is a response with a status other than 200 to a request for a stream.
 type StatusError struct{ Status int }
 
-func (e *StatusError) Error() string     { return fmt.Sprintf("answer %d", e.Status) }
+func (e *StatusError) Error() string     { return fmt.Sprintf("response status %d", e.Status) }
 func (e *StatusError) Kind() remedy.Kind { return remedy.Unreachable }
 
-// Remedy names the key of the one who answered.
+// Remedy names the key that holds the address of the server.
 func (e *StatusError) Remedy() string {
-	return "Check that the key \"discovery\" names the fleet list's server; the door dials again by itself."
+	return "Check that the key \"discovery\" names the server of the fleet list; the door redials on its own."
 }
 
+// Errors of malformed and oversized messages.
 var (
-	errHeadSize = &FormError{"head too large"}
-	errHead     = &FormError{"malformed head"}
-	errBodySize = &FormError{"body too large"}
-	errAhead    = &FormError{"too many answers ahead"}
-	errLines    = &FormError{"lines that do not end in CR LF, or are folded"}
-	errFraming  = &FormError{"more than one word on the length"}
-	errHosts    = &FormError{"more than one host"}
-	errUnframed = &FormError{"no word on the length"}
-	errChunk    = &FormError{"malformed chunk"}
-	errForm     = &FormError{"not in the protocol's form"}
+	errHeadSize = &ProtocolError{"head too large"}
+	errHead     = &ProtocolError{"malformed head"}
+	errBodySize = &ProtocolError{"body too large"}
+	errInterim  = &ProtocolError{"too many interim responses"}
+	errLineEnds = &ProtocolError{"lines that do not end in CR LF or are folded"}
+	errFraming  = &ProtocolError{"ambiguous body length"}
+	errHosts    = &ProtocolError{"more than one Host"}
+	errUnframed = &ProtocolError{"missing body length"}
+	errChunk    = &ProtocolError{"malformed chunk"}
+	errSyntax   = &ProtocolError{"malformed header value"}
 )
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -6,13 +6,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// reader is a machine fed bytes, with the end of one message.
+// reader is a parser that is fed bytes and finds the end of one message.
 type reader interface {
 	Feed(p []byte) (used int, whole bool, err error)
 }
 
-// fed feeds p in steps until a message is whole or at fault.
-func fed(r reader, p []byte, step int) (used int, whole, failed bool) {
+// feedInSteps feeds p in steps until a message is complete or an error occurs.
+func feedInSteps(r reader, p []byte, step int) (used int, whole, failed bool) {
 	for used < len(p) {
 		n, whole, err := r.Feed(p[used:min(len(p), used+step)])
 		used += n
@@ -26,11 +26,12 @@
 	return used, false, false
 }
 
-// fedAlike feeds p to one machine whole and to another byte by byte, and tells whether both have a message.
-func fedAlike(t *testing.T, whole, bytewise reader, p []byte) bool {
-	used, is, failed := fed(whole, p, len(p))
-	usedB, isB, failedB := fed(bytewise, p, 1)
-	require.Equal(t, is, isB, "however its bytes come")
+// feedBothWays feeds p to one parser at once and to another byte by byte, requires the same result, and reports whether there is a
+// complete message.
+func feedBothWays(t *testing.T, whole, bytewise reader, p []byte) bool {
+	used, is, failed := feedInSteps(whole, p, len(p))
+	usedB, isB, failedB := feedInSteps(bytewise, p, 1)
+	require.Equal(t, is, isB, "the result does not depend on how the input is split")
 	require.Equal(t, failed, failedB)
 	if is {
 		require.Equal(t, used, usedB)
@@ -39,13 +40,13 @@
 }
 
 func FuzzRequests(f *testing.F) {
-	f.Add([]byte(asked))
+	f.Add([]byte(validRequest))
 	f.Add([]byte("GET /look?key=1 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nhe\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, p []byte) {
 		var whole, bytewise Requests
 		defer whole.Drop()
 		defer bytewise.Drop()
-		if !fedAlike(t, &whole, &bytewise, p) {
+		if !feedBothWays(t, &whole, &bytewise, p) {
 			return
 		}
 		a, err := whole.Take()
@@ -68,7 +69,7 @@
 		var whole, bytewise Answers
 		defer whole.Drop()
 		defer bytewise.Drop()
-		if fedAlike(t, &whole, &bytewise, p) {
+		if feedBothWays(t, &whole, &bytewise, p) {
 			require.Equal(t, whole.Take(), bytewise.Take())
 		}
 	})
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -1,5 +1,5 @@
-// Package http1 reads and writes HTTP/1.1 as the platform's protocol has it: requests from clients,
-// attempts to backends. Its machines are fed bytes and know no socket.
+// Package http1 parses and formats the platform's HTTP/1.1 messages: requests from clients, attempts sent to backends, and
+// responses. The parsers are incremental: they are fed bytes and do not access sockets.
 package http1
 
 import (
@@ -11,24 +11,24 @@
 	"github.com/swifthall/swifthall/internal/pool"
 )
 
-// MaxBody is the most bytes in a body, either way.
+// MaxBody is the maximum size of a body in bytes, in either direction.
 const MaxBody = 64 << 10
 
-// head gathers the bytes of one head.
+// head collects the bytes of one message head.
 type head struct {
-	buf    []byte
-	passed int // bytes passed over before it
+	buf     []byte
+	skipped int // bytes skipped before the head
 }
 
-const mostPassed = 4 // two line ends: a client may leave one behind a body, but not send them for ever
+const maxSkipped = 4 // bytes, two line ends: a client may send one after a body, but an unlimited number is not accepted
 
-// feed takes bytes up to the empty line that ends the head; line ends before the first line are passed over.
+// feed consumes bytes up to the empty line that ends the head. It skips line ends before the first line.
 func (h *head) feed(p []byte) (used int, whole bool, err error) {
 	for len(h.buf) == 0 && used < len(p) && (p[used] == '\r' || p[used] == '\n') {
-		if used++; h.passed == mostPassed {
+		if used++; h.skipped == maxSkipped {
 			return used, false, errHead
 		}
-		h.passed++
+		h.skipped++
 	}
 	for used < len(p) {
 		i := bytes.IndexByte(p[used:], '\n')
@@ -51,7 +51,7 @@
 	return used, false, nil
 }
 
-// scanner lends a reader over a head to net/http.
+// scanner is a reusable buffered reader with which net/http parses a head.
 type scanner struct {
 	bytes.Reader
 	buf *bufio.Reader
@@ -59,7 +59,7 @@
 
 var scanners = sync.Pool{New: func() any { return &scanner{buf: bufio.NewReader(nil)} }}
 
-// parse has net/http read a whole head, and makes sure that it took all of it.
+// parse checks a head and parses it with net/http, which must consume all of it.
 func parse[T any](raw []byte, read func(*bufio.Reader) (T, error)) (m T, coded bool, err error) {
 	if coded, err = strict(raw); err != nil {
 		return m, coded, err
@@ -75,8 +75,7 @@
 	return m, coded, err
 }
 
-// readRequest and readResponse read a head whose coding, if it names one, net/http has understood: it passes over
-// one of HTTP/1.0.
+// readRequest parses the head of a request. It rejects a transfer coding that net/http ignores, as it does for HTTP/1.0.
 func readRequest(raw []byte) (*http.Request, error) {
 	req, coded, err := parse(raw, http.ReadRequest)
 	if err == nil && coded && len(req.TransferEncoding) == 0 {
@@ -85,6 +84,7 @@
 	return req, err
 }
 
+// readResponse parses the head of a response. Like readRequest it rejects a transfer coding that net/http ignores.
 func readResponse(raw []byte) (*http.Response, error) {
 	res, coded, err := parse(raw, func(b *bufio.Reader) (*http.Response, error) { return http.ReadResponse(b, nil) })
 	if err == nil && coded && len(res.TransferEncoding) == 0 {
@@ -93,25 +93,25 @@
 	return res, err
 }
 
-// message gathers one whole message.
+// message assembles one message.
 type message struct {
-	head  head
-	body  body
-	data  []byte // the body's bytes so far
-	open  bool   // the head is whole
-	ahead int    // heads that only announced this one
+	head     head
+	body     body
+	data     []byte // body received so far
+	headDone bool   // the head is complete
+	interims int    // number of interim responses before this message
 }
 
-const mostAhead = 8 // a peer that announces its answer for ever brings none
+const maxInterims = 8 // a peer could send interim responses forever without a final one
 
-// feed takes bytes up to the end of the message. begin is called with the head and says how the body ends.
+// feed consumes bytes up to the end of the message. It calls begin with the complete head to determine the framing of the body.
 func (m *message) feed(p []byte, begin func(raw []byte) (length int64, isChunked bool, err error)) (
 	used int, whole bool, err error) {
 	for used < len(p) {
-		if !m.open {
-			n, headed, err := m.head.feed(p[used:])
+		if !m.headDone {
+			n, complete, err := m.head.feed(p[used:])
 			used += n
-			if err != nil || !headed {
+			if err != nil || !complete {
 				return used, false, err
 			}
 			length, isChunked, err := begin(m.head.buf)
@@ -120,16 +120,16 @@
 			}
 			m.head.buf = m.head.buf[:0]
 			if length == interim {
-				if m.ahead++; m.ahead > mostAhead {
-					return used, false, errAhead
+				if m.interims++; m.interims > maxInterims {
+					return used, false, errInterim
 				}
 				continue
 			}
 			if length > MaxBody {
 				return used, false, errBodySize
 			}
-			// Room grows with what comes: a length alone must not take any.
-			m.open, m.body, m.data = true, newBody(length, isChunked), m.head.buf
+			// The buffer grows as data arrives: a Content-Length alone must not allocate memory.
+			m.headDone, m.body, m.data = true, newBody(length, isChunked), m.head.buf
 			if m.body.done() {
 				return used, true, nil
 			}
@@ -150,20 +150,20 @@
 	return used, false, nil
 }
 
-// begun tells whether part of a message has come.
-func (m *message) begun() bool { return m.open || len(m.head.buf) > 0 }
+// begun reports whether part of a message has been received.
+func (m *message) begun() bool { return m.headDone || len(m.head.buf) > 0 }
 
-// take hands over the body, whose buffer goes with it, and makes ready for the next message.
+// take returns the body, passing ownership of its buffer to the caller, and resets m for the next message.
 func (m *message) take() []byte {
 	data := m.data
-	if cap(data) != pool.Size { // the body has room of its own
+	if cap(data) != pool.Size { // the body outgrew the pooled buffer
 		pool.Put(m.head.buf)
 	}
 	*m = message{}
 	return data
 }
 
-// drop gives back what a message that will not be finished holds.
+// drop releases the buffers of an incomplete message.
 func (m *message) drop() { pool.Put(m.take()) }
 
-const interim = -2 // length of an answer that only announces another
+const interim = -2 // length that begin returns for an interim (1xx) response
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -11,23 +11,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-const asked = "POST /checkout/now?key=00000000b4d65521 HTTP/1.1\r\nHost: api.internal\r\nX-Txn: 9b1f03aa5c7e2d41\r\n" +
+const validRequest = "POST /checkout/now?key=00000000b4d65521 HTTP/1.1\r\nHost: api.internal\r\nX-Txn: 9b1f03aa5c7e2d41\r\n" +
 	"X-Tariff: team\r\nX-Remaining: 480m\r\nIdempotency-Key: 5c0f6e1a\r\nX-Resent: 1\r\nContent-Length: 5\r\n" +
 	"X-Weight: units=2,spread=3,first=1\r\n\r\nhello"
 
-func TestARequestIsReadHoweverItsBytesCome(t *testing.T) {
+func TestRequestIsParsedHoweverItsBytesAreSplit(t *testing.T) {
 	want := Request{Method: "POST", Target: "/checkout/now?key=00000000b4d65521", ID: "9b1f03aa5c7e2d41",
 		Mark: "5c0f6e1a", Path: "/checkout/now", Class: "checkout", Plan: "team", Customer: 0xb4d65521, TTL: 480,
 		Units: 2, Spread: 3, First: 1, Repeat: true, Body: []byte("hello")}
-	for _, step := range []int{1, 7, len(asked)} {
+	for _, step := range []int{1, 7, len(validRequest)} {
 		var r Requests
-		for p := asked; p != ""; {
+		for p := validRequest; p != ""; {
 			n := min(step, len(p))
 			used, whole, err := r.Feed([]byte(p[:n]))
 			require.NoError(t, err)
 			require.Equal(t, n, used)
 			p = p[n:]
-			assert.Equal(t, p == "", whole, "whole with the last byte and not before")
+			assert.Equal(t, p == "", whole, "complete with the last byte and not before")
 		}
 		o, err := r.Take()
 		require.NoError(t, err)
@@ -35,17 +35,17 @@
 	}
 }
 
-func TestWhatFollowsARequestIsLeft(t *testing.T) {
+func TestBytesAfterARequestAreNotConsumed(t *testing.T) {
 	var r Requests
-	used, whole, err := r.Feed([]byte("\r\n" + asked + asked))
+	used, whole, err := r.Feed([]byte("\r\n" + validRequest + validRequest))
 	require.NoError(t, err)
 	assert.True(t, whole)
-	assert.Equal(t, 2+len(asked), used)
+	assert.Equal(t, 2+len(validRequest), used)
 }
 
 func TestChunkedBodiesAreJoined(t *testing.T) {
 	var r Requests
-	head := strings.Replace(asked[:strings.Index(asked, "hello")], "Content-Length: 5", "Transfer-Encoding: chunked", 1)
+	head := strings.Replace(validRequest[:strings.Index(validRequest, "hello")], "Content-Length: 5", "Transfer-Encoding: chunked", 1)
 	for i, c := range []byte(head + "2;x=y\r\nhe\r\n3\r\nllo\r\n0\r\nA: b\r\n\r\n") {
 		_, whole, err := r.Feed([]byte{c})
 		require.NoError(t, err, i)
@@ -56,11 +56,11 @@
 			return
 		}
 	}
-	assert.Fail(t, "never whole")
+	assert.Fail(t, "the request is incomplete")
 }
 
-func TestWhatIsNoRequestHasItsStatus(t *testing.T) {
-	swap := func(from, to string) string { return strings.Replace(asked, from, to, 1) }
+func TestInvalidRequestsHaveTheirStatus(t *testing.T) {
+	swap := func(from, to string) string { return strings.Replace(validRequest, from, to, 1) }
 	for name, c := range map[string]struct {
 		input string
 		want  int
@@ -75,10 +75,10 @@
 		"bad chunk":     {swap("Content-Length: 5", "Transfer-Encoding: chunked") + "zz\r\n", 400},
 		"long chunk":    {strings.Replace(swap("Content-Length: 5", "Transfer-Encoding: chunked"), "hello", strings.Repeat("1", 300), 1), 400},
 		"large chunks":  {strings.Replace(swap("Content-Length: 5", "Transfer-Encoding: chunked"), "hello", strings.Repeat("1000\r\n"+strings.Repeat("x", 4096)+"\r\n", 17), 1), 413},
-		"line ends":     {strings.Repeat("\r\n", 3) + asked, 400},
+		"line ends":     {strings.Repeat("\r\n", 3) + validRequest, 400},
 		"endless head":  {"GET / HTTP/1.1\r\nA: " + strings.Repeat("x", 9000), 431},
 		"no id":         {swap("X-Txn: 9b1f03aa5c7e2d41\r\n", ""), 400},
-		"id with stop":  {swap("9b1f03aa5c7e2d41", "9b\rX: y"), 400},
+		"control in id": {swap("9b1f03aa5c7e2d41", "9b\rX: y"), 400},
 		"mark":          {swap("5c0f6e1a", "5c \t0f"), 400},
 		"no key":        {swap("?key=00000000b4d65521", ""), 400},
 		"key too large": {swap("00000000b4d65521", "00000002b4d65521"), 400},
@@ -108,13 +108,13 @@
 	}
 }
 
-func TestSpansHaveTheirUnit(t *testing.T) {
-	ms, err := readSpan("1500u")
+func TestDurationsHaveAUnit(t *testing.T) {
+	ms, err := parseDuration("1500u")
 	require.NoError(t, err)
 	assert.Equal(t, 1.5, ms)
 }
 
-func TestAnAttemptPassesWhatTheClientSent(t *testing.T) {
+func TestAttemptForwardsWhatTheClientSent(t *testing.T) {
 	o := Request{Method: "POST", Target: "/checkout?key=1", ID: "abc", Mark: "m", Body: []byte("hello")}
 	assert.Equal(t, "POST /checkout?key=1 HTTP/1.1\r\nHost: b:1\r\nX-Txn: abc\r\nIdempotency-Key: m\r\nX-Remaining: 120m\r\n"+
 		"Content-Length: 5\r\n\r\nhello", string(AppendAttempt(nil, &o, "b:1", 120.9)))
@@ -123,7 +123,7 @@
 		string(AppendAttempt(nil, &o, "b:1", -3)))
 }
 
-func TestAnswersOfAllFramingsAreRead(t *testing.T) {
+func TestResponsesOfAllFramingsAreParsed(t *testing.T) {
 	for name, c := range map[string]struct {
 		input string
 		want  Answer
@@ -150,9 +150,9 @@
 	}
 }
 
-// Two readers must never take one head apart in different ways: a client would hide a request behind another,
-// a backend's surplus would become the next client's answer.
-func TestHeadsThatCanBeReadInTwoWaysAreNotRead(t *testing.T) {
+// A head that two parsers interpret differently allows request smuggling: a client could hide a request behind another one, and
+// surplus bytes from a backend could become the response to the next client.
+func TestAmbiguousHeadsAreRejected(t *testing.T) {
 	for name, extra := range map[string]string{
 		"both framings":  "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
 		"same length":    "Content-Length: 5\r\nContent-Length: 5\r\n",
@@ -165,8 +165,8 @@
 		"folded":         "Content-Length: 5\r\n 6\r\n",
 		"two hosts":      "Host: other\r\nContent-Length: 5\r\n",
 	} {
-		head := strings.Replace(asked, "Content-Length: 5\r\n", extra, 1)
-		_, whole, err := new(Requests).Feed([]byte(head + asked))
+		head := strings.Replace(validRequest, "Content-Length: 5\r\n", extra, 1)
+		_, whole, err := new(Requests).Feed([]byte(head + validRequest))
 		var f *Fault
 		require.True(t, errors.As(err, &f), name)
 		assert.False(t, whole, name)
@@ -174,32 +174,33 @@
 		_, _, err = new(Answers).Feed([]byte("HTTP/1.1 200 OK\r\nHost: h\r\n" + extra + "\r\nhello"))
 		assert.Error(t, err, name)
 	}
-	old := strings.Replace(strings.Replace(asked, "Content-Length: 5", "Transfer-Encoding: chunked", 1), "HTTP/1.1", "HTTP/1.0", 1)
+	old := strings.Replace(strings.Replace(validRequest, "Content-Length: 5", "Transfer-Encoding: chunked", 1), "HTTP/1.1", "HTTP/1.0", 1)
 	_, _, err := new(Requests).Feed([]byte(old))
-	assert.Error(t, err, "net/http passes over a coding of HTTP/1.0")
+	assert.Error(t, err, "net/http ignores a transfer coding of HTTP/1.0")
 }
 
-// A figure that poisons an average does so for good.
-func TestAUseFigureThatCannotBeReadIsNotTold(t *testing.T) {
+// A NaN or infinite usage value would corrupt a moving average permanently.
+func TestImplausibleUsageIsIgnored(t *testing.T) {
 	for _, figure := range []string{"Inf", "+infinity", "NaN", "-5", "1e300", "x", "5\r\nX-Allowance-Used: 6"} {
 		var r Answers
 		_, whole, err := r.Feed([]byte("HTTP/1.1 200 OK\r\nX-Allowance-Used: " + figure + "\r\nContent-Length: 2\r\n\r\nhi"))
 		require.NoError(t, err, figure)
 		require.True(t, whole, figure)
-		assert.Equal(t, Answer{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}, r.Take(), "the answer stands: "+figure)
+		assert.Equal(t, Answer{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}, r.Take(), "an implausible value does not invalidate the response: "+figure)
 	}
 }
 
-// A length alone takes no room: hundreds of clients that announce a body and bring none would fill a small door.
-func TestRoomGrowsWithWhatComes(t *testing.T) {
+// A Content-Length alone must not allocate memory: hundreds of clients that announce a body and send none would exhaust the
+// memory of a small door.
+func TestBufferGrowsWithReceivedData(t *testing.T) {
 	var r Requests
-	head, _, _ := strings.Cut(strings.Replace(asked, "Length: 5", "Length: 65536", 1), "hello")
+	head, _, _ := strings.Cut(strings.Replace(validRequest, "Length: 5", "Length: 65536", 1), "hello")
 	_, _, err := r.Feed([]byte(head + "x"))
 	require.NoError(t, err)
 	assert.LessOrEqual(t, cap(r.msg.data), 8<<10)
 }
 
-func TestBrokenAnswersAreNone(t *testing.T) {
+func TestMalformedResponsesAreRejected(t *testing.T) {
 	for _, input := range []string{"hello\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n",
 		"HTTP/1.1 200 OK\r\n\r\nhi", "HTTP/1.1 101 Other\r\n\r\n", strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 9)} {
 		var r Answers
@@ -208,14 +209,14 @@
 	}
 }
 
-func TestAnAnswerTellsWhenToComeBack(t *testing.T) {
+func TestResponseContainsRetryAfter(t *testing.T) {
 	assert.Equal(t, "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 0.250\r\nContent-Length: 0\r\n\r\n",
 		string(AppendAnswer(nil, http.StatusTooManyRequests, 250, nil, false)))
 	assert.Equal(t, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi",
 		string(AppendAnswer(nil, http.StatusOK, 0, []byte("hi"), true)))
 }
 
-func TestAStreamHandsOutItsBodyAsItComes(t *testing.T) {
+func TestStreamPassesOnItsBodyAsItArrives(t *testing.T) {
 	input := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, part := range []string{"one\n", "\n", "two\n"} {
 		input += fmt.Sprintf("%x\r\n%s\r\n", len(part), part)
@@ -236,22 +237,22 @@
 	assert.Error(t, err)
 }
 
-func TestALoadReportTellsWhatWaits(t *testing.T) {
-	for told, want := range map[string]float64{"inflight=7,queue=2,util=0.61": 2, "queue=0": 0, " queue=3.5 ,util=1": 3.5, "util=0.5": -1,
+func TestQueueIsReadFromLoadReport(t *testing.T) {
+	for report, want := range map[string]float64{"inflight=7,queue=2,util=0.61": 2, "queue=0": 0, " queue=3.5 ,util=1": 3.5, "util=0.5": -1,
 		"queue=-1": -1, "queue=NaN": -1, "queue=1e9": -1, "queue=many": -1, "": -1} {
-		assert.Equal(t, want, queueOf([]string{told}), told)
+		assert.Equal(t, want, queueOf([]string{report}), report)
 	}
 	assert.Equal(t, -1.0, queueOf(nil))
-	assert.Equal(t, -1.0, queueOf([]string{"queue=1", "queue=2"}), "two reports contradict each other")
+	assert.Equal(t, -1.0, queueOf([]string{"queue=1", "queue=2"}), "two reports are ambiguous")
 }
 
-func TestTheTimeLeftIsSetAnewInPlace(t *testing.T) {
+func TestRemainingTimeIsReplacedInPlace(t *testing.T) {
 	o := Request{Method: "POST", Target: "/book?key=1", ID: "x", Mark: "m", Body: []byte("X-Remaining: 7m")}
 	msg := AppendAttempt(nil, &o, "b:1", 1200)
 	for _, left := range []float64{1199.9, 900, 12, 0, -5} {
 		msg = SetRemaining(msg, left)
 		assert.Equal(t, string(AppendAttempt(nil, &o, "b:1", left)), string(msg))
 	}
-	assert.Equal(t, string(msg), string(SetRemaining(msg, 500)), "it never becomes more")
+	assert.Equal(t, string(msg), string(SetRemaining(msg, 500)), "the remaining time never grows")
 	assert.Equal(t, "other", string(SetRemaining([]byte("other"), 5)))
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -13,68 +13,69 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// ReadyPath and LivePath are asked by whoever watches over the door.
+// Paths of the health checks.
 const (
 	ReadyPath = "/health/ready"
 	LivePath  = "/health/live"
 )
 
-// Request is what a client asks, as it came.
+// Request is a request as the client sent it.
 type Request struct {
 	Method, Target string
-	ID, Mark       string // the client's id, and the mark by which repeats are discarded
+	ID, Mark       string // the client's id, and the idempotency key by which backends discard repeats
 	Path           string // without the query
-	Class          string // first part of the path
+	Class          string // first segment of the path
 	Plan           string
 	Customer       uint64
-	TTL            float64 // ms from the client's sending
+	TTL            float64 // time that the client waits, in ms
 	Units          float64
 	First, Spread  int
 	Repeat         bool
 	Body           []byte
-	Last           bool // nothing more comes on this connection
+	Last           bool // the client closes the connection after this request
 }
 
-// Free gives the body's buffer back.
+// Free returns the body's buffer to the pool.
 func (o *Request) Free() {
 	pool.Put(o.Body)
 	o.Body = nil
 }
 
-// Fault is input that cannot be taken as a request; Status is the answer.
+// Fault is input that is not a valid request, with the status to respond with.
 type Fault struct {
 	Status int
 	Text   string
 }
 
-func (f *Fault) Error() string     { return f.Text }
-func (f *Fault) Kind() remedy.Kind { return remedy.Refused }
+func (e *Fault) Error() string     { return e.Text }
+func (e *Fault) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names the answer that the client was given.
-func (f *Fault) Remedy() string {
-	return fmt.Sprintf("Have the client mend what it was answered %d for; the door itself needs nothing.", f.Status)
+// Remedy names the status that the client received.
+func (e *Fault) Remedy() string {
+	return fmt.Sprintf("Fix the request that the client received status %d for; the door needs no change.", e.Status)
 }
 
-func fault(status int, text string) *Fault { return &Fault{status, text} }
+// reject returns an error with the status to respond with.
+func reject(status int, text string) *Fault { return &Fault{status, text} }
 
-// Requests reads what one client connection brings. After a Fault from Feed the connection is of no more use.
+// Requests parses the requests on one client connection. After an error of Feed the connection cannot be used any more.
 type Requests struct {
 	msg message
 	req *http.Request
 }
 
-// Feed takes bytes up to the end of one request, and tells whether Take has it.
+// Feed consumes bytes up to the end of one request and reports whether Take can return it. Its errors are of type Fault.
 func (r *Requests) Feed(p []byte) (used int, whole bool, err error) {
 	used, whole, err = r.msg.feed(p, r.begin)
 	var known *Fault
 	switch {
 	case err == nil || errors.As(err, &known):
 	case errors.Is(err, errHeadSize):
-		err = fault(http.StatusRequestHeaderFieldsTooLarge, err.Error())
+		err = reject(http.StatusRequestHeaderFieldsTooLarge, err.Error())
 	case errors.Is(err, errBodySize):
-		err = fault(http.StatusRequestEntityTooLarge, err.Error())
+		err = reject(http.StatusRequestEntityTooLarge, err.Error())
 	default:
-		err = fault(http.StatusBadRequest, err.Error())
+		err = reject(http.StatusBadRequest, err.Error())
 	}
 	return used, whole, err
 }
@@ -85,23 +86,23 @@
 	}
 	switch {
 	case r.req.Method != http.MethodGet && r.req.Method != http.MethodPost:
-		return 0, false, fault(http.StatusMethodNotAllowed, "method")
+		return 0, false, reject(http.StatusMethodNotAllowed, "method")
 	case r.req.Header.Get("Expect") != "":
-		return 0, false, fault(http.StatusExpectationFailed, "expectation")
+		return 0, false, reject(http.StatusExpectationFailed, "expectation")
 	case r.req.Host == "" && r.req.ProtoAtLeast(1, 1):
-		return 0, false, fault(http.StatusBadRequest, "no host")
+		return 0, false, reject(http.StatusBadRequest, "no host")
 	}
 	return r.req.ContentLength, len(r.req.TransferEncoding) > 0, nil
 }
 
-// Begun tells whether part of a request has come.
+// Begun reports whether part of a request has been received.
 func (r *Requests) Begun() bool { return r.msg.begun() }
 
-// Drop gives back what an unfinished request holds.
+// Drop releases the buffers of an incomplete request.
 func (r *Requests) Drop() { r.msg.drop() }
 
-// Take returns the request that Feed found whole. One that the protocol does not word so comes with a Fault,
-// after which the connection may go on.
+// Take returns the request that Feed has completed. If its headers or target are invalid, it also returns a Fault; the
+// connection remains usable.
 func (r *Requests) Take() (*Request, error) {
 	req := r.req
 	o := &Request{Method: req.Method, Target: req.RequestURI, Path: req.URL.Path, Last: req.Close,
@@ -109,55 +110,56 @@
 	if o.Path == ReadyPath || o.Path == LivePath {
 		return o, nil
 	}
-	if err := o.read(req); err != nil {
+	if err := o.parse(req); err != nil {
 		o.Free()
 		return o, err
 	}
 	return o, nil
 }
 
-// once are the headers that are read: told twice, a backend could go by the other.
-var once = []string{"X-Txn", "Idempotency-Key", "X-Tariff", "X-Resent", "X-Remaining", "X-Weight"}
+// singleHeaders are the headers that the door reads. They must not be repeated, because a backend could use the other value.
+var singleHeaders = []string{"X-Txn", "Idempotency-Key", "X-Tariff", "X-Resent", "X-Remaining", "X-Weight"}
 
-func (o *Request) read(req *http.Request) error {
+// parse reads the fields of o from the headers and the target.
+func (o *Request) parse(req *http.Request) error {
 	h := req.Header
-	for _, name := range once {
+	for _, name := range singleHeaders {
 		if len(h[name]) > 1 {
-			return fault(http.StatusBadRequest, name+" twice")
+			return reject(http.StatusBadRequest, name+" twice")
 		}
 	}
 	o.ID, o.Mark, o.Plan = h.Get("X-Txn"), h.Get("Idempotency-Key"), h.Get("X-Tariff")
 	o.Repeat = h.Get("X-Resent") == "1"
 	o.Class, _, _ = strings.Cut(strings.TrimPrefix(o.Path, "/"), "/")
-	if !plain(o.Target) || !strings.HasPrefix(o.Target, "/"+o.Class) {
-		return fault(http.StatusBadRequest, "target")
+	if !isVisibleASCII(o.Target) || !strings.HasPrefix(o.Target, "/"+o.Class) {
+		return reject(http.StatusBadRequest, "target")
 	}
-	if !plain(o.ID) || o.ID == "" {
-		return fault(http.StatusBadRequest, "X-Txn")
+	if !isVisibleASCII(o.ID) || o.ID == "" {
+		return reject(http.StatusBadRequest, "X-Txn")
 	}
-	if !plain(o.Mark) {
-		return fault(http.StatusBadRequest, "Idempotency-Key")
+	if !isVisibleASCII(o.Mark) {
+		return reject(http.StatusBadRequest, "Idempotency-Key")
 	}
 	query, err := url.ParseQuery(req.URL.RawQuery)
 	key := query["key"]
 	if err != nil || len(key) != 1 || len(key[0]) != 16 || !strings.Contains(req.URL.RawQuery, "key="+key[0]) {
-		return fault(http.StatusBadRequest, "key")
+		return reject(http.StatusBadRequest, "key")
 	}
 	if o.Customer, err = strconv.ParseUint(key[0], 16, 33); err != nil {
-		return fault(http.StatusBadRequest, "key")
+		return reject(http.StatusBadRequest, "key")
 	}
-	if o.TTL, err = readSpan(h.Get("X-Remaining")); err != nil {
-		return fault(http.StatusBadRequest, "X-Remaining")
+	if o.TTL, err = parseDuration(h.Get("X-Remaining")); err != nil {
+		return reject(http.StatusBadRequest, "X-Remaining")
 	}
-	if err = o.readWeight(h.Get("X-Weight")); err != nil {
-		return fault(http.StatusBadRequest, "X-Weight")
+	if err = o.parseWeight(h.Get("X-Weight")); err != nil {
+		return reject(http.StatusBadRequest, "X-Weight")
 	}
 	return nil
 }
 
-// plain tells whether a value may be passed on in a head: net/http lets control characters through, and a
-// lenient backend could take one for the end of a line.
-func plain(s string) bool {
+// isVisibleASCII reports whether a value can safely be forwarded in a head. net/http accepts control characters, and a lenient
+// backend could treat one as a line end.
+func isVisibleASCII(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
 			return false
@@ -166,14 +168,14 @@
 	return true
 }
 
-// readSpan reads a number with its unit, m for ms or u for us.
-func readSpan(s string) (ms float64, err error) {
+// parseDuration parses a number with a unit: m for ms, u for microseconds.
+func parseDuration(s string) (ms float64, err error) {
 	if s == "" {
-		return 0, errForm
+		return 0, errSyntax
 	}
 	v, err := strconv.ParseFloat(s[:len(s)-1], 64)
 	if err != nil || !(v >= 0) || math.IsInf(v, 0) {
-		return 0, errForm
+		return 0, errSyntax
 	}
 	switch s[len(s)-1] {
 	case 'm':
@@ -181,10 +183,11 @@
 	case 'u':
 		return v / 1000, nil
 	}
-	return 0, errForm
+	return 0, errSyntax
 }
 
-func (o *Request) readWeight(s string) (err error) {
+// parseWeight parses X-Weight, which must contain units, spread and first.
+func (o *Request) parseWeight(s string) (err error) {
 	seen := 0
 	for s != "" {
 		var part string
@@ -194,7 +197,7 @@
 		case "units":
 			seen |= 1
 			if o.Units, err = strconv.ParseFloat(value, 64); err == nil && !(o.Units > 0 && o.Units < 1e9) {
-				err = errForm
+				err = errSyntax
 			}
 		case "spread":
 			seen |= 2
@@ -208,12 +211,12 @@
 		}
 	}
 	if seen != 7 || o.Spread < 1 || o.First < 0 {
-		return errForm
+		return errSyntax
 	}
 	return nil
 }
 
-// AppendAnswer appends an answer; retryAfter, in ms, is told where it is above 0.
+// AppendAnswer appends a response. A Retry-After header is included if retryAfter, in ms, is above 0.
 func AppendAnswer(dst []byte, status int, retryAfter float64, body []byte, last bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
--- a/internal/http1/stream.go
+++ b/internal/http1/stream.go
@@ -5,22 +5,22 @@
 	"net/http"
 )
 
-// AppendWatch appends the question for a stream.
+// AppendWatch appends the request for a stream.
 func AppendWatch(dst []byte, target, host string) []byte {
 	return fmt.Appendf(dst, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", target, host)
 }
 
-// Stream hands out an answer's body as it comes.
+// Stream parses a response and passes on its body as it arrives.
 type Stream struct {
-	head head
-	body body
-	open bool
+	head     head
+	body     body
+	headDone bool
 }
 
-// Feed takes bytes and calls out with what they hold of the body. It tells whether the body has ended.
+// Feed parses bytes and calls out with each piece of the body. It reports whether the body has ended.
 func (s *Stream) Feed(p []byte, out func([]byte) error) (done bool, err error) {
 	for len(p) > 0 {
-		if !s.open {
+		if !s.headDone {
 			n, whole, err := s.head.feed(p)
 			p = p[n:]
 			if err != nil || !whole {
@@ -33,7 +33,7 @@
 			if res.StatusCode != http.StatusOK {
 				return false, &StatusError{res.StatusCode}
 			}
-			s.open, s.body = true, newBody(res.ContentLength, len(res.TransferEncoding) > 0)
+			s.headDone, s.body = true, newBody(res.ContentLength, len(res.TransferEncoding) > 0)
 			if s.body.done() {
 				return true, nil
 			}
