--- a/internal/holding/holding.go
+++ b/internal/holding/holding.go
@@ -431,7 +431,7 @@
 		if changeFailed {
 			for what, digest := range s.runs {
 				if digest != "" && s.previous[what] != digest {
-					s.failed[digest] = "its process exited unexpectedly: " + w.cmd.ProcessState.String()
+					s.failed[digest] = "its process ended by itself: " + w.cmd.ProcessState.String()
 				}
 			}
 			runs = s.previous
@@ -544,8 +544,8 @@
 }
 
 // apply changes what the door runs: it starts the new process beside the old one, then stops the old one. The change takes
-// effect with the start of the new process. If the time limit has passed before that, because this process was stopped for a
-// while, the change is dropped.
+// effect with the start of the new process. If its time limit has already passed, because the supervisor was suspended, the
+// change is dropped.
 func (s *supervisor) apply(t permits.Take) {
 	defer s.reportState()
 	s.mu.Lock()
