--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -24,7 +24,7 @@
 // function before.
 func Free() (string, error) {
 	for range maxTries {
-		port := from + rand.IntN(to-from)
+		port := minPort + rand.IntN(maxPort-minPort)
 		if _, taken := reserved.Load(port); taken {
 			continue
 		}
--- a/internal/remedy/remedy.go
+++ b/internal/remedy/remedy.go
@@ -16,7 +16,7 @@
 	Internal      Kind = iota // an error of the program itself
 	Usage                     // the command line is invalid
 	Configuration             // a file, a key or the environment is invalid
-	Refused                   // the operation was rejected
+	Refused                   // the request was understood and rejected
 	Unreachable               // something external does not respond or does not exist
 )
 
