--- a/config/config.go
+++ b/config/config.go
@@ -35,7 +35,7 @@
 
 // Limits on the delay before a door notices a change that discovery has published. In the worst case a silent watch is
 // detected after Silence, the first redial fails and the second succeeds. Each of the two takes at most ConnectTimeout to
-// connect, FirstWord to the first byte and the longest pause after it. The sum must not exceed maxDiscoveryDelay.
+// connect, FirstByte to the first byte and the longest pause after it. The sum must not exceed maxDiscoveryDelay.
 const (
 	RedialGrows       = 5   // the pause between failed dials doubles up to this multiple of Redial
 	maxDiscoveryDelay = 6e3 // ms after which the door is expected to know a published change
@@ -231,7 +231,7 @@
 	return unknown
 }
 
-// check verifies what serving needs beyond what ReadDeal requires.
+// check verifies what serving needs beyond what ReadSettings requires.
 func (d *Door) check() (errs []error) {
 	t := &d.Deal.Terms
 	fail := func(key, format string, args ...any) { errs = append(errs, keyErrorf(key, format, args...)) }
--- a/config/overlay.go
+++ b/config/overlay.go
@@ -23,7 +23,7 @@
 			return nil, keyErrorf(key, "specific to each door: an overlay cannot set it")
 		}
 	}
-	if s, is := over["settings"].(map[string]any); is {
+	if s, ok := over["settings"].(map[string]any); ok {
 		if _, named := s["my_number"]; named {
 			return nil, keyErrorf("settings.my_number", "specific to each door: an overlay cannot set it")
 		}
@@ -36,7 +36,7 @@
 func merge(under, over map[string]any) {
 	for key, v := range over {
 		into, both := under[key].(map[string]any)
-		if from, is := v.(map[string]any); is && both {
+		if from, ok := v.(map[string]any); ok && both {
 			merge(into, from)
 			continue
 		}
--- a/config/settings.go
+++ b/config/settings.go
@@ -32,7 +32,7 @@
 )
 
 // Queue returns the number of requests waiting at a backend according to its load report, or -1 if the report does not
-// contain it. The values are in the order of Reports.
+// contain it. The values are in the order of ReportNames.
 func (d *Deal) Queue(row []float64) (float64, error) {
 	if len(row) > len(d.Reports) {
 		return -1, &ReportError{len(row), len(d.Reports)}
@@ -186,11 +186,11 @@
 
 // addName records the index of a name. Duplicate names are rejected because they would share the settings of one entry.
 func addName(all map[string]int, name string, i int, at, what string) error {
-	if before, is := all[name]; is || name == "" {
-		if !is {
+	if previous, exists := all[name]; exists || name == "" {
+		if !exists {
 			return keyErrorf(at+"name", "missing")
 		}
-		return keyErrorf(at+"name", "%q is already the name of %s %d", name, what, before)
+		return keyErrorf(at+"name", "%q is already the name of %s %d", name, what, previous)
 	}
 	all[name] = i
 	return nil
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -181,12 +181,12 @@
 
 // A NaN or infinite usage value would corrupt a moving average permanently.
 func TestImplausibleUsageIsIgnored(t *testing.T) {
-	for _, figure := range []string{"Inf", "+infinity", "NaN", "-5", "1e300", "x", "5\r\nX-Allowance-Used: 6"} {
+	for _, value := range []string{"Inf", "+infinity", "NaN", "-5", "1e300", "x", "5\r\nX-Allowance-Used: 6"} {
 		var r Answers
-		_, whole, err := r.Feed([]byte("HTTP/1.1 200 OK\r\nX-Allowance-Used: " + figure + "\r\nContent-Length: 2\r\n\r\nhi"))
-		require.NoError(t, err, figure)
-		require.True(t, whole, figure)
-		assert.Equal(t, Answer{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}, r.Take(), "an implausible value does not invalidate the response: "+figure)
+		_, whole, err := r.Feed([]byte("HTTP/1.1 200 OK\r\nX-Allowance-Used: " + value + "\r\nContent-Length: 2\r\n\r\nhi"))
+		require.NoError(t, err, value)
+		require.True(t, whole, value)
+		assert.Equal(t, Answer{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}, r.Take(), "an implausible value does not invalidate the response: "+value)
 	}
 }
 
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -64,7 +64,7 @@
 	req *http.Request
 }
 
-// Feed consumes bytes up to the end of one request and reports whether Take can return it. Its errors are of type Fault.
+// Feed consumes bytes up to the end of one request and reports whether Take can return it. Its errors are of type RequestError.
 func (r *Requests) Feed(p []byte) (used int, whole bool, err error) {
 	used, whole, err = r.msg.feed(p, r.begin)
 	var known *Fault
@@ -101,7 +101,7 @@
 // Drop releases the buffers of an incomplete request.
 func (r *Requests) Drop() { r.msg.drop() }
 
-// Take returns the request that Feed has completed. If its headers or target are invalid, it also returns a Fault; the
+// Take returns the request that Feed has completed. If its headers or target are invalid, it also returns a RequestError; the
 // connection remains usable.
 func (r *Requests) Take() (*Request, error) {
 	req := r.req
--- a/internal/serving/process_test.go
+++ b/internal/serving/process_test.go
@@ -133,8 +133,8 @@
 
 func (d *process) isReady(t *testing.T) time.Duration {
 	select {
-	case took, is := <-d.ready:
-		require.True(t, is, "the process exited before it was ready:\n%s", d.log)
+	case took, ok := <-d.ready:
+		require.True(t, ok, "the process exited before it was ready:\n%s", d.log)
 		return took
 	case <-time.After(timeout):
 		require.Fail(t, "the process did not become ready")
@@ -192,8 +192,8 @@
 	}
 	d.signals(t, syscall.SIGTERM)
 	d.hasEnded(t)
-	_, was := <-d.ready
-	assert.False(t, was)
+	_, ok := <-d.ready
+	assert.False(t, ok)
 }
 
 // On SIGHUP an invalid file leaves the configuration unchanged, and the log names the key.
@@ -222,7 +222,7 @@
 // Nine in ten restarted processes are ready within 10 s, one at a time or thirty at once, with discovery up, slow, or down for
 // the first 8 s of the start. With -restarts 100 the test measures; by default it runs only a few restarts.
 func TestRestartedProcessesAreReadyInTime(t *testing.T) {
-	const slow, down, most = 2 * time.Second, 8 * time.Second, 10 * time.Second
+	const slow, down, limit = 2 * time.Second, 8 * time.Second, 10 * time.Second
 	after := func(wait time.Duration) func(string) func(net.Conn) {
 		return func(backend string) func(net.Conn) {
 			back := time.Now().Add(wait)
@@ -264,8 +264,8 @@
 				for range min(c.at, c.n-len(took)) {
 					d := p.start(t)
 					wait.Go(func() {
-						one, is := <-d.ready
-						if !is {
+						one, ok := <-d.ready
+						if !ok {
 							one = timeout
 						}
 						mu.Lock()
@@ -280,7 +280,7 @@
 			slices.Sort(took)
 			at := func(share float64) time.Duration { return took[min(len(took)-1, int(share*float64(len(took))))] }
 			t.Logf("%d restarts: median %v, nine in ten %v, longest %v", len(took), at(0.5), at(0.9), took[len(took)-1])
-			assert.Less(t, at(0.9), most)
+			assert.Less(t, at(0.9), limit)
 		})
 	}
 }
