--- a/config/config.go
+++ b/config/config.go
@@ -237,8 +237,8 @@
 	fail := func(key, format string, args ...any) { errs = append(errs, keyErrorf(key, format, args...)) }
 	if t.Doors < 1 {
 		fail("settings.fleet_size", "%d: must be at least 1", t.Doors)
-	} else if t.Number < 0 || t.Number >= t.Doors {
-		fail("settings.my_number", "%d: out of range for %d doors", t.Number, t.Doors)
+	} else if t.DoorNumber < 0 || t.DoorNumber >= t.Doors {
+		fail("settings.my_number", "%d: out of range for %d doors", t.DoorNumber, t.Doors)
 	}
 	errs = append(errs, termErrors("settings", t)...)
 	if t.Counter && d.Counter == "" {
@@ -296,8 +296,8 @@
 		if p.Gain < 0 {
 			fail(at+"worth", "below 0")
 		}
-		if p.Semantics == gate.Keyed && p.Window <= 0 {
-			fail(at+"window", "%g: must be above 0 for a deduplicated class", p.Window/msPerSecond)
+		if p.Semantics == gate.Keyed && p.DedupWindow <= 0 {
+			fail(at+"window", "%g: must be above 0 for a deduplicated class", p.DedupWindow/msPerSecond)
 		}
 	}
 	for i, p := range t.Plans {
@@ -307,7 +307,7 @@
 		}
 		at = under + "." + at
 		errs = append(errs, negativeErrors([]keyValue{{at + "rate", p.Rate}, {at + "depth", p.Depth}, {at + "never_over_rate", p.CeilingRate},
-			{at + "ceiling_burst", p.CeilingDepth}, {at + "beyond_earns", p.Beyond}, {at + "over_cost", p.OverCost},
+			{at + "ceiling_burst", p.CeilingDepth}, {at + "beyond_earns", p.OverQuotaGain}, {at + "over_cost", p.OverQuotaCost},
 			{at + "pays", p.Price}})...)
 	}
 	return errs
--- a/internal/serving/inherit.go
+++ b/internal/serving/inherit.go
@@ -31,7 +31,7 @@
 		if err != nil || !ok {
 			return &DescriptorError{ListenerVariable, err}
 		}
-		door.On(tcp)
+		door.UseListener(tcp)
 	}
 	f, err := inheritedFile(ReadyVariable)
 	if err != nil || f == nil {
--- a/internal/wire/door.go
+++ b/internal/wire/door.go
@@ -58,7 +58,7 @@
 	"DONE":       (*door).done,
 	"FIRST_BYTE": (*door).streaming,
 	"VANISHED":   (*door).vanished,
-	"BELL":       func(*door, *fields) gate.Event { return gate.Woken{} },
+	"BELL":       func(*door, *fields) gate.Event { return gate.TimerFired{} },
 	"PROBE_DONE": func(d *door, f *fields) gate.Event {
 		return gate.Probed{Backend: d.backend(f), Result: lookup(f, "outcome", results),
 			Latency: optional[float64](f, "latency") * msPerSecond}
@@ -83,25 +83,25 @@
 }
 
 func (d *door) fleet(f *fields) gate.Event {
-	ev := gate.Fleet{}
+	ev := gate.FleetUpdate{}
 	switch how := required[string](f, "how"); how {
 	case "Partial":
 	case "Complete", "Persisted":
 		ev.Complete = true
 	case "Error":
-		return gate.Fleet{Failed: true}
+		return gate.FleetUpdate{Failed: true}
 	default:
 		f.fail("how", "unknown value %q", how)
 	}
 	for _, raw := range optional[[]map[string]json.RawMessage](f, "nodes_list") {
 		ef := fields{m: raw}
 		name := required[string](&ef, "backend")
-		e := gate.Entry{Backend: d.backends.Add(name), Mark: index.Mark(name),
-			Zone:   d.zones.Add(optional[string](&ef, "dc")),
-			Cell:   d.cells.Add(fmt.Sprint(optional[int64](&ef, "stripe"))),
-			Status: lookup(&ef, "status", statuses),
-			Since:  optional[float64](&ef, "online_since") * msPerSecond,
-			Size:   optional[float64](&ef, "units")}
+		e := gate.Entry{Backend: d.backends.Add(name), RingPosition: index.Mark(name),
+			Zone:      d.zones.Add(optional[string](&ef, "dc")),
+			Cell:      d.cells.Add(fmt.Sprint(optional[int64](&ef, "stripe"))),
+			Status:    lookup(&ef, "status", statuses),
+			StartedAt: optional[float64](&ef, "online_since") * msPerSecond,
+			Weight:    optional[float64](&ef, "units")}
 		if ef.err != nil && f.err == nil {
 			f.err = atPosition(ef.err, "nodes_list")
 		}
@@ -115,7 +115,7 @@
 func (d *door) submit(f *fields) gate.Event {
 	id := required[string](f, "op_id")
 	ev := gate.Request{TTL: required[float64](f, "ttl") * msPerSecond, Units: required[float64](f, "cost_units"),
-		Repeat: optional[int](f, "marks")&repeatMark != 0, First: optional[int](f, "first_door"), Spread: required[int](f, "spread"),
+		ClientRetry: optional[int](f, "marks")&repeatMark != 0, FirstDoor: optional[int](f, "first_door"), Spread: required[int](f, "spread"),
 		Class: lookup(f, "kind", d.settings.Classes), Plan: lookup(f, "tier", d.settings.Plans)}
 	customer := required[string](f, "customer")
 	if f.err != nil {
@@ -132,10 +132,10 @@
 
 func (d *door) done(f *fields) gate.Event {
 	op, known := d.op(f)
-	ev := gate.Ended{Op: op, Attempt: required[int](f, "send_no"), Backend: d.backend(f),
+	ev := gate.AttemptEnded{Op: op, Attempt: required[int](f, "send_no"), Backend: d.backend(f),
 		Result: lookup(f, "outcome", results), Latency: required[float64](f, "latency") * msPerSecond,
-		Over: optional[bool](f, "over"), Use: (optional[float64](f, "fleet_use") - 1) / 100,
-		Units: optional[float64](f, "final_units")}
+		Answered: optional[bool](f, "over"), MeteredUse: (optional[float64](f, "fleet_use") - 1) / 100,
+		ActualUnits: optional[float64](f, "final_units")}
 	var err error
 	if ev.Queue, err = d.settings.Queue(optional[[]float64](f, "telemetry")); err != nil {
 		f.fail("telemetry", "%v", err)
@@ -147,7 +147,7 @@
 		return nil
 	}
 	d.outstanding[op]--
-	if ev.Over {
+	if ev.Answered {
 		d.finished[op] = true
 	}
 	d.releasable = append(d.releasable, op)
@@ -192,7 +192,7 @@
 		d.counts[name] = &pendingCount{customer: id, epoch: a.Epoch}
 	}
 	d.counts[name].calls++
-	return map[string]any{"INCR": map[string]any{"cname": name, "qty": a.Add, "keep_for": a.Keep / msPerSecond}}
+	return map[string]any{"INCR": map[string]any{"cname": name, "qty": a.Add, "keep_for": a.TTL / msPerSecond}}
 }
 
 func (d *door) streaming(f *fields) gate.Event {
@@ -210,7 +210,7 @@
 		return nil
 	}
 	d.finish(op)
-	return gate.Vanished{Op: op}
+	return gate.ClientGone{Op: op}
 }
 
 // encode encodes an action for the simulator. It returns nil if the simulator needs no message.
@@ -219,8 +219,8 @@
 	case gate.Send:
 		d.outstanding[a.Op]++
 		body := map[string]any{"op_id": d.ops.ID(a.Op), "backend": d.backends.ID(a.Backend)}
-		if a.Cap > 0 {
-			body["cap"] = a.Cap / msPerSecond
+		if a.Timeout > 0 {
+			body["cap"] = a.Timeout / msPerSecond
 		}
 		return map[string]any{"SUBMIT_TO": body}
 	case gate.Cancel:
@@ -235,18 +235,18 @@
 	case gate.Fail:
 		d.finish(a.Op)
 		return map[string]any{"LOSE": map[string]any{"op_id": d.ops.ID(a.Op)}}
-	case gate.Wake:
+	case gate.SetTimer:
 		return map[string]any{"SCHEDULE": map[string]any{"when": a.At / msPerSecond, "cookie": 0}}
 	case gate.Probe:
 		return map[string]any{"SOUND_OUT": map[string]any{"backend": d.backends.ID(a.Backend)}}
 	case gate.Count:
 		return d.counterCall(a)
-	case gate.Track:
+	case gate.SubscribeFleet:
 		return map[string]any{"TRACK": map[string]any{"enable": true}}
-	case gate.Forget:
+	case gate.FreeCustomer:
 		d.customers.Drop(a.Customer)
 		return nil
-	case gate.Delist:
+	case gate.FreeBackend:
 		d.backends.Drop(a.Backend)
 		return nil
 	case gate.Differs: // the protocol has no message for it
