--- a/permits/calendar.go
+++ b/permits/calendar.go
@@ -12,33 +12,34 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-// The change calendar's entries and what they do: an entry begins in one command with its drain or release, and what becomes of
-// that moves the entry, and the other way round, within the command that makes it so. A leader lost in between leaves nothing half.
+// This file connects the entries of the change calendar to their drains and releases. An entry starts in the same command as its
+// drain or release, and progress of either side is applied to the other within the command that causes it. The loss of a leader
+// therefore never leaves an entry half started.
 
-// Action is what an entry does, as its keys "do" and "rollback" have it: one of its parts.
+// Action is the content of an entry's keys "do" and "rollback". Exactly one field is set.
 type Action struct {
 	Drain   *DrainAction  `json:"drain,omitempty"`
 	Release *release.Plan `json:"release,omitempty"`
-	Manual  string        `json:"manual,omitempty"` // what people do, who say when it is done
-	Undo    bool          `json:"undo,omitempty"`   // of a rollback: what a drain or a release did is undone
+	Manual  string        `json:"manual,omitempty"` // manual work; operators report when it is done
+	Undo    bool          `json:"undo,omitempty"`   // of a rollback: undoes the entry's drain or release
 }
 
-// DrainAction takes a unit out. With a time it comes back by itself once that has passed, by agreed time.
+// DrainAction drains a unit or a zone. With a duration the drain ends by itself once that has passed by agreed time.
 type DrainAction struct {
 	Kind Kind    `json:"kind"`
 	Name string  `json:"name"`
-	ForS float64 `json:"for_s,omitempty"` // from the entry's start; 0 for until it is undrained
+	ForS float64 `json:"for_s,omitempty"` // s from the entry's start; 0 for no automatic end
 }
 
-// Run is what an entry has under way.
+// Run is what a running entry has started.
 type Run struct {
-	Release uint64         `json:",omitempty"` // number
+	Release uint64         `json:",omitempty"` // number of its release
 	Permits []uint64       `json:",omitempty"` // of its drain
-	AtMs    float64        // agreed time of its start
-	Was     calendar.Stage // of the entry, when it was last followed
+	AtMs    float64        // agreed time of the entry's start
+	Was     calendar.Stage // stage of the entry when it was last advanced
 }
 
-// ZoneOf tells the calendar where units stand.
+// ZoneOf returns the zone of a unit to the calendar.
 func (s *State) ZoneOf(scope calendar.Scope, name string) (zone string, known bool) {
 	u := s.Units[key(map[calendar.Scope]Kind{calendar.Doors: Door, calendar.Backends: Backend}[scope], name)]
 	if u == nil {
@@ -47,7 +48,7 @@
 	return u.Zone, true
 }
 
-// subject is what an action touches; nothing for what people do, of whom nobody knows.
+// subject returns what an action affects; known is false for manual work, whose effect isn't known.
 func (a *Action) subject() (b calendar.Subject, known bool) {
 	switch {
 	case a.Drain != nil:
@@ -77,7 +78,7 @@
 	return calendar.Release
 }
 
-// ReadAction reads what an entry does, or how it goes back. A key that nothing reads is refused.
+// ReadAction decodes an entry's action or rollback. Unknown keys are errors.
 func ReadAction(raw json.RawMessage) (a Action, err error) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
@@ -86,12 +87,12 @@
 }
 
 const (
-	waveSlackMs = 60e3 // ms that a wave takes beyond its watch where nothing was measured: a door is back in some seconds
-	drainMs     = 60e3 // ms that a drain takes where nothing was measured
+	waveSlackMs = 60e3 // ms that a wave takes beyond its watch unless the author gives a duration: a door is back within seconds
+	drainMs     = 60e3 // ms that a drain takes unless the author gives a duration
 )
 
-// Complete fills in what follows from what a change does, where its author left it out: kind, subject, waves and their time, and
-// its way back. A change that can't be read stays as it is; who enters it is told.
+// Complete derives the values that the author of a change left out from its action: kind, subject, waves and their duration, and
+// rollback. A change whose action can't be decoded is left unchanged; entering it returns the error.
 func Complete(c *calendar.Change) {
 	do, err := ReadAction(c.Do)
 	if err != nil {
@@ -117,7 +118,7 @@
 	}
 }
 
-// checkChange tells what is wrong with what a change would do: the calendar itself doesn't read it.
+// checkChange validates the action of a change, which the calendar itself doesn't decode.
 func (s *State) checkChange(c *calendar.Change) error {
 	bad := func(key, format string, args ...any) error {
 		return &calendar.FormError{Key: key, Says: fmt.Sprintf(format, args...)}
@@ -178,7 +179,7 @@
 	return nil
 }
 
-// covers tells whether a subject has all of another in it.
+// covers reports whether subject b includes all of the other.
 func (s *State) covers(b, all *calendar.Subject) bool {
 	switch {
 	case b.Scope == calendar.Fleet:
@@ -194,7 +195,7 @@
 	})
 }
 
-// schedule takes a command of the calendar in.
+// applyCalendarCommand executes a command of the calendar.
 func (s *State) schedule(c *Command) Answer {
 	for _, ch := range changesOf(c.Do) {
 		if err := s.checkChange(ch.of); err != nil {
@@ -214,7 +215,7 @@
 	return Answer{Number: number}
 }
 
-// inCalendar gives the calendar a command; what comes of it stands in the audit.
+// applyToCalendar passes a command to the calendar and copies the resulting events to the audit log.
 func (s *State) inCalendar(do any) (uint64, error) {
 	before := s.Calendar.Number
 	number, err := s.Calendar.Do(s.NowMs, do)
@@ -222,20 +223,20 @@
 	return number, err
 }
 
-// passCalendar has its time pass, so that what is looked at is as it is now.
+// advanceCalendar advances the calendar to the current time, so that the checks that follow see its current stages.
 func (s *State) passCalendar() {
 	before := s.Calendar.Number
 	s.Calendar.Pass(s.NowMs)
 	s.recount(before)
 }
 
-// keyed is a change with the key under which its author has it.
+// keyedChange is a change with the prefix of its keys in the author's file.
 type keyed struct {
 	key string
 	of  *calendar.Change
 }
 
-// changesOf lists the changes that a command enters, in their order: of two that are wrong every coordinator names the same.
+// changesOf lists the changes that a command enters, in order, so that every coordinator reports the same one of two errors.
 func changesOf(do any) (all []keyed) {
 	var steps []calendar.Change
 	switch d := do.(type) {
@@ -254,7 +255,7 @@
 	return all
 }
 
-// recount puts what happened in the calendar into the audit: one place tells who did what.
+// auditEvents copies the calendar's events after a number to the audit log, so that one log has all operator actions.
 func (s *State) recount(after uint64) {
 	events := s.Calendar.Events
 	for _, e := range events[max(0, len(events)-int(s.Calendar.Number-after)):] {
@@ -262,9 +263,9 @@
 	}
 }
 
-// startEntry begins an entry and what it does, both or neither.
+// startEntry starts an entry together with its action, or neither.
 func (s *State) startEntry(c *Command, d calendar.Start) Answer {
-	s.passCalendar() // what is looked at now is what the start finds
+	s.passCalendar() // the checks below must see what calendar.Start will see
 	e := s.Calendar.Entries[d.ID]
 	if e == nil {
 		return Answer{Err: &calendar.UnknownError{What: "entry", ID: d.ID}}
@@ -273,7 +274,7 @@
 		return Answer{Err: err}
 	}
 	do, err := ReadAction(e.Do)
-	if err != nil { // entered by a release that read it
+	if err != nil { // entered by a release of this software that could decode it
 		return Answer{Err: &calendar.FormError{Key: "do", Says: err.Error()}}
 	}
 	run := &Run{AtMs: s.Calendar.WallMs, Was: calendar.Running}
@@ -305,8 +306,8 @@
 	return Answer{Number: number}
 }
 
-// StartsNext is the entry that the coordinator that leads is to begin now: the first that is due with nothing in the way, of
-// budgets either, so that one that can't go out holds up no other.
+// NextStart returns the entry that the leader is to start now: the first due entry that neither the calendar nor a budget blocks,
+// so that a blocked entry doesn't delay others.
 func (s *State) StartsNext() (id uint64, any bool) {
 	for _, id := range s.Calendar.Startable() {
 		if s.WhyNot(id) == nil {
@@ -316,7 +317,7 @@
 	return 0, false
 }
 
-// WhyNot is the first thing in the way of an entry's start, in the calendar and beyond; nil for nothing.
+// StartObstacle returns the first reason why an entry can't start, from the calendar or from its action; nil if it can.
 func (s *State) WhyNot(id uint64) error {
 	e := s.Calendar.Entries[id]
 	if e == nil {
@@ -344,14 +345,14 @@
 	return err
 }
 
-// unplanned tells what in the calendar keeps a change that isn't in it from beginning now.
+// checkUnplanned returns what in the calendar keeps a change without an entry from starting now.
 func (s *State) unplanned(k calendar.Kind, b calendar.Subject) error {
 	s.passCalendar()
 	return s.Calendar.MayBegin(k, b)
 }
 
-// ofCalendar holds an operator's release against the calendar. One that an entry has begun goes on and back by its entry: own says
-// that the entry has taken the word.
+// routeToEntry checks an operator's release command against the calendar. A release that an entry has started is resumed and
+// rolled back through its entry; own reports that the entry has handled the command.
 func (s *State) ofCalendar(do any) (own bool, err error) {
 	switch d := do.(type) {
 	case release.Start:
@@ -375,7 +376,7 @@
 	return false, nil
 }
 
-// Drained tells whether all that a drain of one unit takes out is out.
+// Drained reports whether the drain of one unit is complete.
 func (s *State) Drained(p *Permit) bool {
 	if !p.Order || p.Over {
 		return false
@@ -387,17 +388,18 @@
 	return p.Stage == Out && u != nil && u.Standing != Ready
 }
 
-// followMost bounds the steps of one entry within a command: each of its waves, and its way back.
+// maxEntrySteps limits the steps of one entry within a command: each of its waves, and its rollback.
 const followMost = 1100
 
-// follow moves entries by what became of their drains and releases, and those by what became of their entries. It runs within
-// each command: a wave whose end a freeze has waited for is the last that begins, whoever leads.
+// advanceEntries advances entries by the progress of their drains and releases, and drains and releases by the stage of their
+// entries. It runs within each command: when a freeze waits for the end of a wave, no further wave starts, even if the leader
+// changes.
 func (s *State) follow() {
 	for _, id := range slices.Sorted(maps.Keys(s.Runs)) {
 		for range followMost {
 			e := s.Calendar.Entries[id]
 			if e == nil || !s.Calendar.Holds(e) {
-				if e != nil && e.Migration != 0 && e.Stage == calendar.Done { // what its steps took out was for it
+				if e != nil && e.Migration != 0 && e.Stage == calendar.Done { // its steps' drains last until the migration is done
 					s.undrainAll(s.Runs[id], id, "its migration is done")
 				}
 				delete(s.Runs, id)
@@ -410,7 +412,7 @@
 	}
 }
 
-// tell gives the calendar a command that follows from another; one that it can't take any more changes nothing.
+// tryCalendar passes a derived command to the calendar and reports whether it was accepted. A rejected command has no effect.
 func (s *State) tell(do any) bool {
 	_, err := s.inCalendar(do)
 	return err == nil
@@ -425,7 +427,7 @@
 	case len(run.Permits) > 0:
 		return s.followDrain(e, run)
 	}
-	return false // people say how it goes
+	return false // manual work: operators report its progress
 }
 
 func (s *State) followRelease(e *calendar.Entry, run *Run, was calendar.Stage) bool {
@@ -459,7 +461,7 @@
 		}
 	case calendar.RollingBack:
 		switch {
-		case gone: // nobody here can take it back: people do, and say so
+		case gone: // only operators can roll it back; they report when it is done
 		case r.Stage == release.Returned:
 			return s.tell(calendar.RolledBack{ID: e.ID})
 		case r.Stage != release.Back:
@@ -472,7 +474,7 @@
 	return false
 }
 
-// undrainAll ends what of an entry's drain still stands; false where nothing does.
+// undrainAll ends the drains of an entry that are still in force and reports whether there were any.
 func (s *State) undrainAll(run *Run, id uint64, why string) (ended bool) {
 	for _, n := range run.Permits {
 		if p := s.Permits[n]; p != nil && !p.Over {
--- a/permits/calendar_test.go
+++ b/permits/calendar_test.go
@@ -18,7 +18,7 @@
 
 const hour = 3600e3
 
-// onTime has agreed time: three coordinators tell their clocks, which show now and some years.
+// reportClocks establishes agreed time: three coordinators report their wall clocks, which show wallStartMs plus the state's clock.
 func (s *site) onTime() {
 	for i := range 3 {
 		s.do(fmt.Sprint("clock", i), calendar.Clock{Name: fmt.Sprint("c", i), WallMs: wallAt + s.now, Size: 3})
@@ -58,7 +58,7 @@
 	return a.Number
 }
 
-// begun has the leader begin whatever may.
+// startDueEntries starts all entries that may start, as the leader does.
 func (s *site) begun(t *testing.T) (ids []uint64) {
 	for {
 		id, any := s.StartsNext()
@@ -72,7 +72,7 @@
 
 func (s *site) stage(id uint64) calendar.Stage { return s.Calendar.Entries[id].Stage }
 
-// take has doors run what the release gives, or what they ran before.
+// installVersions has doors report the version that the release assigns, or the one that they run already.
 func (s *site) take(doors ...int) {
 	for _, i := range doors {
 		runs := release.Runs{}
@@ -89,7 +89,7 @@
 	return s.do("leader", release.Judged{Number: 1, Wave: wave, Verdict: release.Verdict{Says: says, Why: "seen"}}).Err
 }
 
-func TestAnEntryGoesOutWithItsDrainAndComesBack(t *testing.T) {
+func TestEntryRunsItsDrain(t *testing.T) {
 	s := withBackends(3)
 	id := s.planned(t, drainOf(Backend, "b0", 10*60e3))
 	blocked := s.planned(t, drainOf(Backend, "b1", 0))
@@ -98,18 +98,18 @@
 	assert.Equal(t, calendar.Due, s.stage(blocked))
 	var denied *DeniedError
 	require.ErrorAs(t, s.WhyNot(blocked), &denied)
-	assert.ErrorAs(t, s.do("leader", calendar.Start{ID: blocked}).Err, &denied, "the start itself looks as well")
+	assert.ErrorAs(t, s.do("leader", calendar.Start{ID: blocked}).Err, &denied, "the start command checks the budgets itself")
 	assert.Equal(t, calendar.Due, s.stage(blocked))
 	held, change := s.Withheld()
 	assert.Equal(t, []string{"b0"}, held)
 	for i := range 3 {
 		s.did(i, change)
 	}
-	assert.Equal(t, calendar.Running, s.stage(id), "it stays out for its time")
+	assert.Equal(t, calendar.Running, s.stage(id), "it stays out for its duration")
 	s.later(10 * 60e3)
 	held, change = s.Withheld()
 	assert.Empty(t, held)
-	assert.Equal(t, calendar.Running, s.stage(id), "it is not back so far")
+	assert.Equal(t, calendar.Running, s.stage(id), "it is not back yet")
 	for i := range 3 {
 		s.did(i, change)
 	}
@@ -124,12 +124,12 @@
 	for i := range 3 {
 		s.did(i, change)
 	}
-	assert.Equal(t, calendar.Done, s.stage(blocked), "without a time it is done once it is out")
+	assert.Equal(t, calendar.Done, s.stage(blocked), "without a duration it is done once the unit is out")
 	held, _ = s.Withheld()
-	assert.Equal(t, []string{"b1"}, held, "and stays so")
+	assert.Equal(t, []string{"b1"}, held, "the unit stays out")
 }
 
-func TestAReleaseOfAnEntryGoesByItsWaves(t *testing.T) {
+func TestEntryAdvancesWithItsReleaseWaves(t *testing.T) {
 	s := newSite(4)
 	id := s.planned(t, releaseOf("r"))
 	assert.Equal(t, []uint64{id}, s.begun(t))
@@ -145,9 +145,9 @@
 	assert.Equal(t, release.Done, r.Stage)
 }
 
-// A freeze that is laid over a release lets it finish its wave. That the next one begins with the verdict itself must not let a
-// door of it through before anybody has looked at the freeze.
-func TestAFreezeHoldsAReleaseBetweenItsWavesAndNoDoorSlipsThrough(t *testing.T) {
+// A freeze lets a release finish its current wave. The verdict that ends this wave also starts the next one, so the freeze must halt
+// the release within the same command, before any door of the next wave can change.
+func TestFreezeHaltsReleaseBetweenWavesInSameCommand(t *testing.T) {
 	s := newSite(4)
 	id := s.planned(t, releaseOf("r"))
 	s.begun(t)
@@ -165,14 +165,14 @@
 		assert.False(t, is)
 	}
 	var frozen *calendar.FrozenError
-	require.ErrorAs(t, s.do("op", release.Steer{Name: "r", To: release.ToResume, Who: "cai", Why: "hurry"}).Err, &frozen, "not by the release's own command either")
+	require.ErrorAs(t, s.do("op", release.Steer{Name: "r", To: release.ToResume, Who: "cai", Why: "hurry"}).Err, &frozen, "the release's own command can't resume it either")
 	assert.Equal(t, release.Halted, r.Stage)
 	require.NoError(t, s.do("bea", calendar.Thaw{ID: 2, Revision: 1, Who: "bea"}).Err)
-	assert.Equal(t, release.Running, r.Stage, "at once")
+	assert.Equal(t, release.Running, r.Stage, "in the same command")
 	require.NoError(t, s.do("op", calendar.Halt{ID: id, Who: "cai", Why: "not so"}).Err)
 	assert.Equal(t, release.Halted, r.Stage)
 	s.later(9 * 60e3)
-	assert.Equal(t, calendar.Halted, s.stage(id), "who halted it resumes it")
+	assert.Equal(t, calendar.Halted, s.stage(id), "the end of the freeze doesn't end an operator's halt")
 	require.NoError(t, s.do("op", release.Steer{Name: "r", To: release.ToResume, Who: "cai", Why: "well"}).Err)
 	assert.Equal(t, calendar.Running, s.stage(id))
 	assert.Equal(t, release.Running, r.Stage)
@@ -181,7 +181,7 @@
 	assert.Equal(t, calendar.Done, s.stage(id))
 }
 
-func TestAFreezeThatEndsHasItsReleaseGoOn(t *testing.T) {
+func TestEndOfFreezeResumesRelease(t *testing.T) {
 	s := newSite(4)
 	id := s.planned(t, releaseOf("r"))
 	s.begun(t)
@@ -196,7 +196,7 @@
 	assert.Equal(t, release.Running, s.Release.Find("r").Stage)
 }
 
-func TestAFreezeThatSendsBackTakesTheReleaseBack(t *testing.T) {
+func TestFreezeThatSendsBackRollsReleaseBack(t *testing.T) {
 	s := newSite(4)
 	id := s.planned(t, releaseOf("r"))
 	s.begun(t)
@@ -212,7 +212,7 @@
 	assert.Empty(t, s.Runs)
 }
 
-func TestAReleaseThatGoesBackByItselfTakesItsEntryWithIt(t *testing.T) {
+func TestReleaseRollbackRollsEntryBack(t *testing.T) {
 	s := newSite(4)
 	id := s.planned(t, releaseOf("r"))
 	s.begun(t)
@@ -227,16 +227,16 @@
 	assert.Equal(t, calendar.Halted, s.stage(id))
 	assert.Equal(t, "odd", s.Calendar.Entries[id].Says)
 	require.NoError(t, s.do("op", release.Steer{Name: "r2", To: release.ToBack, Who: "cai", Why: "enough"}).Err)
-	assert.Equal(t, calendar.Withdrawn, s.stage(id), "no door had it")
+	assert.Equal(t, calendar.Withdrawn, s.stage(id), "no door had the version")
 	assert.Equal(t, release.Returned, s.Release.Find("r2").Stage)
 }
 
-func TestOperatorsOwnChangesPassTheCalendar(t *testing.T) {
+func TestUnplannedChangesAreCheckedByCalendar(t *testing.T) {
 	s := withBackends(3)
 	drain := func(name string) error {
 		return s.do("op", Drain{Kind: Backend, Name: name, Who: "op", Why: "disk"}).Err
 	}
-	require.NoError(t, drain("b0"), "an empty calendar asks for nothing, not even for the time")
+	require.NoError(t, drain("b0"), "an empty calendar requires nothing, not even agreed time")
 	require.NoError(t, s.do("op", Undrain{Backend, "b0", "op", ""}).Err)
 	_, change := s.Withheld()
 	for i := range 3 {
@@ -255,25 +255,25 @@
 	a := s.do("bea", calendar.SetFreeze{Freeze: freeze})
 	require.NoError(t, a.Err)
 	var clock *calendar.ClockError
-	require.ErrorAs(t, drain("b0"), &clock, "a freeze and no time: nobody knows")
+	require.ErrorAs(t, drain("b0"), &clock, "without agreed time the freeze can't be evaluated")
 	s.onTime()
 	var frozen *calendar.FrozenError
 	require.ErrorAs(t, drain("b0"), &frozen)
-	require.NoError(t, s.do("op", Drain{Kind: Door, Name: "d0", Who: "op", Why: "x"}).Err, "it is about backends")
+	require.NoError(t, s.do("op", Drain{Kind: Door, Name: "d0", Who: "op", Why: "x"}).Err, "the freeze is for backends")
 	require.NoError(t, s.do("bea", calendar.Thaw{ID: a.Number, Revision: 1, Who: "bea"}).Err)
 	id := s.planned(t, drainOf(Zone, "z1", hour))
 	s.begun(t)
 	require.Equal(t, calendar.Running, s.stage(id), s.WhyNot(id))
 	var busy *calendar.BusyError
-	require.ErrorAs(t, drain("b1"), &busy, "its zone is the entry's")
+	require.ErrorAs(t, drain("b1"), &busy, "a running entry has its zone")
 	assert.Equal(t, id, busy.Other)
 	assert.NotContains(t, busy.Error(), "entry 0")
 	require.ErrorAs(t, s.do("op", release.Start{Plan: plan, Who: "op"}).Err, &busy)
 	var denied *DeniedError
-	require.ErrorAs(t, drain("b0"), &denied, "the calendar lets it, its budget doesn't")
+	require.ErrorAs(t, drain("b0"), &denied, "the calendar allows it, the budget doesn't")
 }
 
-func TestAMigrationOfDrainsEndsWhereItBegan(t *testing.T) {
+func TestRevertedMigrationUndrainsInReverseOrder(t *testing.T) {
 	s := withBackends(3)
 	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2}, {Kind: Backend, MostOut: 3}}})
 	hand := calendar.Change{Name: "cable", Kind: calendar.MigrationStep, Subject: drained(Backend, "b0"), Window: window(0, hour), Waves: 1,
@@ -297,11 +297,11 @@
 	assert.Equal(t, []string{"b0", "b1"}, held)
 	require.NoError(t, s.do("ana", calendar.Revert{ID: m.ID, Who: "ana", Why: "smoke"}).Err)
 	held, _ = s.Withheld()
-	assert.Equal(t, []string{"b0"}, held, "the newest first")
+	assert.Equal(t, []string{"b0"}, held, "the latest step first")
 	assert.Equal(t, calendar.Done, s.stage(m.Steps[1]))
 	confirm()
 	s.backend("b1", Ready)
-	assert.Equal(t, calendar.RollingBack, s.stage(m.Steps[1]), "people say when the cable is back")
+	assert.Equal(t, calendar.RollingBack, s.stage(m.Steps[1]), "operators report the rollback of a manual step")
 	held, _ = s.Withheld()
 	assert.Equal(t, []string{"b0"}, held)
 	require.NoError(t, s.do("ana", calendar.RolledBack{ID: m.Steps[1]}).Err)
@@ -314,8 +314,8 @@
 	assert.Empty(t, s.Runs)
 }
 
-// A drain that is a step of a migration is for the migration: once that is done its unit comes back.
-func TestWhatAMigrationTookOutComesBackWhenItIsDone(t *testing.T) {
+// A drain that is a step of a migration lasts until the migration is done; then its unit comes back.
+func TestMigrationDrainsEndWhenItIsDone(t *testing.T) {
 	s := withBackends(3)
 	hand := calendar.Change{Name: "cable", Kind: calendar.MigrationStep, Subject: drained(Backend, "b0"), Window: window(0, hour), Waves: 1,
 		Do: json.RawMessage(`{"manual":"move the cable"}`), Rollback: json.RawMessage(`{"manual":"move it back"}`)}
@@ -338,14 +338,14 @@
 	assert.Empty(t, s.Runs)
 }
 
-// A leader that is lost between "due" and "running" leaves an entry that another begins, and one that is lost right after leaves
-// one that has begun: what is said twice happens once.
-func TestALeaderLostAboutAStartLeavesNothingTwice(t *testing.T) {
+// A leader that is lost before an entry's start leaves it to the next leader; one that is lost right after leaves it running. A
+// retried start must start the entry once.
+func TestLeaderLossAroundStartStartsEntryOnce(t *testing.T) {
 	s := newSite(4)
 	id := s.planned(t, releaseOf("r"))
 	s.do("c1", Lead{Name: "c1", Epoch: 1})
 	_, any := s.StartsNext()
-	assert.False(t, any, "what clocks showed before counts no more")
+	assert.False(t, any, "earlier clock readings are invalid under a new leader")
 	for i := range 4 {
 		s.seen(i, Ready, 1)
 	}
@@ -363,22 +363,23 @@
 	require.NoError(t, s.Save(&disk))
 	again, err := Load(&disk)
 	require.NoError(t, err)
-	s.State = again // a coordinator that comes back from its snapshot
+	s.State = again // a coordinator that restarts from its snapshot
 	s.take(0)
 	require.NoError(t, s.judge(0, release.GoOn))
 	assert.Equal(t, 1, s.Calendar.Entries[id].Wave)
 	s.do("c3", calendar.Restored{Who: "cai"})
-	assert.Equal(t, calendar.Halted, s.stage(id), "a restored state lets nothing go on by itself")
+	assert.Equal(t, calendar.Halted, s.stage(id), "after a restore nothing continues without an operator")
 	assert.Equal(t, release.Halted, s.Release.Find("r").Stage)
 }
 
-// The start looks by the time of its own command: what was clear when the leader looked may be over, and then nothing is left out.
-func TestAStartThatComesLateLeavesNothingOut(t *testing.T) {
+// A start is checked at the time of its own command. If its window has become too short since the leader's check, it must leave no
+// unit out.
+func TestDelayedStartIsCheckedAtItsOwnTime(t *testing.T) {
 	s := withBackends(3)
 	id := s.planned(t, drainOf(Backend, "b0", 0))
 	_, any := s.StartsNext()
 	require.True(t, any)
-	s.now += hour - 10e3 // the command was long on its way; clocks still count for 30 s from what was told last
+	s.now += hour - 10e3 // the command was delayed; clock readings count for 30 s
 	for i := range 3 {
 		s.Calendar.Readings[fmt.Sprint("c", i)] = calendar.Reading{OffsetMs: wallAt, AtMs: s.now - 20e3}
 	}
@@ -388,13 +389,13 @@
 	assert.Empty(t, s.Runs)
 }
 
-// A unit that has left the fleet, or never was there, stands in no zone that is known: it is held to be in any.
-func TestAUnitThatNobodyKnowsIsHeldToBeAnywhere(t *testing.T) {
+// The zone of a unit that has left the fleet, or never was in it, is unknown: it is treated as if it were in any zone.
+func TestUnknownUnitIsTreatedAsInAnyZone(t *testing.T) {
 	s := withBackends(3)
 	c := drainOf(Backend, "b9", 0)
 	c.Subject = calendar.Subject{Scope: calendar.Zone, Names: []string{"z1"}}
 	var form *calendar.FormError
-	require.ErrorAs(t, s.do("ana", calendar.Plan{Change: c, Who: "ana"}).Err, &form, "nobody knows that the zone has it")
+	require.ErrorAs(t, s.do("ana", calendar.Plan{Change: c, Who: "ana"}).Err, &form, "its zone is unknown")
 	id := s.planned(t, drainOf(Backend, "b9", 0))
 	var unknown *UnknownError
 	require.ErrorAs(t, s.WhyNot(id), &unknown)
@@ -405,25 +406,25 @@
 	b1 := s.planned(t, drainOf(Backend, "b1", 0))
 	require.ErrorAs(t, s.WhyNot(b1), &frozen)
 	b0 := s.planned(t, drainOf(Backend, "b0", 0))
-	assert.NoError(t, s.WhyNot(b0), "it is known to stand elsewhere")
+	assert.NoError(t, s.WhyNot(b0), "it is known to be in another zone")
 	s.do("op", Forget{Kind: Backend, Name: "b0", Who: "op", Why: "gone"})
 	require.ErrorAs(t, s.WhyNot(b0), &frozen, "it has left the fleet")
 }
 
-func TestAReleaseReplacedUnderItsEntryHaltsIt(t *testing.T) {
+func TestReplacedReleaseHaltsItsEntry(t *testing.T) {
 	s := newSite(4)
 	id := s.planned(t, releaseOf("r"))
 	s.begun(t)
-	s.Release.Find("r").Stage = release.Replaced // as by a state from before the calendar
+	s.Release.Find("r").Stage = release.Replaced // as in a state from before the calendar existed
 	s.onTime()
 	assert.Equal(t, calendar.Halted, s.stage(id))
 	require.NoError(t, s.do("op", calendar.RollBack{ID: id, Who: "cai", Why: "gone"}).Err)
-	assert.Equal(t, calendar.RollingBack, s.stage(id), "people look, and say so")
+	assert.Equal(t, calendar.RollingBack, s.stage(id), "operators report the rollback")
 	require.NoError(t, s.do("op", calendar.RolledBack{ID: id}).Err)
 	assert.Equal(t, calendar.Withdrawn, s.stage(id))
 }
 
-func TestWhatAChangeWouldDoIsRead(t *testing.T) {
+func TestChangeActionIsValidated(t *testing.T) {
 	s := withBackends(4)
 	for key, turn := range map[string]func(c *calendar.Change){
 		"do":         func(c *calendar.Change) { c.Do = json.RawMessage(`{"drain":{"kind":"door","name":"d0"},"manual":"x"}`) },
@@ -456,11 +457,11 @@
 	}
 	c := releaseOf("r")
 	c.Kind = calendar.Terms
-	assert.NoError(t, s.do("ana", calendar.Plan{Change: c, Who: "ana", Draft: true}).Err, "terms of plans are in configurations")
+	assert.NoError(t, s.do("ana", calendar.Plan{Change: c, Who: "ana", Draft: true}).Err, "the terms of plans are part of configurations")
 	assert.Empty(t, s.Runs)
 }
 
-func TestAnEditIsReadAsAPlanIs(t *testing.T) {
+func TestEditIsValidatedLikePlan(t *testing.T) {
 	s := newSite(2)
 	id := s.planned(t, drainOf(Door, "d0", 0))
 	c := drainOf(Door, "d1", 0)
@@ -470,8 +471,8 @@
 	assert.Equal(t, "subject", form.Key)
 }
 
-// Clocks are told every two seconds: a freeze that began since the last word is one already.
-func TestAFreezeThatHasJustBegunStopsADrain(t *testing.T) {
+// Clocks are reported every two seconds. A freeze that began since the last report must already apply.
+func TestFreezeThatHasJustBegunBlocksDrain(t *testing.T) {
 	s := withBackends(3)
 	s.onTime()
 	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "f", Subject: calendar.Subject{Scope: calendar.Fleet}, Spans: []calendar.Span{window(1000, hour)},
@@ -481,8 +482,8 @@
 	require.ErrorAs(t, s.do("op", Drain{Kind: Backend, Name: "b0", Who: "op", Why: "x"}).Err, &frozen)
 }
 
-// Every coordinator must answer alike: the first wrong step is named, not any of them. Answers are part of what is agreed.
-func TestOfTwoWrongStepsTheFirstIsNamed(t *testing.T) {
+// Answers are replicated state, so every coordinator must report the same invalid step: the first one.
+func TestFirstOfTwoInvalidStepsIsReported(t *testing.T) {
 	var steps []calendar.Change
 	for i := range 20 {
 		c := drainOf(Door, fmt.Sprint("d", i), 0)
@@ -496,8 +497,8 @@
 	}
 }
 
-// What time alone does to the calendar stands in the audit as well, whatever command it comes with.
-func TestTheAuditHasAllOfTheCalendarOnce(t *testing.T) {
+// The audit log must also have the calendar events that are caused by time alone, whichever command they come with.
+func TestAuditHasEachCalendarEventOnce(t *testing.T) {
 	s := newSite(4)
 	s.planned(t, releaseOf("r"))
 	s.planned(t, drainOf(Door, "d0", 60e3))
@@ -524,7 +525,7 @@
 	assert.Contains(t, told, "calendar 2: due -> missed")
 }
 
-func TestWhatFollowsFromWhatIsDoneNeedNotBeWritten(t *testing.T) {
+func TestCompleteDerivesOmittedValues(t *testing.T) {
 	s := withBackends(2)
 	for want, bare := range map[string]calendar.Change{
 		"drain backends b0 1 90000":      {Name: "x", Do: json.RawMessage(`{"drain":{"kind":"backend","name":"b0","for_s":90}}`)},
@@ -549,7 +550,7 @@
 	}
 }
 
-func TestAStateFromBeforeTheCalendarIsRead(t *testing.T) {
+func TestLoadsStateWithoutCalendar(t *testing.T) {
 	s := newSite(2)
 	raw, err := json.Marshal(s.State)
 	require.NoError(t, err)
@@ -571,8 +572,8 @@
 	assert.Equal(t, "z1", zone)
 }
 
-// Every command and error of the calendar has a name in what is written down.
-func TestAllOfTheCalendarIsWorded(t *testing.T) {
+// Every command and error type of the calendar must have an encoded name.
+func TestAllCalendarTypesAreEncodable(t *testing.T) {
 	var none calendar.State
 	for name, typ := range names {
 		if typ.PkgPath() != reflect.TypeOf(none).PkgPath() {
@@ -587,7 +588,7 @@
 		if !is {
 			a := New().Apply(Command{Caller: "x", Seq: 1, Do: v.Elem().Interface()})
 			var unknown *UnknownError
-			assert.False(t, a.Err != nil && assert.ObjectsAreEqual(reflect.TypeOf(unknown), reflect.TypeOf(a.Err)), "%s is not taken", name)
+			assert.False(t, a.Err != nil && assert.ObjectsAreEqual(reflect.TypeOf(unknown), reflect.TypeOf(a.Err)), "%s is not a command", name)
 		}
 	}
 	endless := &calendar.FrozenError{}
@@ -596,14 +597,14 @@
 	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "daily", Subject: calendar.Subject{Scope: calendar.Fleet}, ThroughMs: wallAt - 1,
 		When: calendar.Recurrence{Begin: "2026-01-01T00:00", Minutes: 1, Every: "FREQ=DAILY", In: "UTC"}, Sends: calendar.FinishesWave, Who: "bea", Why: "x"}}).Err)
 	a := s.do("op", Drain{Kind: Door, Name: "d0", Who: "op", Why: "x"})
-	require.ErrorAs(t, a.Err, &endless, "a recurring freeze that is known no further lasts")
+	require.ErrorAs(t, a.Err, &endless, "a recurring freeze is in force beyond the time for which it was expanded")
 	_, err := json.Marshal(a)
-	assert.NoError(t, err, "also in an answer")
+	assert.NoError(t, err, "an infinite end must be encodable in an answer")
 }
 
-// Whatever is planned, frozen, taken back, lost or seen: what entries have out is theirs, within the budgets, and nothing is left
-// of one that is over but what it is to leave.
-func TestEntriesAndWhatTheyHaveOutGoTogether(t *testing.T) {
+// Under any sequence of plans, freezes, rollbacks, leader changes and sightings, each permit belongs to at most one entry, budgets
+// hold, and an ended entry leaves nothing except the drains that outlast it.
+func TestEntriesAndTheirPermitsStayConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := withBackends(4)
 		s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2}, {Kind: Backend, MostOut: 2}, {Kind: Zone, MostOut: 1}}})
@@ -664,7 +665,7 @@
 			}
 			s.later(rapid.Float64Range(0, 90e3).Draw(t, "later"))
 			if next, any := s.StartsNext(); any {
-				require.NoError(t, s.do("leader", calendar.Start{ID: next}).Err, "what is said to have nothing in the way begins")
+				require.NoError(t, s.do("leader", calendar.Start{ID: next}).Err, "an entry without an obstacle must start")
 			}
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
 				var disk bytes.Buffer
@@ -699,7 +700,7 @@
 	})
 }
 
-// gaveUp tells whether a permit that stands is of an entry that was taken back.
+// entryNotDone reports whether a permit belongs to an entry that is not done, or to none.
 func (s *site) gaveUp(p *Permit) bool {
 	var id uint64
 	_, err := fmt.Sscanf(p.Who, "calendar %d", &id)
--- a/permits/changer.go
+++ b/permits/changer.go
@@ -6,16 +6,17 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-// Hold is what the process that holds a door's listener says: what the door runs, and what it could not take.
+// HolderReport is the report of the process that holds a door's listener: which versions the door runs, and which it failed to
+// install.
 type Hold struct {
 	Caller string            `json:"caller"`
 	Seq    uint64            `json:"seq"`
 	Door   string            `json:"door"`
 	Runs   release.Runs      `json:"runs"`
-	Failed map[string]string `json:"failed,omitempty"`
+	Failed map[string]string `json:"failed,omitempty"` // reason by digest
 }
 
-// Given answers it: what the door is to run, by which release; nothing where it is to stay as it is.
+// Assignment answers a HolderReport: which version the door is to run, and for which release. It is empty if nothing is to change.
 type Given struct {
 	Release uint64 `json:"release,omitempty"`
 	Name    string `json:"name,omitempty"`
@@ -24,8 +25,8 @@
 	Back    bool   `json:"back,omitempty"`
 }
 
-// Changer is the side of the process that holds a door's listener: by a release, and with a permit, it has the door run
-// something else. With coordinators gone nothing changes.
+// ReleaseAgent is the client of the coordinators in the process that holds a door's listener: for a release, and with a permit, it
+// has the door run another version. Without coordinators nothing changes.
 type Changer struct {
 	door   string
 	caller string
@@ -38,35 +39,36 @@
 	saidMs float64
 	dirty  bool
 	denied float64
-	spent  uint64 // permit of a step that came to nothing, to be given back
+	spent  uint64 // permit to be returned, of an abandoned or failed step; 0 for none
 }
 
-// Events of a changer, besides Answered, Unanswered and Tick.
+// Events of a ReleaseAgent, besides Answered, Unanswered and Tick.
 type (
-	// Gave brings the answer to a Hold.
+	// AssignmentReceived is the answer to a Post with a HolderReport.
 	Gave struct {
 		Seq   uint64
 		Given Given
 	}
-	// Runs tells what the door runs, and what it could not take: after a Take, or when a process ended by itself.
+	// VersionsChanged reports which versions the door runs and which it failed to install, after an ApplyRelease or when a process
+	// ended by itself.
 	Runs struct {
 		Runs   release.Runs
 		Failed map[string]string
 	}
 )
 
-// Take has the door run something else, if that can begin before UntilMs. A Runs follows.
+// ApplyRelease has the door run the assigned version, if that can begin before UntilMs. A VersionsChanged follows.
 type Take struct {
 	Given
 	UntilMs float64
 }
 
-// NewChanger returns the changer of a door that runs this, and could not take that.
+// NewReleaseAgent returns the agent of a door with the versions that it runs and those that it failed to install.
 func NewChanger(door string, process uint64, runs release.Runs, failed map[string]string) *Changer {
 	return &Changer{door: door, caller: Caller(door+"/holder", process), runs: runs, failed: failed, dirty: true}
 }
 
-// Step takes an event in.
+// Step processes an event and returns the resulting actions.
 func (c *Changer) Step(now float64, e any) []any {
 	switch e := e.(type) {
 	case Gave:
@@ -82,7 +84,7 @@
 		}
 	case Runs:
 		if c.taking && (c.want == nil || e.Runs[c.want.Changes] != c.want.Digest) {
-			c.spent = c.h.Number // the process before serves on: its place is free
+			c.spent = c.h.Number // the previous process keeps serving, so the permit can be returned
 		}
 		if c.taking {
 			c.h.Drop()
@@ -106,7 +108,7 @@
 	}
 }
 
-// giveUp means nothing that was asked any more: a permit that may have been given is given back.
+// abandon gives up the current step; a permit that was granted is returned.
 func (c *Changer) giveUp(now float64) {
 	if c.h.Number != 0 {
 		c.spent = c.h.Number
@@ -129,7 +131,7 @@
 	switch {
 	case c.spent != 0:
 		return post(c.h.Next(), Withdraw{c.spent})
-	case c.want == nil && c.h.Number != 0: // it isn't to go any more
+	case c.want == nil && c.h.Number != 0: // the assignment was withdrawn
 		c.giveUp(now)
 	case c.want != nil && now >= c.denied:
 		if c.h.Number != 0 && !c.h.Fresh(now) {
@@ -154,7 +156,7 @@
 	return nil
 }
 
-// NeedsOf lists the command that a holder's word calls for: what its door runs has changed.
+// HolderCommands lists the commands that a holder's report requires: one if its door's versions or failures have changed.
 func (s *State) NeedsOf(h *Hold) (do []any) {
 	known := s.Release.Runs[h.Door]
 	news := known == nil
@@ -172,7 +174,7 @@
 	return do
 }
 
-// Given tells a door's holder what it is to run.
+// Assignment returns which version a door is to run.
 func (s *State) Given(door string) (g Given) {
 	if r, digest, is := s.Release.Wanted(door); is {
 		g = Given{r.Number, r.Name, r.Changes, digest, r.Stage == release.Back}
--- a/permits/changer_test.go
+++ b/permits/changer_test.go
@@ -12,7 +12,8 @@
 
 var newDigest = strings.Repeat("ab", 32)
 
-// changing is a changer in the test's hands: its posts go to a state at once, and what it takes succeeds or not.
+// testReleaseAgent runs a ReleaseAgent whose posts are applied to a state at once and whose installs succeed, or fail with
+// installError.
 type changing struct {
 	*Changer
 	s    *site
@@ -66,7 +67,7 @@
 		Waves: []release.Wave{{Count: 1}, {Rest: true}}}, Who: "ana"}).Number
 }
 
-func TestADoorChangesByAReleaseWithAPermit(t *testing.T) {
+func TestDoorChangesVersionWithPermit(t *testing.T) {
 	s := newSite(8)
 	c := change(s, 0)
 	c.run(2000)
@@ -82,20 +83,20 @@
 	assert.Equal(t, release.Returned, s.Release.Find("r1").Stage)
 }
 
-func TestWhatADoorCantTakeGivesItsPlaceBack(t *testing.T) {
+func TestFailedInstallReturnsPermit(t *testing.T) {
 	s := newSite(8)
 	c := change(s, 0)
 	c.bad = "key settings: missing"
 	started(s, "d0")
 	c.run(4000)
-	require.Len(t, c.took, 1, "once")
+	require.Len(t, c.took, 1, "a failed install is not retried")
 	assert.Empty(t, s.Permits)
 	r := s.Release.Find("r1")
 	assert.Equal(t, release.Returned, r.Stage)
 	assert.Equal(t, c.bad, r.Failed["d0"])
 }
 
-func TestAHaltedReleaseLetsNobodyChange(t *testing.T) {
+func TestHaltedReleaseDeniesPermits(t *testing.T) {
 	s := newSite(8)
 	started(s, "d0")
 	n := s.Release.Find("r1").Number
@@ -113,7 +114,7 @@
 	require.ErrorAs(t, s.do("h", ask).Err, &halted)
 }
 
-func TestFailuresOfAReleaseDontKeepItFromGoingBack(t *testing.T) {
+func TestFailedDoorsRollBackWithoutBudget(t *testing.T) {
 	s := newSite(8)
 	started(s, "d0", "d1", "d2", "d3")
 	n := s.Release.Find("r1").Number
@@ -126,14 +127,14 @@
 	}
 	s.do("op", release.Steer{Name: "r1", To: release.ToBack, Who: "ana"})
 	p := s.do("d1/h", Ask{Unit: "d1", Kind: Door, HoldMs: 1e4, Release: n})
-	require.NoError(t, p.Err, "the budget is full of those that it is to bring back")
+	require.NoError(t, p.Err, "the budget is used up by the doors that the rollback is to restore")
 	require.NoError(t, s.do("d1/h", Confirm{Number: p.Number}).Err)
-	assert.Equal(t, uint64(1), s.Permits[p.Number].Life, "the life that is known")
+	assert.Equal(t, uint64(1), s.Permits[p.Number].Life, "the last known incarnation")
 }
 
-// A new leader has seen nobody so far, and whoever asks then is not known to be out: on the way back, too, budgets hold until it has
-// looked. In a migration that was taken back, right after a leader was lost, three doors of six once went at once where two may.
-func TestWhatANewLeaderHasNotSeenDoesNotGoBackPastTheBudget(t *testing.T) {
+// A new leader has no sightings yet, so an unseen door isn't known to be out, and budgets must apply to its rollback. Without this
+// rule, three of six doors went out at once, where two may, in a migration that was reverted right after a leader was lost.
+func TestUnseenDoorsRollBackWithinBudget(t *testing.T) {
 	s := newSite(6)
 	number := started(s)
 	for i := range 6 {
--- a/permits/encode.go
+++ b/permits/encode.go
@@ -13,7 +13,7 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-// names are the words of commands and errors where they are written down. A name is never given to another type.
+// typesByName maps the encoded names of commands and errors to their types. A name is never reused for another type.
 var names = map[string]reflect.Type{
 	"set_budgets": reflect.TypeFor[SetBudgets](), "seen": reflect.TypeFor[Seen](), "here": reflect.TypeFor[Here](), "ask": reflect.TypeFor[Ask](),
 	"confirm": reflect.TypeFor[Confirm](), "withdraw": reflect.TypeFor[Withdraw](), "write_off": reflect.TypeFor[WriteOff](),
@@ -55,7 +55,7 @@
 	return of
 }()
 
-// named is a value with the word for its type.
+// typedValue is an encoded value with the name of its type.
 type named struct {
 	Is string          `json:"is"`
 	Of json.RawMessage `json:"of"`
@@ -74,11 +74,11 @@
 	return n, err
 }
 
-// unwrap reads a value whose word must be of a type that want takes.
+// unwrap decodes the value into a new value of its type.
 func (n named) unwrap() (reflect.Value, error) {
 	t, known := names[n.Is]
 	if !known {
-		return reflect.Value{}, &FormError{What: fmt.Sprintf("the word %q", n.Is)}
+		return reflect.Value{}, &FormError{What: fmt.Sprintf("the type name %q", n.Is)}
 	}
 	v := reflect.New(t)
 	if err := json.Unmarshal(n.Of, v.Interface()); err != nil {
@@ -87,9 +87,9 @@
 	return v, nil
 }
 
-type command Command // without methods
+type command Command // without its JSON methods, which would recurse
 
-// MarshalJSON words a command with the name of what it does.
+// MarshalJSON encodes a command with the name of the type of Do.
 func (c Command) MarshalJSON() ([]byte, error) {
 	do, err := wrap(c.Do)
 	if err != nil {
@@ -101,7 +101,8 @@
 	}{command(c), do})
 }
 
-// UnmarshalJSON reads one. A name that isn't known is refused: an older coordinator must not pass over what newer ones do.
+// UnmarshalJSON decodes a command. An unknown type name is an error, since an older coordinator must not skip a command that newer
+// ones execute.
 func (c *Command) UnmarshalJSON(raw []byte) error {
 	var w struct {
 		command
@@ -127,7 +128,7 @@
 	Err    *named `json:"error,omitempty"`
 }
 
-// MarshalJSON words an answer with the name of its error.
+// MarshalJSON encodes an answer with the name of the type of its error.
 func (a Answer) MarshalJSON() ([]byte, error) {
 	w := answer{Number: a.Number}
 	if a.Err != nil {
@@ -140,7 +141,7 @@
 	return json.Marshal(w)
 }
 
-// UnmarshalJSON reads one; its error is of the same type again.
+// UnmarshalJSON decodes an answer; its error has the original type.
 func (a *Answer) UnmarshalJSON(raw []byte) error {
 	var w answer
 	if err := json.Unmarshal(raw, &w); err != nil {
@@ -162,19 +163,19 @@
 	return nil
 }
 
-// Version of a state's form. An older one is read, a newer one refused: 2 has the calendar, which a release that doesn't know of it
-// would lose.
+// Version is the format version of a saved state. Older versions can be loaded, newer ones are refused. Version 2 added the
+// calendar, which a release without support for it would lose.
 const Version = 2
 
 type saved struct {
 	Version int             `json:"version"`
-	Sum     string          `json:"sum"` // of the state's bytes
+	Sum     string          `json:"sum"` // xxhash of State, hexadecimal
 	State   json.RawMessage `json:"state"`
 }
 
 func sum(raw []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(raw)) }
 
-// Save writes a state down, with version and checksum.
+// Save writes the state with version and checksum.
 func (s *State) Save(out io.Writer) error {
 	raw, err := json.Marshal(s)
 	if err != nil {
@@ -203,7 +204,7 @@
 	return s, nil
 }
 
-// ReadBudgets reads a list of budgets as operators write it. A key that nothing reads, or a bound below 0, is refused.
+// ReadBudgets reads an operator's list of budgets. Unknown keys and negative limits are errors.
 func ReadBudgets(in io.Reader) (all []Budget, err error) {
 	dec := json.NewDecoder(in)
 	dec.DisallowUnknownFields()
--- a/permits/encode_test.go
+++ b/permits/encode_test.go
@@ -15,7 +15,7 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-// drawn draws any command about a few doors.
+// drawCommand draws a random command about a few doors.
 func drawn(t *rapid.T, n int, seq map[string]uint64) Command {
 	i := rapid.IntRange(0, 5).Draw(t, "door")
 	caller := rapid.SampledFrom([]string{"d0", "d1", "d2", "op", "watch"}).Draw(t, "caller")
@@ -45,7 +45,7 @@
 	return Command{caller, seq[caller], at, at, do}
 }
 
-func TestEveryCoordinatorComesToTheSameState(t *testing.T) {
+func TestCoordinatorsReachTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, seq := New(), New(), map[string]uint64{}
 		for n := range rapid.IntRange(1, 60).Draw(t, "commands") {
@@ -62,7 +62,7 @@
 			var again Answer
 			require.NoError(t, json.Unmarshal(word, &again))
 			assert.Equal(t, mine, again)
-			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 { // one of them starts from what it wrote down
+			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 { // one of them restarts from its snapshot
 				var disk bytes.Buffer
 				require.NoError(t, b.Save(&disk))
 				b, err = Load(&disk)
@@ -74,7 +74,7 @@
 		y, err := json.Marshal(b)
 		require.NoError(t, err)
 		assert.JSONEq(t, string(x), string(y))
-		// Each unit has one permit at most, and numbers were given in order.
+		// Each unit has at most one permit, and permit numbers are below the next one.
 		seen := map[string]bool{}
 		for n, p := range a.Permits {
 			assert.Less(t, n, a.Next)
@@ -84,7 +84,7 @@
 	})
 }
 
-func TestADamagedOrNewerStateIsRefused(t *testing.T) {
+func TestDamagedOrNewerStateIsRefused(t *testing.T) {
 	s := newSite(3)
 	var disk bytes.Buffer
 	require.NoError(t, s.Save(&disk))
--- a/permits/errors.go
+++ b/permits/errors.go
@@ -7,12 +7,12 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// DeniedError is a permit that would take more out than a budget allows.
+// DeniedError is a permit request that would take more units out than a budget allows.
 type DeniedError struct {
 	Unit    string
 	Budget  Budget
-	Zone    string   // that it was counted for; empty for the fleet
-	Says    string   // which bound
+	Zone    string   // zone for which the budget was counted; empty for the fleet
+	Says    string   // the limit that was exceeded
 	Blocked []string // units that count as out
 }
 
@@ -25,34 +25,34 @@
 }
 func (e *DeniedError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names who is in the way.
+// Remedy names the units that are out.
 func (e *DeniedError) Remedy() string {
 	return fmt.Sprintf("Wait until one of %s is back, ready and warm, write one off by name with a reason, or raise the budget.", strings.Join(e.Blocked, ", "))
 }
 
-// HaltedError is a permit asked for, or about to be used, while nothing may go out.
+// HaltedError is a permit that was requested or confirmed while a halt is in force.
 type HaltedError struct{ Who, Why string }
 
 func (e *HaltedError) Error() string     { return fmt.Sprintf("halted by %s: %s", e.Who, e.Why) }
 func (e *HaltedError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names who halted.
+// Remedy names who ordered the halt.
 func (e *HaltedError) Remedy() string {
-	return fmt.Sprintf("Ask %s, then resume; what is out may come back meanwhile.", e.Who)
+	return fmt.Sprintf("Ask %s, then resume; units that are out may come back meanwhile.", e.Who)
 }
 
-// UnknownError is a unit or a permit that isn't known.
+// UnknownError is a command about a unit, a permit or a drain that doesn't exist.
 type UnknownError struct{ What string }
 
 func (e *UnknownError) Error() string     { return e.What + " is not known" }
 func (e *UnknownError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says where names stand.
+// Remedy says where the names are listed.
 func (e *UnknownError) Remedy() string {
-	return "Name a unit that has been seen, or a permit that still takes a place; the status lists both."
+	return "Name a unit that has been seen, or a permit that is still in force; the status lists both."
 }
 
-// StaleError is a permit that may not be used any more: another number stands, or it was held for too long.
+// StaleError is a permit that may not be used any more: it was replaced or ended, or its hold has expired.
 type StaleError struct {
 	Number uint64
 	Says   string
@@ -61,12 +61,12 @@
 func (e *StaleError) Error() string     { return fmt.Sprintf("permit %d: %s", e.Number, e.Says) }
 func (e *StaleError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says what the holder does.
+// Remedy says what the holder does next.
 func (e *StaleError) Remedy() string {
-	return "The one that holds it must not go; it says so by itself and asks anew."
+	return "The holder must not go out; it returns the permit by itself and requests a new one."
 }
 
-// TakenError is a unit that has a permit already.
+// TakenError is a request for a unit that already has a permit.
 type TakenError struct {
 	Unit   string
 	Number uint64
@@ -78,12 +78,12 @@
 }
 func (e *TakenError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names who has it.
+// Remedy names the permit's owner.
 func (e *TakenError) Remedy() string {
 	return fmt.Sprintf("Leave it to %s, or have that permit withdrawn first.", e.Who)
 }
 
-// RepeatError is a command older than the latest of its caller.
+// RepeatError is a command that is older than the latest one of its caller.
 type RepeatError struct {
 	Caller string
 	Seq    uint64
@@ -94,10 +94,10 @@
 }
 func (e *RepeatError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says that nothing is lost.
-func (e *RepeatError) Remedy() string { return "Nothing: its caller has gone on; ask for the status." }
+// Remedy says that no action is needed.
+func (e *RepeatError) Remedy() string { return "No action is needed: the caller has sent later commands since; query the status." }
 
-// FormError is something written down that can't be read.
+// FormatError is a file or message that can't be decoded, or a value that can't be encoded.
 type FormError struct {
 	What  string
 	Cause error
@@ -107,12 +107,12 @@
 func (e *FormError) Unwrap() error     { return e.Cause }
 func (e *FormError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says what it means.
+// Remedy names the likely causes.
 func (e *FormError) Remedy() string {
-	return "Run coordinators and doors of releases that know it; if all are of one release, the file or the message is damaged."
+	return "Run coordinators and doors of releases that support it; if all run the same release, the file or the message is damaged."
 }
 
-// VersionError is a state written by a newer release.
+// VersionError is a saved state that a newer release wrote.
 type VersionError struct{ Have int }
 
 func (e *VersionError) Error() string {
@@ -120,20 +120,20 @@
 }
 func (e *VersionError) Kind() remedy.Kind { return remedy.Configuration }
 
-// Remedy says what to do.
+// Remedy says how to start this coordinator.
 func (e *VersionError) Remedy() string {
-	return "Start the newer release again, or let this coordinator begin without a state and take it from the others."
+	return "Start the newer release again, or start this coordinator without a state so that it copies the state of the others."
 }
 
-// SumError is a state whose bytes aren't those that were written.
+// ChecksumError is a saved state whose content doesn't match its checksum.
 type SumError struct{ Told, Is string }
 
 func (e *SumError) Error() string {
-	return fmt.Sprintf("the state's checksum is %s, %s was written", e.Is, e.Told)
+	return fmt.Sprintf("the state's checksum is %s, the file records %s", e.Is, e.Told)
 }
 func (e *SumError) Kind() remedy.Kind { return remedy.Configuration }
 
-// Remedy says what to do.
+// Remedy says how to recover from the damaged file.
 func (e *SumError) Remedy() string {
-	return "Put the file aside, let this coordinator begin without a state and take it from the others; look at the disk."
+	return "Move the file away, start this coordinator without a state so that it copies the state of the others, and check the disk."
 }
--- a/permits/holder.go
+++ b/permits/holder.go
@@ -3,42 +3,42 @@
 import "fmt"
 
 const (
-	lookFor = 1000.0 // ms from sending the last look to acting on its answer at most
-	early   = 0.8    // share of the hold after which a permit isn't used: the clocks of two machines drift
+	lookFor = 1000.0 // ms, maximum from sending a Confirm to acting on its answer
+	early   = 0.8    // share of the hold after which a permit isn't used any more: the clocks of two machines drift
 )
 
-// Holder is the side of the one that goes: it holds a permit by its own monotonic clock, and says whether the step that
-// can't be taken back may be taken now.
+// PermitHolder is the client side of a permit: it tracks the permit by its own monotonic clock and decides whether the
+// irreversible step may be taken now.
 type Holder struct {
 	Number     uint64
-	askedMs    float64 // own clock when the ask was sent
+	askedMs    float64 // own clock when the request was sent
 	holdMs     float64
-	lookedMs   float64 // own clock when the latest look was sent
+	lookedMs   float64 // own clock when the latest Confirm was sent
 	confirmed  bool
 	seq        uint64
-	waitingFor uint64 // sequence number whose answer counts
+	waitingFor uint64 // sequence number of the only command whose answer counts; 0 for none
 }
 
-// Next numbers the next command. Answers to earlier ones don't count from here on.
+// NextSeq returns the sequence number of the next command. Answers to earlier commands are ignored from now on.
 func (h *Holder) Next() uint64 {
 	h.seq++
 	h.waitingFor = h.seq
 	return h.seq
 }
 
-// Asked notes that an ask is sent.
+// RequestSent records that a permit is requested.
 func (h *Holder) Asked(now, holdMs float64) (seq uint64) {
 	*h = Holder{askedMs: now, holdMs: holdMs, seq: h.seq}
 	return h.Next()
 }
 
-// Looking notes that the last look is sent.
+// ConfirmSent records that a Confirm is sent.
 func (h *Holder) Looking(now float64) (seq uint64) {
 	h.lookedMs, h.confirmed = now, false
 	return h.Next()
 }
 
-// Answered takes an answer in, and tells whether it was the one waited for.
+// Answered processes an answer and reports whether it was the pending one.
 func (h *Holder) Answered(seq uint64, a Answer) bool {
 	if seq != h.waitingFor {
 		return false
@@ -55,22 +55,22 @@
 	return true
 }
 
-// Fresh tells whether the permit may still be used by the holder's own clock.
+// Fresh reports whether the permit may still be used by the holder's own clock.
 func (h *Holder) Fresh(now float64) bool { return now-h.askedMs <= early*h.holdMs }
 
-// Until is the clock until which the step may be taken on the latest look.
+// Deadline returns the clock time until which the step may be taken after the latest Confirm.
 func (h *Holder) Until() float64 { return min(h.lookedMs+lookFor, h.askedMs+early*h.holdMs) }
 
-// MayGo tells whether the step may be taken now. One that was stopped since it looked must look again.
+// MayGo reports whether the step may be taken now. A holder that was suspended after its Confirm must confirm again.
 func (h *Holder) MayGo(now float64) bool {
 	return h.Number != 0 && h.confirmed && now <= h.Until()
 }
 
-// Drop ends the holder's interest in its permit; what it says next gives it back.
+// Drop abandons the permit; the holder's next report or command returns it.
 func (h *Holder) Drop() { *h = Holder{seq: h.seq} }
 
-// Waiting is the number of the command whose answer is waited for; 0 for none.
+// PendingSeq returns the sequence number of the command whose answer is pending; 0 for none.
 func (h *Holder) Waiting() uint64 { return h.waitingFor }
 
-// Caller is the name under which a process of a unit gives commands.
+// CallerName returns the caller name under which a process of a unit sends commands.
 func Caller(unit string, process uint64) string { return fmt.Sprintf("%s/%x", unit, process) }
--- a/permits/keeper.go
+++ b/permits/keeper.go
@@ -6,82 +6,85 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-// Keeper is a door's side of what the fleet agrees on: it says words, withholds what is to be withheld, and goes out and comes
-// back by order. It has one question out at a time, and acts on no answer to an earlier one. With coordinators gone it keeps
-// to what it was told last; what is out may come back by hand.
+// DoorAgent is the client of the coordinators in a door: it sends reports, has backends withheld, and takes the door out of
+// service and back as drains require. It has one post outstanding at a time and ignores answers to earlier ones. Without
+// coordinators it keeps the last state that it received; a door that is out can be brought back by hand.
 type Keeper struct {
 	unit    Unit
-	fresh   func() uint64 // a number for a process; each way back begins another
+	fresh   func() uint64 // returns a new process number; each return to service begins another process
 	process uint64
-	life    uint64 // 0 until it is given
+	life    uint64 // 0 until it is assigned
 	h       Holder
 	ready   bool
 	away    []string
 	list    []Sighting // of backends
 	counts  *release.Counts
-	sent    map[string]release.Counts // to backends
-	full    bool
-	change  uint64 // heard of
-	did     uint64 // carried out
+	sent    map[string]release.Counts // by backend
+	full    bool                      // reports are to include the list of backends
+	change  uint64                    // latest change received
+	did     uint64                    // latest change applied
 	held    []string
 	order   *Order
-	undone  []uint64 // orders ended by hand, until coordinators have heard of it
+	undone  []uint64 // drains ended by hand that the coordinators don't know to be ended yet
 	epoch   uint64   // of the coordinators' state
 	stage   stage
 	saidMs  float64
 	asking
-	dirty  bool // there is something new to say
+	dirty  bool // there is news to report
 	until  float64
-	denied float64 // clock until which the order isn't tried again
+	denied float64 // clock before which no permit is requested again
 }
 
 type stage uint8
 
 const (
 	serving  stage = iota
-	stepping       // the step is being taken
-	out            // aside by order
-	leaving        // told to end
-	ended
+	stepping       // a SetOut was issued and its result is pending
+	out            // out by a drain
+	leaving        // the process is terminating
+	ended          // all accepted requests are finished
 )
 
-// Events of a keeper, besides those of the clock.
+// Events of a DoorAgent.
 type (
-	// Replied and Answered bring the answer to a Post; Unanswered says that none will come.
+	// Replied is the answer to a Post with a report.
 	Replied struct {
 		Seq   uint64
 		Reply Reply
 	}
+	// Answered is the answer to a Post with a command.
 	Answered struct {
 		Seq    uint64
 		Answer Answer
 	}
+	// Unanswered reports that a Post won't be answered.
 	Unanswered struct{ Seq uint64 }
-	// Stands tells how the door stands and what it knows.
+	// DoorStatus reports the door's condition and its observations.
 	Stands struct {
 		Ready    bool
-		Away     []string
+		Away     []string // doors that it considers away
 		Backends []Sighting
 		Counts   *release.Counts
-		// ByBackend counts the door's attempts.
+		// ByBackend is the door's attempts by backend.
 		ByBackend map[string]release.Counts
 	}
-	// Did says that the decisions know a Withhold.
+	// WithholdApplied reports that a Withhold is in force in the door's routing decisions.
 	Did struct{ Change uint64 }
-	// Stepped says what became of an Aside: whether it was taken in time.
+	// SetOutDone is the result of a SetOut: whether the door went out in time.
 	Stepped struct{ Done bool }
-	// ByHand ends by hand what the door was ordered, whoever can't be reached.
+	// EndByHand ends the door's drain and its withheld backends locally, even if the coordinators can't be reached.
 	ByHand struct{}
-	// Leave says that the process is to end, Left that it has served all it took.
+	// Terminating reports that the process begins to terminate.
 	Leave struct{}
-	Left  struct{}
-	// Tick lets time act.
+	// Terminated reports that the process has finished all accepted requests.
+	Left struct{}
+	// Tick reports that time has passed.
 	Tick struct{}
 )
 
-// Actions of a keeper.
+// Actions of a DoorAgent.
 type (
-	// Post asks the coordinators: with a word or a command. The same Seq may be posted again.
+	// Post is a message to the coordinators with a report, a holder's report or a command. The same Seq may be posted again.
 	Post struct {
 		Seq    uint64
 		Caller string
@@ -89,12 +92,12 @@
 		Hold   *Hold
 		Do     any
 	}
-	// Withhold has the decisions withhold these backends and no others.
+	// Withhold has the door withhold exactly these backends in its routing decisions.
 	Withhold struct {
 		Names  []string
 		Change uint64
 	}
-	// Aside takes the door out, if it can before UntilMs of its clock, or brings it back.
+	// SetOut takes the door out of service, if that can happen before UntilMs of its clock, or brings it back.
 	Aside struct {
 		Out     bool
 		UntilMs float64
@@ -104,31 +107,31 @@
 )
 
 const (
-	sayEvery = 1000.0 // ms between words
-	sayLeast = 100.0  // ms between words where there is news
+	sayEvery = 1000.0 // ms between reports
+	sayLeast = 100.0  // minimum ms between reports if there is news
 	holdFor  = 30e3   // ms for which a door's permit may be used
-	denyRest = 1000.0 // ms after a denial before the order is tried again
-	// TickEvery is how often a keeper wants a Tick, ms.
+	denyRest = 1000.0 // ms after a denial before a permit is requested again
+	// TickEvery is the interval at which a DoorAgent or ReleaseAgent expects a Tick, in ms.
 	TickEvery = 50
 )
 
-// NewKeeper returns the keeper of a door that starts. fresh draws numbers that no other process has.
+// NewDoorAgent returns the agent of a door that starts. newProcess draws process numbers that are unique.
 func NewKeeper(unit Unit, fresh func() uint64) *Keeper {
 	return &Keeper{unit: unit, fresh: fresh, process: fresh()}
 }
 
-// Out tells whether the door is aside by order, and which.
+// Out reports whether the door is out by a drain, and the number of its permit.
 func (k *Keeper) Out() (number uint64, is bool) { return k.h.Number, k.stage == out }
 
-// Held lists the backends that the door was told to withhold.
+// Withheld lists the backends that the door has to withhold.
 func (k *Keeper) Held() []string { return k.held }
 
-// Order is what the door was told to do; nil for nothing.
+// Order returns the drain that is in force for the door; nil for none.
 func (k *Keeper) Order() *Order { return k.order }
 
 func (k *Keeper) caller() string { return Caller(k.unit.Name, k.process) }
 
-// Step takes an event in.
+// Step processes an event and returns the resulting actions.
 func (k *Keeper) Step(now float64, e any) (do []any) {
 	switch e := e.(type) {
 	case Replied:
@@ -139,7 +142,7 @@
 		if w := k.over(e.Seq); w != nil {
 			k.answered(now, w, e)
 		}
-	case Unanswered: // asked again when its time comes
+	case Unanswered: // sent again after retryAfterMs
 	case Stands:
 		if k.ready != e.Ready || !slices.Equal(k.away, e.Away) {
 			k.dirty = true
@@ -175,7 +178,7 @@
 }
 
 func (k *Keeper) heard(told *Word, r *Reply) (do []any) {
-	if r.Life != k.life { // another process of the name has begun, or the coordinators have forgotten
+	if r.Life != k.life { // another process of this name has registered, or the coordinators have lost their state
 		k.life = 0
 		return nil
 	}
@@ -184,7 +187,7 @@
 	if k.order = r.Order; k.order != nil && (k.stage >= leaving || slices.Contains(k.undone, k.order.Number)) {
 		k.order = nil
 	}
-	if r.Epoch != k.epoch { // another state, as after a fleet of coordinators that was lost: what was done before counts for nothing
+	if r.Epoch != k.epoch { // a new state, as after the loss of all coordinators: earlier changes don't count
 		k.epoch, k.change, k.did, k.held = r.Epoch, 0, 0, nil
 	} else if r.Change < k.change {
 		return nil
@@ -211,9 +214,9 @@
 	}
 }
 
-// act has the door do what its state calls for: one question at a time.
+// act returns the next actions for the agent's state, with at most one new post.
 func (k *Keeper) act(now float64) (do []any) {
-	if k.stage == out && k.order == nil { // the way back needs nobody's leave, and waits for no answer
+	if k.stage == out && k.order == nil { // the return to service needs no permit and waits for no answer
 		k.stage, k.dirty = serving, true
 		k.h.Drop()
 		k.process, k.life = k.fresh(), 0
@@ -236,7 +239,7 @@
 		return []any{k.post(now, k.h.Next(), nil, Begin{k.unit, k.process})}
 	}
 	switch {
-	case k.stage == serving && k.h.Number != 0 && k.order == nil: // ended before the door went
+	case k.stage == serving && k.h.Number != 0 && k.order == nil: // the drain ended before the door went out
 		k.h.Drop()
 		k.dirty = true
 	case k.stage == serving && k.order != nil && k.ready && now >= k.denied && k.life != 0:
--- a/permits/orders.go
+++ b/permits/orders.go
@@ -9,9 +9,9 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-// What operators order out, and how it comes back.
+// This file implements drains: how units are ordered out of service and how they come back.
 
-// sorted lists the permits in the order of their numbers: maps have none, and every coordinator must do alike.
+// sortedPermits lists the permits by number. Map order is random, and every coordinator must process them in the same order.
 func (s *State) sorted() (all []*Permit) {
 	for _, n := range slices.Sorted(maps.Keys(s.Permits)) {
 		all = append(all, s.Permits[n])
@@ -24,8 +24,8 @@
 	return string(raw)
 }
 
-// begin gives a process the life that it speaks with. A repeat by the same process, as after an answer that was lost for
-// longer than callers are remembered, begins another: lives only grow.
+// begin registers a process and assigns its incarnation. A retry by the same process, such as after its answer was lost for longer
+// than callerTTLMs, assigns another one: incarnations only grow.
 func (s *State) begin(d Begin) Answer {
 	k := key(d.Unit.Kind, d.Unit.Name)
 	u := s.Units[k]
@@ -56,7 +56,8 @@
 	return Answer{Number: s.order(c, d, &u.Unit, "").Number}
 }
 
-// order takes a unit's place for an order. A backend counts as out from here on: any door may have heard of it.
+// placeOrder takes a unit's place in the budgets for a drain. A backend counts as out from now on, since any door may already
+// withhold it.
 func (s *State) order(c *Command, d Drain, u *Unit, of string) *Permit {
 	p := &Permit{Number: s.Next, Unit: *u, Who: d.Who, Why: d.Why, AtMs: s.NowMs, Order: true, Of: of, UntilMs: d.UntilMs, Change: s.Change, Release: d.Release}
 	if u.Kind == Backend {
@@ -69,7 +70,7 @@
 	return p
 }
 
-// drainZone orders all of a zone out, or nothing of it. Those that are out on their own account stay as they are.
+// drainZone drains all units of a zone or none. Units that already have a permit of their own stay as they are.
 func (s *State) drainZone(c *Command, d Drain) Answer {
 	var units []*Known
 	for _, k := range slices.Sorted(maps.Keys(s.Units)) {
@@ -84,7 +85,7 @@
 	if len(units) == 0 {
 		return Answer{Err: &UnknownError{"zone " + d.Name}}
 	}
-	for _, u := range units { // a halt of one kind is a halt of the zone's
+	for _, u := range units { // a halt of one kind also applies to zones
 		if err := s.mayGo(&u.Unit, d.Name, true); err != nil {
 			return Answer{Err: err}
 		}
@@ -99,8 +100,8 @@
 	return Answer{Number: first}
 }
 
-// zoneMayGo tells what stands in the way of a whole zone's going out: the budget of zones, and what must be here in the
-// fleet. How many units may be out at once is no matter here: a zone is more than any such budget.
+// checkZoneOutage returns what keeps a whole zone from going out: the budget of zones, or the minimum of ready units in the
+// fleet. The maximum of units out doesn't apply, since a zone exceeds any such budget.
 func (s *State) zoneMayGo(zone string, fresh bool) error {
 	bound := false
 	for _, b := range s.Budgets {
@@ -138,14 +139,14 @@
 	return nil
 }
 
-// zonesOut lists the other zones that are out: drained as a whole, or with no door or no backend left that is here.
+// zonesOut lists the other zones that are out: drained as a whole, or without any ready unit of one of their kinds.
 func (s *State) zonesOut(but string) (out []string) {
 	here, drained := map[string]map[Kind]int{}, map[string]bool{}
 	for _, u := range s.Units {
 		if here[u.Zone] == nil {
 			here[u.Zone] = map[Kind]int{}
 		}
-		here[u.Zone][u.Kind] += 0 // a kind that the zone has, though none of it be here
+		here[u.Zone][u.Kind] += 0 // records that the zone has this kind, even if all its units are out
 		if !s.out(u) {
 			here[u.Zone][u.Kind]++
 		}
@@ -182,7 +183,7 @@
 	return Answer{Number: of[0].Number}
 }
 
-// end has an order's unit come back. A door that has not looked so far can't go any more: its place is free.
+// endOrder ends a drain. A door that has not confirmed its permit can't go out any more, so its place is free.
 func (s *State) end(p *Permit, who, why string) {
 	p.Over, p.Change = true, s.Change
 	s.note(p.Number, fmt.Sprintf("undrain of %s %s", p.Unit.Kind, p.Unit.Name), who, why)
@@ -191,9 +192,9 @@
 	}
 }
 
-// lapse ends the orders whose time has come; that frees no place. What was granted and not looked at again within its hold can't
-// be used any more, as its last look would be refused: nobody has gone by it, and its place is free. Else a process that ended
-// between its ask and its look would keep a place for ever.
+// expire ends the drains whose end time has come; that frees no place. A permit that was granted and not confirmed within its hold
+// can't be used any more, because its Confirm would be refused: nothing went out by it, so its place becomes free. Otherwise a
+// process that ended between request and Confirm would occupy a place for ever.
 func (s *State) lapse() {
 	for _, p := range s.sorted() {
 		if !p.Order && p.Stage == Granted && s.NowMs-p.AtMs > p.HoldMs {
@@ -207,7 +208,7 @@
 	}
 }
 
-// unused is a place that its own holder says it isn't going by. An order stands all the same.
+// returnUnused frees the place of a permit that its own holder doesn't use. A drain stays in force.
 func (s *State) unused(p *Permit) {
 	if p.Order && !p.Over {
 		p.Caller, p.Stage = "", Granted
@@ -216,7 +217,7 @@
 	s.free(p, "not used")
 }
 
-// backAgain frees a backend's place once the fleet list has it ready and warm, and every door that is here has let go of it.
+// freeIfBack frees a backend's place once the fleet list shows it ready and warm and every running door has stopped withholding it.
 func (s *State) backAgain(p *Permit) {
 	u := s.Units[key(Backend, p.Unit.Name)]
 	if !p.Over || u == nil || u.Standing != Ready || s.NowMs-u.AtMs > sightFor {
@@ -236,7 +237,7 @@
 	}
 }
 
-// Withheld lists the backends that no door may send anything new to, and the change that the list is of.
+// Withheld lists the backends to which no door may send new attempts, and the change to which the list belongs.
 func (s *State) Withheld() (names []string, change uint64) {
 	for _, p := range s.sorted() {
 		if p.Unit.Kind == Backend && p.Order && !p.Over {
@@ -246,8 +247,8 @@
 	return names, s.Change
 }
 
-// Waiting names the doors that may still send to a backend that is drained: those that have not confirmed, wherever they are,
-// but for those that said themselves that they have ended.
+// Waiting lists the doors that may still send to a drained backend: all that have not confirmed the change, reachable or not,
+// except those that reported their own termination.
 func (s *State) Waiting(p *Permit) (doors []string) {
 	for _, k := range slices.Sorted(maps.Keys(s.Units)) {
 		if u := s.Units[k]; u.Kind == Door && u.Did < p.Change && u.Standing != Ended {
@@ -257,7 +258,7 @@
 	return doors
 }
 
-// Try tells what a drain would come to, without doing anything: the units that would go, and what stands in the way.
+// DryRun returns the units that a drain would take out and the error that blocks it, without changing anything.
 func (s *State) Try(k Kind, name string) (would []string, inTheWay error) {
 	var of []*Known
 	for _, id := range slices.Sorted(maps.Keys(s.Units)) {
@@ -284,11 +285,12 @@
 	return would, nil
 }
 
-// Places lists the permits that take a place, by their numbers.
+// Places returns the permits that occupy a place, by number.
 func (s *State) Places() map[uint64]*Permit { return s.Permits }
 
-// Errands lists what is to be done for releases of backends, by the coordinator that leads: those of the present wave are drained
-// as budgets allow, and come back once they are seen as other processes; those of a release that is over come back as they are.
+// ReleaseCommands lists the commands that the leader is to send for releases of backends. Backends of the current wave are drained
+// as budgets allow and undrained once they are seen with another process; those of a release that has ended are undrained as they
+// are.
 func (s *State) Errands() (do []any) {
 	for _, r := range s.Release.All {
 		if r.Changes != release.Backends {
@@ -299,7 +301,7 @@
 			u := s.Units[key(Backend, b)]
 			if u != nil && s.of(Backend, b) == nil && s.mayGo(&u.Unit, "", true) == nil {
 				do = append(do, Drain{Kind: Backend, Name: b, Who: who, Why: "to be replaced", Release: r.Number})
-				return do // one after the other: the next is held against what this one makes of the budget
+				return do // one at a time: the next is checked against the budget that this one leaves
 			}
 		}
 		for _, p := range s.sorted() {
--- a/permits/orders_test.go
+++ b/permits/orders_test.go
@@ -11,7 +11,7 @@
 
 func backendOf(name, zone string) Unit { return Unit{Kind: Backend, Name: name, Zone: zone, Size: 1} }
 
-// withBackends is a site of doors and three backends, one of which may be out.
+// newSiteWithBackends returns a site with doors and three backends, one of which may be out.
 func withBackends(doors int) *site {
 	s := newSite(doors)
 	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2}, {Kind: Backend, MostOut: 1, LeastHere: 2}, {Kind: Zone, MostOut: 1}}})
@@ -31,7 +31,7 @@
 	s.do("watch", Seen{[]Sighting{g}})
 }
 
-func TestABackendIsOutFromTheOrderUntilEveryDoorHasLetGoOfIt(t *testing.T) {
+func TestDrainedBackendIsOutUntilEveryDoorConfirmsUndrain(t *testing.T) {
 	s := withBackends(3)
 	a := s.do("op", Drain{Kind: Backend, Name: "b0", Who: "ana", Why: "disk"})
 	require.NoError(t, a.Err)
@@ -42,9 +42,9 @@
 	s.did(1, change)
 	assert.Equal(t, []string{"d2"}, s.Waiting(s.Permits[a.Number]))
 	s.seen(2, Failed, 1)
-	assert.Equal(t, []string{"d2"}, s.Waiting(s.Permits[a.Number]), "one that is away may still send")
+	assert.Equal(t, []string{"d2"}, s.Waiting(s.Permits[a.Number]), "a failed door may still send")
 	s.seen(2, Ended, 1)
-	assert.Empty(t, s.Waiting(s.Permits[a.Number]), "it said itself that it has ended")
+	assert.Empty(t, s.Waiting(s.Permits[a.Number]), "it reported its own termination")
 	var denied *DeniedError
 	require.ErrorAs(t, s.do("op", Drain{Kind: Backend, Name: "b1", Who: "bea"}).Err, &denied)
 	assert.Equal(t, []string{"b0"}, denied.Blocked)
@@ -56,42 +56,42 @@
 	held, change = s.Withheld()
 	assert.Empty(t, held)
 	s.backend("b0", Ready)
-	assert.Error(t, s.do("op", Drain{Kind: Backend, Name: "b1"}).Err, "no door has let go of it so far")
+	assert.Error(t, s.do("op", Drain{Kind: Backend, Name: "b1"}).Err, "no door has confirmed the undrain yet")
 	s.did(0, change)
 	assert.Error(t, s.do("op", Drain{Kind: Backend, Name: "b1"}).Err)
 	s.did(1, change)
 	assert.Empty(t, s.Permits)
 	require.NoError(t, s.do("op", Drain{Kind: Backend, Name: "b1"}).Err)
-	assert.Error(t, s.do("op", Undrain{Backend, "b0", "ana", ""}).Err, "there is no such drain")
+	assert.Error(t, s.do("op", Undrain{Backend, "b0", "ana", ""}).Err, "the drain has ended already")
 }
 
-func TestADoorGoesByItsOrderOnceItHasLooked(t *testing.T) {
+func TestDrainedDoorGoesOutOnlyAfterConfirm(t *testing.T) {
 	s := newSite(8)
 	n := s.do("op", Drain{Kind: Door, Name: "d0", Who: "ana"}).Number
-	assert.Error(t, s.ask(2).Err, "its place is taken")
-	assert.Equal(t, n, s.ask(0).Number, "the place that it was ordered to take")
+	assert.Error(t, s.ask(2).Err, "the drain occupies the place")
+	assert.Equal(t, n, s.ask(0).Number, "the permit of its drain")
 	require.NoError(t, s.confirm(0, n).Err)
 	s.do("d0", Here{sight(0, Starting, 1), n})
 	s.seen(0, Ready, 2)
-	assert.Len(t, s.Permits, 1, "a process that starts anew under the order doesn't end it")
+	assert.Len(t, s.Permits, 1, "a restart during the drain doesn't end it")
 	s.do("d0", Here{sight(0, Ready, 2), 0})
-	assert.Equal(t, Granted, s.Permits[n].Stage, "it says that it isn't going by it; the order stands")
+	assert.Equal(t, Granted, s.Permits[n].Stage, "it reports that it doesn't use the permit; the drain stays in force")
 	require.NoError(t, s.ask(0).Err)
 	require.NoError(t, s.do("d0", Confirm{n, 2, 200}).Err)
 	require.NoError(t, s.do("op", Undrain{Door, "d0", "ana", ""}).Err)
-	assert.Error(t, s.do("d0", Confirm{n, 2, 200}).Err, "the order has ended")
+	assert.Error(t, s.do("d0", Confirm{n, 2, 200}).Err, "the drain has ended")
 	s.seen(0, Ready, 2)
-	assert.Len(t, s.Permits, 1, "the process that may have gone")
+	assert.Len(t, s.Permits, 1, "the process that may have gone out")
 	s.seen(0, Ready, 3)
 	assert.Empty(t, s.Permits)
 
 	n = s.do("op", Drain{Kind: Door, Name: "d0"}).Number
 	require.NoError(t, s.do("op", Undrain{Door, "d0", "ana", ""}).Err)
-	assert.Empty(t, s.Permits, "it never looked, and can't go any more")
+	assert.Empty(t, s.Permits, "it never confirmed and can't go out any more")
 	require.Error(t, s.confirm(0, n).Err)
 }
 
-func TestAnOrderLapsesByTheWallClockAndFreesNothing(t *testing.T) {
+func TestDrainEndsByWallClockAndFreesNoPlace(t *testing.T) {
 	s := newSite(4)
 	n := s.do("op", Drain{Kind: Door, Name: "d0", UntilMs: 5000}).Number
 	require.NoError(t, s.ask(0).Err)
@@ -103,23 +103,23 @@
 	assert.Nil(t, s.Reply(&Word{Sighting: sight(0, Starting, 1)}, false).Order)
 }
 
-func TestWhatWasGrantedAndNeverLookedAtIsFreeAfterItsHoldAndCantBeUsed(t *testing.T) {
+func TestUnconfirmedPermitExpiresAfterItsHold(t *testing.T) {
 	s := newSite(8)
 	n := s.ask(0).Number
 	went := s.ask(1).Number
 	require.NoError(t, s.confirm(1, went).Err)
-	s.now += 10e3 // as long as it may be held
+	s.now += 10e3 // exactly its hold
 	s.seen(2, Ready, 1)
 	assert.Len(t, s.Permits, 2)
 	s.now++
 	s.seen(2, Ready, 1)
 	assert.NotContains(t, s.Permits, n)
-	assert.Contains(t, s.Permits, went, "one that may have gone keeps its place, whatever the time")
+	assert.Contains(t, s.Permits, went, "a confirmed permit never expires")
 	var stale *StaleError
 	require.ErrorAs(t, s.confirm(0, n).Err, &stale)
 }
 
-func TestAZoneGoesWholeOrNotAtAll(t *testing.T) {
+func TestZoneDrainIsAllOrNothing(t *testing.T) {
 	s := withBackends(4) // d0, d2 and b0 in z0; d1, d3 and b1 in z1; b2 in z2
 	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Zone, MostOut: 1}, {Kind: Door, MostOut: 2}, {Kind: Backend, MostOut: 1}}})
 	first := s.do("op", Drain{Kind: Zone, Name: "z0", Who: "ana"})
@@ -131,12 +131,12 @@
 		require.ErrorAs(t, s.do("op", Drain{Kind: Zone, Name: "z1", Who: "bea"}).Err, &denied)
 		assert.Equal(t, []string{"z0"}, denied.Blocked)
 	}
-	assert.Len(t, s.Permits, 3, "nothing of it")
-	assert.Error(t, s.ask(1).Err, "the fleet's budget is full")
+	assert.Len(t, s.Permits, 3, "no part of the denied drain remains")
+	assert.Error(t, s.ask(1).Err, "the budget of the fleet is used up")
 	require.NoError(t, s.ask(0).Err)
-	require.NoError(t, s.confirm(0, first.Number+1).Err, "by the zone's budget, not by that of doors")
+	require.NoError(t, s.confirm(0, first.Number+1).Err, "checked against the budget of zones, not that of doors")
 	require.NoError(t, s.do("op", Undrain{Zone, "z0", "ana", ""}).Err)
-	assert.Len(t, s.Permits, 2, "d2 never looked")
+	assert.Len(t, s.Permits, 2, "d2 never confirmed")
 	for i := range 4 {
 		g := sight(i, Ready, 2)
 		g.Did = s.Change
@@ -150,7 +150,7 @@
 	assert.ErrorContains(t, s.do("op", Drain{Kind: Zone, Name: "z0"}).Err, "no budget for zones")
 }
 
-func TestANewLeaderKnowsNobodyUntilTold(t *testing.T) {
+func TestNewLeaderInvalidatesEarlierSightings(t *testing.T) {
 	s := newSite(8)
 	s.do("c2", Lead{"c2", "", 9})
 	assert.EqualValues(t, 9, s.Epoch)
@@ -163,7 +163,7 @@
 	assert.EqualValues(t, 9, s.Epoch)
 }
 
-func TestALifeIsGivenAndAWordOfOneBeforeIsPassedOver(t *testing.T) {
+func TestBeginAssignsIncarnationAndOlderSightingsAreIgnored(t *testing.T) {
 	s := newSite(2)
 	n := s.do("d0/1", Begin{unit(0), 1}).Number
 	assert.EqualValues(t, 2, n)
@@ -175,7 +175,7 @@
 	assert.Nil(t, s.Units["door/d0"])
 }
 
-func TestTryTellsAndDoesNothing(t *testing.T) {
+func TestDryRunOfDrainChangesNothing(t *testing.T) {
 	s := withBackends(4)
 	would, err := s.Try(Backend, "b0")
 	require.NoError(t, err)
@@ -202,12 +202,12 @@
 	return of
 }
 
-func TestADoorIsWhatItSaysUnlessMostHoldItToBeAway(t *testing.T) {
+func TestDoorHasReportedStandingUnlessMostConsiderItAway(t *testing.T) {
 	w := NewWatch()
 	for i := range 5 {
 		assert.True(t, w.Heard(0, word(i, 1)))
 	}
-	assert.False(t, w.Heard(0, word(0, 1)), "a repeat")
+	assert.False(t, w.Heard(0, word(0, 1)), "a duplicate")
 	assert.Equal(t, Ready, standings(w.Sightings(100))["d0"])
 	w.Heard(100, word(1, 2, "d0"))
 	w.Heard(100, word(2, 2, "d0"))
@@ -218,10 +218,10 @@
 		w.Heard(6000, word(i, 3))
 	}
 	_, told := standings(w.Sightings(6000))["d0"]
-	assert.False(t, told, "silent, and nobody knows")
+	assert.False(t, told, "without recent reports its standing is unknown")
 }
 
-func TestWhatHasNotChangedIsToldNowAndThen(t *testing.T) {
+func TestUnchangedSightingsAreResentPeriodically(t *testing.T) {
 	w := NewWatch()
 	w.Heard(0, word(0, 1))
 	w.Heard(0, word(1, 1))
@@ -235,7 +235,7 @@
 	assert.Len(t, w.News(toldFor), 1)
 }
 
-func TestABackendStandsAsMostListsHaveIt(t *testing.T) {
+func TestBackendStandingIsThatOfMostLists(t *testing.T) {
 	w := NewWatch()
 	of := func(how Standing) []Sighting { return []Sighting{{Unit: backendOf("b0", "z"), Standing: how}} }
 	for i, how := range []Standing{Failed, Ready, Ready, Failed, Failed} {
@@ -248,7 +248,7 @@
 	assert.Equal(t, Ready, standings(w.Sightings(0))["b0"])
 }
 
-// A keeper in the test's hands: its posts go to a state at once.
+// testDoorAgent runs a DoorAgent whose posts are applied to a state at once.
 type kept struct {
 	*Keeper
 	s    *site
@@ -299,7 +299,7 @@
 	}
 }
 
-func TestAKeeperGoesByItsOrderAndComesBackAsAnother(t *testing.T) {
+func TestDoorAgentDrainsAndReturnsAsNewProcess(t *testing.T) {
 	s := newSite(8)
 	k := keep(s, 0)
 	k.run(1500)
@@ -314,10 +314,10 @@
 	k.run(2500)
 	require.Len(t, k.gone, 2)
 	assert.False(t, k.gone[1].Out)
-	assert.Empty(t, s.Permits, "its later life is ready")
+	assert.Empty(t, s.Permits, "its next process is ready")
 }
 
-func TestAKeeperThatCantReachAnybodyComesBackByHand(t *testing.T) {
+func TestDisconnectedDoorAgentReturnsByHand(t *testing.T) {
 	s := withBackends(8)
 	k := keep(s, 0)
 	n := s.do("op", Drain{Kind: Door, Name: "d0", Who: "ana"}).Number
@@ -327,19 +327,19 @@
 	assert.Equal(t, []string{"b0"}, k.held[len(k.held)-1])
 	k.cut = true
 	k.run(20e3)
-	assert.Len(t, k.gone, 1, "it keeps to what it was told")
+	assert.Len(t, k.gone, 1, "it keeps the last state that it received")
 	k.step(ByHand{})
 	k.run(500)
 	require.Len(t, k.gone, 2)
 	assert.Empty(t, k.held[len(k.held)-1])
 	k.cut = false
 	k.run(4000)
-	assert.Len(t, k.gone, 2, "coordinators hear that the order was ended here")
+	assert.Len(t, k.gone, 2, "the coordinators learn that the drain was ended at the door")
 	assert.NotContains(t, s.Permits, n)
-	assert.Equal(t, []string{"b0"}, k.held[len(k.held)-1], "what all are to withhold it withholds again")
+	assert.Equal(t, []string{"b0"}, k.held[len(k.held)-1], "it withholds the drained backend again like all doors")
 }
 
-func TestAKeeperIsDeniedByAHaltAndTriesAgain(t *testing.T) {
+func TestDoorAgentRetriesAfterHalt(t *testing.T) {
 	s := newSite(8)
 	k := keep(s, 0)
 	s.do("op", Drain{Kind: Door, Name: "d0", Who: "ana"})
@@ -354,7 +354,7 @@
 	assert.Len(t, k.gone, 1)
 }
 
-func TestAKeeperThatEndsIsCountedAndThenSurelySilent(t *testing.T) {
+func TestTerminatingDoorAgentReportsFailedThenEnded(t *testing.T) {
 	s := newSite(8)
 	k := keep(s, 0)
 	k.run(1500)
@@ -366,15 +366,15 @@
 	assert.Equal(t, Ended, s.Units["door/d0"].Standing)
 }
 
-func TestAReleaseDrainsBackendsAsBudgetsAllowAndBringsThemBackReplaced(t *testing.T) {
+func TestBackendReleaseDrainsWithinBudgetsAndUndrainsReplaced(t *testing.T) {
 	s := withBackends(2)
 	s.do("op", release.Start{Plan: release.Plan{Name: "kernel", Changes: release.Backends, Waves: []release.Wave{{Count: 1}, {Rest: true}}}, Who: "ana"})
 	drains := s.Errands()
 	require.Equal(t, []any{Drain{Kind: Backend, Name: "b0", Who: "release kernel", Why: "to be replaced", Release: 1}}, drains)
 	require.NoError(t, s.do("c", drains[0]).Err)
-	assert.Empty(t, s.Errands(), "it isn't replaced so far")
+	assert.Empty(t, s.Errands(), "it isn't replaced yet")
 	s.do("watch", Seen{[]Sighting{{Unit: backendOf("b0", "z0"), Standing: Starting, Process: 6}}})
-	assert.Empty(t, s.Errands(), "nor warm")
+	assert.Empty(t, s.Errands(), "it isn't warm yet")
 	s.do("watch", Seen{[]Sighting{{Unit: backendOf("b0", "z0"), Standing: Ready, Process: 6}}})
 	back := s.Errands()
 	require.Len(t, back, 1)
--- a/permits/asking.go
+++ b/permits/outstanding.go
@@ -1,24 +1,24 @@
 package permits
 
 const (
-	againFor  = 700.0 // ms after which a question without an answer is asked again
-	againMost = 4     // times; then the one that asked means nothing it asked
+	againFor  = 700.0 // ms after which an unanswered post is sent again
+	againMost = 4     // retries of a post; after them its sender abandons what it posted
 )
 
-// asking has one question out at a time, and acts on no answer to an earlier one.
+// outstanding tracks the one post that waits for an answer. Answers to earlier posts are ignored.
 type asking struct {
 	wait   *Post
 	sentMs float64
 	tries  int
 }
 
-// ask notes a question that goes out.
+// send records a post as the outstanding one.
 func (a *asking) ask(now float64, p Post) Post {
 	a.wait, a.sentMs, a.tries = &p, now, 0
 	return p
 }
 
-// over takes an answer, and returns the question where it is the one that is out.
+// complete ends the outstanding post if it has this sequence number and returns it, else nil.
 func (a *asking) over(seq uint64) *Post {
 	w := a.wait
 	if w == nil || w.Seq != seq {
@@ -28,8 +28,8 @@
 	return w
 }
 
-// due tells what becomes of the question that is out: asked again, given up, or still waited for. A word is not asked again, as
-// what is so now is said anew.
+// poll decides about the outstanding post: send it again, abandon it, or keep waiting for its answer. Reports are never sent
+// again, since the next report carries the current values.
 func (a *asking) due(now float64) (again, lost *Post, busy bool) {
 	switch {
 	case a.wait == nil:
--- a/permits/permits.go
+++ b/permits/permits.go
@@ -11,50 +11,50 @@
 )
 
 const (
-	sightFor  = 15e3   // ms for which a sighting counts; several rounds of those who tell
-	callerFor = 3600e3 // ms after which a caller's latest answer is forgotten; no command is on its way for so long
-	auditMost = 10000  // lines of the audit that are kept in the state
+	sightFor  = 15e3   // ms for which a sighting counts; the leader resends unchanged sightings several times within it
+	callerFor = 3600e3 // ms after which a caller's latest answer is dropped; no command is in flight for so long
+	auditMost = 10000  // audit entries that are kept in the state
 )
 
-// State is what coordinators agree on.
+// State is the replicated state of the coordinators.
 type State struct {
 	NowMs   float64
-	WallMs  float64 // latest wall clock of any coordinator that led
-	Change  uint64  // grows with each order that is given or ends
-	Epoch   uint64  // drawn by the first leader: tells this state from another one's
-	Leader  Lead    // the latest
+	WallMs  float64 // latest wall clock of any leader
+	Change  uint64  // grows with each drain that is ordered or ends
+	Epoch   uint64  // random number of the first leader; distinguishes this state from the state of another cluster
+	Leader  Lead    // the latest leader
 	Next    uint64  // number of the next permit; numbers only grow
 	Budgets []Budget
-	Units   map[string]*Known // by kind and name
+	Units   map[string]*Known // by unitKey
 	Permits map[uint64]*Permit
 	Halts   []Halt
 	Callers map[string]*Latest
 	Audit   []Line
 	Release *release.State
-	LastMs  map[string]float64 // when a permit was given or a unit came back, by kind and zone
+	LastMs  map[string]float64 // when a permit was last granted or a unit last came back, by kind and zone
 
 	Calendar *calendar.State
-	Runs     map[uint64]*Run // what entries of the calendar have under way
+	Runs     map[uint64]*Run // what running calendar entries have started, by entry
 }
 
-// Known is what is known of a unit.
+// UnitState is the latest known state of a unit.
 type Known struct {
 	Unit
 	Standing Standing
-	AtMs     float64 // of the sighting
-	Life     uint64  // latest that it spoke with, or that was seen
+	AtMs     float64 // of the latest sighting
+	Life     uint64  // latest incarnation that was registered or seen
 	Process  uint64
-	Did      uint64 // change up to which a door withholds what is to be withheld
+	Did      uint64 // of a door: the latest change whose withheld backends it has applied
 }
 
-// Latest is a caller's latest command.
+// LastCommand is a caller's latest command and its answer.
 type Latest struct {
 	Seq    uint64
 	AtMs   float64
 	Answer Answer
 }
 
-// Line is one line of the audit.
+// AuditEntry is one entry of the audit log.
 type Line struct {
 	AtMs   float64
 	WallMs float64
@@ -64,7 +64,7 @@
 	Why    string
 }
 
-// New returns the state before the first command: without budgets nothing goes out.
+// New returns the state before the first command. Without budgets every permit is denied.
 func New() *State {
 	s := &State{Next: 1, Units: map[string]*Known{}, Permits: map[uint64]*Permit{}, Callers: map[string]*Latest{}, LastMs: map[string]float64{}, Release: release.New(),
 		Calendar: calendar.New(), Runs: map[uint64]*Run{}}
@@ -74,11 +74,11 @@
 
 func key(k Kind, name string) string { return string(k) + "/" + name }
 
-// Apply takes a command in. The same commands in the same order give the same state and answers everywhere.
+// Apply executes a command. The same commands in the same order produce the same state and answers on every coordinator.
 func (s *State) Apply(c Command) Answer {
 	if l := s.Callers[c.Caller]; l != nil && c.Seq <= l.Seq {
 		if c.Seq == l.Seq {
-			return l.Answer // an answer that was lost: the command has happened, once
+			return l.Answer // a retry after a lost answer: the command was executed once
 		}
 		return Answer{Err: &RepeatError{c.Caller, c.Seq}}
 	}
@@ -104,12 +104,12 @@
 	case Here:
 		s.see(&d.Sighting)
 		if p := s.of(d.Kind, d.Name); p != nil && p.Number != d.Holds && p.Caller == c.Caller {
-			s.unused(p) // it says itself, after all it has asked, that it isn't going by it
+			s.unused(p) // the caller's later report says that it doesn't use the permit
 		}
 	case Begin:
 		return s.begin(d)
 	case Drain:
-		if r := s.Release.Number(d.Release); r == nil || !r.Live() { // else it is a step of what has begun
+		if r := s.Release.Number(d.Release); r == nil || !r.Live() { // a step of a live release has passed this check already
 			if err := s.unplanned(calendar.Drain, drained(d.Kind, d.Name)); err != nil {
 				return Answer{Err: err}
 			}
@@ -202,8 +202,8 @@
 	}
 }
 
-// see takes a sighting in. One that went by a permit is back once a later process of it is seen ready. A word that was long on
-// its way speaks of the process that is to go, or of one before it, and frees nothing.
+// recordSighting updates a unit from a sighting. A unit that went out by a permit is back once a later process of it is seen
+// ready. A delayed sighting is of the process that is to go out, or of an earlier one, and frees no place.
 func (s *State) see(g *Sighting) {
 	k := key(g.Kind, g.Name)
 	u := s.Units[k]
@@ -211,7 +211,7 @@
 		u = &Known{}
 		s.Units[k] = u
 	}
-	if g.Life < u.Life { // a word of a process before, late on its way
+	if g.Life < u.Life { // a delayed sighting of an earlier process
 		return
 	}
 	u.Unit, u.Standing, u.AtMs, u.Life, u.Process, u.Did = g.Unit, g.Standing, s.NowMs, g.Life, g.Process, max(u.Did, g.Did)
@@ -219,7 +219,7 @@
 		s.Release.Saw(g.Name, fmt.Sprint(g.Process))
 	}
 	p := s.of(g.Kind, g.Name)
-	if g.Kind == Door { // it may have been the last that a backend's way back waited for
+	if g.Kind == Door { // it may be the last door that a returning backend waits for
 		for _, o := range s.sorted() {
 			if o.Unit.Kind == Backend {
 				s.backAgain(o)
@@ -235,14 +235,14 @@
 	}
 }
 
-// free ends a permit whose place is free again.
+// freePlace ends a permit and records when its place became free.
 func (s *State) free(p *Permit, how string) {
 	delete(s.Permits, p.Number)
 	s.LastMs[key(p.Unit.Kind, p.Unit.Zone)] = s.NowMs
 	s.note(p.Number, how+": "+p.Unit.Name, p.Caller, "")
 }
 
-// of finds the permit that a unit has.
+// permitOf returns the permit of a unit; nil if it has none.
 func (s *State) of(k Kind, name string) *Permit {
 	for _, p := range s.Permits {
 		if p.Unit.Kind == k && p.Unit.Name == name {
@@ -252,7 +252,7 @@
 	return nil
 }
 
-// forget lets callers go that have said nothing for long.
+// expireCallers drops the answers of callers that have sent nothing for callerTTLMs.
 func (s *State) forget() {
 	maps.DeleteFunc(s.Callers, func(_ string, l *Latest) bool { return s.NowMs-l.AtMs > callerFor })
 }
@@ -263,7 +263,7 @@
 		return Answer{Err: &UnknownError{fmt.Sprintf("%s %s", d.Kind, d.Unit)}}
 	}
 	if p := s.of(d.Kind, d.Unit); p != nil {
-		if p.Order && !p.Over && d.Kind == Door { // the place is its own already
+		if p.Order && !p.Over && d.Kind == Door { // the drain already occupies the place for this door
 			p.Caller, p.AtMs, p.HoldMs, p.Stage = c.Caller, s.NowMs, d.HoldMs, Granted
 			return Answer{Number: p.Number}
 		}
@@ -280,7 +280,7 @@
 	return Answer{Number: p.Number}
 }
 
-// confirm looks again, with what has become known since the permit was given.
+// confirm checks a permit again against everything that was learned since it was granted.
 func (s *State) confirm(c *Command, d Confirm) Answer {
 	p := s.Permits[d.Number]
 	switch {
@@ -289,7 +289,8 @@
 	case s.NowMs-p.AtMs > p.HoldMs:
 		return Answer{Err: &StaleError{d.Number, fmt.Sprintf("held for %.0f ms, over %.0f", s.NowMs-p.AtMs, p.HoldMs)}}
 	}
-	// Also for one that looked before: it was stopped since, or it would have gone, and a halt may have come meanwhile.
+	// A permit that was confirmed before is checked as well: its holder was suspended, or it would have gone out by now, and a
+	// halt may have been ordered in between.
 	if p.Over {
 		return Answer{Err: &StaleError{d.Number, "its order has ended"}}
 	}
@@ -311,7 +312,7 @@
 	return Answer{Number: p.Number}
 }
 
-// known lists all units of a kind that are known, sorted, as releases see them.
+// unitsOf lists all known units of a kind for the release state machine, sorted by name.
 func (s *State) known(of Kind) (all []release.Door) {
 	for _, k := range slices.Sorted(maps.Keys(s.Units)) {
 		if u := s.Units[k]; u.Kind == of {
@@ -321,10 +322,11 @@
 	return all
 }
 
-// mayChange tells what stands in the way of a unit's going out by a release, or by its own wish where that is 0. One that has
-// failed is out already: on its way back to what it ran before, no budget is in its way, or failures could use all of it up
-// and nothing could come back. One that a new leader has only not seen so far may well serve: three once went back at once in
-// the half second before the first sightings, where two may be out.
+// checkReleaseStep returns what keeps a unit from going out for a release, or on its own request if number is 0; nil for
+// nothing. A failed unit is out already: when it rolls back, no budget applies, since otherwise failures could use up the whole
+// budget and nothing could be rolled back. A unit that a new leader has merely not seen yet may still be serving, so budgets
+// apply to it: without that rule three doors went out at once in the half second before the first sightings, where two may be
+// out.
 func (s *State) mayChange(u *Known, number uint64, fresh bool) error {
 	if number != 0 {
 		back, err := s.Release.MayTake(number, u.Name)
@@ -338,22 +340,23 @@
 	return s.mayGo(&u.Unit, "", fresh)
 }
 
-// Out tells whether a unit counts as out.
+// Out reports whether a unit counts as out.
 func (s *State) Out(u *Known) bool { return s.out(u) }
 
-// out tells whether a unit counts as out: by plan, by failure, or as nobody has seen it lately.
+// isOut reports whether a unit counts as out: planned, failed, or not seen for sightingTTLMs.
 func (s *State) out(u *Known) bool {
 	return u.Standing != Ready || s.NowMs-u.AtMs > sightFor || s.of(u.Kind, u.Name) != nil
 }
 
-// mayGo tells what stands in the way of a unit's going out; fresh where it has no permit so far.
+// checkOutage returns the halt or budget that keeps a unit from going out; nil for none. zone names the zone that is drained as
+// a whole, if any; fresh is set if the unit has no permit yet.
 func (s *State) mayGo(g *Unit, zone string, fresh bool) error {
 	for _, h := range s.Halts {
 		if (h.Kind == "" || h.Kind == g.Kind || zone != "" && h.Kind == Zone) && (h.Zone == "" || h.Zone == g.Zone) {
 			return &HaltedError{h.Who, h.Why}
 		}
 	}
-	if zone != "" { // it goes with its zone, whose budget is another
+	if zone != "" { // a drain of a whole zone has its own budget
 		return s.zoneMayGo(zone, fresh)
 	}
 	bound := false
@@ -376,7 +379,7 @@
 	return nil
 }
 
-// within holds one budget against what would be out with one more.
+// checkBudget checks one budget with one more unit out.
 func (s *State) within(b *Budget, zone string, g *Unit, fresh bool) error {
 	here, size, last := 0, 0.0, -1.0
 	var out []string
--- a/permits/permits_test.go
+++ b/permits/permits_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// site is a state with doors that are ready, two zones, and a budget of one in each and two in all.
+// site is a state with ready doors in two zones and a budget of one door per zone and two in total.
 type site struct {
 	*State
 	now float64
@@ -49,7 +49,7 @@
 	return s.do(unit(i).Name, Confirm{n, 1, 100})
 }
 
-func TestAPlaceIsTakenUntilTheOneThatWentIsBack(t *testing.T) {
+func TestPlaceStaysTakenUntilUnitIsBack(t *testing.T) {
 	s := newSite(8)
 	a := s.ask(0)
 	require.NoError(t, a.Err)
@@ -59,8 +59,8 @@
 	assert.Equal(t, []string{"d0"}, denied.Blocked)
 	assert.Equal(t, "z0", denied.Zone)
 	assert.Contains(t, denied.Remedy(), "d0")
-	require.NoError(t, s.ask(1).Err, "the other zone has a place")
-	for range 10 { // time frees nothing
+	require.NoError(t, s.ask(1).Err, "the budget of the other zone has a place")
+	for range 10 { // a place never becomes free by a timeout
 		s.now += 10e3
 		for _, i := range []int{2, 3, 4, 5, 6, 7} {
 			s.seen(i, Ready, 1)
@@ -69,16 +69,16 @@
 	}
 	s.seen(0, Failed, 1)
 	s.seen(0, Ready, 1)
-	assert.Error(t, s.ask(2).Err, "a word of the process that is to go, late on its way")
+	assert.Error(t, s.ask(2).Err, "a delayed sighting of the process that goes out")
 	s.seen(0, Starting, 2)
-	assert.Error(t, s.ask(2).Err, "here, and not warm")
+	assert.Error(t, s.ask(2).Err, "running, but not warm")
 	s.seen(0, Ready, 2)
 	next := s.ask(2)
 	require.NoError(t, next.Err)
 	assert.Greater(t, next.Number, a.Number)
 }
 
-func TestARepeatChangesNothingAndAnOlderCommandIsRefused(t *testing.T) {
+func TestRetryIsIdempotentAndOlderCommandIsRefused(t *testing.T) {
 	s := newSite(8)
 	c := Command{Caller: "d0", Seq: 5, Do: Ask{Unit: "d0", Kind: Door, HoldMs: 1e4}}
 	a := s.Apply(c)
@@ -90,42 +90,42 @@
 	assert.ErrorAs(t, s.Apply(c).Err, &repeat)
 }
 
-func TestWhatFailedOrWasNotSeenCountsAsOut(t *testing.T) {
+func TestFailedOrUnseenUnitCountsAsOut(t *testing.T) {
 	s := newSite(8)
 	s.seen(2, Failed, 1)
-	assert.Error(t, s.ask(0).Err, "its zone has one out already")
+	assert.Error(t, s.ask(0).Err, "one door of its zone is out already")
 	require.NoError(t, s.ask(1).Err)
 	s = newSite(8)
-	s.now = 20e3 // nobody has been seen for long
+	s.now = 20e3 // all sightings have expired
 	assert.Error(t, s.ask(1).Err)
 }
 
-func TestTheLastLookFindsWhatHasHappenedSince(t *testing.T) {
+func TestConfirmChecksEventsSinceTheGrant(t *testing.T) {
 	s := newSite(8)
 	n := s.ask(0).Number
 	s.seen(4, Failed, 1)
 	var denied *DeniedError
-	assert.ErrorAs(t, s.confirm(0, n).Err, &denied, "a failure used the budget up")
+	assert.ErrorAs(t, s.confirm(0, n).Err, &denied, "a failure has used up the budget")
 	s.seen(4, Ready, 1)
 	require.NoError(t, s.confirm(0, n).Err)
 	s.do("op", Halt{Who: "ana", Why: "errors"})
 	var halted *HaltedError
-	require.ErrorAs(t, s.confirm(0, n).Err, &halted, "it has not gone so far, or it would not ask")
+	require.ErrorAs(t, s.confirm(0, n).Err, &halted, "it has not gone out yet, or it would not confirm again")
 	assert.Contains(t, halted.Remedy(), "ana")
 	s.do("op", Resume{Who: "ana"})
 	s.now += 11e3
 	var stale *StaleError
-	assert.ErrorAs(t, s.confirm(0, n).Err, &stale, "held for too long")
-	assert.ErrorAs(t, s.confirm(1, n).Err, &stale, "another's")
+	assert.ErrorAs(t, s.confirm(0, n).Err, &stale, "its hold has expired")
+	assert.ErrorAs(t, s.confirm(1, n).Err, &stale, "permit of another caller")
 }
 
-func TestOnesOwnWordGivesBackWhatIsNotUsed(t *testing.T) {
+func TestSelfReportReturnsUnusedPermit(t *testing.T) {
 	s := newSite(8)
 	n := s.ask(0).Number
 	s.do("d0", Here{sight(0, Ready, 1), n})
-	assert.Len(t, s.Permits, 1, "it means to use it")
+	assert.Len(t, s.Permits, 1, "the door intends to use it")
 	s.do("another", Here{sight(0, Ready, 1), 0})
-	assert.Len(t, s.Permits, 1, "said by another")
+	assert.Len(t, s.Permits, 1, "reported by another caller")
 	s.do("d0", Here{sight(0, Ready, 1), 0})
 	assert.Empty(t, s.Permits)
 	n = s.ask(0).Number
@@ -137,13 +137,13 @@
 	assert.ErrorAs(t, s.do("x", Ask{Unit: "nobody", Kind: Door}).Err, &unknown)
 }
 
-func TestWithoutABudgetNothingGoesOut(t *testing.T) {
+func TestWithoutBudgetPermitsAreDenied(t *testing.T) {
 	s := newSite(4)
 	s.do("watch", Seen{[]Sighting{{Unit: Unit{Kind: Backend, Name: "b", Size: 2}, Standing: Ready, Life: 1}}})
 	assert.ErrorContains(t, s.do("x", Ask{Unit: "b", Kind: Backend}).Err, "no budget")
 }
 
-func TestLeastHereSizeAndRest(t *testing.T) {
+func TestBudgetMinimumReadySizeAndGap(t *testing.T) {
 	s := newSite(8)
 	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 8, LeastHere: 7}}})
 	require.NoError(t, s.ask(0).Err)
@@ -161,7 +161,7 @@
 	assert.ErrorAs(t, s.ask(1).Err, &taken)
 }
 
-func TestTheClockNeverGoesBack(t *testing.T) {
+func TestStateClockNeverGoesBack(t *testing.T) {
 	s := newSite(4)
 	s.now = 9000
 	s.seen(1, Ready, 1)
@@ -170,23 +170,23 @@
 	assert.Equal(t, 9000.0, s.NowMs)
 }
 
-func TestAHolderThatWasStoppedLooksAgain(t *testing.T) {
+func TestSuspendedHolderMustConfirmAgain(t *testing.T) {
 	var h Holder
 	ask := h.Asked(0, 10e3)
-	assert.False(t, h.Answered(ask+1, Answer{Number: 3}), "no answer to that is waited for")
+	assert.False(t, h.Answered(ask+1, Answer{Number: 3}), "no answer to that command is pending")
 	require.True(t, h.Answered(ask, Answer{Number: 3}))
-	assert.False(t, h.MayGo(100), "not without the last look")
+	assert.False(t, h.MayGo(100), "not without a Confirm")
 	look := h.Looking(200)
 	require.True(t, h.Answered(look, Answer{Number: 3}))
 	assert.True(t, h.MayGo(900))
-	assert.False(t, h.MayGo(1300), "it was stopped since")
+	assert.False(t, h.MayGo(1300), "it was suspended after its Confirm")
 	again := h.Looking(1300)
-	assert.False(t, h.Answered(look, Answer{Number: 3}), "an answer to an earlier look doesn't count")
+	assert.False(t, h.Answered(look, Answer{Number: 3}), "the answer to an earlier Confirm is ignored")
 	require.True(t, h.Answered(again, Answer{Number: 3}))
 	assert.True(t, h.MayGo(1350))
 	late := h.Looking(8500)
 	h.Answered(late, Answer{Number: 3})
-	assert.False(t, h.MayGo(8600), "its own clock says that the hold is nearly over")
+	assert.False(t, h.MayGo(8600), "by its own clock the hold is nearly over")
 	h.Drop()
 	assert.Zero(t, h.Number)
 	assert.Greater(t, h.Next(), late)
--- a/permits/planfile/errors.go
+++ b/permits/planfile/errors.go
@@ -6,7 +6,7 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// ZoneError is a time zone that nobody knows.
+// ZoneError is a time zone name that isn't in the time zone database.
 type ZoneError struct {
 	Name  string
 	Cause error
@@ -18,10 +18,10 @@
 func (e *ZoneError) Unwrap() error     { return e.Cause }
 func (e *ZoneError) Kind() remedy.Kind { return remedy.Usage }
 
-// Remedy gives an example.
-func (e *ZoneError) Remedy() string { return "Name a zone as Europe/Lisbon, or none for UTC." }
+// Remedy gives an example of a time zone name.
+func (e *ZoneError) Remedy() string { return "Use a name such as Europe/Lisbon, or leave it out for UTC." }
 
-// FileError is a file for the calendar that can't be read.
+// FileError is a file for the calendar that can't be read or decoded.
 type FileError struct {
 	Path  string
 	Cause error
@@ -31,16 +31,16 @@
 func (e *FileError) Unwrap() error     { return e.Cause }
 func (e *FileError) Kind() remedy.Kind { return remedy.Configuration }
 
-// Remedy names the examples.
+// Remedy names the example files.
 func (e *FileError) Remedy() string {
 	return "Write it as examples/entry.json, freeze.json, rules.json or migration.json; docs/calendar.md explains each key."
 }
 
-// FormError is a file that holds something else than one value.
+// FormatError is a file that doesn't contain exactly one JSON value.
 type FormError struct{ Says string }
 
 func (e *FormError) Error() string     { return e.Says }
 func (e *FormError) Kind() remedy.Kind { return remedy.Configuration }
 
-// Remedy says what is wanted.
-func (e *FormError) Remedy() string { return "Write one object into each file." }
+// Remedy says what a file must contain.
+func (e *FormError) Remedy() string { return "Write exactly one JSON object into each file." }
--- a/permits/watch.go
+++ b/permits/watch.go
@@ -7,77 +7,78 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-// Word is what a door says to coordinators every second or so: how it stands, what it has carried out, and whom it holds to
-// be away. It is a belief, but for what it says of itself.
+// DoorReport is a door's report to the coordinators, sent about once a second: its standing, what it has applied, and which doors
+// it considers away. Only what it reports about itself is certain.
 type Word struct {
 	Caller string `json:"caller"` // name and process
 	Seq    uint64 `json:"seq"`
 	Sighting
 	Holds    uint64                    `json:"holds,omitempty"`
-	Away     []string                  `json:"away,omitempty"`     // doors that it holds to be away
-	Undone   []uint64                  `json:"undone,omitempty"`   // orders that were ended by hand at the door itself
-	Backends []Sighting                `json:"backends,omitempty"` // its list, where it was asked for it
-	Counts   *release.Counts           `json:"counts,omitempty"`   // what its process has done
-	Sent     map[string]release.Counts `json:"sent,omitempty"`     // its attempts by backend, where it was asked for its list
+	Away     []string                  `json:"away,omitempty"`     // doors that it considers away
+	Undone   []uint64                  `json:"undone,omitempty"`   // drains that an operator ended at the door itself
+	Backends []Sighting                `json:"backends,omitempty"` // its list of backends, if requested by Reply.Full
+	Counts   *release.Counts           `json:"counts,omitempty"`   // usage counts of its process
+	Sent     map[string]release.Counts `json:"sent,omitempty"`     // its attempts by backend, if requested by Reply.Full
 }
 
-// Reply answers a word.
+// Reply is the answer to a DoorReport.
 type Reply struct {
 	Epoch    uint64   `json:"epoch"`
-	Life     uint64   `json:"life"` // that the unit is known by; another than the word's has the door begin again
+	Life     uint64   `json:"life"` // registered incarnation of the door; if it differs from the report's, the door registers again
 	Change   uint64   `json:"change"`
 	Withheld []string `json:"withheld,omitempty"`
-	Order    *Order   `json:"order,omitempty"` // for this door
-	Full     bool     `json:"full,omitempty"`  // its list of backends is wanted with the next
+	Order    *Order   `json:"order,omitempty"` // drain of this door, if any
+	Full     bool     `json:"full,omitempty"`  // the next report is to include the list of backends
 }
 
-// Order is what a door is told of its own.
+// Order is the drain that is in force for a door.
 type Order struct {
 	Number   uint64 `json:"number"`
 	Who, Why string
 }
 
 const (
-	wordFor   = 5e3  // ms for which a word counts; a door says one a second
-	toldFor   = 4e3  // ms for which a sighting that hasn't changed is not told again; a few fit into the time for which it counts
-	lostFor   = 10e3 // ms without a word, after which a door that a release has changed is taken to have failed by it
-	reporters = 3    // doors that are asked for their lists of backends: one may be behind, or wrong
+	wordFor   = 5e3  // ms for which a report counts; a door sends one a second
+	toldFor   = 4e3  // ms after which an unchanged sighting is sent again; several times within sightingTTLMs
+	lostFor   = 10e3 // ms without a report after which a door changed by a release counts as failed by it
+	reporters = 3    // doors that are asked for their lists of backends: one may be outdated or wrong
 )
 
-// Watch gathers the words of doors at the coordinator that leads, and makes sightings of them. What it knows ends with the
-// leadership: a new leader hears all doors within a second or two.
+// ReportCollector collects the reports of doors at the leader and derives sightings and release verdicts from them. It isn't
+// replicated: a new leader receives reports from all doors within a second or two.
 type Watch struct {
 	words map[string]*heard // by door
 	names []string          // of those doors, sorted
-	waves map[uint64]*judged
-	told  map[string]told // by unit
+	waves map[uint64]*judged // by release
+	told  map[string]told // by unitKey
 }
 
-// told is what was last told of a unit.
+// sentSighting is the last sighting of a unit that was sent as a command.
 type told struct {
 	Sighting
 	at float64
 }
 
-// judged is the comparison of a release's wave.
+// waveComparison is the comparison that runs for a release's current wave.
 type judged struct {
 	wave  int
 	began float64
 	of    *release.Comparison
 }
 
+// receivedReport is a door's latest report with its time of arrival.
 type heard struct {
 	Word
 	at float64
 }
 
-// NewWatch returns one that has heard nobody.
+// NewReportCollector returns a collector without reports.
 func NewWatch() *Watch {
 	return &Watch{words: map[string]*heard{}, waves: map[uint64]*judged{}, told: map[string]told{}}
 }
 
-// Heard takes a word in. One that comes after a later one of the same process, or of a process before, is passed over. The
-// list of backends stays until the door tells another.
+// Record stores a report and reports whether it was accepted. A report that is older than the stored one, or from an earlier
+// incarnation, is ignored. The list of backends is kept until the door sends another.
 func (w *Watch) Heard(now float64, word Word) bool {
 	if old := w.words[word.Name]; old != nil {
 		if word.Life < old.Life || word.Process == old.Process && word.Seq <= old.Seq {
@@ -98,7 +99,7 @@
 	return true
 }
 
-// fresh lists the doors that have said something lately, up to so many.
+// recentDoors lists up to most doors whose latest report still counts.
 func (w *Watch) fresh(now float64, most int) (names []string) {
 	for _, n := range w.names {
 		if h := w.words[n]; len(names) < most && now-h.at <= wordFor && h.Standing != Ended {
@@ -108,13 +109,14 @@
 	return names
 }
 
-// Full tells whether a door is to tell its list of backends.
+// WantsBackends reports whether a door is to include its list of backends in its reports.
 func (w *Watch) Full(now float64, name string) bool {
 	return slices.Contains(w.fresh(now, reporters), name)
 }
 
-// Sightings tells how all units stand by what was heard lately. A door is what it says itself, unless most of the others hold
-// it to be away; one that says nothing any more is told of only where they do. A backend stands as most lists have it.
+// Sightings derives the standing of all units from recent reports. A door has the standing that it reports, unless most of the
+// others consider it away; a door without a recent report is listed only if they do. A backend has the standing that most lists
+// give it.
 func (w *Watch) Sightings(now float64) (all []Sighting) {
 	fresh := w.fresh(now, len(w.names))
 	away := map[string]int{}
@@ -138,7 +140,7 @@
 		if _, is := slices.BinarySearch(fresh, n); is {
 			others--
 		} else if h.Standing != Ended && 2*away[n] <= others {
-			continue // nobody knows
+			continue // its standing is unknown
 		}
 		if 2*away[n] > others && others > 0 && h.Standing != Ended {
 			s.Standing = Failed
@@ -164,8 +166,8 @@
 	return all
 }
 
-// News lists the sightings that are to be agreed on: what has changed, and now and then what hasn't. All of them twice a second
-// would be most of what coordinators write.
+// ChangedSightings lists the sightings to replicate: those that have changed, and every resendAfterMs the unchanged ones.
+// Replicating all of them twice a second would dominate the coordinators' writes.
 func (w *Watch) News(now float64) (news []Sighting) {
 	for _, s := range w.Sightings(now) {
 		k := key(s.Kind, s.Name)
@@ -178,12 +180,12 @@
 	return news
 }
 
-// Needs lists the commands that a word calls for at once, in place of the next round of sightings: a permit that its door does
-// not mean to use, orders that were ended at the door, a standing that has changed.
+// Needs lists the commands that a report requires immediately rather than with the next round of sightings: for a permit that the
+// door doesn't intend to use, for drains that were ended at the door, and for a changed standing.
 func (s *State) Needs(w *Word) (do []any) {
 	u := s.Units[key(w.Kind, w.Name)]
 	if u == nil || w.Life != u.Life {
-		return nil // it is told to begin, or speaks of a life before
+		return nil // the reply has it register, or the report is of an earlier incarnation
 	}
 	for _, n := range w.Undone {
 		if p := s.Permits[n]; p != nil && p.Order && !p.Over {
@@ -200,7 +202,7 @@
 	return do
 }
 
-// Reply words what a door is told.
+// Reply returns the answer to a door's report.
 func (s *State) Reply(w *Word, full bool) Reply {
 	r := Reply{Full: full, Epoch: s.Epoch}
 	if u := s.Units[key(w.Kind, w.Name)]; u != nil {
@@ -213,8 +215,8 @@
 	return r
 }
 
-// Judge compares, for each release that runs, the doors that it has changed with the others, once all of the present wave have
-// taken it, and lists the verdicts that end a wave. What was heard of each door before the comparison counts from there on.
+// Verdicts compares, for each running release whose current wave is complete, the changed doors with the others, and lists the
+// verdicts that end a wave. Counts from before the comparison are its baseline.
 func (w *Watch) Judge(now float64, s *release.State) (verdicts []release.Judged) {
 	for n := range w.waves {
 		if !slices.ContainsFunc(s.All, func(r *release.Release) bool { return r.Number == n && r.Stage == release.Running }) {
@@ -231,7 +233,7 @@
 			j = &judged{r.Wave, now, release.NewComparison(now, r.Waves[r.Wave].WatchS*1e3).Ending(r.Ends)}
 			w.waves[r.Number] = j
 		}
-		if r.Changes == release.Backends { // each pair of a door that reports and a backend is one to compare
+		if r.Changes == release.Backends { // each pair of a reporting door and a backend is one item of the comparison
 			for _, name := range w.fresh(now, reporters) {
 				for _, b := range slices.Sorted(maps.Keys(w.words[name].Sent)) {
 					j.of.Heard(now, b+" as "+name+" sees it", s.Changed(r, b), w.words[name].Sent[b])
--- a/release/errors.go
+++ b/release/errors.go
@@ -6,7 +6,7 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// PlanError is a release's file that can't be used.
+// PlanError is an invalid release plan.
 type PlanError struct {
 	Key, Says string
 	Cause     error `json:"-"`
@@ -21,12 +21,12 @@
 func (e *PlanError) Unwrap() error     { return e.Cause }
 func (e *PlanError) Kind() remedy.Kind { return remedy.Configuration }
 
-// Remedy names an example.
+// Remedy names an example file and the command that checks a plan.
 func (e *PlanError) Remedy() string {
-	return "Mend the file, as examples/release.json and docs/releases.md have it; swifthall release check FILE says whether it can be used."
+	return "Correct the file according to examples/release.json and docs/releases.md; swifthall release check FILE validates it."
 }
 
-// NameError is a release whose name another one that is under way has.
+// NameError is a release whose name is in use by another release that hasn't ended.
 type NameError struct {
 	Name  string
 	Stage Stage
@@ -35,12 +35,12 @@
 func (e *NameError) Error() string     { return fmt.Sprintf("release %s is %s already", e.Name, e.Stage) }
 func (e *NameError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says what to do.
+// Remedy says how to resolve the conflict.
 func (e *NameError) Remedy() string {
-	return "Give this one another name, or have the other go back first."
+	return "Give this release another name, or roll the other one back first."
 }
 
-// UnknownError is a release that isn't known.
+// UnknownError is a command about a release that doesn't exist.
 type UnknownError struct{ Name string }
 
 func (e *UnknownError) Error() string     { return fmt.Sprintf("release %s is not known", e.Name) }
@@ -49,7 +49,7 @@
 // Remedy names the command that lists them.
 func (e *UnknownError) Remedy() string { return "swifthall release status lists them." }
 
-// StageError is something that a release can't do as it stands.
+// StageError is a command that isn't possible in the present stage of a release.
 type StageError struct {
 	Name  string
 	Stage Stage
@@ -61,7 +61,7 @@
 }
 func (e *StageError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names the command that tells more.
+// Remedy names the command that shows the release's stage.
 func (e *StageError) Remedy() string {
-	return "swifthall release status says how it stands and why; one that is halted may be resumed or go back."
+	return "swifthall release status shows its stage and the reason; a halted release can be resumed or rolled back."
 }
--- a/release/release.go
+++ b/release/release.go
@@ -1,5 +1,6 @@
-// Package release decides on releases: which doors run what, in which waves, and whether a wave is well. It knows no I/O. Its
-// state is part of what coordinators agree on; permits bound how many doors change at once.
+// Package release is the state machine of staged rollouts: which doors run which version, in which waves, and whether a wave is
+// healthy compared with the unchanged doors (canary analysis). It does no I/O. Its state is part of the coordinators' replicated
+// state; permits limit how many doors change at the same time.
 package release
 
 import (
@@ -11,49 +12,51 @@
 	"strings"
 )
 
-// What may change.
+// Kinds of changes that a release makes.
 const (
-	Configuration = "configuration" // a file laid over each door's own, by digest
-	Program       = "program"       // the door's program, by digest
-	Backends      = "backends"      // backends, each replaced by other means while it is drained
+	Configuration = "configuration" // a file merged over each door's own configuration, by digest
+	Program       = "program"       // the door's executable, by digest
+	Backends      = "backends"      // backends, each replaced by other tools while it is drained
 )
 
-// Plan is a release as operators write it.
+// Plan is the file format of a release.
 type Plan struct {
 	Name    string   `json:"name"`
 	Changes string   `json:"changes"` // configuration, program or backends
-	Digest  string   `json:"digest"`  // sha256 of the file, hexadecimal; doors have it in their folder of releases
-	Doors   []string `json:"doors"`   // or backends; empty for all that are known
+	Digest  string   `json:"digest"`  // hexadecimal SHA-256 of the file, which each door has in its directory of releases
+	Doors   []string `json:"doors"`   // doors or backends to change; empty for all known ones
 	Waves   []Wave   `json:"waves"`
-	// Over names a release that this one takes the place of, if it is under way. Else this one waits until no other has any of
+	// Supersedes names a release in progress that this one replaces. Without it this release waits until no other one has any of
 	// its doors.
 	Over string `json:"over"`
-	Ends Ends   `json:"ends"`
+	// Limits are the differences from the unchanged doors at which the release rolls back.
+	Ends Ends `json:"ends"`
 }
 
-// Ends is by how much the changed may be worse than the others before a release goes back; 0 for the module's own.
+// Limits is by how much the changed doors may be worse than the others before a release rolls back; 0 selects the default.
 type Ends struct {
-	Requests float64 `json:"operations,omitempty"` // share of requests not in time, failed or rejected
-	Latency  float64 `json:"latency,omitempty"`    // share of the others' latency
-	Memory   float64 `json:"memory,omitempty"`     // share of the others' memory
+	Requests float64 `json:"operations,omitempty"` // additional share of requests that are late, failed or rejected
+	Latency  float64 `json:"latency,omitempty"`    // increase as a share of the others' latency
+	Memory   float64 `json:"memory,omitempty"`     // increase as a share of the others' memory
 }
 
-// Wave is some of the doors, and how long they are watched once all of them have taken it. Exactly one of the first four.
+// Wave selects some of the doors, by exactly one of the first four fields, and the time in s for which they are observed once all
+// of them run the new version.
 type Wave struct {
-	Count    int     `json:"count,omitempty"`     // doors, of different zones as far as there are some
-	EachZone int     `json:"each_zone,omitempty"` // doors of each zone
-	Share    float64 `json:"share,omitempty"`     // of all
-	Rest     bool    `json:"rest,omitempty"`
+	Count    int     `json:"count,omitempty"`     // number of doors, of as many zones as possible
+	EachZone int     `json:"each_zone,omitempty"` // number of doors of each zone
+	Share    float64 `json:"share,omitempty"`     // share of all doors, at least one door
+	Rest     bool    `json:"rest,omitempty"`      // all remaining doors
 	WatchS   float64 `json:"watch_s"`
 }
 
 const (
-	digestSize = 64    // digits
-	longest    = 86400 // s of a watch
-	kept       = 50    // releases that are over and remembered
+	digestSize = 64    // hexadecimal digits of a SHA-256
+	longest    = 86400 // s, maximum of watch_s
+	kept       = 50    // releases that are kept in the state; the oldest ended ones are dropped
 )
 
-// Read reads a plan. What is wrong with it is told by key.
+// Read decodes and validates a plan. Its errors name the offending key.
 func Read(in io.Reader) (p Plan, err error) {
 	dec := json.NewDecoder(in)
 	dec.DisallowUnknownFields()
@@ -63,7 +66,7 @@
 	return p, p.Check()
 }
 
-// Check tells what is wrong with a plan.
+// Check validates a plan.
 func (p *Plan) Check() error {
 	bad := func(key, format string, args ...any) error {
 		return &PlanError{Key: key, Says: fmt.Sprintf(format, args...)}
@@ -101,74 +104,74 @@
 	return nil
 }
 
-// Stage of a release.
+// Stage is the stage of a release.
 type Stage string
 
-// Stages.
+// Stages of a release.
 const (
-	Waiting  Stage = "waiting" // for another that has some of its doors
+	Waiting  Stage = "waiting" // until another release no longer has any of its doors
 	Running  Stage = "running"
 	Halted   Stage = "halted"
 	Back     Stage = "going back"
 	Done     Stage = "done"
-	Returned Stage = "back" // all is as it was
+	Returned Stage = "back" // all doors run their previous version again
 	Replaced Stage = "replaced"
 )
 
-// Release is one, under way or over.
+// Release is a release with its progress.
 type Release struct {
 	Plan
 	Number uint64            `json:"number"`
 	Who    string            `json:"who"`
 	Why    string            `json:"why"`
 	Stage  Stage             `json:"stage"`
-	Says   string            `json:"says,omitempty"` // why it stands as it does
-	Wave   int               `json:"wave"`
-	Parts  [][]string        `json:"parts"`            // doors by wave
-	From   map[string]string `json:"from"`             // digest that each ran before
-	Failed map[string]string `json:"failed,omitempty"` // doors that could not take it, with their words
+	Says   string            `json:"says,omitempty"` // reason for the present stage
+	Wave   int               `json:"wave"`             // index of the current wave
+	Parts  [][]string        `json:"parts"`            // doors or backends by wave
+	From   map[string]string `json:"from"`             // digest that each ran before, or process of each backend
+	Failed map[string]string `json:"failed,omitempty"` // doors that failed to install it, with the reason
 }
 
-// Door is a door as far as releases see it.
+// Door is a door or a backend that a release may change.
 type Door struct {
 	Name string
 	Zone string
 }
 
-// Runs is what a door runs, by what may change; an empty digest for its own file or program.
+// Versions is the digests that a door runs, by kind of change; empty for the door's own configuration or program.
 type Runs map[string]string
 
-// State is all releases, and what the doors run.
+// State is the replicated state of all releases and of the versions that doors run.
 type State struct {
 	Next uint64
 	All  []*Release
 	Runs map[string]Runs   // by door
-	Seen map[string]string // process that each backend was last seen as
+	Seen map[string]string // process with which each backend was last seen
 }
 
 // New returns a state without releases.
 func New() *State { return &State{Next: 1, Runs: map[string]Runs{}, Seen: map[string]string{}} }
 
-// Commands.
+// Commands that State.Apply executes.
 type (
-	// Start begins a release, or has it wait.
+	// Start enters a release, which runs once no other release has any of its doors.
 	Start struct {
 		Plan     Plan
 		Who, Why string
 	}
-	// Took is a door's word on what it runs, and what it could not take.
+	// ReportVersions is a door's report of the versions that it runs and of those that it failed to install.
 	Took struct {
 		Door   string
 		Runs   Runs
-		Failed map[string]string `json:",omitempty"` // by digest, why
+		Failed map[string]string `json:",omitempty"` // reason by digest
 	}
-	// Judged is a verdict on a wave, by the coordinator that leads.
+	// RecordVerdict is the leader's verdict on a wave.
 	Judged struct {
 		Number  uint64
 		Wave    int
 		Verdict Verdict
 	}
-	// Steer is an operator's word on a release: halt, resume or back.
+	// Steer is an operator's command to halt, resume or roll back a release.
 	Steer struct {
 		Name     string
 		To       string
@@ -176,14 +179,14 @@
 	}
 )
 
-// Words of Steer.
+// Values of Steer.To.
 const (
 	ToHalt   = "halt"
 	ToResume = "resume"
 	ToBack   = "back"
 )
 
-// Live tells whether a release still has its doors.
+// Live reports whether a release still controls its doors.
 func (r *Release) Live() bool { return r.Stage == Running || r.Stage == Halted || r.Stage == Back }
 
 func (r *Release) doors() (all []string) {
@@ -193,7 +196,7 @@
 	return all
 }
 
-// Find finds a release by name, the latest of it.
+// Find returns the latest release of a name; nil for none.
 func (s *State) Find(name string) *Release {
 	for i := len(s.All) - 1; i >= 0; i-- {
 		if s.All[i].Name == name {
@@ -203,7 +206,7 @@
 	return nil
 }
 
-// Has finds the live release of such changes that has a door or backend.
+// LiveReleaseOf returns the live release of a kind of change that controls a door or backend; nil for none.
 func (s *State) Has(door, changes string) *Release {
 	for _, r := range s.All {
 		if r.Live() && r.Changes == changes && slices.Contains(r.doors(), door) {
@@ -213,11 +216,12 @@
 	return nil
 }
 
-// Saw notes as which process a backend is seen. A backend is changed once that is another than when its release began.
+// RecordProcess records the process with which a backend is seen. A backend counts as changed once its process differs from the one
+// at the start of its release.
 func (s *State) Saw(backend, process string) { s.Seen[backend] = process }
 
-// Do takes a command in. doors and backends are all that are known, with their zones, sorted by name. It returns words for the
-// audit.
+// Apply executes a command. doors and backends are all known ones, sorted by name. note is the text for the audit log; empty for
+// none.
 func (s *State) Do(command any, doors, backends []Door) (number uint64, note string, err error) {
 	of := map[bool][]Door{false: doors, true: backends}
 	switch c := command.(type) {
@@ -259,7 +263,7 @@
 	r := &Release{Plan: c.Plan, Number: s.Next, Who: c.Who, Why: c.Why, Stage: Waiting, From: map[string]string{}, Failed: map[string]string{}}
 	s.Next++
 	s.All = append(s.All, r)
-	over := len(s.All) - kept // the oldest that are at their end go first
+	over := len(s.All) - kept // the oldest ended releases are dropped first
 	s.All = slices.DeleteFunc(s.All, func(r *Release) bool {
 		ended := !r.Live() && r.Stage != Waiting
 		if ended {
@@ -270,10 +274,10 @@
 	return r.Number, nil
 }
 
-// settle begins what waits and may, and ends what has come to its end.
+// advance ends the rollbacks that are complete and runs the waiting releases whose doors are free.
 func (s *State) settle(of map[bool][]Door) {
 	for _, r := range s.All {
-		if r.Stage == Back && r.Changes == Backends { // what was replaced has no way back here: drains end, and no more are
+		if r.Stage == Back && r.Changes == Backends { // a replaced backend can't be restored from here: the release's drains end and no further ones begin
 			r.Stage = Returned
 		}
 		if r.Stage == Back && !slices.ContainsFunc(r.doors(), func(d string) bool { return s.runs(d, r.Changes) != r.From[d] }) {
@@ -313,7 +317,7 @@
 				continue
 			}
 			if old != nil && old.Changes == r.Changes && slices.Contains(old.doors(), d.Name) {
-				r.From[d.Name] = old.From[d.Name] // the way back leads behind what never was judged well
+				r.From[d.Name] = old.From[d.Name] // rolls back past the superseded release, which never passed
 			}
 		}
 	}
@@ -326,7 +330,7 @@
 	return s.Runs[door][changes]
 }
 
-// parts deals doors out to waves: each wave takes from the zones in turn, so that none of them is a wave's alone.
+// assignWaves assigns doors to waves. Each wave takes doors from the zones in turn, so that it doesn't concentrate on one zone.
 func parts(waves []Wave, doors []Door) (all [][]string) {
 	byZone := map[string][]string{}
 	for _, d := range doors {
@@ -379,13 +383,14 @@
 		if !failed || !r.Live() || r.Stage == Back || !slices.Contains(r.doors(), c.Door) || r.Failed[c.Door] != "" {
 			continue
 		}
-		// What one door can't take the next ones aren't given, and those that have it give it back.
+		// If one door fails to install the version, the release rolls back: no further door gets it, and those that run it return
+		// to their previous one.
 		r.Failed[c.Door] = why
 		r.Stage, r.Says = Back, c.Door+": "+why
 	}
 }
 
-// Number finds a release by its number; nil where it is forgotten.
+// ByNumber returns a release by its number; nil if it isn't kept any more.
 func (s *State) Number(number uint64) *Release {
 	for _, r := range s.All {
 		if r.Number == number {
@@ -448,7 +453,7 @@
 	return fmt.Sprintf("release %s: %s", r.Name, c.To), nil
 }
 
-// Whole tells whether all doors of a release's present wave, and of those before, run it.
+// WaveComplete reports whether all doors of a release's current and earlier waves run its version.
 func (s *State) Whole(r *Release) bool {
 	for i, part := range r.Parts {
 		for _, d := range part {
@@ -460,7 +465,7 @@
 	return true
 }
 
-// Changed tells whether a door runs what a release gives, or a backend has been replaced since it began.
+// Changed reports whether a door runs the version of a release, or a backend was replaced since the release started.
 func (s *State) Changed(r *Release, unit string) bool {
 	if r.Changes == Backends {
 		return s.Seen[unit] != r.From[unit]
@@ -468,7 +473,7 @@
 	return s.runs(unit, r.Changes) == r.Digest
 }
 
-// Due lists the backends of a release that are to be drained and replaced now.
+// DueBackends lists the backends of a release that are to be drained and replaced now.
 func (s *State) Due(r *Release) (backends []string) {
 	if r.Stage != Running || r.Changes != Backends {
 		return nil
@@ -483,8 +488,8 @@
 	return backends
 }
 
-// Wanted is what a door is to run instead of what it runs; false where it is to stay as it is. The way back runs in the reverse
-// order: a wave begins once those behind it are back.
+// Target returns the release and digest that a door is to change to; false if it is to stay as it is. Rollback runs in reverse
+// order: a wave begins once all later ones are rolled back.
 func (s *State) Wanted(door string) (r *Release, digest string, is bool) {
 	for _, r := range s.All {
 		if !r.Live() || r.Stage == Halted || r.Changes == Backends {
@@ -511,8 +516,8 @@
 	return nil, "", false
 }
 
-// MayTake tells whether a door may go by a release now: it is given something else, and the release isn't halted. back tells
-// that it is on its way back.
+// CheckChange returns an error unless a release, not being halted, has another version for a door now. back reports that the
+// door's change is a rollback.
 func (s *State) MayTake(number uint64, door string) (back bool, err error) {
 	r := s.Number(number)
 	if r == nil {
--- a/release/release_test.go
+++ b/release/release_test.go
@@ -18,7 +18,7 @@
 	return Plan{Name: name, Changes: Configuration, Digest: digest, Waves: []Wave{{Count: 1}, {EachZone: 1}, {Share: 0.25}, {Rest: true}}}
 }
 
-// nine doors in three zones.
+// nineDoors returns nine doors in three zones.
 func nine() (all []Door) {
 	for i := range 9 {
 		all = append(all, Door{fmt.Sprint("d", i), fmt.Sprint("z", i%3)})
@@ -47,7 +47,7 @@
 	return names
 }
 
-func TestWavesFollowEachOtherAndTheWayBackIsTheReverse(t *testing.T) {
+func TestWavesRunInOrderAndRollBackInReverse(t *testing.T) {
 	s := New()
 	n := do(t, s, Start{Plan: plan("r1"), Who: "ana"})
 	r := s.Find("r1")
@@ -55,9 +55,9 @@
 	assert.Equal(t, []string{"d0"}, wanted(s))
 	_, _, err := s.Do(Judged{n, 0, Verdict{GoOn, ""}}, nine(), nil)
 	var stage *StageError
-	require.ErrorAs(t, err, &stage, "not all of the wave has taken it")
+	require.ErrorAs(t, err, &stage, "not all doors of the wave run the version")
 	take(t, s, digest, "d0")
-	assert.Empty(t, wanted(s), "it is watched")
+	assert.Empty(t, wanted(s), "the wave is being observed")
 	do(t, s, Judged{n, 0, Verdict{GoOn, "well"}})
 	assert.Equal(t, []string{"d1", "d2", "d3"}, wanted(s))
 	back, err := s.MayTake(n, "d1")
@@ -67,11 +67,11 @@
 	require.ErrorAs(t, err, &stage)
 	take(t, s, digest, "d1", "d2")
 	do(t, s, Steer{"r1", ToHalt, "bea", "errors"})
-	assert.Empty(t, wanted(s), "some of the wave are between the two")
+	assert.Empty(t, wanted(s), "a halted release changes no further doors")
 	_, err = s.MayTake(n, "d3")
 	require.ErrorAs(t, err, &stage)
 	do(t, s, Steer{"r1", ToBack, "bea", "errors"})
-	assert.Equal(t, []string{"d1", "d2"}, wanted(s), "the latest first")
+	assert.Equal(t, []string{"d1", "d2"}, wanted(s), "the latest wave rolls back first")
 	back, err = s.MayTake(n, "d1")
 	require.NoError(t, err)
 	assert.True(t, back)
@@ -83,7 +83,7 @@
 	require.ErrorAs(t, err, &stage)
 }
 
-func TestADoorThatCantTakeItSendsAllBack(t *testing.T) {
+func TestFailedInstallRollsReleaseBack(t *testing.T) {
 	s := New()
 	n := do(t, s, Start{Plan: plan("r1")})
 	take(t, s, digest, "d0")
@@ -98,14 +98,14 @@
 	assert.Equal(t, Returned, r.Stage)
 }
 
-func TestOneReleaseForEachPartOfTheFleet(t *testing.T) {
+func TestReleaseWaitsForOrSupersedesOverlappingOne(t *testing.T) {
 	s := New()
 	do(t, s, Start{Plan: plan("r1")})
 	take(t, s, digest, "d0")
 	second := plan("r2")
 	second.Digest = other
 	do(t, s, Start{Plan: second})
-	assert.Equal(t, Waiting, s.Find("r2").Stage, "it waits")
+	assert.Equal(t, Waiting, s.Find("r2").Stage, "another release has its doors")
 	third := plan("r3")
 	third.Digest, third.Over = other, "r1"
 	third.Doors = []string{"d0", "d1"}
@@ -113,12 +113,12 @@
 	assert.Equal(t, Replaced, s.Find("r1").Stage)
 	r := s.Find("r3")
 	assert.Equal(t, Running, r.Stage)
-	assert.Equal(t, "", r.From["d0"], "the way back leads behind what was never judged well")
+	assert.Equal(t, "", r.From["d0"], "rollback skips the superseded release, which never passed")
 	assert.Equal(t, Waiting, s.Find("r2").Stage)
 	do(t, s, Steer{"r3", ToBack, "ana", ""})
 	take(t, s, "", "d0")
 	assert.Equal(t, Returned, r.Stage)
-	assert.Equal(t, Running, s.Find("r2").Stage, "its turn has come")
+	assert.Equal(t, Running, s.Find("r2").Stage, "its doors are free now")
 	var name *NameError
 	_, _, err := s.Do(Start{Plan: second}, nine(), nil)
 	require.ErrorAs(t, err, &name)
@@ -132,7 +132,7 @@
 	require.ErrorAs(t, err, &none)
 }
 
-func TestAPlanThatCantBeUsedIsNamedByKey(t *testing.T) {
+func TestInvalidPlanErrorNamesKey(t *testing.T) {
 	for key, text := range map[string]string{
 		"name": `{}`, "changes": `{"name":"x","changes":"weather"}`, "digest": `{"name":"x","changes":"program","digest":"abc"}`,
 		"waves":         `{"name":"x","changes":"program","digest":"` + digest + `"}`,
@@ -152,7 +152,7 @@
 	assert.Equal(t, 60.0, p.Waves[0].WatchS)
 }
 
-func TestOnlySoManyReleasesAreRemembered(t *testing.T) {
+func TestOldEndedReleasesAreDropped(t *testing.T) {
 	s := New()
 	for i := range 2 * kept {
 		name := fmt.Sprint("r", i)
@@ -163,7 +163,7 @@
 	assert.Len(t, s.All, kept)
 }
 
-func TestBackendsAreReplacedWaveByWave(t *testing.T) {
+func TestBackendReleaseRunsByWaves(t *testing.T) {
 	s := New()
 	for i := range 9 {
 		s.Saw(fmt.Sprint("d", i), "100")
@@ -174,7 +174,7 @@
 	r := s.Find("kernel")
 	assert.Equal(t, []string{"d0", "d1"}, s.Due(r))
 	_, _, is := s.Wanted("d0")
-	assert.False(t, is, "no door is to change")
+	assert.False(t, is, "a release of backends changes no door")
 	s.Saw("d0", "200")
 	s.Saw("d1", "100")
 	assert.Equal(t, []string{"d1"}, s.Due(r))
--- a/release/verdict.go
+++ b/release/verdict.go
@@ -10,90 +10,90 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Counts are what one process of a door has done since it began. They only grow, but for the memory.
+// Counts are the usage counts of one process of a door since its start. All except the memory only grow.
 type Counts struct {
 	Process   uint64  `json:"process"`
 	Arrived   uint64  `json:"arrived"`
-	InTime    uint64  `json:"in_time"` // finished within the contract time
+	InTime    uint64  `json:"in_time"` // finished within the plan's contract time
 	Finished  uint64  `json:"finished"`
 	Rejected  uint64  `json:"rejected"`
 	Failed    uint64  `json:"scrapped"`
-	LatencyMs float64 `json:"latency_ms"` // of all finished, added up
+	LatencyMs float64 `json:"latency_ms"` // sum over all finished requests
 	MemoryMB  float64 `json:"memory_mb"`  // resident now
 }
 
-// Says is a verdict.
+// Outcome is what a verdict has the release do.
 type Says string
 
-// Verdicts.
+// Outcomes of a comparison.
 const (
 	Wait  Says = "wait"
 	GoOn  Says = "go on"
-	Stop  Says = "halt" // an operator is to look: too little is known, or something is near to harm
+	Stop  Says = "halt" // an operator must decide: there is too little data, or a metric is close to its limit
 	GoBck Says = "go back"
 )
 
-// Verdict is what a comparison comes to.
+// Verdict is the result of a comparison and its reason.
 type Verdict struct {
 	Says Says   `json:"says"`
 	Why  string `json:"why"`
 }
 
 const (
-	settleMs  = 5e3   // of a new process that isn't compared: it opens connections and knows nothing
-	lookMs    = 5e3   // between two looks of the test
-	alpha     = 0.01  // chance of a false halt by one figure of one wave, however often is looked
-	concern   = 0.1   // chance under which a figure keeps a wave waiting that is over
-	leastOps  = 200   // requests at the changed before a wave may be over
-	patience  = 3.0   // times the watch, after which a wave that is still unclear is halted
-	burst     = 3.0   // by which counts vary more than independent requests would: clients come in bursts
-	marginOps = 0.01  // share of requests that the changed may be worse by
-	marginLat = 0.15  // of the others' latency
-	marginMem = 0.30  // of the others' memory
-	leastMem  = 0.05  // deviation of the memory's logarithm that is taken for given
-	leastLat  = 0.03  // and of the latency's
-	leastSpan = 0.002 // and of a share, between doors
+	settleMs  = 5e3   // ms at the start of a new process that aren't compared: it opens connections and has no state yet
+	lookMs    = 5e3   // ms between two evaluations of the test
+	alpha     = 0.01  // probability of a false alarm by one metric of one wave, over all its evaluations
+	concern   = 0.1   // p-value below which a metric delays the end of a wave
+	leastOps  = 200   // minimum requests at the changed doors before a wave may end
+	patience  = 3.0   // multiple of the watch after which a wave that is still unclear is halted
+	burst     = 3.0   // factor by which the variance of counts exceeds that of independent requests: clients send in bursts
+	marginOps = 0.01  // default limit: additional share of requests
+	marginLat = 0.15  // default limit: increase as a share of the others' latency
+	marginMem = 0.30  // default limit: increase as a share of the others' memory
+	leastMem  = 0.05  // minimum standard deviation between doors that is assumed for the logarithm of the memory
+	leastLat  = 0.03  // the same for the logarithm of the latency
+	leastSpan = 0.002 // the same for a share of requests
 )
 
-// Comparison compares the doors that a release has changed with those that it has not, of the same minutes: never with what
-// was before. One serves one wave of one release at the coordinator that leads; a new leader begins anew, which is later and
-// never wrong.
+// Comparison compares the doors that a release has changed with the unchanged ones over the same time, never with the time before.
+// It serves one wave of one release and lives at the leader. A new leader starts another one, which delays the verdict but can't
+// make it wrong.
 type Comparison struct {
 	watchMs float64
 	ends    Ends
-	began   float64 // clock from which is counted; below 0 before all are settled
-	settled float64
+	began   float64 // clock from which requests count; below 0 before settled
+	settled float64 // clock at which all new processes have settled
 	doors   map[string]*compared
 	looks   int
 	lookAt  float64
-	bad     string // something that needs no statistics
+	bad     string // a failure that ends the wave without statistics
 }
 
-// compared is what one door did since the comparison began.
+// doorCounts is the usage of one door since the comparison began.
 type compared struct {
 	changed bool
-	base    Counts // at the beginning, or at its process's beginning
-	done    Counts // of processes before, in this comparison
+	base    Counts // at the start of the comparison or of the process
+	done    Counts // of earlier processes within this comparison
 	last    Counts
 	at      float64
 	crashed int
 }
 
-// NewComparison begins one, of a wave that was taken whole at a clock, and is watched for a time.
+// NewComparison returns the comparison of a wave that was complete at the clock now and is observed for watchMs.
 func NewComparison(now, watchMs float64) *Comparison {
 	return (&Comparison{watchMs: watchMs, began: -1, settled: now + settleMs, doors: map[string]*compared{}}).Ending(Ends{})
 }
 
-// Ending has the comparison end by other bounds than the module's own, where they are told.
+// WithLimits replaces the default limits by those that aren't 0.
 func (c *Comparison) Ending(e Ends) *Comparison {
 	c.ends = Ends{cmp.Or(e.Requests, marginOps), cmp.Or(e.Latency, marginLat), cmp.Or(e.Memory, marginMem)}
 	return c
 }
 
-// Heard takes a door's counts in.
+// Record adds the latest counts of a door.
 func (c *Comparison) Heard(now float64, door string, changed bool, n Counts) {
 	d := c.doors[door]
-	if d == nil || d.changed != changed { // it has been changed, or brought back, amid the comparison: it counts from here on
+	if d == nil || d.changed != changed { // new, or changed or rolled back during the comparison: it counts from now on
 		c.doors[door] = &compared{changed: changed, base: n, last: n, at: now}
 		return
 	}
@@ -107,7 +107,7 @@
 	d.last, d.at = n, now
 }
 
-// Failed notes that a changed door's process ended by itself, or could not start.
+// RecordFailure records that a changed door's process ended by itself or could not start.
 func (c *Comparison) Failed(door, why string) {
 	c.bad = fmt.Sprintf("%s: %s", door, why)
 }
@@ -143,7 +143,8 @@
 	return changed, others
 }
 
-// figure is one thing compared: how much worse the changed are, over what they may be, and by how many deviations.
+// metric is one compared quantity: how much worse the changed doors are, and by how many standard deviations that exceeds the
+// limit.
 type figure struct {
 	name     string
 	worse, z float64
@@ -151,8 +152,8 @@
 	text     string
 }
 
-// Look tells the verdict now. Called at any time, it tests every lookMs; the more often it has tested, the surer it must be, so
-// that all looks together are wrong no more often than alpha says.
+// Evaluate returns the present verdict. It may be called at any time and runs the test every evaluateEveryMs. The significance
+// level falls with each test, so that all tests together raise a false alarm with a probability of at most alpha (alpha spending).
 func (c *Comparison) Look(now float64) Verdict {
 	if c.bad != "" {
 		return Verdict{GoBck, c.bad}
@@ -185,7 +186,7 @@
 		}
 		return Verdict{Wait, "nobody is left to compare with"}
 	}
-	level := alpha * 6 / (math.Pi * math.Pi * float64(c.looks*c.looks)) // adds up to alpha, however many looks there are
+	level := alpha * 6 / (math.Pi * math.Pi * float64(c.looks*c.looks)) // alpha spending: the levels of all evaluations sum to alpha
 	near := ""
 	for _, f := range c.figures(changed, others) {
 		p := 1 - tail(f)
@@ -207,11 +208,12 @@
 	return Verdict{Stop, "still unclear after " + fmt.Sprintf("%.0f s: ", (now-c.began)/1e3) + cmp.Or(near, fmt.Sprintf("%d operations at the changed, %d are wanted", changed.sum.Arrived, leastOps))}
 }
 
+// cumulative returns the probability that Student's t is below the metric's z.
 func tail(f figure) float64 {
 	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: max(1, f.free)}.CDF(f.z)
 }
 
-// figures compares all that is compared.
+// metrics compares all metrics that have enough data.
 func (c *Comparison) figures(changed, others group) (all []figure) {
 	share := func(name string, of func(Counts) (part, whole uint64)) {
 		if f, ok := compareShares(name, changed, others, c.ends.Requests, of); ok {
@@ -233,8 +235,8 @@
 	return all
 }
 
-// compareShares compares shares of requests. Doors differ by more than chance, as their customers do: how much is told by the
-// unchanged ones.
+// compareShares compares shares of requests. Doors differ by more than chance because their customers differ; this variance is
+// estimated from the unchanged doors.
 func compareShares(name string, changed, others group, margin float64, of func(Counts) (uint64, uint64)) (f figure, ok bool) {
 	sum := func(g group) (part, whole float64, shares []float64, chance float64) {
 		for _, n := range g.counts {
@@ -266,6 +268,7 @@
 		fmt.Sprintf("%s: %.1f in 100 operations at the changed, %.1f at the others", name, 100*a, 100*b)}, true
 }
 
+// compareLogs compares the logarithms of positive values such as latency or memory.
 func compareLogs(name string, changed, others group, margin, least float64, of func(Counts) (float64, bool)) (f figure, ok bool) {
 	logs := func(g group) (all []float64) {
 		for _, n := range g.counts {
@@ -286,6 +289,7 @@
 		fmt.Sprintf("%s: %.3g at the changed, %.3g at the others", name, math.Exp(m1), math.Exp(m0))}, true
 }
 
+// meanVar returns the mean and the sample variance.
 func meanVar(of []float64) (mean, variance float64) {
 	for _, x := range of {
 		mean += x / float64(len(of))
--- a/release/verdict_test.go
+++ b/release/verdict_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// doors are processes whose counts grow by so much a second.
+// runComparison feeds a comparison with the counts of doors, which grow by of(i) per second, and returns the first final verdict.
 func fed(c *Comparison, from, to float64, doors, changed int, of func(i int) Counts) (v Verdict) {
 	for now := from; now <= to; now += 1e3 {
 		s := now / 1e3
@@ -26,14 +26,14 @@
 
 var well = Counts{Arrived: 100, InTime: 95, Finished: 97, Rejected: 2, Failed: 1, LatencyMs: 97 * 40, MemoryMB: 12}
 
-func TestAWaveLikeTheOthersGoesOnWhenItsTimeIsOver(t *testing.T) {
+func TestHealthyWaveGoesOnAfterItsWatch(t *testing.T) {
 	c := NewComparison(0, 30e3)
 	v := fed(c, 0, 200e3, 10, 1, func(i int) Counts { n := well; n.InTime -= uint64(i % 3); return n })
 	assert.Equal(t, GoOn, v.Says, v.Why)
 	assert.GreaterOrEqual(t, c.lookAt, 40e3)
 }
 
-func TestEachKindOfHarmIsFoundAndNamed(t *testing.T) {
+func TestEachRegressionIsDetectedAndNamed(t *testing.T) {
 	for name, bad := range map[string]func(n *Counts){
 		"not finished in contract time": func(n *Counts) { n.InTime = 85 },
 		"scrapped":                      func(n *Counts) { n.Failed, n.InTime = 8, 92 },
@@ -55,12 +55,12 @@
 	}
 }
 
-func TestTroubleOfAllDoorsIsNoFaultOfTheRelease(t *testing.T) {
+func TestDegradationOfAllDoorsDoesNotRollBack(t *testing.T) {
 	v := fed(NewComparison(0, 30e3), 0, 200e3, 10, 2, func(i int) Counts { n := well; n.InTime, n.Rejected = 40, 50; n.InTime -= uint64(i % 4); return n })
 	assert.Equal(t, GoOn, v.Says, v.Why)
 }
 
-func TestAProcessThatBeginsAnewGoesBackAtOnce(t *testing.T) {
+func TestRestartOfChangedDoorRollsBackAtOnce(t *testing.T) {
 	c := NewComparison(0, 30e3)
 	c.Heard(0, "d1", true, Counts{Process: 1, Arrived: 50})
 	c.Heard(1000, "d1", true, Counts{Process: 2})
@@ -70,7 +70,7 @@
 	assert.Equal(t, Verdict{GoBck, "d1: could not start"}, c.Look(0))
 }
 
-func TestTooLittleToTellIsHaltedInTheEnd(t *testing.T) {
+func TestTooFewRequestsHaltsTheWave(t *testing.T) {
 	v := fed(NewComparison(0, 10e3), 0, 200e3, 6, 1, func(i int) Counts {
 		if i == 0 {
 			return Counts{Arrived: 1, InTime: 1, Finished: 1}
@@ -81,13 +81,13 @@
 	assert.Contains(t, v.Why, "operations at the changed")
 }
 
-func TestWithNobodyLeftToCompareWithFailuresAloneCount(t *testing.T) {
+func TestWithoutUnchangedDoorsOnlyFailuresCount(t *testing.T) {
 	v := fed(NewComparison(0, 10e3), 0, 200e3, 4, 4, func(int) Counts { return well })
 	assert.Equal(t, GoOn, v.Says)
 	assert.Contains(t, v.Why, "nobody is left")
 }
 
-func TestAReleaseMayBeAllowedMoreOrLess(t *testing.T) {
+func TestLimitsOverrideDefaults(t *testing.T) {
 	worse := func(i int) Counts {
 		n := well
 		n.InTime -= uint64(i % 3)
