--- a/permits/calendar.go
+++ b/permits/calendar.go
@@ -33,15 +33,15 @@
 
 // Run is what a running entry has started.
 type Run struct {
-	Release uint64         `json:",omitempty"` // number of its release
-	Permits []uint64       `json:",omitempty"` // of its drain
-	AtMs    float64        // agreed time of the entry's start
-	Was     calendar.Stage // stage of the entry when it was last advanced
+	Release   uint64         `json:",omitempty"` // number of its release
+	Permits   []uint64       `json:",omitempty"` // of its drain
+	AtMs      float64        // agreed time of the entry's start
+	LastStage calendar.Stage `json:"Was"` // stage of the entry when it was last advanced
 }
 
 // ZoneOf returns the zone of a unit to the calendar.
 func (s *State) ZoneOf(scope calendar.Scope, name string) (zone string, known bool) {
-	u := s.Units[key(map[calendar.Scope]Kind{calendar.Doors: Door, calendar.Backends: Backend}[scope], name)]
+	u := s.Units[unitKey(map[calendar.Scope]Kind{calendar.Doors: Door, calendar.Backends: Backend}[scope], name)]
 	if u == nil {
 		return "", false
 	}
@@ -52,18 +52,18 @@
 func (a *Action) subject() (b calendar.Subject, known bool) {
 	switch {
 	case a.Drain != nil:
-		return drained(a.Drain.Kind, a.Drain.Name), true
+		return drainSubject(a.Drain.Kind, a.Drain.Name), true
 	case a.Release != nil:
-		return released(a.Release), true
+		return releaseSubject(a.Release), true
 	}
 	return b, false
 }
 
-func drained(k Kind, name string) calendar.Subject {
+func drainSubject(k Kind, name string) calendar.Subject {
 	return calendar.Subject{Scope: map[Kind]calendar.Scope{Door: calendar.Doors, Backend: calendar.Backends, Zone: calendar.Zone}[k], Names: []string{name}}
 }
 
-func released(p *release.Plan) calendar.Subject {
+func releaseSubject(p *release.Plan) calendar.Subject {
 	scope := calendar.Doors
 	if p.Changes == release.Backends {
 		scope = calendar.Backends
@@ -71,7 +71,7 @@
 	return calendar.Subject{Scope: scope, Names: p.Doors}
 }
 
-func kindOf(p *release.Plan) calendar.Kind {
+func releaseKind(p *release.Plan) calendar.Kind {
 	if p.Changes == release.Configuration {
 		return calendar.Configuration
 	}
@@ -112,7 +112,7 @@
 		for _, w := range do.Release.Waves {
 			watch = max(watch, w.WatchS*1e3)
 		}
-		c.Kind, c.Waves, c.WaveMs = cmp.Or(c.Kind, kindOf(do.Release)), cmp.Or(c.Waves, len(do.Release.Waves)), cmp.Or(c.WaveMs, watch+waveSlackMs)
+		c.Kind, c.Waves, c.WaveMs = cmp.Or(c.Kind, releaseKind(do.Release)), cmp.Or(c.Waves, len(do.Release.Waves)), cmp.Or(c.WaveMs, watch+waveSlackMs)
 	default:
 		c.Waves = cmp.Or(c.Waves, 1)
 	}
@@ -136,22 +136,22 @@
 	if parts != 1 || do.Undo {
 		return bad("do", "one of drain, release and manual is wanted")
 	}
-	var back Action
+	var rollback Action
 	if len(c.Rollback) > 0 {
-		if back, err = ReadAction(c.Rollback); err != nil {
+		if rollback, err = ReadAction(c.Rollback); err != nil {
 			return bad("rollback", "%v", err)
 		}
 	}
 	switch {
-	case do.Manual == "" && (!back.Undo || back.Manual != "" || back.Drain != nil || back.Release != nil):
+	case do.Manual == "" && (!rollback.Undo || rollback.Manual != "" || rollback.Drain != nil || rollback.Release != nil):
 		return bad("rollback", `{"undo": true} is wanted for a drain or a release`)
-	case do.Manual != "" && len(c.Rollback) > 0 && (back.Manual == "" || back.Undo || back.Drain != nil || back.Release != nil):
+	case do.Manual != "" && len(c.Rollback) > 0 && (rollback.Manual == "" || rollback.Undo || rollback.Drain != nil || rollback.Release != nil):
 		return bad("rollback", `{"manual": "..."} is wanted for what people do`)
 	}
-	fits := map[calendar.Kind]bool{calendar.MigrationStep: true}
+	kinds := map[calendar.Kind]bool{calendar.MigrationStep: true}
 	switch {
 	case do.Drain != nil:
-		fits[calendar.Drain] = true
+		kinds[calendar.Drain] = true
 		if d := do.Drain; d.Kind != Door && d.Kind != Backend && d.Kind != Zone || d.Name == "" || !(d.ForS >= 0) {
 			return bad("do.drain", "a kind (door, backend or zone), a name and a time from 0 on are wanted")
 		}
@@ -159,8 +159,8 @@
 			return bad("waves", "%d, a drain is one", c.Waves)
 		}
 	case do.Release != nil:
-		fits[kindOf(do.Release)] = true
-		fits[calendar.Terms] = do.Release.Changes == release.Configuration
+		kinds[releaseKind(do.Release)] = true
+		kinds[calendar.Terms] = do.Release.Changes == release.Configuration
 		if err := do.Release.Check(); err != nil {
 			return bad("do.release", "%v", err)
 		}
@@ -168,39 +168,39 @@
 			return bad("waves", "%d, its release has %d", c.Waves, len(do.Release.Waves))
 		}
 	default:
-		fits[calendar.Terms], fits[calendar.Coordinators] = true, true
+		kinds[calendar.Terms], kinds[calendar.Coordinators] = true, true
 	}
-	if !fits[c.Kind] {
+	if !kinds[c.Kind] {
 		return bad("kind", "%q is not what it does", c.Kind)
 	}
-	if touches, known := do.subject(); known && !s.covers(&c.Subject, &touches) {
-		return bad("subject", "%s is not all that it touches: %s", c.Subject.String(), touches.String())
+	if affected, known := do.subject(); known && !s.covers(&c.Subject, &affected) {
+		return bad("subject", "%s is not all that it touches: %s", c.Subject.String(), affected.String())
 	}
 	return nil
 }
 
 // covers reports whether subject b includes all of the other.
-func (s *State) covers(b, all *calendar.Subject) bool {
+func (s *State) covers(b, other *calendar.Subject) bool {
 	switch {
 	case b.Scope == calendar.Fleet:
 		return true
-	case b.Scope == all.Scope:
-		return len(b.Names) == 0 || len(all.Names) > 0 && !slices.ContainsFunc(all.Names, func(n string) bool { return !slices.Contains(b.Names, n) })
-	case b.Scope != calendar.Zone || len(b.Names) == 0 || len(all.Names) == 0:
+	case b.Scope == other.Scope:
+		return len(b.Names) == 0 || len(other.Names) > 0 && !slices.ContainsFunc(other.Names, func(n string) bool { return !slices.Contains(b.Names, n) })
+	case b.Scope != calendar.Zone || len(b.Names) == 0 || len(other.Names) == 0:
 		return b.Scope == calendar.Zone && len(b.Names) == 0
 	}
-	return !slices.ContainsFunc(all.Names, func(n string) bool {
-		zone, known := s.ZoneOf(all.Scope, n)
+	return !slices.ContainsFunc(other.Names, func(n string) bool {
+		zone, known := s.ZoneOf(other.Scope, n)
 		return !known || !slices.Contains(b.Names, zone)
 	})
 }
 
 // applyCalendarCommand executes a command of the calendar.
-func (s *State) schedule(c *Command) Answer {
+func (s *State) applyCalendarCommand(c *Command) Answer {
 	for _, ch := range changesOf(c.Do) {
-		if err := s.checkChange(ch.of); err != nil {
+		if err := s.checkChange(ch.change); err != nil {
 			if form, is := err.(*calendar.FormError); is {
-				err = &calendar.FormError{Key: ch.key + form.Key, Says: form.Says}
+				err = &calendar.FormError{Key: ch.prefix + form.Key, Says: form.Says}
 			}
 			return Answer{Err: err}
 		}
@@ -208,7 +208,7 @@
 	if d, is := c.Do.(calendar.Start); is {
 		return s.startEntry(c, d)
 	}
-	number, err := s.inCalendar(c.Do)
+	number, err := s.applyToCalendar(c.Do)
 	if err != nil {
 		return Answer{Err: err}
 	}
@@ -216,56 +216,56 @@
 }
 
 // applyToCalendar passes a command to the calendar and copies the resulting events to the audit log.
-func (s *State) inCalendar(do any) (uint64, error) {
+func (s *State) applyToCalendar(do any) (uint64, error) {
 	before := s.Calendar.Number
 	number, err := s.Calendar.Do(s.NowMs, do)
-	s.recount(before)
+	s.auditEvents(before)
 	return number, err
 }
 
 // advanceCalendar advances the calendar to the current time, so that the checks that follow see its current stages.
-func (s *State) passCalendar() {
+func (s *State) advanceCalendar() {
 	before := s.Calendar.Number
 	s.Calendar.Pass(s.NowMs)
-	s.recount(before)
+	s.auditEvents(before)
 }
 
 // keyedChange is a change with the prefix of its keys in the author's file.
-type keyed struct {
-	key string
-	of  *calendar.Change
+type keyedChange struct {
+	prefix string
+	change *calendar.Change
 }
 
 // changesOf lists the changes that a command enters, in order, so that every coordinator reports the same one of two errors.
-func changesOf(do any) (all []keyed) {
+func changesOf(do any) (all []keyedChange) {
 	var steps []calendar.Change
 	switch d := do.(type) {
 	case calendar.Plan:
-		return []keyed{{"", &d.Change}}
+		return []keyedChange{{"", &d.Change}}
 	case calendar.Edit:
-		return []keyed{{"", &d.Change}}
+		return []keyedChange{{"", &d.Change}}
 	case calendar.Migrate:
 		steps = d.Steps
 	case calendar.Replace:
 		steps = d.Steps
 	}
 	for i := range steps {
-		all = append(all, keyed{fmt.Sprintf("steps[%d].", i), &steps[i]})
+		all = append(all, keyedChange{fmt.Sprintf("steps[%d].", i), &steps[i]})
 	}
 	return all
 }
 
 // auditEvents copies the calendar's events after a number to the audit log, so that one log has all operator actions.
-func (s *State) recount(after uint64) {
+func (s *State) auditEvents(after uint64) {
 	events := s.Calendar.Events
 	for _, e := range events[max(0, len(events)-int(s.Calendar.Number-after)):] {
-		s.note(0, fmt.Sprintf("calendar %d: %s", e.ID, e.What), e.Who, e.Why)
+		s.audit(0, fmt.Sprintf("calendar %d: %s", e.ID, e.What), e.Who, e.Why)
 	}
 }
 
 // startEntry starts an entry together with its action, or neither.
 func (s *State) startEntry(c *Command, d calendar.Start) Answer {
-	s.passCalendar() // the checks below must see what calendar.Start will see
+	s.advanceCalendar() // the checks below must see what calendar.Start will see
 	e := s.Calendar.Entries[d.ID]
 	if e == nil {
 		return Answer{Err: &calendar.UnknownError{What: "entry", ID: d.ID}}
@@ -277,28 +277,28 @@
 	if err != nil { // entered by a release of this software that could decode it
 		return Answer{Err: &calendar.FormError{Key: "do", Says: err.Error()}}
 	}
-	run := &Run{AtMs: s.Calendar.WallMs, Was: calendar.Running}
+	run := &Run{AtMs: s.Calendar.WallMs, LastStage: calendar.Running}
 	who := fmt.Sprintf("calendar %d", e.ID)
 	switch {
 	case do.Drain != nil:
-		had := maps.Clone(s.Permits)
+		before := maps.Clone(s.Permits)
 		if a := s.drain(c, Drain{Kind: do.Drain.Kind, Name: do.Drain.Name, Who: who, Why: e.Name}); a.Err != nil {
 			return a
 		}
-		for _, p := range s.sorted() {
-			if had[p.Number] == nil {
+		for _, p := range s.sortedPermits() {
+			if before[p.Number] == nil {
 				run.Permits = append(run.Permits, p.Number)
 			}
 		}
 	case do.Release != nil:
-		number, note, err := s.Release.Do(release.Start{Plan: *do.Release, Who: who, Why: e.Name}, s.known(Door), s.known(Backend))
+		number, note, err := s.Release.Apply(release.Start{Plan: *do.Release, Who: who, Why: e.Name}, s.unitsOf(Door), s.unitsOf(Backend))
 		if err != nil {
 			return Answer{Err: err}
 		}
-		s.note(0, note, who, e.Name)
+		s.audit(0, note, who, e.Name)
 		run.Release = number
 	}
-	number, err := s.inCalendar(d)
+	number, err := s.applyToCalendar(d)
 	if err != nil {
 		return Answer{Err: err}
 	}
@@ -308,7 +308,7 @@
 
 // NextStart returns the entry that the leader is to start now: the first due entry that neither the calendar nor a budget blocks,
 // so that a blocked entry doesn't delay others.
-func (s *State) StartsNext() (id uint64, any bool) {
+func (s *State) StartsNext() (id uint64, found bool) {
 	for _, id := range s.Calendar.Startable() {
 		if s.WhyNot(id) == nil {
 			return id, true
@@ -337,7 +337,7 @@
 			return &release.NameError{Name: do.Release.Name, Stage: old.Stage}
 		}
 		for _, name := range do.Release.Doors {
-			if _, known := s.ZoneOf(released(do.Release).Scope, name); !known {
+			if _, known := s.ZoneOf(releaseSubject(do.Release).Scope, name); !known {
 				return &UnknownError{name}
 			}
 		}
@@ -346,17 +346,17 @@
 }
 
 // checkUnplanned returns what in the calendar keeps a change without an entry from starting now.
-func (s *State) unplanned(k calendar.Kind, b calendar.Subject) error {
-	s.passCalendar()
+func (s *State) checkUnplanned(k calendar.Kind, b calendar.Subject) error {
+	s.advanceCalendar()
 	return s.Calendar.MayBegin(k, b)
 }
 
 // routeToEntry checks an operator's release command against the calendar. A release that an entry has started is resumed and
 // rolled back through its entry; own reports that the entry has handled the command.
-func (s *State) ofCalendar(do any) (own bool, err error) {
+func (s *State) routeToEntry(do any) (own bool, err error) {
 	switch d := do.(type) {
 	case release.Start:
-		return false, s.unplanned(kindOf(&d.Plan), released(&d.Plan))
+		return false, s.checkUnplanned(releaseKind(&d.Plan), releaseSubject(&d.Plan))
 	case release.Steer:
 		r := s.Release.Find(d.Name)
 		for _, id := range slices.Sorted(maps.Keys(s.Runs)) {
@@ -365,10 +365,10 @@
 			}
 			switch d.To {
 			case release.ToResume:
-				_, err = s.inCalendar(calendar.Resume{ID: id, Who: d.Who})
+				_, err = s.applyToCalendar(calendar.Resume{ID: id, Who: d.Who})
 				return true, err
 			case release.ToBack:
-				_, err = s.inCalendar(calendar.RollBack{ID: id, Who: d.Who, Why: d.Why})
+				_, err = s.applyToCalendar(calendar.RollBack{ID: id, Who: d.Who, Why: d.Why})
 				return true, err
 			}
 		}
@@ -384,19 +384,19 @@
 	if p.Unit.Kind == Backend {
 		return len(s.Waiting(p)) == 0
 	}
-	u := s.Units[key(p.Unit.Kind, p.Unit.Name)]
+	u := s.Units[unitKey(p.Unit.Kind, p.Unit.Name)]
 	return p.Stage == Out && u != nil && u.Standing != Ready
 }
 
 // maxEntrySteps limits the steps of one entry within a command: each of its waves, and its rollback.
-const followMost = 1100
+const maxEntrySteps = 1100
 
 // advanceEntries advances entries by the progress of their drains and releases, and drains and releases by the stage of their
 // entries. It runs within each command: when a freeze waits for the end of a wave, no further wave starts, even if the leader
 // changes.
-func (s *State) follow() {
+func (s *State) advanceEntries() {
 	for _, id := range slices.Sorted(maps.Keys(s.Runs)) {
-		for range followMost {
+		for range maxEntrySteps {
 			e := s.Calendar.Entries[id]
 			if e == nil || !s.Calendar.Holds(e) {
 				if e != nil && e.Migration != 0 && e.Stage == calendar.Done { // its steps' drains last until the migration is done
@@ -405,7 +405,7 @@
 				delete(s.Runs, id)
 				break
 			}
-			if !s.followOne(e, s.Runs[id]) {
+			if !s.advanceEntry(e, s.Runs[id]) {
 				break
 			}
 		}
@@ -413,30 +413,30 @@
 }
 
 // tryCalendar passes a derived command to the calendar and reports whether it was accepted. A rejected command has no effect.
-func (s *State) tell(do any) bool {
-	_, err := s.inCalendar(do)
+func (s *State) tryCalendar(do any) bool {
+	_, err := s.applyToCalendar(do)
 	return err == nil
 }
 
-func (s *State) followOne(e *calendar.Entry, run *Run) (moved bool) {
-	was := run.Was
-	run.Was = e.Stage
+func (s *State) advanceEntry(e *calendar.Entry, run *Run) (moved bool) {
+	was := run.LastStage
+	run.LastStage = e.Stage
 	switch {
 	case run.Release != 0:
-		return s.followRelease(e, run, was)
+		return s.advanceRelease(e, run, was)
 	case len(run.Permits) > 0:
-		return s.followDrain(e, run)
+		return s.advanceDrain(e, run)
 	}
 	return false // manual work: operators report its progress
 }
 
-func (s *State) followRelease(e *calendar.Entry, run *Run, was calendar.Stage) bool {
-	r := s.Release.Number(run.Release)
+func (s *State) advanceRelease(e *calendar.Entry, run *Run, was calendar.Stage) bool {
+	r := s.Release.ByNumber(run.Release)
 	who := fmt.Sprintf("calendar %d", e.ID)
 	steer := func(to string) bool {
-		_, note, err := s.Release.Do(release.Steer{Name: r.Name, To: to, Who: who, Why: e.Says}, s.known(Door), s.known(Backend))
+		_, note, err := s.Release.Apply(release.Steer{Name: r.Name, To: to, Who: who, Why: e.Says}, s.unitsOf(Door), s.unitsOf(Backend))
 		if err == nil {
-			s.note(0, note, who, e.Says)
+			s.audit(0, note, who, e.Says)
 		}
 		return err == nil
 	}
@@ -445,15 +445,15 @@
 	case calendar.Running:
 		switch {
 		case gone:
-			return s.tell(calendar.Halt{ID: e.ID, Who: "release", Why: "it was replaced by another"})
+			return s.tryCalendar(calendar.Halt{ID: e.ID, Who: "release", Why: "it was replaced by another"})
 		case r.Stage == release.Back || r.Stage == release.Returned:
-			return s.tell(calendar.RollBack{ID: e.ID, Who: "release " + r.Name, Why: r.Says})
+			return s.tryCalendar(calendar.RollBack{ID: e.ID, Who: "release " + r.Name, Why: r.Says})
 		case r.Stage == release.Halted && was == calendar.Halted:
 			return steer(release.ToResume)
 		case r.Stage == release.Halted:
-			return s.tell(calendar.Halt{ID: e.ID, Who: "release " + r.Name, Why: r.Says})
+			return s.tryCalendar(calendar.Halt{ID: e.ID, Who: "release " + r.Name, Why: r.Says})
 		case e.Wave < r.Wave || r.Stage == release.Done && e.Wave < e.Waves:
-			return s.tell(calendar.WaveDone{ID: e.ID, Wave: e.Wave + 1})
+			return s.tryCalendar(calendar.WaveDone{ID: e.ID, Wave: e.Wave + 1})
 		}
 	case calendar.Halted:
 		if !gone && r.Stage == release.Running {
@@ -463,10 +463,10 @@
 		switch {
 		case gone: // only operators can roll it back; they report when it is done
 		case r.Stage == release.Returned:
-			return s.tell(calendar.RolledBack{ID: e.ID})
+			return s.tryCalendar(calendar.RolledBack{ID: e.ID})
 		case r.Stage != release.Back:
 			if !steer(release.ToBack) {
-				return s.tell(calendar.Halt{ID: e.ID, Who: "release " + r.Name, Why: "another release has its doors: end that first"})
+				return s.tryCalendar(calendar.Halt{ID: e.ID, Who: "release " + r.Name, Why: "another release has its doors: end that first"})
 			}
 			return true
 		}
@@ -482,40 +482,40 @@
 				s.Change++
 			}
 			ended = true
-			s.end(p, fmt.Sprintf("calendar %d", id), why)
+			s.endOrder(p, fmt.Sprintf("calendar %d", id), why)
 		}
 	}
 	return ended
 }
 
-func (s *State) followDrain(e *calendar.Entry, run *Run) bool {
+func (s *State) advanceDrain(e *calendar.Entry, run *Run) bool {
 	do, err := ReadAction(e.Do)
 	if err != nil || do.Drain == nil {
 		return false
 	}
-	here, drained := 0, true
+	remaining, drained := 0, true
 	for _, n := range run.Permits {
 		if p := s.Permits[n]; p != nil {
-			here++
+			remaining++
 			drained = drained && s.Drained(p)
 		}
 	}
 	undrain := func(why string) bool { return s.undrainAll(run, e.ID, why) }
-	switch long := do.Drain.ForS * 1e3; e.Stage {
+	switch durationMs := do.Drain.ForS * 1e3; e.Stage {
 	case calendar.Running:
 		switch {
 		case e.Wave == e.Waves:
-		case long > 0 && s.Calendar.WallMs >= run.AtMs+long && undrain("its time is over"):
+		case durationMs > 0 && s.Calendar.WallMs >= run.AtMs+durationMs && undrain("its time is over"):
 			return true
-		case long > 0 && here == 0, long == 0 && (drained || here == 0):
-			return s.tell(calendar.WaveDone{ID: e.ID, Wave: 1})
+		case durationMs > 0 && remaining == 0, durationMs == 0 && (drained || remaining == 0):
+			return s.tryCalendar(calendar.WaveDone{ID: e.ID, Wave: 1})
 		}
 	case calendar.RollingBack:
 		if undrain(e.Says) {
 			return true
 		}
-		if here == 0 {
-			return s.tell(calendar.RolledBack{ID: e.ID})
+		if remaining == 0 {
+			return s.tryCalendar(calendar.RolledBack{ID: e.ID})
 		}
 	}
 	return false
--- a/permits/calendar_test.go
+++ b/permits/calendar_test.go
@@ -16,50 +16,50 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-const hour = 3600e3
+const hourMs = 3600e3
 
 // reportClocks establishes agreed time: three coordinators report their wall clocks, which show wallStartMs plus the state's clock.
-func (s *site) onTime() {
+func (s *site) reportClocks() {
 	for i := range 3 {
-		s.do(fmt.Sprint("clock", i), calendar.Clock{Name: fmt.Sprint("c", i), WallMs: wallAt + s.now, Size: 3})
+		s.do(fmt.Sprint("clock", i), calendar.Clock{Name: fmt.Sprint("c", i), WallMs: wallStartMs + s.now, Size: 3})
 	}
 }
 
-const wallAt = 1.8e12
+const wallStartMs = 1.8e12
 
-func (s *site) later(ms float64) {
+func (s *site) advanceTime(ms float64) {
 	s.now += ms
-	s.onTime()
+	s.reportClocks()
 }
 
 func undo() json.RawMessage { return json.RawMessage(`{"undo":true}`) }
 
 func window(fromMs, toMs float64) calendar.Span {
-	return calendar.Span{FromMs: wallAt + fromMs, ToMs: wallAt + toMs}
+	return calendar.Span{FromMs: wallStartMs + fromMs, ToMs: wallStartMs + toMs}
 }
 
-func drainOf(k Kind, name string, forMs float64) calendar.Change {
-	return calendar.Change{Name: "drain " + name, Kind: calendar.Drain, Subject: drained(k, name), Window: window(0, hour), Waves: 1, WaveMs: 60e3, Rollback: undo(),
+func drainChange(k Kind, name string, forMs float64) calendar.Change {
+	return calendar.Change{Name: "drain " + name, Kind: calendar.Drain, Subject: drainSubject(k, name), Window: window(0, hourMs), Waves: 1, WaveMs: 60e3, Rollback: undo(),
 		Do: json.RawMessage(fmt.Sprintf(`{"drain":{"kind":%q,"name":%q,"for_s":%g}}`, k, name, forMs/1e3))}
 }
 
 const otherDigest = "00000000000000000000000000000000000000000000000000000000000000aa"
 
-func releaseOf(name string) calendar.Change {
-	return calendar.Change{Name: name, Kind: calendar.Configuration, Subject: calendar.Subject{Scope: calendar.Doors}, Window: window(0, hour), Waves: 2, WaveMs: 60e3, Rollback: undo(),
+func releaseChange(name string) calendar.Change {
+	return calendar.Change{Name: name, Kind: calendar.Configuration, Subject: calendar.Subject{Scope: calendar.Doors}, Window: window(0, hourMs), Waves: 2, WaveMs: 60e3, Rollback: undo(),
 		Do: json.RawMessage(fmt.Sprintf(`{"release":{"name":%q,"changes":"configuration","digest":%q,"waves":[{"count":1},{"rest":true}]}}`, name, otherDigest))}
 }
 
-func (s *site) planned(t *testing.T, c calendar.Change) uint64 {
+func (s *site) planChange(t *testing.T, c calendar.Change) uint64 {
 	t.Helper()
 	a := s.do("ana", calendar.Plan{Change: c, Who: "ana"})
 	require.NoError(t, a.Err)
-	s.onTime()
+	s.reportClocks()
 	return a.Number
 }
 
 // startDueEntries starts all entries that may start, as the leader does.
-func (s *site) begun(t *testing.T) (ids []uint64) {
+func (s *site) startDueEntries(t *testing.T) (ids []uint64) {
 	for {
 		id, any := s.StartsNext()
 		if !any {
@@ -73,10 +73,10 @@
 func (s *site) stage(id uint64) calendar.Stage { return s.Calendar.Entries[id].Stage }
 
 // installVersions has doors report the version that the release assigns, or the one that they run already.
-func (s *site) take(doors ...int) {
+func (s *site) installVersions(doors ...int) {
 	for _, i := range doors {
 		runs := release.Runs{}
-		if _, digest, is := s.Release.Wanted(unit(i).Name); is {
+		if _, digest, is := s.Release.Target(unit(i).Name); is {
 			runs[release.Configuration] = digest
 		} else {
 			runs = s.Release.Runs[unit(i).Name]
@@ -85,15 +85,15 @@
 	}
 }
 
-func (s *site) judge(wave int, says release.Says) error {
+func (s *site) recordVerdict(wave int, says release.Says) error {
 	return s.do("leader", release.Judged{Number: 1, Wave: wave, Verdict: release.Verdict{Says: says, Why: "seen"}}).Err
 }
 
 func TestEntryRunsItsDrain(t *testing.T) {
-	s := withBackends(3)
-	id := s.planned(t, drainOf(Backend, "b0", 10*60e3))
-	blocked := s.planned(t, drainOf(Backend, "b1", 0))
-	assert.Equal(t, []uint64{id}, s.begun(t), "one backend may be out")
+	s := newSiteWithBackends(3)
+	id := s.planChange(t, drainChange(Backend, "b0", 10*60e3))
+	blocked := s.planChange(t, drainChange(Backend, "b1", 0))
+	assert.Equal(t, []uint64{id}, s.startDueEntries(t), "one backend may be out")
 	assert.Equal(t, calendar.Running, s.stage(id))
 	assert.Equal(t, calendar.Due, s.stage(blocked))
 	var denied *DeniedError
@@ -103,15 +103,15 @@
 	held, change := s.Withheld()
 	assert.Equal(t, []string{"b0"}, held)
 	for i := range 3 {
-		s.did(i, change)
+		s.confirmChange(i, change)
 	}
 	assert.Equal(t, calendar.Running, s.stage(id), "it stays out for its duration")
-	s.later(10 * 60e3)
+	s.advanceTime(10 * 60e3)
 	held, change = s.Withheld()
 	assert.Empty(t, held)
 	assert.Equal(t, calendar.Running, s.stage(id), "it is not back yet")
 	for i := range 3 {
-		s.did(i, change)
+		s.confirmChange(i, change)
 	}
 	s.backend("b0", Ready)
 	assert.Equal(t, calendar.Done, s.stage(id))
@@ -119,10 +119,10 @@
 	for _, b := range []string{"b0", "b1", "b2"} {
 		s.backend(b, Ready)
 	}
-	assert.Equal(t, []uint64{blocked}, s.begun(t))
+	assert.Equal(t, []uint64{blocked}, s.startDueEntries(t))
 	_, change = s.Withheld()
 	for i := range 3 {
-		s.did(i, change)
+		s.confirmChange(i, change)
 	}
 	assert.Equal(t, calendar.Done, s.stage(blocked), "without a duration it is done once the unit is out")
 	held, _ = s.Withheld()
@@ -131,16 +131,16 @@
 
 func TestEntryAdvancesWithItsReleaseWaves(t *testing.T) {
 	s := newSite(4)
-	id := s.planned(t, releaseOf("r"))
-	assert.Equal(t, []uint64{id}, s.begun(t))
+	id := s.planChange(t, releaseChange("r"))
+	assert.Equal(t, []uint64{id}, s.startDueEntries(t))
 	r := s.Release.Find("r")
 	require.Equal(t, release.Running, r.Stage)
 	assert.Equal(t, fmt.Sprint("calendar ", id), r.Who)
-	s.take(0)
-	require.NoError(t, s.judge(0, release.GoOn))
+	s.installVersions(0)
+	require.NoError(t, s.recordVerdict(0, release.GoOn))
 	assert.Equal(t, 1, s.Calendar.Entries[id].Wave)
-	s.take(1, 2, 3)
-	require.NoError(t, s.judge(1, release.GoOn))
+	s.installVersions(1, 2, 3)
+	require.NoError(t, s.recordVerdict(1, release.GoOn))
 	assert.Equal(t, calendar.Done, s.stage(id))
 	assert.Equal(t, release.Done, r.Stage)
 }
@@ -149,19 +149,19 @@
 // the release within the same command, before any door of the next wave can change.
 func TestFreezeHaltsReleaseBetweenWavesInSameCommand(t *testing.T) {
 	s := newSite(4)
-	id := s.planned(t, releaseOf("r"))
-	s.begun(t)
+	id := s.planChange(t, releaseChange("r"))
+	s.startDueEntries(t)
 	freeze := calendar.Freeze{Name: "evening", Subject: calendar.Subject{Scope: calendar.Fleet}, Spans: []calendar.Span{window(60e3, 10*60e3)}, Sends: calendar.FinishesWave, Who: "bea", Why: "match"}
 	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: freeze}).Err)
-	s.later(60e3)
+	s.advanceTime(60e3)
 	assert.Equal(t, calendar.Running, s.stage(id))
-	s.take(0)
-	require.NoError(t, s.judge(0, release.GoOn))
+	s.installVersions(0)
+	require.NoError(t, s.recordVerdict(0, release.GoOn))
 	assert.Equal(t, calendar.Halted, s.stage(id))
 	r := s.Release.Find("r")
 	assert.Equal(t, release.Halted, r.Stage, "in the same command")
 	for i := range 4 {
-		_, _, is := s.Release.Wanted(unit(i).Name)
+		_, _, is := s.Release.Target(unit(i).Name)
 		assert.False(t, is)
 	}
 	var frozen *calendar.FrozenError
@@ -171,42 +171,42 @@
 	assert.Equal(t, release.Running, r.Stage, "in the same command")
 	require.NoError(t, s.do("op", calendar.Halt{ID: id, Who: "cai", Why: "not so"}).Err)
 	assert.Equal(t, release.Halted, r.Stage)
-	s.later(9 * 60e3)
+	s.advanceTime(9 * 60e3)
 	assert.Equal(t, calendar.Halted, s.stage(id), "the end of the freeze doesn't end an operator's halt")
 	require.NoError(t, s.do("op", release.Steer{Name: "r", To: release.ToResume, Who: "cai", Why: "well"}).Err)
 	assert.Equal(t, calendar.Running, s.stage(id))
 	assert.Equal(t, release.Running, r.Stage)
-	s.take(1, 2, 3)
-	require.NoError(t, s.judge(1, release.GoOn))
+	s.installVersions(1, 2, 3)
+	require.NoError(t, s.recordVerdict(1, release.GoOn))
 	assert.Equal(t, calendar.Done, s.stage(id))
 }
 
 func TestEndOfFreezeResumesRelease(t *testing.T) {
 	s := newSite(4)
-	id := s.planned(t, releaseOf("r"))
-	s.begun(t)
+	id := s.planChange(t, releaseChange("r"))
+	s.startDueEntries(t)
 	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "evening", Subject: calendar.Subject{Scope: calendar.Fleet},
 		Spans: []calendar.Span{window(60e3, 10*60e3)}, Sends: calendar.FinishesWave, Who: "bea", Why: "match"}}).Err)
-	s.later(60e3)
-	s.take(0)
-	require.NoError(t, s.judge(0, release.GoOn))
+	s.advanceTime(60e3)
+	s.installVersions(0)
+	require.NoError(t, s.recordVerdict(0, release.GoOn))
 	require.Equal(t, calendar.Halted, s.stage(id))
-	s.later(9 * 60e3)
+	s.advanceTime(9 * 60e3)
 	assert.Equal(t, calendar.Running, s.stage(id))
 	assert.Equal(t, release.Running, s.Release.Find("r").Stage)
 }
 
 func TestFreezeThatSendsBackRollsReleaseBack(t *testing.T) {
 	s := newSite(4)
-	id := s.planned(t, releaseOf("r"))
-	s.begun(t)
-	s.take(0)
-	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "now", Subject: calendar.Subject{Scope: calendar.Doors}, Spans: []calendar.Span{window(0, hour)},
+	id := s.planChange(t, releaseChange("r"))
+	s.startDueEntries(t)
+	s.installVersions(0)
+	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "now", Subject: calendar.Subject{Scope: calendar.Doors}, Spans: []calendar.Span{window(0, hourMs)},
 		Sends: calendar.SendsBack, Who: "bea", Why: "fire"}}).Err)
 	assert.Equal(t, calendar.RollingBack, s.stage(id))
 	r := s.Release.Find("r")
 	assert.Equal(t, release.Back, r.Stage)
-	s.take(0)
+	s.installVersions(0)
 	assert.Equal(t, release.Returned, r.Stage)
 	assert.Equal(t, calendar.Withdrawn, s.stage(id))
 	assert.Empty(t, s.Runs)
@@ -214,15 +214,15 @@
 
 func TestReleaseRollbackRollsEntryBack(t *testing.T) {
 	s := newSite(4)
-	id := s.planned(t, releaseOf("r"))
-	s.begun(t)
-	s.take(0)
-	require.NoError(t, s.judge(0, release.GoBck))
+	id := s.planChange(t, releaseChange("r"))
+	s.startDueEntries(t)
+	s.installVersions(0)
+	require.NoError(t, s.recordVerdict(0, release.GoBck))
 	assert.Equal(t, calendar.RollingBack, s.stage(id))
-	s.take(0)
+	s.installVersions(0)
 	assert.Equal(t, calendar.Withdrawn, s.stage(id))
-	id = s.planned(t, releaseOf("r2"))
-	s.begun(t)
+	id = s.planChange(t, releaseChange("r2"))
+	s.startDueEntries(t)
 	require.NoError(t, s.do("leader", release.Judged{Number: 2, Wave: 0, Verdict: release.Verdict{Says: release.Stop, Why: "odd"}}).Err)
 	assert.Equal(t, calendar.Halted, s.stage(id))
 	assert.Equal(t, "odd", s.Calendar.Entries[id].Says)
@@ -232,7 +232,7 @@
 }
 
 func TestUnplannedChangesAreCheckedByCalendar(t *testing.T) {
-	s := withBackends(3)
+	s := newSiteWithBackends(3)
 	drain := func(name string) error {
 		return s.do("op", Drain{Kind: Backend, Name: name, Who: "op", Why: "disk"}).Err
 	}
@@ -240,7 +240,7 @@
 	require.NoError(t, s.do("op", Undrain{Backend, "b0", "op", ""}).Err)
 	_, change := s.Withheld()
 	for i := range 3 {
-		s.did(i, change)
+		s.confirmChange(i, change)
 	}
 	s.backend("b0", Ready)
 	plan := release.Plan{Name: "r", Changes: release.Configuration, Digest: otherDigest, Waves: []release.Wave{{Rest: true}}}
@@ -250,19 +250,19 @@
 	require.ErrorAs(t, s.do("op", release.Start{Plan: plan, Who: "op"}).Err, &unplanned)
 	assert.Contains(t, unplanned.Remedy(), "plan")
 	require.NoError(t, s.do("bea", calendar.SetRules{Who: "bea"}).Err)
-	freeze := calendar.Freeze{Name: "all", Kinds: []calendar.Kind{calendar.Drain}, Subject: calendar.Subject{Scope: calendar.Backends}, Spans: []calendar.Span{window(0, hour)},
+	freeze := calendar.Freeze{Name: "all", Kinds: []calendar.Kind{calendar.Drain}, Subject: calendar.Subject{Scope: calendar.Backends}, Spans: []calendar.Span{window(0, hourMs)},
 		Sends: calendar.FinishesWave, Who: "bea", Why: "match"}
 	a := s.do("bea", calendar.SetFreeze{Freeze: freeze})
 	require.NoError(t, a.Err)
 	var clock *calendar.ClockError
 	require.ErrorAs(t, drain("b0"), &clock, "without agreed time the freeze can't be evaluated")
-	s.onTime()
+	s.reportClocks()
 	var frozen *calendar.FrozenError
 	require.ErrorAs(t, drain("b0"), &frozen)
 	require.NoError(t, s.do("op", Drain{Kind: Door, Name: "d0", Who: "op", Why: "x"}).Err, "the freeze is for backends")
 	require.NoError(t, s.do("bea", calendar.Thaw{ID: a.Number, Revision: 1, Who: "bea"}).Err)
-	id := s.planned(t, drainOf(Zone, "z1", hour))
-	s.begun(t)
+	id := s.planChange(t, drainChange(Zone, "z1", hourMs))
+	s.startDueEntries(t)
 	require.Equal(t, calendar.Running, s.stage(id), s.WhyNot(id))
 	var busy *calendar.BusyError
 	require.ErrorAs(t, drain("b1"), &busy, "a running entry has its zone")
@@ -274,25 +274,25 @@
 }
 
 func TestRevertedMigrationUndrainsInReverseOrder(t *testing.T) {
-	s := withBackends(3)
+	s := newSiteWithBackends(3)
 	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2}, {Kind: Backend, MostOut: 3}}})
-	hand := calendar.Change{Name: "cable", Kind: calendar.MigrationStep, Subject: drained(Backend, "b0"), Window: window(0, hour), Waves: 1,
+	hand := calendar.Change{Name: "cable", Kind: calendar.MigrationStep, Subject: drainSubject(Backend, "b0"), Window: window(0, hourMs), Waves: 1,
 		Do: json.RawMessage(`{"manual":"move the cable"}`), Rollback: json.RawMessage(`{"manual":"move it back"}`)}
-	a := s.do("ana", calendar.Migrate{Name: "move", Steps: []calendar.Change{drainOf(Backend, "b0", 0), hand, drainOf(Backend, "b1", 0)}, Who: "ana"})
+	a := s.do("ana", calendar.Migrate{Name: "move", Steps: []calendar.Change{drainChange(Backend, "b0", 0), hand, drainChange(Backend, "b1", 0)}, Who: "ana"})
 	require.NoError(t, a.Err)
-	s.onTime()
+	s.reportClocks()
 	m := s.Calendar.Migrations[a.Number]
 	confirm := func() {
 		_, change := s.Withheld()
 		for i := range 3 {
-			s.did(i, change)
+			s.confirmChange(i, change)
 		}
 	}
-	assert.Equal(t, m.Steps[:1], s.begun(t))
+	assert.Equal(t, m.Steps[:1], s.startDueEntries(t))
 	confirm()
-	assert.Equal(t, m.Steps[1:2], s.begun(t))
+	assert.Equal(t, m.Steps[1:2], s.startDueEntries(t))
 	require.NoError(t, s.do("ana", calendar.WaveDone{ID: m.Steps[1], Wave: 1}).Err)
-	assert.Equal(t, m.Steps[2:], s.begun(t))
+	assert.Equal(t, m.Steps[2:], s.startDueEntries(t))
 	held, _ := s.Withheld()
 	assert.Equal(t, []string{"b0", "b1"}, held)
 	require.NoError(t, s.do("ana", calendar.Revert{ID: m.ID, Who: "ana", Why: "smoke"}).Err)
@@ -316,18 +316,18 @@
 
 // A drain that is a step of a migration lasts until the migration is done; then its unit comes back.
 func TestMigrationDrainsEndWhenItIsDone(t *testing.T) {
-	s := withBackends(3)
-	hand := calendar.Change{Name: "cable", Kind: calendar.MigrationStep, Subject: drained(Backend, "b0"), Window: window(0, hour), Waves: 1,
+	s := newSiteWithBackends(3)
+	hand := calendar.Change{Name: "cable", Kind: calendar.MigrationStep, Subject: drainSubject(Backend, "b0"), Window: window(0, hourMs), Waves: 1,
 		Do: json.RawMessage(`{"manual":"move the cable"}`), Rollback: json.RawMessage(`{"manual":"move it back"}`)}
-	a := s.do("ana", calendar.Migrate{Name: "move", Steps: []calendar.Change{drainOf(Backend, "b0", 0), hand}, Who: "ana"})
+	a := s.do("ana", calendar.Migrate{Name: "move", Steps: []calendar.Change{drainChange(Backend, "b0", 0), hand}, Who: "ana"})
 	require.NoError(t, a.Err)
-	s.onTime()
-	s.begun(t)
+	s.reportClocks()
+	s.startDueEntries(t)
 	_, change := s.Withheld()
 	for i := range 3 {
-		s.did(i, change)
+		s.confirmChange(i, change)
 	}
-	s.begun(t)
+	s.startDueEntries(t)
 	held, _ := s.Withheld()
 	assert.Equal(t, []string{"b0"}, held)
 	m := s.Calendar.Migrations[a.Number]
@@ -342,19 +342,19 @@
 // retried start must start the entry once.
 func TestLeaderLossAroundStartStartsEntryOnce(t *testing.T) {
 	s := newSite(4)
-	id := s.planned(t, releaseOf("r"))
+	id := s.planChange(t, releaseChange("r"))
 	s.do("c1", Lead{Name: "c1", Epoch: 1})
 	_, any := s.StartsNext()
 	assert.False(t, any, "earlier clock readings are invalid under a new leader")
 	for i := range 4 {
-		s.seen(i, Ready, 1)
+		s.recordSighting(i, Ready, 1)
 	}
-	s.onTime()
+	s.reportClocks()
 	start := Command{Caller: "leader c1", Seq: 1, AtMs: s.now, Do: calendar.Start{ID: id}}
 	require.NoError(t, s.Apply(start).Err)
 	require.NoError(t, s.Apply(start).Err, "its answer was lost")
 	s.do("c2", Lead{Name: "c2", Epoch: 1})
-	s.onTime()
+	s.reportClocks()
 	var stage *calendar.StageError
 	assert.ErrorAs(t, s.do("leader c2", calendar.Start{ID: id}).Err, &stage)
 	assert.Len(t, s.Release.All, 1)
@@ -364,8 +364,8 @@
 	again, err := Load(&disk)
 	require.NoError(t, err)
 	s.State = again // a coordinator that restarts from its snapshot
-	s.take(0)
-	require.NoError(t, s.judge(0, release.GoOn))
+	s.installVersions(0)
+	require.NoError(t, s.recordVerdict(0, release.GoOn))
 	assert.Equal(t, 1, s.Calendar.Entries[id].Wave)
 	s.do("c3", calendar.Restored{Who: "cai"})
 	assert.Equal(t, calendar.Halted, s.stage(id), "after a restore nothing continues without an operator")
@@ -375,13 +375,13 @@
 // A start is checked at the time of its own command. If its window has become too short since the leader's check, it must leave no
 // unit out.
 func TestDelayedStartIsCheckedAtItsOwnTime(t *testing.T) {
-	s := withBackends(3)
-	id := s.planned(t, drainOf(Backend, "b0", 0))
+	s := newSiteWithBackends(3)
+	id := s.planChange(t, drainChange(Backend, "b0", 0))
 	_, any := s.StartsNext()
 	require.True(t, any)
-	s.now += hour - 10e3 // the command was delayed; clock readings count for 30 s
+	s.now += hourMs - 10e3 // the command was delayed; clock readings count for 30 s
 	for i := range 3 {
-		s.Calendar.Readings[fmt.Sprint("c", i)] = calendar.Reading{OffsetMs: wallAt, AtMs: s.now - 20e3}
+		s.Calendar.Readings[fmt.Sprint("c", i)] = calendar.Reading{OffsetMs: wallStartMs, AtMs: s.now - 20e3}
 	}
 	var short *calendar.ShortError
 	require.ErrorAs(t, s.do("leader", calendar.Start{ID: id}).Err, &short)
@@ -391,21 +391,21 @@
 
 // The zone of a unit that has left the fleet, or never was in it, is unknown: it is treated as if it were in any zone.
 func TestUnknownUnitIsTreatedAsInAnyZone(t *testing.T) {
-	s := withBackends(3)
-	c := drainOf(Backend, "b9", 0)
+	s := newSiteWithBackends(3)
+	c := drainChange(Backend, "b9", 0)
 	c.Subject = calendar.Subject{Scope: calendar.Zone, Names: []string{"z1"}}
 	var form *calendar.FormError
 	require.ErrorAs(t, s.do("ana", calendar.Plan{Change: c, Who: "ana"}).Err, &form, "its zone is unknown")
-	id := s.planned(t, drainOf(Backend, "b9", 0))
+	id := s.planChange(t, drainChange(Backend, "b9", 0))
 	var unknown *UnknownError
 	require.ErrorAs(t, s.WhyNot(id), &unknown)
-	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "z1", Subject: calendar.Subject{Scope: calendar.Zone, Names: []string{"z1"}}, Spans: []calendar.Span{window(0, hour)},
+	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "z1", Subject: calendar.Subject{Scope: calendar.Zone, Names: []string{"z1"}}, Spans: []calendar.Span{window(0, hourMs)},
 		Sends: calendar.FinishesWave, Who: "bea", Why: "x"}}).Err)
 	var frozen *calendar.FrozenError
 	require.ErrorAs(t, s.WhyNot(id), &frozen)
-	b1 := s.planned(t, drainOf(Backend, "b1", 0))
+	b1 := s.planChange(t, drainChange(Backend, "b1", 0))
 	require.ErrorAs(t, s.WhyNot(b1), &frozen)
-	b0 := s.planned(t, drainOf(Backend, "b0", 0))
+	b0 := s.planChange(t, drainChange(Backend, "b0", 0))
 	assert.NoError(t, s.WhyNot(b0), "it is known to be in another zone")
 	s.do("op", Forget{Kind: Backend, Name: "b0", Who: "op", Why: "gone"})
 	require.ErrorAs(t, s.WhyNot(b0), &frozen, "it has left the fleet")
@@ -413,10 +413,10 @@
 
 func TestReplacedReleaseHaltsItsEntry(t *testing.T) {
 	s := newSite(4)
-	id := s.planned(t, releaseOf("r"))
-	s.begun(t)
+	id := s.planChange(t, releaseChange("r"))
+	s.startDueEntries(t)
 	s.Release.Find("r").Stage = release.Replaced // as in a state from before the calendar existed
-	s.onTime()
+	s.reportClocks()
 	assert.Equal(t, calendar.Halted, s.stage(id))
 	require.NoError(t, s.do("op", calendar.RollBack{ID: id, Who: "cai", Why: "gone"}).Err)
 	assert.Equal(t, calendar.RollingBack, s.stage(id), "operators report the rollback")
@@ -425,7 +425,7 @@
 }
 
 func TestChangeActionIsValidated(t *testing.T) {
-	s := withBackends(4)
+	s := newSiteWithBackends(4)
 	for key, turn := range map[string]func(c *calendar.Change){
 		"do":         func(c *calendar.Change) { c.Do = json.RawMessage(`{"drain":{"kind":"door","name":"d0"},"manual":"x"}`) },
 		"do ":        func(c *calendar.Change) { c.Do = json.RawMessage(`{"dance":true}`) },
@@ -442,20 +442,20 @@
 		"subject ":   func(c *calendar.Change) { c.Subject = calendar.Subject{Scope: calendar.Backends} },
 		"subject  ":  func(c *calendar.Change) { c.Subject = calendar.Subject{Scope: calendar.Zone, Names: []string{"z1"}} },
 	} {
-		c := drainOf(Door, "d0", 0)
+		c := drainChange(Door, "d0", 0)
 		turn(&c)
 		var form *calendar.FormError
 		require.ErrorAs(t, s.do("ana", calendar.Plan{Change: c, Who: "ana"}).Err, &form, key)
 		assert.Equal(t, strings.TrimSpace(key), form.Key)
-		require.ErrorAs(t, s.do("ana", calendar.Migrate{Name: "m", Steps: []calendar.Change{drainOf(Door, "d0", 0), c}, Who: "ana"}).Err, &form, key)
+		require.ErrorAs(t, s.do("ana", calendar.Migrate{Name: "m", Steps: []calendar.Change{drainChange(Door, "d0", 0), c}, Who: "ana"}).Err, &form, key)
 		assert.Equal(t, "steps[1]."+strings.TrimSpace(key), form.Key)
 	}
 	for _, b := range []calendar.Subject{{Scope: calendar.Fleet}, {Scope: calendar.Zone}, {Scope: calendar.Zone, Names: []string{"z0", "z1"}}, {Scope: calendar.Doors}, {Scope: calendar.Doors, Names: []string{"d1", "d0"}}} {
-		c := drainOf(Door, "d0", 0)
+		c := drainChange(Door, "d0", 0)
 		c.Subject = b
 		assert.NoError(t, s.do("ana", calendar.Plan{Change: c, Who: "ana", Draft: true}).Err, b)
 	}
-	c := releaseOf("r")
+	c := releaseChange("r")
 	c.Kind = calendar.Terms
 	assert.NoError(t, s.do("ana", calendar.Plan{Change: c, Who: "ana", Draft: true}).Err, "the terms of plans are part of configurations")
 	assert.Empty(t, s.Runs)
@@ -463,8 +463,8 @@
 
 func TestEditIsValidatedLikePlan(t *testing.T) {
 	s := newSite(2)
-	id := s.planned(t, drainOf(Door, "d0", 0))
-	c := drainOf(Door, "d1", 0)
+	id := s.planChange(t, drainChange(Door, "d0", 0))
+	c := drainChange(Door, "d1", 0)
 	c.Subject.Names = []string{"d0"}
 	var form *calendar.FormError
 	require.ErrorAs(t, s.do("ana", calendar.Edit{ID: id, Revision: 1, Change: c, Who: "ana"}).Err, &form)
@@ -473,9 +473,9 @@
 
 // Clocks are reported every two seconds. A freeze that began since the last report must already apply.
 func TestFreezeThatHasJustBegunBlocksDrain(t *testing.T) {
-	s := withBackends(3)
-	s.onTime()
-	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "f", Subject: calendar.Subject{Scope: calendar.Fleet}, Spans: []calendar.Span{window(1000, hour)},
+	s := newSiteWithBackends(3)
+	s.reportClocks()
+	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "f", Subject: calendar.Subject{Scope: calendar.Fleet}, Spans: []calendar.Span{window(1000, hourMs)},
 		Sends: calendar.FinishesWave, Who: "bea", Why: "x"}}).Err)
 	s.now += 1500
 	var frozen *calendar.FrozenError
@@ -486,7 +486,7 @@
 func TestFirstOfTwoInvalidStepsIsReported(t *testing.T) {
 	var steps []calendar.Change
 	for i := range 20 {
-		c := drainOf(Door, fmt.Sprint("d", i), 0)
+		c := drainChange(Door, fmt.Sprint("d", i), 0)
 		c.Waves = 2
 		steps = append(steps, c)
 	}
@@ -500,16 +500,16 @@
 // The audit log must also have the calendar events that are caused by time alone, whichever command they come with.
 func TestAuditHasEachCalendarEventOnce(t *testing.T) {
 	s := newSite(4)
-	s.planned(t, releaseOf("r"))
-	s.planned(t, drainOf(Door, "d0", 60e3))
-	s.begun(t)
-	s.take(0)
-	require.NoError(t, s.judge(0, release.GoOn))
+	s.planChange(t, releaseChange("r"))
+	s.planChange(t, drainChange(Door, "d0", 60e3))
+	s.startDueEntries(t)
+	s.installVersions(0)
+	require.NoError(t, s.recordVerdict(0, release.GoOn))
 	s.do("op", release.Steer{Name: "r", To: release.ToHalt, Who: "op", Why: "x"})
 	s.do("op", release.Steer{Name: "r", To: release.ToBack, Who: "op", Why: "x"})
 	s.now += 20e3
 	s.do("c", Lead{Name: "c", Epoch: 1})
-	s.later(2 * hour)
+	s.advanceTime(2 * hourMs)
 	s.do("op", Drain{Kind: Door, Name: "d1", Who: "op", Why: "x"})
 	var told []string
 	for _, l := range s.Audit {
@@ -526,7 +526,7 @@
 }
 
 func TestCompleteDerivesOmittedValues(t *testing.T) {
-	s := withBackends(2)
+	s := newSiteWithBackends(2)
 	for want, bare := range map[string]calendar.Change{
 		"drain backends b0 1 90000":      {Name: "x", Do: json.RawMessage(`{"drain":{"kind":"backend","name":"b0","for_s":90}}`)},
 		"drain zone z1 1 60000":          {Name: "x", Do: json.RawMessage(`{"drain":{"kind":"zone","name":"z1"}}`)},
@@ -537,7 +537,7 @@
 		"    0 0 no":                     {Name: "x", Do: json.RawMessage(`{"dance":1}`)},
 	} {
 		c := bare
-		c.Window = window(0, hour)
+		c.Window = window(0, hourMs)
 		Complete(&c)
 		got := fmt.Sprintf("%s %s %d %g", c.Kind, c.Subject.String(), c.Waves, c.WaveMs)
 		if len(c.Rollback) == 0 {
@@ -560,12 +560,12 @@
 	delete(all, "Runs")
 	raw, err = json.Marshal(all)
 	require.NoError(t, err)
-	old, err := json.Marshal(saved{1, sum(raw), raw})
+	old, err := json.Marshal(savedState{1, checksum(raw), raw})
 	require.NoError(t, err)
 	read, err := Load(bytes.NewReader(old))
 	require.NoError(t, err)
 	s.State = read
-	id := s.planned(t, drainOf(Door, "d0", 0))
+	id := s.planChange(t, drainChange(Door, "d0", 0))
 	assert.Equal(t, calendar.Due, s.stage(id))
 	zone, known := read.ZoneOf(calendar.Doors, "d1")
 	assert.True(t, known)
@@ -575,7 +575,7 @@
 // Every command and error type of the calendar must have an encoded name.
 func TestAllCalendarTypesAreEncodable(t *testing.T) {
 	var none calendar.State
-	for name, typ := range names {
+	for name, typ := range typesByName {
 		if typ.PkgPath() != reflect.TypeOf(none).PkgPath() {
 			continue
 		}
@@ -593,20 +593,20 @@
 	}
 	endless := &calendar.FrozenError{}
 	s := newSite(2)
-	s.onTime()
-	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "daily", Subject: calendar.Subject{Scope: calendar.Fleet}, ThroughMs: wallAt - 1,
+	s.reportClocks()
+	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "daily", Subject: calendar.Subject{Scope: calendar.Fleet}, ThroughMs: wallStartMs - 1,
 		When: calendar.Recurrence{Begin: "2026-01-01T00:00", Minutes: 1, Every: "FREQ=DAILY", In: "UTC"}, Sends: calendar.FinishesWave, Who: "bea", Why: "x"}}).Err)
 	a := s.do("op", Drain{Kind: Door, Name: "d0", Who: "op", Why: "x"})
 	require.ErrorAs(t, a.Err, &endless, "a recurring freeze is in force beyond the time for which it was expanded")
 	_, err := json.Marshal(a)
-	assert.NoError(t, err, "an infinite end must be encodable in an answer")
+	assert.NoError(t, err, "the error must also be encodable in an answer")
 }
 
 // Under any sequence of plans, freezes, rollbacks, leader changes and sightings, each permit belongs to at most one entry, budgets
 // hold, and an ended entry leaves nothing except the drains that outlast it.
 func TestEntriesAndTheirPermitsStayConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := withBackends(4)
+		s := newSiteWithBackends(4)
 		s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2}, {Kind: Backend, MostOut: 2}, {Kind: Zone, MostOut: 1}}})
 		releases := 0
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
@@ -614,17 +614,17 @@
 			b := rapid.SampledFrom([]string{"b0", "b1", "b2"}).Draw(t, "backend")
 			switch rapid.IntRange(0, 13).Draw(t, "what") {
 			case 0:
-				c := drainOf(Backend, b, rapid.SampledFrom([]float64{0, 60e3}).Draw(t, "for"))
-				c.Window = window(s.now, s.now+hour)
+				c := drainChange(Backend, b, rapid.SampledFrom([]float64{0, 60e3}).Draw(t, "for"))
+				c.Window = window(s.now, s.now+hourMs)
 				s.do("ana", calendar.Plan{Change: c, Who: "ana"})
 			case 1:
 				releases++
-				c := releaseOf(fmt.Sprint("r", releases))
-				c.Window = window(s.now, s.now+hour)
+				c := releaseChange(fmt.Sprint("r", releases))
+				c.Window = window(s.now, s.now+hourMs)
 				s.do("ana", calendar.Plan{Change: c, Who: "ana"})
 			case 2:
-				first, second := drainOf(Backend, b, 0), drainOf(Backend, "b2", 0)
-				first.Window, second.Window = window(s.now, s.now+hour), window(s.now, s.now+hour)
+				first, second := drainChange(Backend, b, 0), drainChange(Backend, "b2", 0)
+				first.Window, second.Window = window(s.now, s.now+hourMs), window(s.now, s.now+hourMs)
 				s.do("ana", calendar.Migrate{Name: "m", Steps: []calendar.Change{first, second}, Who: "ana"})
 			case 3:
 				s.do("op", calendar.Halt{ID: id, Who: "op", Why: "x"})
@@ -641,13 +641,13 @@
 			case 8:
 				_, change := s.Withheld()
 				for i := range 4 {
-					s.did(i, change)
+					s.confirmChange(i, change)
 				}
 				for _, b := range []string{"b0", "b1", "b2"} {
 					s.backend(b, Ready)
 				}
 			case 9:
-				s.take(0, 1, 2, 3)
+				s.installVersions(0, 1, 2, 3)
 			case 10:
 				if n := len(s.Release.All); n > 0 {
 					r := s.Release.All[n-1]
@@ -660,10 +660,10 @@
 			case 13:
 				s.do("c", Lead{Name: "c", Epoch: 1})
 				for i := range 4 {
-					s.seen(i, Ready, 1)
+					s.recordSighting(i, Ready, 1)
 				}
 			}
-			s.later(rapid.Float64Range(0, 90e3).Draw(t, "later"))
+			s.advanceTime(rapid.Float64Range(0, 90e3).Draw(t, "later"))
 			if next, any := s.StartsNext(); any {
 				require.NoError(t, s.do("leader", calendar.Start{ID: next}).Err, "an entry without an obstacle must start")
 			}
@@ -683,7 +683,7 @@
 					require.Zero(t, mine[n])
 					mine[n] = id
 				}
-				if r := s.Release.Number(run.Release); r != nil {
+				if r := s.Release.ByNumber(run.Release); r != nil {
 					live := r.Stage == release.Running || r.Stage == release.Waiting
 					require.False(t, live && (e.Stage == calendar.Halted || e.Stage == calendar.RollingBack), "release %s, entry %s", r.Stage, e.Stage)
 					require.False(t, e.Stage == calendar.Done && r.Stage != release.Done, "release %s", r.Stage)
@@ -693,7 +693,7 @@
 				if p.Unit.Kind == Backend {
 					out++
 				}
-				require.False(t, strings.HasPrefix(p.Who, "calendar") && !p.Over && p.Unit.Kind == Backend && mine[n] == 0 && s.gaveUp(p), "permit %d of %s is left", n, p.Who)
+				require.False(t, strings.HasPrefix(p.Who, "calendar") && !p.Over && p.Unit.Kind == Backend && mine[n] == 0 && s.entryNotDone(p), "permit %d of %s is left", n, p.Who)
 			}
 			require.LessOrEqual(t, out, 2)
 		}
@@ -701,7 +701,7 @@
 }
 
 // entryNotDone reports whether a permit belongs to an entry that is not done, or to none.
-func (s *site) gaveUp(p *Permit) bool {
+func (s *site) entryNotDone(p *Permit) bool {
 	var id uint64
 	_, err := fmt.Sscanf(p.Who, "calendar %d", &id)
 	return err != nil || s.Calendar.Entries[id] == nil || s.Calendar.Entries[id].Stage != calendar.Done
--- a/permits/changer.go
+++ b/permits/changer.go
@@ -30,16 +30,16 @@
 type Changer struct {
 	door   string
 	caller string
-	h      Holder
-	asking
-	runs   release.Runs
-	failed map[string]string
-	want   *Given
-	taking bool
-	saidMs float64
-	dirty  bool
-	denied float64
-	spent  uint64 // permit to be returned, of an abandoned or failed step; 0 for none
+	holder Holder
+	outstanding
+	versions     release.Runs
+	failed       map[string]string
+	target       *Given
+	applying     bool
+	lastReportMs float64
+	dirty        bool
+	retryAtMs    float64
+	returnNumber uint64 // permit to be returned, of an abandoned or failed step; 0 for none
 }
 
 // Events of a ReleaseAgent, besides Answered, Unanswered and Tick.
@@ -65,93 +65,93 @@
 
 // NewReleaseAgent returns the agent of a door with the versions that it runs and those that it failed to install.
 func NewChanger(door string, process uint64, runs release.Runs, failed map[string]string) *Changer {
-	return &Changer{door: door, caller: Caller(door+"/holder", process), runs: runs, failed: failed, dirty: true}
+	return &Changer{door: door, caller: Caller(door+"/holder", process), versions: runs, failed: failed, dirty: true}
 }
 
 // Step processes an event and returns the resulting actions.
 func (c *Changer) Step(now float64, e any) []any {
 	switch e := e.(type) {
 	case Gave:
-		if w := c.over(e.Seq); w != nil && w.Hold != nil {
-			c.want = nil
-			if e.Given.Release != 0 && c.runs[e.Given.Changes] != e.Given.Digest {
-				c.want = &e.Given
+		if w := c.complete(e.Seq); w != nil && w.Hold != nil {
+			c.target = nil
+			if e.Given.Release != 0 && c.versions[e.Given.Changes] != e.Given.Digest {
+				c.target = &e.Given
 			}
 		}
 	case Answered:
-		if w := c.over(e.Seq); w != nil {
-			c.answered(now, w, e)
+		if w := c.complete(e.Seq); w != nil {
+			c.handleAnswer(now, w, e)
 		}
 	case Runs:
-		if c.taking && (c.want == nil || e.Runs[c.want.Changes] != c.want.Digest) {
-			c.spent = c.h.Number // the previous process keeps serving, so the permit can be returned
+		if c.applying && (c.target == nil || e.Runs[c.target.Changes] != c.target.Digest) {
+			c.returnNumber = c.holder.Number // the previous process keeps serving, so the permit can be returned
 		}
-		if c.taking {
-			c.h.Drop()
+		if c.applying {
+			c.holder.Drop()
 		}
-		c.taking, c.dirty, c.want = false, true, nil
-		c.runs, c.failed = maps.Clone(e.Runs), maps.Clone(e.Failed)
+		c.applying, c.dirty, c.target = false, true, nil
+		c.versions, c.failed = maps.Clone(e.Runs), maps.Clone(e.Failed)
 	}
 	return c.act(now)
 }
 
-func (c *Changer) answered(now float64, asked *Post, e Answered) {
-	if w, is := asked.Do.(Withdraw); is {
-		if c.spent == w.Number {
-			c.spent = 0
+func (c *Changer) handleAnswer(now float64, sent *Post, e Answered) {
+	if w, is := sent.Do.(Withdraw); is {
+		if c.returnNumber == w.Number {
+			c.returnNumber = 0
 		}
 		return
 	}
-	c.h.Answered(e.Seq, e.Answer)
+	c.holder.Answered(e.Seq, e.Answer)
 	if e.Answer.Err != nil {
-		c.giveUp(now)
+		c.abandon(now)
 	}
 }
 
 // abandon gives up the current step; a permit that was granted is returned.
-func (c *Changer) giveUp(now float64) {
-	if c.h.Number != 0 {
-		c.spent = c.h.Number
+func (c *Changer) abandon(now float64) {
+	if c.holder.Number != 0 {
+		c.returnNumber = c.holder.Number
 	}
-	c.h.Drop()
-	c.denied, c.dirty = now+denyRest, true
+	c.holder.Drop()
+	c.retryAtMs, c.dirty = now+denialBackoffMs, true
 }
 
 func (c *Changer) act(now float64) []any {
-	again, lost, busy := c.due(now)
+	resend, abandoned, busy := c.poll(now)
 	switch {
-	case again != nil:
-		return []any{*again}
-	case busy, c.taking:
+	case resend != nil:
+		return []any{*resend}
+	case busy, c.applying:
 		return nil
-	case lost != nil && lost.Hold == nil:
-		c.giveUp(now)
+	case abandoned != nil && abandoned.Hold == nil:
+		c.abandon(now)
 	}
-	post := func(seq uint64, do any) []any { return []any{c.ask(now, Post{Seq: seq, Caller: c.caller, Do: do})} }
+	post := func(seq uint64, do any) []any { return []any{c.send(now, Post{Seq: seq, Caller: c.caller, Do: do})} }
 	switch {
-	case c.spent != 0:
-		return post(c.h.Next(), Withdraw{c.spent})
-	case c.want == nil && c.h.Number != 0: // the assignment was withdrawn
-		c.giveUp(now)
-	case c.want != nil && now >= c.denied:
-		if c.h.Number != 0 && !c.h.Fresh(now) {
-			c.giveUp(now)
+	case c.returnNumber != 0:
+		return post(c.holder.Next(), Withdraw{c.returnNumber})
+	case c.target == nil && c.holder.Number != 0: // the assignment was withdrawn
+		c.abandon(now)
+	case c.target != nil && now >= c.retryAtMs:
+		if c.holder.Number != 0 && !c.holder.Fresh(now) {
+			c.abandon(now)
 			break
 		}
 		switch {
-		case c.h.Number == 0:
-			return post(c.h.Asked(now, holdFor), Ask{Unit: c.door, Kind: Door, Who: "release " + c.want.Name, Why: c.want.Changes, HoldMs: holdFor, Release: c.want.Release})
-		case c.h.MayGo(now):
-			c.taking = true
-			return []any{Take{*c.want, c.h.Until()}}
+		case c.holder.Number == 0:
+			return post(c.holder.Asked(now, permitHoldMs), Ask{Unit: c.door, Kind: Door, Who: "release " + c.target.Name, Why: c.target.Changes, HoldMs: permitHoldMs, Release: c.target.Release})
+		case c.holder.MayGo(now):
+			c.applying = true
+			return []any{Take{*c.target, c.holder.Until()}}
 		default:
-			return post(c.h.Looking(now), Confirm{Number: c.h.Number})
+			return post(c.holder.Looking(now), Confirm{Number: c.holder.Number})
 		}
 	}
-	if since := now - c.saidMs; since >= sayEvery || c.dirty && since >= sayLeast {
-		c.saidMs, c.dirty = now, false
-		seq := c.h.Next()
-		return []any{c.ask(now, Post{Seq: seq, Caller: c.caller, Hold: &Hold{c.caller, seq, c.door, maps.Clone(c.runs), maps.Clone(c.failed)}})}
+	if since := now - c.lastReportMs; since >= reportEveryMs || c.dirty && since >= minReportGapMs {
+		c.lastReportMs, c.dirty = now, false
+		seq := c.holder.Next()
+		return []any{c.send(now, Post{Seq: seq, Caller: c.caller, Hold: &Hold{c.caller, seq, c.door, maps.Clone(c.versions), maps.Clone(c.failed)}})}
 	}
 	return nil
 }
@@ -159,16 +159,16 @@
 // HolderCommands lists the commands that a holder's report requires: one if its door's versions or failures have changed.
 func (s *State) NeedsOf(h *Hold) (do []any) {
 	known := s.Release.Runs[h.Door]
-	news := known == nil
-	for _, what := range []string{release.Configuration, release.Program} {
-		news = news || known[what] != h.Runs[what]
+	changed := known == nil
+	for _, kind := range []string{release.Configuration, release.Program} {
+		changed = changed || known[kind] != h.Runs[kind]
 	}
 	for digest := range h.Failed {
 		for _, r := range s.Release.All {
-			news = news || r.Live() && r.Stage != release.Back && r.Digest == digest && r.Failed[h.Door] == ""
+			changed = changed || r.Live() && r.Stage != release.Back && r.Digest == digest && r.Failed[h.Door] == ""
 		}
 	}
-	if news {
+	if changed {
 		do = append(do, release.Took{Door: h.Door, Runs: h.Runs, Failed: h.Failed})
 	}
 	return do
@@ -176,7 +176,7 @@
 
 // Assignment returns which version a door is to run.
 func (s *State) Given(door string) (g Given) {
-	if r, digest, is := s.Release.Wanted(door); is {
+	if r, digest, is := s.Release.Target(door); is {
 		g = Given{r.Number, r.Name, r.Changes, digest, r.Stage == release.Back}
 	}
 	return g
--- a/permits/changer_test.go
+++ b/permits/changer_test.go
@@ -14,21 +14,21 @@
 
 // testReleaseAgent runs a ReleaseAgent whose posts are applied to a state at once and whose installs succeed, or fail with
 // installError.
-type changing struct {
+type testReleaseAgent struct {
 	*Changer
-	s    *site
-	now  float64
-	took []Take
-	bad  string
-	i    int
-	life uint64
+	s            *site
+	now          float64
+	applied      []Take
+	installError string
+	index        int
+	incarnation  uint64
 }
 
-func change(s *site, i int) *changing {
-	return &changing{Changer: NewChanger(unit(i).Name, uint64(i), release.Runs{}, nil), s: s, i: i, life: 1}
+func newTestReleaseAgent(s *site, i int) *testReleaseAgent {
+	return &testReleaseAgent{Changer: NewChanger(unit(i).Name, uint64(i), release.Runs{}, nil), s: s, index: i, incarnation: 1}
 }
 
-func (c *changing) step(e any) {
+func (c *testReleaseAgent) step(e any) {
 	for todo := c.Step(c.now, e); len(todo) > 0; todo = todo[1:] {
 		switch a := todo[0].(type) {
 		case Post:
@@ -41,64 +41,64 @@
 			}
 			todo = append(todo, c.Step(c.now, Gave{a.Seq, c.s.Given(c.door)})...)
 		case Take:
-			c.took = append(c.took, a)
+			c.applied = append(c.applied, a)
 			runs, failed := release.Runs{}, map[string]string{}
-			if c.bad != "" {
-				failed[a.Digest] = c.bad
+			if c.installError != "" {
+				failed[a.Digest] = c.installError
 			}
-			if c.bad == "" {
+			if c.installError == "" {
 				runs[a.Changes] = a.Digest
-				c.life++
-				c.s.seen(c.i, Ready, c.life) // its next process
+				c.incarnation++
+				c.s.recordSighting(c.index, Ready, c.incarnation) // its next process
 			}
 			todo = append(todo, c.Step(c.now, Runs{runs, failed})...)
 		}
 	}
 }
 
-func (c *changing) run(ms float64) {
+func (c *testReleaseAgent) run(ms float64) {
 	for end := c.now + ms; c.now < end; c.now += TickEvery {
 		c.step(Tick{})
 	}
 }
 
-func started(s *site, doors ...string) uint64 {
+func startRelease(s *site, doors ...string) uint64 {
 	return s.do("op", release.Start{Plan: release.Plan{Name: "r1", Changes: release.Configuration, Digest: newDigest, Doors: doors,
 		Waves: []release.Wave{{Count: 1}, {Rest: true}}}, Who: "ana"}).Number
 }
 
 func TestDoorChangesVersionWithPermit(t *testing.T) {
 	s := newSite(8)
-	c := change(s, 0)
+	c := newTestReleaseAgent(s, 0)
 	c.run(2000)
-	assert.Empty(t, c.took)
-	require.NotZero(t, started(s, "d0"))
+	assert.Empty(t, c.applied)
+	require.NotZero(t, startRelease(s, "d0"))
 	c.run(3000)
-	require.Len(t, c.took, 1)
+	require.Len(t, c.applied, 1)
 	assert.Equal(t, newDigest, s.Release.Runs["d0"][release.Configuration])
 	assert.Empty(t, s.Permits, "its next process is ready")
 	require.NoError(t, s.do("op", release.Steer{Name: "r1", To: release.ToBack, Who: "ana"}).Err)
 	c.run(3000)
-	require.Len(t, c.took, 2)
+	require.Len(t, c.applied, 2)
 	assert.Equal(t, release.Returned, s.Release.Find("r1").Stage)
 }
 
 func TestFailedInstallReturnsPermit(t *testing.T) {
 	s := newSite(8)
-	c := change(s, 0)
-	c.bad = "key settings: missing"
-	started(s, "d0")
+	c := newTestReleaseAgent(s, 0)
+	c.installError = "key settings: missing"
+	startRelease(s, "d0")
 	c.run(4000)
-	require.Len(t, c.took, 1, "a failed install is not retried")
+	require.Len(t, c.applied, 1, "a failed install is not retried")
 	assert.Empty(t, s.Permits)
 	r := s.Release.Find("r1")
 	assert.Equal(t, release.Returned, r.Stage)
-	assert.Equal(t, c.bad, r.Failed["d0"])
+	assert.Equal(t, c.installError, r.Failed["d0"])
 }
 
 func TestHaltedReleaseDeniesPermits(t *testing.T) {
 	s := newSite(8)
-	started(s, "d0")
+	startRelease(s, "d0")
 	n := s.Release.Find("r1").Number
 	ask := Ask{Unit: "d0", Kind: Door, HoldMs: 1e4, Release: n}
 	p := s.do("h", ask)
@@ -116,14 +116,14 @@
 
 func TestFailedDoorsRollBackWithoutBudget(t *testing.T) {
 	s := newSite(8)
-	started(s, "d0", "d1", "d2", "d3")
+	startRelease(s, "d0", "d1", "d2", "d3")
 	n := s.Release.Find("r1").Number
 	for _, d := range []string{"d0", "d1", "d2", "d3"} {
 		s.do(d+"/h", release.Took{Door: d, Runs: release.Runs{release.Configuration: newDigest}})
 	}
 	s.Release.Find("r1").Wave = 1
 	for i := range 4 {
-		s.seen(i, Failed, 1)
+		s.recordSighting(i, Failed, 1)
 	}
 	s.do("op", release.Steer{Name: "r1", To: release.ToBack, Who: "ana"})
 	p := s.do("d1/h", Ask{Unit: "d1", Kind: Door, HoldMs: 1e4, Release: n})
@@ -136,7 +136,7 @@
 // rule, three of six doors went out at once, where two may, in a migration that was reverted right after a leader was lost.
 func TestUnseenDoorsRollBackWithinBudget(t *testing.T) {
 	s := newSite(6)
-	number := started(s)
+	number := startRelease(s)
 	for i := range 6 {
 		s.do(unit(i).Name+"/h", release.Took{Door: unit(i).Name, Runs: release.Runs{release.Configuration: newDigest}})
 	}
@@ -153,7 +153,7 @@
 	require.Equal(t, release.Back, s.Release.All[0].Stage)
 	assert.Zero(t, asks())
 	for i := range 6 {
-		s.seen(i, Ready, 1)
+		s.recordSighting(i, Ready, 1)
 	}
 	assert.Positive(t, asks())
 	out := 0
--- a/permits/encode.go
+++ b/permits/encode.go
@@ -14,7 +14,7 @@
 )
 
 // typesByName maps the encoded names of commands and errors to their types. A name is never reused for another type.
-var names = map[string]reflect.Type{
+var typesByName = map[string]reflect.Type{
 	"set_budgets": reflect.TypeFor[SetBudgets](), "seen": reflect.TypeFor[Seen](), "here": reflect.TypeFor[Here](), "ask": reflect.TypeFor[Ask](),
 	"confirm": reflect.TypeFor[Confirm](), "withdraw": reflect.TypeFor[Withdraw](), "write_off": reflect.TypeFor[WriteOff](),
 	"begin": reflect.TypeFor[Begin](), "drain": reflect.TypeFor[Drain](), "undrain": reflect.TypeFor[Undrain](), "lead": reflect.TypeFor[Lead](),
@@ -47,42 +47,42 @@
 	"calendar_not_unplanned": reflect.TypeFor[calendar.UnplannedError](),
 }
 
-var words = func() map[reflect.Type]string {
+var namesByType = func() map[reflect.Type]string {
 	of := map[reflect.Type]string{}
-	for name, t := range names {
+	for name, t := range typesByName {
 		of[t] = name
 	}
 	return of
 }()
 
 // typedValue is an encoded value with the name of its type.
-type named struct {
+type typedValue struct {
 	Is string          `json:"is"`
 	Of json.RawMessage `json:"of"`
 }
 
-func wrap(v any) (n named, err error) {
+func wrap(v any) (n typedValue, err error) {
 	t := reflect.TypeOf(v)
 	if t != nil && t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
-	var known bool
-	if n.Is, known = words[t]; !known {
-		return n, &FormError{What: fmt.Sprintf("a value of type %T", v)}
+	var registered bool
+	if n.Is, registered = namesByType[t]; !registered {
+		return n, &FormatError{What: fmt.Sprintf("a value of type %T", v)}
 	}
 	n.Of, err = json.Marshal(v)
 	return n, err
 }
 
 // unwrap decodes the value into a new value of its type.
-func (n named) unwrap() (reflect.Value, error) {
-	t, known := names[n.Is]
-	if !known {
-		return reflect.Value{}, &FormError{What: fmt.Sprintf("the type name %q", n.Is)}
+func (n typedValue) unwrap() (reflect.Value, error) {
+	t, registered := typesByName[n.Is]
+	if !registered {
+		return reflect.Value{}, &FormatError{What: fmt.Sprintf("the type name %q", n.Is)}
 	}
 	v := reflect.New(t)
 	if err := json.Unmarshal(n.Of, v.Interface()); err != nil {
-		return reflect.Value{}, &FormError{What: n.Is, Cause: err}
+		return reflect.Value{}, &FormatError{What: n.Is, Cause: err}
 	}
 	return v, nil
 }
@@ -97,7 +97,7 @@
 	}
 	return json.Marshal(struct {
 		command
-		Do named `json:"do"`
+		Do typedValue `json:"do"`
 	}{command(c), do})
 }
 
@@ -106,17 +106,17 @@
 func (c *Command) UnmarshalJSON(raw []byte) error {
 	var w struct {
 		command
-		Do named `json:"do"`
+		Do typedValue `json:"do"`
 	}
 	if err := json.Unmarshal(raw, &w); err != nil {
-		return &FormError{What: "a command", Cause: err}
+		return &FormatError{What: "a command", Cause: err}
 	}
 	v, err := w.Do.unwrap()
 	if err != nil {
 		return err
 	}
 	if _, is := v.Interface().(error); is {
-		return &FormError{What: w.Do.Is + " for a command"}
+		return &FormatError{What: w.Do.Is + " for a command"}
 	}
 	*c = Command(w.command)
 	c.Do = v.Elem().Interface()
@@ -124,8 +124,8 @@
 }
 
 type answer struct {
-	Number uint64 `json:"number,omitempty"`
-	Err    *named `json:"error,omitempty"`
+	Number uint64      `json:"number,omitempty"`
+	Err    *typedValue `json:"error,omitempty"`
 }
 
 // MarshalJSON encodes an answer with the name of the type of its error.
@@ -145,7 +145,7 @@
 func (a *Answer) UnmarshalJSON(raw []byte) error {
 	var w answer
 	if err := json.Unmarshal(raw, &w); err != nil {
-		return &FormError{What: "an answer", Cause: err}
+		return &FormatError{What: "an answer", Cause: err}
 	}
 	*a = Answer{Number: w.Number}
 	if w.Err == nil {
@@ -157,7 +157,7 @@
 	}
 	is, ok := v.Interface().(error)
 	if !ok {
-		return &FormError{What: w.Err.Is + " for an error"}
+		return &FormatError{What: w.Err.Is + " for an error"}
 	}
 	a.Err = is
 	return nil
@@ -167,13 +167,13 @@
 // calendar, which a release without support for it would lose.
 const Version = 2
 
-type saved struct {
+type savedState struct {
 	Version int             `json:"version"`
 	Sum     string          `json:"sum"` // xxhash of State, hexadecimal
 	State   json.RawMessage `json:"state"`
 }
 
-func sum(raw []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(raw)) }
+func checksum(raw []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(raw)) }
 
 // Save writes the state with version and checksum.
 func (s *State) Save(out io.Writer) error {
@@ -181,25 +181,25 @@
 	if err != nil {
 		return err
 	}
-	return json.NewEncoder(out).Encode(saved{Version, sum(raw), raw})
+	return json.NewEncoder(out).Encode(savedState{Version, checksum(raw), raw})
 }
 
 // Load reads a state that Save wrote.
 func Load(in io.Reader) (*State, error) {
-	var w saved
+	var w savedState
 	if err := json.NewDecoder(in).Decode(&w); err != nil {
-		return nil, &FormError{What: "a state", Cause: err}
+		return nil, &FormatError{What: "a state", Cause: err}
 	}
 	if w.Version > Version || w.Version < 1 {
 		return nil, &VersionError{w.Version}
 	}
 	var raw bytes.Buffer
-	if err := json.Compact(&raw, w.State); err != nil || sum(raw.Bytes()) != w.Sum {
-		return nil, &SumError{w.Sum, sum(raw.Bytes())}
+	if err := json.Compact(&raw, w.State); err != nil || checksum(raw.Bytes()) != w.Sum {
+		return nil, &ChecksumError{w.Sum, checksum(raw.Bytes())}
 	}
 	s := New()
 	if err := json.Unmarshal(w.State, s); err != nil {
-		return nil, &FormError{What: "a state", Cause: err}
+		return nil, &FormatError{What: "a state", Cause: err}
 	}
 	return s, nil
 }
@@ -209,12 +209,12 @@
 	dec := json.NewDecoder(in)
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&all); err != nil {
-		return nil, &FormError{What: "the list of budgets", Cause: err}
+		return nil, &FormatError{What: "the list of budgets", Cause: err}
 	}
 	for i, b := range all {
 		known := b.Kind == Door || b.Kind == Backend || b.Kind == Zone && b.Zone == ""
 		if !known || b.MostOut < 0 || b.LeastHere < 0 || b.LeastSize < 0 || b.RestMs < 0 {
-			return nil, &FormError{What: fmt.Sprintf("budget %d (%s)", i+1, worded([]Budget{b}))}
+			return nil, &FormatError{What: fmt.Sprintf("budget %d (%s)", i+1, budgetsJSON([]Budget{b}))}
 		}
 	}
 	return all, nil
--- a/permits/encode_test.go
+++ b/permits/encode_test.go
@@ -16,7 +16,7 @@
 )
 
 // drawCommand draws a random command about a few doors.
-func drawn(t *rapid.T, n int, seq map[string]uint64) Command {
+func drawCommand(t *rapid.T, n int, seq map[string]uint64) Command {
 	i := rapid.IntRange(0, 5).Draw(t, "door")
 	caller := rapid.SampledFrom([]string{"d0", "d1", "d2", "op", "watch"}).Draw(t, "caller")
 	number := rapid.Uint64Range(0, 6).Draw(t, "number")
@@ -28,13 +28,13 @@
 		Lead{"c1", "a", 7}, release.Took{Door: unit(i).Name, Runs: release.Runs{release.Program: "x"}},
 		release.Start{Plan: release.Plan{Name: "r", Changes: release.Program, Digest: strings.Repeat("0", 64), Waves: []release.Wave{{Rest: true}}}, Who: "op"},
 		release.Judged{Number: 1, Verdict: release.Verdict{Says: release.GoOn}}, release.Steer{Name: "r", To: release.ToBack, Who: "op"}, Forget{Door, unit(i).Name, "op", "gone"},
-		Seen{[]Sighting{sight(i, how, life)}}, Seen{[]Sighting{sight(0, Ready, 1), sight(1, Ready, 1), sight(2, Ready, 1), sight(3, Ready, 1)}},
-		Here{sight(i, how, life), number}, Ask{unit(i).Name, Door, "op", "why", 50, uint64(i % 2)}, Confirm{number, life, life * 100}, Withdraw{number},
-		calendar.Clock{Name: fmt.Sprint("c", i%3), WallMs: wallAt + float64(n), Size: 3}, calendar.Plan{Change: drainOf(Door, unit(i).Name, float64(i%2)*5), Who: "ana"},
-		calendar.Plan{Change: releaseOf("r"), Who: "ana"}, calendar.Start{ID: number}, calendar.Halt{ID: number, Who: "op", Why: "x"}, calendar.Resume{ID: number, Who: "op"},
+		Seen{[]Sighting{sighting(i, how, life)}}, Seen{[]Sighting{sighting(0, Ready, 1), sighting(1, Ready, 1), sighting(2, Ready, 1), sighting(3, Ready, 1)}},
+		Here{sighting(i, how, life), number}, Ask{unit(i).Name, Door, "op", "why", 50, uint64(i % 2)}, Confirm{number, life, life * 100}, Withdraw{number},
+		calendar.Clock{Name: fmt.Sprint("c", i%3), WallMs: wallStartMs + float64(n), Size: 3}, calendar.Plan{Change: drainChange(Door, unit(i).Name, float64(i%2)*5), Who: "ana"},
+		calendar.Plan{Change: releaseChange("r"), Who: "ana"}, calendar.Start{ID: number}, calendar.Halt{ID: number, Who: "op", Why: "x"}, calendar.Resume{ID: number, Who: "op"},
 		calendar.RollBack{ID: number, Who: "op", Why: "x"}, calendar.Withdraw{ID: number, Revision: 1, Who: "op"}, calendar.SetRules{Rules: []calendar.Rule{{Subject: calendar.Subject{Scope: calendar.Doors}, Count: 1}}, Who: "bea"},
 		calendar.SetFreeze{Freeze: calendar.Freeze{Name: "f", Subject: calendar.Subject{Scope: calendar.Doors, Names: []string{unit(i).Name}}, Spans: []calendar.Span{window(float64(n), float64(n)+10)}, Sends: calendar.SendsBack, Who: "bea", Why: "x"}},
-		calendar.Thaw{ID: number, Revision: 1, Who: "bea"}, calendar.Migrate{Name: "m", Steps: []calendar.Change{drainOf(Door, unit(i).Name, 0)}, Who: "ana"}, calendar.Revert{ID: number, Who: "ana", Why: "x"},
+		calendar.Thaw{ID: number, Revision: 1, Who: "bea"}, calendar.Migrate{Name: "m", Steps: []calendar.Change{drainChange(Door, unit(i).Name, 0)}, Who: "ana"}, calendar.Revert{ID: number, Who: "ana", Why: "x"},
 		calendar.Restored{Who: "op"}, calendar.Acknowledge{Number: number},
 		WriteOff{number, "op", "gone"}, Halt{Zone: "z0", Who: "op", Why: "x"}, Resume{Zone: "z0", Who: "op"},
 	}).Draw(t, "do")
@@ -49,7 +49,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, seq := New(), New(), map[string]uint64{}
 		for n := range rapid.IntRange(1, 60).Draw(t, "commands") {
-			c := drawn(t, n, seq)
+			c := drawCommand(t, n, seq)
 			raw, err := json.Marshal(c)
 			require.NoError(t, err)
 			var read Command
@@ -95,10 +95,10 @@
 	_, err = Load(strings.NewReader(strings.Replace(whole, `"version":2`, `"version":3`, 1)))
 	require.ErrorAs(t, err, &newer)
 	assert.Contains(t, newer.Remedy(), "newer release")
-	var damaged *SumError
+	var damaged *ChecksumError
 	_, err = Load(strings.NewReader(strings.Replace(whole, `"Next":1`, `"Next":7`, 1)))
 	require.ErrorAs(t, err, &damaged)
-	var form *FormError
+	var form *FormatError
 	_, err = Load(strings.NewReader(whole[:len(whole)/2]))
 	require.ErrorAs(t, err, &form)
 	for _, bad := range []string{`{"do":{"is":"dance"}}`, `{"do":{"is":"denied","of":{}}}`, `{"do":{"is":"ask","of":3}}`, `[]`} {
--- a/permits/errors.go
+++ b/permits/errors.go
@@ -12,7 +12,7 @@
 	Unit    string
 	Budget  Budget
 	Zone    string   // zone for which the budget was counted; empty for the fleet
-	Says    string   // the limit that was exceeded
+	Reason  string   `json:"Says"` // the limit that was exceeded
 	Blocked []string // units that count as out
 }
 
@@ -21,7 +21,7 @@
 	if e.Zone != "" {
 		of = "zone " + e.Zone
 	}
-	return fmt.Sprintf("%s %s stays: %s in %s; out are %s", e.Budget.Kind, e.Unit, e.Says, of, strings.Join(e.Blocked, ", "))
+	return fmt.Sprintf("%s %s stays: %s in %s; out are %s", e.Budget.Kind, e.Unit, e.Reason, of, strings.Join(e.Blocked, ", "))
 }
 func (e *DeniedError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -55,10 +55,10 @@
 // StaleError is a permit that may not be used any more: it was replaced or ended, or its hold has expired.
 type StaleError struct {
 	Number uint64
-	Says   string
+	Reason string `json:"Says"`
 }
 
-func (e *StaleError) Error() string     { return fmt.Sprintf("permit %d: %s", e.Number, e.Says) }
+func (e *StaleError) Error() string     { return fmt.Sprintf("permit %d: %s", e.Number, e.Reason) }
 func (e *StaleError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says what the holder does next.
@@ -95,20 +95,22 @@
 func (e *RepeatError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says that no action is needed.
-func (e *RepeatError) Remedy() string { return "No action is needed: the caller has sent later commands since; query the status." }
+func (e *RepeatError) Remedy() string {
+	return "No action is needed: the caller has sent later commands since; query the status."
+}
 
 // FormatError is a file or message that can't be decoded, or a value that can't be encoded.
-type FormError struct {
+type FormatError struct {
 	What  string
 	Cause error
 }
 
-func (e *FormError) Error() string     { return remedy.Because(e.What+" can't be read", e.Cause) }
-func (e *FormError) Unwrap() error     { return e.Cause }
-func (e *FormError) Kind() remedy.Kind { return remedy.Refused }
+func (e *FormatError) Error() string     { return remedy.Because(e.What+" can't be read", e.Cause) }
+func (e *FormatError) Unwrap() error     { return e.Cause }
+func (e *FormatError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy names the likely causes.
-func (e *FormError) Remedy() string {
+func (e *FormatError) Remedy() string {
 	return "Run coordinators and doors of releases that support it; if all run the same release, the file or the message is damaged."
 }
 
@@ -126,14 +128,14 @@
 }
 
 // ChecksumError is a saved state whose content doesn't match its checksum.
-type SumError struct{ Told, Is string }
+type ChecksumError struct{ Recorded, Computed string }
 
-func (e *SumError) Error() string {
-	return fmt.Sprintf("the state's checksum is %s, the file records %s", e.Is, e.Told)
+func (e *ChecksumError) Error() string {
+	return fmt.Sprintf("the state's checksum is %s, the file records %s", e.Computed, e.Recorded)
 }
-func (e *SumError) Kind() remedy.Kind { return remedy.Configuration }
+func (e *ChecksumError) Kind() remedy.Kind { return remedy.Configuration }
 
 // Remedy says how to recover from the damaged file.
-func (e *SumError) Remedy() string {
+func (e *ChecksumError) Remedy() string {
 	return "Move the file away, start this coordinator without a state so that it copies the state of the others, and check the disk."
 }
--- a/permits/holder.go
+++ b/permits/holder.go
@@ -3,47 +3,47 @@
 import "fmt"
 
 const (
-	lookFor = 1000.0 // ms, maximum from sending a Confirm to acting on its answer
-	early   = 0.8    // share of the hold after which a permit isn't used any more: the clocks of two machines drift
+	confirmTTLMs = 1000.0 // ms, maximum from sending a Confirm to acting on its answer
+	usableShare  = 0.8    // share of the hold after which a permit isn't used any more: the clocks of two machines drift
 )
 
 // PermitHolder is the client side of a permit: it tracks the permit by its own monotonic clock and decides whether the
 // irreversible step may be taken now.
 type Holder struct {
-	Number     uint64
-	askedMs    float64 // own clock when the request was sent
-	holdMs     float64
-	lookedMs   float64 // own clock when the latest Confirm was sent
-	confirmed  bool
-	seq        uint64
-	waitingFor uint64 // sequence number of the only command whose answer counts; 0 for none
+	Number        uint64
+	requestedMs   float64 // own clock when the request was sent
+	holdMs        float64
+	confirmSentMs float64 // own clock when the latest Confirm was sent
+	confirmed     bool
+	seq           uint64
+	pendingSeq    uint64 // sequence number of the only command whose answer counts; 0 for none
 }
 
 // NextSeq returns the sequence number of the next command. Answers to earlier commands are ignored from now on.
 func (h *Holder) Next() uint64 {
 	h.seq++
-	h.waitingFor = h.seq
+	h.pendingSeq = h.seq
 	return h.seq
 }
 
 // RequestSent records that a permit is requested.
 func (h *Holder) Asked(now, holdMs float64) (seq uint64) {
-	*h = Holder{askedMs: now, holdMs: holdMs, seq: h.seq}
+	*h = Holder{requestedMs: now, holdMs: holdMs, seq: h.seq}
 	return h.Next()
 }
 
 // ConfirmSent records that a Confirm is sent.
 func (h *Holder) Looking(now float64) (seq uint64) {
-	h.lookedMs, h.confirmed = now, false
+	h.confirmSentMs, h.confirmed = now, false
 	return h.Next()
 }
 
 // Answered processes an answer and reports whether it was the pending one.
 func (h *Holder) Answered(seq uint64, a Answer) bool {
-	if seq != h.waitingFor {
+	if seq != h.pendingSeq {
 		return false
 	}
-	h.waitingFor = 0
+	h.pendingSeq = 0
 	if a.Err != nil {
 		return true
 	}
@@ -56,10 +56,12 @@
 }
 
 // Fresh reports whether the permit may still be used by the holder's own clock.
-func (h *Holder) Fresh(now float64) bool { return now-h.askedMs <= early*h.holdMs }
+func (h *Holder) Fresh(now float64) bool { return now-h.requestedMs <= usableShare*h.holdMs }
 
 // Deadline returns the clock time until which the step may be taken after the latest Confirm.
-func (h *Holder) Until() float64 { return min(h.lookedMs+lookFor, h.askedMs+early*h.holdMs) }
+func (h *Holder) Until() float64 {
+	return min(h.confirmSentMs+confirmTTLMs, h.requestedMs+usableShare*h.holdMs)
+}
 
 // MayGo reports whether the step may be taken now. A holder that was suspended after its Confirm must confirm again.
 func (h *Holder) MayGo(now float64) bool {
@@ -70,7 +72,7 @@
 func (h *Holder) Drop() { *h = Holder{seq: h.seq} }
 
 // PendingSeq returns the sequence number of the command whose answer is pending; 0 for none.
-func (h *Holder) Waiting() uint64 { return h.waitingFor }
+func (h *Holder) Waiting() uint64 { return h.pendingSeq }
 
 // CallerName returns the caller name under which a process of a unit sends commands.
 func Caller(unit string, process uint64) string { return fmt.Sprintf("%s/%x", unit, process) }
--- a/permits/keeper.go
+++ b/permits/keeper.go
@@ -10,39 +10,39 @@
 // service and back as drains require. It has one post outstanding at a time and ignores answers to earlier ones. Without
 // coordinators it keeps the last state that it received; a door that is out can be brought back by hand.
 type Keeper struct {
-	unit    Unit
-	fresh   func() uint64 // returns a new process number; each return to service begins another process
-	process uint64
-	life    uint64 // 0 until it is assigned
-	h       Holder
-	ready   bool
-	away    []string
-	list    []Sighting // of backends
-	counts  *release.Counts
-	sent    map[string]release.Counts // by backend
-	full    bool                      // reports are to include the list of backends
-	change  uint64                    // latest change received
-	did     uint64                    // latest change applied
-	held    []string
-	order   *Order
-	undone  []uint64 // drains ended by hand that the coordinators don't know to be ended yet
-	epoch   uint64   // of the coordinators' state
-	stage   stage
-	saidMs  float64
-	asking
-	dirty  bool // there is news to report
-	until  float64
-	denied float64 // clock before which no permit is requested again
+	unit         Unit
+	newProcess   func() uint64 // returns a new process number; each return to service begins another process
+	process      uint64
+	incarnation  uint64 // 0 until it is assigned
+	holder       Holder
+	ready        bool
+	away         []string
+	backends     []Sighting // of backends
+	counts       *release.Counts
+	byBackend    map[string]release.Counts // by backend
+	sendBackends bool                      // reports are to include the list of backends
+	change       uint64                    // latest change received
+	applied      uint64                    // latest change applied
+	withheld     []string
+	order        *Order
+	endedByHand  []uint64 // drains ended by hand that the coordinators don't know to be ended yet
+	epoch        uint64   // of the coordinators' state
+	stage        agentStage
+	lastReportMs float64
+	outstanding
+	dirty     bool // there is news to report
+	until     float64
+	retryAtMs float64 // clock before which no permit is requested again
 }
 
-type stage uint8
+type agentStage uint8
 
 const (
-	serving  stage = iota
-	stepping       // a SetOut was issued and its result is pending
-	out            // out by a drain
-	leaving        // the process is terminating
-	ended          // all accepted requests are finished
+	serving      agentStage = iota
+	goingOut                // a SetOut was issued and its result is pending
+	outOfService            // out by a drain
+	terminating             // the process is terminating
+	terminated              // all accepted requests are finished
 )
 
 // Events of a DoorAgent.
@@ -107,24 +107,24 @@
 )
 
 const (
-	sayEvery = 1000.0 // ms between reports
-	sayLeast = 100.0  // minimum ms between reports if there is news
-	holdFor  = 30e3   // ms for which a door's permit may be used
-	denyRest = 1000.0 // ms after a denial before a permit is requested again
+	reportEveryMs   = 1000.0 // ms between reports
+	minReportGapMs  = 100.0  // minimum ms between reports if there is news
+	permitHoldMs    = 30e3   // ms for which a door's permit may be used
+	denialBackoffMs = 1000.0 // ms after a denial before a permit is requested again
 	// TickEvery is the interval at which a DoorAgent or ReleaseAgent expects a Tick, in ms.
 	TickEvery = 50
 )
 
 // NewDoorAgent returns the agent of a door that starts. newProcess draws process numbers that are unique.
 func NewKeeper(unit Unit, fresh func() uint64) *Keeper {
-	return &Keeper{unit: unit, fresh: fresh, process: fresh()}
+	return &Keeper{unit: unit, newProcess: fresh, process: fresh()}
 }
 
 // Out reports whether the door is out by a drain, and the number of its permit.
-func (k *Keeper) Out() (number uint64, is bool) { return k.h.Number, k.stage == out }
+func (k *Keeper) Out() (number uint64, is bool) { return k.holder.Number, k.stage == outOfService }
 
 // Withheld lists the backends that the door has to withhold.
-func (k *Keeper) Held() []string { return k.held }
+func (k *Keeper) Held() []string { return k.withheld }
 
 // Order returns the drain that is in force for the door; nil for none.
 func (k *Keeper) Order() *Order { return k.order }
@@ -135,130 +135,130 @@
 func (k *Keeper) Step(now float64, e any) (do []any) {
 	switch e := e.(type) {
 	case Replied:
-		if w := k.over(e.Seq); w != nil && w.Word != nil {
-			do = append(do, k.heard(w.Word, &e.Reply)...)
+		if w := k.complete(e.Seq); w != nil && w.Word != nil {
+			do = append(do, k.handleReply(w.Word, &e.Reply)...)
 		}
 	case Answered:
-		if w := k.over(e.Seq); w != nil {
-			k.answered(now, w, e)
+		if w := k.complete(e.Seq); w != nil {
+			k.handleAnswer(now, w, e)
 		}
 	case Unanswered: // sent again after retryAfterMs
 	case Stands:
 		if k.ready != e.Ready || !slices.Equal(k.away, e.Away) {
 			k.dirty = true
 		}
-		k.ready, k.away, k.list, k.counts, k.sent = e.Ready, e.Away, e.Backends, e.Counts, e.ByBackend
+		k.ready, k.away, k.backends, k.counts, k.byBackend = e.Ready, e.Away, e.Backends, e.Counts, e.ByBackend
 	case Did:
-		if e.Change > k.did {
-			k.did, k.dirty = e.Change, true
+		if e.Change > k.applied {
+			k.applied, k.dirty = e.Change, true
 		}
 	case Stepped:
-		if k.stage == stepping {
+		if k.stage == goingOut {
 			if k.stage = serving; e.Done {
-				k.stage, k.dirty = out, true
+				k.stage, k.dirty = outOfService, true
 			}
 		}
 	case ByHand:
 		if k.order != nil {
-			k.undone = append(k.undone, k.order.Number)
+			k.endedByHand = append(k.endedByHand, k.order.Number)
 		}
 		k.order, k.dirty = nil, true
-		if len(k.held) > 0 {
-			k.held = nil
+		if len(k.withheld) > 0 {
+			k.withheld = nil
 			do = append(do, Withhold{nil, 0})
 		}
 	case Leave:
-		if k.stage != ended {
-			k.stage, k.dirty, k.saidMs = leaving, true, 0
+		if k.stage != terminated {
+			k.stage, k.dirty, k.lastReportMs = terminating, true, 0
 		}
 	case Left:
-		k.stage, k.dirty, k.saidMs = ended, true, 0
+		k.stage, k.dirty, k.lastReportMs = terminated, true, 0
 	}
 	return append(do, k.act(now)...)
 }
 
-func (k *Keeper) heard(told *Word, r *Reply) (do []any) {
-	if r.Life != k.life { // another process of this name has registered, or the coordinators have lost their state
-		k.life = 0
+func (k *Keeper) handleReply(sent *Word, r *Reply) (do []any) {
+	if r.Life != k.incarnation { // another process of this name has registered, or the coordinators have lost their state
+		k.incarnation = 0
 		return nil
 	}
-	k.full = r.Full
-	k.undone = slices.DeleteFunc(k.undone, func(n uint64) bool { return slices.Contains(told.Undone, n) })
-	if k.order = r.Order; k.order != nil && (k.stage >= leaving || slices.Contains(k.undone, k.order.Number)) {
+	k.sendBackends = r.Full
+	k.endedByHand = slices.DeleteFunc(k.endedByHand, func(n uint64) bool { return slices.Contains(sent.Undone, n) })
+	if k.order = r.Order; k.order != nil && (k.stage >= terminating || slices.Contains(k.endedByHand, k.order.Number)) {
 		k.order = nil
 	}
 	if r.Epoch != k.epoch { // a new state, as after the loss of all coordinators: earlier changes don't count
-		k.epoch, k.change, k.did, k.held = r.Epoch, 0, 0, nil
+		k.epoch, k.change, k.applied, k.withheld = r.Epoch, 0, 0, nil
 	} else if r.Change < k.change {
 		return nil
 	}
-	if r.Change > k.change || !slices.Equal(r.Withheld, k.held) {
-		k.change, k.held = r.Change, r.Withheld
+	if r.Change > k.change || !slices.Equal(r.Withheld, k.withheld) {
+		k.change, k.withheld = r.Change, r.Withheld
 		do = append(do, Withhold{slices.Clone(r.Withheld), r.Change})
 	}
 	return do
 }
 
-func (k *Keeper) answered(now float64, asked *Post, e Answered) {
-	if _, began := asked.Do.(Begin); began {
+func (k *Keeper) handleAnswer(now float64, sent *Post, e Answered) {
+	if _, began := sent.Do.(Begin); began {
 		if e.Answer.Err == nil {
-			k.life = e.Answer.Number
+			k.incarnation = e.Answer.Number
 		}
 		k.dirty = true
 		return
 	}
-	k.h.Answered(e.Seq, e.Answer)
+	k.holder.Answered(e.Seq, e.Answer)
 	if e.Answer.Err != nil {
-		k.h.Drop()
-		k.denied, k.dirty = now+denyRest, true
+		k.holder.Drop()
+		k.retryAtMs, k.dirty = now+denialBackoffMs, true
 	}
 }
 
 // act returns the next actions for the agent's state, with at most one new post.
 func (k *Keeper) act(now float64) (do []any) {
-	if k.stage == out && k.order == nil { // the return to service needs no permit and waits for no answer
+	if k.stage == outOfService && k.order == nil { // the return to service needs no permit and waits for no answer
 		k.stage, k.dirty = serving, true
-		k.h.Drop()
-		k.process, k.life = k.fresh(), 0
-		return []any{Aside{Out: false}, k.post(now, k.h.Next(), nil, Begin{k.unit, k.process})}
+		k.holder.Drop()
+		k.process, k.incarnation = k.newProcess(), 0
+		return []any{Aside{Out: false}, k.post(now, k.holder.Next(), nil, Begin{k.unit, k.process})}
 	}
-	again, lost, busy := k.due(now)
+	resend, abandoned, busy := k.poll(now)
 	switch {
-	case again != nil:
-		return []any{*again}
+	case resend != nil:
+		return []any{*resend}
 	case busy:
 		return nil
-	case lost != nil:
-		if _, command := lost.Do.(Begin); !command && lost.Word == nil {
-			k.h.Drop()
-			k.denied = now + denyRest
+	case abandoned != nil:
+		if _, command := abandoned.Do.(Begin); !command && abandoned.Word == nil {
+			k.holder.Drop()
+			k.retryAtMs = now + denialBackoffMs
 		}
 		k.dirty = true
 	}
-	if k.life == 0 && k.stage < leaving {
-		return []any{k.post(now, k.h.Next(), nil, Begin{k.unit, k.process})}
+	if k.incarnation == 0 && k.stage < terminating {
+		return []any{k.post(now, k.holder.Next(), nil, Begin{k.unit, k.process})}
 	}
 	switch {
-	case k.stage == serving && k.h.Number != 0 && k.order == nil: // the drain ended before the door went out
-		k.h.Drop()
+	case k.stage == serving && k.holder.Number != 0 && k.order == nil: // the drain ended before the door went out
+		k.holder.Drop()
 		k.dirty = true
-	case k.stage == serving && k.order != nil && k.ready && now >= k.denied && k.life != 0:
-		if k.h.Number != 0 && !k.h.Fresh(now) {
-			k.h.Drop()
+	case k.stage == serving && k.order != nil && k.ready && now >= k.retryAtMs && k.incarnation != 0:
+		if k.holder.Number != 0 && !k.holder.Fresh(now) {
+			k.holder.Drop()
 		}
 		switch {
-		case k.h.Number == 0:
-			return []any{k.post(now, k.h.Asked(now, holdFor), nil, Ask{Unit: k.unit.Name, Kind: k.unit.Kind, Who: k.order.Who, Why: k.order.Why, HoldMs: holdFor})}
-		case k.h.MayGo(now):
-			k.stage = stepping
-			return []any{Aside{true, k.h.Until(), k.h.Number, k.order.Why}}
+		case k.holder.Number == 0:
+			return []any{k.post(now, k.holder.Asked(now, permitHoldMs), nil, Ask{Unit: k.unit.Name, Kind: k.unit.Kind, Who: k.order.Who, Why: k.order.Why, HoldMs: permitHoldMs})}
+		case k.holder.MayGo(now):
+			k.stage = goingOut
+			return []any{Aside{true, k.holder.Until(), k.holder.Number, k.order.Why}}
 		default:
-			return []any{k.post(now, k.h.Looking(now), nil, Confirm{k.h.Number, k.life, k.process})}
+			return []any{k.post(now, k.holder.Looking(now), nil, Confirm{k.holder.Number, k.incarnation, k.process})}
 		}
 	}
-	if since := now - k.saidMs; k.life != 0 && (since >= sayEvery || k.dirty && since >= sayLeast) {
-		k.saidMs, k.dirty = now, false
-		return []any{k.post(now, k.h.Next(), k.word(), nil)}
+	if since := now - k.lastReportMs; k.incarnation != 0 && (since >= reportEveryMs || k.dirty && since >= minReportGapMs) {
+		k.lastReportMs, k.dirty = now, false
+		return []any{k.post(now, k.holder.Next(), k.report(), nil)}
 	}
 	return nil
 }
@@ -267,22 +267,22 @@
 	if w != nil {
 		w.Seq = seq
 	}
-	return k.ask(now, Post{Seq: seq, Caller: k.caller(), Word: w, Do: command})
+	return k.send(now, Post{Seq: seq, Caller: k.caller(), Word: w, Do: command})
 }
 
-func (k *Keeper) word() *Word {
-	s := Sighting{Unit: k.unit, Life: k.life, Process: k.process, Did: k.did, Standing: Starting}
+func (k *Keeper) report() *Word {
+	s := Sighting{Unit: k.unit, Life: k.incarnation, Process: k.process, Did: k.applied, Standing: Starting}
 	switch {
-	case k.stage == ended:
+	case k.stage == terminated:
 		s.Standing = Ended
-	case k.stage == leaving:
+	case k.stage == terminating:
 		s.Standing = Failed
 	case k.stage == serving && k.ready:
 		s.Standing = Ready
 	}
-	w := &Word{Caller: k.caller(), Sighting: s, Holds: k.h.Number, Away: k.away, Undone: slices.Clone(k.undone), Counts: k.counts}
-	if k.full {
-		w.Backends, w.Sent = k.list, k.sent
+	w := &Word{Caller: k.caller(), Sighting: s, Holds: k.holder.Number, Away: k.away, Undone: slices.Clone(k.endedByHand), Counts: k.counts}
+	if k.sendBackends {
+		w.Backends, w.Sent = k.backends, k.byBackend
 	}
 	return w
 }
--- a/permits/orders.go
+++ b/permits/orders.go
@@ -12,14 +12,14 @@
 // This file implements drains: how units are ordered out of service and how they come back.
 
 // sortedPermits lists the permits by number. Map order is random, and every coordinator must process them in the same order.
-func (s *State) sorted() (all []*Permit) {
+func (s *State) sortedPermits() (all []*Permit) {
 	for _, n := range slices.Sorted(maps.Keys(s.Permits)) {
 		all = append(all, s.Permits[n])
 	}
 	return all
 }
 
-func worded(budgets []Budget) string {
+func budgetsJSON(budgets []Budget) string {
 	raw, _ := json.Marshal(budgets)
 	return string(raw)
 }
@@ -27,7 +27,7 @@
 // begin registers a process and assigns its incarnation. A retry by the same process, such as after its answer was lost for longer
 // than callerTTLMs, assigns another one: incarnations only grow.
 func (s *State) begin(d Begin) Answer {
-	k := key(d.Unit.Kind, d.Unit.Name)
+	k := unitKey(d.Unit.Kind, d.Unit.Name)
 	u := s.Units[k]
 	if u == nil {
 		u = &Known{}
@@ -42,31 +42,31 @@
 	if d.Kind == Zone {
 		return s.drainZone(c, d)
 	}
-	u := s.Units[key(d.Kind, d.Name)]
+	u := s.Units[unitKey(d.Kind, d.Name)]
 	if u == nil {
 		return Answer{Err: &UnknownError{fmt.Sprintf("%s %s", d.Kind, d.Name)}}
 	}
-	if p := s.of(d.Kind, d.Name); p != nil {
+	if p := s.permitOf(d.Kind, d.Name); p != nil {
 		return Answer{Err: &TakenError{d.Name, p.Number, p.Who}}
 	}
-	if err := s.mayGo(&u.Unit, "", true); err != nil {
+	if err := s.checkOutage(&u.Unit, "", true); err != nil {
 		return Answer{Err: err}
 	}
 	s.Change++
-	return Answer{Number: s.order(c, d, &u.Unit, "").Number}
+	return Answer{Number: s.placeOrder(c, d, &u.Unit, "").Number}
 }
 
 // placeOrder takes a unit's place in the budgets for a drain. A backend counts as out from now on, since any door may already
 // withhold it.
-func (s *State) order(c *Command, d Drain, u *Unit, of string) *Permit {
-	p := &Permit{Number: s.Next, Unit: *u, Who: d.Who, Why: d.Why, AtMs: s.NowMs, Order: true, Of: of, UntilMs: d.UntilMs, Change: s.Change, Release: d.Release}
+func (s *State) placeOrder(c *Command, d Drain, u *Unit, zone string) *Permit {
+	p := &Permit{Number: s.Next, Unit: *u, Who: d.Who, Why: d.Why, AtMs: s.NowMs, Order: true, Of: zone, UntilMs: d.UntilMs, Change: s.Change, Release: d.Release}
 	if u.Kind == Backend {
 		p.Stage, p.Caller = Out, c.Caller
 	}
 	s.Next++
 	s.Permits[p.Number] = p
-	s.LastMs[key(u.Kind, u.Zone)] = s.NowMs
-	s.note(p.Number, fmt.Sprintf("drain of %s %s", u.Kind, u.Name), d.Who, d.Why)
+	s.LastMs[unitKey(u.Kind, u.Zone)] = s.NowMs
+	s.audit(p.Number, fmt.Sprintf("drain of %s %s", u.Kind, u.Name), d.Who, d.Why)
 	return p
 }
 
@@ -75,7 +75,7 @@
 	var units []*Known
 	for _, k := range slices.Sorted(maps.Keys(s.Units)) {
 		if u := s.Units[k]; u.Zone == d.Name {
-			if p := s.of(u.Kind, u.Name); p != nil && p.Of == d.Name && !p.Over {
+			if p := s.permitOf(u.Kind, u.Name); p != nil && p.Of == d.Name && !p.Over {
 				return Answer{Err: &TakenError{"zone " + d.Name, p.Number, p.Who}}
 			} else if p == nil {
 				units = append(units, u)
@@ -86,14 +86,14 @@
 		return Answer{Err: &UnknownError{"zone " + d.Name}}
 	}
 	for _, u := range units { // a halt of one kind also applies to zones
-		if err := s.mayGo(&u.Unit, d.Name, true); err != nil {
+		if err := s.checkOutage(&u.Unit, d.Name, true); err != nil {
 			return Answer{Err: err}
 		}
 	}
 	s.Change++
 	var first uint64
 	for _, u := range units {
-		if n := s.order(c, d, &u.Unit, d.Name).Number; first == 0 {
+		if n := s.placeOrder(c, d, &u.Unit, d.Name).Number; first == 0 {
 			first = n
 		}
 	}
@@ -102,64 +102,64 @@
 
 // checkZoneOutage returns what keeps a whole zone from going out: the budget of zones, or the minimum of ready units in the
 // fleet. The maximum of units out doesn't apply, since a zone exceeds any such budget.
-func (s *State) zoneMayGo(zone string, fresh bool) error {
-	bound := false
+func (s *State) checkZoneOutage(zone string, fresh bool) error {
+	limited := false
 	for _, b := range s.Budgets {
 		b := b
 		switch {
 		case b.Kind == Zone:
-			bound = true
+			limited = true
 			if out := s.zonesOut(zone); len(out)+1 > b.MostOut {
 				return &DeniedError{zone, b, "", fmt.Sprintf("%d of %d zones are out already", len(out), b.MostOut), orNone(out)}
 			}
 		case b.Zone == "":
-			here, size := 0, 0.0
+			ready, size := 0, 0.0
 			var out []string
 			for _, k := range slices.Sorted(maps.Keys(s.Units)) {
 				u := s.Units[k]
 				switch {
 				case u.Kind != b.Kind || u.Zone == zone:
-				case s.out(u):
+				case s.isOut(u):
 					out = append(out, u.Name)
 				default:
-					here, size = here+1, size+u.Size
+					ready, size = ready+1, size+u.Size
 				}
 			}
-			if here < b.LeastHere {
-				return &DeniedError{zone, b, "", fmt.Sprintf("%d %ss would be here, at least %d must be", here, b.Kind, b.LeastHere), orNone(out)}
+			if ready < b.LeastHere {
+				return &DeniedError{zone, b, "", fmt.Sprintf("%d %ss would be here, at least %d must be", ready, b.Kind, b.LeastHere), orNone(out)}
 			}
 			if size < b.LeastSize {
 				return &DeniedError{zone, b, "", fmt.Sprintf("a size of %g would be here, at least %g must be", size, b.LeastSize), orNone(out)}
 			}
 		}
 	}
-	if !bound && fresh {
-		return &DeniedError{Unit: zone, Budget: Budget{Kind: Zone}, Says: "no budget for zones is set", Blocked: orNone(nil)}
+	if !limited && fresh {
+		return &DeniedError{Unit: zone, Budget: Budget{Kind: Zone}, Reason: "no budget for zones is set", Blocked: orNone(nil)}
 	}
 	return nil
 }
 
 // zonesOut lists the other zones that are out: drained as a whole, or without any ready unit of one of their kinds.
-func (s *State) zonesOut(but string) (out []string) {
-	here, drained := map[string]map[Kind]int{}, map[string]bool{}
+func (s *State) zonesOut(except string) (out []string) {
+	ready, drained := map[string]map[Kind]int{}, map[string]bool{}
 	for _, u := range s.Units {
-		if here[u.Zone] == nil {
-			here[u.Zone] = map[Kind]int{}
+		if ready[u.Zone] == nil {
+			ready[u.Zone] = map[Kind]int{}
 		}
-		here[u.Zone][u.Kind] += 0 // records that the zone has this kind, even if all its units are out
-		if !s.out(u) {
-			here[u.Zone][u.Kind]++
+		ready[u.Zone][u.Kind] += 0 // records that the zone has this kind, even if all its units are out
+		if !s.isOut(u) {
+			ready[u.Zone][u.Kind]++
 		}
 	}
 	for _, p := range s.Permits {
 		drained[p.Of] = drained[p.Of] || p.Of != ""
 	}
-	for _, z := range slices.Sorted(maps.Keys(here)) {
+	for _, z := range slices.Sorted(maps.Keys(ready)) {
 		lost := drained[z]
-		for _, n := range here[z] {
+		for _, n := range ready[z] {
 			lost = lost || n == 0
 		}
-		if z != but && lost {
+		if z != except && lost {
 			out = append(out, z)
 		}
 	}
@@ -167,60 +167,60 @@
 }
 
 func (s *State) undrain(d Undrain) Answer {
-	var of []*Permit
-	for _, p := range s.sorted() {
+	var drains []*Permit
+	for _, p := range s.sortedPermits() {
 		if p.Order && !p.Over && (d.Kind == Zone && p.Of == d.Name || d.Kind == p.Unit.Kind && p.Unit.Name == d.Name) {
-			of = append(of, p)
+			drains = append(drains, p)
 		}
 	}
-	if len(of) == 0 {
+	if len(drains) == 0 {
 		return Answer{Err: &UnknownError{fmt.Sprintf("a drain of %s %s", d.Kind, d.Name)}}
 	}
 	s.Change++
-	for _, p := range of {
-		s.end(p, d.Who, d.Why)
+	for _, p := range drains {
+		s.endOrder(p, d.Who, d.Why)
 	}
-	return Answer{Number: of[0].Number}
+	return Answer{Number: drains[0].Number}
 }
 
 // endOrder ends a drain. A door that has not confirmed its permit can't go out any more, so its place is free.
-func (s *State) end(p *Permit, who, why string) {
+func (s *State) endOrder(p *Permit, who, why string) {
 	p.Over, p.Change = true, s.Change
-	s.note(p.Number, fmt.Sprintf("undrain of %s %s", p.Unit.Kind, p.Unit.Name), who, why)
+	s.audit(p.Number, fmt.Sprintf("undrain of %s %s", p.Unit.Kind, p.Unit.Name), who, why)
 	if p.Unit.Kind == Door && p.Stage == Granted {
-		s.free(p, "not used")
+		s.freePlace(p, "not used")
 	}
 }
 
 // expire ends the drains whose end time has come; that frees no place. A permit that was granted and not confirmed within its hold
 // can't be used any more, because its Confirm would be refused: nothing went out by it, so its place becomes free. Otherwise a
 // process that ended between request and Confirm would occupy a place for ever.
-func (s *State) lapse() {
-	for _, p := range s.sorted() {
+func (s *State) expire() {
+	for _, p := range s.sortedPermits() {
 		if !p.Order && p.Stage == Granted && s.NowMs-p.AtMs > p.HoldMs {
-			s.free(p, "never used")
+			s.freePlace(p, "never used")
 			continue
 		}
 		if p.Order && !p.Over && p.UntilMs > 0 && s.WallMs >= p.UntilMs {
 			s.Change++
-			s.end(p, p.Who, "its time is over")
+			s.endOrder(p, p.Who, "its time is over")
 		}
 	}
 }
 
 // returnUnused frees the place of a permit that its own holder doesn't use. A drain stays in force.
-func (s *State) unused(p *Permit) {
+func (s *State) returnUnused(p *Permit) {
 	if p.Order && !p.Over {
 		p.Caller, p.Stage = "", Granted
 		return
 	}
-	s.free(p, "not used")
+	s.freePlace(p, "not used")
 }
 
 // freeIfBack frees a backend's place once the fleet list shows it ready and warm and every running door has stopped withholding it.
-func (s *State) backAgain(p *Permit) {
-	u := s.Units[key(Backend, p.Unit.Name)]
-	if !p.Over || u == nil || u.Standing != Ready || s.NowMs-u.AtMs > sightFor {
+func (s *State) freeIfBack(p *Permit) {
+	u := s.Units[unitKey(Backend, p.Unit.Name)]
+	if !p.Over || u == nil || u.Standing != Ready || s.NowMs-u.AtMs > sightingTTLMs {
 		return
 	}
 	doors := 0
@@ -233,13 +233,13 @@
 		}
 	}
 	if doors > 0 {
-		s.free(p, "back")
+		s.freePlace(p, "back")
 	}
 }
 
 // Withheld lists the backends to which no door may send new attempts, and the change to which the list belongs.
 func (s *State) Withheld() (names []string, change uint64) {
-	for _, p := range s.sorted() {
+	for _, p := range s.sortedPermits() {
 		if p.Unit.Kind == Backend && p.Order && !p.Over {
 			names = append(names, p.Unit.Name)
 		}
@@ -259,30 +259,30 @@
 }
 
 // DryRun returns the units that a drain would take out and the error that blocks it, without changing anything.
-func (s *State) Try(k Kind, name string) (would []string, inTheWay error) {
-	var of []*Known
+func (s *State) Try(k Kind, name string) (units []string, obstacle error) {
+	var states []*Known
 	for _, id := range slices.Sorted(maps.Keys(s.Units)) {
-		if u := s.Units[id]; k == Zone && u.Zone == name && s.of(u.Kind, u.Name) == nil || u.Kind == k && u.Name == name {
-			of = append(of, u)
-			would = append(would, id)
+		if u := s.Units[id]; k == Zone && u.Zone == name && s.permitOf(u.Kind, u.Name) == nil || u.Kind == k && u.Name == name {
+			states = append(states, u)
+			units = append(units, id)
 		}
 	}
-	if len(of) == 0 {
+	if len(states) == 0 {
 		return nil, &UnknownError{fmt.Sprintf("%s %s", k, name)}
 	}
-	if p := s.of(k, name); p != nil {
-		return would, &TakenError{name, p.Number, p.Who}
+	if p := s.permitOf(k, name); p != nil {
+		return units, &TakenError{name, p.Number, p.Who}
 	}
 	zone := ""
 	if k == Zone {
 		zone = name
 	}
-	for _, u := range of {
-		if err := s.mayGo(&u.Unit, zone, true); err != nil {
-			return would, err
+	for _, u := range states {
+		if err := s.checkOutage(&u.Unit, zone, true); err != nil {
+			return units, err
 		}
 	}
-	return would, nil
+	return units, nil
 }
 
 // Places returns the permits that occupy a place, by number.
@@ -297,15 +297,15 @@
 			continue
 		}
 		who := "release " + r.Name
-		for _, b := range s.Release.Due(r) {
-			u := s.Units[key(Backend, b)]
-			if u != nil && s.of(Backend, b) == nil && s.mayGo(&u.Unit, "", true) == nil {
+		for _, b := range s.Release.DueBackends(r) {
+			u := s.Units[unitKey(Backend, b)]
+			if u != nil && s.permitOf(Backend, b) == nil && s.checkOutage(&u.Unit, "", true) == nil {
 				do = append(do, Drain{Kind: Backend, Name: b, Who: who, Why: "to be replaced", Release: r.Number})
 				return do // one at a time: the next is checked against the budget that this one leaves
 			}
 		}
-		for _, p := range s.sorted() {
-			u := s.Units[key(Backend, p.Unit.Name)]
+		for _, p := range s.sortedPermits() {
+			u := s.Units[unitKey(Backend, p.Unit.Name)]
 			if p.Release != r.Number || p.Over || p.Unit.Kind != Backend || u == nil {
 				continue
 			}
--- a/permits/orders_test.go
+++ b/permits/orders_test.go
@@ -9,10 +9,10 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-func backendOf(name, zone string) Unit { return Unit{Kind: Backend, Name: name, Zone: zone, Size: 1} }
+func backendUnit(name, zone string) Unit { return Unit{Kind: Backend, Name: name, Zone: zone, Size: 1} }
 
 // newSiteWithBackends returns a site with doors and three backends, one of which may be out.
-func withBackends(doors int) *site {
+func newSiteWithBackends(doors int) *site {
 	s := newSite(doors)
 	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2}, {Kind: Backend, MostOut: 1, LeastHere: 2}, {Kind: Zone, MostOut: 1}}})
 	for _, n := range []string{"b0", "b1", "b2"} {
@@ -22,28 +22,28 @@
 }
 
 func (s *site) backend(name string, how Standing) {
-	s.do("watch", Seen{[]Sighting{{Unit: backendOf(name, "z"+name[1:]), Standing: how, Process: 5}}})
+	s.do("watch", Seen{[]Sighting{{Unit: backendUnit(name, "z"+name[1:]), Standing: how, Process: 5}}})
 }
 
-func (s *site) did(i int, change uint64) {
-	g := sight(i, Ready, 1)
+func (s *site) confirmChange(i int, change uint64) {
+	g := sighting(i, Ready, 1)
 	g.Did = change
 	s.do("watch", Seen{[]Sighting{g}})
 }
 
 func TestDrainedBackendIsOutUntilEveryDoorConfirmsUndrain(t *testing.T) {
-	s := withBackends(3)
+	s := newSiteWithBackends(3)
 	a := s.do("op", Drain{Kind: Backend, Name: "b0", Who: "ana", Why: "disk"})
 	require.NoError(t, a.Err)
 	held, change := s.Withheld()
 	assert.Equal(t, []string{"b0"}, held)
 	assert.Equal(t, []string{"d0", "d1", "d2"}, s.Waiting(s.Permits[a.Number]))
-	s.did(0, change)
-	s.did(1, change)
+	s.confirmChange(0, change)
+	s.confirmChange(1, change)
 	assert.Equal(t, []string{"d2"}, s.Waiting(s.Permits[a.Number]))
-	s.seen(2, Failed, 1)
+	s.recordSighting(2, Failed, 1)
 	assert.Equal(t, []string{"d2"}, s.Waiting(s.Permits[a.Number]), "a failed door may still send")
-	s.seen(2, Ended, 1)
+	s.recordSighting(2, Ended, 1)
 	assert.Empty(t, s.Waiting(s.Permits[a.Number]), "it reported its own termination")
 	var denied *DeniedError
 	require.ErrorAs(t, s.do("op", Drain{Kind: Backend, Name: "b1", Who: "bea"}).Err, &denied)
@@ -57,9 +57,9 @@
 	assert.Empty(t, held)
 	s.backend("b0", Ready)
 	assert.Error(t, s.do("op", Drain{Kind: Backend, Name: "b1"}).Err, "no door has confirmed the undrain yet")
-	s.did(0, change)
+	s.confirmChange(0, change)
 	assert.Error(t, s.do("op", Drain{Kind: Backend, Name: "b1"}).Err)
-	s.did(1, change)
+	s.confirmChange(1, change)
 	assert.Empty(t, s.Permits)
 	require.NoError(t, s.do("op", Drain{Kind: Backend, Name: "b1"}).Err)
 	assert.Error(t, s.do("op", Undrain{Backend, "b0", "ana", ""}).Err, "the drain has ended already")
@@ -71,18 +71,18 @@
 	assert.Error(t, s.ask(2).Err, "the drain occupies the place")
 	assert.Equal(t, n, s.ask(0).Number, "the permit of its drain")
 	require.NoError(t, s.confirm(0, n).Err)
-	s.do("d0", Here{sight(0, Starting, 1), n})
-	s.seen(0, Ready, 2)
+	s.do("d0", Here{sighting(0, Starting, 1), n})
+	s.recordSighting(0, Ready, 2)
 	assert.Len(t, s.Permits, 1, "a restart during the drain doesn't end it")
-	s.do("d0", Here{sight(0, Ready, 2), 0})
+	s.do("d0", Here{sighting(0, Ready, 2), 0})
 	assert.Equal(t, Granted, s.Permits[n].Stage, "it reports that it doesn't use the permit; the drain stays in force")
 	require.NoError(t, s.ask(0).Err)
 	require.NoError(t, s.do("d0", Confirm{n, 2, 200}).Err)
 	require.NoError(t, s.do("op", Undrain{Door, "d0", "ana", ""}).Err)
 	assert.Error(t, s.do("d0", Confirm{n, 2, 200}).Err, "the drain has ended")
-	s.seen(0, Ready, 2)
+	s.recordSighting(0, Ready, 2)
 	assert.Len(t, s.Permits, 1, "the process that may have gone out")
-	s.seen(0, Ready, 3)
+	s.recordSighting(0, Ready, 3)
 	assert.Empty(t, s.Permits)
 
 	n = s.do("op", Drain{Kind: Door, Name: "d0"}).Number
@@ -100,7 +100,7 @@
 	assert.False(t, s.Permits[n].Over)
 	s.Apply(Command{Caller: "x", Seq: 2, WallMs: 5000, Do: Seen{}})
 	assert.True(t, s.Permits[n].Over)
-	assert.Nil(t, s.Reply(&Word{Sighting: sight(0, Starting, 1)}, false).Order)
+	assert.Nil(t, s.Reply(&Word{Sighting: sighting(0, Starting, 1)}, false).Order)
 }
 
 func TestUnconfirmedPermitExpiresAfterItsHold(t *testing.T) {
@@ -109,10 +109,10 @@
 	went := s.ask(1).Number
 	require.NoError(t, s.confirm(1, went).Err)
 	s.now += 10e3 // exactly its hold
-	s.seen(2, Ready, 1)
+	s.recordSighting(2, Ready, 1)
 	assert.Len(t, s.Permits, 2)
 	s.now++
-	s.seen(2, Ready, 1)
+	s.recordSighting(2, Ready, 1)
 	assert.NotContains(t, s.Permits, n)
 	assert.Contains(t, s.Permits, went, "a confirmed permit never expires")
 	var stale *StaleError
@@ -120,7 +120,7 @@
 }
 
 func TestZoneDrainIsAllOrNothing(t *testing.T) {
-	s := withBackends(4) // d0, d2 and b0 in z0; d1, d3 and b1 in z1; b2 in z2
+	s := newSiteWithBackends(4) // d0, d2 and b0 in z0; d1, d3 and b1 in z1; b2 in z2
 	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Zone, MostOut: 1}, {Kind: Door, MostOut: 2}, {Kind: Backend, MostOut: 1}}})
 	first := s.do("op", Drain{Kind: Zone, Name: "z0", Who: "ana"})
 	require.NoError(t, first.Err)
@@ -138,7 +138,7 @@
 	require.NoError(t, s.do("op", Undrain{Zone, "z0", "ana", ""}).Err)
 	assert.Len(t, s.Permits, 2, "d2 never confirmed")
 	for i := range 4 {
-		g := sight(i, Ready, 2)
+		g := sighting(i, Ready, 2)
 		g.Did = s.Change
 		s.do("watch", Seen{[]Sighting{g}})
 	}
@@ -156,7 +156,7 @@
 	assert.EqualValues(t, 9, s.Epoch)
 	assert.Error(t, s.ask(1).Err)
 	for i := range 8 {
-		s.seen(i, Ready, 1)
+		s.recordSighting(i, Ready, 1)
 	}
 	require.NoError(t, s.ask(1).Err)
 	s.do("c3", Lead{"c3", "", 10})
@@ -167,16 +167,16 @@
 	s := newSite(2)
 	n := s.do("d0/1", Begin{unit(0), 1}).Number
 	assert.EqualValues(t, 2, n)
-	s.seen(0, Ready, 1)
+	s.recordSighting(0, Ready, 1)
 	assert.Equal(t, Starting, s.Units["door/d0"].Standing)
-	s.seen(0, Ready, 2)
+	s.recordSighting(0, Ready, 2)
 	assert.Equal(t, Ready, s.Units["door/d0"].Standing)
 	require.NoError(t, s.do("op", Forget{Door, "d0", "ana", "sold"}).Err)
 	assert.Nil(t, s.Units["door/d0"])
 }
 
 func TestDryRunOfDrainChangesNothing(t *testing.T) {
-	s := withBackends(4)
+	s := newSiteWithBackends(4)
 	would, err := s.Try(Backend, "b0")
 	require.NoError(t, err)
 	assert.Equal(t, []string{"backend/b0"}, would)
@@ -190,8 +190,8 @@
 	assert.ErrorAs(t, err, &unknown)
 }
 
-func word(i int, seq uint64, away ...string) Word {
-	return Word{Caller: unit(i).Name, Seq: seq, Sighting: sight(i, Ready, 1), Away: away}
+func doorReport(i int, seq uint64, away ...string) Word {
+	return Word{Caller: unit(i).Name, Seq: seq, Sighting: sighting(i, Ready, 1), Away: away}
 }
 
 func standings(all []Sighting) map[string]Standing {
@@ -205,17 +205,17 @@
 func TestDoorHasReportedStandingUnlessMostConsiderItAway(t *testing.T) {
 	w := NewWatch()
 	for i := range 5 {
-		assert.True(t, w.Heard(0, word(i, 1)))
+		assert.True(t, w.Heard(0, doorReport(i, 1)))
 	}
-	assert.False(t, w.Heard(0, word(0, 1)), "a duplicate")
+	assert.False(t, w.Heard(0, doorReport(0, 1)), "a duplicate")
 	assert.Equal(t, Ready, standings(w.Sightings(100))["d0"])
-	w.Heard(100, word(1, 2, "d0"))
-	w.Heard(100, word(2, 2, "d0"))
+	w.Heard(100, doorReport(1, 2, "d0"))
+	w.Heard(100, doorReport(2, 2, "d0"))
 	assert.Equal(t, Ready, standings(w.Sightings(200))["d0"], "two of four")
-	w.Heard(100, word(3, 2, "d0"))
+	w.Heard(100, doorReport(3, 2, "d0"))
 	assert.Equal(t, Failed, standings(w.Sightings(200))["d0"])
 	for i := 1; i < 5; i++ {
-		w.Heard(6000, word(i, 3))
+		w.Heard(6000, doorReport(i, 3))
 	}
 	_, told := standings(w.Sightings(6000))["d0"]
 	assert.False(t, told, "without recent reports its standing is unknown")
@@ -223,23 +223,23 @@
 
 func TestUnchangedSightingsAreResentPeriodically(t *testing.T) {
 	w := NewWatch()
-	w.Heard(0, word(0, 1))
-	w.Heard(0, word(1, 1))
+	w.Heard(0, doorReport(0, 1))
+	w.Heard(0, doorReport(1, 1))
 	assert.Len(t, w.News(0), 2)
 	assert.Empty(t, w.News(500))
-	next := word(0, 2)
+	next := doorReport(0, 2)
 	next.Did = 3
 	w.Heard(600, next)
 	assert.Equal(t, Ready, standings(w.News(700))["d0"])
-	w.Heard(3000, word(1, 2))
-	assert.Len(t, w.News(toldFor), 1)
+	w.Heard(3000, doorReport(1, 2))
+	assert.Len(t, w.News(resendAfterMs), 1)
 }
 
 func TestBackendStandingIsThatOfMostLists(t *testing.T) {
 	w := NewWatch()
-	of := func(how Standing) []Sighting { return []Sighting{{Unit: backendOf("b0", "z"), Standing: how}} }
+	of := func(how Standing) []Sighting { return []Sighting{{Unit: backendUnit("b0", "z"), Standing: how}} }
 	for i, how := range []Standing{Failed, Ready, Ready, Failed, Failed} {
-		x := word(i, 1)
+		x := doorReport(i, 1)
 		x.Backends = of(how)
 		w.Heard(0, x)
 	}
@@ -249,28 +249,28 @@
 }
 
 // testDoorAgent runs a DoorAgent whose posts are applied to a state at once.
-type kept struct {
+type testDoorAgent struct {
 	*Keeper
-	s    *site
-	now  float64
-	gone []Aside
-	held [][]string
-	cut  bool
-	n    uint64
+	s            *site
+	now          float64
+	setOuts      []Aside
+	withholds    [][]string
+	disconnected bool
+	processes    uint64
 }
 
-func keep(s *site, i int) *kept {
-	k := &kept{s: s}
-	k.Keeper = NewKeeper(unit(i), func() uint64 { k.n++; return uint64(i)*1000 + k.n })
+func newTestDoorAgent(s *site, i int) *testDoorAgent {
+	k := &testDoorAgent{s: s}
+	k.Keeper = NewKeeper(unit(i), func() uint64 { k.processes++; return uint64(i)*1000 + k.processes })
 	k.step(Stands{Ready: true})
 	return k
 }
 
-func (k *kept) step(e any) {
+func (k *testDoorAgent) step(e any) {
 	for todo := k.Step(k.now, e); len(todo) > 0; todo = todo[1:] {
 		switch a := todo[0].(type) {
 		case Post:
-			if k.cut {
+			if k.disconnected {
 				continue
 			}
 			if a.Word == nil {
@@ -282,10 +282,10 @@
 			}
 			todo = append(todo, k.Step(k.now, Replied{a.Seq, k.s.Reply(a.Word, true)})...)
 		case Withhold:
-			k.held = append(k.held, a.Names)
+			k.withholds = append(k.withholds, a.Names)
 			todo = append(todo, k.Step(k.now, Did{a.Change})...)
 		case Aside:
-			k.gone = append(k.gone, a)
+			k.setOuts = append(k.setOuts, a)
 			if a.Out {
 				todo = append(todo, k.Step(k.now, Stepped{k.now <= a.UntilMs})...)
 			}
@@ -293,7 +293,7 @@
 	}
 }
 
-func (k *kept) run(ms float64) {
+func (k *testDoorAgent) run(ms float64) {
 	for end := k.now + ms; k.now < end; k.now += TickEvery {
 		k.step(Tick{})
 	}
@@ -301,62 +301,62 @@
 
 func TestDoorAgentDrainsAndReturnsAsNewProcess(t *testing.T) {
 	s := newSite(8)
-	k := keep(s, 0)
+	k := newTestDoorAgent(s, 0)
 	k.run(1500)
 	assert.Equal(t, Ready, s.Units["door/d0"].Standing)
 	n := s.do("op", Drain{Kind: Door, Name: "d0", Who: "ana", Why: "kernel"}).Number
 	k.run(2500)
-	require.Len(t, k.gone, 1)
-	assert.True(t, k.gone[0].Out)
+	require.Len(t, k.setOuts, 1)
+	assert.True(t, k.setOuts[0].Out)
 	assert.Equal(t, Out, s.Permits[n].Stage)
 	assert.Equal(t, Starting, s.Units["door/d0"].Standing)
 	s.do("op", Undrain{Door, "d0", "ana", ""})
 	k.run(2500)
-	require.Len(t, k.gone, 2)
-	assert.False(t, k.gone[1].Out)
+	require.Len(t, k.setOuts, 2)
+	assert.False(t, k.setOuts[1].Out)
 	assert.Empty(t, s.Permits, "its next process is ready")
 }
 
 func TestDisconnectedDoorAgentReturnsByHand(t *testing.T) {
-	s := withBackends(8)
-	k := keep(s, 0)
+	s := newSiteWithBackends(8)
+	k := newTestDoorAgent(s, 0)
 	n := s.do("op", Drain{Kind: Door, Name: "d0", Who: "ana"}).Number
 	s.do("op", Drain{Kind: Backend, Name: "b0", Who: "ana"})
 	k.run(3000)
-	require.Len(t, k.gone, 1)
-	assert.Equal(t, []string{"b0"}, k.held[len(k.held)-1])
-	k.cut = true
+	require.Len(t, k.setOuts, 1)
+	assert.Equal(t, []string{"b0"}, k.withholds[len(k.withholds)-1])
+	k.disconnected = true
 	k.run(20e3)
-	assert.Len(t, k.gone, 1, "it keeps the last state that it received")
+	assert.Len(t, k.setOuts, 1, "it keeps the last state that it received")
 	k.step(ByHand{})
 	k.run(500)
-	require.Len(t, k.gone, 2)
-	assert.Empty(t, k.held[len(k.held)-1])
-	k.cut = false
+	require.Len(t, k.setOuts, 2)
+	assert.Empty(t, k.withholds[len(k.withholds)-1])
+	k.disconnected = false
 	k.run(4000)
-	assert.Len(t, k.gone, 2, "the coordinators learn that the drain was ended at the door")
+	assert.Len(t, k.setOuts, 2, "the coordinators learn that the drain was ended at the door")
 	assert.NotContains(t, s.Permits, n)
-	assert.Equal(t, []string{"b0"}, k.held[len(k.held)-1], "it withholds the drained backend again like all doors")
+	assert.Equal(t, []string{"b0"}, k.withholds[len(k.withholds)-1], "it withholds the drained backend again like all doors")
 }
 
 func TestDoorAgentRetriesAfterHalt(t *testing.T) {
 	s := newSite(8)
-	k := keep(s, 0)
+	k := newTestDoorAgent(s, 0)
 	s.do("op", Drain{Kind: Door, Name: "d0", Who: "ana"})
 	s.do("op", Halt{Who: "bea", Why: "errors"})
 	k.run(5000)
-	assert.Empty(t, k.gone)
+	assert.Empty(t, k.setOuts)
 	s.do("op", Resume{Who: "bea"})
 	for i := 1; i < 8; i++ {
-		s.seen(i, Ready, 1)
+		s.recordSighting(i, Ready, 1)
 	}
 	k.run(3000)
-	assert.Len(t, k.gone, 1)
+	assert.Len(t, k.setOuts, 1)
 }
 
 func TestTerminatingDoorAgentReportsFailedThenEnded(t *testing.T) {
 	s := newSite(8)
-	k := keep(s, 0)
+	k := newTestDoorAgent(s, 0)
 	k.run(1500)
 	k.step(Leave{})
 	k.run(200)
@@ -367,21 +367,21 @@
 }
 
 func TestBackendReleaseDrainsWithinBudgetsAndUndrainsReplaced(t *testing.T) {
-	s := withBackends(2)
+	s := newSiteWithBackends(2)
 	s.do("op", release.Start{Plan: release.Plan{Name: "kernel", Changes: release.Backends, Waves: []release.Wave{{Count: 1}, {Rest: true}}}, Who: "ana"})
 	drains := s.Errands()
 	require.Equal(t, []any{Drain{Kind: Backend, Name: "b0", Who: "release kernel", Why: "to be replaced", Release: 1}}, drains)
 	require.NoError(t, s.do("c", drains[0]).Err)
 	assert.Empty(t, s.Errands(), "it isn't replaced yet")
-	s.do("watch", Seen{[]Sighting{{Unit: backendOf("b0", "z0"), Standing: Starting, Process: 6}}})
+	s.do("watch", Seen{[]Sighting{{Unit: backendUnit("b0", "z0"), Standing: Starting, Process: 6}}})
 	assert.Empty(t, s.Errands(), "it isn't warm yet")
-	s.do("watch", Seen{[]Sighting{{Unit: backendOf("b0", "z0"), Standing: Ready, Process: 6}}})
+	s.do("watch", Seen{[]Sighting{{Unit: backendUnit("b0", "z0"), Standing: Ready, Process: 6}}})
 	back := s.Errands()
 	require.Len(t, back, 1)
 	require.NoError(t, s.do("c", back[0]).Err)
-	s.did(0, s.Change)
-	s.did(1, s.Change)
-	s.do("watch", Seen{[]Sighting{{Unit: backendOf("b0", "z0"), Standing: Ready, Process: 6}}})
+	s.confirmChange(0, s.Change)
+	s.confirmChange(1, s.Change)
+	s.do("watch", Seen{[]Sighting{{Unit: backendUnit("b0", "z0"), Standing: Ready, Process: 6}}})
 	assert.Empty(t, s.Permits)
 	s.do("c", release.Judged{Number: 1, Wave: 0, Verdict: release.Verdict{Says: release.GoOn}})
 	drains = s.Errands()
--- a/permits/permits.go
+++ b/permits/permits.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	sightFor  = 15e3   // ms for which a sighting counts; the leader resends unchanged sightings several times within it
-	callerFor = 3600e3 // ms after which a caller's latest answer is dropped; no command is in flight for so long
-	auditMost = 10000  // audit entries that are kept in the state
+	sightingTTLMs   = 15e3   // ms for which a sighting counts; the leader resends unchanged sightings several times within it
+	callerTTLMs     = 3600e3 // ms after which a caller's latest answer is dropped; no command is in flight for so long
+	maxAuditEntries = 10000  // audit entries that are kept in the state
 )
 
 // State is the replicated state of the coordinators.
@@ -28,7 +28,7 @@
 	Units   map[string]*Known // by unitKey
 	Permits map[uint64]*Permit
 	Halts   []Halt
-	Callers map[string]*Latest
+	Callers map[string]*LastCommand
 	Audit   []Line
 	Release *release.State
 	LastMs  map[string]float64 // when a permit was last granted or a unit last came back, by kind and zone
@@ -48,7 +48,7 @@
 }
 
 // LastCommand is a caller's latest command and its answer.
-type Latest struct {
+type LastCommand struct {
 	Seq    uint64
 	AtMs   float64
 	Answer Answer
@@ -66,13 +66,13 @@
 
 // New returns the state before the first command. Without budgets every permit is denied.
 func New() *State {
-	s := &State{Next: 1, Units: map[string]*Known{}, Permits: map[uint64]*Permit{}, Callers: map[string]*Latest{}, LastMs: map[string]float64{}, Release: release.New(),
+	s := &State{Next: 1, Units: map[string]*Known{}, Permits: map[uint64]*Permit{}, Callers: map[string]*LastCommand{}, LastMs: map[string]float64{}, Release: release.New(),
 		Calendar: calendar.New(), Runs: map[uint64]*Run{}}
 	s.Calendar.See(s)
 	return s
 }
 
-func key(k Kind, name string) string { return string(k) + "/" + name }
+func unitKey(k Kind, name string) string { return string(k) + "/" + name }
 
 // Apply executes a command. The same commands in the same order produce the same state and answers on every coordinator.
 func (s *State) Apply(c Command) Answer {
@@ -83,34 +83,34 @@
 		return Answer{Err: &RepeatError{c.Caller, c.Seq}}
 	}
 	s.NowMs, s.WallMs = max(s.NowMs, c.AtMs), max(s.WallMs, c.WallMs)
-	s.lapse()
-	a := s.do(&c)
-	s.follow()
-	s.Callers[c.Caller] = &Latest{c.Seq, s.NowMs, a}
+	s.expire()
+	a := s.execute(&c)
+	s.advanceEntries()
+	s.Callers[c.Caller] = &LastCommand{c.Seq, s.NowMs, a}
 	return a
 }
 
-func (s *State) do(c *Command) Answer {
+func (s *State) execute(c *Command) Answer {
 	switch d := c.Do.(type) {
 	case SetBudgets:
-		before, after := worded(s.Budgets), worded(d.Budgets)
+		before, after := budgetsJSON(s.Budgets), budgetsJSON(d.Budgets)
 		s.Budgets = slices.Clone(d.Budgets)
-		s.note(0, "budgets "+before+" -> "+after, cmp.Or(d.Who, c.Caller), d.Why)
+		s.audit(0, "budgets "+before+" -> "+after, cmp.Or(d.Who, c.Caller), d.Why)
 	case Seen:
 		for i := range d.Sightings {
-			s.see(&d.Sightings[i])
+			s.recordSighting(&d.Sightings[i])
 		}
-		s.forget()
+		s.expireCallers()
 	case Here:
-		s.see(&d.Sighting)
-		if p := s.of(d.Kind, d.Name); p != nil && p.Number != d.Holds && p.Caller == c.Caller {
-			s.unused(p) // the caller's later report says that it doesn't use the permit
+		s.recordSighting(&d.Sighting)
+		if p := s.permitOf(d.Kind, d.Name); p != nil && p.Number != d.Holds && p.Caller == c.Caller {
+			s.returnUnused(p) // the caller's later report says that it doesn't use the permit
 		}
 	case Begin:
 		return s.begin(d)
 	case Drain:
-		if r := s.Release.Number(d.Release); r == nil || !r.Live() { // a step of a live release has passed this check already
-			if err := s.unplanned(calendar.Drain, drained(d.Kind, d.Name)); err != nil {
+		if r := s.Release.ByNumber(d.Release); r == nil || !r.Live() { // a step of a live release has passed this check already
+			if err := s.checkUnplanned(calendar.Drain, drainSubject(d.Kind, d.Name)); err != nil {
 				return Answer{Err: err}
 			}
 		}
@@ -123,19 +123,19 @@
 			s.Epoch = d.Epoch
 		}
 		for _, u := range s.Units {
-			u.AtMs = min(u.AtMs, s.NowMs-sightFor-1)
+			u.AtMs = min(u.AtMs, s.NowMs-sightingTTLMs-1)
 		}
-		s.tell(calendar.LeaderChanged{})
-		s.note(0, "leads: "+d.Name, d.Name, "")
+		s.tryCalendar(calendar.LeaderChanged{})
+		s.audit(0, "leads: "+d.Name, d.Name, "")
 	case calendar.Plan, calendar.Edit, calendar.Approve, calendar.Refuse, calendar.Withdraw, calendar.DeclareEmergency, calendar.SetFreeze, calendar.Extend, calendar.Thaw,
 		calendar.SetRules, calendar.Clock, calendar.Start, calendar.WaveDone, calendar.Observe, calendar.Migrate, calendar.Replace, calendar.Revert, calendar.Halt, calendar.Resume,
 		calendar.RollBack, calendar.RolledBack, calendar.Acknowledge, calendar.Restored:
-		return s.schedule(c)
+		return s.applyCalendarCommand(c)
 	case release.Start, release.Took, release.Judged, release.Steer:
-		if own, err := s.ofCalendar(d); own || err != nil {
+		if own, err := s.routeToEntry(d); own || err != nil {
 			return Answer{Err: err}
 		}
-		n, note, err := s.Release.Do(d, s.known(Door), s.known(Backend))
+		n, note, err := s.Release.Apply(d, s.unitsOf(Door), s.unitsOf(Backend))
 		if err != nil {
 			return Answer{Err: err}
 		}
@@ -149,25 +149,25 @@
 			case release.Judged:
 				why = d.Verdict.Why
 			}
-			s.note(0, note, who, why)
+			s.audit(0, note, who, why)
 		}
 		return Answer{Number: n}
 	case Note:
-		s.note(0, d.What, d.Who, d.Why)
+		s.audit(0, d.What, d.Who, d.Why)
 	case Forget:
-		if s.Units[key(d.Kind, d.Name)] == nil {
+		if s.Units[unitKey(d.Kind, d.Name)] == nil {
 			return Answer{Err: &UnknownError{fmt.Sprintf("%s %s", d.Kind, d.Name)}}
 		}
-		if p := s.of(d.Kind, d.Name); p != nil {
+		if p := s.permitOf(d.Kind, d.Name); p != nil {
 			delete(s.Permits, p.Number)
 		}
-		delete(s.Units, key(d.Kind, d.Name))
+		delete(s.Units, unitKey(d.Kind, d.Name))
 		if d.Kind == Backend {
-			s.Release.Saw(d.Name, "gone for good")
+			s.Release.RecordProcess(d.Name, "gone for good")
 		}
-		s.note(0, "forgotten: "+d.Name, d.Who, d.Why)
+		s.audit(0, "forgotten: "+d.Name, d.Who, d.Why)
 	case Ask:
-		return s.ask(c, d)
+		return s.requestPermit(c, d)
 	case Confirm:
 		return s.confirm(c, d)
 	case Withdraw:
@@ -175,37 +175,37 @@
 		if p == nil || p.Caller != c.Caller {
 			return Answer{Err: &UnknownError{fmt.Sprintf("permit %d of %s", d.Number, c.Caller)}}
 		}
-		s.free(p, "withdrawn")
+		s.freePlace(p, "withdrawn")
 	case WriteOff:
 		p := s.Permits[d.Number]
 		if p == nil {
 			return Answer{Err: &UnknownError{fmt.Sprintf("permit %d", d.Number)}}
 		}
 		delete(s.Permits, p.Number)
-		s.note(p.Number, "written off: "+p.Unit.Name, d.Who, d.Why)
+		s.audit(p.Number, "written off: "+p.Unit.Name, d.Who, d.Why)
 	case Halt:
 		s.Halts = append(s.Halts, d)
-		s.note(0, fmt.Sprintf("halt of %s in %s", cmp.Or(string(d.Kind), "all"), cmp.Or(d.Zone, "the fleet")), d.Who, d.Why)
+		s.audit(0, fmt.Sprintf("halt of %s in %s", cmp.Or(string(d.Kind), "all"), cmp.Or(d.Zone, "the fleet")), d.Who, d.Why)
 	case Resume:
 		s.Halts = slices.DeleteFunc(s.Halts, func(h Halt) bool { return h.Kind == d.Kind && h.Zone == d.Zone })
-		s.note(0, "resumed", d.Who, "")
+		s.audit(0, "resumed", d.Who, "")
 	default:
 		return Answer{Err: &UnknownError{fmt.Sprintf("a command of type %T", c.Do)}}
 	}
 	return Answer{}
 }
 
-func (s *State) note(number uint64, what, who, why string) {
+func (s *State) audit(number uint64, what, who, why string) {
 	s.Audit = append(s.Audit, Line{s.NowMs, s.WallMs, number, what, who, why})
-	if n := len(s.Audit); n > auditMost {
-		s.Audit = slices.Delete(s.Audit, 0, n-auditMost)
+	if n := len(s.Audit); n > maxAuditEntries {
+		s.Audit = slices.Delete(s.Audit, 0, n-maxAuditEntries)
 	}
 }
 
 // recordSighting updates a unit from a sighting. A unit that went out by a permit is back once a later process of it is seen
 // ready. A delayed sighting is of the process that is to go out, or of an earlier one, and frees no place.
-func (s *State) see(g *Sighting) {
-	k := key(g.Kind, g.Name)
+func (s *State) recordSighting(g *Sighting) {
+	k := unitKey(g.Kind, g.Name)
 	u := s.Units[k]
 	if u == nil {
 		u = &Known{}
@@ -216,34 +216,34 @@
 	}
 	u.Unit, u.Standing, u.AtMs, u.Life, u.Process, u.Did = g.Unit, g.Standing, s.NowMs, g.Life, g.Process, max(u.Did, g.Did)
 	if g.Kind == Backend && g.Standing != Failed {
-		s.Release.Saw(g.Name, fmt.Sprint(g.Process))
+		s.Release.RecordProcess(g.Name, fmt.Sprint(g.Process))
 	}
-	p := s.of(g.Kind, g.Name)
+	p := s.permitOf(g.Kind, g.Name)
 	if g.Kind == Door { // it may be the last door that a returning backend waits for
-		for _, o := range s.sorted() {
+		for _, o := range s.sortedPermits() {
 			if o.Unit.Kind == Backend {
-				s.backAgain(o)
+				s.freeIfBack(o)
 			}
 		}
 	}
 	switch {
 	case p == nil || p.Stage != Out || p.Order && !p.Over:
 	case p.Unit.Kind == Backend:
-		s.backAgain(p)
+		s.freeIfBack(p)
 	case g.Standing == Ready && g.Process != p.Process && g.Life > p.Life:
-		s.free(p, "back")
+		s.freePlace(p, "back")
 	}
 }
 
 // freePlace ends a permit and records when its place became free.
-func (s *State) free(p *Permit, how string) {
+func (s *State) freePlace(p *Permit, how string) {
 	delete(s.Permits, p.Number)
-	s.LastMs[key(p.Unit.Kind, p.Unit.Zone)] = s.NowMs
-	s.note(p.Number, how+": "+p.Unit.Name, p.Caller, "")
+	s.LastMs[unitKey(p.Unit.Kind, p.Unit.Zone)] = s.NowMs
+	s.audit(p.Number, how+": "+p.Unit.Name, p.Caller, "")
 }
 
 // permitOf returns the permit of a unit; nil if it has none.
-func (s *State) of(k Kind, name string) *Permit {
+func (s *State) permitOf(k Kind, name string) *Permit {
 	for _, p := range s.Permits {
 		if p.Unit.Kind == k && p.Unit.Name == name {
 			return p
@@ -253,30 +253,30 @@
 }
 
 // expireCallers drops the answers of callers that have sent nothing for callerTTLMs.
-func (s *State) forget() {
-	maps.DeleteFunc(s.Callers, func(_ string, l *Latest) bool { return s.NowMs-l.AtMs > callerFor })
+func (s *State) expireCallers() {
+	maps.DeleteFunc(s.Callers, func(_ string, l *LastCommand) bool { return s.NowMs-l.AtMs > callerTTLMs })
 }
 
-func (s *State) ask(c *Command, d Ask) Answer {
-	u := s.Units[key(d.Kind, d.Unit)]
+func (s *State) requestPermit(c *Command, d Ask) Answer {
+	u := s.Units[unitKey(d.Kind, d.Unit)]
 	if u == nil {
 		return Answer{Err: &UnknownError{fmt.Sprintf("%s %s", d.Kind, d.Unit)}}
 	}
-	if p := s.of(d.Kind, d.Unit); p != nil {
+	if p := s.permitOf(d.Kind, d.Unit); p != nil {
 		if p.Order && !p.Over && d.Kind == Door { // the drain already occupies the place for this door
 			p.Caller, p.AtMs, p.HoldMs, p.Stage = c.Caller, s.NowMs, d.HoldMs, Granted
 			return Answer{Number: p.Number}
 		}
 		return Answer{Err: &TakenError{d.Unit, p.Number, p.Who}}
 	}
-	if err := s.mayChange(u, d.Release, true); err != nil {
+	if err := s.checkReleaseStep(u, d.Release, true); err != nil {
 		return Answer{Err: err}
 	}
 	p := &Permit{Number: s.Next, Unit: u.Unit, Caller: c.Caller, Who: d.Who, Why: d.Why, AtMs: s.NowMs, HoldMs: d.HoldMs, Release: d.Release}
 	s.Next++
 	s.Permits[p.Number] = p
-	s.LastMs[key(u.Kind, u.Zone)] = s.NowMs
-	s.note(p.Number, "granted: "+u.Name, d.Who, d.Why)
+	s.LastMs[unitKey(u.Kind, u.Zone)] = s.NowMs
+	s.audit(p.Number, "granted: "+u.Name, d.Who, d.Why)
 	return Answer{Number: p.Number}
 }
 
@@ -294,12 +294,12 @@
 	if p.Over {
 		return Answer{Err: &StaleError{d.Number, "its order has ended"}}
 	}
-	u := s.Units[key(p.Unit.Kind, p.Unit.Name)]
+	u := s.Units[unitKey(p.Unit.Kind, p.Unit.Name)]
 	var err error
 	if p.Release != 0 && u != nil {
-		err = s.mayChange(u, p.Release, false)
+		err = s.checkReleaseStep(u, p.Release, false)
 	} else {
-		err = s.mayGo(&p.Unit, p.Of, false)
+		err = s.checkOutage(&p.Unit, p.Of, false)
 	}
 	if err != nil {
 		return Answer{Err: err}
@@ -308,12 +308,12 @@
 		d.Life, d.Process = u.Life, u.Process
 	}
 	p.Stage, p.Life, p.Process = Out, d.Life, d.Process
-	s.note(p.Number, "out: "+p.Unit.Name, p.Who, p.Why)
+	s.audit(p.Number, "out: "+p.Unit.Name, p.Who, p.Why)
 	return Answer{Number: p.Number}
 }
 
 // unitsOf lists all known units of a kind for the release state machine, sorted by name.
-func (s *State) known(of Kind) (all []release.Door) {
+func (s *State) unitsOf(of Kind) (all []release.Door) {
 	for _, k := range slices.Sorted(maps.Keys(s.Units)) {
 		if u := s.Units[k]; u.Kind == of {
 			all = append(all, release.Door{Name: u.Name, Zone: u.Zone})
@@ -327,77 +327,77 @@
 // budget and nothing could be rolled back. A unit that a new leader has merely not seen yet may still be serving, so budgets
 // apply to it: without that rule three doors went out at once in the half second before the first sightings, where two may be
 // out.
-func (s *State) mayChange(u *Known, number uint64, fresh bool) error {
+func (s *State) checkReleaseStep(u *Known, number uint64, fresh bool) error {
 	if number != 0 {
-		back, err := s.Release.MayTake(number, u.Name)
+		back, err := s.Release.CheckChange(number, u.Name)
 		if err != nil {
 			return err
 		}
-		if back && u.Standing != Ready && s.NowMs-u.AtMs <= sightFor {
+		if back && u.Standing != Ready && s.NowMs-u.AtMs <= sightingTTLMs {
 			return nil
 		}
 	}
-	return s.mayGo(&u.Unit, "", fresh)
+	return s.checkOutage(&u.Unit, "", fresh)
 }
 
 // Out reports whether a unit counts as out.
-func (s *State) Out(u *Known) bool { return s.out(u) }
+func (s *State) Out(u *Known) bool { return s.isOut(u) }
 
 // isOut reports whether a unit counts as out: planned, failed, or not seen for sightingTTLMs.
-func (s *State) out(u *Known) bool {
-	return u.Standing != Ready || s.NowMs-u.AtMs > sightFor || s.of(u.Kind, u.Name) != nil
+func (s *State) isOut(u *Known) bool {
+	return u.Standing != Ready || s.NowMs-u.AtMs > sightingTTLMs || s.permitOf(u.Kind, u.Name) != nil
 }
 
 // checkOutage returns the halt or budget that keeps a unit from going out; nil for none. zone names the zone that is drained as
 // a whole, if any; fresh is set if the unit has no permit yet.
-func (s *State) mayGo(g *Unit, zone string, fresh bool) error {
+func (s *State) checkOutage(g *Unit, zone string, fresh bool) error {
 	for _, h := range s.Halts {
 		if (h.Kind == "" || h.Kind == g.Kind || zone != "" && h.Kind == Zone) && (h.Zone == "" || h.Zone == g.Zone) {
 			return &HaltedError{h.Who, h.Why}
 		}
 	}
 	if zone != "" { // a drain of a whole zone has its own budget
-		return s.zoneMayGo(zone, fresh)
+		return s.checkZoneOutage(zone, fresh)
 	}
-	bound := false
+	limited := false
 	for _, b := range s.Budgets {
 		if b.Kind != g.Kind || b.Zone != "" && b.Zone != EachZone && b.Zone != g.Zone {
 			continue
 		}
-		bound = true
+		limited = true
 		zone := ""
 		if b.Zone != "" {
 			zone = g.Zone
 		}
-		if err := s.within(&b, zone, g, fresh); err != nil {
+		if err := s.checkBudget(&b, zone, g, fresh); err != nil {
 			return err
 		}
 	}
-	if !bound {
-		return &DeniedError{Unit: g.Name, Budget: Budget{Kind: g.Kind}, Says: "no budget is set", Blocked: orNone(nil)}
+	if !limited {
+		return &DeniedError{Unit: g.Name, Budget: Budget{Kind: g.Kind}, Reason: "no budget is set", Blocked: orNone(nil)}
 	}
 	return nil
 }
 
 // checkBudget checks one budget with one more unit out.
-func (s *State) within(b *Budget, zone string, g *Unit, fresh bool) error {
-	here, size, last := 0, 0.0, -1.0
+func (s *State) checkBudget(b *Budget, zone string, g *Unit, fresh bool) error {
+	ready, size, lastMs := 0, 0.0, -1.0
 	var out []string
 	for _, k := range slices.Sorted(maps.Keys(s.Units)) {
 		u := s.Units[k]
 		switch {
 		case u.Kind != b.Kind || zone != "" && u.Zone != zone:
-		case u.Name == g.Name || s.out(u):
+		case u.Name == g.Name || s.isOut(u):
 			if u.Name != g.Name {
 				out = append(out, u.Name)
 			}
 		default:
-			here, size = here+1, size+u.Size
+			ready, size = ready+1, size+u.Size
 		}
 	}
 	for k, at := range s.LastMs {
-		if k == key(b.Kind, zone) || zone == "" && len(k) > len(b.Kind) && k[:len(b.Kind)+1] == key(b.Kind, "") {
-			last = max(last, at)
+		if k == unitKey(b.Kind, zone) || zone == "" && len(k) > len(b.Kind) && k[:len(b.Kind)+1] == unitKey(b.Kind, "") {
+			lastMs = max(lastMs, at)
 		}
 	}
 	denied := func(format string, args ...any) error {
@@ -406,12 +406,12 @@
 	switch {
 	case len(out)+1 > b.MostOut:
 		return denied("%d of %d are out already", len(out), b.MostOut)
-	case here < b.LeastHere:
-		return denied("%d would be here, at least %d must be", here, b.LeastHere)
+	case ready < b.LeastHere:
+		return denied("%d would be here, at least %d must be", ready, b.LeastHere)
 	case size < b.LeastSize:
 		return denied("a size of %g would be here, at least %g must be", size, b.LeastSize)
-	case fresh && last >= 0 && s.NowMs-last < b.RestMs:
-		return denied("%.0f ms since the last, %.0f must pass", s.NowMs-last, b.RestMs)
+	case fresh && lastMs >= 0 && s.NowMs-lastMs < b.RestMs:
+		return denied("%.0f ms since the last, %.0f must pass", s.NowMs-lastMs, b.RestMs)
 	}
 	return nil
 }
--- a/permits/permits_test.go
+++ b/permits/permits_test.go
@@ -19,7 +19,7 @@
 	s := &site{New(), 0, map[string]uint64{}}
 	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2, LeastHere: 2, RestMs: 0}, {Kind: Door, Zone: EachZone, MostOut: 1}}})
 	for i := range doors {
-		s.seen(i, Ready, 1)
+		s.recordSighting(i, Ready, 1)
 	}
 	return s
 }
@@ -33,12 +33,12 @@
 	return Unit{Kind: Door, Name: fmt.Sprint("d", i), Zone: fmt.Sprint("z", i%2), Size: 1}
 }
 
-func sight(i int, how Standing, life uint64) Sighting {
+func sighting(i int, how Standing, life uint64) Sighting {
 	return Sighting{Unit: unit(i), Standing: how, Life: life, Process: life * 100}
 }
 
-func (s *site) seen(i int, how Standing, life uint64) {
-	s.do("watch", Seen{[]Sighting{sight(i, how, life)}})
+func (s *site) recordSighting(i int, how Standing, life uint64) {
+	s.do("watch", Seen{[]Sighting{sighting(i, how, life)}})
 }
 
 func (s *site) ask(i int) Answer {
@@ -63,16 +63,16 @@
 	for range 10 { // a place never becomes free by a timeout
 		s.now += 10e3
 		for _, i := range []int{2, 3, 4, 5, 6, 7} {
-			s.seen(i, Ready, 1)
+			s.recordSighting(i, Ready, 1)
 		}
 		assert.Error(t, s.ask(2).Err)
 	}
-	s.seen(0, Failed, 1)
-	s.seen(0, Ready, 1)
+	s.recordSighting(0, Failed, 1)
+	s.recordSighting(0, Ready, 1)
 	assert.Error(t, s.ask(2).Err, "a delayed sighting of the process that goes out")
-	s.seen(0, Starting, 2)
+	s.recordSighting(0, Starting, 2)
 	assert.Error(t, s.ask(2).Err, "running, but not warm")
-	s.seen(0, Ready, 2)
+	s.recordSighting(0, Ready, 2)
 	next := s.ask(2)
 	require.NoError(t, next.Err)
 	assert.Greater(t, next.Number, a.Number)
@@ -92,7 +92,7 @@
 
 func TestFailedOrUnseenUnitCountsAsOut(t *testing.T) {
 	s := newSite(8)
-	s.seen(2, Failed, 1)
+	s.recordSighting(2, Failed, 1)
 	assert.Error(t, s.ask(0).Err, "one door of its zone is out already")
 	require.NoError(t, s.ask(1).Err)
 	s = newSite(8)
@@ -103,10 +103,10 @@
 func TestConfirmChecksEventsSinceTheGrant(t *testing.T) {
 	s := newSite(8)
 	n := s.ask(0).Number
-	s.seen(4, Failed, 1)
+	s.recordSighting(4, Failed, 1)
 	var denied *DeniedError
 	assert.ErrorAs(t, s.confirm(0, n).Err, &denied, "a failure has used up the budget")
-	s.seen(4, Ready, 1)
+	s.recordSighting(4, Ready, 1)
 	require.NoError(t, s.confirm(0, n).Err)
 	s.do("op", Halt{Who: "ana", Why: "errors"})
 	var halted *HaltedError
@@ -122,11 +122,11 @@
 func TestSelfReportReturnsUnusedPermit(t *testing.T) {
 	s := newSite(8)
 	n := s.ask(0).Number
-	s.do("d0", Here{sight(0, Ready, 1), n})
+	s.do("d0", Here{sighting(0, Ready, 1), n})
 	assert.Len(t, s.Permits, 1, "the door intends to use it")
-	s.do("another", Here{sight(0, Ready, 1), 0})
+	s.do("another", Here{sighting(0, Ready, 1), 0})
 	assert.Len(t, s.Permits, 1, "reported by another caller")
-	s.do("d0", Here{sight(0, Ready, 1), 0})
+	s.do("d0", Here{sighting(0, Ready, 1), 0})
 	assert.Empty(t, s.Permits)
 	n = s.ask(0).Number
 	require.NoError(t, s.do("op", WriteOff{n, "ana", "its machine is gone"}).Err)
@@ -154,7 +154,7 @@
 	assert.ErrorContains(t, s.ask(1).Err, "must pass")
 	s.now = 5000
 	for i := range 8 {
-		s.seen(i, Ready, 1)
+		s.recordSighting(i, Ready, 1)
 	}
 	require.NoError(t, s.ask(1).Err)
 	var taken *TakenError
@@ -164,9 +164,9 @@
 func TestStateClockNeverGoesBack(t *testing.T) {
 	s := newSite(4)
 	s.now = 9000
-	s.seen(1, Ready, 1)
+	s.recordSighting(1, Ready, 1)
 	s.now = 1000
-	s.seen(1, Ready, 1)
+	s.recordSighting(1, Ready, 1)
 	assert.Equal(t, 9000.0, s.NowMs)
 }
 
--- a/permits/planfile/errors.go
+++ b/permits/planfile/errors.go
@@ -19,7 +19,9 @@
 func (e *ZoneError) Kind() remedy.Kind { return remedy.Usage }
 
 // Remedy gives an example of a time zone name.
-func (e *ZoneError) Remedy() string { return "Use a name such as Europe/Lisbon, or leave it out for UTC." }
+func (e *ZoneError) Remedy() string {
+	return "Use a name such as Europe/Lisbon, or leave it out for UTC."
+}
 
 // FileError is a file for the calendar that can't be read or decoded.
 type FileError struct {
@@ -37,10 +39,10 @@
 }
 
 // FormatError is a file that doesn't contain exactly one JSON value.
-type FormError struct{ Says string }
+type FormatError struct{ Detail string }
 
-func (e *FormError) Error() string     { return e.Says }
-func (e *FormError) Kind() remedy.Kind { return remedy.Configuration }
+func (e *FormatError) Error() string     { return e.Detail }
+func (e *FormatError) Kind() remedy.Kind { return remedy.Configuration }
 
 // Remedy says what a file must contain.
-func (e *FormError) Remedy() string { return "Write exactly one JSON object into each file." }
+func (e *FormatError) Remedy() string { return "Write exactly one JSON object into each file." }
--- a/permits/planfile/planfile.go
+++ b/permits/planfile/planfile.go
@@ -99,7 +99,7 @@
 	dec.DisallowUnknownFields()
 	err := dec.Decode(into)
 	if err == nil && dec.More() { // anything after the first value would be lost
-		err = &FormError{"the file contains more than one value"}
+		err = &FormatError{"the file contains more than one value"}
 	}
 	if err != nil {
 		return &FileError{path, err}
--- a/permits/watch.go
+++ b/permits/watch.go
@@ -38,49 +38,49 @@
 }
 
 const (
-	wordFor   = 5e3  // ms for which a report counts; a door sends one a second
-	toldFor   = 4e3  // ms after which an unchanged sighting is sent again; several times within sightingTTLMs
-	lostFor   = 10e3 // ms without a report after which a door changed by a release counts as failed by it
-	reporters = 3    // doors that are asked for their lists of backends: one may be outdated or wrong
+	reportTTLMs         = 5e3  // ms for which a report counts; a door sends one a second
+	resendAfterMs       = 4e3  // ms after which an unchanged sighting is sent again; several times within sightingTTLMs
+	lostAfterMs         = 10e3 // ms without a report after which a door changed by a release counts as failed by it
+	maxBackendReporters = 3    // doors that are asked for their lists of backends: one may be outdated or wrong
 )
 
 // ReportCollector collects the reports of doors at the leader and derives sightings and release verdicts from them. It isn't
 // replicated: a new leader receives reports from all doors within a second or two.
 type Watch struct {
-	words map[string]*heard // by door
-	names []string          // of those doors, sorted
-	waves map[uint64]*judged // by release
-	told  map[string]told // by unitKey
+	reports     map[string]*receivedReport // by door
+	doors       []string                   // of those doors, sorted
+	comparisons map[uint64]*waveComparison // by release
+	sent        map[string]sentSighting    // by unitKey
 }
 
 // sentSighting is the last sighting of a unit that was sent as a command.
-type told struct {
+type sentSighting struct {
 	Sighting
 	at float64
 }
 
 // waveComparison is the comparison that runs for a release's current wave.
-type judged struct {
-	wave  int
-	began float64
-	of    *release.Comparison
+type waveComparison struct {
+	wave       int
+	began      float64
+	comparison *release.Comparison
 }
 
 // receivedReport is a door's latest report with its time of arrival.
-type heard struct {
+type receivedReport struct {
 	Word
 	at float64
 }
 
 // NewReportCollector returns a collector without reports.
 func NewWatch() *Watch {
-	return &Watch{words: map[string]*heard{}, waves: map[uint64]*judged{}, told: map[string]told{}}
+	return &Watch{reports: map[string]*receivedReport{}, comparisons: map[uint64]*waveComparison{}, sent: map[string]sentSighting{}}
 }
 
 // Record stores a report and reports whether it was accepted. A report that is older than the stored one, or from an earlier
 // incarnation, is ignored. The list of backends is kept until the door sends another.
 func (w *Watch) Heard(now float64, word Word) bool {
-	if old := w.words[word.Name]; old != nil {
+	if old := w.reports[word.Name]; old != nil {
 		if word.Life < old.Life || word.Process == old.Process && word.Seq <= old.Seq {
 			return false
 		}
@@ -91,18 +91,18 @@
 			word.Backends, word.Sent = old.Backends, old.Sent
 		}
 	}
-	if w.words[word.Name] == nil {
-		i, _ := slices.BinarySearch(w.names, word.Name)
-		w.names = slices.Insert(w.names, i, word.Name)
+	if w.reports[word.Name] == nil {
+		i, _ := slices.BinarySearch(w.doors, word.Name)
+		w.doors = slices.Insert(w.doors, i, word.Name)
 	}
-	w.words[word.Name] = &heard{word, now}
+	w.reports[word.Name] = &receivedReport{word, now}
 	return true
 }
 
 // recentDoors lists up to most doors whose latest report still counts.
-func (w *Watch) fresh(now float64, most int) (names []string) {
-	for _, n := range w.names {
-		if h := w.words[n]; len(names) < most && now-h.at <= wordFor && h.Standing != Ended {
+func (w *Watch) recentDoors(now float64, most int) (names []string) {
+	for _, n := range w.doors {
+		if h := w.reports[n]; len(names) < most && now-h.at <= reportTTLMs && h.Standing != Ended {
 			names = append(names, n)
 		}
 	}
@@ -111,30 +111,30 @@
 
 // WantsBackends reports whether a door is to include its list of backends in its reports.
 func (w *Watch) Full(now float64, name string) bool {
-	return slices.Contains(w.fresh(now, reporters), name)
+	return slices.Contains(w.recentDoors(now, maxBackendReporters), name)
 }
 
 // Sightings derives the standing of all units from recent reports. A door has the standing that it reports, unless most of the
 // others consider it away; a door without a recent report is listed only if they do. A backend has the standing that most lists
 // give it.
 func (w *Watch) Sightings(now float64) (all []Sighting) {
-	fresh := w.fresh(now, len(w.names))
+	fresh := w.recentDoors(now, len(w.doors))
 	away := map[string]int{}
 	lists := map[string][]Sighting{}
 	for _, n := range fresh {
-		for _, other := range w.words[n].Away {
+		for _, other := range w.reports[n].Away {
 			if other != n {
 				away[other]++
 			}
 		}
 	}
-	for _, n := range fresh[:min(reporters, len(fresh))] {
-		for _, b := range w.words[n].Backends {
+	for _, n := range fresh[:min(maxBackendReporters, len(fresh))] {
+		for _, b := range w.reports[n].Backends {
 			lists[b.Name] = append(lists[b.Name], b)
 		}
 	}
-	for _, n := range w.names {
-		h := w.words[n]
+	for _, n := range w.doors {
+		h := w.reports[n]
 		s := h.Sighting
 		others := len(fresh)
 		if _, is := slices.BinarySearch(fresh, n); is {
@@ -148,12 +148,12 @@
 		all = append(all, s)
 	}
 	for _, n := range slices.Sorted(maps.Keys(lists)) {
-		of := lists[n]
+		list := lists[n]
 		best, most := 0, 0
-		for i := range of {
+		for i := range list {
 			same := 0
-			for j := range of {
-				if of[j].Standing == of[i].Standing {
+			for j := range list {
+				if list[j].Standing == list[i].Standing {
 					same++
 				}
 			}
@@ -161,7 +161,7 @@
 				best, most = i, same
 			}
 		}
-		all = append(all, of[best])
+		all = append(all, list[best])
 	}
 	return all
 }
@@ -170,11 +170,11 @@
 // Replicating all of them twice a second would dominate the coordinators' writes.
 func (w *Watch) News(now float64) (news []Sighting) {
 	for _, s := range w.Sightings(now) {
-		k := key(s.Kind, s.Name)
-		if t, known := w.told[k]; known && t.Sighting == s && now-t.at < toldFor {
+		k := unitKey(s.Kind, s.Name)
+		if t, known := w.sent[k]; known && t.Sighting == s && now-t.at < resendAfterMs {
 			continue
 		}
-		w.told[k] = told{s, now}
+		w.sent[k] = sentSighting{s, now}
 		news = append(news, s)
 	}
 	return news
@@ -183,7 +183,7 @@
 // Needs lists the commands that a report requires immediately rather than with the next round of sightings: for a permit that the
 // door doesn't intend to use, for drains that were ended at the door, and for a changed standing.
 func (s *State) Needs(w *Word) (do []any) {
-	u := s.Units[key(w.Kind, w.Name)]
+	u := s.Units[unitKey(w.Kind, w.Name)]
 	if u == nil || w.Life != u.Life {
 		return nil // the reply has it register, or the report is of an earlier incarnation
 	}
@@ -195,7 +195,7 @@
 			do = append(do, Undrain{p.Unit.Kind, p.Unit.Name, w.Name, "ended at the door itself"})
 		}
 	}
-	p := s.of(w.Kind, w.Name)
+	p := s.permitOf(w.Kind, w.Name)
 	if p != nil && p.Caller == w.Caller && p.Number != w.Holds || u.Standing != w.Standing || u.Did < w.Did && s.Change == w.Did {
 		do = append(do, Here{w.Sighting, w.Holds})
 	}
@@ -205,11 +205,11 @@
 // Reply returns the answer to a door's report.
 func (s *State) Reply(w *Word, full bool) Reply {
 	r := Reply{Full: full, Epoch: s.Epoch}
-	if u := s.Units[key(w.Kind, w.Name)]; u != nil {
+	if u := s.Units[unitKey(w.Kind, w.Name)]; u != nil {
 		r.Life = u.Life
 	}
 	r.Withheld, r.Change = s.Withheld()
-	if p := s.of(w.Kind, w.Name); p != nil && p.Order && !p.Over {
+	if p := s.permitOf(w.Kind, w.Name); p != nil && p.Order && !p.Over {
 		r.Order = &Order{p.Number, p.Who, p.Why}
 	}
 	return r
@@ -218,45 +218,45 @@
 // Verdicts compares, for each running release whose current wave is complete, the changed doors with the others, and lists the
 // verdicts that end a wave. Counts from before the comparison are its baseline.
 func (w *Watch) Judge(now float64, s *release.State) (verdicts []release.Judged) {
-	for n := range w.waves {
+	for n := range w.comparisons {
 		if !slices.ContainsFunc(s.All, func(r *release.Release) bool { return r.Number == n && r.Stage == release.Running }) {
-			delete(w.waves, n)
+			delete(w.comparisons, n)
 		}
 	}
 	for _, r := range s.All {
-		if r.Stage != release.Running || !s.Whole(r) {
-			delete(w.waves, r.Number)
+		if r.Stage != release.Running || !s.WaveComplete(r) {
+			delete(w.comparisons, r.Number)
 			continue
 		}
-		j := w.waves[r.Number]
+		j := w.comparisons[r.Number]
 		if j == nil || j.wave != r.Wave {
-			j = &judged{r.Wave, now, release.NewComparison(now, r.Waves[r.Wave].WatchS*1e3).Ending(r.Ends)}
-			w.waves[r.Number] = j
+			j = &waveComparison{r.Wave, now, release.NewComparison(now, r.Waves[r.Wave].WatchS*1e3).Ending(r.Ends)}
+			w.comparisons[r.Number] = j
 		}
 		if r.Changes == release.Backends { // each pair of a reporting door and a backend is one item of the comparison
-			for _, name := range w.fresh(now, reporters) {
-				for _, b := range slices.Sorted(maps.Keys(w.words[name].Sent)) {
-					j.of.Heard(now, b+" as "+name+" sees it", s.Changed(r, b), w.words[name].Sent[b])
+			for _, name := range w.recentDoors(now, maxBackendReporters) {
+				for _, b := range slices.Sorted(maps.Keys(w.reports[name].Sent)) {
+					j.comparison.Heard(now, b+" as "+name+" sees it", s.Changed(r, b), w.reports[name].Sent[b])
 				}
 			}
-			if v := j.of.Look(now); v.Says != release.Wait {
+			if v := j.comparison.Look(now); v.Says != release.Wait {
 				verdicts = append(verdicts, release.Judged{Number: r.Number, Wave: r.Wave, Verdict: v})
 			}
 			continue
 		}
-		for _, name := range w.fresh(now, len(w.names)) {
-			if h := w.words[name]; h.Counts != nil {
-				j.of.Heard(now, name, s.Changed(r, name), *h.Counts)
+		for _, name := range w.recentDoors(now, len(w.doors)) {
+			if h := w.reports[name]; h.Counts != nil {
+				j.comparison.Heard(now, name, s.Changed(r, name), *h.Counts)
 			}
 		}
 		for _, part := range r.Parts[:r.Wave+1] {
 			for _, name := range part {
-				if h := w.words[name]; now-j.began > lostFor && (h == nil || now-h.at > lostFor) {
-					j.of.Failed(name, "it isn't heard of any more")
+				if h := w.reports[name]; now-j.began > lostAfterMs && (h == nil || now-h.at > lostAfterMs) {
+					j.comparison.Failed(name, "it isn't heard of any more")
 				}
 			}
 		}
-		if v := j.of.Look(now); v.Says != release.Wait {
+		if v := j.comparison.Look(now); v.Says != release.Wait {
 			verdicts = append(verdicts, release.Judged{Number: r.Number, Wave: r.Wave, Verdict: v})
 		}
 	}
--- a/release/release.go
+++ b/release/release.go
@@ -51,9 +51,9 @@
 }
 
 const (
-	digestSize = 64    // hexadecimal digits of a SHA-256
-	longest    = 86400 // s, maximum of watch_s
-	kept       = 50    // releases that are kept in the state; the oldest ended ones are dropped
+	digestDigits    = 64    // hexadecimal digits of a SHA-256
+	maxWatchS       = 86400 // s, maximum of watch_s
+	maxKeptReleases = 50    // releases that are kept in the state; the oldest ended ones are dropped
 )
 
 // Read decodes and validates a plan. Its errors name the offending key.
@@ -78,8 +78,8 @@
 		return bad("changes", "%q, %s, %s or %s is wanted", p.Changes, Configuration, Program, Backends)
 	case p.Changes == Backends && p.Digest != "":
 		return bad("digest", "%q, though backends are replaced by other means", p.Digest)
-	case p.Changes != Backends && (len(p.Digest) != digestSize || strings.Trim(p.Digest, "0123456789abcdef") != ""):
-		return bad("digest", "%q is no sha256 in %d digits", p.Digest, digestSize)
+	case p.Changes != Backends && (len(p.Digest) != digestDigits || strings.Trim(p.Digest, "0123456789abcdef") != ""):
+		return bad("digest", "%q is no sha256 in %d digits", p.Digest, digestDigits)
 	case len(p.Waves) == 0:
 		return bad("waves", "none")
 	case !(p.Ends.Requests >= 0 && p.Ends.Requests < 1) || !(p.Ends.Latency >= 0) || !(p.Ends.Memory >= 0):
@@ -95,8 +95,8 @@
 		switch {
 		case kinds != 1 || w.Count < 0 || w.EachZone < 0 || !(w.Share >= 0 && w.Share <= 1):
 			return bad(fmt.Sprintf("waves[%d]", i), "one of count, each_zone, share (up to 1) and rest is wanted")
-		case !(w.WatchS >= 0 && w.WatchS <= longest):
-			return bad(fmt.Sprintf("waves[%d].watch_s", i), "%g, 0 to %d is wanted", w.WatchS, longest)
+		case !(w.WatchS >= 0 && w.WatchS <= maxWatchS):
+			return bad(fmt.Sprintf("waves[%d].watch_s", i), "%g, 0 to %d is wanted", w.WatchS, maxWatchS)
 		case w.Rest != (i == len(p.Waves)-1):
 			return bad(fmt.Sprintf("waves[%d].rest", i), "the last wave, and no other, is the rest")
 		}
@@ -125,7 +125,7 @@
 	Who    string            `json:"who"`
 	Why    string            `json:"why"`
 	Stage  Stage             `json:"stage"`
-	Says   string            `json:"says,omitempty"` // reason for the present stage
+	Says   string            `json:"says,omitempty"`   // reason for the present stage
 	Wave   int               `json:"wave"`             // index of the current wave
 	Parts  [][]string        `json:"parts"`            // doors or backends by wave
 	From   map[string]string `json:"from"`             // digest that each ran before, or process of each backend
@@ -207,7 +207,7 @@
 }
 
 // LiveReleaseOf returns the live release of a kind of change that controls a door or backend; nil for none.
-func (s *State) Has(door, changes string) *Release {
+func (s *State) LiveReleaseOf(door, changes string) *Release {
 	for _, r := range s.All {
 		if r.Live() && r.Changes == changes && slices.Contains(r.doors(), door) {
 			return r
@@ -218,27 +218,27 @@
 
 // RecordProcess records the process with which a backend is seen. A backend counts as changed once its process differs from the one
 // at the start of its release.
-func (s *State) Saw(backend, process string) { s.Seen[backend] = process }
+func (s *State) RecordProcess(backend, process string) { s.Seen[backend] = process }
 
 // Apply executes a command. doors and backends are all known ones, sorted by name. note is the text for the audit log; empty for
 // none.
-func (s *State) Do(command any, doors, backends []Door) (number uint64, note string, err error) {
+func (s *State) Apply(command any, doors, backends []Door) (number uint64, note string, err error) {
 	of := map[bool][]Door{false: doors, true: backends}
 	switch c := command.(type) {
 	case Start:
 		number, err = s.start(c, of[c.Plan.Changes == Backends])
 		note = "release " + c.Plan.Name + " of " + c.Plan.Changes + " " + c.Plan.Digest
 	case Took:
-		s.took(c)
+		s.recordVersions(c)
 	case Judged:
-		note, err = s.judged(c)
+		note, err = s.applyVerdict(c)
 	case Steer:
 		note, err = s.steer(c)
 	}
 	if err != nil {
 		return 0, "", err
 	}
-	s.settle(of)
+	s.advance(of)
 	return number, note, nil
 }
 
@@ -263,24 +263,24 @@
 	r := &Release{Plan: c.Plan, Number: s.Next, Who: c.Who, Why: c.Why, Stage: Waiting, From: map[string]string{}, Failed: map[string]string{}}
 	s.Next++
 	s.All = append(s.All, r)
-	over := len(s.All) - kept // the oldest ended releases are dropped first
+	excess := len(s.All) - maxKeptReleases // the oldest ended releases are dropped first
 	s.All = slices.DeleteFunc(s.All, func(r *Release) bool {
 		ended := !r.Live() && r.Stage != Waiting
 		if ended {
-			over--
+			excess--
 		}
-		return ended && over >= 0
+		return ended && excess >= 0
 	})
 	return r.Number, nil
 }
 
 // advance ends the rollbacks that are complete and runs the waiting releases whose doors are free.
-func (s *State) settle(of map[bool][]Door) {
+func (s *State) advance(of map[bool][]Door) {
 	for _, r := range s.All {
 		if r.Stage == Back && r.Changes == Backends { // a replaced backend can't be restored from here: the release's drains end and no further ones begin
 			r.Stage = Returned
 		}
-		if r.Stage == Back && !slices.ContainsFunc(r.doors(), func(d string) bool { return s.runs(d, r.Changes) != r.From[d] }) {
+		if r.Stage == Back && !slices.ContainsFunc(r.doors(), func(d string) bool { return s.versionOf(d, r.Changes) != r.From[d] }) {
 			r.Stage = Returned
 		}
 	}
@@ -288,13 +288,13 @@
 		if r.Stage != Waiting {
 			continue
 		}
-		var mine []Door
+		var units []Door
 		for _, d := range of[r.Changes == Backends] {
 			if len(r.Doors) == 0 || slices.Contains(r.Doors, d.Name) {
-				mine = append(mine, d)
+				units = append(units, d)
 			}
 		}
-		if len(mine) == 0 {
+		if len(units) == 0 {
 			continue
 		}
 		var old *Release
@@ -302,7 +302,7 @@
 			old = s.Find(r.Over)
 		}
 		free := !slices.ContainsFunc(s.All, func(o *Release) bool {
-			return o != r && o != old && o.Live() && (o.Changes == Backends) == (r.Changes == Backends) && slices.ContainsFunc(mine, func(d Door) bool { return slices.Contains(o.doors(), d.Name) })
+			return o != r && o != old && o.Live() && (o.Changes == Backends) == (r.Changes == Backends) && slices.ContainsFunc(units, func(d Door) bool { return slices.Contains(o.doors(), d.Name) })
 		})
 		if !free {
 			continue
@@ -310,9 +310,9 @@
 		if old != nil && (old.Live() || old.Stage == Waiting) {
 			old.Stage, old.Says = Replaced, "by "+r.Name
 		}
-		r.Stage, r.Parts = Running, parts(r.Waves, mine)
-		for _, d := range mine {
-			r.From[d.Name] = s.runs(d.Name, r.Changes)
+		r.Stage, r.Parts = Running, assignWaves(r.Waves, units)
+		for _, d := range units {
+			r.From[d.Name] = s.versionOf(d.Name, r.Changes)
 			if r.Changes == Backends {
 				continue
 			}
@@ -323,7 +323,7 @@
 	}
 }
 
-func (s *State) runs(door, changes string) string {
+func (s *State) versionOf(door, changes string) string {
 	if changes == Backends {
 		return s.Seen[door]
 	}
@@ -331,7 +331,7 @@
 }
 
 // assignWaves assigns doors to waves. Each wave takes doors from the zones in turn, so that it doesn't concentrate on one zone.
-func parts(waves []Wave, doors []Door) (all [][]string) {
+func assignWaves(waves []Wave, doors []Door) (all [][]string) {
 	byZone := map[string][]string{}
 	for _, d := range doors {
 		byZone[d.Zone] = append(byZone[d.Zone], d.Name)
@@ -339,13 +339,13 @@
 	zones := slices.Sorted(maps.Keys(byZone))
 	take := func(n int) (part []string) {
 		for n > 0 {
-			took := false
+			progressed := false
 			for _, z := range zones {
 				if n > 0 && len(byZone[z]) > 0 {
-					part, byZone[z], n, took = append(part, byZone[z][0]), byZone[z][1:], n-1, true
+					part, byZone[z], n, progressed = append(part, byZone[z][0]), byZone[z][1:], n-1, true
 				}
 			}
-			if !took {
+			if !progressed {
 				break
 			}
 		}
@@ -371,12 +371,12 @@
 	return all
 }
 
-func (s *State) took(c Took) {
+func (s *State) recordVersions(c Took) {
 	if s.Runs[c.Door] == nil {
 		s.Runs[c.Door] = Runs{}
 	}
-	for _, what := range []string{Configuration, Program} {
-		s.Runs[c.Door][what] = c.Runs[what]
+	for _, kind := range []string{Configuration, Program} {
+		s.Runs[c.Door][kind] = c.Runs[kind]
 	}
 	for _, r := range s.All {
 		why, failed := c.Failed[r.Digest]
@@ -391,7 +391,7 @@
 }
 
 // ByNumber returns a release by its number; nil if it isn't kept any more.
-func (s *State) Number(number uint64) *Release {
+func (s *State) ByNumber(number uint64) *Release {
 	for _, r := range s.All {
 		if r.Number == number {
 			return r
@@ -400,15 +400,15 @@
 	return nil
 }
 
-func (s *State) judged(c Judged) (string, error) {
-	r := s.Number(c.Number)
+func (s *State) applyVerdict(c Judged) (string, error) {
+	r := s.ByNumber(c.Number)
 	if r == nil || r.Stage != Running || r.Wave != c.Wave {
 		return "", &StageError{Name: fmt.Sprint("release ", c.Number), To: string(c.Verdict.Says)}
 	}
 	r.Says = c.Verdict.Why
 	switch c.Verdict.Says {
 	case GoOn:
-		if !s.Whole(r) {
+		if !s.WaveComplete(r) {
 			return "", &StageError{Name: r.Name, Stage: r.Stage, To: string(GoOn)}
 		}
 		if r.Wave++; r.Wave == len(r.Parts) {
@@ -430,8 +430,8 @@
 	if r == nil {
 		return "", &UnknownError{c.Name}
 	}
-	can := map[string][]Stage{ToHalt: {Running}, ToResume: {Halted}, ToBack: {Running, Halted, Done, Waiting}}[c.To]
-	if !slices.Contains(can, r.Stage) {
+	allowed := map[string][]Stage{ToHalt: {Running}, ToResume: {Halted}, ToBack: {Running, Halted, Done, Waiting}}[c.To]
+	if !slices.Contains(allowed, r.Stage) {
 		return "", &StageError{c.Name, r.Stage, c.To}
 	}
 	switch c.To {
@@ -444,7 +444,7 @@
 			r.Stage = Returned
 			break
 		}
-		if r.Stage == Done && slices.ContainsFunc(r.doors(), func(d string) bool { return s.Has(d, r.Changes) != nil }) {
+		if r.Stage == Done && slices.ContainsFunc(r.doors(), func(d string) bool { return s.LiveReleaseOf(d, r.Changes) != nil }) {
 			return "", &StageError{c.Name, r.Stage, c.To}
 		}
 		r.Stage = Back
@@ -454,7 +454,7 @@
 }
 
 // WaveComplete reports whether all doors of a release's current and earlier waves run its version.
-func (s *State) Whole(r *Release) bool {
+func (s *State) WaveComplete(r *Release) bool {
 	for i, part := range r.Parts {
 		for _, d := range part {
 			if i <= r.Wave && !s.Changed(r, d) {
@@ -470,11 +470,11 @@
 	if r.Changes == Backends {
 		return s.Seen[unit] != r.From[unit]
 	}
-	return s.runs(unit, r.Changes) == r.Digest
+	return s.versionOf(unit, r.Changes) == r.Digest
 }
 
 // DueBackends lists the backends of a release that are to be drained and replaced now.
-func (s *State) Due(r *Release) (backends []string) {
+func (s *State) DueBackends(r *Release) (backends []string) {
 	if r.Stage != Running || r.Changes != Backends {
 		return nil
 	}
@@ -490,7 +490,7 @@
 
 // Target returns the release and digest that a door is to change to; false if it is to stay as it is. Rollback runs in reverse
 // order: a wave begins once all later ones are rolled back.
-func (s *State) Wanted(door string) (r *Release, digest string, is bool) {
+func (s *State) Target(door string) (r *Release, digest string, is bool) {
 	for _, r := range s.All {
 		if !r.Live() || r.Stage == Halted || r.Changes == Backends {
 			continue
@@ -499,13 +499,13 @@
 			if !slices.Contains(part, door) {
 				continue
 			}
-			runs := s.runs(door, r.Changes)
+			runs := s.versionOf(door, r.Changes)
 			switch {
 			case r.Stage == Running && i <= r.Wave && runs != r.Digest && r.Failed[door] == "":
 				return r, r.Digest, true
 			case r.Stage == Back && runs != r.From[door]:
 				for _, later := range r.Parts[i+1:] {
-					if slices.ContainsFunc(later, func(d string) bool { return s.runs(d, r.Changes) != r.From[d] }) {
+					if slices.ContainsFunc(later, func(d string) bool { return s.versionOf(d, r.Changes) != r.From[d] }) {
 						return nil, "", false
 					}
 				}
@@ -518,12 +518,12 @@
 
 // CheckChange returns an error unless a release, not being halted, has another version for a door now. back reports that the
 // door's change is a rollback.
-func (s *State) MayTake(number uint64, door string) (back bool, err error) {
-	r := s.Number(number)
+func (s *State) CheckChange(number uint64, door string) (back bool, err error) {
+	r := s.ByNumber(number)
 	if r == nil {
 		return false, &UnknownError{fmt.Sprint("number ", number)}
 	}
-	if w, _, is := s.Wanted(door); !is || w != r {
+	if w, _, is := s.Target(door); !is || w != r {
 		return false, &StageError{r.Name, r.Stage, "give " + door + " anything now"}
 	}
 	return r.Stage == Back, nil
--- a/release/release_test.go
+++ b/release/release_test.go
@@ -19,28 +19,28 @@
 }
 
 // nineDoors returns nine doors in three zones.
-func nine() (all []Door) {
+func nineDoors() (all []Door) {
 	for i := range 9 {
 		all = append(all, Door{fmt.Sprint("d", i), fmt.Sprint("z", i%3)})
 	}
 	return all
 }
 
-func do(t *testing.T, s *State, command any) uint64 {
-	n, _, err := s.Do(command, nine(), nil)
+func apply(t *testing.T, s *State, command any) uint64 {
+	n, _, err := s.Apply(command, nineDoors(), nil)
 	require.NoError(t, err)
 	return n
 }
 
-func take(t *testing.T, s *State, digest string, doors ...string) {
+func reportDigest(t *testing.T, s *State, digest string, doors ...string) {
 	for _, d := range doors {
-		do(t, s, Took{Door: d, Runs: Runs{Configuration: digest}})
+		apply(t, s, Took{Door: d, Runs: Runs{Configuration: digest}})
 	}
 }
 
-func wanted(s *State) (names []string) {
-	for _, d := range nine() {
-		if _, _, is := s.Wanted(d.Name); is {
+func doorsToChange(s *State) (names []string) {
+	for _, d := range nineDoors() {
+		if _, _, is := s.Target(d.Name); is {
 			names = append(names, d.Name)
 		}
 	}
@@ -49,85 +49,85 @@
 
 func TestWavesRunInOrderAndRollBackInReverse(t *testing.T) {
 	s := New()
-	n := do(t, s, Start{Plan: plan("r1"), Who: "ana"})
+	n := apply(t, s, Start{Plan: plan("r1"), Who: "ana"})
 	r := s.Find("r1")
 	assert.Equal(t, [][]string{{"d0"}, {"d3", "d1", "d2"}, {"d6", "d4"}, {"d7", "d5", "d8"}}, r.Parts)
-	assert.Equal(t, []string{"d0"}, wanted(s))
-	_, _, err := s.Do(Judged{n, 0, Verdict{GoOn, ""}}, nine(), nil)
+	assert.Equal(t, []string{"d0"}, doorsToChange(s))
+	_, _, err := s.Apply(Judged{n, 0, Verdict{GoOn, ""}}, nineDoors(), nil)
 	var stage *StageError
 	require.ErrorAs(t, err, &stage, "not all doors of the wave run the version")
-	take(t, s, digest, "d0")
-	assert.Empty(t, wanted(s), "the wave is being observed")
-	do(t, s, Judged{n, 0, Verdict{GoOn, "well"}})
-	assert.Equal(t, []string{"d1", "d2", "d3"}, wanted(s))
-	back, err := s.MayTake(n, "d1")
+	reportDigest(t, s, digest, "d0")
+	assert.Empty(t, doorsToChange(s), "the wave is being observed")
+	apply(t, s, Judged{n, 0, Verdict{GoOn, "well"}})
+	assert.Equal(t, []string{"d1", "d2", "d3"}, doorsToChange(s))
+	back, err := s.CheckChange(n, "d1")
 	require.NoError(t, err)
 	assert.False(t, back)
-	_, err = s.MayTake(n, "d8")
+	_, err = s.CheckChange(n, "d8")
 	require.ErrorAs(t, err, &stage)
-	take(t, s, digest, "d1", "d2")
-	do(t, s, Steer{"r1", ToHalt, "bea", "errors"})
-	assert.Empty(t, wanted(s), "a halted release changes no further doors")
-	_, err = s.MayTake(n, "d3")
+	reportDigest(t, s, digest, "d1", "d2")
+	apply(t, s, Steer{"r1", ToHalt, "bea", "errors"})
+	assert.Empty(t, doorsToChange(s), "a halted release changes no further doors")
+	_, err = s.CheckChange(n, "d3")
 	require.ErrorAs(t, err, &stage)
-	do(t, s, Steer{"r1", ToBack, "bea", "errors"})
-	assert.Equal(t, []string{"d1", "d2"}, wanted(s), "the latest wave rolls back first")
-	back, err = s.MayTake(n, "d1")
+	apply(t, s, Steer{"r1", ToBack, "bea", "errors"})
+	assert.Equal(t, []string{"d1", "d2"}, doorsToChange(s), "the latest wave rolls back first")
+	back, err = s.CheckChange(n, "d1")
 	require.NoError(t, err)
 	assert.True(t, back)
-	take(t, s, "", "d1", "d2")
-	assert.Equal(t, []string{"d0"}, wanted(s))
-	take(t, s, "", "d0")
+	reportDigest(t, s, "", "d1", "d2")
+	assert.Equal(t, []string{"d0"}, doorsToChange(s))
+	reportDigest(t, s, "", "d0")
 	assert.Equal(t, Returned, r.Stage)
-	_, _, err = s.Do(Steer{"r1", ToResume, "bea", ""}, nine(), nil)
+	_, _, err = s.Apply(Steer{"r1", ToResume, "bea", ""}, nineDoors(), nil)
 	require.ErrorAs(t, err, &stage)
 }
 
 func TestFailedInstallRollsReleaseBack(t *testing.T) {
 	s := New()
-	n := do(t, s, Start{Plan: plan("r1")})
-	take(t, s, digest, "d0")
-	do(t, s, Judged{n, 0, Verdict{GoOn, ""}})
-	take(t, s, digest, "d3")
-	do(t, s, Took{Door: "d1", Runs: Runs{}, Failed: map[string]string{digest: "key settings: missing"}})
+	n := apply(t, s, Start{Plan: plan("r1")})
+	reportDigest(t, s, digest, "d0")
+	apply(t, s, Judged{n, 0, Verdict{GoOn, ""}})
+	reportDigest(t, s, digest, "d3")
+	apply(t, s, Took{Door: "d1", Runs: Runs{}, Failed: map[string]string{digest: "key settings: missing"}})
 	r := s.Find("r1")
 	assert.Equal(t, Back, r.Stage)
 	assert.Contains(t, r.Says, "d1: key settings")
-	assert.Equal(t, []string{"d3"}, wanted(s))
-	take(t, s, "", "d3", "d0")
+	assert.Equal(t, []string{"d3"}, doorsToChange(s))
+	reportDigest(t, s, "", "d3", "d0")
 	assert.Equal(t, Returned, r.Stage)
 }
 
 func TestReleaseWaitsForOrSupersedesOverlappingOne(t *testing.T) {
 	s := New()
-	do(t, s, Start{Plan: plan("r1")})
-	take(t, s, digest, "d0")
+	apply(t, s, Start{Plan: plan("r1")})
+	reportDigest(t, s, digest, "d0")
 	second := plan("r2")
 	second.Digest = other
-	do(t, s, Start{Plan: second})
+	apply(t, s, Start{Plan: second})
 	assert.Equal(t, Waiting, s.Find("r2").Stage, "another release has its doors")
 	third := plan("r3")
 	third.Digest, third.Over = other, "r1"
 	third.Doors = []string{"d0", "d1"}
-	do(t, s, Start{Plan: third})
+	apply(t, s, Start{Plan: third})
 	assert.Equal(t, Replaced, s.Find("r1").Stage)
 	r := s.Find("r3")
 	assert.Equal(t, Running, r.Stage)
 	assert.Equal(t, "", r.From["d0"], "rollback skips the superseded release, which never passed")
 	assert.Equal(t, Waiting, s.Find("r2").Stage)
-	do(t, s, Steer{"r3", ToBack, "ana", ""})
-	take(t, s, "", "d0")
+	apply(t, s, Steer{"r3", ToBack, "ana", ""})
+	reportDigest(t, s, "", "d0")
 	assert.Equal(t, Returned, r.Stage)
 	assert.Equal(t, Running, s.Find("r2").Stage, "its doors are free now")
 	var name *NameError
-	_, _, err := s.Do(Start{Plan: second}, nine(), nil)
+	_, _, err := s.Apply(Start{Plan: second}, nineDoors(), nil)
 	require.ErrorAs(t, err, &name)
 	unknown := plan("r4")
 	unknown.Over = "r3"
-	_, _, err = s.Do(Start{Plan: unknown}, nine(), nil)
+	_, _, err = s.Apply(Start{Plan: unknown}, nineDoors(), nil)
 	var bad *PlanError
 	require.ErrorAs(t, err, &bad)
-	_, _, err = s.Do(Steer{"r9", ToHalt, "", ""}, nine(), nil)
+	_, _, err = s.Apply(Steer{"r9", ToHalt, "", ""}, nineDoors(), nil)
 	var none *UnknownError
 	require.ErrorAs(t, err, &none)
 }
@@ -154,38 +154,38 @@
 
 func TestOldEndedReleasesAreDropped(t *testing.T) {
 	s := New()
-	for i := range 2 * kept {
+	for i := range 2 * maxKeptReleases {
 		name := fmt.Sprint("r", i)
-		do(t, s, Start{Plan: plan(name)})
-		do(t, s, Steer{name, ToBack, "ana", ""})
+		apply(t, s, Start{Plan: plan(name)})
+		apply(t, s, Steer{name, ToBack, "ana", ""})
 		assert.Equal(t, Returned, s.Find(name).Stage)
 	}
-	assert.Len(t, s.All, kept)
+	assert.Len(t, s.All, maxKeptReleases)
 }
 
 func TestBackendReleaseRunsByWaves(t *testing.T) {
 	s := New()
 	for i := range 9 {
-		s.Saw(fmt.Sprint("d", i), "100")
+		s.RecordProcess(fmt.Sprint("d", i), "100")
 	}
 	p := Plan{Name: "kernel", Changes: Backends, Waves: []Wave{{Count: 2}, {Rest: true}}}
-	n, _, err := s.Do(Start{Plan: p, Who: "ana"}, nil, nine())
+	n, _, err := s.Apply(Start{Plan: p, Who: "ana"}, nil, nineDoors())
 	require.NoError(t, err)
 	r := s.Find("kernel")
-	assert.Equal(t, []string{"d0", "d1"}, s.Due(r))
-	_, _, is := s.Wanted("d0")
+	assert.Equal(t, []string{"d0", "d1"}, s.DueBackends(r))
+	_, _, is := s.Target("d0")
 	assert.False(t, is, "a release of backends changes no door")
-	s.Saw("d0", "200")
-	s.Saw("d1", "100")
-	assert.Equal(t, []string{"d1"}, s.Due(r))
-	s.Saw("d1", "201")
-	assert.True(t, s.Whole(r))
-	_, _, err = s.Do(Judged{n, 0, Verdict{GoOn, ""}}, nil, nine())
+	s.RecordProcess("d0", "200")
+	s.RecordProcess("d1", "100")
+	assert.Equal(t, []string{"d1"}, s.DueBackends(r))
+	s.RecordProcess("d1", "201")
+	assert.True(t, s.WaveComplete(r))
+	_, _, err = s.Apply(Judged{n, 0, Verdict{GoOn, ""}}, nil, nineDoors())
 	require.NoError(t, err)
-	assert.Len(t, s.Due(r), 7)
-	_, _, err = s.Do(Steer{"kernel", ToBack, "ana", ""}, nil, nine())
+	assert.Len(t, s.DueBackends(r), 7)
+	_, _, err = s.Apply(Steer{"kernel", ToBack, "ana", ""}, nil, nineDoors())
 	require.NoError(t, err)
-	assert.Empty(t, s.Due(r))
+	assert.Empty(t, s.DueBackends(r))
 	assert.Equal(t, Returned, r.Stage)
 	p.Digest = digest
 	var bad *PlanError
--- a/release/verdict_test.go
+++ b/release/verdict_test.go
@@ -8,7 +8,7 @@
 )
 
 // runComparison feeds a comparison with the counts of doors, which grow by of(i) per second, and returns the first final verdict.
-func fed(c *Comparison, from, to float64, doors, changed int, of func(i int) Counts) (v Verdict) {
+func runComparison(c *Comparison, from, to float64, doors, changed int, of func(i int) Counts) (v Verdict) {
 	for now := from; now <= to; now += 1e3 {
 		s := now / 1e3
 		for i := range doors {
@@ -24,13 +24,13 @@
 	return v
 }
 
-var well = Counts{Arrived: 100, InTime: 95, Finished: 97, Rejected: 2, Failed: 1, LatencyMs: 97 * 40, MemoryMB: 12}
+var healthy = Counts{Arrived: 100, InTime: 95, Finished: 97, Rejected: 2, Failed: 1, LatencyMs: 97 * 40, MemoryMB: 12}
 
 func TestHealthyWaveGoesOnAfterItsWatch(t *testing.T) {
 	c := NewComparison(0, 30e3)
-	v := fed(c, 0, 200e3, 10, 1, func(i int) Counts { n := well; n.InTime -= uint64(i % 3); return n })
+	v := runComparison(c, 0, 200e3, 10, 1, func(i int) Counts { n := healthy; n.InTime -= uint64(i % 3); return n })
 	assert.Equal(t, GoOn, v.Says, v.Why)
-	assert.GreaterOrEqual(t, c.lookAt, 40e3)
+	assert.GreaterOrEqual(t, c.nextAtMs, 40e3)
 }
 
 func TestEachRegressionIsDetectedAndNamed(t *testing.T) {
@@ -41,8 +41,8 @@
 		"memory":                        func(n *Counts) { n.MemoryMB *= 3 },
 	} {
 		c := NewComparison(0, 60e3)
-		v := fed(c, 0, 200e3, 12, 3, func(i int) Counts {
-			n := well
+		v := runComparison(c, 0, 200e3, 12, 3, func(i int) Counts {
+			n := healthy
 			n.InTime -= uint64(i % 3)
 			n.LatencyMs *= 1 + 0.01*float64(i%4)
 			if i < 3 {
@@ -56,7 +56,7 @@
 }
 
 func TestDegradationOfAllDoorsDoesNotRollBack(t *testing.T) {
-	v := fed(NewComparison(0, 30e3), 0, 200e3, 10, 2, func(i int) Counts { n := well; n.InTime, n.Rejected = 40, 50; n.InTime -= uint64(i % 4); return n })
+	v := runComparison(NewComparison(0, 30e3), 0, 200e3, 10, 2, func(i int) Counts { n := healthy; n.InTime, n.Rejected = 40, 50; n.InTime -= uint64(i % 4); return n })
 	assert.Equal(t, GoOn, v.Says, v.Why)
 }
 
@@ -71,33 +71,33 @@
 }
 
 func TestTooFewRequestsHaltsTheWave(t *testing.T) {
-	v := fed(NewComparison(0, 10e3), 0, 200e3, 6, 1, func(i int) Counts {
+	v := runComparison(NewComparison(0, 10e3), 0, 200e3, 6, 1, func(i int) Counts {
 		if i == 0 {
 			return Counts{Arrived: 1, InTime: 1, Finished: 1}
 		}
-		return well
+		return healthy
 	})
 	assert.Equal(t, Stop, v.Says)
 	assert.Contains(t, v.Why, "operations at the changed")
 }
 
 func TestWithoutUnchangedDoorsOnlyFailuresCount(t *testing.T) {
-	v := fed(NewComparison(0, 10e3), 0, 200e3, 4, 4, func(int) Counts { return well })
+	v := runComparison(NewComparison(0, 10e3), 0, 200e3, 4, 4, func(int) Counts { return healthy })
 	assert.Equal(t, GoOn, v.Says)
 	assert.Contains(t, v.Why, "nobody is left")
 }
 
 func TestLimitsOverrideDefaults(t *testing.T) {
 	worse := func(i int) Counts {
-		n := well
+		n := healthy
 		n.InTime -= uint64(i % 3)
 		if i < 3 {
 			n.InTime -= 15
 		}
 		return n
 	}
-	v := fed(NewComparison(0, 30e3), 0, 200e3, 12, 3, worse)
+	v := runComparison(NewComparison(0, 30e3), 0, 200e3, 12, 3, worse)
 	assert.Equal(t, GoBck, v.Says)
-	v = fed(NewComparison(0, 30e3).Ending(Ends{Requests: 0.3}), 0, 200e3, 12, 3, worse)
+	v = runComparison(NewComparison(0, 30e3).Ending(Ends{Requests: 0.3}), 0, 200e3, 12, 3, worse)
 	assert.Equal(t, GoOn, v.Says, v.Why)
 }
