--- a/permits/calendar.go
+++ b/permits/calendar.go
@@ -446,7 +446,7 @@
 		switch {
 		case gone:
 			return s.tryCalendar(calendar.Halt{ID: e.ID, Who: "release", Why: "it was replaced by another"})
-		case r.Stage == release.Back || r.Stage == release.Returned:
+		case r.Stage == release.RollingBack || r.Stage == release.Returned:
 			return s.tryCalendar(calendar.RollBack{ID: e.ID, Who: "release " + r.Name, Why: r.Says})
 		case r.Stage == release.Halted && was == calendar.Halted:
 			return steer(release.ToResume)
@@ -464,7 +464,7 @@
 		case gone: // only operators can roll it back; they report when it is done
 		case r.Stage == release.Returned:
 			return s.tryCalendar(calendar.RolledBack{ID: e.ID})
-		case r.Stage != release.Back:
+		case r.Stage != release.RollingBack:
 			if !steer(release.ToBack) {
 				return s.tryCalendar(calendar.Halt{ID: e.ID, Who: "release " + r.Name, Why: "another release has its doors: end that first"})
 			}
--- a/permits/calendar_test.go
+++ b/permits/calendar_test.go
@@ -81,7 +81,7 @@
 		} else {
 			runs = s.Release.Runs[unit(i).Name]
 		}
-		s.do(unit(i).Name+"/h", release.Took{Door: unit(i).Name, Runs: runs})
+		s.do(unit(i).Name+"/h", release.ReportVersions{Door: unit(i).Name, Runs: runs})
 	}
 }
 
@@ -205,7 +205,7 @@
 		Sends: calendar.SendsBack, Who: "bea", Why: "fire"}}).Err)
 	assert.Equal(t, calendar.RollingBack, s.stage(id))
 	r := s.Release.Find("r")
-	assert.Equal(t, release.Back, r.Stage)
+	assert.Equal(t, release.RollingBack, r.Stage)
 	s.installVersions(0)
 	assert.Equal(t, release.Returned, r.Stage)
 	assert.Equal(t, calendar.Withdrawn, s.stage(id))
--- a/permits/changer.go
+++ b/permits/changer.go
@@ -27,7 +27,7 @@
 
 // ReleaseAgent is the client of the coordinators in the process that holds a door's listener: for a release, and with a permit, it
 // has the door run another version. Without coordinators nothing changes.
-type Changer struct {
+type ReleaseAgent struct {
 	door   string
 	caller string
 	holder Holder
@@ -64,12 +64,12 @@
 }
 
 // NewReleaseAgent returns the agent of a door with the versions that it runs and those that it failed to install.
-func NewChanger(door string, process uint64, runs release.Runs, failed map[string]string) *Changer {
-	return &Changer{door: door, caller: Caller(door+"/holder", process), versions: runs, failed: failed, dirty: true}
+func NewChanger(door string, process uint64, runs release.Runs, failed map[string]string) *ReleaseAgent {
+	return &ReleaseAgent{door: door, caller: Caller(door+"/holder", process), versions: runs, failed: failed, dirty: true}
 }
 
 // Step processes an event and returns the resulting actions.
-func (c *Changer) Step(now float64, e any) []any {
+func (c *ReleaseAgent) Step(now float64, e any) []any {
 	switch e := e.(type) {
 	case Gave:
 		if w := c.complete(e.Seq); w != nil && w.Hold != nil {
@@ -95,7 +95,7 @@
 	return c.act(now)
 }
 
-func (c *Changer) handleAnswer(now float64, sent *Post, e Answered) {
+func (c *ReleaseAgent) handleAnswer(now float64, sent *Post, e Answered) {
 	if w, is := sent.Do.(Withdraw); is {
 		if c.returnNumber == w.Number {
 			c.returnNumber = 0
@@ -109,7 +109,7 @@
 }
 
 // abandon gives up the current step; a permit that was granted is returned.
-func (c *Changer) abandon(now float64) {
+func (c *ReleaseAgent) abandon(now float64) {
 	if c.holder.Number != 0 {
 		c.returnNumber = c.holder.Number
 	}
@@ -117,7 +117,7 @@
 	c.retryAtMs, c.dirty = now+denialBackoffMs, true
 }
 
-func (c *Changer) act(now float64) []any {
+func (c *ReleaseAgent) act(now float64) []any {
 	resend, abandoned, busy := c.poll(now)
 	switch {
 	case resend != nil:
@@ -143,7 +143,7 @@
 			return post(c.holder.Asked(now, permitHoldMs), Ask{Unit: c.door, Kind: Door, Who: "release " + c.target.Name, Why: c.target.Changes, HoldMs: permitHoldMs, Release: c.target.Release})
 		case c.holder.MayGo(now):
 			c.applying = true
-			return []any{Take{*c.target, c.holder.Until()}}
+			return []any{Take{*c.target, c.holder.Deadline()}}
 		default:
 			return post(c.holder.Looking(now), Confirm{Number: c.holder.Number})
 		}
@@ -165,11 +165,11 @@
 	}
 	for digest := range h.Failed {
 		for _, r := range s.Release.All {
-			changed = changed || r.Live() && r.Stage != release.Back && r.Digest == digest && r.Failed[h.Door] == ""
+			changed = changed || r.Live() && r.Stage != release.RollingBack && r.Digest == digest && r.Failed[h.Door] == ""
 		}
 	}
 	if changed {
-		do = append(do, release.Took{Door: h.Door, Runs: h.Runs, Failed: h.Failed})
+		do = append(do, release.ReportVersions{Door: h.Door, Runs: h.Runs, Failed: h.Failed})
 	}
 	return do
 }
@@ -177,7 +177,7 @@
 // Assignment returns which version a door is to run.
 func (s *State) Given(door string) (g Given) {
 	if r, digest, is := s.Release.Target(door); is {
-		g = Given{r.Number, r.Name, r.Changes, digest, r.Stage == release.Back}
+		g = Given{r.Number, r.Name, r.Changes, digest, r.Stage == release.RollingBack}
 	}
 	return g
 }
--- a/permits/changer_test.go
+++ b/permits/changer_test.go
@@ -15,7 +15,7 @@
 // testReleaseAgent runs a ReleaseAgent whose posts are applied to a state at once and whose installs succeed, or fail with
 // installError.
 type testReleaseAgent struct {
-	*Changer
+	*ReleaseAgent
 	s            *site
 	now          float64
 	applied      []Take
@@ -25,7 +25,7 @@
 }
 
 func newTestReleaseAgent(s *site, i int) *testReleaseAgent {
-	return &testReleaseAgent{Changer: NewChanger(unit(i).Name, uint64(i), release.Runs{}, nil), s: s, index: i, incarnation: 1}
+	return &testReleaseAgent{ReleaseAgent: NewChanger(unit(i).Name, uint64(i), release.Runs{}, nil), s: s, index: i, incarnation: 1}
 }
 
 func (c *testReleaseAgent) step(e any) {
@@ -119,7 +119,7 @@
 	startRelease(s, "d0", "d1", "d2", "d3")
 	n := s.Release.Find("r1").Number
 	for _, d := range []string{"d0", "d1", "d2", "d3"} {
-		s.do(d+"/h", release.Took{Door: d, Runs: release.Runs{release.Configuration: newDigest}})
+		s.do(d+"/h", release.ReportVersions{Door: d, Runs: release.Runs{release.Configuration: newDigest}})
 	}
 	s.Release.Find("r1").Wave = 1
 	for i := range 4 {
@@ -138,7 +138,7 @@
 	s := newSite(6)
 	number := startRelease(s)
 	for i := range 6 {
-		s.do(unit(i).Name+"/h", release.Took{Door: unit(i).Name, Runs: release.Runs{release.Configuration: newDigest}})
+		s.do(unit(i).Name+"/h", release.ReportVersions{Door: unit(i).Name, Runs: release.Runs{release.Configuration: newDigest}})
 	}
 	require.NoError(t, s.do("op", release.Steer{Name: s.Release.All[0].Name, To: release.ToBack, Who: "op", Why: "x"}).Err)
 	s.do("c2", Lead{Name: "c2", Epoch: 1})
@@ -150,7 +150,7 @@
 		}
 		return granted
 	}
-	require.Equal(t, release.Back, s.Release.All[0].Stage)
+	require.Equal(t, release.RollingBack, s.Release.All[0].Stage)
 	assert.Zero(t, asks())
 	for i := range 6 {
 		s.recordSighting(i, Ready, 1)
--- a/permits/encode_test.go
+++ b/permits/encode_test.go
@@ -23,9 +23,9 @@
 	how := Standing(rapid.IntRange(0, 3).Draw(t, "standing"))
 	life := rapid.Uint64Range(1, 3).Draw(t, "life")
 	do := rapid.SampledFrom([]any{
-		SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2}, {Kind: Door, Zone: EachZone, MostOut: 1, RestMs: 10}, {Kind: Zone, MostOut: 1}}},
+		SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2}, {Kind: Door, Zone: EachZone, MostOut: 1, MinGapMs: 10}, {Kind: Zone, MostOut: 1}}},
 		Begin{unit(i), life}, Drain{Door, unit(i).Name, "op", "why", float64(n), 0}, Undrain{Door, unit(i).Name, "op", "why"}, Drain{Zone, "z1", "op", "why", 0, 0}, Undrain{Zone, "z1", "op", ""},
-		Lead{"c1", "a", 7}, release.Took{Door: unit(i).Name, Runs: release.Runs{release.Program: "x"}},
+		Lead{"c1", "a", 7}, release.ReportVersions{Door: unit(i).Name, Runs: release.Runs{release.Program: "x"}},
 		release.Start{Plan: release.Plan{Name: "r", Changes: release.Program, Digest: strings.Repeat("0", 64), Waves: []release.Wave{{Rest: true}}}, Who: "op"},
 		release.Judged{Number: 1, Verdict: release.Verdict{Says: release.GoOn}}, release.Steer{Name: "r", To: release.ToBack, Who: "op"}, Forget{Door, unit(i).Name, "op", "gone"},
 		Seen{[]Sighting{sighting(i, how, life)}}, Seen{[]Sighting{sighting(0, Ready, 1), sighting(1, Ready, 1), sighting(2, Ready, 1), sighting(3, Ready, 1)}},
--- a/permits/holder.go
+++ b/permits/holder.go
@@ -59,13 +59,13 @@
 func (h *Holder) Fresh(now float64) bool { return now-h.requestedMs <= usableShare*h.holdMs }
 
 // Deadline returns the clock time until which the step may be taken after the latest Confirm.
-func (h *Holder) Until() float64 {
+func (h *Holder) Deadline() float64 {
 	return min(h.confirmSentMs+confirmTTLMs, h.requestedMs+usableShare*h.holdMs)
 }
 
 // MayGo reports whether the step may be taken now. A holder that was suspended after its Confirm must confirm again.
 func (h *Holder) MayGo(now float64) bool {
-	return h.Number != 0 && h.confirmed && now <= h.Until()
+	return h.Number != 0 && h.confirmed && now <= h.Deadline()
 }
 
 // Drop abandons the permit; the holder's next report or command returns it.
--- a/permits/keeper.go
+++ b/permits/keeper.go
@@ -251,7 +251,7 @@
 			return []any{k.post(now, k.holder.Asked(now, permitHoldMs), nil, Ask{Unit: k.unit.Name, Kind: k.unit.Kind, Who: k.order.Who, Why: k.order.Why, HoldMs: permitHoldMs})}
 		case k.holder.MayGo(now):
 			k.stage = goingOut
-			return []any{Aside{true, k.holder.Until(), k.holder.Number, k.order.Why}}
+			return []any{Aside{true, k.holder.Deadline(), k.holder.Number, k.order.Why}}
 		default:
 			return []any{k.post(now, k.holder.Looking(now), nil, Confirm{k.holder.Number, k.incarnation, k.process})}
 		}
--- a/permits/orders.go
+++ b/permits/orders.go
@@ -128,8 +128,8 @@
 			if ready < b.LeastHere {
 				return &DeniedError{zone, b, "", fmt.Sprintf("%d %ss would be here, at least %d must be", ready, b.Kind, b.LeastHere), orNone(out)}
 			}
-			if size < b.LeastSize {
-				return &DeniedError{zone, b, "", fmt.Sprintf("a size of %g would be here, at least %g must be", size, b.LeastSize), orNone(out)}
+			if size < b.MinReadySize {
+				return &DeniedError{zone, b, "", fmt.Sprintf("a size of %g would be here, at least %g must be", size, b.MinReadySize), orNone(out)}
 			}
 		}
 	}
--- a/permits/permits.go
+++ b/permits/permits.go
@@ -42,7 +42,7 @@
 	Unit
 	Standing Standing
 	AtMs     float64 // of the latest sighting
-	Life     uint64  // latest incarnation that was registered or seen
+	Life     uint64  `json:"Life"` // latest incarnation that was registered or seen
 	Process  uint64
 	Did      uint64 // of a door: the latest change whose withheld backends it has applied
 }
@@ -131,7 +131,7 @@
 		calendar.SetRules, calendar.Clock, calendar.Start, calendar.WaveDone, calendar.Observe, calendar.Migrate, calendar.Replace, calendar.Revert, calendar.Halt, calendar.Resume,
 		calendar.RollBack, calendar.RolledBack, calendar.Acknowledge, calendar.Restored:
 		return s.applyCalendarCommand(c)
-	case release.Start, release.Took, release.Judged, release.Steer:
+	case release.Start, release.ReportVersions, release.Judged, release.Steer:
 		if own, err := s.routeToEntry(d); own || err != nil {
 			return Answer{Err: err}
 		}
@@ -408,10 +408,10 @@
 		return denied("%d of %d are out already", len(out), b.MostOut)
 	case ready < b.LeastHere:
 		return denied("%d would be here, at least %d must be", ready, b.LeastHere)
-	case size < b.LeastSize:
-		return denied("a size of %g would be here, at least %g must be", size, b.LeastSize)
-	case fresh && lastMs >= 0 && s.NowMs-lastMs < b.RestMs:
-		return denied("%.0f ms since the last, %.0f must pass", s.NowMs-lastMs, b.RestMs)
+	case size < b.MinReadySize:
+		return denied("a size of %g would be here, at least %g must be", size, b.MinReadySize)
+	case fresh && lastMs >= 0 && s.NowMs-lastMs < b.MinGapMs:
+		return denied("%.0f ms since the last, %.0f must pass", s.NowMs-lastMs, b.MinGapMs)
 	}
 	return nil
 }
--- a/permits/permits_test.go
+++ b/permits/permits_test.go
@@ -17,7 +17,7 @@
 
 func newSite(doors int) *site {
 	s := &site{New(), 0, map[string]uint64{}}
-	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2, LeastHere: 2, RestMs: 0}, {Kind: Door, Zone: EachZone, MostOut: 1}}})
+	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2, LeastHere: 2, MinGapMs: 0}, {Kind: Door, Zone: EachZone, MostOut: 1}}})
 	for i := range doors {
 		s.recordSighting(i, Ready, 1)
 	}
@@ -148,9 +148,9 @@
 	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 8, LeastHere: 7}}})
 	require.NoError(t, s.ask(0).Err)
 	assert.ErrorContains(t, s.ask(1).Err, "at least 7")
-	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 8, LeastSize: 6.5}}})
+	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 8, MinReadySize: 6.5}}})
 	assert.ErrorContains(t, s.ask(1).Err, "at least 6.5")
-	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 8, RestMs: 5000}}})
+	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 8, MinGapMs: 5000}}})
 	assert.ErrorContains(t, s.ask(1).Err, "must pass")
 	s.now = 5000
 	for i := range 8 {
--- a/permits/types.go
+++ b/permits/types.go
@@ -39,12 +39,12 @@
 
 // Budget limits how many units of one kind may be out at the same time.
 type Budget struct {
-	Kind      Kind    `json:"kind"`
-	Zone      string  `json:"zone"`       // name of a zone, EachZone, or empty for the whole fleet
-	MostOut   int     `json:"most_out"`   // maximum out, planned and failed together
-	LeastHere int     `json:"least_here"` // minimum that stay ready
-	LeastSize float64 `json:"least_size"` // minimum total size of those that stay ready
-	RestMs    float64 `json:"rest_ms"`    // minimum ms between two permits and after a unit has come back; ignored for zones
+	Kind         Kind    `json:"kind"`
+	Zone         string  `json:"zone"`       // name of a zone, EachZone, or empty for the whole fleet
+	MostOut      int     `json:"most_out"`   // maximum out, planned and failed together
+	LeastHere    int     `json:"least_here"` // minimum that stay ready
+	MinReadySize float64 `json:"least_size"` // minimum total size of those that stay ready
+	MinGapMs     float64 `json:"rest_ms"`    // minimum ms between two permits and after a unit has come back; ignored for zones
 }
 
 // EachZone as a budget's zone applies the budget to each zone separately.
@@ -74,7 +74,7 @@
 type Sighting struct {
 	Unit
 	Standing Standing
-	Life     uint64
+	Life     uint64 `json:"Life"`
 	Process  uint64
 	Did      uint64 `json:",omitempty"` // of a door: the latest change whose withheld backends it has applied
 }
@@ -141,7 +141,7 @@
 // another process than the unit's own confirms; the unit's last known process is recorded then.
 type Confirm struct {
 	Number  uint64
-	Life    uint64
+	Life    uint64 `json:"Life"`
 	Process uint64
 }
 
@@ -187,7 +187,7 @@
 	AtMs    float64
 	HoldMs  float64
 	Stage   Stage
-	Life    uint64 // of the process that confirmed it: the unit is back once a later one is ready
+	Life    uint64 `json:"Life"` // of the process that confirmed it: the unit is back once a later one is ready
 	Process uint64
 
 	Release uint64  `json:",omitempty"` // release whose version the unit goes out to install
--- a/permits/watch.go
+++ b/permits/watch.go
@@ -230,7 +230,7 @@
 		}
 		j := w.comparisons[r.Number]
 		if j == nil || j.wave != r.Wave {
-			j = &waveComparison{r.Wave, now, release.NewComparison(now, r.Waves[r.Wave].WatchS*1e3).Ending(r.Ends)}
+			j = &waveComparison{r.Wave, now, release.NewComparison(now, r.Waves[r.Wave].WatchS*1e3).WithLimits(r.Limits)}
 			w.comparisons[r.Number] = j
 		}
 		if r.Changes == release.Backends { // each pair of a reporting door and a backend is one item of the comparison
--- a/release/release.go
+++ b/release/release.go
@@ -28,13 +28,13 @@
 	Waves   []Wave   `json:"waves"`
 	// Supersedes names a release in progress that this one replaces. Without it this release waits until no other one has any of
 	// its doors.
-	Over string `json:"over"`
+	Supersedes string `json:"over"`
 	// Limits are the differences from the unchanged doors at which the release rolls back.
-	Ends Ends `json:"ends"`
+	Limits Limits `json:"ends"`
 }
 
 // Limits is by how much the changed doors may be worse than the others before a release rolls back; 0 selects the default.
-type Ends struct {
+type Limits struct {
 	Requests float64 `json:"operations,omitempty"` // additional share of requests that are late, failed or rejected
 	Latency  float64 `json:"latency,omitempty"`    // increase as a share of the others' latency
 	Memory   float64 `json:"memory,omitempty"`     // increase as a share of the others' memory
@@ -82,7 +82,7 @@
 		return bad("digest", "%q is no sha256 in %d digits", p.Digest, digestDigits)
 	case len(p.Waves) == 0:
 		return bad("waves", "none")
-	case !(p.Ends.Requests >= 0 && p.Ends.Requests < 1) || !(p.Ends.Latency >= 0) || !(p.Ends.Memory >= 0):
+	case !(p.Limits.Requests >= 0 && p.Limits.Requests < 1) || !(p.Limits.Latency >= 0) || !(p.Limits.Memory >= 0):
 		return bad("ends", "shares from 0 on are wanted, operations under 1")
 	}
 	for i, w := range p.Waves {
@@ -109,13 +109,13 @@
 
 // Stages of a release.
 const (
-	Waiting  Stage = "waiting" // until another release no longer has any of its doors
-	Running  Stage = "running"
-	Halted   Stage = "halted"
-	Back     Stage = "going back"
-	Done     Stage = "done"
-	Returned Stage = "back" // all doors run their previous version again
-	Replaced Stage = "replaced"
+	Waiting     Stage = "waiting" // until another release no longer has any of its doors
+	Running     Stage = "running"
+	Halted      Stage = "halted"
+	RollingBack Stage = "going back"
+	Done        Stage = "done"
+	Returned    Stage = "back" // all doors run their previous version again
+	Replaced    Stage = "replaced"
 )
 
 // Release is a release with its progress.
@@ -160,7 +160,7 @@
 		Who, Why string
 	}
 	// ReportVersions is a door's report of the versions that it runs and of those that it failed to install.
-	Took struct {
+	ReportVersions struct {
 		Door   string
 		Runs   Runs
 		Failed map[string]string `json:",omitempty"` // reason by digest
@@ -187,7 +187,9 @@
 )
 
 // Live reports whether a release still controls its doors.
-func (r *Release) Live() bool { return r.Stage == Running || r.Stage == Halted || r.Stage == Back }
+func (r *Release) Live() bool {
+	return r.Stage == Running || r.Stage == Halted || r.Stage == RollingBack
+}
 
 func (r *Release) doors() (all []string) {
 	for _, part := range r.Parts {
@@ -228,7 +230,7 @@
 	case Start:
 		number, err = s.start(c, of[c.Plan.Changes == Backends])
 		note = "release " + c.Plan.Name + " of " + c.Plan.Changes + " " + c.Plan.Digest
-	case Took:
+	case ReportVersions:
 		s.recordVersions(c)
 	case Judged:
 		note, err = s.applyVerdict(c)
@@ -254,10 +256,10 @@
 			return 0, &PlanError{Key: "doors", Says: fmt.Sprintf("%q is not known", name)}
 		}
 	}
-	if c.Plan.Over != "" {
-		old := s.Find(c.Plan.Over)
+	if c.Plan.Supersedes != "" {
+		old := s.Find(c.Plan.Supersedes)
 		if old == nil || !old.Live() && old.Stage != Waiting {
-			return 0, &PlanError{Key: "over", Says: fmt.Sprintf("%q is not under way", c.Plan.Over)}
+			return 0, &PlanError{Key: "over", Says: fmt.Sprintf("%q is not under way", c.Plan.Supersedes)}
 		}
 	}
 	r := &Release{Plan: c.Plan, Number: s.Next, Who: c.Who, Why: c.Why, Stage: Waiting, From: map[string]string{}, Failed: map[string]string{}}
@@ -277,10 +279,10 @@
 // advance ends the rollbacks that are complete and runs the waiting releases whose doors are free.
 func (s *State) advance(of map[bool][]Door) {
 	for _, r := range s.All {
-		if r.Stage == Back && r.Changes == Backends { // a replaced backend can't be restored from here: the release's drains end and no further ones begin
+		if r.Stage == RollingBack && r.Changes == Backends { // a replaced backend can't be restored from here: the release's drains end and no further ones begin
 			r.Stage = Returned
 		}
-		if r.Stage == Back && !slices.ContainsFunc(r.doors(), func(d string) bool { return s.versionOf(d, r.Changes) != r.From[d] }) {
+		if r.Stage == RollingBack && !slices.ContainsFunc(r.doors(), func(d string) bool { return s.versionOf(d, r.Changes) != r.From[d] }) {
 			r.Stage = Returned
 		}
 	}
@@ -298,8 +300,8 @@
 			continue
 		}
 		var old *Release
-		if r.Over != "" {
-			old = s.Find(r.Over)
+		if r.Supersedes != "" {
+			old = s.Find(r.Supersedes)
 		}
 		free := !slices.ContainsFunc(s.All, func(o *Release) bool {
 			return o != r && o != old && o.Live() && (o.Changes == Backends) == (r.Changes == Backends) && slices.ContainsFunc(units, func(d Door) bool { return slices.Contains(o.doors(), d.Name) })
@@ -371,7 +373,7 @@
 	return all
 }
 
-func (s *State) recordVersions(c Took) {
+func (s *State) recordVersions(c ReportVersions) {
 	if s.Runs[c.Door] == nil {
 		s.Runs[c.Door] = Runs{}
 	}
@@ -380,13 +382,13 @@
 	}
 	for _, r := range s.All {
 		why, failed := c.Failed[r.Digest]
-		if !failed || !r.Live() || r.Stage == Back || !slices.Contains(r.doors(), c.Door) || r.Failed[c.Door] != "" {
+		if !failed || !r.Live() || r.Stage == RollingBack || !slices.Contains(r.doors(), c.Door) || r.Failed[c.Door] != "" {
 			continue
 		}
 		// If one door fails to install the version, the release rolls back: no further door gets it, and those that run it return
 		// to their previous one.
 		r.Failed[c.Door] = why
-		r.Stage, r.Says = Back, c.Door+": "+why
+		r.Stage, r.Says = RollingBack, c.Door+": "+why
 	}
 }
 
@@ -418,7 +420,7 @@
 	case Stop:
 		r.Stage = Halted
 	case GoBck:
-		r.Stage = Back
+		r.Stage = RollingBack
 	default:
 		return "", nil
 	}
@@ -447,7 +449,7 @@
 		if r.Stage == Done && slices.ContainsFunc(r.doors(), func(d string) bool { return s.LiveReleaseOf(d, r.Changes) != nil }) {
 			return "", &StageError{c.Name, r.Stage, c.To}
 		}
-		r.Stage = Back
+		r.Stage = RollingBack
 	}
 	r.Says = fmt.Sprintf("%s by %s: %s", c.To, c.Who, c.Why)
 	return fmt.Sprintf("release %s: %s", r.Name, c.To), nil
@@ -503,7 +505,7 @@
 			switch {
 			case r.Stage == Running && i <= r.Wave && runs != r.Digest && r.Failed[door] == "":
 				return r, r.Digest, true
-			case r.Stage == Back && runs != r.From[door]:
+			case r.Stage == RollingBack && runs != r.From[door]:
 				for _, later := range r.Parts[i+1:] {
 					if slices.ContainsFunc(later, func(d string) bool { return s.versionOf(d, r.Changes) != r.From[d] }) {
 						return nil, "", false
@@ -526,5 +528,5 @@
 	if w, _, is := s.Target(door); !is || w != r {
 		return false, &StageError{r.Name, r.Stage, "give " + door + " anything now"}
 	}
-	return r.Stage == Back, nil
+	return r.Stage == RollingBack, nil
 }
--- a/release/release_test.go
+++ b/release/release_test.go
@@ -34,7 +34,7 @@
 
 func reportDigest(t *testing.T, s *State, digest string, doors ...string) {
 	for _, d := range doors {
-		apply(t, s, Took{Door: d, Runs: Runs{Configuration: digest}})
+		apply(t, s, ReportVersions{Door: d, Runs: Runs{Configuration: digest}})
 	}
 }
 
@@ -89,9 +89,9 @@
 	reportDigest(t, s, digest, "d0")
 	apply(t, s, Judged{n, 0, Verdict{GoOn, ""}})
 	reportDigest(t, s, digest, "d3")
-	apply(t, s, Took{Door: "d1", Runs: Runs{}, Failed: map[string]string{digest: "key settings: missing"}})
+	apply(t, s, ReportVersions{Door: "d1", Runs: Runs{}, Failed: map[string]string{digest: "key settings: missing"}})
 	r := s.Find("r1")
-	assert.Equal(t, Back, r.Stage)
+	assert.Equal(t, RollingBack, r.Stage)
 	assert.Contains(t, r.Says, "d1: key settings")
 	assert.Equal(t, []string{"d3"}, doorsToChange(s))
 	reportDigest(t, s, "", "d3", "d0")
@@ -107,7 +107,7 @@
 	apply(t, s, Start{Plan: second})
 	assert.Equal(t, Waiting, s.Find("r2").Stage, "another release has its doors")
 	third := plan("r3")
-	third.Digest, third.Over = other, "r1"
+	third.Digest, third.Supersedes = other, "r1"
 	third.Doors = []string{"d0", "d1"}
 	apply(t, s, Start{Plan: third})
 	assert.Equal(t, Replaced, s.Find("r1").Stage)
@@ -123,7 +123,7 @@
 	_, _, err := s.Apply(Start{Plan: second}, nineDoors(), nil)
 	require.ErrorAs(t, err, &name)
 	unknown := plan("r4")
-	unknown.Over = "r3"
+	unknown.Supersedes = "r3"
 	_, _, err = s.Apply(Start{Plan: unknown}, nineDoors(), nil)
 	var bad *PlanError
 	require.ErrorAs(t, err, &bad)
