--- a/permits/changer.go
+++ b/permits/changer.go
@@ -20,9 +20,9 @@
 type Given struct {
 	Release uint64 `json:"release,omitempty"`
 	Name    string `json:"name,omitempty"`
-	Changes string `json:"changes,omitempty"`
+	Changes string `json:"changes,omitempty"` // kind of change
 	Digest  string `json:"digest,omitempty"`
-	Back    bool   `json:"back,omitempty"`
+	Back    bool   `json:"back,omitempty"` // the release is rolling back
 }
 
 // ReleaseAgent is the client of the coordinators in the process that holds a door's listener: for a release, and with a permit, it
@@ -33,13 +33,13 @@
 	holder Holder
 	outstanding
 	versions     release.Runs
-	failed       map[string]string
-	target       *Given
-	applying     bool
+	failed       map[string]string // reason by digest
+	target       *Given            // version to change to; nil if nothing is to change
+	applying     bool              // an ApplyRelease was issued and its result is pending
 	lastReportMs float64
-	dirty        bool
-	retryAtMs    float64
-	returnNumber uint64 // permit to be returned, of an abandoned or failed step; 0 for none
+	dirty        bool    // there is news to report
+	retryAtMs    float64 // clock before which no permit is requested again
+	returnNumber uint64  // permit to be returned, of an abandoned or failed step; 0 for none
 }
 
 // Events of a ReleaseAgent, besides Answered, Unanswered and Tick.
@@ -64,8 +64,8 @@
 }
 
 // NewReleaseAgent returns the agent of a door with the versions that it runs and those that it failed to install.
-func NewChanger(door string, process uint64, runs release.Runs, failed map[string]string) *ReleaseAgent {
-	return &ReleaseAgent{door: door, caller: Caller(door+"/holder", process), versions: runs, failed: failed, dirty: true}
+func NewChanger(door string, process uint64, versions release.Runs, failed map[string]string) *ReleaseAgent {
+	return &ReleaseAgent{door: door, caller: Caller(door+"/holder", process), versions: versions, failed: failed, dirty: true}
 }
 
 // Step processes an event and returns the resulting actions.
--- a/permits/keeper.go
+++ b/permits/keeper.go
@@ -16,17 +16,17 @@
 	incarnation  uint64 // 0 until it is assigned
 	holder       Holder
 	ready        bool
-	away         []string
-	backends     []Sighting // of backends
+	away         []string   // doors that the door considers away
+	backends     []Sighting // the door's list of backends
 	counts       *release.Counts
-	byBackend    map[string]release.Counts // by backend
+	byBackend    map[string]release.Counts // attempts by backend
 	sendBackends bool                      // reports are to include the list of backends
 	change       uint64                    // latest change received
 	applied      uint64                    // latest change applied
-	withheld     []string
-	order        *Order
-	endedByHand  []uint64 // drains ended by hand that the coordinators don't know to be ended yet
-	epoch        uint64   // of the coordinators' state
+	withheld     []string                  // backends that the door has to withhold
+	order        *Order                    // drain of the door; nil for none
+	endedByHand  []uint64                  // drains ended by hand that the coordinators don't know to be ended yet
+	epoch        uint64                    // of the coordinators' state
 	stage        agentStage
 	lastReportMs float64
 	outstanding
@@ -35,6 +35,7 @@
 	retryAtMs float64 // clock before which no permit is requested again
 }
 
+// agentStage is the stage of a DoorAgent.
 type agentStage uint8
 
 const (
@@ -90,18 +91,18 @@
 		Caller string
 		Word   *Word
 		Hold   *Hold
-		Do     any
+		Do     any // command
 	}
 	// Withhold has the door withhold exactly these backends in its routing decisions.
 	Withhold struct {
 		Names  []string
-		Change uint64
+		Change uint64 // that the list belongs to
 	}
 	// SetOut takes the door out of service, if that can happen before UntilMs of its clock, or brings it back.
 	Aside struct {
 		Out     bool
 		UntilMs float64
-		Number  uint64
+		Number  uint64 // of the permit
 		Why     string
 	}
 )
@@ -116,8 +117,8 @@
 )
 
 // NewDoorAgent returns the agent of a door that starts. newProcess draws process numbers that are unique.
-func NewKeeper(unit Unit, fresh func() uint64) *Keeper {
-	return &Keeper{unit: unit, newProcess: fresh, process: fresh()}
+func NewKeeper(unit Unit, newProcess func() uint64) *Keeper {
+	return &Keeper{unit: unit, newProcess: newProcess, process: newProcess()}
 }
 
 // Out reports whether the door is out by a drain, and the number of its permit.
@@ -142,7 +143,7 @@
 		if w := k.complete(e.Seq); w != nil {
 			k.handleAnswer(now, w, e)
 		}
-	case Unanswered: // sent again after retryAfterMs
+	case Unanswered: // poll sends the post again after retryAfterMs
 	case Stands:
 		if k.ready != e.Ready || !slices.Equal(k.away, e.Away) {
 			k.dirty = true
@@ -177,6 +178,7 @@
 	return append(do, k.act(now)...)
 }
 
+// handleReply applies the reply to a report.
 func (k *Keeper) handleReply(sent *Word, r *Reply) (do []any) {
 	if r.Life != k.incarnation { // another process of this name has registered, or the coordinators have lost their state
 		k.incarnation = 0
@@ -270,6 +272,7 @@
 	return k.send(now, Post{Seq: seq, Caller: k.caller(), Word: w, Do: command})
 }
 
+// report returns the door's next report.
 func (k *Keeper) report() *Word {
 	s := Sighting{Unit: k.unit, Life: k.incarnation, Process: k.process, Did: k.applied, Standing: Starting}
 	switch {
--- a/permits/outstanding.go
+++ b/permits/outstanding.go
@@ -7,7 +7,7 @@
 
 // outstanding tracks the one post that waits for an answer. Answers to earlier posts are ignored.
 type outstanding struct {
-	pending *Post
+	pending *Post // nil if no answer is awaited
 	sentMs  float64
 	retries int
 }
--- a/permits/watch.go
+++ b/permits/watch.go
@@ -13,7 +13,7 @@
 	Caller string `json:"caller"` // name and process
 	Seq    uint64 `json:"seq"`
 	Sighting
-	Holds    uint64                    `json:"holds,omitempty"`
+	Holds    uint64                    `json:"holds,omitempty"`    // permit that it intends to use; 0 for none
 	Away     []string                  `json:"away,omitempty"`     // doors that it considers away
 	Undone   []uint64                  `json:"undone,omitempty"`   // drains that an operator ended at the door itself
 	Backends []Sighting                `json:"backends,omitempty"` // its list of backends, if requested by Reply.Full
@@ -48,7 +48,7 @@
 // replicated: a new leader receives reports from all doors within a second or two.
 type Watch struct {
 	reports     map[string]*receivedReport // by door
-	doors       []string                   // of those doors, sorted
+	doors       []string                   // names of the reporting doors, sorted
 	comparisons map[uint64]*waveComparison // by release
 	sent        map[string]sentSighting    // by unitKey
 }
@@ -79,23 +79,23 @@
 
 // Record stores a report and reports whether it was accepted. A report that is older than the stored one, or from an earlier
 // incarnation, is ignored. The list of backends is kept until the door sends another.
-func (w *Watch) Heard(now float64, word Word) bool {
-	if old := w.reports[word.Name]; old != nil {
-		if word.Life < old.Life || word.Process == old.Process && word.Seq <= old.Seq {
+func (w *Watch) Heard(now float64, report Word) bool {
+	if old := w.reports[report.Name]; old != nil {
+		if report.Life < old.Life || report.Process == old.Process && report.Seq <= old.Seq {
 			return false
 		}
-		if word.Counts == nil && word.Process == old.Process {
-			word.Counts = old.Counts
+		if report.Counts == nil && report.Process == old.Process {
+			report.Counts = old.Counts
 		}
-		if word.Backends == nil && word.Process == old.Process {
-			word.Backends, word.Sent = old.Backends, old.Sent
+		if report.Backends == nil && report.Process == old.Process {
+			report.Backends, report.Sent = old.Backends, old.Sent
 		}
 	}
-	if w.reports[word.Name] == nil {
-		i, _ := slices.BinarySearch(w.doors, word.Name)
-		w.doors = slices.Insert(w.doors, i, word.Name)
+	if w.reports[report.Name] == nil {
+		i, _ := slices.BinarySearch(w.doors, report.Name)
+		w.doors = slices.Insert(w.doors, i, report.Name)
 	}
-	w.reports[word.Name] = &receivedReport{word, now}
+	w.reports[report.Name] = &receivedReport{report, now}
 	return true
 }
 
@@ -118,17 +118,17 @@
 // others consider it away; a door without a recent report is listed only if they do. A backend has the standing that most lists
 // give it.
 func (w *Watch) Sightings(now float64) (all []Sighting) {
-	fresh := w.recentDoors(now, len(w.doors))
+	recent := w.recentDoors(now, len(w.doors))
 	away := map[string]int{}
 	lists := map[string][]Sighting{}
-	for _, n := range fresh {
+	for _, n := range recent {
 		for _, other := range w.reports[n].Away {
 			if other != n {
 				away[other]++
 			}
 		}
 	}
-	for _, n := range fresh[:min(maxBackendReporters, len(fresh))] {
+	for _, n := range recent[:min(maxBackendReporters, len(recent))] {
 		for _, b := range w.reports[n].Backends {
 			lists[b.Name] = append(lists[b.Name], b)
 		}
@@ -136,8 +136,8 @@
 	for _, n := range w.doors {
 		h := w.reports[n]
 		s := h.Sighting
-		others := len(fresh)
-		if _, is := slices.BinarySearch(fresh, n); is {
+		others := len(recent)
+		if _, is := slices.BinarySearch(recent, n); is {
 			others--
 		} else if h.Standing != Ended && 2*away[n] <= others {
 			continue // its standing is unknown
--- a/release/release.go
+++ b/release/release.go
@@ -47,7 +47,7 @@
 	EachZone int     `json:"each_zone,omitempty"` // number of doors of each zone
 	Share    float64 `json:"share,omitempty"`     // share of all doors, at least one door
 	Rest     bool    `json:"rest,omitempty"`      // all remaining doors
-	WatchS   float64 `json:"watch_s"`
+	WatchS   float64 `json:"watch_s"`             // s
 }
 
 const (
@@ -191,6 +191,7 @@
 	return r.Stage == Running || r.Stage == Halted || r.Stage == RollingBack
 }
 
+// doors lists the doors or backends of all waves.
 func (r *Release) doors() (all []string) {
 	for _, part := range r.Parts {
 		all = append(all, part...)
@@ -325,6 +326,7 @@
 	}
 }
 
+// versionOf returns the digest that a door runs, or the process of a backend.
 func (s *State) versionOf(door, changes string) string {
 	if changes == Backends {
 		return s.Seen[door]
--- a/release/verdict.go
+++ b/release/verdict.go
@@ -27,10 +27,10 @@
 
 // Outcomes of a comparison.
 const (
-	Wait  Says = "wait"
-	GoOn  Says = "go on"
-	Stop  Says = "halt" // an operator must decide: there is too little data, or a metric is close to its limit
-	GoBck Says = "go back"
+	Wait  Says = "wait"    // not enough data yet, or the watch isn't over
+	GoOn  Says = "go on"   // the wave passed
+	Stop  Says = "halt"    // an operator must decide: there is too little data, or a metric is close to its limit
+	GoBck Says = "go back" // the release must be rolled back
 )
 
 // Verdict is the result of a comparison and its reason.
@@ -130,6 +130,7 @@
 	sum    Counts
 }
 
+// groups sums up the counts of the changed and of the other doors.
 func (c *Comparison) groups() (changed, others group) {
 	for _, name := range slices.Sorted(maps.Keys(c.doors)) {
 		d := c.doors[name]
