--- a/permits/orders.go
+++ b/permits/drains.go
@@ -102,7 +102,7 @@
 
 // checkZoneOutage returns what keeps a whole zone from going out: the budget of zones, or the minimum of ready units in the
 // fleet. The maximum of units out doesn't apply, since a zone exceeds any such budget.
-func (s *State) checkZoneOutage(zone string, fresh bool) error {
+func (s *State) checkZoneOutage(zone string, newPermit bool) error {
 	limited := false
 	for _, b := range s.Budgets {
 		b := b
@@ -133,7 +133,7 @@
 			}
 		}
 	}
-	if !limited && fresh {
+	if !limited && newPermit {
 		return &DeniedError{Unit: zone, Budget: Budget{Kind: Zone}, Reason: "no budget for zones is set", Blocked: orNone(nil)}
 	}
 	return nil
--- a/permits/permits.go
+++ b/permits/permits.go
@@ -327,7 +327,7 @@
 // budget and nothing could be rolled back. A unit that a new leader has merely not seen yet may still be serving, so budgets
 // apply to it: without that rule three doors went out at once in the half second before the first sightings, where two may be
 // out.
-func (s *State) checkReleaseStep(u *Known, number uint64, fresh bool) error {
+func (s *State) checkReleaseStep(u *Known, number uint64, newPermit bool) error {
 	if number != 0 {
 		back, err := s.Release.CheckChange(number, u.Name)
 		if err != nil {
@@ -337,7 +337,7 @@
 			return nil
 		}
 	}
-	return s.checkOutage(&u.Unit, "", fresh)
+	return s.checkOutage(&u.Unit, "", newPermit)
 }
 
 // Out reports whether a unit counts as out.
@@ -349,15 +349,15 @@
 }
 
 // checkOutage returns the halt or budget that keeps a unit from going out; nil for none. zone names the zone that is drained as
-// a whole, if any; fresh is set if the unit has no permit yet.
-func (s *State) checkOutage(g *Unit, zone string, fresh bool) error {
+// a whole, if any; newPermit is set if the unit has no permit yet.
+func (s *State) checkOutage(g *Unit, zone string, newPermit bool) error {
 	for _, h := range s.Halts {
 		if (h.Kind == "" || h.Kind == g.Kind || zone != "" && h.Kind == Zone) && (h.Zone == "" || h.Zone == g.Zone) {
 			return &HaltedError{h.Who, h.Why}
 		}
 	}
 	if zone != "" { // a drain of a whole zone has its own budget
-		return s.checkZoneOutage(zone, fresh)
+		return s.checkZoneOutage(zone, newPermit)
 	}
 	limited := false
 	for _, b := range s.Budgets {
@@ -369,7 +369,7 @@
 		if b.Zone != "" {
 			zone = g.Zone
 		}
-		if err := s.checkBudget(&b, zone, g, fresh); err != nil {
+		if err := s.checkBudget(&b, zone, g, newPermit); err != nil {
 			return err
 		}
 	}
@@ -380,7 +380,7 @@
 }
 
 // checkBudget checks one budget with one more unit out.
-func (s *State) checkBudget(b *Budget, zone string, g *Unit, fresh bool) error {
+func (s *State) checkBudget(b *Budget, zone string, g *Unit, newPermit bool) error {
 	ready, size, lastMs := 0, 0.0, -1.0
 	var out []string
 	for _, k := range slices.Sorted(maps.Keys(s.Units)) {
@@ -410,7 +410,7 @@
 		return denied("%d would be here, at least %d must be", ready, b.LeastHere)
 	case size < b.MinReadySize:
 		return denied("a size of %g would be here, at least %g must be", size, b.MinReadySize)
-	case fresh && lastMs >= 0 && s.NowMs-lastMs < b.MinGapMs:
+	case newPermit && lastMs >= 0 && s.NowMs-lastMs < b.MinGapMs:
 		return denied("%.0f ms since the last, %.0f must pass", s.NowMs-lastMs, b.MinGapMs)
 	}
 	return nil
--- a/release/verdict.go
+++ b/release/verdict.go
@@ -239,7 +239,7 @@
 // compareShares compares shares of requests. Doors differ by more than chance because their customers differ; this variance is
 // estimated from the unchanged doors.
 func compareShares(name string, changed, others group, margin float64, of func(Counts) (uint64, uint64)) (f metric, ok bool) {
-	sum := func(g group) (part, whole float64, shares []float64, chance float64) {
+	sum := func(g group) (part, whole float64, shares []float64, samplingVar float64) {
 		for _, n := range g.counts {
 			p, w := of(n)
 			part, whole = part+float64(p), whole+float64(w)
@@ -250,21 +250,21 @@
 		all := (part + 1) / (whole + 2)
 		for _, n := range g.counts {
 			if _, w := of(n); w > 0 {
-				chance += overdispersion * all * (1 - all) / float64(w) / float64(len(shares))
+				samplingVar += overdispersion * all * (1 - all) / float64(w) / float64(len(shares))
 			}
 		}
-		return part, whole, shares, chance
+		return part, whole, shares, samplingVar
 	}
 	p1, n1, s1, _ := sum(changed)
-	p0, n0, s0, chance := sum(others)
+	p0, n0, s0, samplingVar := sum(others)
 	if n1 == 0 || n0 == 0 || len(s0) < 2 {
 		return f, false
 	}
 	_, v := meanVar(s0)
-	between := max(minShareDeviation*minShareDeviation, v-chance)
+	betweenVar := max(minShareDeviation*minShareDeviation, v-samplingVar)
 	a, b := p1/n1, p0/n0
 	pooled := (p1 + p0 + 1) / (n1 + n0 + 2)
-	sd := math.Sqrt(between*(1/float64(len(s1))+1/float64(len(s0))) + overdispersion*pooled*(1-pooled)*(1/n1+1/n0))
+	sd := math.Sqrt(betweenVar*(1/float64(len(s1))+1/float64(len(s0))) + overdispersion*pooled*(1-pooled)*(1/n1+1/n0))
 	return metric{name, a - b, (a - b - margin) / sd, float64(len(s0) - 1),
 		fmt.Sprintf("%s: %.1f in 100 operations at the changed, %.1f at the others", name, 100*a, 100*b)}, true
 }
