--- a/config/config.go
+++ b/config/config.go
@@ -234,8 +234,8 @@
 	fault := func(key, format string, args ...any) { faults = append(faults, keyFault(key, format, args...)) }
 	if t.Doors < 1 {
 		fault("settings.fleet_size", "%d doors", t.Doors)
-	} else if t.Number < 0 || t.Number >= t.Doors {
-		fault("settings.my_number", "%d of %d doors", t.Number, t.Doors)
+	} else if t.DoorNumber < 0 || t.DoorNumber >= t.Doors {
+		fault("settings.my_number", "%d of %d doors", t.DoorNumber, t.Doors)
 	}
 	faults = append(faults, termFaults("settings", t)...)
 	if t.Counter && d.Counter == "" {
@@ -293,8 +293,8 @@
 		if p.Gain < 0 {
 			fault(at+"worth", "below 0")
 		}
-		if p.Semantics == gate.Keyed && p.Window <= 0 {
-			fault(at+"window", "%g, though the class is deduplicated", p.Window/msPerSecond)
+		if p.Semantics == gate.Keyed && p.DedupWindow <= 0 {
+			fault(at+"window", "%g, though the class is deduplicated", p.DedupWindow/msPerSecond)
 		}
 	}
 	for i, p := range t.Plans {
@@ -304,7 +304,7 @@
 		}
 		at = under + "." + at
 		faults = append(faults, below0([]figure{{at + "rate", p.Rate}, {at + "depth", p.Depth}, {at + "never_over_rate", p.CeilingRate},
-			{at + "ceiling_burst", p.CeilingDepth}, {at + "beyond_earns", p.Beyond}, {at + "over_cost", p.OverCost},
+			{at + "ceiling_burst", p.CeilingDepth}, {at + "beyond_earns", p.OverQuotaGain}, {at + "over_cost", p.OverQuotaCost},
 			{at + "pays", p.Price}})...)
 	}
 	return faults
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -29,7 +29,7 @@
 	assert.Equal(t, "127.0.0.9:1", d.Listen, "the environment wins")
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), d.Seed)
 	assert.Equal(t, "s", d.Known.Backends[0].ID)
-	assert.Equal(t, []gate.Class{{Contract: 500, Semantics: gate.Keyed, Scope: gate.ScopeZone, Window: 5000}}, d.Deal.Terms.Classes)
+	assert.Equal(t, []gate.Class{{Contract: 500, Semantics: gate.Keyed, Scope: gate.ScopeZone, DedupWindow: 5000}}, d.Deal.Terms.Classes)
 	assert.Equal(t, []gate.Plan{{Rate: 0.002, Depth: 8}}, d.Deal.Terms.Plans)
 	assert.Equal(t, 500.0, d.Deal.Terms.MaxRetryAfter)
 	assert.Equal(t, []float64{15e3, 250, 80, 4000, 8}, []float64{d.Deal.ConnIdle, d.Deal.ConnectTimeout,
@@ -100,8 +100,8 @@
 	d, err := Read([]byte(watchingConfig(`{"profiles":[{"name":"read","aim":0.5,"semantics":"idempotent"}],
 		"tariffs":[{"name":"basic","rate":2,"depth":8,"beyond_earns":0.3}],"limits":{"max_attempts":4}}`)), unset)
 	require.NoError(t, err)
-	assert.Zero(t, d.Deal.Terms.Plans[0].Beyond)
-	assert.Equal(t, 0.3, d.Watch.Plans[0].Beyond)
+	assert.Zero(t, d.Deal.Terms.Plans[0].OverQuotaGain)
+	assert.Equal(t, 0.3, d.Watch.Plans[0].OverQuotaGain)
 	assert.Equal(t, 4, d.Watch.MaxAttempts)
 	assert.Zero(t, d.Watch.MaxRetryAfter)
 	d, err = Read([]byte(full), unset)
@@ -124,7 +124,7 @@
 	with := func(more string) string { return strings.Replace(full, `"depth":8`, `"depth":8,`+more, 1) }
 	d, err := Read([]byte(with(`"beyond_earns":0.3,"over_cost":1.2,"pays":0.7`)), unset)
 	require.NoError(t, err)
-	assert.Equal(t, gate.Plan{Rate: 0.002, Depth: 8, Beyond: 0.3, OverCost: 1.2, Price: 0.7}, d.Deal.Terms.Plans[0])
+	assert.Equal(t, gate.Plan{Rate: 0.002, Depth: 8, OverQuotaGain: 0.3, OverQuotaCost: 1.2, Price: 0.7}, d.Deal.Terms.Plans[0])
 	_, err = Read([]byte(with(`"beyond_earns":-0.3`)), unset)
 	assert.ErrorContains(t, err, `key "settings.tariffs[0].beyond_earns": below 0`)
 }
--- a/config/deal.go
+++ b/config/deal.go
@@ -119,12 +119,12 @@
 	}
 	d := Deal{
 		Terms: gate.Terms{
-			Doors: s.FleetSize, Number: s.MyNumber,
+			Doors: s.FleetSize, DoorNumber: s.MyNumber,
 			MaxAttempts: s.Limits.MaxAttempts, Hedging: s.Limits.Hedging,
 			MayCancel: s.Limits.Cancel, MeterPeriod: s.Extra.Metering * msPerSecond,
-			Counter: s.Extra.Counter, MustAsk: s.Registry == "ask",
-			ColdFrom: s.Safety.ColdFrom, ColdFor: s.Safety.Cold * msPerSecond,
-			FallMultiple: s.Safety.FallMultiple, FallWindow: s.Safety.TipAfter * msPerSecond,
+			Counter: s.Extra.Counter, MustSubscribe: s.Registry == "ask",
+			ColdCapacity: s.Safety.ColdFrom, WarmupTime: s.Safety.Cold * msPerSecond,
+			OverloadMultiple: s.Safety.FallMultiple, OverloadWindow: s.Safety.TipAfter * msPerSecond,
 		},
 		Classes: map[string]int{}, Plans: map[string]int{},
 		ConnIdle:       s.Limits.ConnIdle * msPerSecond,
@@ -166,7 +166,7 @@
 		}
 		d.Terms.Classes = append(d.Terms.Classes, gate.Class{
 			Contract: p.Aim * msPerSecond, Semantics: sem, Scope: scope,
-			Window: p.Window * msPerSecond, LateValue: p.LateValue, Gain: p.Worth,
+			DedupWindow: p.Window * msPerSecond, LateValue: p.LateValue, Gain: p.Worth,
 		})
 	}
 	for i, p := range s.Tariffs {
@@ -174,9 +174,9 @@
 			return Deal{}, err
 		}
 		d.Terms.Plans = append(d.Terms.Plans, gate.Plan{
-			Rate: p.Rate / msPerSecond, Depth: p.Depth, AtOnce: p.AtOnce,
+			Rate: p.Rate / msPerSecond, Depth: p.Depth, MaxConcurrent: p.AtOnce,
 			CeilingRate: p.CeilingRate / msPerSecond, CeilingDepth: p.CeilingBurst, Price: p.Pays,
-			Beyond: p.BeyondEarns, OverCost: p.OverCost,
+			OverQuotaGain: p.BeyondEarns, OverQuotaCost: p.OverCost,
 		})
 	}
 	return d, nil
--- a/config/fuzz_test.go
+++ b/config/fuzz_test.go
@@ -18,7 +18,7 @@
 		require.Empty(t, Faults(err))
 		require.Greater(t, d.Cores, 0.0)
 		require.Positive(t, d.Sockets)
-		require.Less(t, d.Deal.Terms.Number, d.Deal.Terms.Doors)
+		require.Less(t, d.Deal.Terms.DoorNumber, d.Deal.Terms.Doors)
 		require.Positive(t, d.Deal.Terms.MaxAttempts)
 		for _, p := range d.Deal.Terms.Classes {
 			require.Greater(t, p.Contract, 0.0)
--- a/frontdoor/backend.go
+++ b/frontdoor/backend.go
@@ -269,9 +269,9 @@
 // send starts an attempt, on an idle connection where there is one.
 func (c *core) send(a gate.Send) {
 	o := &c.ops[a.Op]
-	f := &attempt{op: a.Op, number: len(o.attempts), backend: a.Backend, at: c.now, until: o.until, by: a.By, client: o.client}
-	if a.Cap > 0 {
-		f.until = min(f.until, c.now+a.Cap)
+	f := &attempt{op: a.Op, number: len(o.attempts), backend: a.Backend, at: c.now, until: o.until, by: a.StartBy, client: o.client}
+	if a.Timeout > 0 {
+		f.until = min(f.until, c.now+a.Timeout)
 	}
 	allowed := c.mayStart(o, a.Backend)
 	o.attempts = append(o.attempts, f)
@@ -391,8 +391,8 @@
 	o.out--
 	c.closing = append(c.closing, f.op)
 	c.backends[f.backend].counts.transmitted(how.result(), at-f.at)
-	c.pending = append(c.pending, gate.Ended{Op: f.op, Attempt: f.number, Backend: f.backend,
-		Result: how.result(), Latency: at - f.at, Over: o.over, Use: use, Queue: queue})
+	c.pending = append(c.pending, gate.AttemptEnded{Op: f.op, Attempt: f.number, Backend: f.backend,
+		Result: how.result(), Latency: at - f.at, Answered: o.over, MeteredUse: use, Queue: queue})
 }
 
 // answered is a whole answer of a backend.
--- a/frontdoor/core.go
+++ b/frontdoor/core.go
@@ -149,8 +149,8 @@
 	case o.First >= d.Terms.Doors || o.Spread > d.Terms.Doors || d.MostUnits > 0 && o.Units > d.MostUnits:
 		return ev, &http1.Fault{Status: http.StatusBadRequest, Text: "weight"}
 	}
-	return gate.Request{Class: class, Plan: plan, TTL: min(o.TTL, d.LongestWait), Units: o.Units, Repeat: o.Repeat,
-		First: o.First, Spread: o.Spread, Phase: index.Phase(o.Customer)}, nil
+	return gate.Request{Class: class, Plan: plan, TTL: min(o.TTL, d.LongestWait), Units: o.Units, ClientRetry: o.Repeat,
+		FirstDoor: o.First, Spread: o.Spread, Phase: index.Phase(o.Customer)}, nil
 }
 
 // post hands a note to the owner while it is there.
@@ -189,7 +189,7 @@
 		c.due.fire(c)
 		if c.wakeAt > 0 && c.now >= c.wakeAt {
 			c.wakeAt = 0
-			c.pending = append(c.pending, gate.Woken{})
+			c.pending = append(c.pending, gate.TimerFired{})
 		}
 		for len(c.pending) > 0 {
 			c.decide()
@@ -246,22 +246,22 @@
 	case gate.Cancel:
 		c.abandon(c.ops[a.Op].attempts[a.Attempt], endLeftUnsent, endLeft)
 	case gate.Reject:
-		c.tally.rejected[min(a.Why, gate.Causes-1)]++
+		c.tally.rejected[min(a.Why, gate.CauseCount-1)]++
 		c.answer(a.Op, http.StatusTooManyRequests, a.RetryAfter, nil, a.Why.String())
 	case gate.Fail:
-		c.tally.failed[min(a.Why, gate.Causes-1)]++
+		c.tally.failed[min(a.Why, gate.CauseCount-1)]++
 		c.answer(a.Op, http.StatusBadGateway, 0, nil, a.Why.String())
-	case gate.Wake:
+	case gate.SetTimer:
 		c.wakeAt = a.At
 	case gate.Count:
 		c.count(a)
-	case gate.Forget:
+	case gate.FreeCustomer:
 		c.customers.Drop(a.Customer)
-	case gate.Delist:
+	case gate.FreeBackend:
 		c.delist(a.Backend)
 	case gate.Differs:
-		c.tally.differs[min(a.Kind, gate.Differences-1)]++
-	case gate.Track: // the watch runs from the start
+		c.tally.differs[min(a.Kind, gate.DifferenceCount-1)]++
+	case gate.SubscribeFleet: // the watch runs from the start
 	case gate.Log:
 		c.log.Info(a.Text)
 	default:
@@ -350,7 +350,7 @@
 		n.cl.op = -1
 		c.ops[op].over = true
 		c.closing = append(c.closing, op)
-		c.pending = append(c.pending, gate.Vanished{Op: op})
+		c.pending = append(c.pending, gate.ClientGone{Op: op})
 		c.holdBack(&c.ops[op])
 	}
 }
@@ -404,7 +404,7 @@
 	if shutdown != nil && c.now < shutdown.AnswerBy {
 		c.sweepAt = min(c.sweepAt, shutdown.AnswerBy)
 	}
-	if shutdown.Past(c.now) {
+	if shutdown.AnswersOverdue(c.now) {
 		c.endAll()
 	}
 	if c.listener != nil && !shutdown.Accepting(c.now) && !c.listenerEnding {
@@ -433,10 +433,10 @@
 			c.bound(o, shutdown)
 		}
 	}
-	c.pending = append(c.pending, gate.Closing{By: shutdown.AnswerBy})
+	c.pending = append(c.pending, gate.ShuttingDown{Deadline: shutdown.AnswerBy})
 	c.setReady()
 	c.log.WithFields(logrus.Fields{fields.Requests: len(c.ops) - len(c.free), fields.Connections: len(c.clients),
-		fields.AnswerMs: shutdown.AnswerBy - shutdown.Began, fields.KillMs: shutdown.KillAt - shutdown.Began}).Info("leaving")
+		fields.AnswerMs: shutdown.AnswerBy - shutdown.NoticedAt, fields.KillMs: shutdown.KillAt - shutdown.NoticedAt}).Info("leaving")
 }
 
 // bound has a request and its attempts end by the door's own end.
@@ -452,7 +452,7 @@
 
 // gone tells whether all that was taken is answered and nothing more can come.
 func (c *core) gone() bool {
-	return c.leaving && (!c.accepting && len(c.clients) == 0 || c.shutdown.Load().Over(c.now))
+	return c.leaving && (!c.accepting && len(c.clients) == 0 || c.shutdown.Load().KillDue(c.now))
 }
 
 // quit ends what goroutines are left.
--- a/frontdoor/core_test.go
+++ b/frontdoor/core_test.go
@@ -112,7 +112,7 @@
 func TestEveryEndHasItsResult(t *testing.T) {
 	for e, want := range map[end]gate.Result{endWell: gate.Finished, endIll: gate.Errored, endTurnedAway: gate.Full,
 		endNoSocket: gate.Skipped, endNoConn: gate.Unreachable, endCutUnsent: gate.Unreachable, endCut: gate.Reset,
-		endGarbled: gate.Spoilt, endLateUnsent: gate.Skipped, endLate: gate.TimedOut, endLeftUnsent: gate.Skipped,
+		endGarbled: gate.Malformed, endLateUnsent: gate.Skipped, endLate: gate.TimedOut, endLeftUnsent: gate.Skipped,
 		endLeft: gate.Cancelled} {
 		assert.Equal(t, want, e.result(), e)
 	}
@@ -148,7 +148,7 @@
 	good := http1.Request{Method: "POST", Class: "book", Mark: "m", Plan: "team", Units: 2, Spread: 3, First: 2, TTL: 1e12}
 	ev, err := c.word(&good)
 	require.NoError(t, err)
-	assert.Equal(t, gate.Request{Class: 1, TTL: 2000, Units: 2, Spread: 3, First: 2}, ev, "no client waits longer")
+	assert.Equal(t, gate.Request{Class: 1, TTL: 2000, Units: 2, Spread: 3, FirstDoor: 2}, ev, "no client waits longer")
 	for name, change := range map[string]func(*http1.Request){
 		"profile": func(o *http1.Request) { o.Class = "odd" }, "plan": func(o *http1.Request) { o.Plan = "odd" },
 		"method": func(o *http1.Request) { o.Method = "GET" },
@@ -176,7 +176,7 @@
 	f, far := linked(t, c)
 	written(t, f, far)
 	answered{f.link, http1.Answer{Status: 200, Use: 0.5, Body: []byte("hi")}, f.at + 30}.take(c)
-	assert.Equal(t, gate.Ended{Result: gate.Finished, Latency: 30, Over: true, Use: 0.5, Queue: -1}, c.pending[0])
+	assert.Equal(t, gate.AttemptEnded{Result: gate.Finished, Latency: 30, Answered: true, MeteredUse: 0.5, Queue: -1}, c.pending[0])
 	c.answer(0, http.StatusBadGateway, 0, nil, "") // a second answer
 	assert.Equal(t, http1.Answer{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}, heard(t, client))
 	assert.Len(t, c.backends[0].idle, 1, "the connection is used again")
@@ -192,7 +192,7 @@
 	f, _ := linked(t, c)
 	answered{f.link, http1.Answer{Status: 500, Use: -1, Body: []byte("secret")}, f.at}.take(c)
 	assert.False(t, c.ops[0].over, "the decisions say what becomes of it")
-	assert.Equal(t, gate.Errored, c.pending[0].(gate.Ended).Result)
+	assert.Equal(t, gate.Errored, c.pending[0].(gate.AttemptEnded).Result)
 }
 
 func TestAWriterThatComesAfterGivingUpWritesNothing(t *testing.T) {
@@ -202,7 +202,7 @@
 	c.ops[0].attempts = append(c.ops[0].attempts, other)
 	c.ops[0].out++
 	c.abandon(other, endLeftUnsent, endLeft)
-	assert.Equal(t, gate.Skipped, c.pending[0].(gate.Ended).Result)
+	assert.Equal(t, gate.Skipped, c.pending[0].(gate.AttemptEnded).Result)
 	go f.link.write(other, []byte("late"))
 	got, _ := io.ReadAll(far)
 	assert.NotContains(t, string(got), "late")
@@ -214,7 +214,7 @@
 	_, err := far.Read(make([]byte, 1)) // the writer has begun
 	require.NoError(t, err)
 	c.abandon(f, endLeftUnsent, endLeft)
-	assert.Equal(t, gate.Cancelled, c.pending[0].(gate.Ended).Result)
+	assert.Equal(t, gate.Cancelled, c.pending[0].(gate.AttemptEnded).Result)
 	assert.Empty(t, c.links, "its connection is closed")
 	_, err = io.ReadAll(far)
 	assert.NoError(t, err)
@@ -232,7 +232,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	cut{f.link, endCut}.take(c)
-	assert.Equal(t, gate.Unreachable, c.pending[0].(gate.Ended).Result)
+	assert.Equal(t, gate.Unreachable, c.pending[0].(gate.AttemptEnded).Result)
 }
 
 func TestAnAnswerBeforeItsAttemptHasLeftEndsTheConnection(t *testing.T) {
@@ -277,7 +277,7 @@
 	for c.budget.take(0) {
 	}
 	c.send(gate.Send{})
-	assert.Equal(t, gate.Skipped, c.pending[0].(gate.Ended).Result)
+	assert.Equal(t, gate.Skipped, c.pending[0].(gate.AttemptEnded).Result)
 	assert.Zero(t, c.ops[0].out)
 }
 
@@ -345,7 +345,7 @@
 	c, _ := owned(t)
 	cl := c.ops[0].client
 	left{cl, closedByClient}.take(c)
-	assert.Equal(t, []gate.Event{gate.Vanished{Op: 0}}, c.pending)
+	assert.Equal(t, []gate.Event{gate.ClientGone{Op: 0}}, c.pending)
 	c.answer(0, http.StatusOK, 0, []byte("hi"), "")
 	c.decide()
 	assert.Equal(t, []int{0}, c.free)
@@ -361,8 +361,8 @@
 	c.now = c.ops[0].until
 	c.due.fire(c)
 	assert.True(t, f.ended)
-	assert.Equal(t, gate.TimedOut, c.pending[0].(gate.Ended).Result)
-	assert.False(t, c.pending[0].(gate.Ended).Over)
+	assert.Equal(t, gate.TimedOut, c.pending[0].(gate.AttemptEnded).Result)
+	assert.False(t, c.pending[0].(gate.AttemptEnded).Answered)
 }
 
 func TestReadyOnlyWhenItCanServe(t *testing.T) {
@@ -381,7 +381,7 @@
 	c, _ := owned(t)
 	conn := newCounterConn(c, "")
 	c.counters = []*counterConn{conn}
-	c.count(gate.Count{Customer: 0, Epoch: 7, Add: 2, Keep: 4000})
+	c.count(gate.Count{Customer: 0, Epoch: 7, Add: 2, TTL: 4000})
 	k := conn.queue[0]
 	assert.Equal(t, "0/7", countName(k))
 	c.now += c.cfg.Deal.CounterTimeout
@@ -507,7 +507,7 @@
 	f.link.cur = f
 	c.ops[0].attempts, c.ops[0].out = append(c.ops[0].attempts, f), 1
 	cut{f.link, endCut}.take(c)
-	assert.Equal(t, gate.Unreachable, c.pending[0].(gate.Ended).Result, "it never ran")
+	assert.Equal(t, gate.Unreachable, c.pending[0].(gate.AttemptEnded).Result, "it never ran")
 }
 
 // The id of another's open request: backends and decisions could not tell the two apart.
@@ -600,7 +600,7 @@
 	f, far := linked(t, c)
 	written(t, f, far)
 	answered{f.link, http1.Answer{Status: 500}, c.now}.take(c)
-	c.act(gate.Delist{Backend: 0})
+	c.act(gate.FreeBackend{Backend: 0})
 	assert.Empty(t, c.links)
 	listed{list: registry.List{Backends: []registry.Entry{{ID: "new", Addr: "127.0.0.1:1", Zone: "b", Cell: 9, State: "Ready"}}}}.take(c)
 	require.Len(t, c.backends, 1)
@@ -618,6 +618,6 @@
 		if names != nil {
 			want = 4
 		}
-		assert.Equal(t, want, c.pending[0].(gate.Ended).Queue)
+		assert.Equal(t, want, c.pending[0].(gate.AttemptEnded).Queue)
 	}
 }
--- a/frontdoor/counter.go
+++ b/frontdoor/counter.go
@@ -53,7 +53,7 @@
 
 // count makes a call over the connection that owes least.
 func (c *core) count(a gate.Count) {
-	k := &call{customer: c.customers.ID(a.Customer), epoch: a.Epoch, add: a.Add, keep: a.Keep, at: c.now}
+	k := &call{customer: c.customers.ID(a.Customer), epoch: a.Epoch, add: a.Add, keep: a.TTL, at: c.now}
 	for _, conn := range c.counters {
 		if k.conn == nil || conn.calls < k.conn.calls {
 			k.conn = conn
--- a/frontdoor/crossing_test.go
+++ b/frontdoor/crossing_test.go
@@ -109,7 +109,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	g.door = New(g.cfg, g.decider, log)
-	g.door.Over(g.network)
+	g.door.UseNetwork(g.network)
 	ctx, cancel := context.WithCancel(t.Context())
 	g.stop, g.ended = cancel, make(chan error, 1)
 	go func() { g.ended <- g.door.Serve(ctx) }()
@@ -212,7 +212,7 @@
 	assert.NoError(t, err, "an orderly end, no reset")
 	assert.True(t, strings.HasSuffix(got, "hi"+big), "the whole answer: %d bytes", len(got))
 	nc.Close()
-	until[gate.Ended](t, events)
+	until[gate.AttemptEnded](t, events)
 	for len(events) > 0 {
 		assert.IsNotType(t, gate.Request{}, <-events, "what is read after the shutdown is not sent on")
 	}
@@ -363,7 +363,7 @@
 				nc.Close()
 			}
 			for range ncs {
-				until[gate.Vanished](t, events)
+				until[gate.ClientGone](t, events)
 			}
 		})
 	}
@@ -396,8 +396,8 @@
 	require.NoError(t, err)
 	await(t, dialling, "the dial")
 	nc.Close()
-	until[gate.Vanished](t, events)
-	assert.Equal(t, gate.Skipped, until[gate.Ended](t, events).Result, "it never ran")
+	until[gate.ClientGone](t, events)
+	assert.Equal(t, gate.Skipped, until[gate.AttemptEnded](t, events).Result, "it never ran")
 	close(let)
 	assert.Empty(t, await(t, come, "the connection's end"))
 }
@@ -412,9 +412,9 @@
 	}, scripted(func(now float64, es []gate.Event) (out []gate.Action) {
 		for _, e := range es {
 			if e, is := e.(gate.Request); is {
-				out = append(out, gate.Send{Op: e.Op, By: now - 1}) // as if the dial had taken longer
+				out = append(out, gate.Send{Op: e.Op, StartBy: now - 1}) // as if the dial had taken longer
 			}
-			if e, is := e.(gate.Ended); is && !e.Over {
+			if e, is := e.(gate.AttemptEnded); is && !e.Answered {
 				out = append(out, gate.Fail{Op: e.Op})
 			}
 			events <- e
@@ -425,7 +425,7 @@
 	g.ready(t)
 	status, _ := say(t, dialled(t, g.addr), look)
 	assert.Equal(t, http.StatusBadGateway, status)
-	assert.Equal(t, gate.Skipped, until[gate.Ended](t, events).Result, "it never ran")
+	assert.Equal(t, gate.Skipped, until[gate.AttemptEnded](t, events).Result, "it never ran")
 	assert.Empty(t, await(t, come, "the connection's end"))
 }
 
--- a/frontdoor/fleet.go
+++ b/frontdoor/fleet.go
@@ -26,7 +26,7 @@
 	if n.watch != c.watches { // that watch has been replaced
 		return
 	}
-	ev := gate.Fleet{Complete: n.list.Whole}
+	ev := gate.FleetUpdate{Complete: n.list.Whole}
 	if n.list.Whole {
 		for i := range c.backends {
 			c.backends[i].up, c.backends[i].status = false, gate.Gone
@@ -74,11 +74,11 @@
 		status = gate.Draining
 	}
 	b.up = status == gate.Up
-	return gate.Entry{Backend: i, Zone: b.zone, Cell: b.cell, Status: status, Since: b.since, Size: b.size, Mark: index.Mark(b.id)}
+	return gate.Entry{Backend: i, Zone: b.zone, Cell: b.cell, Status: status, StartedAt: b.since, Weight: b.size, RingPosition: index.Mark(b.id)}
 }
 
 // news passes changes of the list on to the decisions.
-func (c *core) news(ev gate.Fleet) {
+func (c *core) news(ev gate.FleetUpdate) {
 	for l := range c.links { // nothing new goes over these
 		if !c.backends[l.backend].takes(l) {
 			c.withdraw(l)
--- a/frontdoor/guard.go
+++ b/frontdoor/guard.go
@@ -74,7 +74,7 @@
 		case before.ended && before.how.result().NeverRan(), class.Semantics == gate.Idempotent:
 		case class.Semantics == gate.NonIdempotent:
 			return repeatUnsafe, true
-		case c.now >= before.at+class.Window, !c.sameGroup(class.Scope, b, &c.backends[before.backend]):
+		case c.now >= before.at+class.DedupWindow, !c.sameGroup(class.Scope, b, &c.backends[before.backend]):
 			return repeatForgotten, true
 		}
 	}
--- a/frontdoor/guard_test.go
+++ b/frontdoor/guard_test.go
@@ -35,11 +35,11 @@
 			ran(c, endCut)
 		}},
 		"keyed, past its window": {repeatForgotten, func(c *core) {
-			c.cfg.Deal.Terms.Classes[semantics] = gate.Class{Semantics: gate.Keyed, Window: 0}
+			c.cfg.Deal.Terms.Classes[semantics] = gate.Class{Semantics: gate.Keyed, DedupWindow: 0}
 			ran(c, endLate)
 		}},
 		"keyed, in another zone": {repeatForgotten, func(c *core) {
-			c.cfg.Deal.Terms.Classes[semantics] = gate.Class{Semantics: gate.Keyed, Window: 1e3, Scope: gate.ScopeZone}
+			c.cfg.Deal.Terms.Classes[semantics] = gate.Class{Semantics: gate.Keyed, DedupWindow: 1e3, Scope: gate.ScopeZone}
 			ran(c, endLate)
 			c.backends = append(c.backends, backend{zone: 7})
 			c.ops[0].attempts[0].backend = 1
@@ -54,7 +54,7 @@
 			c.send(gate.Send{})
 			assert.Equal(t, 1, c.tally.broken[k.which])
 			require.Len(t, c.pending, 1)
-			assert.Equal(t, gate.Skipped, c.pending[0].(gate.Ended).Result)
+			assert.Equal(t, gate.Skipped, c.pending[0].(gate.AttemptEnded).Result)
 			assert.Empty(t, c.links, "nothing is dialled")
 		})
 	}
@@ -68,7 +68,7 @@
 			c.ops[0].attempts = append(c.ops[0].attempts, &attempt{ended: true, how: endTurnedAway})
 		},
 		"keyed, within its window": func(c *core) {
-			c.cfg.Deal.Terms.Classes[1] = gate.Class{Semantics: gate.Keyed, Window: 1e3}
+			c.cfg.Deal.Terms.Classes[1] = gate.Class{Semantics: gate.Keyed, DedupWindow: 1e3}
 			c.ops[0].attempts = append(c.ops[0].attempts, &attempt{at: c.now, ended: true, how: endCut})
 		},
 	} {
@@ -134,7 +134,7 @@
 			assert.Zero(t, n)
 			left{cl, closedByClient}.take(c)
 			assert.Equal(t, dropped, f.stage.Load())
-			assert.Equal(t, gate.Skipped, c.pending[len(c.pending)-1].(gate.Ended).Result)
+			assert.Equal(t, gate.Skipped, c.pending[len(c.pending)-1].(gate.AttemptEnded).Result)
 		})
 	}
 }
@@ -166,7 +166,7 @@
 	told := make(chan struct{})
 	g.door.Withhold([]string{"s"}, func() { close(told) })
 	await(t, told, "the decisions")
-	assert.Equal(t, gate.Skipped, until[gate.Ended](t, events).Result)
+	assert.Equal(t, gate.Skipped, until[gate.AttemptEnded](t, events).Result)
 	close(goesOn)
 	g.endNow()
 	assert.Empty(t, reached)
--- a/frontdoor/terms_test.go
+++ b/frontdoor/terms_test.go
@@ -122,8 +122,8 @@
 	g := &rig{cfg: settled()}
 	g.cfg.Sockets, g.cfg.Deal.LongestWait, g.cfg.Pace.Linger = 1000, 5000, 100
 	terms := &g.cfg.Deal.Terms
-	terms.Classes = []gate.Class{{Contract: 1000, Gain: 1}, {Contract: 1000, Gain: 1, Semantics: gate.Keyed, Window: 60e3},
-		{Contract: 1000, Gain: 1, Semantics: gate.NonIdempotent}, {Contract: 1000, Gain: 1, Semantics: gate.Keyed, Window: 300}}
+	terms.Classes = []gate.Class{{Contract: 1000, Gain: 1}, {Contract: 1000, Gain: 1, Semantics: gate.Keyed, DedupWindow: 60e3},
+		{Contract: 1000, Gain: 1, Semantics: gate.NonIdempotent}, {Contract: 1000, Gain: 1, Semantics: gate.Keyed, DedupWindow: 300}}
 	terms.Plans = []gate.Plan{{Price: 1}}
 	terms.MaxAttempts, terms.Hedging, terms.MayCancel = 4, true, true
 	terms.Doors = 1
--- a/internal/doorfleet/doorfleet.go
+++ b/internal/doorfleet/doorfleet.go
@@ -56,7 +56,7 @@
 		return err
 	}
 	changed := make(chan struct{}, 1)
-	d, err := fleet.Start(fleet.Identity{Fleet: f.Name, Name: cfg.Name, Zone: f.Zone, Number: cfg.Deal.Terms.Number, Release: serving.Release(),
+	d, err := fleet.Start(fleet.Identity{Fleet: f.Name, Name: cfg.Name, Zone: f.Zone, Number: cfg.Deal.Terms.DoorNumber, Release: serving.Release(),
 		Peers: f.Peers, Join: ms(f.JoinMs, config.JoinAgain), Leave: ms(f.LeaveMs, config.LeaveMost)},
 		fleet.Routed(t, f.Routes), rand.Uint64()>>1, l, func(members.Changed) {
 			select {
@@ -100,7 +100,7 @@
 				l.WithError(err).Error("no status is told")
 			}
 		case <-changed:
-			door.Members(Word(d.View().Rows, cfg.Deal.Terms.Doors))
+			door.SetMembers(Word(d.View().Rows, cfg.Deal.Terms.Doors))
 			select {
 			case <-time.After(tellAtMost):
 			case <-ctx.Done():
@@ -138,22 +138,22 @@
 
 // Word words what is held of the fleet for the decisions. Only of one who was a member is it known that it has gone: the
 // doors that were never heard of count as here, as they do without membership.
-func Word(rows []members.Row, doors int) gate.Doors {
-	e := gate.Doors{Here: make([]bool, doors)}
-	for i := range e.Here {
-		e.Here[i] = true
+func Word(rows []members.Row, doors int) gate.DoorsUpdate {
+	e := gate.DoorsUpdate{Present: make([]bool, doors)}
+	for i := range e.Present {
+		e.Present[i] = true
 	}
 	numbered := func(r *members.Row) bool { return r.Number >= 0 && r.Number < doors }
 	for i := range rows {
 		if r := &rows[i]; numbered(r) && (r.State == members.Away || r.State == members.Left) {
-			e.Here[r.Number] = false
+			e.Present[r.Number] = false
 		}
 	}
 	for i := range rows {
 		if r := &rows[i]; r.State == members.Here || r.State == members.Doubted || r.State == members.Leaving {
-			e.Count++
+			e.PresentCount++
 			if numbered(r) { // one that follows another of its number stands in for it
-				e.Here[r.Number] = true
+				e.Present[r.Number] = true
 			}
 		}
 	}
--- a/internal/doorfleet/plans.go
+++ b/internal/doorfleet/plans.go
@@ -58,8 +58,8 @@
 // coordinators don't know of would send to backends that they say are drained. Where none of them answers it serves.
 func hold(door *frontdoor.Door) (told func()) {
 	var once sync.Once
-	door.Aside(true, time.Now().Add(holdFor), func(bool) {})
-	told = func() { once.Do(func() { go door.Aside(false, time.Time{}, func(bool) {}) }) }
+	door.SetOutOfService(true, time.Now().Add(holdFor), func(bool) {})
+	told = func() { once.Do(func() { go door.SetOutOfService(false, time.Time{}, func(bool) {}) }) }
 	time.AfterFunc(holdFor, told)
 	return told
 }
@@ -123,7 +123,7 @@
 		})
 	case permits.Aside:
 		at := p.began.Add(time.Duration(a.UntilMs * float64(time.Millisecond)))
-		p.door.Aside(a.Out, at, func(taken bool) {
+		p.door.SetOutOfService(a.Out, at, func(taken bool) {
 			if taken {
 				says := CameBack
 				if a.Out {
@@ -203,7 +203,7 @@
 				s.Away = append(s.Away, r.Name)
 			}
 		}
-		told := p.door.Tell()
+		told := p.door.Snapshot()
 		n := told.Counts
 		s.Counts, s.ByBackend = &release.Counts{}, map[string]release.Counts{}
 		*s.Counts = counted(n)
--- a/internal/serving/handed.go
+++ b/internal/serving/handed.go
@@ -31,7 +31,7 @@
 		if err != nil || !ok {
 			return &HandedError{ListenerVariable, err}
 		}
-		door.On(tcp)
+		door.UseListener(tcp)
 	}
 	f, err := descriptor(ReadyVariable)
 	if err != nil || f == nil {
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -64,7 +64,7 @@
 		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4) // the rest is for sockets, stacks and code
 	}
 	decider := policy.New(cfg.Deal.Terms, cfg.Seed)
-	decider.Watch(cfg.Watch)
+	decider.CompareWith(cfg.Watch)
 	door := frontdoor.New(cfg, decider, log)
 	if err := handedOver(ctx, door); err != nil {
 		return err
