--- a/release/release.go
+++ b/release/release.go
@@ -1,5 +1,6 @@
-// Package release decides on releases: which doors run what, in which waves, and whether a wave is well. It knows no I/O. Its
-// state is part of what coordinators agree on; permits bound how many doors change at once.
+// Package release is the state machine of staged rollouts: which doors run which version, in which waves, and whether a wave is
+// healthy compared with the unchanged doors (canary analysis). It does no I/O. Its state is part of the coordinators' replicated
+// state; permits limit how many doors change at the same time.
 package release
 
 import (
@@ -11,49 +12,51 @@
 	"strings"
 )
 
-// What may change.
+// Kinds of changes that a release makes.
 const (
-	Configuration = "configuration" // a file laid over each door's own, by digest
-	Program       = "program"       // the door's program, by digest
-	Backends      = "backends"      // backends, each replaced by other means while it is drained
+	Configuration = "configuration" // a file merged over each door's own configuration, by digest
+	Program       = "program"       // the door's executable, by digest
+	Backends      = "backends"      // backends, each replaced by other tools while it is drained
 )
 
-// Plan is a release as operators write it.
+// Plan is the file format of a release.
 type Plan struct {
 	Name    string   `json:"name"`
 	Changes string   `json:"changes"` // configuration, program or backends
-	Digest  string   `json:"digest"`  // sha256 of the file, hexadecimal; doors have it in their folder of releases
-	Doors   []string `json:"doors"`   // or backends; empty for all that are known
+	Digest  string   `json:"digest"`  // hexadecimal SHA-256 of the file, which each door has in its directory of releases
+	Doors   []string `json:"doors"`   // doors or backends to change; empty for all known ones
 	Waves   []Wave   `json:"waves"`
-	// Over names a release that this one takes the place of, if it is under way. Else this one waits until no other has any of
+	// Supersedes names a release in progress that this one replaces. Without it this release waits until no other one has any of
 	// its doors.
-	Over string `json:"over"`
-	Ends Ends   `json:"ends"`
+	Supersedes string `json:"over"`
+	// Limits are the differences from the unchanged doors at which the release rolls back.
+	Limits Limits `json:"ends"`
 }
 
-// Ends is by how much the changed may be worse than the others before a release goes back; 0 for the module's own.
-type Ends struct {
-	Requests float64 `json:"operations,omitempty"` // share of requests not in time, failed or rejected
-	Latency  float64 `json:"latency,omitempty"`    // share of the others' latency
-	Memory   float64 `json:"memory,omitempty"`     // share of the others' memory
+// Limits is by how much the changed doors may be worse than the others before a release rolls back; 0 selects the default.
+type Limits struct {
+	Requests float64 `json:"operations,omitempty"` // additional share of requests that are late, failed or rejected
+	Latency  float64 `json:"latency,omitempty"`    // increase as a share of the others' latency
+	Memory   float64 `json:"memory,omitempty"`     // increase as a share of the others' memory
 }
 
-// Wave is some of the doors, and how long they are watched once all of them have taken it. Exactly one of the first four.
+// Wave selects some of the doors, by exactly one of the first four fields, and the time in s for which they are observed once all
+// of them run the new version.
 type Wave struct {
-	Count    int     `json:"count,omitempty"`     // doors, of different zones as far as there are some
-	EachZone int     `json:"each_zone,omitempty"` // doors of each zone
-	Share    float64 `json:"share,omitempty"`     // of all
-	Rest     bool    `json:"rest,omitempty"`
-	WatchS   float64 `json:"watch_s"`
+	Count    int     `json:"count,omitempty"`     // number of doors, of as many zones as possible
+	EachZone int     `json:"each_zone,omitempty"` // number of doors of each zone
+	Share    float64 `json:"share,omitempty"`     // share of all doors, at least one door
+	Rest     bool    `json:"rest,omitempty"`      // all remaining doors
+	WatchS   float64 `json:"watch_s"`             // s
 }
 
 const (
-	digestSize = 64    // digits
-	longest    = 86400 // s of a watch
-	kept       = 50    // releases that are over and remembered
+	digestDigits    = 64    // hexadecimal digits of a SHA-256
+	maxWatchS       = 86400 // s, maximum of watch_s
+	maxKeptReleases = 50    // releases that are kept in the state; the oldest ended ones are dropped
 )
 
-// Read reads a plan. What is wrong with it is told by key.
+// Read decodes and validates a plan. Its errors name the offending key.
 func Read(in io.Reader) (p Plan, err error) {
 	dec := json.NewDecoder(in)
 	dec.DisallowUnknownFields()
@@ -63,7 +66,7 @@
 	return p, p.Check()
 }
 
-// Check tells what is wrong with a plan.
+// Check validates a plan.
 func (p *Plan) Check() error {
 	bad := func(key, format string, args ...any) error {
 		return &PlanError{Key: key, Says: fmt.Sprintf(format, args...)}
@@ -75,11 +78,11 @@
 		return bad("changes", "%q, %s, %s or %s is wanted", p.Changes, Configuration, Program, Backends)
 	case p.Changes == Backends && p.Digest != "":
 		return bad("digest", "%q, though backends are replaced by other means", p.Digest)
-	case p.Changes != Backends && (len(p.Digest) != digestSize || strings.Trim(p.Digest, "0123456789abcdef") != ""):
-		return bad("digest", "%q is no sha256 in %d digits", p.Digest, digestSize)
+	case p.Changes != Backends && (len(p.Digest) != digestDigits || strings.Trim(p.Digest, "0123456789abcdef") != ""):
+		return bad("digest", "%q is no sha256 in %d digits", p.Digest, digestDigits)
 	case len(p.Waves) == 0:
 		return bad("waves", "none")
-	case !(p.Ends.Requests >= 0 && p.Ends.Requests < 1) || !(p.Ends.Latency >= 0) || !(p.Ends.Memory >= 0):
+	case !(p.Limits.Requests >= 0 && p.Limits.Requests < 1) || !(p.Limits.Latency >= 0) || !(p.Limits.Memory >= 0):
 		return bad("ends", "shares from 0 on are wanted, operations under 1")
 	}
 	for i, w := range p.Waves {
@@ -92,8 +95,8 @@
 		switch {
 		case kinds != 1 || w.Count < 0 || w.EachZone < 0 || !(w.Share >= 0 && w.Share <= 1):
 			return bad(fmt.Sprintf("waves[%d]", i), "one of count, each_zone, share (up to 1) and rest is wanted")
-		case !(w.WatchS >= 0 && w.WatchS <= longest):
-			return bad(fmt.Sprintf("waves[%d].watch_s", i), "%g, 0 to %d is wanted", w.WatchS, longest)
+		case !(w.WatchS >= 0 && w.WatchS <= maxWatchS):
+			return bad(fmt.Sprintf("waves[%d].watch_s", i), "%g, 0 to %d is wanted", w.WatchS, maxWatchS)
 		case w.Rest != (i == len(p.Waves)-1):
 			return bad(fmt.Sprintf("waves[%d].rest", i), "the last wave, and no other, is the rest")
 		}
@@ -101,74 +104,74 @@
 	return nil
 }
 
-// Stage of a release.
+// Stage is the stage of a release.
 type Stage string
 
-// Stages.
+// Stages of a release.
 const (
-	Waiting  Stage = "waiting" // for another that has some of its doors
-	Running  Stage = "running"
-	Halted   Stage = "halted"
-	Back     Stage = "going back"
-	Done     Stage = "done"
-	Returned Stage = "back" // all is as it was
-	Replaced Stage = "replaced"
+	Waiting     Stage = "waiting" // until another release no longer has any of its doors
+	Running     Stage = "running"
+	Halted      Stage = "halted"
+	RollingBack Stage = "going back"
+	Done        Stage = "done"
+	Returned    Stage = "back" // all doors run their previous version again
+	Replaced    Stage = "replaced"
 )
 
-// Release is one, under way or over.
+// Release is a release with its progress.
 type Release struct {
 	Plan
 	Number uint64            `json:"number"`
 	Who    string            `json:"who"`
 	Why    string            `json:"why"`
 	Stage  Stage             `json:"stage"`
-	Says   string            `json:"says,omitempty"` // why it stands as it does
-	Wave   int               `json:"wave"`
-	Parts  [][]string        `json:"parts"`            // doors by wave
-	From   map[string]string `json:"from"`             // digest that each ran before
-	Failed map[string]string `json:"failed,omitempty"` // doors that could not take it, with their words
+	Says   string            `json:"says,omitempty"`   // reason for the present stage
+	Wave   int               `json:"wave"`             // index of the current wave
+	Parts  [][]string        `json:"parts"`            // doors or backends by wave
+	From   map[string]string `json:"from"`             // digest that each ran before, or process of each backend
+	Failed map[string]string `json:"failed,omitempty"` // doors that failed to install it, with the reason
 }
 
-// Door is a door as far as releases see it.
+// Door is a door or a backend that a release may change.
 type Door struct {
 	Name string
 	Zone string
 }
 
-// Runs is what a door runs, by what may change; an empty digest for its own file or program.
+// Versions is the digests that a door runs, by kind of change; empty for the door's own configuration or program.
 type Runs map[string]string
 
-// State is all releases, and what the doors run.
+// State is the replicated state of all releases and of the versions that doors run.
 type State struct {
 	Next uint64
 	All  []*Release
 	Runs map[string]Runs   // by door
-	Seen map[string]string // process that each backend was last seen as
+	Seen map[string]string // process with which each backend was last seen
 }
 
 // New returns a state without releases.
 func New() *State { return &State{Next: 1, Runs: map[string]Runs{}, Seen: map[string]string{}} }
 
-// Commands.
+// Commands that State.Apply executes.
 type (
-	// Start begins a release, or has it wait.
+	// Start enters a release, which runs once no other release has any of its doors.
 	Start struct {
 		Plan     Plan
 		Who, Why string
 	}
-	// Took is a door's word on what it runs, and what it could not take.
-	Took struct {
+	// ReportVersions is a door's report of the versions that it runs and of those that it failed to install.
+	ReportVersions struct {
 		Door   string
 		Runs   Runs
-		Failed map[string]string `json:",omitempty"` // by digest, why
+		Failed map[string]string `json:",omitempty"` // reason by digest
 	}
-	// Judged is a verdict on a wave, by the coordinator that leads.
+	// RecordVerdict is the leader's verdict on a wave.
 	Judged struct {
 		Number  uint64
 		Wave    int
 		Verdict Verdict
 	}
-	// Steer is an operator's word on a release: halt, resume or back.
+	// Steer is an operator's command to halt, resume or roll back a release.
 	Steer struct {
 		Name     string
 		To       string
@@ -176,16 +179,19 @@
 	}
 )
 
-// Words of Steer.
+// Values of Steer.To.
 const (
 	ToHalt   = "halt"
 	ToResume = "resume"
 	ToBack   = "back"
 )
 
-// Live tells whether a release still has its doors.
-func (r *Release) Live() bool { return r.Stage == Running || r.Stage == Halted || r.Stage == Back }
+// Live reports whether a release still controls its doors.
+func (r *Release) Live() bool {
+	return r.Stage == Running || r.Stage == Halted || r.Stage == RollingBack
+}
 
+// doors lists the doors or backends of all waves.
 func (r *Release) doors() (all []string) {
 	for _, part := range r.Parts {
 		all = append(all, part...)
@@ -193,7 +199,7 @@
 	return all
 }
 
-// Find finds a release by name, the latest of it.
+// Find returns the latest release of a name; nil for none.
 func (s *State) Find(name string) *Release {
 	for i := len(s.All) - 1; i >= 0; i-- {
 		if s.All[i].Name == name {
@@ -203,8 +209,8 @@
 	return nil
 }
 
-// Has finds the live release of such changes that has a door or backend.
-func (s *State) Has(door, changes string) *Release {
+// LiveReleaseOf returns the live release of a kind of change that controls a door or backend; nil for none.
+func (s *State) LiveReleaseOf(door, changes string) *Release {
 	for _, r := range s.All {
 		if r.Live() && r.Changes == changes && slices.Contains(r.doors(), door) {
 			return r
@@ -213,28 +219,29 @@
 	return nil
 }
 
-// Saw notes as which process a backend is seen. A backend is changed once that is another than when its release began.
-func (s *State) Saw(backend, process string) { s.Seen[backend] = process }
+// RecordProcess records the process with which a backend is seen. A backend counts as changed once its process differs from the one
+// at the start of its release.
+func (s *State) RecordProcess(backend, process string) { s.Seen[backend] = process }
 
-// Do takes a command in. doors and backends are all that are known, with their zones, sorted by name. It returns words for the
-// audit.
-func (s *State) Do(command any, doors, backends []Door) (number uint64, note string, err error) {
+// Apply executes a command. doors and backends are all known ones, sorted by name. note is the text for the audit log; empty for
+// none.
+func (s *State) Apply(command any, doors, backends []Door) (number uint64, note string, err error) {
 	of := map[bool][]Door{false: doors, true: backends}
 	switch c := command.(type) {
 	case Start:
 		number, err = s.start(c, of[c.Plan.Changes == Backends])
 		note = "release " + c.Plan.Name + " of " + c.Plan.Changes + " " + c.Plan.Digest
-	case Took:
-		s.took(c)
+	case ReportVersions:
+		s.recordVersions(c)
 	case Judged:
-		note, err = s.judged(c)
+		note, err = s.applyVerdict(c)
 	case Steer:
 		note, err = s.steer(c)
 	}
 	if err != nil {
 		return 0, "", err
 	}
-	s.settle(of)
+	s.advance(of)
 	return number, note, nil
 }
 
@@ -250,33 +257,33 @@
 			return 0, &PlanError{Key: "doors", Says: fmt.Sprintf("%q is not known", name)}
 		}
 	}
-	if c.Plan.Over != "" {
-		old := s.Find(c.Plan.Over)
+	if c.Plan.Supersedes != "" {
+		old := s.Find(c.Plan.Supersedes)
 		if old == nil || !old.Live() && old.Stage != Waiting {
-			return 0, &PlanError{Key: "over", Says: fmt.Sprintf("%q is not under way", c.Plan.Over)}
+			return 0, &PlanError{Key: "over", Says: fmt.Sprintf("%q is not under way", c.Plan.Supersedes)}
 		}
 	}
 	r := &Release{Plan: c.Plan, Number: s.Next, Who: c.Who, Why: c.Why, Stage: Waiting, From: map[string]string{}, Failed: map[string]string{}}
 	s.Next++
 	s.All = append(s.All, r)
-	over := len(s.All) - kept // the oldest that are at their end go first
+	excess := len(s.All) - maxKeptReleases // the oldest ended releases are dropped first
 	s.All = slices.DeleteFunc(s.All, func(r *Release) bool {
 		ended := !r.Live() && r.Stage != Waiting
 		if ended {
-			over--
+			excess--
 		}
-		return ended && over >= 0
+		return ended && excess >= 0
 	})
 	return r.Number, nil
 }
 
-// settle begins what waits and may, and ends what has come to its end.
-func (s *State) settle(of map[bool][]Door) {
+// advance ends the rollbacks that are complete and runs the waiting releases whose doors are free.
+func (s *State) advance(of map[bool][]Door) {
 	for _, r := range s.All {
-		if r.Stage == Back && r.Changes == Backends { // what was replaced has no way back here: drains end, and no more are
+		if r.Stage == RollingBack && r.Changes == Backends { // a replaced backend can't be restored from here: the release's drains end and no further ones begin
 			r.Stage = Returned
 		}
-		if r.Stage == Back && !slices.ContainsFunc(r.doors(), func(d string) bool { return s.runs(d, r.Changes) != r.From[d] }) {
+		if r.Stage == RollingBack && !slices.ContainsFunc(r.doors(), func(d string) bool { return s.versionOf(d, r.Changes) != r.From[d] }) {
 			r.Stage = Returned
 		}
 	}
@@ -284,21 +291,21 @@
 		if r.Stage != Waiting {
 			continue
 		}
-		var mine []Door
+		var units []Door
 		for _, d := range of[r.Changes == Backends] {
 			if len(r.Doors) == 0 || slices.Contains(r.Doors, d.Name) {
-				mine = append(mine, d)
+				units = append(units, d)
 			}
 		}
-		if len(mine) == 0 {
+		if len(units) == 0 {
 			continue
 		}
 		var old *Release
-		if r.Over != "" {
-			old = s.Find(r.Over)
+		if r.Supersedes != "" {
+			old = s.Find(r.Supersedes)
 		}
 		free := !slices.ContainsFunc(s.All, func(o *Release) bool {
-			return o != r && o != old && o.Live() && (o.Changes == Backends) == (r.Changes == Backends) && slices.ContainsFunc(mine, func(d Door) bool { return slices.Contains(o.doors(), d.Name) })
+			return o != r && o != old && o.Live() && (o.Changes == Backends) == (r.Changes == Backends) && slices.ContainsFunc(units, func(d Door) bool { return slices.Contains(o.doors(), d.Name) })
 		})
 		if !free {
 			continue
@@ -306,28 +313,29 @@
 		if old != nil && (old.Live() || old.Stage == Waiting) {
 			old.Stage, old.Says = Replaced, "by "+r.Name
 		}
-		r.Stage, r.Parts = Running, parts(r.Waves, mine)
-		for _, d := range mine {
-			r.From[d.Name] = s.runs(d.Name, r.Changes)
+		r.Stage, r.Parts = Running, assignWaves(r.Waves, units)
+		for _, d := range units {
+			r.From[d.Name] = s.versionOf(d.Name, r.Changes)
 			if r.Changes == Backends {
 				continue
 			}
 			if old != nil && old.Changes == r.Changes && slices.Contains(old.doors(), d.Name) {
-				r.From[d.Name] = old.From[d.Name] // the way back leads behind what never was judged well
+				r.From[d.Name] = old.From[d.Name] // rolls back past the superseded release, which never passed
 			}
 		}
 	}
 }
 
-func (s *State) runs(door, changes string) string {
+// versionOf returns the digest that a door runs, or the process of a backend.
+func (s *State) versionOf(door, changes string) string {
 	if changes == Backends {
 		return s.Seen[door]
 	}
 	return s.Runs[door][changes]
 }
 
-// parts deals doors out to waves: each wave takes from the zones in turn, so that none of them is a wave's alone.
-func parts(waves []Wave, doors []Door) (all [][]string) {
+// assignWaves assigns doors to waves. Each wave takes doors from the zones in turn, so that it doesn't concentrate on one zone.
+func assignWaves(waves []Wave, doors []Door) (all [][]string) {
 	byZone := map[string][]string{}
 	for _, d := range doors {
 		byZone[d.Zone] = append(byZone[d.Zone], d.Name)
@@ -335,13 +343,13 @@
 	zones := slices.Sorted(maps.Keys(byZone))
 	take := func(n int) (part []string) {
 		for n > 0 {
-			took := false
+			progressed := false
 			for _, z := range zones {
 				if n > 0 && len(byZone[z]) > 0 {
-					part, byZone[z], n, took = append(part, byZone[z][0]), byZone[z][1:], n-1, true
+					part, byZone[z], n, progressed = append(part, byZone[z][0]), byZone[z][1:], n-1, true
 				}
 			}
-			if !took {
+			if !progressed {
 				break
 			}
 		}
@@ -367,26 +375,27 @@
 	return all
 }
 
-func (s *State) took(c Took) {
+func (s *State) recordVersions(c ReportVersions) {
 	if s.Runs[c.Door] == nil {
 		s.Runs[c.Door] = Runs{}
 	}
-	for _, what := range []string{Configuration, Program} {
-		s.Runs[c.Door][what] = c.Runs[what]
+	for _, kind := range []string{Configuration, Program} {
+		s.Runs[c.Door][kind] = c.Runs[kind]
 	}
 	for _, r := range s.All {
 		why, failed := c.Failed[r.Digest]
-		if !failed || !r.Live() || r.Stage == Back || !slices.Contains(r.doors(), c.Door) || r.Failed[c.Door] != "" {
+		if !failed || !r.Live() || r.Stage == RollingBack || !slices.Contains(r.doors(), c.Door) || r.Failed[c.Door] != "" {
 			continue
 		}
-		// What one door can't take the next ones aren't given, and those that have it give it back.
+		// If one door fails to install the version, the release rolls back: no further door gets it, and those that run it return
+		// to their previous one.
 		r.Failed[c.Door] = why
-		r.Stage, r.Says = Back, c.Door+": "+why
+		r.Stage, r.Says = RollingBack, c.Door+": "+why
 	}
 }
 
-// Number finds a release by its number; nil where it is forgotten.
-func (s *State) Number(number uint64) *Release {
+// ByNumber returns a release by its number; nil if it isn't kept any more.
+func (s *State) ByNumber(number uint64) *Release {
 	for _, r := range s.All {
 		if r.Number == number {
 			return r
@@ -395,15 +404,15 @@
 	return nil
 }
 
-func (s *State) judged(c Judged) (string, error) {
-	r := s.Number(c.Number)
+func (s *State) applyVerdict(c Judged) (string, error) {
+	r := s.ByNumber(c.Number)
 	if r == nil || r.Stage != Running || r.Wave != c.Wave {
 		return "", &StageError{Name: fmt.Sprint("release ", c.Number), To: string(c.Verdict.Says)}
 	}
 	r.Says = c.Verdict.Why
 	switch c.Verdict.Says {
 	case GoOn:
-		if !s.Whole(r) {
+		if !s.WaveComplete(r) {
 			return "", &StageError{Name: r.Name, Stage: r.Stage, To: string(GoOn)}
 		}
 		if r.Wave++; r.Wave == len(r.Parts) {
@@ -413,7 +422,7 @@
 	case Stop:
 		r.Stage = Halted
 	case GoBck:
-		r.Stage = Back
+		r.Stage = RollingBack
 	default:
 		return "", nil
 	}
@@ -425,8 +434,8 @@
 	if r == nil {
 		return "", &UnknownError{c.Name}
 	}
-	can := map[string][]Stage{ToHalt: {Running}, ToResume: {Halted}, ToBack: {Running, Halted, Done, Waiting}}[c.To]
-	if !slices.Contains(can, r.Stage) {
+	allowed := map[string][]Stage{ToHalt: {Running}, ToResume: {Halted}, ToBack: {Running, Halted, Done, Waiting}}[c.To]
+	if !slices.Contains(allowed, r.Stage) {
 		return "", &StageError{c.Name, r.Stage, c.To}
 	}
 	switch c.To {
@@ -439,17 +448,17 @@
 			r.Stage = Returned
 			break
 		}
-		if r.Stage == Done && slices.ContainsFunc(r.doors(), func(d string) bool { return s.Has(d, r.Changes) != nil }) {
+		if r.Stage == Done && slices.ContainsFunc(r.doors(), func(d string) bool { return s.LiveReleaseOf(d, r.Changes) != nil }) {
 			return "", &StageError{c.Name, r.Stage, c.To}
 		}
-		r.Stage = Back
+		r.Stage = RollingBack
 	}
 	r.Says = fmt.Sprintf("%s by %s: %s", c.To, c.Who, c.Why)
 	return fmt.Sprintf("release %s: %s", r.Name, c.To), nil
 }
 
-// Whole tells whether all doors of a release's present wave, and of those before, run it.
-func (s *State) Whole(r *Release) bool {
+// WaveComplete reports whether all doors of a release's current and earlier waves run its version.
+func (s *State) WaveComplete(r *Release) bool {
 	for i, part := range r.Parts {
 		for _, d := range part {
 			if i <= r.Wave && !s.Changed(r, d) {
@@ -460,16 +469,16 @@
 	return true
 }
 
-// Changed tells whether a door runs what a release gives, or a backend has been replaced since it began.
+// Changed reports whether a door runs the version of a release, or a backend was replaced since the release started.
 func (s *State) Changed(r *Release, unit string) bool {
 	if r.Changes == Backends {
 		return s.Seen[unit] != r.From[unit]
 	}
-	return s.runs(unit, r.Changes) == r.Digest
+	return s.versionOf(unit, r.Changes) == r.Digest
 }
 
-// Due lists the backends of a release that are to be drained and replaced now.
-func (s *State) Due(r *Release) (backends []string) {
+// DueBackends lists the backends of a release that are to be drained and replaced now.
+func (s *State) DueBackends(r *Release) (backends []string) {
 	if r.Stage != Running || r.Changes != Backends {
 		return nil
 	}
@@ -483,9 +492,9 @@
 	return backends
 }
 
-// Wanted is what a door is to run instead of what it runs; false where it is to stay as it is. The way back runs in the reverse
-// order: a wave begins once those behind it are back.
-func (s *State) Wanted(door string) (r *Release, digest string, is bool) {
+// Target returns the release and digest that a door is to change to; false if it is to stay as it is. Rollback runs in reverse
+// order: a wave begins once all later ones are rolled back.
+func (s *State) Target(door string) (r *Release, digest string, is bool) {
 	for _, r := range s.All {
 		if !r.Live() || r.Stage == Halted || r.Changes == Backends {
 			continue
@@ -494,13 +503,13 @@
 			if !slices.Contains(part, door) {
 				continue
 			}
-			runs := s.runs(door, r.Changes)
+			runs := s.versionOf(door, r.Changes)
 			switch {
 			case r.Stage == Running && i <= r.Wave && runs != r.Digest && r.Failed[door] == "":
 				return r, r.Digest, true
-			case r.Stage == Back && runs != r.From[door]:
+			case r.Stage == RollingBack && runs != r.From[door]:
 				for _, later := range r.Parts[i+1:] {
-					if slices.ContainsFunc(later, func(d string) bool { return s.runs(d, r.Changes) != r.From[d] }) {
+					if slices.ContainsFunc(later, func(d string) bool { return s.versionOf(d, r.Changes) != r.From[d] }) {
 						return nil, "", false
 					}
 				}
@@ -511,15 +520,15 @@
 	return nil, "", false
 }
 
-// MayTake tells whether a door may go by a release now: it is given something else, and the release isn't halted. back tells
-// that it is on its way back.
-func (s *State) MayTake(number uint64, door string) (back bool, err error) {
-	r := s.Number(number)
+// CheckChange returns an error unless a release, not being halted, has another version for a door now. back reports that the
+// door's change is a rollback.
+func (s *State) CheckChange(number uint64, door string) (back bool, err error) {
+	r := s.ByNumber(number)
 	if r == nil {
 		return false, &UnknownError{fmt.Sprint("number ", number)}
 	}
-	if w, _, is := s.Wanted(door); !is || w != r {
+	if w, _, is := s.Target(door); !is || w != r {
 		return false, &StageError{r.Name, r.Stage, "give " + door + " anything now"}
 	}
-	return r.Stage == Back, nil
+	return r.Stage == RollingBack, nil
 }
