--- a/admin/admin.go
+++ b/admin/admin.go
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// Ask queries a door for its view of the fleet.
-func Ask(ctx context.Context, address string) (m Members, err error) {
+// GetMembers queries a door for its view of the fleet.
+func GetMembers(ctx context.Context, address string) (m Members, err error) {
 	err = call(ctx, http.MethodGet, address, MembersPath, &m)
 	return m, err
 }
--- a/admin/errors.go
+++ b/admin/errors.go
@@ -12,7 +12,7 @@
 	Cause   error
 }
 
-func (e *ListenError) Error() string     { return remedy.Because("status at "+e.Address, e.Cause) }
+func (e *ListenError) Error() string     { return remedy.WithCause("status at "+e.Address, e.Cause) }
 func (e *ListenError) Unwrap() error     { return e.Cause }
 func (e *ListenError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -30,9 +30,9 @@
 
 func (e *StatusError) Error() string {
 	if e.Reason != "" {
-		return remedy.Because("status at "+e.Address+": "+e.Reason, e.Cause)
+		return remedy.WithCause("status at "+e.Address+": "+e.Reason, e.Cause)
 	}
-	return remedy.Because("status at "+e.Address, e.Cause)
+	return remedy.WithCause("status at "+e.Address, e.Cause)
 }
 func (e *StatusError) Unwrap() error     { return e.Cause }
 func (e *StatusError) Kind() remedy.Kind { return remedy.Unreachable }
--- a/cmd/swifthall-coordinate/commands.go
+++ b/cmd/swifthall-coordinate/commands.go
@@ -60,7 +60,7 @@
 		text = defaultAt
 	}
 	for _, one := range strings.Split(text, ",") {
-		n, err := config.Named(strings.TrimSpace(one))
+		n, err := config.ParseNamedAddress(strings.TrimSpace(one))
 		if err != nil {
 			return nil, &AtError{one}
 		}
@@ -121,7 +121,7 @@
 func coordinate() *cobra.Command {
 	var file string
 	var check, restore, noSync bool
-	var l serving.Log
+	var l serving.LogFlags
 	cmd := &cobra.Command{Use: "coordinate", Short: "Run a coordinator", Args: cobra.NoArgs,
 		Long: "Runs the coordinator that --config describes, or GW_CONFIG where the flag isn't given; docs/coordinators.md tells the rest.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -142,7 +142,7 @@
 				return err
 			}
 			return coordinator.Run(cmd.Context(), cfg, coordinator.Options{Restore: restore, NoSync: noSync,
-				Before: coordinator.Spoiled(os.Getenv(coordinator.DiskFault)), Wrong: serving.WallWrong()}, log)
+				Before: coordinator.Spoiled(os.Getenv(coordinator.DiskFault)), Wrong: serving.WallClockOffset()}, log)
 		}}
 	f := cmd.Flags()
 	f.StringVar(&file, "config", "", "the coordinator's file")
--- a/cmd/swifthall-coordinate/commands_test.go
+++ b/cmd/swifthall-coordinate/commands_test.go
@@ -39,9 +39,9 @@
 		assert.Equal(t, remedy.Usage, remedy.Typed(err)[0].Kind(), args)
 	}
 	_, err := do("budgets", "nowhere.json", "--who", "a", "--why", "b")
-	assert.Equal(t, 3, remedy.Exit(err))
+	assert.Equal(t, 3, remedy.ExitCode(err))
 	_, err = do("status", "--at", "c/127.0.0.1:1", "--patience", "100ms")
-	assert.Equal(t, 5, remedy.Exit(err))
+	assert.Equal(t, 5, remedy.ExitCode(err))
 	out, err := do("status", "--each", "--at", "c/127.0.0.1:1", "--patience", "100ms")
 	require.NoError(t, err)
 	assert.Contains(t, out, "coordinator c at 127.0.0.1:1")
--- a/config/config.go
+++ b/config/config.go
@@ -25,19 +25,19 @@
 	Cores                   float64
 	MemoryMB, Sockets       int
 	Known                   registry.List
-	Deal                    Deal
+	Settings                Settings
 	Watch                   *gate.Terms // alternative terms whose decisions are compared with the actual ones; nil for none
 	Pace                    Pace
 	Log                     Log
 	Fleet                   *Fleet   // nil if the door belongs to no fleet
-	Odd                     []string // warnings: unknown keys, and values that are valid but questionable
+	Warnings                []string // warnings: unknown keys, and values that are valid but questionable
 }
 
 // Limits on the delay before a door notices a change that discovery has published. In the worst case a silent watch is
 // detected after Silence, the first redial fails and the second succeeds. Each of the two takes at most ConnectTimeout to
 // connect, FirstByte to the first byte and the longest pause after it. The sum must not exceed maxDiscoveryDelay.
 const (
-	RedialGrows       = 5   // the pause between failed dials doubles up to this multiple of Redial
+	MaxRedialFactor   = 5   // the pause between failed dials doubles up to this multiple of Redial
 	maxDiscoveryDelay = 6e3 // ms after which the door is expected to know a published change
 	maxFirstByte      = 1e3 // ms; a working agent answers at once, a slower one is down and the next dial may reach it
 	minFirstByte      = 100 // ms; less would abandon responses that are on their way
@@ -45,20 +45,20 @@
 
 // discoveryDelay returns the worst-case delay before a published change is noticed, in ms.
 func (p *Pace) discoveryDelay(connectTimeout float64) float64 {
-	return p.Silence + 2*(connectTimeout+p.FirstWord+RedialGrows*p.Redial)
+	return p.Silence + 2*(connectTimeout+p.FirstByte+MaxRedialFactor*p.Redial)
 }
 
 // Pace holds the timeouts and intervals of the driver, in ms. The key "pace" overrides the defaults.
 type Pace struct {
-	SlowInput   float64 `json:"slow_input_ms"`   // timeout for reading or writing one message
-	IdleClient  float64 `json:"idle_client_ms"`  // client connections without a request for longer are closed
-	IdleBackend float64 `json:"idle_backend_ms"` // backend connections that are idle for longer are closed
-	Settle      float64 `json:"settle_ms"`       // pause after a response before a backend connection is reused
-	Silence     float64 `json:"silence_ms"`      // a watch that receives nothing for longer is redialled
-	FirstWord   float64 `json:"first_word_ms"`   // a watch that has not started to respond within this time is redialled
-	DeadCounter float64 `json:"dead_counter_ms"` // a counter connection with a reply outstanding for longer is closed
-	Redial      float64 `json:"redial_ms"`       // pause between failed dials of the counter, and the initial one for discovery
-	Linger      float64 `json:"linger_ms"`       // new connections are accepted for this long after the signal to terminate
+	SlowInput    float64 `json:"slow_input_ms"`   // timeout for reading or writing one message
+	IdleClient   float64 `json:"idle_client_ms"`  // client connections without a request for longer are closed
+	IdleBackend  float64 `json:"idle_backend_ms"` // backend connections that are idle for longer are closed
+	Settle       float64 `json:"settle_ms"`       // pause after a response before a backend connection is reused
+	Silence      float64 `json:"silence_ms"`      // a watch that receives nothing for longer is redialled
+	FirstByte    float64 `json:"first_word_ms"`   // a watch that has not started to respond within this time is redialled
+	CounterStall float64 `json:"dead_counter_ms"` // a counter connection with a reply outstanding for longer is closed
+	Redial       float64 `json:"redial_ms"`       // pause between failed dials of the counter, and the initial one for discovery
+	Linger       float64 `json:"linger_ms"`       // new connections are accepted for this long after the signal to terminate
 }
 
 // Log configures logging. Single requests are logged at the level debug only.
@@ -129,8 +129,8 @@
 	return Read(raw, getenv)
 }
 
-// Faults splits an error of Load, Read or Reload into one error per invalid key.
-func Faults(err error) []error {
+// SplitErrors splits an error of Load, Read or Reload into one error per invalid key.
+func SplitErrors(err error) []error {
 	var joined interface{ Unwrap() []error }
 	switch {
 	case err == nil:
@@ -138,7 +138,7 @@
 	case errors.As(err, &joined):
 		var all []error
 		for _, e := range joined.Unwrap() {
-			all = append(all, Faults(e)...)
+			all = append(all, SplitErrors(e)...)
 		}
 		return all
 	}
@@ -157,7 +157,7 @@
 		}
 	}
 	d := Door{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Counter: f.Counter, Cores: f.Limits.Cores,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Pace: f.Pace, Log: f.Log, Fleet: f.Fleet, Odd: unknownKeys(raw)}
+		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Pace: f.Pace, Log: f.Log, Fleet: f.Fleet, Warnings: unknownKeys(raw)}
 	var errs []error
 	for _, a := range []struct {
 		key, value string
@@ -185,18 +185,18 @@
 	}
 	if len(f.Settings) == 0 {
 		errs = append(errs, keyErrorf("settings", "missing"))
-	} else if d.Deal, err = ReadDeal(f.Settings); err != nil {
+	} else if d.Settings, err = ReadSettings(f.Settings); err != nil {
 		errs = append(errs, err)
 	} else {
 		errs = append(errs, d.check()...)
 		errs = append(errs, d.readWatch(f.Watch)...)
 	}
 	if err := errors.Join(errs...); err != nil {
-		return Door{Odd: d.Odd}, err
+		return Door{Warnings: d.Warnings}, err
 	}
 	d.setDefaults()
-	if sum := d.Pace.discoveryDelay(d.Deal.ConnectTimeout); sum > maxDiscoveryDelay {
-		d.Odd = append(d.Odd, fmt.Sprintf("key \"pace.silence_ms\": together with connect_timeout, pace.first_word_ms and pace.redial_ms it allows a change of the fleet list to go unnoticed for %.0f ms; the limit is %.0f ms", sum, maxDiscoveryDelay))
+	if sum := d.Pace.discoveryDelay(d.Settings.ConnectTimeout); sum > maxDiscoveryDelay {
+		d.Warnings = append(d.Warnings, fmt.Sprintf("key \"pace.silence_ms\": together with connect_timeout, pace.first_word_ms and pace.redial_ms it allows a change of the fleet list to go unnoticed for %.0f ms; the limit is %.0f ms", sum, maxDiscoveryDelay))
 	}
 	return d, nil
 }
@@ -233,7 +233,7 @@
 
 // check verifies what serving needs beyond what ReadSettings requires.
 func (d *Door) check() (errs []error) {
-	t := &d.Deal.Terms
+	t := &d.Settings.Terms
 	fail := func(key, format string, args ...any) { errs = append(errs, keyErrorf(key, format, args...)) }
 	if t.Doors < 1 {
 		fail("settings.fleet_size", "%d: must be at least 1", t.Doors)
@@ -246,10 +246,10 @@
 	}
 	return append(errs, negativeErrors([]keyValue{{"limits.cores", d.Cores}, {"limits.memory_mb", float64(d.MemoryMB)}, {"limits.sockets", float64(d.Sockets)},
 		{"pace.slow_input_ms", d.Pace.SlowInput}, {"pace.idle_client_ms", d.Pace.IdleClient}, {"pace.idle_backend_ms", d.Pace.IdleBackend},
-		{"pace.settle_ms", d.Pace.Settle}, {"pace.silence_ms", d.Pace.Silence}, {"pace.first_word_ms", d.Pace.FirstWord}, {"pace.dead_counter_ms", d.Pace.DeadCounter},
+		{"pace.settle_ms", d.Pace.Settle}, {"pace.silence_ms", d.Pace.Silence}, {"pace.first_word_ms", d.Pace.FirstByte}, {"pace.dead_counter_ms", d.Pace.CounterStall},
 		{"pace.redial_ms", d.Pace.Redial}, {"pace.linger_ms", d.Pace.Linger},
-		{"settings.limits.conn_idle", d.Deal.ConnIdle}, {"settings.limits.connect_timeout", d.Deal.ConnectTimeout},
-		{"settings.extra.counter_timeout", d.Deal.CounterTimeout}, {"settings.extra.units_top", d.Deal.MostUnits}})...)
+		{"settings.limits.conn_idle", d.Settings.ConnIdle}, {"settings.limits.connect_timeout", d.Settings.ConnectTimeout},
+		{"settings.extra.counter_timeout", d.Settings.CounterTimeout}, {"settings.extra.units_top", d.Settings.MaxUnits}})...)
 }
 
 // readWatch reads the alternative settings. They must name the same classes and plans in the same order, because one
@@ -265,7 +265,7 @@
 	for _, n := range []struct {
 		of            string
 		present, next map[string]int
-	}{{"profiles", d.Deal.Classes, other.Classes}, {"tariffs", d.Deal.Plans, other.Plans}} {
+	}{{"profiles", d.Settings.Classes, other.Classes}, {"tariffs", d.Settings.Plans, other.Plans}} {
 		if !maps.Equal(n.present, n.next) {
 			errs = append(errs, keyErrorf("watch."+n.of, "names differ from those in settings.%s, or are in another order", n.of))
 		}
@@ -349,17 +349,17 @@
 // setDefaults fills in the values that the configuration leaves at 0.
 func (d *Door) setDefaults() {
 	d.Cores, d.Sockets = orDefault(d.Cores, 1), orDefault(d.Sockets, 1024)
-	l, p := &d.Deal, &d.Pace
+	l, p := &d.Settings, &d.Pace
 	l.ConnectTimeout = orDefault(l.ConnectTimeout, 250)
 	l.CounterTimeout = orDefault(l.CounterTimeout, 100)
-	l.LongestWait = orDefault(l.LongestWait, 10e3)
+	l.MaxWait = orDefault(l.MaxWait, 10e3)
 	p.SlowInput = orDefault(p.SlowInput, 2400) // clients write a request in one go; with the check interval for idle connections the total stays below 3 s
 	p.IdleClient = orDefault(p.IdleClient, 2200)
 	p.IdleBackend = orDefault(p.IdleBackend, orDefault(l.ConnIdle, 10e3)/2)
 	p.Settle = orDefault(p.Settle, 20)    // a surplus response arrives a few ms after the first
 	p.Silence = orDefault(p.Silence, 3e3) // a watch sends something every 2 s
-	p.DeadCounter = orDefault(p.DeadCounter, 10*l.CounterTimeout)
+	p.CounterStall = orDefault(p.CounterStall, 10*l.CounterTimeout)
 	p.Redial = orDefault(p.Redial, 100)
-	p.FirstWord = orDefault(p.FirstWord, max(minFirstByte, min(maxFirstByte, (maxDiscoveryDelay-p.Silence)/2-l.ConnectTimeout-RedialGrows*p.Redial)))
+	p.FirstByte = orDefault(p.FirstByte, max(minFirstByte, min(maxFirstByte, (maxDiscoveryDelay-p.Silence)/2-l.ConnectTimeout-MaxRedialFactor*p.Redial)))
 	p.Linger = orDefault(p.Linger, 700) // new connections arrive for up to 0.4 s, with a margin of 0.3 s
 }
--- a/config/coordinator.go
+++ b/config/coordinator.go
@@ -45,8 +45,8 @@
 // NamedAddress is a parsed "name/address" pair.
 type NamedAddress struct{ Name, Address string }
 
-// Named parses a "name/address" pair. The address consists of an IP address and a port.
-func Named(text string) (n NamedAddress, err error) {
+// ParseNamedAddress parses a "name/address" pair. The address consists of an IP address and a port.
+func ParseNamedAddress(text string) (n NamedAddress, err error) {
 	name, address, ok := strings.Cut(text, "/")
 	if !ok || name == "" {
 		return n, &KeyError{Reason: `must have the form "name/address"`}
@@ -101,7 +101,7 @@
 	}
 	self := false
 	for i, p := range c.Peers {
-		n, err := Named(p)
+		n, err := ParseNamedAddress(p)
 		if err != nil {
 			bad(fmt.Sprintf("peers[%d]", i), "%q: %v", p, err)
 			continue
--- a/config/fleet.go
+++ b/config/fleet.go
@@ -12,14 +12,14 @@
 // Fleet configures a door's membership in a fleet, under the key "fleet". Addresses consist of an IP address and a port;
 // host names are not resolved.
 type Fleet struct {
-	Name    string            `json:"name"`          // name of the fleet; doors of other fleets are not members
-	Zone    string            `json:"zone"`          // zone of this door; a verdict on a member needs observers in more than one zone
-	Listen  string            `json:"listen"`        // loopback or private address for UDP and TCP, reachable by the other doors
-	Peers   []string          `json:"peers"`         // some doors to learn the other members from, as "address" or "name/address"
-	Routes  map[string]string `json:"routes"`        // addresses of other doors by name, where they differ from those they advertise
-	Status  string            `json:"status"`        // loopback address that serves the door's status; empty for none
-	JoinMs  float64           `json:"join_again_ms"` // interval between attempts to reach any other door; 0 for the default
-	LeaveMs float64           `json:"leave_ms"`      // limit on the time to announce that the door leaves; 0 for the default
+	Name        string            `json:"name"`          // name of the fleet; doors of other fleets are not members
+	Zone        string            `json:"zone"`          // zone of this door; a verdict on a member needs observers in more than one zone
+	Listen      string            `json:"listen"`        // loopback or private address for UDP and TCP, reachable by the other doors
+	Peers       []string          `json:"peers"`         // some doors to learn the other members from, as "address" or "name/address"
+	Routes      map[string]string `json:"routes"`        // addresses of other doors by name, where they differ from those they advertise
+	Status      string            `json:"status"`        // loopback address that serves the door's status; empty for none
+	JoinRetryMs float64           `json:"join_again_ms"` // interval between attempts to reach any other door; 0 for the default
+	LeaveMs     float64           `json:"leave_ms"`      // limit on the time to announce that the door leaves; 0 for the default
 
 	Releases     string   `json:"releases"`     // directory of released files, named by digest; empty if the door accepts no releases
 	Coordinators []string `json:"coordinators"` // APIs of the coordinators of drains and releases, as "name/address"; may be empty
@@ -29,8 +29,8 @@
 
 // Defaults of the fleet's timeouts, in ms.
 const (
-	JoinAgain = 1000 // doors that start together find each other within a second or two
-	LeaveMost = 3000 // well below the time that a platform gives a process to terminate
+	DefaultJoinRetryMs = 1000 // doors that start together find each other within a second or two
+	DefaultLeaveMs     = 3000 // well below the time that a platform gives a process to terminate
 )
 
 func (f *Fleet) check(door string) (errs []error) {
@@ -66,7 +66,7 @@
 		bad("releases", "set, but fleet.coordinators is empty")
 	}
 	for i, p := range f.Coordinators {
-		if _, err := Named(p); err != nil {
+		if _, err := ParseNamedAddress(p); err != nil {
 			bad(fmt.Sprintf("coordinators[%d]", i), "%q: %v", p, err)
 		}
 	}
@@ -80,7 +80,7 @@
 			bad("status", "%q is not a loopback address with a port", f.Status)
 		}
 	}
-	return append(errs, negativeErrors([]keyValue{{"fleet.join_again_ms", f.JoinMs}, {"fleet.leave_ms", f.LeaveMs}})...)
+	return append(errs, negativeErrors([]keyValue{{"fleet.join_again_ms", f.JoinRetryMs}, {"fleet.leave_ms", f.LeaveMs}})...)
 }
 
 func isLoopback(host string) bool {
--- a/config/overlay.go
+++ b/config/overlay.go
@@ -8,9 +8,9 @@
 // perDoorKeys are the keys that identify a door. A file shared by several doors must not set them.
 var perDoorKeys = []string{"name", "listen", "seed", "fleet", "known"}
 
-// Over merges a configuration file shared by many doors over a door's own file. Objects are merged key by key, any other
+// Overlay merges a configuration file shared by many doors over a door's own file. Objects are merged key by key, any other
 // value replaces the one in base. A door's own keys and its number cannot be overridden.
-func Over(base, top []byte) ([]byte, error) {
+func Overlay(base, top []byte) ([]byte, error) {
 	var under, over map[string]any
 	if err := json.Unmarshal(base, &under); err != nil {
 		return nil, decodeError("", err)
--- a/config/settings.go
+++ b/config/settings.go
@@ -11,17 +11,17 @@
 
 const msPerSecond = 1000
 
-// Deal holds the decoded settings: the terms for the decision engine, the indices of classes and plans by name, and the
+// Settings holds the decoded settings: the terms for the decision engine, the indices of classes and plans by name, and the
 // values that the driver needs besides.
-type Deal struct {
+type Settings struct {
 	Terms          gate.Terms
 	Classes, Plans map[string]int
 	ConnIdle       float64  // ms after which a backend closes an idle connection; 0 if unknown
 	ConnectTimeout float64  // ms
 	CounterTimeout float64  // of a call to the shared counter, ms
-	LongestWait    float64  // upper bound on the time a client waits, ms
-	MostUnits      float64  // upper bound on the units of a request; 0 if unknown
-	Reports        []string // names of the values in a load report, in order; empty if responses carry none
+	MaxWait        float64  // upper bound on the time a client waits, ms
+	MaxUnits       float64  // upper bound on the units of a request; 0 if unknown
+	ReportNames    []string // names of the values in a load report, in order; empty if responses carry none
 }
 
 // Names of the one value of a load report that the decisions use, the number of requests waiting at the backend. All other
@@ -33,19 +33,19 @@
 
 // Queue returns the number of requests waiting at a backend according to its load report, or -1 if the report does not
 // contain it. The values are in the order of ReportNames.
-func (d *Deal) Queue(row []float64) (float64, error) {
-	if len(row) > len(d.Reports) {
-		return -1, &ReportError{len(row), len(d.Reports)}
+func (d *Settings) Queue(row []float64) (float64, error) {
+	if len(row) > len(d.ReportNames) {
+		return -1, &ReportError{len(row), len(d.ReportNames)}
 	}
-	if i := slices.Index(d.Reports, queueReportName); i >= 0 && i < len(row) && row[i] >= 0 {
+	if i := slices.Index(d.ReportNames, queueReportName); i >= 0 && i < len(row) && row[i] >= 0 {
 		return row[i], nil
 	}
 	return -1, nil
 }
 
-// TellsQueue reports whether responses may contain the number of requests waiting at the backend.
-func (d *Deal) TellsQueue() bool {
-	return slices.Contains(d.Reports, queueReportName) || slices.Contains(d.Reports, queueHeaderName)
+// ReportsQueue reports whether responses may contain the number of requests waiting at the backend.
+func (d *Settings) ReportsQueue() bool {
+	return slices.Contains(d.ReportNames, queueReportName) || slices.Contains(d.ReportNames, queueHeaderName)
 }
 
 var semantics = map[string]gate.Semantics{
@@ -110,16 +110,16 @@
 	} `json:"safety"`
 }
 
-// ReadDeal decodes settings. The simulator's first message and a door's configuration share this format.
-func ReadDeal(raw json.RawMessage) (Deal, error) { return readSettings("settings", raw) }
+// ReadSettings decodes settings. The simulator's first message and a door's configuration share this format.
+func ReadSettings(raw json.RawMessage) (Settings, error) { return readSettings("settings", raw) }
 
 // readSettings decodes the settings found under the given key.
-func readSettings(under string, raw json.RawMessage) (Deal, error) {
+func readSettings(under string, raw json.RawMessage) (Settings, error) {
 	var s encodedSettings
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return Deal{}, decodeError(under, err)
+		return Settings{}, decodeError(under, err)
 	}
-	d := Deal{
+	d := Settings{
 		Terms: gate.Terms{
 			Doors: s.FleetSize, DoorNumber: s.MyNumber,
 			MaxAttempts: s.Limits.MaxAttempts, Hedging: s.Limits.Hedging,
@@ -132,14 +132,14 @@
 		ConnIdle:       s.Limits.ConnIdle * msPerSecond,
 		ConnectTimeout: s.Limits.ConnectTimeout * msPerSecond,
 		CounterTimeout: s.Extra.CounterTimeout * msPerSecond,
-		MostUnits:      s.Extra.UnitsTop,
+		MaxUnits:       s.Extra.UnitsTop,
 	}
 	switch s.Reporting.How {
 	case "inline":
-		d.Reports = s.Reporting.Names
+		d.ReportNames = s.Reporting.Names
 	case "", "off", "on_probe": // the decision engine never probes for reports
 	default:
-		return Deal{}, keyErrorf(under+".reporting.how", "unknown value %q", s.Reporting.How)
+		return Settings{}, keyErrorf(under+".reporting.how", "unknown value %q", s.Reporting.How)
 	}
 	if s.Limits.RetryAfter {
 		d.Terms.MaxRetryAfter = s.Limits.MaxRetryAfter * msPerSecond
@@ -147,24 +147,24 @@
 	for i, p := range s.Classes {
 		sem, ok := semantics[p.Semantics]
 		if !ok {
-			return Deal{}, keyErrorf(fmt.Sprintf("%s.profiles[%d].semantics", under, i), "unknown value %q", p.Semantics)
+			return Settings{}, keyErrorf(fmt.Sprintf("%s.profiles[%d].semantics", under, i), "unknown value %q", p.Semantics)
 		}
 		scope, ok := scopes[p.Scope]
 		if !ok {
-			return Deal{}, keyErrorf(fmt.Sprintf("%s.profiles[%d].dedup_scope", under, i), "unknown value %q", p.Scope)
+			return Settings{}, keyErrorf(fmt.Sprintf("%s.profiles[%d].dedup_scope", under, i), "unknown value %q", p.Scope)
 		}
 		at := fmt.Sprintf("%s.profiles[%d].", under, i)
 		if err := addName(d.Classes, p.Name, i, at, "class"); err != nil {
-			return Deal{}, err
+			return Settings{}, err
 		}
 		if p.GiveUp != nil {
 			if *p.GiveUp <= 0 {
-				return Deal{}, keyErrorf(at+"give_up", "%g: must be above 0", *p.GiveUp)
+				return Settings{}, keyErrorf(at+"give_up", "%g: must be above 0", *p.GiveUp)
 			}
-			d.LongestWait = max(d.LongestWait, *p.GiveUp*msPerSecond)
+			d.MaxWait = max(d.MaxWait, *p.GiveUp*msPerSecond)
 		}
 		if first := s.Classes[0].Fraction; (p.Fraction == nil) != (first == nil) || p.Fraction != nil && *p.Fraction < 0 {
-			return Deal{}, keyErrorf(at+"fraction", "missing or below 0; it must be set for all classes or for none")
+			return Settings{}, keyErrorf(at+"fraction", "missing or below 0; it must be set for all classes or for none")
 		}
 		d.Terms.Classes = append(d.Terms.Classes, gate.Class{
 			Contract: p.Aim * msPerSecond, Semantics: sem, Scope: scope,
@@ -173,7 +173,7 @@
 	}
 	for i, p := range s.Tariffs {
 		if err := addName(d.Plans, p.Name, i, fmt.Sprintf("%s.tariffs[%d].", under, i), "plan"); err != nil {
-			return Deal{}, err
+			return Settings{}, err
 		}
 		d.Terms.Plans = append(d.Terms.Plans, gate.Plan{
 			Rate: p.Rate / msPerSecond, Depth: p.Depth, MaxConcurrent: p.AtOnce,
--- a/frontdoor/backend.go
+++ b/frontdoor/backend.go
@@ -85,7 +85,7 @@
 func (l *backendConn) begin(att *attempt) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.dead || l.raw != nil && !sockio.Untouched(l.raw) {
+	if l.dead || l.raw != nil && !sockio.IsIdle(l.raw) {
 		return false
 	}
 	l.answerPending = att.stage.CompareAndSwap(stageWaiting, stageWriting)
@@ -163,7 +163,7 @@
 
 // dialOutcome returns the outcome of a failed dial. A shortage of sockets on this machine is not counted against the peer.
 func dialOutcome(err error) outcome {
-	if sockio.OwnShortage(err) {
+	if sockio.IsLocalShortage(err) {
 		return outcomeNoSocket
 	}
 	return outcomeNoConnection
@@ -216,11 +216,11 @@
 	for {
 		*msg = http1.SetRemaining(*msg, att.deadline-l.c.clock.now())
 		n, err = sockio.Write(l.nc, *msg, time.Now().Add(maxRemainingAge))
-		if n > 0 || !sockio.Passing(err) || att.tooLate(l.c.clock.now()) {
+		if n > 0 || !sockio.IsTransient(err) || att.tooLate(l.c.clock.now()) {
 			break
 		}
 	}
-	if sockio.Passing(err) {
+	if sockio.IsTransient(err) {
 		var rest int
 		rest, err = sockio.Write(l.nc, (*msg)[n:], time.Now().Add(duration(att.deadline-l.c.clock.now())))
 		n += rest
@@ -231,7 +231,7 @@
 // readAnswers posts answers to the event loop until the connection ends, and returns the outcome of an attempt that is then still
 // in progress.
 func (l *backendConn) readAnswers() outcome {
-	var in http1.Answers
+	var in http1.ResponseReader
 	defer in.Drop()
 	buf := pool.Get()[:pool.Size]
 	defer pool.Put(buf)
@@ -253,8 +253,8 @@
 		}
 		l.answerReceived()
 		a := in.Take()
-		a.Last = a.Last || used < n // extra bytes after an answer belong to no attempt
-		last := a.Last
+		a.Close = a.Close || used < n // extra bytes after an answer belong to no attempt
+		last := a.Close
 		l.c.post(answerArrived{l, a, at})
 		if last {
 			return outcomeMalformed
@@ -263,7 +263,7 @@
 }
 
 // answerOutcome returns the outcome of an attempt that received a complete answer.
-func answerOutcome(a *http1.Answer) outcome {
+func answerOutcome(a *http1.Response) outcome {
 	switch {
 	case a.Status == http.StatusOK:
 		return outcomeOK
@@ -410,7 +410,7 @@
 // answerArrived reports a complete answer of a backend.
 type answerArrived struct {
 	conn   *backendConn
-	answer http1.Answer
+	answer http1.Response
 	at     float64 // clock, ms
 }
 
@@ -427,12 +427,12 @@
 		c.answer(att.op, http.StatusOK, 0, e.answer.Body, "")
 	}
 	queue := e.answer.Queue
-	if !c.cfg.Deal.TellsQueue() {
+	if !c.cfg.Settings.ReportsQueue() {
 		queue = -1 // by the settings, answers contain no load reports
 	}
 	c.finish(att, how, e.at, e.answer.Use, queue)
 	// A backend may answer before its attempt has been written completely.
-	if b := &c.backends[conn.backend]; e.answer.Last || conn.writeInProgress.Load() || !b.usable(conn) {
+	if b := &c.backends[conn.backend]; e.answer.Close || conn.writeInProgress.Load() || !b.usable(conn) {
 		c.closeConn(conn)
 	} else {
 		b.idle = append(b.idle, conn)
--- a/frontdoor/client.go
+++ b/frontdoor/client.go
@@ -54,7 +54,7 @@
 }
 
 // peerClosed reports whether the client has closed its connection, even if the reader has not reached the end of its input yet.
-func (cl *client) peerClosed() bool { return cl != nil && cl.raw != nil && sockio.Gone(cl.raw) }
+func (cl *client) peerClosed() bool { return cl != nil && cl.raw != nil && sockio.PeerClosed(cl.raw) }
 
 // wake makes the reader return from its present or next read. The flag and the deadline are set under the same lock that
 // setReadDeadline takes: a deadline that the reader sets at the same moment would otherwise cancel the wake-up.
@@ -85,7 +85,7 @@
 
 // readState is the state of a client connection's reader.
 type readState struct {
-	parser        http1.Requests
+	parser        http1.RequestReader
 	buf           []byte      // of fixed size
 	buffered      []byte      // part of buf: bytes received and not parsed yet
 	receivedAt    float64     // clock at which they were received, ms
@@ -252,7 +252,7 @@
 			status = http.StatusServiceUnavailable
 		}
 		msg.Free()
-		return cl.respond(r, status, msg.Last)
+		return cl.respond(r, status, msg.Close)
 	}
 	var ev gate.Request
 	if err == nil {
@@ -261,7 +261,7 @@
 		}
 	}
 	if err != nil {
-		return cl.rejectInput(r, err, msg.Last)
+		return cl.rejectInput(r, err, msg.Close)
 	}
 	r.answerPending = true
 	cl.c.post(requestArrived{cl, msg, ev, r.firstByteAt})
@@ -271,7 +271,7 @@
 // rejectInput answers input that is no valid request.
 func (cl *client) rejectInput(r *readState, err error, last bool) bool {
 	status := http.StatusBadRequest
-	var f *http1.Fault
+	var f *http1.RequestError
 	if errors.As(err, &f) {
 		status = f.Status
 	}
@@ -281,7 +281,7 @@
 
 // respond writes an answer from the reader itself and reports whether the connection continues.
 func (cl *client) respond(r *readState, status int, last bool) bool {
-	if !cl.writeAnswer(http1.AppendAnswer(pool.Get(), status, 0, nil, last)) {
+	if !cl.writeAnswer(http1.AppendResponse(pool.Get(), status, 0, nil, last)) {
 		r.reason = closedWriteFailed
 		return false
 	}
--- a/frontdoor/core.go
+++ b/frontdoor/core.go
@@ -128,31 +128,31 @@
 		zones: index.New[string](), cells: index.New[int64](),
 		requestIDs: map[string]struct{}{}, clients: map[*client]struct{}{}, backendConns: map[*backendConn]struct{}{}}
 	c.traceEnabled, c.guard = debugEnabled(log), guard{log, &c.tally}
-	c.dial, c.listen = systemDial(duration(cfg.Deal.ConnectTimeout)), systemListen
+	c.dial, c.listen = systemDial(duration(cfg.Settings.ConnectTimeout)), systemListen
 	return c
 }
 
 // gateRequest validates a request and converts it to the decider's form, except for the indices that the event loop assigns.
 func (c *core) gateRequest(msg *http1.Request) (ev gate.Request, err error) {
-	d := &c.cfg.Deal
+	d := &c.cfg.Settings
 	class, known := d.Classes[msg.Class]
 	if !known {
-		return ev, &http1.Fault{Status: http.StatusNotFound, Text: "profile"}
+		return ev, &http1.RequestError{Status: http.StatusNotFound, Text: "profile"}
 	}
 	plan, known := d.Plans[msg.Plan]
 	switch {
 	case !known:
-		return ev, &http1.Fault{Status: http.StatusBadRequest, Text: "plan"}
+		return ev, &http1.RequestError{Status: http.StatusBadRequest, Text: "plan"}
 	case (msg.Method == http.MethodGet) != (d.Terms.Classes[class].Semantics == gate.Idempotent):
-		return ev, &http1.Fault{Status: http.StatusMethodNotAllowed, Text: "method"}
+		return ev, &http1.RequestError{Status: http.StatusMethodNotAllowed, Text: "method"}
 	case msg.Method == http.MethodGet && len(msg.Body) > 0:
-		return ev, &http1.Fault{Status: http.StatusBadRequest, Text: "body"}
-	case d.Terms.Classes[class].Semantics == gate.Keyed && msg.Mark == "":
-		return ev, &http1.Fault{Status: http.StatusBadRequest, Text: "no mark"}
-	case msg.First >= d.Terms.Doors || msg.Spread > d.Terms.Doors || d.MostUnits > 0 && msg.Units > d.MostUnits:
-		return ev, &http1.Fault{Status: http.StatusBadRequest, Text: "weight"}
+		return ev, &http1.RequestError{Status: http.StatusBadRequest, Text: "body"}
+	case d.Terms.Classes[class].Semantics == gate.Keyed && msg.IdempotencyKey == "":
+		return ev, &http1.RequestError{Status: http.StatusBadRequest, Text: "no mark"}
+	case msg.First >= d.Terms.Doors || msg.Spread > d.Terms.Doors || d.MaxUnits > 0 && msg.Units > d.MaxUnits:
+		return ev, &http1.RequestError{Status: http.StatusBadRequest, Text: "weight"}
 	}
-	return gate.Request{Class: class, Plan: plan, TTL: min(msg.TTL, d.LongestWait), Units: msg.Units, ClientRetry: msg.Repeat,
+	return gate.Request{Class: class, Plan: plan, TTL: min(msg.TTL, d.MaxWait), Units: msg.Units, ClientRetry: msg.Repeat,
 		FirstDoor: msg.First, Spread: msg.Spread, Phase: index.Phase(msg.Customer)}, nil
 }
 
@@ -286,8 +286,8 @@
 	cl := req.client
 	cl.op, cl.idleSince = -1, c.now
 	// The number of persistent client connections is limited: clients that send one request and stay must not use up all sockets.
-	last := req.msg.Last || c.shuttingDown || c.outOfService || cl.closeRequested.Load() || cl.overflowed.Load() || c.budget.low(c.budget.clientReserve) || c.activeClients*persistentDivisor > c.cfg.Sockets
-	go cl.answer(http1.AppendAnswer(pool.Get(), status, retryAfter, body, last), last)
+	last := req.msg.Close || c.shuttingDown || c.outOfService || cl.closeRequested.Load() || cl.overflowed.Load() || c.budget.low(c.budget.clientReserve) || c.activeClients*persistentDivisor > c.cfg.Sockets
+	go cl.answer(http1.AppendResponse(pool.Get(), status, retryAfter, body, last), last)
 }
 
 // requestArrived reports that a complete request has arrived.
@@ -306,7 +306,7 @@
 	if _, open := c.requestIDs[e.msg.ID]; open { // a backend could not tell the two apart, nor the decider their ends
 		e.cl.idleSince = c.clock.now()
 		e.msg.Free()
-		go e.cl.answer(http1.AppendAnswer(pool.Get(), http.StatusConflict, 0, nil, e.msg.Last), e.msg.Last)
+		go e.cl.answer(http1.AppendResponse(pool.Get(), http.StatusConflict, 0, nil, e.msg.Close), e.msg.Close)
 		return
 	}
 	c.requestIDs[e.msg.ID] = struct{}{}
@@ -320,7 +320,7 @@
 	i := c.freeSlots[last]
 	c.freeSlots = c.freeSlots[:last]
 	req := &c.requests[i]
-	*req = request{client: e.cl, msg: e.msg, class: e.ev.Class, firstByteAt: e.at, deadline: c.shutdown.Load().Deadline(e.at + e.ev.TTL), contractTime: c.cfg.Deal.Terms.Classes[e.ev.Class].Contract, attempts: req.attempts[:0]}
+	*req = request{client: e.cl, msg: e.msg, class: e.ev.Class, firstByteAt: e.at, deadline: c.shutdown.Load().Deadline(e.at + e.ev.TTL), contractTime: c.cfg.Settings.Terms.Classes[e.ev.Class].Contract, attempts: req.attempts[:0]}
 	e.cl.op = i
 	e.ev.Op, e.ev.Customer = i, c.customers.Add(e.msg.Customer)
 	e.ev.TTL = max(0, req.deadline-c.clock.now())
@@ -430,7 +430,7 @@
 // beginShutdown begins the shutdown: requests that still arrive are served, each connection closes with its next answer, and every
 // accepted request is answered by one fixed deadline.
 func (c *core) beginShutdown() {
-	shutdown := lifecycle.NewShutdown(c.clock.now(), c.cfg.Deal.LongestWait, c.cfg.Pace.Linger)
+	shutdown := lifecycle.NewShutdown(c.clock.now(), c.cfg.Settings.MaxWait, c.cfg.Pace.Linger)
 	c.shutdown.Store(shutdown)
 	c.shuttingDown, c.sweepAt = true, 0
 	for i := range c.requests {
--- a/frontdoor/counter.go
+++ b/frontdoor/counter.go
@@ -29,7 +29,7 @@
 // expire first reports a timeout of the call. If the answer is still pending after Pace.DeadCounter, it closes the connection:
 // no read ever fails on a connection whose peer has become unreachable.
 func (k *counterCall) expire(c *core) {
-	switch dead := k.startedAt + c.cfg.Pace.DeadCounter; {
+	switch dead := k.startedAt + c.cfg.Pace.CounterStall; {
 	case k.done:
 	case c.now < dead:
 		c.reportCall(k, outcomeTimeout, 0)
@@ -60,7 +60,7 @@
 		}
 	}
 	k.conn.outstanding++
-	c.timeouts.add(k.startedAt+c.cfg.Deal.CounterTimeout, k)
+	c.timeouts.add(k.startedAt+c.cfg.Settings.CounterTimeout, k)
 	k.conn.enqueue(k)
 }
 
@@ -163,7 +163,7 @@
 		for _, call := range calls {
 			msg = resp.AppendTally(msg, counterKey(call), call.add, call.ttl)
 		}
-		if _, err := sockio.Write(nc, msg, time.Now().Add(duration(k.c.cfg.Deal.CounterTimeout))); err != nil {
+		if _, err := sockio.Write(nc, msg, time.Now().Add(duration(k.c.cfg.Settings.CounterTimeout))); err != nil {
 			nc.Close() // the reading goroutine ends the calls
 		}
 		pool.Put(msg)
@@ -175,7 +175,7 @@
 // awaiting a reply. If nc ended after it was looked up, its reader has already ended the calls on it: calls registered later
 // would never end, and replies on the next connection would be matched to them, giving one customer the total of another.
 func (k *counterConn) takeQueued(nc net.Conn) (calls, late []*counterCall, up bool) {
-	oldest := k.c.clock.now() - k.c.cfg.Deal.CounterTimeout
+	oldest := k.c.clock.now() - k.c.cfg.Settings.CounterTimeout
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	up = nc != nil && k.nc == nc
@@ -266,7 +266,7 @@
 	k.awaitingReply = k.awaitingReply[1:]
 	k.mu.Unlock()
 	how := outcomeOK
-	if r.Busy || r.Fault != "" {
+	if r.Busy || r.ErrorText != "" {
 		how = outcomeTurnedAway
 	}
 	k.c.post(callEnded{call, how, r.Total})
--- a/frontdoor/crossing_test.go
+++ b/frontdoor/crossing_test.go
@@ -379,7 +379,7 @@
 		got, _ := io.ReadAll(nc)
 		come <- string(got)
 	}, sends(events))
-	g.cfg.Deal.LongestWait = 3600e3 // its time does not run out meanwhile
+	g.cfg.Settings.MaxWait = 3600e3 // its time does not run out meanwhile
 	registry := g.cfg.Discovery
 	g.network.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		nc, err := (&net.Dialer{}).DialContext(context.WithoutCancel(ctx), "tcp", addr)
@@ -495,7 +495,7 @@
 // A watch that is taken and never answered is dialled again long before one that was answered and falls silent.
 func TestAWatchThatIsNeverAnsweredIsDialledAgain(t *testing.T) {
 	c, _ := owned(t)
-	c.cfg.Pace.FirstWord, c.cfg.Pace.Silence = 20, 3600e3
+	c.cfg.Pace.FirstByte, c.cfg.Pace.Silence = 20, 3600e3
 	asks := make(chan string, 99)
 	c.cfg.Discovery = loopbacktest.Serve(t, func(nc net.Conn) {
 		if req, err := http.ReadRequest(bufio.NewReader(nc)); err == nil {
@@ -515,7 +515,7 @@
 	g := rigged(t, backendOf(hung), sends(events))
 	backend := loopbacktest.Serve(t, backendOf(hung))
 	g.cfg.Discovery = loopbacktest.Serve(t, registryOf(backend, asks, func(nc net.Conn) { down <- nc }))
-	g.cfg.Sockets, g.cfg.Deal.LongestWait = 100, 3600e3
+	g.cfg.Sockets, g.cfg.Settings.MaxWait = 100, 3600e3
 	g.cfg.Pace.IdleClient, g.cfg.Pace.Linger = 3600e3, 3600e3 // none of them gives way
 	g.serve(t)
 	g.ready(t)
@@ -553,7 +553,7 @@
 	const flood = 256 << 20
 	may, events := make(chan struct{}), make(chan gate.Event, 99)
 	g := rigged(t, backendOf(may), sends(events))
-	g.cfg.Deal.LongestWait = 3600e3
+	g.cfg.Settings.MaxWait = 3600e3
 	g.serve(t)
 	g.ready(t)
 	nc := dialled(t, g.addr)
--- a/frontdoor/fleet.go
+++ b/frontdoor/fleet.go
@@ -75,7 +75,7 @@
 		status = gate.Draining
 	}
 	b.eligible = status == gate.Up
-	return gate.Entry{Backend: i, Zone: b.zone, Cell: b.cell, Status: status, StartedAt: b.startedAt, Weight: b.size, RingPosition: index.Mark(b.id)}
+	return gate.Entry{Backend: i, Zone: b.zone, Cell: b.cell, Status: status, StartedAt: b.startedAt, Weight: b.size, RingPosition: index.NamePhase(b.id)}
 }
 
 // fleetChanged withdraws connections to backends that are no longer eligible and reports the change to the decider.
@@ -159,7 +159,7 @@
 // answered, it dials again and resumes from the last version received; config.Pace bounds how long that takes. Discovery sends
 // what it knows at once: a door that has waited for the connect timeout becomes ready with the list it was configured with.
 func (c *core) runWatch(ctx context.Context, addr string, version int64, number int) {
-	defer time.AfterFunc(duration(c.cfg.Deal.ConnectTimeout), func() { c.post(discoveryAttempted{}) }).Stop()
+	defer time.AfterFunc(duration(c.cfg.Settings.ConnectTimeout), func() { c.post(discoveryAttempted{}) }).Stop()
 	healthy, random := true, rand.New(rand.NewPCG(c.cfg.Seed, uint64(number)))
 	pause := c.cfg.Pace.Redial
 	for ctx.Err() == nil {
@@ -177,7 +177,7 @@
 			c.log.WithError(err).Warn("fleet watch ended")
 		}
 		sleepMs(ctx, shortened(pause, redialJitter, random))
-		pause = min(2*pause, config.RedialGrows*c.cfg.Pace.Redial)
+		pause = min(2*pause, config.MaxRedialFactor*c.cfg.Pace.Redial)
 	}
 }
 
@@ -219,7 +219,7 @@
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
 	buf := pool.Get()
 	defer pool.Put(buf)
-	wait := duration(shortened(c.cfg.Pace.FirstWord, redialJitter, random))
+	wait := duration(shortened(c.cfg.Pace.FirstByte, redialJitter, random))
 	firstBy := time.Now().Add(wait)
 	if _, err := sockio.Write(nc, registry.AppendWatch(buf, addr, version), firstBy); err != nil {
 		return err
@@ -242,7 +242,7 @@
 			hasList = true
 			received(l, lastReceived)
 		})
-		if hasList && n > 0 && w.Between() {
+		if hasList && n > 0 && w.AtBoundary() {
 			c.listReceived.Store(math.Float64bits(c.clock.now()))
 		}
 		switch {
--- a/frontdoor/frontdoor.go
+++ b/frontdoor/frontdoor.go
@@ -56,7 +56,7 @@
 	defer cancel()
 	c.background = background
 	fleetUpdate{list: c.cfg.Known}.handle(c)
-	if c.cfg.Deal.Terms.Counter {
+	if c.cfg.Settings.Terms.Counter {
 		c.useCounter(c.cfg.Counter)
 	}
 	c.startWatch(c.cfg.Discovery, c.cfg.Known.Version)
@@ -86,7 +86,7 @@
 		c.cfg.Discovery = r.discovery
 		c.startWatch(r.discovery, 0)
 	}
-	if r.counter != c.cfg.Counter && c.cfg.Deal.Terms.Counter {
+	if r.counter != c.cfg.Counter && c.cfg.Settings.Terms.Counter {
 		c.cfg.Counter = r.counter
 		c.useCounter(r.counter)
 	}
--- a/frontdoor/guard.go
+++ b/frontdoor/guard.go
@@ -71,7 +71,7 @@
 
 // repeatViolation returns the invariant, if any, that an attempt would violate by repeating earlier attempts.
 func (c *core) repeatViolation(req *request, b *backend) (invariant, bool) {
-	class := &c.cfg.Deal.Terms.Classes[req.class]
+	class := &c.cfg.Settings.Terms.Classes[req.class]
 	for _, earlier := range req.attempts {
 		switch {
 		case earlier.ended && earlier.outcome.result().NeverRan(), class.Semantics == gate.Idempotent:
--- a/frontdoor/guard_test.go
+++ b/frontdoor/guard_test.go
@@ -31,15 +31,15 @@
 		"its time is over":    {startTooLate, func(c *core) { c.requests[0].deadline = c.now }},
 		"the backend drains":  {startAtIneligible, func(c *core) { c.backends[0].eligible = false }},
 		"unsafe, may have run": {repeatUnsafe, func(c *core) {
-			c.cfg.Deal.Terms.Classes[semantics] = gate.Class{Semantics: gate.NonIdempotent}
+			c.cfg.Settings.Terms.Classes[semantics] = gate.Class{Semantics: gate.NonIdempotent}
 			ran(c, outcomeBroken)
 		}},
 		"keyed, past its window": {repeatPastWindow, func(c *core) {
-			c.cfg.Deal.Terms.Classes[semantics] = gate.Class{Semantics: gate.Keyed, DedupWindow: 0}
+			c.cfg.Settings.Terms.Classes[semantics] = gate.Class{Semantics: gate.Keyed, DedupWindow: 0}
 			ran(c, outcomeTimeout)
 		}},
 		"keyed, in another zone": {repeatPastWindow, func(c *core) {
-			c.cfg.Deal.Terms.Classes[semantics] = gate.Class{Semantics: gate.Keyed, DedupWindow: 1e3, Scope: gate.ScopeZone}
+			c.cfg.Settings.Terms.Classes[semantics] = gate.Class{Semantics: gate.Keyed, DedupWindow: 1e3, Scope: gate.ScopeZone}
 			ran(c, outcomeTimeout)
 			c.backends = append(c.backends, backend{zone: 7})
 			c.requests[0].attempts[0].backend = 1
@@ -47,7 +47,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, _ := owned(t)
-			c.cfg.Deal.Terms.Classes = append([]gate.Class{}, c.cfg.Deal.Terms.Classes...)
+			c.cfg.Settings.Terms.Classes = append([]gate.Class{}, c.cfg.Settings.Terms.Classes...)
 			c.requests[0].class = semantics
 			k.plant(c)
 			c.pending = nil
@@ -64,17 +64,17 @@
 	for name, plant := range map[string]func(*core){
 		"a first attempt": func(*core) {},
 		"unsafe, never ran": func(c *core) {
-			c.cfg.Deal.Terms.Classes[1] = gate.Class{Semantics: gate.NonIdempotent}
+			c.cfg.Settings.Terms.Classes[1] = gate.Class{Semantics: gate.NonIdempotent}
 			c.requests[0].attempts = append(c.requests[0].attempts, &attempt{ended: true, outcome: outcomeTurnedAway})
 		},
 		"keyed, within its window": func(c *core) {
-			c.cfg.Deal.Terms.Classes[1] = gate.Class{Semantics: gate.Keyed, DedupWindow: 1e3}
+			c.cfg.Settings.Terms.Classes[1] = gate.Class{Semantics: gate.Keyed, DedupWindow: 1e3}
 			c.requests[0].attempts = append(c.requests[0].attempts, &attempt{startedAt: c.now, ended: true, outcome: outcomeBroken})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, _ := owned(t)
-			c.cfg.Deal.Terms.Classes = append([]gate.Class{}, c.cfg.Deal.Terms.Classes...)
+			c.cfg.Settings.Terms.Classes = append([]gate.Class{}, c.cfg.Settings.Terms.Classes...)
 			c.requests[0].class = 1
 			plant(c)
 			linked(t, c)
@@ -125,7 +125,7 @@
 			_, err = io.WriteString(far, behind)
 			require.NoError(t, err)
 			require.NoError(t, far.Close())
-			for !sockio.Gone(cl.raw) {
+			for !sockio.PeerClosed(cl.raw) {
 				time.Sleep(time.Millisecond)
 			}
 			f, backend := linked(t, c)
@@ -157,7 +157,7 @@
 		}
 		return dial(context.WithoutCancel(ctx), addr)
 	}
-	g.cfg.Deal.LongestWait = 3600e3 // its time does not run out meanwhile
+	g.cfg.Settings.MaxWait = 3600e3 // its time does not run out meanwhile
 	g.serve(t)
 	g.ready(t)
 	_, err := io.WriteString(dialled(t, g.addr), strings.Replace(look, "1500m", "60000m", 1))
--- a/frontdoor/maintenance.go
+++ b/frontdoor/maintenance.go
@@ -104,7 +104,7 @@
 	now := c.clock.now()
 	for i := range c.backends {
 		if b := &c.backends[i]; b.listed {
-			t.Backends = append(t.Backends, BackendSnapshot{b.id, c.zones.ID(b.zone), b.size, b.status == gate.Up, now-b.startedAt >= c.cfg.Deal.Terms.WarmupTime, float64(b.processStart), b.counts})
+			t.Backends = append(t.Backends, BackendSnapshot{b.id, c.zones.ID(b.zone), b.size, b.status == gate.Up, now-b.startedAt >= c.cfg.Settings.Terms.WarmupTime, float64(b.processStart), b.counts})
 		}
 	}
 	r <- t
--- a/frontdoor/serve_test.go
+++ b/frontdoor/serve_test.go
@@ -217,7 +217,7 @@
 	for name, nc := range map[string]net.Conn{"held": held, "late": late} {
 		a := heard(t, nc)
 		assert.Equal(t, 200, a.Status, name)
-		assert.True(t, a.Last, name)
+		assert.True(t, a.Close, name)
 	}
 	for name, nc := range map[string]net.Conn{"idle": idle, "fresh": fresh} {
 		nc.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -271,7 +271,7 @@
 // another answer.
 func TestADoorWatchingAnotherShapeDecidesAsBeforeAndCounts(t *testing.T) {
 	cfg := settled()
-	terms := &cfg.Deal.Terms
+	terms := &cfg.Settings.Terms
 	terms.MaxAttempts = 1
 	terms.Classes = []gate.Class{{Contract: 1000}, {Contract: 1000, Semantics: gate.Keyed}}
 	terms.Plans = []gate.Plan{{Rate: 1e-6, Depth: 3}} // nothing fills up while the test runs
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -26,8 +26,8 @@
 // Main runs a command, prints its error and returns the exit code.
 func Main(ctx context.Context, cmd *cobra.Command, errs io.Writer) int {
 	err := Execute(ctx, cmd)
-	remedy.Tell(errs, err)
-	return remedy.Exit(err)
+	remedy.Print(errs, err)
+	return remedy.ExitCode(err)
 }
 
 // Execute runs a command and returns its error. Errors from cobra, before the command itself has started, become a UsageError.
--- a/internal/doorfleet/doorfleet.go
+++ b/internal/doorfleet/doorfleet.go
@@ -42,7 +42,7 @@
 	if f == nil {
 		return nil
 	}
-	if wrong := serving.WallWrong(); wrong != 0 {
+	if wrong := serving.WallClockOffset(); wrong != 0 {
 		if logger, ok := l.(*logrus.Logger); ok {
 			logger.AddHook(wrongClock(wrong))
 		}
@@ -56,8 +56,8 @@
 		return err
 	}
 	changed := make(chan struct{}, 1)
-	d, err := fleet.Start(fleet.Identity{Fleet: f.Name, Name: cfg.Name, Zone: f.Zone, Number: cfg.Deal.Terms.DoorNumber, Release: serving.Release(),
-		Peers: f.Peers, Join: ms(f.JoinMs, config.JoinAgain), Leave: ms(f.LeaveMs, config.LeaveMost)},
+	d, err := fleet.Start(fleet.Identity{Fleet: f.Name, Name: cfg.Name, Zone: f.Zone, Number: cfg.Settings.Terms.DoorNumber, Release: serving.Release(),
+		Peers: f.Peers, Join: ms(f.JoinRetryMs, config.DefaultJoinRetryMs), Leave: ms(f.LeaveMs, config.DefaultLeaveMs)},
 		fleet.Routed(t, f.Routes), rand.Uint64()>>1, l, func(members.Changed) {
 			select {
 			case changed <- struct{}{}:
@@ -85,7 +85,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			said, stop := context.WithTimeout(context.WithoutCancel(ctx), ms(f.LeaveMs, config.LeaveMost))
+			said, stop := context.WithTimeout(context.WithoutCancel(ctx), ms(f.LeaveMs, config.DefaultLeaveMs))
 			defer stop()
 			if agreed != nil {
 				agreed.post(permits.Leave{})
@@ -100,7 +100,7 @@
 				l.WithError(err).Error("no status is told")
 			}
 		case <-changed:
-			door.SetMembers(Word(d.View().Rows, cfg.Deal.Terms.Doors))
+			door.SetMembers(Word(d.View().Rows, cfg.Settings.Terms.Doors))
 			select {
 			case <-time.After(tellAtMost):
 			case <-ctx.Done():
@@ -124,7 +124,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, nil
-		case <-time.After(ms(f.JoinMs, config.JoinAgain)):
+		case <-time.After(ms(f.JoinRetryMs, config.DefaultJoinRetryMs)):
 		}
 	}
 }
--- a/internal/doorfleet/plans.go
+++ b/internal/doorfleet/plans.go
@@ -68,7 +68,7 @@
 func keep(ctx context.Context, cfg config.Door, door *frontdoor.Door, view func() fleet.View, told func(), l logrus.FieldLogger) *plans {
 	var all []config.NamedAddress
 	for _, c := range cfg.Fleet.Coordinators {
-		if n, err := config.Named(c); err == nil {
+		if n, err := config.ParseNamedAddress(c); err == nil {
 			all = append(all, n)
 		}
 	}
--- a/internal/fields/fields.go
+++ b/internal/fields/fields.go
@@ -45,14 +45,14 @@
 
 // Fields of a door's view of its fleet.
 const (
-	Member = "member"   // name of another door, or its address
-	From   = "from"     // previous state
-	To     = "to"       // new state
-	Life   = "life"     // incarnation of the member
-	Doubts = "doubts"   // number of observers that suspect the member
-	Why    = "why"      // reason as text
-	Clock  = "clock_ms" // the machine's monotonic clock, in ms
-	Remedy = "remedy"   // what an operator can do about the error
+	Member      = "member"   // name of another door, or its address
+	From        = "from"     // previous state
+	To          = "to"       // new state
+	Incarnation = "life"     // incarnation of the member
+	Suspicions  = "doubts"   // number of observers that suspect the member
+	Why         = "why"      // reason as text
+	Clock       = "clock_ms" // the machine's monotonic clock, in ms
+	Remedy      = "remedy"   // what an operator can do about the error
 )
 
 // Fields of planned drains and releases.
--- a/internal/holding/holding.go
+++ b/internal/holding/holding.go
@@ -275,7 +275,7 @@
 		if err != nil {
 			return "", "", &DigestError{over, "", err}
 		}
-		if raw, err = config.Over(raw, top); err != nil {
+		if raw, err = config.Overlay(raw, top); err != nil {
 			return "", "", err
 		}
 		if _, err := config.Read(raw, os.Getenv); err != nil {
@@ -492,7 +492,7 @@
 func (s *supervisor) runChanger() {
 	var all []config.NamedAddress
 	for _, c := range s.cfg.Fleet.Coordinators {
-		if n, err := config.Named(c); err == nil {
+		if n, err := config.ParseNamedAddress(c); err == nil {
 			all = append(all, n)
 		}
 	}
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -21,18 +21,18 @@
 
 // Request is a request as the client sent it.
 type Request struct {
-	Method, Target string
-	ID, Mark       string // the client's id, and the idempotency key by which backends discard repeats
-	Path           string // without the query
-	Class          string // first segment of the path
-	Plan           string
-	Customer       uint64
-	TTL            float64 // time that the client waits, in ms
-	Units          float64
-	First, Spread  int
-	Repeat         bool
-	Body           []byte
-	Last           bool // the client closes the connection after this request
+	Method, Target     string
+	ID, IdempotencyKey string // the client's id, and the idempotency key by which backends discard repeats
+	Path               string // without the query
+	Class              string // first segment of the path
+	Plan               string
+	Customer           uint64
+	TTL                float64 // time that the client waits, in ms
+	Units              float64
+	First, Spread      int
+	Repeat             bool
+	Body               []byte
+	Close              bool // the client closes the connection after this request
 }
 
 // Free returns the body's buffer to the pool.
@@ -41,33 +41,33 @@
 	o.Body = nil
 }
 
-// Fault is input that is not a valid request, with the status to respond with.
-type Fault struct {
+// RequestError is input that is not a valid request, with the status to respond with.
+type RequestError struct {
 	Status int
 	Text   string
 }
 
-func (e *Fault) Error() string     { return e.Text }
-func (e *Fault) Kind() remedy.Kind { return remedy.Refused }
+func (e *RequestError) Error() string     { return e.Text }
+func (e *RequestError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy names the status that the client received.
-func (e *Fault) Remedy() string {
+func (e *RequestError) Remedy() string {
 	return fmt.Sprintf("Fix the request that the client received status %d for; the door needs no change.", e.Status)
 }
 
 // reject returns an error with the status to respond with.
-func reject(status int, text string) *Fault { return &Fault{status, text} }
+func reject(status int, text string) *RequestError { return &RequestError{status, text} }
 
-// Requests parses the requests on one client connection. After an error of Feed the connection cannot be used any more.
-type Requests struct {
+// RequestReader parses the requests on one client connection. After an error of Feed the connection cannot be used any more.
+type RequestReader struct {
 	msg message
 	req *http.Request
 }
 
 // Feed consumes bytes up to the end of one request and reports whether Take can return it. Its errors are of type RequestError.
-func (r *Requests) Feed(p []byte) (used int, whole bool, err error) {
+func (r *RequestReader) Feed(p []byte) (used int, whole bool, err error) {
 	used, whole, err = r.msg.feed(p, r.begin)
-	var known *Fault
+	var known *RequestError
 	switch {
 	case err == nil || errors.As(err, &known):
 	case errors.Is(err, errHeadSize):
@@ -80,7 +80,7 @@
 	return used, whole, err
 }
 
-func (r *Requests) begin(raw []byte) (length int64, isChunked bool, err error) {
+func (r *RequestReader) begin(raw []byte) (length int64, isChunked bool, err error) {
 	if r.req, err = readRequest(raw); err != nil {
 		return 0, false, err
 	}
@@ -96,16 +96,16 @@
 }
 
 // Begun reports whether part of a request has been received.
-func (r *Requests) Begun() bool { return r.msg.begun() }
+func (r *RequestReader) Begun() bool { return r.msg.begun() }
 
 // Drop releases the buffers of an incomplete request.
-func (r *Requests) Drop() { r.msg.drop() }
+func (r *RequestReader) Drop() { r.msg.drop() }
 
 // Take returns the request that Feed has completed. If its headers or target are invalid, it also returns a RequestError; the
 // connection remains usable.
-func (r *Requests) Take() (*Request, error) {
+func (r *RequestReader) Take() (*Request, error) {
 	req := r.req
-	o := &Request{Method: req.Method, Target: req.RequestURI, Path: req.URL.Path, Last: req.Close,
+	o := &Request{Method: req.Method, Target: req.RequestURI, Path: req.URL.Path, Close: req.Close,
 		Body: r.msg.take()}
 	if o.Path == ReadyPath || o.Path == LivePath {
 		return o, nil
@@ -128,7 +128,7 @@
 			return reject(http.StatusBadRequest, name+" twice")
 		}
 	}
-	o.ID, o.Mark, o.Plan = h.Get("X-Txn"), h.Get("Idempotency-Key"), h.Get("X-Tariff")
+	o.ID, o.IdempotencyKey, o.Plan = h.Get("X-Txn"), h.Get("Idempotency-Key"), h.Get("X-Tariff")
 	o.Repeat = h.Get("X-Resent") == "1"
 	o.Class, _, _ = strings.Cut(strings.TrimPrefix(o.Path, "/"), "/")
 	if !isVisibleASCII(o.Target) || !strings.HasPrefix(o.Target, "/"+o.Class) {
@@ -137,7 +137,7 @@
 	if !isVisibleASCII(o.ID) || o.ID == "" {
 		return reject(http.StatusBadRequest, "X-Txn")
 	}
-	if !isVisibleASCII(o.Mark) {
+	if !isVisibleASCII(o.IdempotencyKey) {
 		return reject(http.StatusBadRequest, "Idempotency-Key")
 	}
 	query, err := url.ParseQuery(req.URL.RawQuery)
@@ -216,8 +216,8 @@
 	return nil
 }
 
-// AppendAnswer appends a response. A Retry-After header is included if retryAfter, in ms, is above 0.
-func AppendAnswer(dst []byte, status int, retryAfter float64, body []byte, last bool) []byte {
+// AppendResponse appends a response. A Retry-After header is included if retryAfter, in ms, is above 0.
+func AppendResponse(dst []byte, status int, retryAfter float64, body []byte, last bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(append(dst, ' '), http.StatusText(status)...)
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -14,32 +14,34 @@
 	maxQueue = 1e6 // requests; likewise
 )
 
-// Answer is a backend's response.
-type Answer struct {
+// Response is a backend's response.
+type Response struct {
 	Status     int
 	TurnedAway bool    // the backend rejected the request without processing it
 	Use        float64 // the customer's metered usage as a share of its rate; negative if unknown
 	Queue      float64 // requests waiting at the backend according to its load report; negative if unknown
 	Body       []byte
-	Last       bool // the connection cannot be reused
+	Close      bool // the connection cannot be reused
 }
 
 // Free returns the body's buffer to the pool.
-func (a *Answer) Free() {
+func (a *Response) Free() {
 	pool.Put(a.Body)
 	a.Body = nil
 }
 
-// Answers parses the responses on one backend connection.
-type Answers struct {
+// ResponseReader parses the responses on one backend connection.
+type ResponseReader struct {
 	msg message
 	res *http.Response
 }
 
 // Feed consumes bytes up to the end of one response and reports whether Take can return it.
-func (r *Answers) Feed(p []byte) (used int, whole bool, err error) { return r.msg.feed(p, r.begin) }
+func (r *ResponseReader) Feed(p []byte) (used int, whole bool, err error) {
+	return r.msg.feed(p, r.begin)
+}
 
-func (r *Answers) begin(raw []byte) (length int64, isChunked bool, err error) {
+func (r *ResponseReader) begin(raw []byte) (length int64, isChunked bool, err error) {
 	if r.res, err = readResponse(raw); err != nil {
 		return 0, false, err
 	}
@@ -56,12 +58,12 @@
 }
 
 // Drop releases the buffers of an incomplete response.
-func (r *Answers) Drop() { r.msg.drop() }
+func (r *ResponseReader) Drop() { r.msg.drop() }
 
 // Take returns the response that Feed has completed.
-func (r *Answers) Take() Answer {
+func (r *ResponseReader) Take() Response {
 	h := r.res.Header
-	a := Answer{Status: r.res.StatusCode, Use: -1, Queue: queueOf(h["X-Pressure"]), Last: r.res.Close,
+	a := Response{Status: r.res.StatusCode, Use: -1, Queue: queueOf(h["X-Pressure"]), Close: r.res.Close,
 		TurnedAway: h.Get("X-Turned-Away") == "1"}
 	if values := h["X-Allowance-Used"]; len(values) == 1 {
 		if v, err := strconv.ParseFloat(values[0], 64); err == nil && v >= 0 && v <= maxUse {
@@ -118,8 +120,8 @@
 	dst = append(append(append(dst, o.Method...), ' '), o.Target...)
 	dst = append(append(dst, " HTTP/1.1\r\nHost: "...), host...)
 	dst = append(append(dst, "\r\nX-Txn: "...), o.ID...)
-	if o.Mark != "" {
-		dst = append(append(dst, "\r\nIdempotency-Key: "...), o.Mark...)
+	if o.IdempotencyKey != "" {
+		dst = append(append(dst, "\r\nIdempotency-Key: "...), o.IdempotencyKey...)
 	}
 	dst = append(appendMs(append(dst, remainingHeader...), left), 'm')
 	if o.Method != http.MethodGet || len(o.Body) > 0 {
--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -56,8 +56,8 @@
 	return h.Sum64()
 }
 
-// Mark maps names evenly to [0, 1). The result is the same in every process.
-func Mark(name string) float64 { return Phase(Hash(name)) }
+// NamePhase maps names evenly to [0, 1). The result is the same in every process.
+func NamePhase(name string) float64 { return Phase(Hash(name)) }
 
 // Phase maps ids evenly to [0, 1). The result is the same in every process.
 func Phase(id uint64) float64 { return float64(id*0x9E3779B97F4A7C15>>11) / (1 << 53) }
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -17,7 +17,7 @@
 	if e.Entry >= 0 {
 		return fmt.Sprintf("fleet list: entry %d %s", e.Entry, e.Reason)
 	}
-	return "fleet list: " + remedy.Because(e.Reason, e.Cause)
+	return "fleet list: " + remedy.WithCause(e.Reason, e.Cause)
 }
 func (e *ListError) Unwrap() error     { return e.Cause }
 func (e *ListError) Kind() remedy.Kind { return remedy.Configuration }
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -24,8 +24,8 @@
 	return http1.AppendWatch(dst, target, host)
 }
 
-// Between reports whether the stream is between two objects, with no part of the next one received.
-func (w *Watch) Between() bool { return len(bytes.TrimSpace(w.line)) == 0 }
+// AtBoundary reports whether the stream is between two objects, with no part of the next one received.
+func (w *Watch) AtBoundary() bool { return len(bytes.TrimSpace(w.line)) == 0 }
 
 // Feed parses bytes and calls out with each object. It reports whether the watch has ended.
 func (w *Watch) Feed(p []byte, out func(List)) (done bool, err error) {
--- a/internal/remedy/remedy.go
+++ b/internal/remedy/remedy.go
@@ -30,8 +30,8 @@
 // exitCodes are the exit codes of commands by kind of error.
 var exitCodes = [...]int{Internal: 1, Usage: 2, Configuration: 3, Refused: 4, Unreachable: 5}
 
-// Exit returns the exit code of a command that ends with the given error, or 0 if it is nil.
-func Exit(err error) int {
+// ExitCode returns the exit code of a command that ends with the given error, or 0 if it is nil.
+func ExitCode(err error) int {
 	if err == nil {
 		return 0
 	}
@@ -80,8 +80,8 @@
 	return all
 }
 
-// Because appends the text of a cause, if there is one, to a description of the problem.
-func Because(text string, cause error) string {
+// WithCause appends the text of a cause, if there is one, to a description of the problem.
+func WithCause(text string, cause error) string {
 	switch {
 	case cause == nil:
 		return text
@@ -91,8 +91,8 @@
 	return text + ": " + cause.Error()
 }
 
-// Tell prints an error and its remedies.
-func Tell(out io.Writer, err error) {
+// Print prints an error and its remedies.
+func Print(out io.Writer, err error) {
 	if err == nil {
 		return
 	}
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -27,9 +27,9 @@
 
 // Reply is the reply to one call.
 type Reply struct {
-	Total float64
-	Busy  bool   // the counter is overloaded and nothing was added
-	Fault string // error message of the counter; nothing was added
+	Total     float64
+	Busy      bool   // the counter is overloaded and nothing was added
+	ErrorText string // error message of the counter; nothing was added
 }
 
 // Replies parses the replies on one connection.
@@ -85,7 +85,7 @@
 	case strings.HasPrefix(line, "-BUSY"):
 		return out(Reply{Busy: true})
 	case strings.HasPrefix(line, "-"):
-		return out(Reply{Fault: line[1:]})
+		return out(Reply{ErrorText: line[1:]})
 	case strings.HasPrefix(line, "$"):
 		n, err := strconv.Atoi(line[1:])
 		if err != nil || n < 0 || n+2 > maxLine {
--- a/internal/serving/inherit.go
+++ b/internal/serving/inherit.go
@@ -72,7 +72,7 @@
 }
 
 func (e *DescriptorError) Error() string {
-	return remedy.Because("file descriptor in "+e.Variable+" is unusable", e.Cause)
+	return remedy.WithCause("file descriptor in "+e.Variable+" is unusable", e.Cause)
 }
 func (e *DescriptorError) Unwrap() error     { return e.Cause }
 func (e *DescriptorError) Kind() remedy.Kind { return remedy.Usage }
--- a/internal/serving/log.go
+++ b/internal/serving/log.go
@@ -31,11 +31,11 @@
 	return log, sink.Close
 }
 
-// Log holds the values of the log flags; an empty value leaves the configuration as it is.
-type Log struct{ Level, Format string }
+// LogFlags holds the values of the log flags; an empty value leaves the configuration as it is.
+type LogFlags struct{ Level, Format string }
 
 // override applies the flags to the configuration and checks the result.
-func (l Log) override(cfg config.Log) (config.Log, error) {
+func (l LogFlags) override(cfg config.Log) (config.Log, error) {
 	if l.Level != "" {
 		cfg.Level = l.Level
 	}
@@ -46,7 +46,7 @@
 }
 
 // Apply configures a logger from the configuration and the flags that override it, and returns the resulting configuration.
-func (l Log) Apply(log *logrus.Logger, cfg config.Log) (config.Log, error) {
+func (l LogFlags) Apply(log *logrus.Logger, cfg config.Log) (config.Log, error) {
 	cfg, err := l.override(cfg)
 	if err == nil {
 		apply(log, cfg)
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -37,7 +37,7 @@
 
 // Door runs one front door until it is told to stop. before is called with the configuration and may replace the process by
 // another program. The companion is started with the door; if it fails, the door goes on serving. Both may be nil.
-func Door(l Log, before func(config.Door) error, companion Companion) error {
+func Door(l LogFlags, before func(config.Door) error, companion Companion) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	log, flush := NewLog()
@@ -56,14 +56,14 @@
 			return err
 		}
 	}
-	for _, warning := range cfg.Odd {
+	for _, warning := range cfg.Warnings {
 		log.Warn(warning)
 	}
 	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
 	if cfg.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4) // the rest is for sockets, stacks and code
 	}
-	decider := policy.New(cfg.Deal.Terms, cfg.Seed)
+	decider := policy.New(cfg.Settings.Terms, cfg.Seed)
 	decider.CompareWith(cfg.Watch)
 	door := frontdoor.New(cfg, decider, log)
 	if err := inheritDescriptors(ctx, door); err != nil {
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestFlagsOverrideTheLogConfiguration(t *testing.T) {
-	cfg, err := Log{Format: "json"}.override(config.Log{Level: "warn", Format: "text"})
+	cfg, err := LogFlags{Format: "json"}.override(config.Log{Level: "warn", Format: "text"})
 	require.NoError(t, err)
 	log := logrus.New()
 	var out bytes.Buffer
--- a/internal/wire/door.go
+++ b/internal/wire/door.go
@@ -13,7 +13,7 @@
 type door struct {
 	decider                                gate.Decider
 	pending                                []gate.Event
-	settings                               config.Deal
+	settings                               config.Settings
 	ops, backends, customers, zones, cells index.Table[string]
 	outstanding                            []int  // number of outstanding attempts, by request
 	finished                               []bool // the final outcome is known, by request
@@ -21,7 +21,7 @@
 	releasable                             []int // requests whose index may be released at the end of the batch
 }
 
-func newDoor(settings config.Deal) *door {
+func newDoor(settings config.Settings) *door {
 	return &door{settings: settings, ops: index.New[string](), backends: index.New[string](),
 		customers: index.New[string](), zones: index.New[string](), cells: index.New[string](),
 		counts: map[uint64]*pendingCount{}}
@@ -96,7 +96,7 @@
 	for _, raw := range optional[[]map[string]json.RawMessage](f, "nodes_list") {
 		ef := fields{m: raw}
 		name := required[string](&ef, "backend")
-		e := gate.Entry{Backend: d.backends.Add(name), RingPosition: index.Mark(name),
+		e := gate.Entry{Backend: d.backends.Add(name), RingPosition: index.NamePhase(name),
 			Zone:      d.zones.Add(optional[string](&ef, "dc")),
 			Cell:      d.cells.Add(fmt.Sprint(optional[int64](&ef, "stripe"))),
 			Status:    lookup(&ef, "status", statuses),
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -12,7 +12,7 @@
 	Cause error
 }
 
-func (e *PositionError) Error() string     { return remedy.Because(e.At, e.Cause) }
+func (e *PositionError) Error() string     { return remedy.WithCause(e.At, e.Cause) }
 func (e *PositionError) Unwrap() error     { return e.Cause }
 func (e *PositionError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -34,7 +34,7 @@
 }
 
 func (e *FieldError) Error() string {
-	text := remedy.Because(e.Reason, e.Cause)
+	text := remedy.WithCause(e.Reason, e.Cause)
 	switch {
 	case e.Field == "":
 		return text
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -98,7 +98,7 @@
 			if m.err != nil {
 				return nil, atPosition(m.err, "event BORN")
 			}
-			settings, err := config.ReadDeal(encoded)
+			settings, err := config.ReadSettings(encoded)
 			if err != nil {
 				return nil, atPosition(err, "event BORN")
 			}
--- a/permits/errors.go
+++ b/permits/errors.go
@@ -105,7 +105,7 @@
 	Cause error
 }
 
-func (e *FormatError) Error() string     { return remedy.Because(e.What+" can't be read", e.Cause) }
+func (e *FormatError) Error() string     { return remedy.WithCause(e.What+" can't be read", e.Cause) }
 func (e *FormatError) Unwrap() error     { return e.Cause }
 func (e *FormatError) Kind() remedy.Kind { return remedy.Refused }
 
