--- a/cmd/swifthall-coordinate/commands.go
+++ b/cmd/swifthall-coordinate/commands.go
@@ -85,7 +85,7 @@
 // command gives one command; an answer that was lost is asked for again, with its number.
 func (o *operator) command(cmd *cobra.Command, do any) (a permits.Answer, err error) {
 	err = o.with(cmd, func(ctx context.Context, c *client.Client) error {
-		a, err = c.Command(ctx, permits.Command{Caller: permits.Caller("operator "+o.who, rand.Uint64()), Seq: 1, Do: do})
+		a, err = c.Command(ctx, permits.Command{Caller: permits.CallerName("operator "+o.who, rand.Uint64()), Seq: 1, Do: do})
 		return err
 	})
 	if err == nil {
@@ -540,7 +540,7 @@
 				return err
 			}
 			return o.with(cmd, func(ctx context.Context, c *client.Client) error {
-				var lines []permits.Line
+				var lines []permits.AuditEntry
 				var last error
 				for _, a := range all {
 					if last = c.Once(ctx, a, client.AuditPath, &lines); last == nil {
--- a/internal/doorfleet/doorfleet.go
+++ b/internal/doorfleet/doorfleet.go
@@ -88,7 +88,7 @@
 			said, stop := context.WithTimeout(context.WithoutCancel(ctx), ms(f.LeaveMs, config.DefaultLeaveMs))
 			defer stop()
 			if agreed != nil {
-				agreed.post(permits.Leave{})
+				agreed.post(permits.Terminating{})
 			}
 			d.Leave(said)
 			if agreed != nil {
--- a/internal/holding/concurrency_test.go
+++ b/internal/holding/concurrency_test.go
@@ -152,9 +152,11 @@
 	return p
 }
 
-func (s *supervisor) applyAll(t *testing.T, changes release.Runs) {
+func (s *supervisor) applyAll(t *testing.T, changes release.Versions) {
 	for kind, digest := range changes {
-		s.tasks.Go(func() { s.apply(permits.Take{Given: permits.Given{Changes: kind, Digest: digest}, UntilMs: 1e12}) })
+		s.tasks.Go(func() {
+			s.apply(permits.ApplyRelease{Assignment: permits.Assignment{Changes: kind, Digest: digest}, UntilMs: 1e12})
+		})
 	}
 }
 
@@ -163,7 +165,7 @@
 func TestShutdownWaitsForAProcessThatIsStarting(t *testing.T) {
 	s, stop, processes := supervised(t)
 	first := startServing(t, s, processes)
-	s.applyAll(t, release.Runs{release.Configuration: s.addRelease(t, `{}`)})
+	s.applyAll(t, release.Versions{release.Configuration: s.addRelease(t, `{}`)})
 	second := next(t, processes)
 	stop()
 	second.expect(t, "terminated")
@@ -184,7 +186,7 @@
 func TestAProcessThatBecomesReadyDuringShutdownIsStopped(t *testing.T) {
 	s, _, processes := supervised(t)
 	first := startServing(t, s, processes)
-	s.applyAll(t, release.Runs{release.Configuration: s.addRelease(t, `{}`)})
+	s.applyAll(t, release.Versions{release.Configuration: s.addRelease(t, `{}`)})
 	second := next(t, processes)
 	ended := make(chan struct{})
 	go func() { s.shutdown(); close(ended) }()
@@ -202,7 +204,7 @@
 	s, _, processes := supervised(t)
 	first := startServing(t, s, processes)
 	digest := s.addRelease(t, `{}`)
-	s.applyAll(t, release.Runs{release.Configuration: digest})
+	s.applyAll(t, release.Versions{release.Configuration: digest})
 	second := next(t, processes)
 	first.exit(t)
 	third := next(t, processes) // restarted in place of the first one
@@ -233,7 +235,7 @@
 	s, _, processes := supervised(t)
 	first := startServing(t, s, processes)
 	digest := s.addRelease(t, `{"pace":{"linger_ms":900}}`)
-	s.applyAll(t, release.Runs{release.Configuration: digest})
+	s.applyAll(t, release.Versions{release.Configuration: digest})
 	second := next(t, processes)
 	raw, err := os.ReadFile(s.baseFile)
 	require.NoError(t, err)
@@ -284,7 +286,7 @@
 		}
 		return writeAtomic(path, raw)
 	}
-	s.applyAll(t, release.Runs{release.Configuration: digest})
+	s.applyAll(t, release.Versions{release.Configuration: digest})
 	second := next(t, processes)
 	second.send("ready")
 	<-writing
@@ -300,7 +302,7 @@
 
 func TestAProcessCanBePreparedWhileTheDirectoryIsNotWritable(t *testing.T) {
 	s := newSupervisor(t)
-	runs := release.Runs{release.Configuration: s.addRelease(t, `{"pace":{"linger_ms":900}}`)}
+	runs := release.Versions{release.Configuration: s.addRelease(t, `{"pace":{"linger_ms":900}}`)}
 	_, file, err := s.prepare(runs)
 	require.NoError(t, err)
 	s.write = func(string, []byte) error { return syscall.ENOSPC }
@@ -312,7 +314,7 @@
 
 func TestAStartSurvivesTransientDirectoryErrors(t *testing.T) {
 	s, _, processes := supervised(t)
-	s.runs = release.Runs{release.Configuration: s.addRelease(t, `{}`)}
+	s.runs = release.Versions{release.Configuration: s.addRelease(t, `{}`)}
 	fails := 2
 	s.write = func(path string, raw []byte) error {
 		if fails--; fails >= 0 {
--- a/internal/holding/holding.go
+++ b/internal/holding/holding.go
@@ -74,8 +74,8 @@
 	ctx      context.Context
 
 	mu        sync.Mutex
-	runs      release.Runs // what the current process runs, or is about to run
-	previous  release.Runs // what the process before it ran
+	runs      release.Versions // what the current process runs, or is about to run
+	previous  release.Versions // what the process before it ran
 	changedAt time.Time
 	failed    map[string]string // reasons why digests were not applied
 	current   *worker
@@ -164,7 +164,7 @@
 }
 
 // openState creates the directory if necessary and loads the state.
-func (s *supervisor) openState() (release.Runs, error) {
+func (s *supervisor) openState() (release.Versions, error) {
 	if err := os.MkdirAll(s.dir, execPerm); err != nil {
 		return nil, &DirectoryError{s.dir, err}
 	}
@@ -172,12 +172,12 @@
 }
 
 // loadState reads what the door ran last.
-func (s *supervisor) loadState() (release.Runs, error) {
+func (s *supervisor) loadState() (release.Versions, error) {
 	raw, err := os.ReadFile(filepath.Join(s.dir, stateFile))
 	if errors.Is(err, os.ErrNotExist) {
-		return release.Runs{}, nil
+		return release.Versions{}, nil
 	}
-	runs := release.Runs{}
+	runs := release.Versions{}
 	if err == nil {
 		err = json.Unmarshal(raw, &runs)
 	}
@@ -188,7 +188,7 @@
 }
 
 // saveState records what the door runs.
-func (s *supervisor) saveState(runs release.Runs) {
+func (s *supervisor) saveState(runs release.Versions) {
 	raw, err := json.Marshal(runs)
 	if err == nil {
 		err = s.write(filepath.Join(s.dir, stateFile), raw)
@@ -206,7 +206,7 @@
 	if err != nil && len(s.runs) > 0 {
 		s.log.WithError(err).Error("cannot run what the door ran last; falling back to its own configuration and program")
 		s.recordFailure(s.runs, err)
-		s.runs = release.Runs{}
+		s.runs = release.Versions{}
 		w, err = s.startWithRetry(s.runs)
 	}
 	if err != nil {
@@ -220,7 +220,7 @@
 }
 
 // recordFailure records why digests were not applied.
-func (s *supervisor) recordFailure(runs release.Runs, err error) {
+func (s *supervisor) recordFailure(runs release.Versions, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, digest := range runs {
@@ -250,7 +250,7 @@
 
 // prepare verifies the program and the configuration without running them. It returns the path of the program and that of the
 // configuration file, to which a released configuration is written after merging it over the door's own.
-func (s *supervisor) prepare(runs release.Runs) (program, file string, err error) {
+func (s *supervisor) prepare(runs release.Versions) (program, file string, err error) {
 	file = s.baseFile
 	if program, err = os.Executable(); err != nil {
 		return "", "", &StartError{"this program", "locating the executable", err}
@@ -300,13 +300,13 @@
 
 // startWithRetry starts a process and retries transient errors of system calls and of the directory, because they say nothing
 // about what is to run.
-func (s *supervisor) startWithRetry(runs release.Runs) (*worker, error) {
+func (s *supervisor) startWithRetry(runs release.Versions) (*worker, error) {
 	return retry.Within(s.ctx, startRetryFor, func() (*worker, error) { return s.start(runs) })
 }
 
 // start starts a process and waits until it is ready. The process shares the listener and may accept clients from the start, so
 // one that does not become ready in time or is no longer needed is stopped gracefully like any other.
-func (s *supervisor) start(runs release.Runs) (*worker, error) {
+func (s *supervisor) start(runs release.Versions) (*worker, error) {
 	s.mu.Lock()
 	reloads := s.reloads
 	s.mu.Unlock()
@@ -409,7 +409,7 @@
 
 // reloadWorker makes one process reload its configuration file, after merging a released configuration over the door's own file
 // again.
-func (s *supervisor) reloadWorker(w *worker, runs release.Runs) {
+func (s *supervisor) reloadWorker(w *worker, runs release.Versions) {
 	if _, _, err := s.prepare(runs); err != nil {
 		s.log.WithError(err).Error("configuration left as it was")
 		return
@@ -472,7 +472,7 @@
 // reportState notifies the changer of what runs.
 func (s *supervisor) reportState() {
 	s.mu.Lock()
-	e := permits.Runs{Runs: maps.Clone(s.runs), Failed: maps.Clone(s.failed)}
+	e := permits.VersionsChanged{Runs: maps.Clone(s.runs), Failed: maps.Clone(s.failed)}
 	s.mu.Unlock()
 	s.post(e)
 }
@@ -499,7 +499,7 @@
 	s.client = client.New(all)
 	defer s.client.Close()
 	s.mu.Lock()
-	c := permits.NewChanger(s.cfg.Name, rand.Uint64(), maps.Clone(s.runs), maps.Clone(s.failed))
+	c := permits.NewReleaseAgent(s.cfg.Name, rand.Uint64(), maps.Clone(s.runs), maps.Clone(s.failed))
 	s.mu.Unlock()
 	tick := time.NewTicker(permits.TickEvery * time.Millisecond)
 	defer tick.Stop()
@@ -515,7 +515,7 @@
 			switch a := a.(type) {
 			case permits.Post:
 				go s.callCoordinators(a)
-			case permits.Take:
+			case permits.ApplyRelease:
 				s.tasks.Go(func() { s.apply(a) })
 			}
 		}
@@ -528,10 +528,10 @@
 	defer stop()
 	var e any
 	var err error
-	if q.Hold != nil {
-		var g permits.Given
-		g, err = s.client.Hold(ctx, q.Hold)
-		e = permits.Gave{Seq: q.Seq, Given: g}
+	if q.HolderReport != nil {
+		var g permits.Assignment
+		g, err = s.client.Hold(ctx, q.HolderReport)
+		e = permits.AssignmentReceived{Seq: q.Seq, Assignment: g}
 	} else {
 		var a permits.Answer
 		a, err = s.client.Command(ctx, permits.Command{Caller: q.Caller, Seq: q.Seq, Do: q.Do})
@@ -546,13 +546,13 @@
 // apply changes what the door runs: it starts the new process beside the old one, then stops the old one. The change takes
 // effect with the start of the new process. If its time limit has already passed, because the supervisor was suspended, the
 // change is dropped.
-func (s *supervisor) apply(t permits.Take) {
+func (s *supervisor) apply(t permits.ApplyRelease) {
 	defer s.reportState()
 	s.mu.Lock()
 	previous := s.runs
 	runs := maps.Clone(previous)
 	if runs == nil {
-		runs = release.Runs{}
+		runs = release.Versions{}
 	}
 	runs[t.Changes] = t.Digest
 	s.mu.Unlock()
@@ -565,7 +565,7 @@
 	if err != nil {
 		if s.ctx.Err() == nil {
 			if !t.Back {
-				s.recordFailure(release.Runs{t.Changes: t.Digest}, err)
+				s.recordFailure(release.Versions{t.Changes: t.Digest}, err)
 			}
 			entry.WithError(err).Error(Refused)
 		}
--- a/internal/holding/holding_test.go
+++ b/internal/holding/holding_test.go
@@ -37,13 +37,13 @@
 
 func TestReleasesAreVerifiedBeforeTheyRun(t *testing.T) {
 	s := newSupervisor(t)
-	program, file, err := s.prepare(release.Runs{})
+	program, file, err := s.prepare(release.Versions{})
 	require.NoError(t, err)
 	assert.Equal(t, s.baseFile, file)
 	assert.NotEmpty(t, program)
 
 	digest := s.addRelease(t, `{"pace":{"linger_ms":900}}`)
-	_, file, err = s.prepare(release.Runs{release.Configuration: digest})
+	_, file, err = s.prepare(release.Versions{release.Configuration: digest})
 	require.NoError(t, err)
 	raw, err := os.ReadFile(file)
 	require.NoError(t, err)
@@ -52,18 +52,18 @@
 	assert.Equal(t, 900.0, door.Pace.Linger)
 
 	var key *config.KeyError
-	_, _, err = s.prepare(release.Runs{release.Configuration: s.addRelease(t, `{"settings":{"profiles":[]}}`)})
+	_, _, err = s.prepare(release.Versions{release.Configuration: s.addRelease(t, `{"settings":{"profiles":[]}}`)})
 	require.ErrorAs(t, err, &key)
 	assert.Equal(t, "settings.profiles", key.Key)
-	_, _, err = s.prepare(release.Runs{release.Configuration: s.addRelease(t, `{"name":"another"}`)})
+	_, _, err = s.prepare(release.Versions{release.Configuration: s.addRelease(t, `{"name":"another"}`)})
 	require.ErrorAs(t, err, &key)
 
 	var wrong *DigestError
 	require.NoError(t, os.WriteFile(filepath.Join(s.dir, digest), []byte(`{}`), filePerm))
-	_, _, err = s.prepare(release.Runs{release.Configuration: digest})
+	_, _, err = s.prepare(release.Versions{release.Configuration: digest})
 	require.ErrorAs(t, err, &wrong)
 	assert.NotEqual(t, digest, wrong.Actual)
-	_, _, err = s.prepare(release.Runs{release.Program: "0123"})
+	_, _, err = s.prepare(release.Versions{release.Program: "0123"})
 	require.ErrorAs(t, err, &wrong)
 	assert.Contains(t, wrong.Remedy(), "0123")
 }
@@ -73,10 +73,10 @@
 	runs, err := s.loadState()
 	require.NoError(t, err)
 	assert.Empty(t, runs)
-	s.saveState(release.Runs{release.Program: "ab"})
+	s.saveState(release.Versions{release.Program: "ab"})
 	runs, err = s.loadState()
 	require.NoError(t, err)
-	assert.Equal(t, release.Runs{release.Program: "ab"}, runs)
+	assert.Equal(t, release.Versions{release.Program: "ab"}, runs)
 	require.NoError(t, os.WriteFile(filepath.Join(s.dir, stateFile), []byte("{"), filePerm))
 	var broken *DirectoryError
 	_, err = s.loadState()
--- a/permits/calendar.go
+++ b/permits/calendar.go
@@ -308,9 +308,9 @@
 
 // NextStart returns the entry that the leader is to start now: the first due entry that neither the calendar nor a budget blocks,
 // so that a blocked entry doesn't delay others.
-func (s *State) StartsNext() (id uint64, found bool) {
+func (s *State) NextStart() (id uint64, found bool) {
 	for _, id := range s.Calendar.Startable() {
-		if s.WhyNot(id) == nil {
+		if s.StartObstacle(id) == nil {
 			return id, true
 		}
 	}
@@ -318,7 +318,7 @@
 }
 
 // StartObstacle returns the first reason why an entry can't start, from the calendar or from its action; nil if it can.
-func (s *State) WhyNot(id uint64) error {
+func (s *State) StartObstacle(id uint64) error {
 	e := s.Calendar.Entries[id]
 	if e == nil {
 		return &calendar.UnknownError{What: "entry", ID: id}
@@ -331,7 +331,7 @@
 	case err != nil:
 		return &calendar.FormError{Key: "do", Says: err.Error()}
 	case do.Drain != nil:
-		_, err = s.Try(do.Drain.Kind, do.Drain.Name)
+		_, err = s.DryRun(do.Drain.Kind, do.Drain.Name)
 	case do.Release != nil:
 		if old := s.Release.Find(do.Release.Name); old != nil && (old.Live() || old.Stage == release.Waiting) {
 			return &release.NameError{Name: do.Release.Name, Stage: old.Stage}
@@ -446,12 +446,12 @@
 		switch {
 		case gone:
 			return s.tryCalendar(calendar.Halt{ID: e.ID, Who: "release", Why: "it was replaced by another"})
-		case r.Stage == release.RollingBack || r.Stage == release.Returned:
-			return s.tryCalendar(calendar.RollBack{ID: e.ID, Who: "release " + r.Name, Why: r.Says})
+		case r.Stage == release.RollingBack || r.Stage == release.RolledBack:
+			return s.tryCalendar(calendar.RollBack{ID: e.ID, Who: "release " + r.Name, Why: r.Reason})
 		case r.Stage == release.Halted && was == calendar.Halted:
 			return steer(release.ToResume)
 		case r.Stage == release.Halted:
-			return s.tryCalendar(calendar.Halt{ID: e.ID, Who: "release " + r.Name, Why: r.Says})
+			return s.tryCalendar(calendar.Halt{ID: e.ID, Who: "release " + r.Name, Why: r.Reason})
 		case e.Wave < r.Wave || r.Stage == release.Done && e.Wave < e.Waves:
 			return s.tryCalendar(calendar.WaveDone{ID: e.ID, Wave: e.Wave + 1})
 		}
@@ -462,7 +462,7 @@
 	case calendar.RollingBack:
 		switch {
 		case gone: // only operators can roll it back; they report when it is done
-		case r.Stage == release.Returned:
+		case r.Stage == release.RolledBack:
 			return s.tryCalendar(calendar.RolledBack{ID: e.ID})
 		case r.Stage != release.RollingBack:
 			if !steer(release.ToBack) {
--- a/permits/collector.go
+++ b/permits/collector.go
@@ -9,7 +9,7 @@
 
 // DoorReport is a door's report to the coordinators, sent about once a second: its standing, what it has applied, and which doors
 // it considers away. Only what it reports about itself is certain.
-type Word struct {
+type DoorReport struct {
 	Caller string `json:"caller"` // name and process
 	Seq    uint64 `json:"seq"`
 	Sighting
@@ -23,12 +23,12 @@
 
 // Reply is the answer to a DoorReport.
 type Reply struct {
-	Epoch    uint64   `json:"epoch"`
-	Life     uint64   `json:"life"` // registered incarnation of the door; if it differs from the report's, the door registers again
-	Change   uint64   `json:"change"`
-	Withheld []string `json:"withheld,omitempty"`
-	Order    *Order   `json:"order,omitempty"` // drain of this door, if any
-	Full     bool     `json:"full,omitempty"`  // the next report is to include the list of backends
+	Epoch       uint64   `json:"epoch"`
+	Incarnation uint64   `json:"life"` // registered incarnation of the door; if it differs from the report's, the door registers again
+	Change      uint64   `json:"change"`
+	Withheld    []string `json:"withheld,omitempty"`
+	Order       *Order   `json:"order,omitempty"` // drain of this door, if any
+	Full        bool     `json:"full,omitempty"`  // the next report is to include the list of backends
 }
 
 // Order is the drain that is in force for a door.
@@ -46,7 +46,7 @@
 
 // ReportCollector collects the reports of doors at the leader and derives sightings and release verdicts from them. It isn't
 // replicated: a new leader receives reports from all doors within a second or two.
-type Watch struct {
+type ReportCollector struct {
 	reports     map[string]*receivedReport // by door
 	doors       []string                   // names of the reporting doors, sorted
 	comparisons map[uint64]*waveComparison // by release
@@ -68,20 +68,20 @@
 
 // receivedReport is a door's latest report with its time of arrival.
 type receivedReport struct {
-	Word
+	DoorReport
 	at float64
 }
 
 // NewReportCollector returns a collector without reports.
-func NewWatch() *Watch {
-	return &Watch{reports: map[string]*receivedReport{}, comparisons: map[uint64]*waveComparison{}, sent: map[string]sentSighting{}}
+func NewReportCollector() *ReportCollector {
+	return &ReportCollector{reports: map[string]*receivedReport{}, comparisons: map[uint64]*waveComparison{}, sent: map[string]sentSighting{}}
 }
 
 // Record stores a report and reports whether it was accepted. A report that is older than the stored one, or from an earlier
 // incarnation, is ignored. The list of backends is kept until the door sends another.
-func (w *Watch) Heard(now float64, report Word) bool {
+func (w *ReportCollector) Record(now float64, report DoorReport) bool {
 	if old := w.reports[report.Name]; old != nil {
-		if report.Life < old.Life || report.Process == old.Process && report.Seq <= old.Seq {
+		if report.Incarnation < old.Incarnation || report.Process == old.Process && report.Seq <= old.Seq {
 			return false
 		}
 		if report.Counts == nil && report.Process == old.Process {
@@ -100,7 +100,7 @@
 }
 
 // recentDoors lists up to most doors whose latest report still counts.
-func (w *Watch) recentDoors(now float64, most int) (names []string) {
+func (w *ReportCollector) recentDoors(now float64, most int) (names []string) {
 	for _, n := range w.doors {
 		if h := w.reports[n]; len(names) < most && now-h.at <= reportTTLMs && h.Standing != Ended {
 			names = append(names, n)
@@ -110,14 +110,14 @@
 }
 
 // WantsBackends reports whether a door is to include its list of backends in its reports.
-func (w *Watch) Full(now float64, name string) bool {
+func (w *ReportCollector) WantsBackends(now float64, name string) bool {
 	return slices.Contains(w.recentDoors(now, maxBackendReporters), name)
 }
 
 // Sightings derives the standing of all units from recent reports. A door has the standing that it reports, unless most of the
 // others consider it away; a door without a recent report is listed only if they do. A backend has the standing that most lists
 // give it.
-func (w *Watch) Sightings(now float64) (all []Sighting) {
+func (w *ReportCollector) Sightings(now float64) (all []Sighting) {
 	recent := w.recentDoors(now, len(w.doors))
 	away := map[string]int{}
 	lists := map[string][]Sighting{}
@@ -168,7 +168,7 @@
 
 // ChangedSightings lists the sightings to replicate: those that have changed, and every resendAfterMs the unchanged ones.
 // Replicating all of them twice a second would dominate the coordinators' writes.
-func (w *Watch) News(now float64) (news []Sighting) {
+func (w *ReportCollector) ChangedSightings(now float64) (news []Sighting) {
 	for _, s := range w.Sightings(now) {
 		k := unitKey(s.Kind, s.Name)
 		if t, known := w.sent[k]; known && t.Sighting == s && now-t.at < resendAfterMs {
@@ -182,9 +182,9 @@
 
 // Needs lists the commands that a report requires immediately rather than with the next round of sightings: for a permit that the
 // door doesn't intend to use, for drains that were ended at the door, and for a changed standing.
-func (s *State) Needs(w *Word) (do []any) {
+func (s *State) Needs(w *DoorReport) (do []any) {
 	u := s.Units[unitKey(w.Kind, w.Name)]
-	if u == nil || w.Life != u.Life {
+	if u == nil || w.Incarnation != u.Incarnation {
 		return nil // the reply has it register, or the report is of an earlier incarnation
 	}
 	for _, n := range w.Undone {
@@ -197,16 +197,16 @@
 	}
 	p := s.permitOf(w.Kind, w.Name)
 	if p != nil && p.Caller == w.Caller && p.Number != w.Holds || u.Standing != w.Standing || u.Did < w.Did && s.Change == w.Did {
-		do = append(do, Here{w.Sighting, w.Holds})
+		do = append(do, SelfReport{w.Sighting, w.Holds})
 	}
 	return do
 }
 
 // Reply returns the answer to a door's report.
-func (s *State) Reply(w *Word, full bool) Reply {
+func (s *State) Reply(w *DoorReport, full bool) Reply {
 	r := Reply{Full: full, Epoch: s.Epoch}
 	if u := s.Units[unitKey(w.Kind, w.Name)]; u != nil {
-		r.Life = u.Life
+		r.Incarnation = u.Incarnation
 	}
 	r.Withheld, r.Change = s.Withheld()
 	if p := s.permitOf(w.Kind, w.Name); p != nil && p.Order && !p.Over {
@@ -217,7 +217,7 @@
 
 // Verdicts compares, for each running release whose current wave is complete, the changed doors with the others, and lists the
 // verdicts that end a wave. Counts from before the comparison are its baseline.
-func (w *Watch) Judge(now float64, s *release.State) (verdicts []release.Judged) {
+func (w *ReportCollector) Verdicts(now float64, s *release.State) (verdicts []release.RecordVerdict) {
 	for n := range w.comparisons {
 		if !slices.ContainsFunc(s.All, func(r *release.Release) bool { return r.Number == n && r.Stage == release.Running }) {
 			delete(w.comparisons, n)
@@ -236,28 +236,28 @@
 		if r.Changes == release.Backends { // each pair of a reporting door and a backend is one item of the comparison
 			for _, name := range w.recentDoors(now, maxBackendReporters) {
 				for _, b := range slices.Sorted(maps.Keys(w.reports[name].Sent)) {
-					j.comparison.Heard(now, b+" as "+name+" sees it", s.Changed(r, b), w.reports[name].Sent[b])
+					j.comparison.Record(now, b+" as "+name+" sees it", s.Changed(r, b), w.reports[name].Sent[b])
 				}
 			}
-			if v := j.comparison.Look(now); v.Says != release.Wait {
-				verdicts = append(verdicts, release.Judged{Number: r.Number, Wave: r.Wave, Verdict: v})
+			if v := j.comparison.Evaluate(now); v.Outcome != release.Wait {
+				verdicts = append(verdicts, release.RecordVerdict{Number: r.Number, Wave: r.Wave, Verdict: v})
 			}
 			continue
 		}
 		for _, name := range w.recentDoors(now, len(w.doors)) {
 			if h := w.reports[name]; h.Counts != nil {
-				j.comparison.Heard(now, name, s.Changed(r, name), *h.Counts)
+				j.comparison.Record(now, name, s.Changed(r, name), *h.Counts)
 			}
 		}
-		for _, part := range r.Parts[:r.Wave+1] {
+		for _, part := range r.UnitsByWave[:r.Wave+1] {
 			for _, name := range part {
 				if h := w.reports[name]; now-j.began > lostAfterMs && (h == nil || now-h.at > lostAfterMs) {
-					j.comparison.Failed(name, "it isn't heard of any more")
+					j.comparison.RecordFailure(name, "it isn't heard of any more")
 				}
 			}
 		}
-		if v := j.comparison.Look(now); v.Says != release.Wait {
-			verdicts = append(verdicts, release.Judged{Number: r.Number, Wave: r.Wave, Verdict: v})
+		if v := j.comparison.Evaluate(now); v.Outcome != release.Wait {
+			verdicts = append(verdicts, release.RecordVerdict{Number: r.Number, Wave: r.Wave, Verdict: v})
 		}
 	}
 	return verdicts
--- a/permits/door_agent.go
+++ b/permits/door_agent.go
@@ -9,12 +9,12 @@
 // DoorAgent is the client of the coordinators in a door: it sends reports, has backends withheld, and takes the door out of
 // service and back as drains require. It has one post outstanding at a time and ignores answers to earlier ones. Without
 // coordinators it keeps the last state that it received; a door that is out can be brought back by hand.
-type Keeper struct {
+type DoorAgent struct {
 	unit         Unit
 	newProcess   func() uint64 // returns a new process number; each return to service begins another process
 	process      uint64
 	incarnation  uint64 // 0 until it is assigned
-	holder       Holder
+	holder       PermitHolder
 	ready        bool
 	away         []string   // doors that the door considers away
 	backends     []Sighting // the door's list of backends
@@ -61,7 +61,7 @@
 	// Unanswered reports that a Post won't be answered.
 	Unanswered struct{ Seq uint64 }
 	// DoorStatus reports the door's condition and its observations.
-	Stands struct {
+	DoorStatus struct {
 		Ready    bool
 		Away     []string // doors that it considers away
 		Backends []Sighting
@@ -70,15 +70,15 @@
 		ByBackend map[string]release.Counts
 	}
 	// WithholdApplied reports that a Withhold is in force in the door's routing decisions.
-	Did struct{ Change uint64 }
+	WithholdApplied struct{ Change uint64 }
 	// SetOutDone is the result of a SetOut: whether the door went out in time.
-	Stepped struct{ Done bool }
+	SetOutDone struct{ Done bool }
 	// EndByHand ends the door's drain and its withheld backends locally, even if the coordinators can't be reached.
-	ByHand struct{}
+	EndByHand struct{}
 	// Terminating reports that the process begins to terminate.
-	Leave struct{}
+	Terminating struct{}
 	// Terminated reports that the process has finished all accepted requests.
-	Left struct{}
+	Terminated struct{}
 	// Tick reports that time has passed.
 	Tick struct{}
 )
@@ -87,11 +87,11 @@
 type (
 	// Post is a message to the coordinators with a report, a holder's report or a command. The same Seq may be posted again.
 	Post struct {
-		Seq    uint64
-		Caller string
-		Word   *Word
-		Hold   *Hold
-		Do     any // command
+		Seq          uint64
+		Caller       string
+		Report       *DoorReport
+		HolderReport *HolderReport
+		Do           any // command
 	}
 	// Withhold has the door withhold exactly these backends in its routing decisions.
 	Withhold struct {
@@ -99,7 +99,7 @@
 		Change uint64 // that the list belongs to
 	}
 	// SetOut takes the door out of service, if that can happen before UntilMs of its clock, or brings it back.
-	Aside struct {
+	SetOut struct {
 		Out     bool
 		UntilMs float64
 		Number  uint64 // of the permit
@@ -117,49 +117,49 @@
 )
 
 // NewDoorAgent returns the agent of a door that starts. newProcess draws process numbers that are unique.
-func NewKeeper(unit Unit, newProcess func() uint64) *Keeper {
-	return &Keeper{unit: unit, newProcess: newProcess, process: newProcess()}
+func NewDoorAgent(unit Unit, newProcess func() uint64) *DoorAgent {
+	return &DoorAgent{unit: unit, newProcess: newProcess, process: newProcess()}
 }
 
 // Out reports whether the door is out by a drain, and the number of its permit.
-func (k *Keeper) Out() (number uint64, is bool) { return k.holder.Number, k.stage == outOfService }
+func (k *DoorAgent) Out() (number uint64, is bool) { return k.holder.Number, k.stage == outOfService }
 
 // Withheld lists the backends that the door has to withhold.
-func (k *Keeper) Held() []string { return k.withheld }
+func (k *DoorAgent) Withheld() []string { return k.withheld }
 
 // Order returns the drain that is in force for the door; nil for none.
-func (k *Keeper) Order() *Order { return k.order }
+func (k *DoorAgent) Order() *Order { return k.order }
 
-func (k *Keeper) caller() string { return Caller(k.unit.Name, k.process) }
+func (k *DoorAgent) caller() string { return CallerName(k.unit.Name, k.process) }
 
 // Step processes an event and returns the resulting actions.
-func (k *Keeper) Step(now float64, e any) (do []any) {
+func (k *DoorAgent) Step(now float64, e any) (do []any) {
 	switch e := e.(type) {
 	case Replied:
-		if w := k.complete(e.Seq); w != nil && w.Word != nil {
-			do = append(do, k.handleReply(w.Word, &e.Reply)...)
+		if w := k.complete(e.Seq); w != nil && w.Report != nil {
+			do = append(do, k.handleReply(w.Report, &e.Reply)...)
 		}
 	case Answered:
 		if w := k.complete(e.Seq); w != nil {
 			k.handleAnswer(now, w, e)
 		}
 	case Unanswered: // poll sends the post again after retryAfterMs
-	case Stands:
+	case DoorStatus:
 		if k.ready != e.Ready || !slices.Equal(k.away, e.Away) {
 			k.dirty = true
 		}
 		k.ready, k.away, k.backends, k.counts, k.byBackend = e.Ready, e.Away, e.Backends, e.Counts, e.ByBackend
-	case Did:
+	case WithholdApplied:
 		if e.Change > k.applied {
 			k.applied, k.dirty = e.Change, true
 		}
-	case Stepped:
+	case SetOutDone:
 		if k.stage == goingOut {
 			if k.stage = serving; e.Done {
 				k.stage, k.dirty = outOfService, true
 			}
 		}
-	case ByHand:
+	case EndByHand:
 		if k.order != nil {
 			k.endedByHand = append(k.endedByHand, k.order.Number)
 		}
@@ -168,19 +168,19 @@
 			k.withheld = nil
 			do = append(do, Withhold{nil, 0})
 		}
-	case Leave:
+	case Terminating:
 		if k.stage != terminated {
 			k.stage, k.dirty, k.lastReportMs = terminating, true, 0
 		}
-	case Left:
+	case Terminated:
 		k.stage, k.dirty, k.lastReportMs = terminated, true, 0
 	}
 	return append(do, k.act(now)...)
 }
 
 // handleReply applies the reply to a report.
-func (k *Keeper) handleReply(sent *Word, r *Reply) (do []any) {
-	if r.Life != k.incarnation { // another process of this name has registered, or the coordinators have lost their state
+func (k *DoorAgent) handleReply(sent *DoorReport, r *Reply) (do []any) {
+	if r.Incarnation != k.incarnation { // another process of this name has registered, or the coordinators have lost their state
 		k.incarnation = 0
 		return nil
 	}
@@ -201,7 +201,7 @@
 	return do
 }
 
-func (k *Keeper) handleAnswer(now float64, sent *Post, e Answered) {
+func (k *DoorAgent) handleAnswer(now float64, sent *Post, e Answered) {
 	if _, began := sent.Do.(Begin); began {
 		if e.Answer.Err == nil {
 			k.incarnation = e.Answer.Number
@@ -217,12 +217,12 @@
 }
 
 // act returns the next actions for the agent's state, with at most one new post.
-func (k *Keeper) act(now float64) (do []any) {
+func (k *DoorAgent) act(now float64) (do []any) {
 	if k.stage == outOfService && k.order == nil { // the return to service needs no permit and waits for no answer
 		k.stage, k.dirty = serving, true
 		k.holder.Drop()
 		k.process, k.incarnation = k.newProcess(), 0
-		return []any{Aside{Out: false}, k.post(now, k.holder.Next(), nil, Begin{k.unit, k.process})}
+		return []any{SetOut{Out: false}, k.post(now, k.holder.NextSeq(), nil, Begin{k.unit, k.process})}
 	}
 	resend, abandoned, busy := k.poll(now)
 	switch {
@@ -231,14 +231,14 @@
 	case busy:
 		return nil
 	case abandoned != nil:
-		if _, command := abandoned.Do.(Begin); !command && abandoned.Word == nil {
+		if _, command := abandoned.Do.(Begin); !command && abandoned.Report == nil {
 			k.holder.Drop()
 			k.retryAtMs = now + denialBackoffMs
 		}
 		k.dirty = true
 	}
 	if k.incarnation == 0 && k.stage < terminating {
-		return []any{k.post(now, k.holder.Next(), nil, Begin{k.unit, k.process})}
+		return []any{k.post(now, k.holder.NextSeq(), nil, Begin{k.unit, k.process})}
 	}
 	switch {
 	case k.stage == serving && k.holder.Number != 0 && k.order == nil: // the drain ended before the door went out
@@ -250,31 +250,31 @@
 		}
 		switch {
 		case k.holder.Number == 0:
-			return []any{k.post(now, k.holder.Asked(now, permitHoldMs), nil, Ask{Unit: k.unit.Name, Kind: k.unit.Kind, Who: k.order.Who, Why: k.order.Why, HoldMs: permitHoldMs})}
+			return []any{k.post(now, k.holder.RequestSent(now, permitHoldMs), nil, RequestPermit{Unit: k.unit.Name, Kind: k.unit.Kind, Who: k.order.Who, Why: k.order.Why, HoldMs: permitHoldMs})}
 		case k.holder.MayGo(now):
 			k.stage = goingOut
-			return []any{Aside{true, k.holder.Deadline(), k.holder.Number, k.order.Why}}
+			return []any{SetOut{true, k.holder.Deadline(), k.holder.Number, k.order.Why}}
 		default:
-			return []any{k.post(now, k.holder.Looking(now), nil, Confirm{k.holder.Number, k.incarnation, k.process})}
+			return []any{k.post(now, k.holder.ConfirmSent(now), nil, Confirm{k.holder.Number, k.incarnation, k.process})}
 		}
 	}
 	if since := now - k.lastReportMs; k.incarnation != 0 && (since >= reportEveryMs || k.dirty && since >= minReportGapMs) {
 		k.lastReportMs, k.dirty = now, false
-		return []any{k.post(now, k.holder.Next(), k.report(), nil)}
+		return []any{k.post(now, k.holder.NextSeq(), k.report(), nil)}
 	}
 	return nil
 }
 
-func (k *Keeper) post(now float64, seq uint64, w *Word, command any) Post {
+func (k *DoorAgent) post(now float64, seq uint64, w *DoorReport, command any) Post {
 	if w != nil {
 		w.Seq = seq
 	}
-	return k.send(now, Post{Seq: seq, Caller: k.caller(), Word: w, Do: command})
+	return k.send(now, Post{Seq: seq, Caller: k.caller(), Report: w, Do: command})
 }
 
 // report returns the door's next report.
-func (k *Keeper) report() *Word {
-	s := Sighting{Unit: k.unit, Life: k.incarnation, Process: k.process, Did: k.applied, Standing: Starting}
+func (k *DoorAgent) report() *DoorReport {
+	s := Sighting{Unit: k.unit, Incarnation: k.incarnation, Process: k.process, Did: k.applied, Standing: Starting}
 	switch {
 	case k.stage == terminated:
 		s.Standing = Ended
@@ -283,7 +283,7 @@
 	case k.stage == serving && k.ready:
 		s.Standing = Ready
 	}
-	w := &Word{Caller: k.caller(), Sighting: s, Holds: k.holder.Number, Away: k.away, Undone: slices.Clone(k.endedByHand), Counts: k.counts}
+	w := &DoorReport{Caller: k.caller(), Sighting: s, Holds: k.holder.Number, Away: k.away, Undone: slices.Clone(k.endedByHand), Counts: k.counts}
 	if k.sendBackends {
 		w.Backends, w.Sent = k.backends, k.byBackend
 	}
--- a/permits/drains.go
+++ b/permits/drains.go
@@ -30,12 +30,12 @@
 	k := unitKey(d.Unit.Kind, d.Unit.Name)
 	u := s.Units[k]
 	if u == nil {
-		u = &Known{}
+		u = &UnitState{}
 		s.Units[k] = u
 	}
 	u.Unit, u.Standing, u.AtMs, u.Process, u.Did = d.Unit, Starting, s.NowMs, d.Process, 0
-	u.Life++
-	return Answer{Number: u.Life}
+	u.Incarnation++
+	return Answer{Number: u.Incarnation}
 }
 
 func (s *State) drain(c *Command, d Drain) Answer {
@@ -72,7 +72,7 @@
 
 // drainZone drains all units of a zone or none. Units that already have a permit of their own stay as they are.
 func (s *State) drainZone(c *Command, d Drain) Answer {
-	var units []*Known
+	var units []*UnitState
 	for _, k := range slices.Sorted(maps.Keys(s.Units)) {
 		if u := s.Units[k]; u.Zone == d.Name {
 			if p := s.permitOf(u.Kind, u.Name); p != nil && p.Of == d.Name && !p.Over {
@@ -109,8 +109,8 @@
 		switch {
 		case b.Kind == Zone:
 			limited = true
-			if out := s.zonesOut(zone); len(out)+1 > b.MostOut {
-				return &DeniedError{zone, b, "", fmt.Sprintf("%d of %d zones are out already", len(out), b.MostOut), orNone(out)}
+			if out := s.zonesOut(zone); len(out)+1 > b.MaxOut {
+				return &DeniedError{zone, b, "", fmt.Sprintf("%d of %d zones are out already", len(out), b.MaxOut), orNone(out)}
 			}
 		case b.Zone == "":
 			ready, size := 0, 0.0
@@ -125,8 +125,8 @@
 					ready, size = ready+1, size+u.Size
 				}
 			}
-			if ready < b.LeastHere {
-				return &DeniedError{zone, b, "", fmt.Sprintf("%d %ss would be here, at least %d must be", ready, b.Kind, b.LeastHere), orNone(out)}
+			if ready < b.MinReady {
+				return &DeniedError{zone, b, "", fmt.Sprintf("%d %ss would be here, at least %d must be", ready, b.Kind, b.MinReady), orNone(out)}
 			}
 			if size < b.MinReadySize {
 				return &DeniedError{zone, b, "", fmt.Sprintf("a size of %g would be here, at least %g must be", size, b.MinReadySize), orNone(out)}
@@ -259,8 +259,8 @@
 }
 
 // DryRun returns the units that a drain would take out and the error that blocks it, without changing anything.
-func (s *State) Try(k Kind, name string) (units []string, obstacle error) {
-	var states []*Known
+func (s *State) DryRun(k Kind, name string) (units []string, obstacle error) {
+	var states []*UnitState
 	for _, id := range slices.Sorted(maps.Keys(s.Units)) {
 		if u := s.Units[id]; k == Zone && u.Zone == name && s.permitOf(u.Kind, u.Name) == nil || u.Kind == k && u.Name == name {
 			states = append(states, u)
@@ -291,7 +291,7 @@
 // ReleaseCommands lists the commands that the leader is to send for releases of backends. Backends of the current wave are drained
 // as budgets allow and undrained once they are seen with another process; those of a release that has ended are undrained as they
 // are.
-func (s *State) Errands() (do []any) {
+func (s *State) ReleaseCommands() (do []any) {
 	for _, r := range s.Release.All {
 		if r.Changes != release.Backends {
 			continue
--- a/permits/encode.go
+++ b/permits/encode.go
@@ -15,10 +15,10 @@
 
 // typesByName maps the encoded names of commands and errors to their types. A name is never reused for another type.
 var typesByName = map[string]reflect.Type{
-	"set_budgets": reflect.TypeFor[SetBudgets](), "seen": reflect.TypeFor[Seen](), "here": reflect.TypeFor[Here](), "ask": reflect.TypeFor[Ask](),
+	"set_budgets": reflect.TypeFor[SetBudgets](), "seen": reflect.TypeFor[RecordSightings](), "here": reflect.TypeFor[SelfReport](), "ask": reflect.TypeFor[RequestPermit](),
 	"confirm": reflect.TypeFor[Confirm](), "withdraw": reflect.TypeFor[Withdraw](), "write_off": reflect.TypeFor[WriteOff](),
-	"begin": reflect.TypeFor[Begin](), "drain": reflect.TypeFor[Drain](), "undrain": reflect.TypeFor[Undrain](), "lead": reflect.TypeFor[Lead](),
-	"start_release": reflect.TypeFor[release.Start](), "took": reflect.TypeFor[release.ReportVersions](), "judged": reflect.TypeFor[release.Judged](),
+	"begin": reflect.TypeFor[Begin](), "drain": reflect.TypeFor[Drain](), "undrain": reflect.TypeFor[Undrain](), "lead": reflect.TypeFor[Leadership](),
+	"start_release": reflect.TypeFor[release.Start](), "took": reflect.TypeFor[release.ReportVersions](), "judged": reflect.TypeFor[release.RecordVerdict](),
 	"steer": reflect.TypeFor[release.Steer](), "plan": reflect.TypeFor[release.PlanError](), "name_taken": reflect.TypeFor[release.NameError](),
 	"unknown_release": reflect.TypeFor[release.UnknownError](), "stage": reflect.TypeFor[release.StageError](),
 	"note": reflect.TypeFor[Note](), "forget": reflect.TypeFor[Forget](), "halt": reflect.TypeFor[Halt](), "resume": reflect.TypeFor[Resume](),
@@ -213,7 +213,7 @@
 	}
 	for i, b := range all {
 		known := b.Kind == Door || b.Kind == Backend || b.Kind == Zone && b.Zone == ""
-		if !known || b.MostOut < 0 || b.LeastHere < 0 || b.MinReadySize < 0 || b.MinGapMs < 0 {
+		if !known || b.MaxOut < 0 || b.MinReady < 0 || b.MinReadySize < 0 || b.MinGapMs < 0 {
 			return nil, &FormatError{What: fmt.Sprintf("budget %d (%s)", i+1, budgetsJSON([]Budget{b}))}
 		}
 	}
--- a/permits/holder.go
+++ b/permits/holder.go
@@ -9,7 +9,7 @@
 
 // PermitHolder is the client side of a permit: it tracks the permit by its own monotonic clock and decides whether the
 // irreversible step may be taken now.
-type Holder struct {
+type PermitHolder struct {
 	Number        uint64
 	requestedMs   float64 // own clock when the request was sent
 	holdMs        float64
@@ -20,26 +20,26 @@
 }
 
 // NextSeq returns the sequence number of the next command. Answers to earlier commands are ignored from now on.
-func (h *Holder) Next() uint64 {
+func (h *PermitHolder) NextSeq() uint64 {
 	h.seq++
 	h.pendingSeq = h.seq
 	return h.seq
 }
 
 // RequestSent records that a permit is requested.
-func (h *Holder) Asked(now, holdMs float64) (seq uint64) {
-	*h = Holder{requestedMs: now, holdMs: holdMs, seq: h.seq}
-	return h.Next()
+func (h *PermitHolder) RequestSent(now, holdMs float64) (seq uint64) {
+	*h = PermitHolder{requestedMs: now, holdMs: holdMs, seq: h.seq}
+	return h.NextSeq()
 }
 
 // ConfirmSent records that a Confirm is sent.
-func (h *Holder) Looking(now float64) (seq uint64) {
+func (h *PermitHolder) ConfirmSent(now float64) (seq uint64) {
 	h.confirmSentMs, h.confirmed = now, false
-	return h.Next()
+	return h.NextSeq()
 }
 
 // Answered processes an answer and reports whether it was the pending one.
-func (h *Holder) Answered(seq uint64, a Answer) bool {
+func (h *PermitHolder) Answered(seq uint64, a Answer) bool {
 	if seq != h.pendingSeq {
 		return false
 	}
@@ -56,23 +56,23 @@
 }
 
 // Fresh reports whether the permit may still be used by the holder's own clock.
-func (h *Holder) Fresh(now float64) bool { return now-h.requestedMs <= usableShare*h.holdMs }
+func (h *PermitHolder) Fresh(now float64) bool { return now-h.requestedMs <= usableShare*h.holdMs }
 
 // Deadline returns the clock time until which the step may be taken after the latest Confirm.
-func (h *Holder) Deadline() float64 {
+func (h *PermitHolder) Deadline() float64 {
 	return min(h.confirmSentMs+confirmTTLMs, h.requestedMs+usableShare*h.holdMs)
 }
 
 // MayGo reports whether the step may be taken now. A holder that was suspended after its Confirm must confirm again.
-func (h *Holder) MayGo(now float64) bool {
+func (h *PermitHolder) MayGo(now float64) bool {
 	return h.Number != 0 && h.confirmed && now <= h.Deadline()
 }
 
 // Drop abandons the permit; the holder's next report or command returns it.
-func (h *Holder) Drop() { *h = Holder{seq: h.seq} }
+func (h *PermitHolder) Drop() { *h = PermitHolder{seq: h.seq} }
 
 // PendingSeq returns the sequence number of the command whose answer is pending; 0 for none.
-func (h *Holder) Waiting() uint64 { return h.pendingSeq }
+func (h *PermitHolder) PendingSeq() uint64 { return h.pendingSeq }
 
 // CallerName returns the caller name under which a process of a unit sends commands.
-func Caller(unit string, process uint64) string { return fmt.Sprintf("%s/%x", unit, process) }
+func CallerName(unit string, process uint64) string { return fmt.Sprintf("%s/%x", unit, process) }
--- a/permits/permits.go
+++ b/permits/permits.go
@@ -19,17 +19,17 @@
 // State is the replicated state of the coordinators.
 type State struct {
 	NowMs   float64
-	WallMs  float64 // latest wall clock of any leader
-	Change  uint64  // grows with each drain that is ordered or ends
-	Epoch   uint64  // random number of the first leader; distinguishes this state from the state of another cluster
-	Leader  Lead    // the latest leader
-	Next    uint64  // number of the next permit; numbers only grow
+	WallMs  float64    // latest wall clock of any leader
+	Change  uint64     // grows with each drain that is ordered or ends
+	Epoch   uint64     // random number of the first leader; distinguishes this state from the state of another cluster
+	Leader  Leadership // the latest leader
+	Next    uint64     // number of the next permit; numbers only grow
 	Budgets []Budget
-	Units   map[string]*Known // by unitKey
+	Units   map[string]*UnitState // by unitKey
 	Permits map[uint64]*Permit
 	Halts   []Halt
 	Callers map[string]*LastCommand
-	Audit   []Line
+	Audit   []AuditEntry
 	Release *release.State
 	LastMs  map[string]float64 // when a permit was last granted or a unit last came back, by kind and zone
 
@@ -38,13 +38,13 @@
 }
 
 // UnitState is the latest known state of a unit.
-type Known struct {
+type UnitState struct {
 	Unit
-	Standing Standing
-	AtMs     float64 // of the latest sighting
-	Life     uint64  `json:"Life"` // latest incarnation that was registered or seen
-	Process  uint64
-	Did      uint64 // of a door: the latest change whose withheld backends it has applied
+	Standing    Standing
+	AtMs        float64 // of the latest sighting
+	Incarnation uint64  `json:"Life"` // latest incarnation that was registered or seen
+	Process     uint64
+	Did         uint64 // of a door: the latest change whose withheld backends it has applied
 }
 
 // LastCommand is a caller's latest command and its answer.
@@ -55,7 +55,7 @@
 }
 
 // AuditEntry is one entry of the audit log.
-type Line struct {
+type AuditEntry struct {
 	AtMs   float64
 	WallMs float64
 	Number uint64
@@ -66,7 +66,7 @@
 
 // New returns the state before the first command. Without budgets every permit is denied.
 func New() *State {
-	s := &State{Next: 1, Units: map[string]*Known{}, Permits: map[uint64]*Permit{}, Callers: map[string]*LastCommand{}, LastMs: map[string]float64{}, Release: release.New(),
+	s := &State{Next: 1, Units: map[string]*UnitState{}, Permits: map[uint64]*Permit{}, Callers: map[string]*LastCommand{}, LastMs: map[string]float64{}, Release: release.New(),
 		Calendar: calendar.New(), Runs: map[uint64]*Run{}}
 	s.Calendar.See(s)
 	return s
@@ -96,12 +96,12 @@
 		before, after := budgetsJSON(s.Budgets), budgetsJSON(d.Budgets)
 		s.Budgets = slices.Clone(d.Budgets)
 		s.audit(0, "budgets "+before+" -> "+after, cmp.Or(d.Who, c.Caller), d.Why)
-	case Seen:
+	case RecordSightings:
 		for i := range d.Sightings {
 			s.recordSighting(&d.Sightings[i])
 		}
 		s.expireCallers()
-	case Here:
+	case SelfReport:
 		s.recordSighting(&d.Sighting)
 		if p := s.permitOf(d.Kind, d.Name); p != nil && p.Number != d.Holds && p.Caller == c.Caller {
 			s.returnUnused(p) // the caller's later report says that it doesn't use the permit
@@ -117,7 +117,7 @@
 		return s.drain(c, d)
 	case Undrain:
 		return s.undrain(d)
-	case Lead:
+	case Leadership:
 		s.Leader = d
 		if s.Epoch == 0 {
 			s.Epoch = d.Epoch
@@ -131,7 +131,7 @@
 		calendar.SetRules, calendar.Clock, calendar.Start, calendar.WaveDone, calendar.Observe, calendar.Migrate, calendar.Replace, calendar.Revert, calendar.Halt, calendar.Resume,
 		calendar.RollBack, calendar.RolledBack, calendar.Acknowledge, calendar.Restored:
 		return s.applyCalendarCommand(c)
-	case release.Start, release.ReportVersions, release.Judged, release.Steer:
+	case release.Start, release.ReportVersions, release.RecordVerdict, release.Steer:
 		if own, err := s.routeToEntry(d); own || err != nil {
 			return Answer{Err: err}
 		}
@@ -146,7 +146,7 @@
 				who, why = d.Who, d.Why
 			case release.Steer:
 				who, why = d.Who, d.Why
-			case release.Judged:
+			case release.RecordVerdict:
 				why = d.Verdict.Why
 			}
 			s.audit(0, note, who, why)
@@ -166,7 +166,7 @@
 			s.Release.RecordProcess(d.Name, "gone for good")
 		}
 		s.audit(0, "forgotten: "+d.Name, d.Who, d.Why)
-	case Ask:
+	case RequestPermit:
 		return s.requestPermit(c, d)
 	case Confirm:
 		return s.confirm(c, d)
@@ -196,7 +196,7 @@
 }
 
 func (s *State) audit(number uint64, what, who, why string) {
-	s.Audit = append(s.Audit, Line{s.NowMs, s.WallMs, number, what, who, why})
+	s.Audit = append(s.Audit, AuditEntry{s.NowMs, s.WallMs, number, what, who, why})
 	if n := len(s.Audit); n > maxAuditEntries {
 		s.Audit = slices.Delete(s.Audit, 0, n-maxAuditEntries)
 	}
@@ -208,13 +208,13 @@
 	k := unitKey(g.Kind, g.Name)
 	u := s.Units[k]
 	if u == nil {
-		u = &Known{}
+		u = &UnitState{}
 		s.Units[k] = u
 	}
-	if g.Life < u.Life { // a delayed sighting of an earlier process
+	if g.Incarnation < u.Incarnation { // a delayed sighting of an earlier process
 		return
 	}
-	u.Unit, u.Standing, u.AtMs, u.Life, u.Process, u.Did = g.Unit, g.Standing, s.NowMs, g.Life, g.Process, max(u.Did, g.Did)
+	u.Unit, u.Standing, u.AtMs, u.Incarnation, u.Process, u.Did = g.Unit, g.Standing, s.NowMs, g.Incarnation, g.Process, max(u.Did, g.Did)
 	if g.Kind == Backend && g.Standing != Failed {
 		s.Release.RecordProcess(g.Name, fmt.Sprint(g.Process))
 	}
@@ -230,7 +230,7 @@
 	case p == nil || p.Stage != Out || p.Order && !p.Over:
 	case p.Unit.Kind == Backend:
 		s.freeIfBack(p)
-	case g.Standing == Ready && g.Process != p.Process && g.Life > p.Life:
+	case g.Standing == Ready && g.Process != p.Process && g.Incarnation > p.Incarnation:
 		s.freePlace(p, "back")
 	}
 }
@@ -257,7 +257,7 @@
 	maps.DeleteFunc(s.Callers, func(_ string, l *LastCommand) bool { return s.NowMs-l.AtMs > callerTTLMs })
 }
 
-func (s *State) requestPermit(c *Command, d Ask) Answer {
+func (s *State) requestPermit(c *Command, d RequestPermit) Answer {
 	u := s.Units[unitKey(d.Kind, d.Unit)]
 	if u == nil {
 		return Answer{Err: &UnknownError{fmt.Sprintf("%s %s", d.Kind, d.Unit)}}
@@ -304,10 +304,10 @@
 	if err != nil {
 		return Answer{Err: err}
 	}
-	if d.Life == 0 && u != nil {
-		d.Life, d.Process = u.Life, u.Process
+	if d.Incarnation == 0 && u != nil {
+		d.Incarnation, d.Process = u.Incarnation, u.Process
 	}
-	p.Stage, p.Life, p.Process = Out, d.Life, d.Process
+	p.Stage, p.Incarnation, p.Process = Out, d.Incarnation, d.Process
 	s.audit(p.Number, "out: "+p.Unit.Name, p.Who, p.Why)
 	return Answer{Number: p.Number}
 }
@@ -327,7 +327,7 @@
 // budget and nothing could be rolled back. A unit that a new leader has merely not seen yet may still be serving, so budgets
 // apply to it: without that rule three doors went out at once in the half second before the first sightings, where two may be
 // out.
-func (s *State) checkReleaseStep(u *Known, number uint64, newPermit bool) error {
+func (s *State) checkReleaseStep(u *UnitState, number uint64, newPermit bool) error {
 	if number != 0 {
 		back, err := s.Release.CheckChange(number, u.Name)
 		if err != nil {
@@ -341,10 +341,10 @@
 }
 
 // Out reports whether a unit counts as out.
-func (s *State) Out(u *Known) bool { return s.isOut(u) }
+func (s *State) Out(u *UnitState) bool { return s.isOut(u) }
 
 // isOut reports whether a unit counts as out: planned, failed, or not seen for sightingTTLMs.
-func (s *State) isOut(u *Known) bool {
+func (s *State) isOut(u *UnitState) bool {
 	return u.Standing != Ready || s.NowMs-u.AtMs > sightingTTLMs || s.permitOf(u.Kind, u.Name) != nil
 }
 
@@ -404,10 +404,10 @@
 		return &DeniedError{g.Name, *b, zone, fmt.Sprintf(format, args...), orNone(out)}
 	}
 	switch {
-	case len(out)+1 > b.MostOut:
-		return denied("%d of %d are out already", len(out), b.MostOut)
-	case ready < b.LeastHere:
-		return denied("%d would be here, at least %d must be", ready, b.LeastHere)
+	case len(out)+1 > b.MaxOut:
+		return denied("%d of %d are out already", len(out), b.MaxOut)
+	case ready < b.MinReady:
+		return denied("%d would be here, at least %d must be", ready, b.MinReady)
 	case size < b.MinReadySize:
 		return denied("a size of %g would be here, at least %g must be", size, b.MinReadySize)
 	case newPermit && lastMs >= 0 && s.NowMs-lastMs < b.MinGapMs:
--- a/permits/permits_test.go
+++ b/permits/permits_test.go
@@ -17,7 +17,7 @@
 
 func newSite(doors int) *site {
 	s := &site{New(), 0, map[string]uint64{}}
-	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2, LeastHere: 2, MinGapMs: 0}, {Kind: Door, Zone: EachZone, MostOut: 1}}})
+	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MaxOut: 2, MinReady: 2, MinGapMs: 0}, {Kind: Door, Zone: EachZone, MaxOut: 1}}})
 	for i := range doors {
 		s.recordSighting(i, Ready, 1)
 	}
@@ -34,15 +34,15 @@
 }
 
 func sighting(i int, how Standing, life uint64) Sighting {
-	return Sighting{Unit: unit(i), Standing: how, Life: life, Process: life * 100}
+	return Sighting{Unit: unit(i), Standing: how, Incarnation: life, Process: life * 100}
 }
 
 func (s *site) recordSighting(i int, how Standing, life uint64) {
-	s.do("watch", Seen{[]Sighting{sighting(i, how, life)}})
+	s.do("watch", RecordSightings{[]Sighting{sighting(i, how, life)}})
 }
 
 func (s *site) ask(i int) Answer {
-	return s.do(unit(i).Name, Ask{Unit: unit(i).Name, Kind: Door, Who: "op", Why: "release", HoldMs: 10e3})
+	return s.do(unit(i).Name, RequestPermit{Unit: unit(i).Name, Kind: Door, Who: "op", Why: "release", HoldMs: 10e3})
 }
 
 func (s *site) confirm(i int, n uint64) Answer {
@@ -80,7 +80,7 @@
 
 func TestRetryIsIdempotentAndOlderCommandIsRefused(t *testing.T) {
 	s := newSite(8)
-	c := Command{Caller: "d0", Seq: 5, Do: Ask{Unit: "d0", Kind: Door, HoldMs: 1e4}}
+	c := Command{Caller: "d0", Seq: 5, Do: RequestPermit{Unit: "d0", Kind: Door, HoldMs: 1e4}}
 	a := s.Apply(c)
 	require.NoError(t, a.Err)
 	assert.Equal(t, a, s.Apply(c))
@@ -122,11 +122,11 @@
 func TestSelfReportReturnsUnusedPermit(t *testing.T) {
 	s := newSite(8)
 	n := s.ask(0).Number
-	s.do("d0", Here{sighting(0, Ready, 1), n})
+	s.do("d0", SelfReport{sighting(0, Ready, 1), n})
 	assert.Len(t, s.Permits, 1, "the door intends to use it")
-	s.do("another", Here{sighting(0, Ready, 1), 0})
+	s.do("another", SelfReport{sighting(0, Ready, 1), 0})
 	assert.Len(t, s.Permits, 1, "reported by another caller")
-	s.do("d0", Here{sighting(0, Ready, 1), 0})
+	s.do("d0", SelfReport{sighting(0, Ready, 1), 0})
 	assert.Empty(t, s.Permits)
 	n = s.ask(0).Number
 	require.NoError(t, s.do("op", WriteOff{n, "ana", "its machine is gone"}).Err)
@@ -134,23 +134,23 @@
 	assert.Equal(t, "its machine is gone", s.Audit[len(s.Audit)-1].Why)
 	var unknown *UnknownError
 	assert.ErrorAs(t, s.do("op", WriteOff{n, "ana", "again"}).Err, &unknown)
-	assert.ErrorAs(t, s.do("x", Ask{Unit: "nobody", Kind: Door}).Err, &unknown)
+	assert.ErrorAs(t, s.do("x", RequestPermit{Unit: "nobody", Kind: Door}).Err, &unknown)
 }
 
 func TestWithoutBudgetPermitsAreDenied(t *testing.T) {
 	s := newSite(4)
-	s.do("watch", Seen{[]Sighting{{Unit: Unit{Kind: Backend, Name: "b", Size: 2}, Standing: Ready, Life: 1}}})
-	assert.ErrorContains(t, s.do("x", Ask{Unit: "b", Kind: Backend}).Err, "no budget")
+	s.do("watch", RecordSightings{[]Sighting{{Unit: Unit{Kind: Backend, Name: "b", Size: 2}, Standing: Ready, Incarnation: 1}}})
+	assert.ErrorContains(t, s.do("x", RequestPermit{Unit: "b", Kind: Backend}).Err, "no budget")
 }
 
 func TestBudgetMinimumReadySizeAndGap(t *testing.T) {
 	s := newSite(8)
-	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 8, LeastHere: 7}}})
+	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MaxOut: 8, MinReady: 7}}})
 	require.NoError(t, s.ask(0).Err)
 	assert.ErrorContains(t, s.ask(1).Err, "at least 7")
-	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 8, MinReadySize: 6.5}}})
+	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MaxOut: 8, MinReadySize: 6.5}}})
 	assert.ErrorContains(t, s.ask(1).Err, "at least 6.5")
-	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 8, MinGapMs: 5000}}})
+	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MaxOut: 8, MinGapMs: 5000}}})
 	assert.ErrorContains(t, s.ask(1).Err, "must pass")
 	s.now = 5000
 	for i := range 8 {
@@ -171,23 +171,23 @@
 }
 
 func TestSuspendedHolderMustConfirmAgain(t *testing.T) {
-	var h Holder
-	ask := h.Asked(0, 10e3)
+	var h PermitHolder
+	ask := h.RequestSent(0, 10e3)
 	assert.False(t, h.Answered(ask+1, Answer{Number: 3}), "no answer to that command is pending")
 	require.True(t, h.Answered(ask, Answer{Number: 3}))
 	assert.False(t, h.MayGo(100), "not without a Confirm")
-	look := h.Looking(200)
+	look := h.ConfirmSent(200)
 	require.True(t, h.Answered(look, Answer{Number: 3}))
 	assert.True(t, h.MayGo(900))
 	assert.False(t, h.MayGo(1300), "it was suspended after its Confirm")
-	again := h.Looking(1300)
+	again := h.ConfirmSent(1300)
 	assert.False(t, h.Answered(look, Answer{Number: 3}), "the answer to an earlier Confirm is ignored")
 	require.True(t, h.Answered(again, Answer{Number: 3}))
 	assert.True(t, h.MayGo(1350))
-	late := h.Looking(8500)
+	late := h.ConfirmSent(8500)
 	h.Answered(late, Answer{Number: 3})
 	assert.False(t, h.MayGo(8600), "by its own clock the hold is nearly over")
 	h.Drop()
 	assert.Zero(t, h.Number)
-	assert.Greater(t, h.Next(), late)
+	assert.Greater(t, h.NextSeq(), late)
 }
--- a/permits/release_agent.go
+++ b/permits/release_agent.go
@@ -8,16 +8,16 @@
 
 // HolderReport is the report of the process that holds a door's listener: which versions the door runs, and which it failed to
 // install.
-type Hold struct {
+type HolderReport struct {
 	Caller string            `json:"caller"`
 	Seq    uint64            `json:"seq"`
 	Door   string            `json:"door"`
-	Runs   release.Runs      `json:"runs"`
+	Runs   release.Versions  `json:"runs"`
 	Failed map[string]string `json:"failed,omitempty"` // reason by digest
 }
 
 // Assignment answers a HolderReport: which version the door is to run, and for which release. It is empty if nothing is to change.
-type Given struct {
+type Assignment struct {
 	Release uint64 `json:"release,omitempty"`
 	Name    string `json:"name,omitempty"`
 	Changes string `json:"changes,omitempty"` // kind of change
@@ -30,11 +30,11 @@
 type ReleaseAgent struct {
 	door   string
 	caller string
-	holder Holder
+	holder PermitHolder
 	outstanding
-	versions     release.Runs
+	versions     release.Versions
 	failed       map[string]string // reason by digest
-	target       *Given            // version to change to; nil if nothing is to change
+	target       *Assignment       // version to change to; nil if nothing is to change
 	applying     bool              // an ApplyRelease was issued and its result is pending
 	lastReportMs float64
 	dirty        bool    // there is news to report
@@ -45,44 +45,44 @@
 // Events of a ReleaseAgent, besides Answered, Unanswered and Tick.
 type (
 	// AssignmentReceived is the answer to a Post with a HolderReport.
-	Gave struct {
-		Seq   uint64
-		Given Given
+	AssignmentReceived struct {
+		Seq        uint64
+		Assignment Assignment
 	}
 	// VersionsChanged reports which versions the door runs and which it failed to install, after an ApplyRelease or when a process
 	// ended by itself.
-	Runs struct {
-		Runs   release.Runs
+	VersionsChanged struct {
+		Runs   release.Versions
 		Failed map[string]string
 	}
 )
 
 // ApplyRelease has the door run the assigned version, if that can begin before UntilMs. A VersionsChanged follows.
-type Take struct {
-	Given
+type ApplyRelease struct {
+	Assignment
 	UntilMs float64
 }
 
 // NewReleaseAgent returns the agent of a door with the versions that it runs and those that it failed to install.
-func NewChanger(door string, process uint64, versions release.Runs, failed map[string]string) *ReleaseAgent {
-	return &ReleaseAgent{door: door, caller: Caller(door+"/holder", process), versions: versions, failed: failed, dirty: true}
+func NewReleaseAgent(door string, process uint64, versions release.Versions, failed map[string]string) *ReleaseAgent {
+	return &ReleaseAgent{door: door, caller: CallerName(door+"/holder", process), versions: versions, failed: failed, dirty: true}
 }
 
 // Step processes an event and returns the resulting actions.
 func (c *ReleaseAgent) Step(now float64, e any) []any {
 	switch e := e.(type) {
-	case Gave:
-		if w := c.complete(e.Seq); w != nil && w.Hold != nil {
+	case AssignmentReceived:
+		if w := c.complete(e.Seq); w != nil && w.HolderReport != nil {
 			c.target = nil
-			if e.Given.Release != 0 && c.versions[e.Given.Changes] != e.Given.Digest {
-				c.target = &e.Given
+			if e.Assignment.Release != 0 && c.versions[e.Assignment.Changes] != e.Assignment.Digest {
+				c.target = &e.Assignment
 			}
 		}
 	case Answered:
 		if w := c.complete(e.Seq); w != nil {
 			c.handleAnswer(now, w, e)
 		}
-	case Runs:
+	case VersionsChanged:
 		if c.applying && (c.target == nil || e.Runs[c.target.Changes] != c.target.Digest) {
 			c.returnNumber = c.holder.Number // the previous process keeps serving, so the permit can be returned
 		}
@@ -124,13 +124,13 @@
 		return []any{*resend}
 	case busy, c.applying:
 		return nil
-	case abandoned != nil && abandoned.Hold == nil:
+	case abandoned != nil && abandoned.HolderReport == nil:
 		c.abandon(now)
 	}
 	post := func(seq uint64, do any) []any { return []any{c.send(now, Post{Seq: seq, Caller: c.caller, Do: do})} }
 	switch {
 	case c.returnNumber != 0:
-		return post(c.holder.Next(), Withdraw{c.returnNumber})
+		return post(c.holder.NextSeq(), Withdraw{c.returnNumber})
 	case c.target == nil && c.holder.Number != 0: // the assignment was withdrawn
 		c.abandon(now)
 	case c.target != nil && now >= c.retryAtMs:
@@ -140,24 +140,24 @@
 		}
 		switch {
 		case c.holder.Number == 0:
-			return post(c.holder.Asked(now, permitHoldMs), Ask{Unit: c.door, Kind: Door, Who: "release " + c.target.Name, Why: c.target.Changes, HoldMs: permitHoldMs, Release: c.target.Release})
+			return post(c.holder.RequestSent(now, permitHoldMs), RequestPermit{Unit: c.door, Kind: Door, Who: "release " + c.target.Name, Why: c.target.Changes, HoldMs: permitHoldMs, Release: c.target.Release})
 		case c.holder.MayGo(now):
 			c.applying = true
-			return []any{Take{*c.target, c.holder.Deadline()}}
+			return []any{ApplyRelease{*c.target, c.holder.Deadline()}}
 		default:
-			return post(c.holder.Looking(now), Confirm{Number: c.holder.Number})
+			return post(c.holder.ConfirmSent(now), Confirm{Number: c.holder.Number})
 		}
 	}
 	if since := now - c.lastReportMs; since >= reportEveryMs || c.dirty && since >= minReportGapMs {
 		c.lastReportMs, c.dirty = now, false
-		seq := c.holder.Next()
-		return []any{c.send(now, Post{Seq: seq, Caller: c.caller, Hold: &Hold{c.caller, seq, c.door, maps.Clone(c.versions), maps.Clone(c.failed)}})}
+		seq := c.holder.NextSeq()
+		return []any{c.send(now, Post{Seq: seq, Caller: c.caller, HolderReport: &HolderReport{c.caller, seq, c.door, maps.Clone(c.versions), maps.Clone(c.failed)}})}
 	}
 	return nil
 }
 
 // HolderCommands lists the commands that a holder's report requires: one if its door's versions or failures have changed.
-func (s *State) NeedsOf(h *Hold) (do []any) {
+func (s *State) HolderCommands(h *HolderReport) (do []any) {
 	known := s.Release.Runs[h.Door]
 	changed := known == nil
 	for _, kind := range []string{release.Configuration, release.Program} {
@@ -175,9 +175,9 @@
 }
 
 // Assignment returns which version a door is to run.
-func (s *State) Given(door string) (g Given) {
+func (s *State) Assignment(door string) (g Assignment) {
 	if r, digest, is := s.Release.Target(door); is {
-		g = Given{r.Number, r.Name, r.Changes, digest, r.Stage == release.RollingBack}
+		g = Assignment{r.Number, r.Name, r.Changes, digest, r.Stage == release.RollingBack}
 	}
 	return g
 }
--- a/permits/release_agent_test.go
+++ b/permits/release_agent_test.go
@@ -18,31 +18,31 @@
 	*ReleaseAgent
 	s            *site
 	now          float64
-	applied      []Take
+	applied      []ApplyRelease
 	installError string
 	index        int
 	incarnation  uint64
 }
 
 func newTestReleaseAgent(s *site, i int) *testReleaseAgent {
-	return &testReleaseAgent{ReleaseAgent: NewChanger(unit(i).Name, uint64(i), release.Runs{}, nil), s: s, index: i, incarnation: 1}
+	return &testReleaseAgent{ReleaseAgent: NewReleaseAgent(unit(i).Name, uint64(i), release.Versions{}, nil), s: s, index: i, incarnation: 1}
 }
 
 func (c *testReleaseAgent) step(e any) {
 	for todo := c.Step(c.now, e); len(todo) > 0; todo = todo[1:] {
 		switch a := todo[0].(type) {
 		case Post:
-			if a.Hold == nil {
+			if a.HolderReport == nil {
 				todo = append(todo, c.Step(c.now, Answered{a.Seq, c.s.Apply(Command{Caller: a.Caller, Seq: a.Seq, AtMs: c.now, Do: a.Do})})...)
 				continue
 			}
-			for _, do := range c.s.NeedsOf(a.Hold) {
+			for _, do := range c.s.HolderCommands(a.HolderReport) {
 				c.s.Apply(Command{Caller: a.Caller, Seq: a.Seq, AtMs: c.now, Do: do})
 			}
-			todo = append(todo, c.Step(c.now, Gave{a.Seq, c.s.Given(c.door)})...)
-		case Take:
+			todo = append(todo, c.Step(c.now, AssignmentReceived{a.Seq, c.s.Assignment(c.door)})...)
+		case ApplyRelease:
 			c.applied = append(c.applied, a)
-			runs, failed := release.Runs{}, map[string]string{}
+			runs, failed := release.Versions{}, map[string]string{}
 			if c.installError != "" {
 				failed[a.Digest] = c.installError
 			}
@@ -51,7 +51,7 @@
 				c.incarnation++
 				c.s.recordSighting(c.index, Ready, c.incarnation) // its next process
 			}
-			todo = append(todo, c.Step(c.now, Runs{runs, failed})...)
+			todo = append(todo, c.Step(c.now, VersionsChanged{runs, failed})...)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 	require.NoError(t, s.do("op", release.Steer{Name: "r1", To: release.ToBack, Who: "ana"}).Err)
 	c.run(3000)
 	require.Len(t, c.applied, 2)
-	assert.Equal(t, release.Returned, s.Release.Find("r1").Stage)
+	assert.Equal(t, release.RolledBack, s.Release.Find("r1").Stage)
 }
 
 func TestFailedInstallReturnsPermit(t *testing.T) {
@@ -92,7 +92,7 @@
 	require.Len(t, c.applied, 1, "a failed install is not retried")
 	assert.Empty(t, s.Permits)
 	r := s.Release.Find("r1")
-	assert.Equal(t, release.Returned, r.Stage)
+	assert.Equal(t, release.RolledBack, r.Stage)
 	assert.Equal(t, c.installError, r.Failed["d0"])
 }
 
@@ -100,7 +100,7 @@
 	s := newSite(8)
 	startRelease(s, "d0")
 	n := s.Release.Find("r1").Number
-	ask := Ask{Unit: "d0", Kind: Door, HoldMs: 1e4, Release: n}
+	ask := RequestPermit{Unit: "d0", Kind: Door, HoldMs: 1e4, Release: n}
 	p := s.do("h", ask)
 	require.NoError(t, p.Err)
 	s.do("op", release.Steer{Name: "r1", To: release.ToHalt, Who: "ana"})
@@ -119,17 +119,17 @@
 	startRelease(s, "d0", "d1", "d2", "d3")
 	n := s.Release.Find("r1").Number
 	for _, d := range []string{"d0", "d1", "d2", "d3"} {
-		s.do(d+"/h", release.ReportVersions{Door: d, Runs: release.Runs{release.Configuration: newDigest}})
+		s.do(d+"/h", release.ReportVersions{Door: d, Runs: release.Versions{release.Configuration: newDigest}})
 	}
 	s.Release.Find("r1").Wave = 1
 	for i := range 4 {
 		s.recordSighting(i, Failed, 1)
 	}
 	s.do("op", release.Steer{Name: "r1", To: release.ToBack, Who: "ana"})
-	p := s.do("d1/h", Ask{Unit: "d1", Kind: Door, HoldMs: 1e4, Release: n})
+	p := s.do("d1/h", RequestPermit{Unit: "d1", Kind: Door, HoldMs: 1e4, Release: n})
 	require.NoError(t, p.Err, "the budget is used up by the doors that the rollback is to restore")
 	require.NoError(t, s.do("d1/h", Confirm{Number: p.Number}).Err)
-	assert.Equal(t, uint64(1), s.Permits[p.Number].Life, "the last known incarnation")
+	assert.Equal(t, uint64(1), s.Permits[p.Number].Incarnation, "the last known incarnation")
 }
 
 // A new leader has no sightings yet, so an unseen door isn't known to be out, and budgets must apply to its rollback. Without this
@@ -138,13 +138,13 @@
 	s := newSite(6)
 	number := startRelease(s)
 	for i := range 6 {
-		s.do(unit(i).Name+"/h", release.ReportVersions{Door: unit(i).Name, Runs: release.Runs{release.Configuration: newDigest}})
+		s.do(unit(i).Name+"/h", release.ReportVersions{Door: unit(i).Name, Runs: release.Versions{release.Configuration: newDigest}})
 	}
 	require.NoError(t, s.do("op", release.Steer{Name: s.Release.All[0].Name, To: release.ToBack, Who: "op", Why: "x"}).Err)
-	s.do("c2", Lead{Name: "c2", Epoch: 1})
+	s.do("c2", Leadership{Name: "c2", Epoch: 1})
 	asks := func() (granted int) {
 		for i := range 6 {
-			if a := s.do(unit(i).Name+"/h", Ask{Unit: unit(i).Name, Kind: Door, Who: "release", HoldMs: 10e3, Release: number}); a.Err == nil {
+			if a := s.do(unit(i).Name+"/h", RequestPermit{Unit: unit(i).Name, Kind: Door, Who: "release", HoldMs: 10e3, Release: number}); a.Err == nil {
 				granted++
 			}
 		}
--- a/permits/types.go
+++ b/permits/types.go
@@ -41,8 +41,8 @@
 type Budget struct {
 	Kind         Kind    `json:"kind"`
 	Zone         string  `json:"zone"`       // name of a zone, EachZone, or empty for the whole fleet
-	MostOut      int     `json:"most_out"`   // maximum out, planned and failed together
-	LeastHere    int     `json:"least_here"` // minimum that stay ready
+	MaxOut       int     `json:"most_out"`   // maximum out, planned and failed together
+	MinReady     int     `json:"least_here"` // minimum that stay ready
 	MinReadySize float64 `json:"least_size"` // minimum total size of those that stay ready
 	MinGapMs     float64 `json:"rest_ms"`    // minimum ms between two permits and after a unit has come back; ignored for zones
 }
@@ -67,16 +67,16 @@
 }
 
 // RecordSightings updates the standing of units from the membership protocol and the fleet list.
-type Seen struct{ Sightings []Sighting }
+type RecordSightings struct{ Sightings []Sighting }
 
 // Sighting is the observed standing of one unit. Incarnation grows with each of its processes, and may also grow within one;
 // Process identifies the process.
 type Sighting struct {
 	Unit
-	Standing Standing
-	Life     uint64 `json:"Life"`
-	Process  uint64
-	Did      uint64 `json:",omitempty"` // of a door: the latest change whose withheld backends it has applied
+	Standing    Standing
+	Incarnation uint64 `json:"Life"`
+	Process     uint64
+	Did         uint64 `json:",omitempty"` // of a door: the latest change whose withheld backends it has applied
 }
 
 // Begin registers a unit's process before its first report. The number of the answer is the incarnation that the process uses
@@ -105,7 +105,7 @@
 
 // Leadership is the first command of a new leader. All earlier sightings count as expired, since the leader can't know for how
 // long no sightings were recorded.
-type Lead struct {
+type Leadership struct {
 	Name, API string
 	Epoch     uint64 // becomes the state's epoch if it has none yet
 }
@@ -122,14 +122,14 @@
 
 // SelfReport is a unit's own report of its standing and of the permit that it intends to use; 0 for none. After a request whose
 // answer was lost it returns that permit, since a unit acts only on the answer to its latest command.
-type Here struct {
+type SelfReport struct {
 	Sighting
 	Holds uint64
 }
 
 // RequestPermit requests a permit to go out. HoldMs is how long the permit may be used, measured from the request by the
 // caller's own clock.
-type Ask struct {
+type RequestPermit struct {
 	Unit     string
 	Kind     Kind
 	Who, Why string
@@ -140,9 +140,9 @@
 // Confirm is the last check before the irreversible step, by the process that will take it. An Incarnation of 0 means that
 // another process than the unit's own confirms; the unit's last known process is recorded then.
 type Confirm struct {
-	Number  uint64
-	Life    uint64 `json:"Life"`
-	Process uint64
+	Number      uint64
+	Incarnation uint64 `json:"Life"`
+	Process     uint64
 }
 
 // Withdraw returns a permit that was not used.
@@ -179,16 +179,16 @@
 
 // Permit is a permit that occupies a place in the budgets.
 type Permit struct {
-	Number  uint64
-	Unit    Unit
-	Caller  string
-	Who     string
-	Why     string
-	AtMs    float64
-	HoldMs  float64
-	Stage   Stage
-	Life    uint64 `json:"Life"` // of the process that confirmed it: the unit is back once a later one is ready
-	Process uint64
+	Number      uint64
+	Unit        Unit
+	Caller      string
+	Who         string
+	Why         string
+	AtMs        float64
+	HoldMs      float64
+	Stage       Stage
+	Incarnation uint64 `json:"Life"` // of the process that confirmed it: the unit is back once a later one is ready
+	Process     uint64
 
 	Release uint64  `json:",omitempty"` // release whose version the unit goes out to install
 	Order   bool    `json:",omitempty"` // of a drain: it stays in force until it is ended, even if the unit restarts
--- a/release/release.go
+++ b/release/release.go
@@ -114,22 +114,22 @@
 	Halted      Stage = "halted"
 	RollingBack Stage = "going back"
 	Done        Stage = "done"
-	Returned    Stage = "back" // all doors run their previous version again
+	RolledBack  Stage = "back" // all doors run their previous version again
 	Replaced    Stage = "replaced"
 )
 
 // Release is a release with its progress.
 type Release struct {
 	Plan
-	Number uint64            `json:"number"`
-	Who    string            `json:"who"`
-	Why    string            `json:"why"`
-	Stage  Stage             `json:"stage"`
-	Says   string            `json:"says,omitempty"`   // reason for the present stage
-	Wave   int               `json:"wave"`             // index of the current wave
-	Parts  [][]string        `json:"parts"`            // doors or backends by wave
-	From   map[string]string `json:"from"`             // digest that each ran before, or process of each backend
-	Failed map[string]string `json:"failed,omitempty"` // doors that failed to install it, with the reason
+	Number      uint64            `json:"number"`
+	Who         string            `json:"who"`
+	Why         string            `json:"why"`
+	Stage       Stage             `json:"stage"`
+	Reason      string            `json:"says,omitempty"`   // reason for the present stage
+	Wave        int               `json:"wave"`             // index of the current wave
+	UnitsByWave [][]string        `json:"parts"`            // doors or backends by wave
+	Previous    map[string]string `json:"from"`             // digest that each ran before, or process of each backend
+	Failed      map[string]string `json:"failed,omitempty"` // doors that failed to install it, with the reason
 }
 
 // Door is a door or a backend that a release may change.
@@ -139,18 +139,18 @@
 }
 
 // Versions is the digests that a door runs, by kind of change; empty for the door's own configuration or program.
-type Runs map[string]string
+type Versions map[string]string
 
 // State is the replicated state of all releases and of the versions that doors run.
 type State struct {
 	Next uint64
 	All  []*Release
-	Runs map[string]Runs   // by door
-	Seen map[string]string // process with which each backend was last seen
+	Runs map[string]Versions // by door
+	Seen map[string]string   // process with which each backend was last seen
 }
 
 // New returns a state without releases.
-func New() *State { return &State{Next: 1, Runs: map[string]Runs{}, Seen: map[string]string{}} }
+func New() *State { return &State{Next: 1, Runs: map[string]Versions{}, Seen: map[string]string{}} }
 
 // Commands that State.Apply executes.
 type (
@@ -162,11 +162,11 @@
 	// ReportVersions is a door's report of the versions that it runs and of those that it failed to install.
 	ReportVersions struct {
 		Door   string
-		Runs   Runs
+		Runs   Versions
 		Failed map[string]string `json:",omitempty"` // reason by digest
 	}
 	// RecordVerdict is the leader's verdict on a wave.
-	Judged struct {
+	RecordVerdict struct {
 		Number  uint64
 		Wave    int
 		Verdict Verdict
@@ -193,7 +193,7 @@
 
 // doors lists the doors or backends of all waves.
 func (r *Release) doors() (all []string) {
-	for _, part := range r.Parts {
+	for _, part := range r.UnitsByWave {
 		all = append(all, part...)
 	}
 	return all
@@ -233,7 +233,7 @@
 		note = "release " + c.Plan.Name + " of " + c.Plan.Changes + " " + c.Plan.Digest
 	case ReportVersions:
 		s.recordVersions(c)
-	case Judged:
+	case RecordVerdict:
 		note, err = s.applyVerdict(c)
 	case Steer:
 		note, err = s.steer(c)
@@ -263,7 +263,7 @@
 			return 0, &PlanError{Key: "over", Says: fmt.Sprintf("%q is not under way", c.Plan.Supersedes)}
 		}
 	}
-	r := &Release{Plan: c.Plan, Number: s.Next, Who: c.Who, Why: c.Why, Stage: Waiting, From: map[string]string{}, Failed: map[string]string{}}
+	r := &Release{Plan: c.Plan, Number: s.Next, Who: c.Who, Why: c.Why, Stage: Waiting, Previous: map[string]string{}, Failed: map[string]string{}}
 	s.Next++
 	s.All = append(s.All, r)
 	excess := len(s.All) - maxKeptReleases // the oldest ended releases are dropped first
@@ -281,10 +281,10 @@
 func (s *State) advance(of map[bool][]Door) {
 	for _, r := range s.All {
 		if r.Stage == RollingBack && r.Changes == Backends { // a replaced backend can't be restored from here: the release's drains end and no further ones begin
-			r.Stage = Returned
+			r.Stage = RolledBack
 		}
-		if r.Stage == RollingBack && !slices.ContainsFunc(r.doors(), func(d string) bool { return s.versionOf(d, r.Changes) != r.From[d] }) {
-			r.Stage = Returned
+		if r.Stage == RollingBack && !slices.ContainsFunc(r.doors(), func(d string) bool { return s.versionOf(d, r.Changes) != r.Previous[d] }) {
+			r.Stage = RolledBack
 		}
 	}
 	for _, r := range s.All {
@@ -311,16 +311,16 @@
 			continue
 		}
 		if old != nil && (old.Live() || old.Stage == Waiting) {
-			old.Stage, old.Says = Replaced, "by "+r.Name
+			old.Stage, old.Reason = Replaced, "by "+r.Name
 		}
-		r.Stage, r.Parts = Running, assignWaves(r.Waves, units)
+		r.Stage, r.UnitsByWave = Running, assignWaves(r.Waves, units)
 		for _, d := range units {
-			r.From[d.Name] = s.versionOf(d.Name, r.Changes)
+			r.Previous[d.Name] = s.versionOf(d.Name, r.Changes)
 			if r.Changes == Backends {
 				continue
 			}
 			if old != nil && old.Changes == r.Changes && slices.Contains(old.doors(), d.Name) {
-				r.From[d.Name] = old.From[d.Name] // rolls back past the superseded release, which never passed
+				r.Previous[d.Name] = old.Previous[d.Name] // rolls back past the superseded release, which never passed
 			}
 		}
 	}
@@ -377,7 +377,7 @@
 
 func (s *State) recordVersions(c ReportVersions) {
 	if s.Runs[c.Door] == nil {
-		s.Runs[c.Door] = Runs{}
+		s.Runs[c.Door] = Versions{}
 	}
 	for _, kind := range []string{Configuration, Program} {
 		s.Runs[c.Door][kind] = c.Runs[kind]
@@ -390,7 +390,7 @@
 		// If one door fails to install the version, the release rolls back: no further door gets it, and those that run it return
 		// to their previous one.
 		r.Failed[c.Door] = why
-		r.Stage, r.Says = RollingBack, c.Door+": "+why
+		r.Stage, r.Reason = RollingBack, c.Door+": "+why
 	}
 }
 
@@ -404,29 +404,29 @@
 	return nil
 }
 
-func (s *State) applyVerdict(c Judged) (string, error) {
+func (s *State) applyVerdict(c RecordVerdict) (string, error) {
 	r := s.ByNumber(c.Number)
 	if r == nil || r.Stage != Running || r.Wave != c.Wave {
-		return "", &StageError{Name: fmt.Sprint("release ", c.Number), To: string(c.Verdict.Says)}
+		return "", &StageError{Name: fmt.Sprint("release ", c.Number), To: string(c.Verdict.Outcome)}
 	}
-	r.Says = c.Verdict.Why
-	switch c.Verdict.Says {
+	r.Reason = c.Verdict.Why
+	switch c.Verdict.Outcome {
 	case GoOn:
 		if !s.WaveComplete(r) {
 			return "", &StageError{Name: r.Name, Stage: r.Stage, To: string(GoOn)}
 		}
-		if r.Wave++; r.Wave == len(r.Parts) {
+		if r.Wave++; r.Wave == len(r.UnitsByWave) {
 			r.Wave--
 			r.Stage = Done
 		}
 	case Stop:
 		r.Stage = Halted
-	case GoBck:
+	case GoBack:
 		r.Stage = RollingBack
 	default:
 		return "", nil
 	}
-	return fmt.Sprintf("release %s, wave %d: %s", r.Name, c.Wave+1, c.Verdict.Says), nil
+	return fmt.Sprintf("release %s, wave %d: %s", r.Name, c.Wave+1, c.Verdict.Outcome), nil
 }
 
 func (s *State) steer(c Steer) (string, error) {
@@ -445,7 +445,7 @@
 		r.Stage = Running
 	case ToBack:
 		if r.Stage == Waiting {
-			r.Stage = Returned
+			r.Stage = RolledBack
 			break
 		}
 		if r.Stage == Done && slices.ContainsFunc(r.doors(), func(d string) bool { return s.LiveReleaseOf(d, r.Changes) != nil }) {
@@ -453,13 +453,13 @@
 		}
 		r.Stage = RollingBack
 	}
-	r.Says = fmt.Sprintf("%s by %s: %s", c.To, c.Who, c.Why)
+	r.Reason = fmt.Sprintf("%s by %s: %s", c.To, c.Who, c.Why)
 	return fmt.Sprintf("release %s: %s", r.Name, c.To), nil
 }
 
 // WaveComplete reports whether all doors of a release's current and earlier waves run its version.
 func (s *State) WaveComplete(r *Release) bool {
-	for i, part := range r.Parts {
+	for i, part := range r.UnitsByWave {
 		for _, d := range part {
 			if i <= r.Wave && !s.Changed(r, d) {
 				return false
@@ -472,7 +472,7 @@
 // Changed reports whether a door runs the version of a release, or a backend was replaced since the release started.
 func (s *State) Changed(r *Release, unit string) bool {
 	if r.Changes == Backends {
-		return s.Seen[unit] != r.From[unit]
+		return s.Seen[unit] != r.Previous[unit]
 	}
 	return s.versionOf(unit, r.Changes) == r.Digest
 }
@@ -482,7 +482,7 @@
 	if r.Stage != Running || r.Changes != Backends {
 		return nil
 	}
-	for i, part := range r.Parts {
+	for i, part := range r.UnitsByWave {
 		for _, b := range part {
 			if i <= r.Wave && !s.Changed(r, b) {
 				backends = append(backends, b)
@@ -499,7 +499,7 @@
 		if !r.Live() || r.Stage == Halted || r.Changes == Backends {
 			continue
 		}
-		for i, part := range r.Parts {
+		for i, part := range r.UnitsByWave {
 			if !slices.Contains(part, door) {
 				continue
 			}
@@ -507,13 +507,13 @@
 			switch {
 			case r.Stage == Running && i <= r.Wave && runs != r.Digest && r.Failed[door] == "":
 				return r, r.Digest, true
-			case r.Stage == RollingBack && runs != r.From[door]:
-				for _, later := range r.Parts[i+1:] {
-					if slices.ContainsFunc(later, func(d string) bool { return s.versionOf(d, r.Changes) != r.From[d] }) {
+			case r.Stage == RollingBack && runs != r.Previous[door]:
+				for _, later := range r.UnitsByWave[i+1:] {
+					if slices.ContainsFunc(later, func(d string) bool { return s.versionOf(d, r.Changes) != r.Previous[d] }) {
 						return nil, "", false
 					}
 				}
-				return r, r.From[door], true
+				return r, r.Previous[door], true
 			}
 		}
 	}
--- a/release/release_test.go
+++ b/release/release_test.go
@@ -34,7 +34,7 @@
 
 func reportDigest(t *testing.T, s *State, digest string, doors ...string) {
 	for _, d := range doors {
-		apply(t, s, ReportVersions{Door: d, Runs: Runs{Configuration: digest}})
+		apply(t, s, ReportVersions{Door: d, Runs: Versions{Configuration: digest}})
 	}
 }
 
@@ -51,14 +51,14 @@
 	s := New()
 	n := apply(t, s, Start{Plan: plan("r1"), Who: "ana"})
 	r := s.Find("r1")
-	assert.Equal(t, [][]string{{"d0"}, {"d3", "d1", "d2"}, {"d6", "d4"}, {"d7", "d5", "d8"}}, r.Parts)
+	assert.Equal(t, [][]string{{"d0"}, {"d3", "d1", "d2"}, {"d6", "d4"}, {"d7", "d5", "d8"}}, r.UnitsByWave)
 	assert.Equal(t, []string{"d0"}, doorsToChange(s))
-	_, _, err := s.Apply(Judged{n, 0, Verdict{GoOn, ""}}, nineDoors(), nil)
+	_, _, err := s.Apply(RecordVerdict{n, 0, Verdict{GoOn, ""}}, nineDoors(), nil)
 	var stage *StageError
 	require.ErrorAs(t, err, &stage, "not all doors of the wave run the version")
 	reportDigest(t, s, digest, "d0")
 	assert.Empty(t, doorsToChange(s), "the wave is being observed")
-	apply(t, s, Judged{n, 0, Verdict{GoOn, "well"}})
+	apply(t, s, RecordVerdict{n, 0, Verdict{GoOn, "well"}})
 	assert.Equal(t, []string{"d1", "d2", "d3"}, doorsToChange(s))
 	back, err := s.CheckChange(n, "d1")
 	require.NoError(t, err)
@@ -78,7 +78,7 @@
 	reportDigest(t, s, "", "d1", "d2")
 	assert.Equal(t, []string{"d0"}, doorsToChange(s))
 	reportDigest(t, s, "", "d0")
-	assert.Equal(t, Returned, r.Stage)
+	assert.Equal(t, RolledBack, r.Stage)
 	_, _, err = s.Apply(Steer{"r1", ToResume, "bea", ""}, nineDoors(), nil)
 	require.ErrorAs(t, err, &stage)
 }
@@ -87,15 +87,15 @@
 	s := New()
 	n := apply(t, s, Start{Plan: plan("r1")})
 	reportDigest(t, s, digest, "d0")
-	apply(t, s, Judged{n, 0, Verdict{GoOn, ""}})
+	apply(t, s, RecordVerdict{n, 0, Verdict{GoOn, ""}})
 	reportDigest(t, s, digest, "d3")
-	apply(t, s, ReportVersions{Door: "d1", Runs: Runs{}, Failed: map[string]string{digest: "key settings: missing"}})
+	apply(t, s, ReportVersions{Door: "d1", Runs: Versions{}, Failed: map[string]string{digest: "key settings: missing"}})
 	r := s.Find("r1")
 	assert.Equal(t, RollingBack, r.Stage)
-	assert.Contains(t, r.Says, "d1: key settings")
+	assert.Contains(t, r.Reason, "d1: key settings")
 	assert.Equal(t, []string{"d3"}, doorsToChange(s))
 	reportDigest(t, s, "", "d3", "d0")
-	assert.Equal(t, Returned, r.Stage)
+	assert.Equal(t, RolledBack, r.Stage)
 }
 
 func TestReleaseWaitsForOrSupersedesOverlappingOne(t *testing.T) {
@@ -113,11 +113,11 @@
 	assert.Equal(t, Replaced, s.Find("r1").Stage)
 	r := s.Find("r3")
 	assert.Equal(t, Running, r.Stage)
-	assert.Equal(t, "", r.From["d0"], "rollback skips the superseded release, which never passed")
+	assert.Equal(t, "", r.Previous["d0"], "rollback skips the superseded release, which never passed")
 	assert.Equal(t, Waiting, s.Find("r2").Stage)
 	apply(t, s, Steer{"r3", ToBack, "ana", ""})
 	reportDigest(t, s, "", "d0")
-	assert.Equal(t, Returned, r.Stage)
+	assert.Equal(t, RolledBack, r.Stage)
 	assert.Equal(t, Running, s.Find("r2").Stage, "its doors are free now")
 	var name *NameError
 	_, _, err := s.Apply(Start{Plan: second}, nineDoors(), nil)
@@ -158,7 +158,7 @@
 		name := fmt.Sprint("r", i)
 		apply(t, s, Start{Plan: plan(name)})
 		apply(t, s, Steer{name, ToBack, "ana", ""})
-		assert.Equal(t, Returned, s.Find(name).Stage)
+		assert.Equal(t, RolledBack, s.Find(name).Stage)
 	}
 	assert.Len(t, s.All, maxKeptReleases)
 }
@@ -180,13 +180,13 @@
 	assert.Equal(t, []string{"d1"}, s.DueBackends(r))
 	s.RecordProcess("d1", "201")
 	assert.True(t, s.WaveComplete(r))
-	_, _, err = s.Apply(Judged{n, 0, Verdict{GoOn, ""}}, nil, nineDoors())
+	_, _, err = s.Apply(RecordVerdict{n, 0, Verdict{GoOn, ""}}, nil, nineDoors())
 	require.NoError(t, err)
 	assert.Len(t, s.DueBackends(r), 7)
 	_, _, err = s.Apply(Steer{"kernel", ToBack, "ana", ""}, nil, nineDoors())
 	require.NoError(t, err)
 	assert.Empty(t, s.DueBackends(r))
-	assert.Equal(t, Returned, r.Stage)
+	assert.Equal(t, RolledBack, r.Stage)
 	p.Digest = digest
 	var bad *PlanError
 	require.ErrorAs(t, p.Check(), &bad)
--- a/release/verdict.go
+++ b/release/verdict.go
@@ -23,20 +23,20 @@
 }
 
 // Outcome is what a verdict has the release do.
-type Says string
+type Outcome string
 
 // Outcomes of a comparison.
 const (
-	Wait  Says = "wait"    // not enough data yet, or the watch isn't over
-	GoOn  Says = "go on"   // the wave passed
-	Stop  Says = "halt"    // an operator must decide: there is too little data, or a metric is close to its limit
-	GoBck Says = "go back" // the release must be rolled back
+	Wait   Outcome = "wait"    // not enough data yet, or the watch isn't over
+	GoOn   Outcome = "go on"   // the wave passed
+	Stop   Outcome = "halt"    // an operator must decide: there is too little data, or a metric is close to its limit
+	GoBack Outcome = "go back" // the release must be rolled back
 )
 
 // Verdict is the result of a comparison and its reason.
 type Verdict struct {
-	Says Says   `json:"says"`
-	Why  string `json:"why"`
+	Outcome Outcome `json:"says"`
+	Why     string  `json:"why"`
 }
 
 const (
@@ -91,7 +91,7 @@
 }
 
 // Record adds the latest counts of a door.
-func (c *Comparison) Heard(now float64, door string, changed bool, n Counts) {
+func (c *Comparison) Record(now float64, door string, changed bool, n Counts) {
 	d := c.doors[door]
 	if d == nil || d.changed != changed { // new, or changed or rolled back during the comparison: it counts from now on
 		c.doors[door] = &doorCounts{changed: changed, base: n, last: n, at: now}
@@ -108,7 +108,7 @@
 }
 
 // RecordFailure records that a changed door's process ended by itself or could not start.
-func (c *Comparison) Failed(door, why string) {
+func (c *Comparison) RecordFailure(door, why string) {
 	c.failure = fmt.Sprintf("%s: %s", door, why)
 }
 
@@ -155,13 +155,13 @@
 
 // Evaluate returns the present verdict. It may be called at any time and runs the test every evaluateEveryMs. The significance
 // level falls with each test, so that all tests together raise a false alarm with a probability of at most alpha (alpha spending).
-func (c *Comparison) Look(now float64) Verdict {
+func (c *Comparison) Evaluate(now float64) Verdict {
 	if c.failure != "" {
-		return Verdict{GoBck, c.failure}
+		return Verdict{GoBack, c.failure}
 	}
 	for name, d := range c.doors {
 		if d.restarts > 0 {
-			return Verdict{GoBck, name + ": its process ended and began anew"}
+			return Verdict{GoBack, name + ": its process ended and began anew"}
 		}
 	}
 	if c.began < 0 {
@@ -192,7 +192,7 @@
 	for _, f := range c.metrics(changed, others) {
 		p := 1 - cumulative(f)
 		if p < level {
-			return Verdict{GoBck, f.text}
+			return Verdict{GoBack, f.text}
 		}
 		if p < concernLevel {
 			borderline = f.text
