--- a/members/errors.go
+++ b/members/errors.go
@@ -6,15 +6,15 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// NameTakenError is a door whose name another door of the fleet has, at another address.
+// NameTakenError is a door whose name is in use by another door of the fleet, at another address.
 type NameTakenError struct{ Name, Address string }
 
 func (e *NameTakenError) Error() string {
-	return fmt.Sprintf("the name %q is that of the door at %s", e.Name, e.Address)
+	return fmt.Sprintf("the name %q is in use by the door at %s", e.Name, e.Address)
 }
 func (e *NameTakenError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names the key.
+// Remedy names the setting to change.
 func (e *NameTakenError) Remedy() string {
-	return "Give this door a name of its own in the key \"name\" or in GW_NAME; it serves meanwhile, and is no member of the fleet."
+	return "Give this door a unique name with the key \"name\" or GW_NAME; meanwhile it serves, but is no member of the fleet."
 }
--- a/members/fuzz_test.go
+++ b/members/fuzz_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// Whatever comes to a door's fleet address, the door goes on, and never holds itself to be away.
+// FuzzAnyMessage checks that no message makes a door fail or hold itself to be away.
 func FuzzAnyMessage(f *testing.F) {
 	for _, m := range []Message{
-		{Kind: Look, From: peer(3), Life: 1, State: Here, No: 7, Reached: 1},
+		{Kind: Ping, From: peer(3), Life: 1, State: Here, Seq: 7, AckedIncarnation: 1},
 		{Kind: Tell, From: peer(2), Life: 2, State: Joining, Records: []Record{{Peer: peer(0), Life: 9, State: Away}, {Peer: peer(5), Life: 1, State: Left, Age: 700e3}}},
-		{Kind: Taken, From: peer(2), Life: 1, About: "10.0.0.9:1"},
-		{Kind: Ask, From: peer(4), Life: 1, State: Here, About: "d05"},
+		{Kind: NameTaken, From: peer(2), Life: 1, Target: "10.0.0.9:1"},
+		{Kind: IndirectPing, From: peer(4), Life: 1, State: Here, Target: "d05"},
 	} {
 		raw, err := json.Marshal(m)
 		if err != nil {
@@ -24,7 +24,7 @@
 		if json.Unmarshal(raw, &in) != nil {
 			return
 		}
-		m, now := of(6)
+		m, now := viewOf(6)
 		for range 2 {
 			m.Step(*now, Received{&in}, Learnt{in.Records})
 			*now += float64(wait)
@@ -32,16 +32,16 @@
 			*now += TickEvery
 			m.Step(*now, Tick{})
 		}
-		for range 3 { // time passes in which things are forgotten
-			m.own += forgetAfter
+		for range 3 { // long enough for members to be forgotten
+			m.activeTime += forgetAfter
 			*now += TickEvery
 			m.Step(*now, Tick{})
 		}
-		if _, s, life := m.Self(); s == Away || life == 0 {
-			t.Fatal(s, life)
+		if _, s, incarnation := m.Self(); s == Away || incarnation == 0 {
+			t.Fatal(s, incarnation)
 		}
-		if len(m.Rows()) != len(m.index) || len(m.all) != len(m.index) {
-			t.Fatal("rows and names differ")
+		if len(m.Rows()) != len(m.index) || len(m.members) != len(m.index) {
+			t.Fatal("rows, members and index differ")
 		}
 	})
 }
--- a/members/members.go
+++ b/members/members.go
@@ -11,167 +11,181 @@
 )
 
 const (
-	// TickEvery is how often Tick is due, ms: small beside every time below.
+	// TickEvery is the interval at which Tick is due, ms; it is short compared with all times below.
 	TickEvery = 50.0
 
-	tickMost    = 150.0 // ms of this door's own time that one step may bring; what is over, it was stopped itself
-	observers   = 8     // of each member; with fewer, chance alone could make up most of them
-	lookEvery   = 500.0 // ms between looks at one member that answers
-	lookAgain   = 150.0 // ms until the next look at one that did not; some ways there and back
-	askAfter    = 900.0 // ms of silence after which others are asked to look
-	askAgain    = 500.0 // ms between such questions
-	askOthers   = 2     // that are asked
-	doubtAfter  = 1750. // ms of silence that make a doubt: over a pause of 1 s, and looks lost after it
-	joinInDoubt = 1300. // ms of silence that do where another doubts already: doubts of one crash come together
-	deafAfter   = 1000. // ms without any word from anybody that make this door doubt itself first,
-	aloneAfter  = 5000. // and for so long, hold nobody to be here but those that it has heard in voteFor
-	ticketFor   = 1700. // ms for which an observer's word that it reaches this door counts: two looks and some
-	freshReach  = 700.0 // ms for which an answer counts as reaching: a look, a lost one, and the next
-	speakUp     = 0.3   // chance in a tick that an observer says that it reaches one whom others doubt
-	voteFor     = 10e3  // ms for which a vote counts
-	voteAgain   = 3e3   // ms after which one that stands is cast again
-	most        = 0.6   // share of the votes, and of the observers, that make a verdict: over half, under two zones of three
-	keepFor     = 3000. // ms for which one that was here is shown so in a new life that its observers have not reached yet
-	showAfter   = 2000. // ms for which a single doubt must stand to be shown; two are shown at once
-	settle      = 300.0 // ms from the first doubt to a verdict at least: those who reach it must be heard too
-	fewSettle   = 3000. // more, in step with the share of its observers that are missing among those who doubt it
-	oneZone     = 2000. // and where all that doubt it are of one zone, and it has observers in others: their word may be on its way
-	partial     = 3000. // and where most that doubt it know that others reach it
-	contest     = 1500. // ms in which a member may gainsay another's verdict; two halves that meet would else drop each other
-	settled     = 3000. // ms after which one that is here under its name keeps it
-	awayLook    = 1000. // ms between looks at some member that is away: who heals must be found
-	meetRest    = 2000. // ms between exchanges of whole states
-	calmFor     = 1000. // ms without news after which another sum is not news on its way,
-	meetAnyway  = 10e3  // and after which whole states are exchanged though there is
-	raiseRest   = 1000. // ms between lives that this door begins
-	leaveFor    = 600.0 // ms for which it says that it goes
-	tellWho     = 4     // members told in one round,
-	tellTimes   = 3     // rounds in which a change is told: e^-12 of the members miss it
-	tellPackets = 3     // packets to each in a round
-	packetSize  = 1150  // bytes of records in one; the path carries 1,400
-	recordSize  = 110   // bytes of a record without votes, and
-	voteSize    = 28    // of a vote, about
-	rideMost    = 4     // records that ride on a look or an answer
-	rideFor     = 4000. // ms for which a change rides
-	forgetAfter = 600e3 // ms after which one that has left is forgotten; one that is away is looked for on
-	mostKnown   = 4096  // members; what comes beyond is noise
-	nameRest    = 5000. // ms between tries where the name is taken
+	// Time.
+	maxStepMs = 150.0 // ms of active time that one step may add; if more has passed, this process was suspended itself
+
+	// Pings and suspicions.
+	observersPerMember   = 8     // observers of each member; if there were fewer, a quorum of them could fail by chance
+	pingInterval         = 500.0 // ms between pings of a member that answers
+	pingRetryInterval    = 150.0 // ms until the next ping of a member that did not answer; several round trips
+	indirectPingAfter    = 900.0 // ms without an ack after which other members are asked for indirect pings
+	indirectPingInterval = 500.0 // ms between such requests
+	indirectPingHelpers  = 2     // members asked for indirect pings at a time
+	suspectAfter         = 1750. // ms without an ack that raise a suspicion; longer than a pause of 1 s plus some pings lost after it
+	joinSuspicionAfter   = 1300. // the same if another observer suspects the member already, so that the votes on one crash arrive together
+	unhealthyAfter       = 1000. // ms without any message after which this door suspects itself
+	isolatedAfter        = 5000. // ms without any message after which it is isolated; it then reports members not received from within voteTTL as away
+	reachReportTTL       = 1700. // ms for which an observer's report that it reaches this door counts; two pings and some slack
+	ackFreshFor          = 700.0 // ms for which an ack counts as reaching the member; a ping, a lost one and the next
+
+	// Votes and decisions.
+	reachedVoteChance      = 0.3   // chance per tick that an observer votes Reached on a member that others suspect
+	voteTTL                = 10e3  // ms for which a vote counts
+	voteRepeatInterval     = 3e3   // ms after which a standing vote is cast again
+	quorum                 = 0.6   // share of the votes, and of the observers, that decides; more than half, less than two zones of three
+	rejoinGrace            = 3000. // ms for which a member that was here is reported here in a new incarnation that its observers haven't reached yet
+	singleSuspicionDelay   = 2000. // ms for which a single suspicion must stand before it is reported; two are reported at once
+	minSuspicion           = 300.0 // ms at least from the first suspicion to a decision, so that votes of observers that reach the member arrive
+	fewVotesDelay          = 3000. // ms added, in proportion to the votes that suspicions lack of a quorum of the observers
+	singleZoneDelay        = 2000. // ms added if all suspicions are from one zone and the member has observers in others, whose votes may be under way
+	indirectlyReachedDelay = 3000. // ms, in place of minSuspicion and fewVotesDelay, if most of the suspecting observers know that others reach the member
+	refuteTimeout          = 1500. // ms in which a member may refute a decision made elsewhere; without it the halves of a healed partition would drop each other
+	nameOwnedAfter         = 3000. // ms for which a door must be here under its name to keep it against another
+
+	// Push/pull, incarnations and leaving.
+	awayPingInterval    = 1000. // ms between pings of one of the away members, which find out that a partition has healed
+	pushPullInterval    = 2000. // ms at least between push/pull exchanges
+	quietBeforePushPull = 1000. // ms without changes after which a differing digest is no longer put down to gossip under way
+	maxPushPullDelay    = 10e3  // ms after a push/pull exchange at which a differing digest starts another one in spite of gossip under way
+	incarnationInterval = 1000. // ms between incarnations that this door begins to refute records of its current one
+	leavePhase          = 600.0 // ms for which a departing door announces that it is leaving, and again that it has left
+
+	// Gossip.
+	gossipFanout     = 4     // members that receive gossip in a round
+	gossipRounds     = 3     // rounds in which a change is gossiped; it misses e^-12 of the members
+	gossipPackets    = 3     // packets per receiver and round
+	maxPacketBytes   = 1150  // bytes of records in a packet; the path carries 1400
+	recordBytes      = 110   // bytes of a record without votes, approximately
+	voteBytes        = 28    // bytes of a vote, approximately
+	piggybackRecords = 4     // records piggybacked on a ping or ack
+	piggybackFor     = 4000. // ms for which a change is piggybacked
+
+	forgetAfter       = 600e3 // ms after which a member that has left is forgotten; one that is away is never forgotten
+	maxMembers        = 4096  // members; records of more are ignored as noise
+	nameRetryInterval = 5000. // ms between attempts to join while the name is in use
 )
 
-// known is what is known of one member, this door among them.
-type known struct {
+// memberState is what this door knows of a member; it has one of itself, too. Times are active time, ms, unless noted.
+type memberState struct {
 	Record
-	kept    bool // joining with a new life, and here in the one before: shown as here
-	foreign bool // away by an old verdict, not applied yet
-	applies float64
-	at      float64 // own time at which the state was reached
-	shown   State
-	votes   []vote
-	heard   float64 // own time of its latest word to this door
-	doubted float64 // own time of the first doubt that stands; +Inf for none
-	point   uint64  // its place on the ring
-	left    int     // rounds in which it is still to be told
-	changed float64 // own time of the latest news
-
-	// As an observer of it.
-	subject   bool
-	since     float64 // own time from which silence counts
-	answered  float64 // own time of its latest answer; -Inf for none
-	inLife    uint32  // that it answered in
-	looked    float64
-	waiting   bool // a look is unanswered
-	lookNo    uint32
-	lookClock float64 // clock of that look, for the round trip
-	trip      float64 // round trip, ms; 0 while not known
-	asked     float64
-	elsewhere float64 // own time at which another reached it for me
-	myVote    Says
-	votedAt   float64 // own time; -Inf for none that stands
-}
-
+	rejoining   bool    // Joining in a new incarnation, Here in the one before: still reported here
+	contested   bool    // a record says Away and the votes known here don't support it; applied at contestEnds unless refuted
+	contestEnds float64 // end of the time for a refutation
+	stateAt     float64 // when the state was reached
+	reported    State   // state in the latest Changed
+	votes       []vote  // the latest vote of each observer
+	receivedAt  float64 // latest message from the member; -Inf for none
+	suspectedAt float64 // first of the standing suspicions; +Inf for none
+	ringPos     uint64  // position on the ring of its zone: hash of the name
+	roundsLeft  int     // gossip rounds that are left for its record
+	changedAt   float64 // latest change of its record
+
+	// State that this door keeps as an observer of the member.
+	observed         bool        // this door is an observer of the member
+	observedSince    float64     // start of the time in which missing acks count
+	ackedAt          float64     // latest ack; -Inf for none
+	ackedIncarnation uint32      // incarnation in the latest ack
+	pingedAt         float64     // latest ping
+	awaitingAck      bool        // the latest ping is unanswered
+	pingSeq          uint32      // sequence number of the latest ping
+	pingClock        float64     // clock at the latest ping, for the round-trip time
+	rtt              float64     // smoothed round-trip time, ms; 0 while unknown
+	indirectPingAt   float64     // latest request for indirect pings
+	indirectAckAt    float64     // latest IndirectAck; -Inf for none
+	myObservation    Observation // this door's latest vote
+	votedAt          float64     // when it was cast; -Inf if none stands
+}
+
+// vote is a Vote with the observer as an index and the age as a time.
 type vote struct {
-	by   int
-	seq  uint32
-	says Says
-	at   float64 // own time
+	by          int
+	seq         uint32
+	observation Observation
+	at          float64 // active time when it was cast, ms
 }
 
-// favour is a look made for another.
-type favour struct {
-	no    uint32
-	asker int
-	at    float64
+// indirectProbe is a ping that this door sent on behalf of another member.
+type indirectProbe struct {
+	seq       uint32
+	requester int
+	at        float64 // active time, ms
 }
 
 // Member is one door's view of its fleet.
+//
+// It measures time as active time: the time of the driver's clock without the periods in which this process was suspended.
 type Member struct {
-	self    int
-	all     []known
-	index   map[string]int
-	dice    *rand.Rand
-	actions []Action
-
-	began   bool
-	clock   float64 // of the latest step, ms
-	own     float64 // own time: the clock less what this door was stopped, ms
-	stopped float64 // what it was stopped in all, ms
-
-	heard    float64 // own time of the latest word from anybody
-	no       uint32
-	voteNo   uint32
-	ringOld  bool
-	standing int   // members that stand
-	open     []int // on whom something is not settled
-	gone     []int // away or left
-	zones    []ring
-	subjects []int
-	favours  []favour
-	hot      []int
-	riding   []int
-	raised   float64
-	met      float64
-	leaving  float64 // own time of Leave; +Inf for none
-	over     bool
-	taken    *NameTakenError
-	takenAt  float64
-	tickets  map[int]ticket
-	looked   float64 // own time of the latest look at one that is away
-	mute     bool    // none of those that it looks at answers, though it hears others
-	alone    bool    // it has heard nobody for long
-	news     float64
-	outdated bool // what a message told of this door was of an earlier life: its sender is told
-	sum      uint64
-	sumOld   bool
-}
-
-// ticket is an observer's word to this door that it was reached in a life.
-type ticket struct {
-	life uint32
-	at   float64
-}
-
-// New returns the view of a door that has just started and knows nobody.
+	self    int            // index of this door
+	members []memberState  // in the order in which they became known
+	index   map[string]int // by name
+	rng     *rand.Rand
+	actions []Action // of the current step
+
+	started    bool
+	clock      float64 // driver's clock at the latest step, ms
+	activeTime float64 // sum of the steps, each limited to maxStepMs, ms
+	paused     float64 // total time of suspension, ms
+
+	receivedAt     float64             // active time of the latest message from any member
+	seq            uint32              // sequence number of the latest ping
+	voteSeq        uint32              // number of votes cast
+	ringsStale     bool                // the set of alive members has changed since rings was built
+	aliveCount     int                 // alive members
+	unsettled      []int               // members with votes, a contested decision or a rejoin to follow up at each tick
+	gone           []int               // members that are Away or Left
+	rings          []zoneRing          // by name of the zone
+	subjects       []int               // members that this door observes
+	indirectProbes []indirectProbe     // that await an ack
+	gossipQueue    []int               // members whose records have gossip rounds left
+	piggyback      []int               // members whose records are piggybacked
+	incarnationAt  float64             // active time at which this door began its latest incarnation
+	pushPullAt     float64             // active time of the latest push/pull exchange, plus a random delay
+	leavingAt      float64             // active time of Leave; +Inf for none
+	departed       bool                // the protocol has ended
+	nameConflict   *NameTakenError     // set while another door has this door's name
+	nameConflictAt float64             // active time at which that was reported last
+	reachReports   map[int]reachReport // latest report of each observer of this door
+	awayPingedAt   float64             // active time of the latest ping of an away member
+	unhealthy      bool                // the failure seems to be this door's own, see checkLocalHealth
+	isolated       bool                // no message for isolatedAfter
+	changedAt      float64             // active time of the latest change of any record
+	senderOutdated bool                // the current message has a record of this door in an earlier incarnation: the sender is sent the current one
+	cachedDigest   uint64
+	digestStale    bool // cachedDigest is to be computed again
+}
+
+// reachReport is an observer's report that this door answered its ping, and in which incarnation.
+type reachReport struct {
+	incarnation uint32
+	at          float64 // active time, ms
+}
+
+// New returns the view of a door that has just started and knows no other member.
 func New(self Peer, seed uint64) *Member {
-	m := &Member{index: map[string]int{}, dice: rand.New(rand.NewPCG(seed, xxhash.Sum64String(self.Name))), leaving: math.Inf(1),
-		raised: math.Inf(-1), met: math.Inf(-1), ringOld: true, tickets: map[int]ticket{}, takenAt: math.Inf(-1)}
+	m := &Member{index: map[string]int{}, rng: rand.New(rand.NewPCG(seed, xxhash.Sum64String(self.Name))), leavingAt: math.Inf(1),
+		incarnationAt: math.Inf(-1), pushPullAt: math.Inf(-1), ringsStale: true, reachReports: map[int]reachReport{}, nameConflictAt: math.Inf(-1)}
 	m.self = m.add(Record{Peer: self, Life: 1, State: Joining})
-	m.touch(m.self)
+	m.markChanged(m.self)
 	return m
 }
 
-// Step takes events in and returns what is to be done; the slice is valid until the next call. now is a monotonic clock, ms.
+// Step processes events and returns the actions to carry out; the slice is valid until the next call. now is the time of
+// a monotonic clock, ms.
 func (m *Member) Step(now float64, events ...Event) []Action {
 	m.actions = m.actions[:0]
-	if !m.began {
-		m.began, m.clock = true, now
+	if !m.started {
+		m.started, m.clock = true, now
 	}
-	// Own time: a step that comes late says that this door was stopped, not that all others fell silent. Without this
-	// a door that wakes from a pause would hold all others to be away.
+	// A late step means that this process was suspended, not that all others stopped answering: only maxStepMs of the gap
+	// counts as active time. Otherwise a door would hold all others to be away after a pause of its own.
 	dt := max(0, now-m.clock)
-	m.stopped += max(0, dt-tickMost)
-	m.own += min(dt, tickMost)
+	m.paused += max(0, dt-maxStepMs)
+	m.activeTime += min(dt, maxStepMs)
 	m.clock = now
-	if m.over {
+	if m.departed {
 		return nil
 	}
 	for _, e := range events {
@@ -183,9 +197,9 @@
 				m.merge(&e.Records[i], false)
 			}
 		case Leave:
-			if math.IsInf(m.leaving, 1) {
-				m.leaving = m.own
-				m.advance(m.self, Leaving, "told to leave")
+			if math.IsInf(m.leavingAt, 1) {
+				m.leavingAt = m.activeTime
+				m.advance(m.self, Leaving, "leave requested")
 			}
 		case Tick:
 			m.tick()
@@ -194,45 +208,46 @@
 	return m.actions
 }
 
-func (m *Member) do(a Action) { m.actions = append(m.actions, a) }
+func (m *Member) emit(a Action) { m.actions = append(m.actions, a) }
 
-// ---- What is known ----
+// ---- Member states ----
 
+// add inserts a member that was unknown and returns its index.
 func (m *Member) add(r Record) int {
-	i := len(m.all)
-	k := known{Record: r, at: m.own - r.Age, doubted: math.Inf(1), answered: math.Inf(-1), looked: math.Inf(-1), asked: math.Inf(-1),
-		elsewhere: math.Inf(-1), votedAt: math.Inf(-1), since: m.own, heard: math.Inf(-1)}
+	i := len(m.members)
+	k := memberState{Record: r, stateAt: m.activeTime - r.Age, suspectedAt: math.Inf(1), ackedAt: math.Inf(-1), pingedAt: math.Inf(-1), indirectPingAt: math.Inf(-1),
+		indirectAckAt: math.Inf(-1), votedAt: math.Inf(-1), observedSince: m.activeTime, receivedAt: math.Inf(-1)}
 	k.Votes = nil
-	k.point = xxhash.Sum64String(r.Name)
+	k.ringPos = xxhash.Sum64String(r.Name)
 	k.State = Unknown
-	m.all = append(m.all, k)
+	m.members = append(m.members, k)
 	m.index[r.Name] = i
-	m.moves(i, r.State)
+	m.setState(i, r.State)
 	return i
 }
 
-// touch has a member told of, and its state shown anew.
-func (m *Member) touch(i int) {
-	k := &m.all[i]
-	if k.left == 0 {
-		m.hot = append(m.hot, i)
+// markChanged queues a member's record for gossip and piggybacking.
+func (m *Member) markChanged(i int) {
+	k := &m.members[i]
+	if k.roundsLeft == 0 {
+		m.gossipQueue = append(m.gossipQueue, i)
 	}
-	if !slices.Contains(m.riding, i) {
-		m.riding = append(m.riding, i)
+	if !slices.Contains(m.piggyback, i) {
+		m.piggyback = append(m.piggyback, i)
 	}
-	k.left, k.changed = tellTimes, m.own
-	m.news, m.sumOld = m.own, true
+	k.roundsLeft, k.changedAt = gossipRounds, m.activeTime
+	m.changedAt, m.digestStale = m.activeTime, true
 }
 
-// shows is what a member is held to be, as told to the door and to people.
-func (m *Member) shows(i int) State {
-	k := &m.all[i]
+// visibleState returns the state of a member as it is reported to the driver and to operators.
+func (m *Member) visibleState(i int) State {
+	k := &m.members[i]
 	switch {
-	case i == m.self || !k.State.standing():
-	case m.alone && m.own-k.heard > voteFor:
-		return Away // for all that this door knows; it says so to nobody
-	case k.State == Joining && k.kept && m.own-k.at < keepFor, k.State == Here:
-		if d := m.doubts(i); d >= 2 || d > 0 && m.own-k.doubted > showAfter {
+	case i == m.self || !k.State.alive():
+	case m.isolated && m.activeTime-k.receivedAt > voteTTL:
+		return Away // only in this door's own view: it is not gossiped
+	case k.State == Joining && k.rejoining && m.activeTime-k.stateAt < rejoinGrace, k.State == Here:
+		if n := m.suspicions(i); n >= 2 || n > 0 && m.activeTime-k.suspectedAt > singleSuspicionDelay {
 			return Doubted
 		}
 		return Here
@@ -240,26 +255,26 @@
 	return k.State
 }
 
-// tellChange emits the difference between what is shown and what was.
-func (m *Member) tellChange(i int, why string) {
-	k := &m.all[i]
-	now := m.shows(i)
-	if now == k.shown {
+// reportChange emits Changed if the visible state of a member differs from the one reported last.
+func (m *Member) reportChange(i int, reason string) {
+	k := &m.members[i]
+	now := m.visibleState(i)
+	if now == k.reported {
 		return
 	}
-	m.do(Changed{Peer: k.Peer, From: k.shown, To: now, Life: k.Life, Doubts: m.doubts(i), Why: why})
-	k.shown = now
+	m.emit(Changed{Peer: k.Peer, From: k.reported, To: now, Life: k.Life, Suspicions: m.suspicions(i), Why: reason})
+	k.reported = now
 }
 
-// moves puts a member into another state and keeps the lists that follow from it.
-func (m *Member) moves(i int, to State) {
-	k := &m.all[i]
-	if k.State.standing() != to.standing() {
-		m.ringOld = true
-		if to.standing() {
-			m.standing++
+// setState sets the state of a member and updates what is derived from the states.
+func (m *Member) setState(i int, to State) {
+	k := &m.members[i]
+	if k.State.alive() != to.alive() {
+		m.ringsStale = true
+		if to.alive() {
+			m.aliveCount++
 		} else if k.State != Unknown {
-			m.standing--
+			m.aliveCount--
 		}
 	}
 	was, is := k.State == Away || k.State == Left, to == Away || to == Left
@@ -271,206 +286,208 @@
 	k.State = to
 }
 
-// advance moves a member on to a later state of the same life.
-func (m *Member) advance(i int, to State, why string) {
-	k := &m.all[i]
-	m.moves(i, to)
-	k.at, k.foreign = m.own, false
+// advance moves a member to a later state of the same incarnation.
+func (m *Member) advance(i int, to State, reason string) {
+	k := &m.members[i]
+	m.setState(i, to)
+	k.stateAt, k.contested = m.activeTime, false
 	if to == Here || to == Away || to == Left {
-		k.kept = false
+		k.rejoining = false
 	}
 	if to == Away || to == Left {
-		// Its votes die with it: one that is cut off must not take others along.
-		m.drop(i)
+		// Discard its votes: a member that was cut off must not have others declared away.
+		m.dropVotesBy(i)
 	}
 	if to == Here {
-		k.votes, k.doubted = k.votes[:0], math.Inf(1)
+		k.votes, k.suspectedAt = k.votes[:0], math.Inf(1)
 	}
-	m.touch(i)
-	m.tellChange(i, why)
+	m.markChanged(i)
+	m.reportChange(i, reason)
 }
 
-// drop forgets the votes that a member cast.
-func (m *Member) drop(by int) {
-	for i := range m.all {
-		k := &m.all[i]
+// dropVotesBy discards the votes that a member cast.
+func (m *Member) dropVotesBy(by int) {
+	for i := range m.members {
+		k := &m.members[i]
 		if n := len(k.votes); n > 0 {
 			k.votes = slices.DeleteFunc(k.votes, func(v vote) bool { return v.by == by })
 			if len(k.votes) < n {
-				m.firstDoubt(i)
-				m.tellChange(i, "a doubt has gone with its observer")
+				m.updateSuspectedAt(i)
+				m.reportChange(i, "votes of a lost observer dropped")
 			}
 		}
 	}
 }
 
-// begin puts a member's later life, or another process, in the place of what was known.
-func (m *Member) begin(i int, r *Record) {
-	k := &m.all[i]
-	kept := (k.shown == Here || k.shown == Doubted) && !m.plain(i) && k.Nonce == r.Nonce && r.State == Joining
-	m.moves(i, r.State)
+// startIncarnation replaces what is known of a member by a later incarnation, or by another process of the same name.
+func (m *Member) startIncarnation(i int, r *Record) {
+	k := &m.members[i]
+	rejoining := (k.reported == Here || k.reported == Doubted) && !m.hasAwayQuorum(i) && k.Nonce == r.Nonce && r.State == Joining
+	m.setState(i, r.State)
 	k.Peer, k.Life = r.Peer, r.Life
-	k.kept, k.foreign, k.at = kept, false, m.own-r.Age
-	k.votes, k.doubted, k.votedAt = k.votes[:0], math.Inf(1), math.Inf(-1)
-	k.since, k.looked, k.elsewhere, k.waiting = m.own, math.Inf(-1), math.Inf(-1), false
-	if kept {
-		m.opened(i)
+	k.rejoining, k.contested, k.stateAt = rejoining, false, m.activeTime-r.Age
+	k.votes, k.suspectedAt, k.votedAt = k.votes[:0], math.Inf(1), math.Inf(-1)
+	k.observedSince, k.pingedAt, k.indirectAckAt, k.awaitingAck = m.activeTime, math.Inf(-1), math.Inf(-1), false
+	if rejoining {
+		m.markUnsettled(i)
 	} else {
-		m.drop(i)
+		m.dropVotesBy(i)
 	}
-	m.touch(i)
-	m.tellChange(i, "a new life")
+	m.markChanged(i)
+	m.reportChange(i, "new incarnation")
 }
 
-// ---- What others say ----
+// ---- Messages and records ----
 
+// receive processes a message.
 func (m *Member) receive(in *Message) {
-	if in.From.Name == m.all[m.self].Name {
-		if in.From.Nonce != m.all[m.self].Nonce {
-			m.namesake(&Record{Peer: in.From, Life: in.Life, State: in.State})
+	if in.From.Name == m.members[m.self].Name {
+		if in.From.Nonce != m.members[m.self].Nonce {
+			m.mergeNamesake(&Record{Peer: in.From, Life: in.Life, State: in.State})
 		}
 		return
 	}
-	m.heard = m.own
-	if in.Kind == Taken {
-		m.nameTaken(in.About)
+	m.receivedAt = m.activeTime
+	if in.Kind == NameTaken {
+		m.yieldName(in.Target)
 		return
 	}
 	m.merge(&Record{Peer: in.From, Life: in.Life, State: in.State}, true)
 	from, known := m.index[in.From.Name]
-	m.outdated = false
+	m.senderOutdated = false
 	for i := range in.Records {
-		// One that the others hold to be away has no verdicts to tell, but on this door.
-		if r := &in.Records[i]; r.State != Away || in.State != Joining || r.Name == m.all[m.self].Name {
+		// A sender that is Joining may have been declared away: ignore its Away records, except the one on this door.
+		if r := &in.Records[i]; r.State != Away || in.State != Joining || r.Name == m.members[m.self].Name {
 			m.merge(r, false)
 		}
 	}
 	if !known {
 		return
 	}
-	outdated := m.outdated
-	k := &m.all[from]
-	if k.heard = m.own; m.alone {
-		m.tellChange(from, "heard again")
+	outdated := m.senderOutdated
+	k := &m.members[from]
+	if k.receivedAt = m.activeTime; m.isolated {
+		m.reportChange(from, "message received again")
 	}
 	if k.Nonce != in.From.Nonce {
-		if k.State.standing() && k.Address != in.From.Address {
-			m.send(in.From, &Message{Kind: Taken, About: k.Address})
-		} else { // the process before it under this name: it must begin a later life
+		if k.State.alive() && k.Address != in.From.Address {
+			m.send(in.From, &Message{Kind: NameTaken, Target: k.Address})
+		} else { // send it the record of the earlier process of its name: it must begin a later incarnation
 			m.send(in.From, &Message{Kind: Tell, Records: []Record{m.record(from)}})
 		}
 		return
 	}
-	m.compare(from, in)
+	m.compareDigest(from, in)
 	switch in.Kind {
-	case Look:
-		if in.Reached != 0 {
-			m.tickets[from] = ticket{in.Reached, m.own}
+	case Ping:
+		if in.AckedIncarnation != 0 {
+			m.reachReports[from] = reachReport{in.AckedIncarnation, m.activeTime}
 		}
-		m.reply(from, &Message{Kind: Ack, No: in.No})
+		m.reply(from, &Message{Kind: Ack, Seq: in.Seq})
 	case Ack:
-		m.answer(from, in)
-	case Ask:
-		if i, ok := m.index[in.About]; ok && i != m.self {
-			m.no++
-			m.favours = append(m.favours, favour{m.no, from, m.own})
-			m.send(m.all[i].Peer, &Message{Kind: Look, No: m.no})
+		m.receiveAck(from, in)
+	case IndirectPing:
+		if i, ok := m.index[in.Target]; ok && i != m.self {
+			m.seq++
+			m.indirectProbes = append(m.indirectProbes, indirectProbe{m.seq, from, m.activeTime})
+			m.send(m.members[i].Peer, &Message{Kind: Ping, Seq: m.seq})
 		}
-	case Found:
-		if i, ok := m.index[in.About]; ok {
-			m.all[i].elsewhere = m.own
+	case IndirectAck:
+		if i, ok := m.index[in.Target]; ok {
+			m.members[i].indirectAckAt = m.activeTime
 		}
 	case Tell:
-		if !k.State.standing() || k.Life != in.Life || outdated { // looks are answered anyway
+		if !k.State.alive() || k.Life != in.Life || outdated { // a Ping is answered in any case
 			m.reply(from, &Message{Kind: Tell})
 		}
 	}
 }
 
-// setAlone shows all others anew where this door has come to hear nobody, or hears somebody again. One that is cut off
-// casts no vote meanwhile and reaches no verdict: what it would say of others is true of itself.
-func (m *Member) setAlone(to bool) {
-	if m.alone == to {
+// setIsolated records whether this door is isolated and reports the members whose visible state changes with that. An
+// isolated door neither votes nor decides: the others' silence is a failure of its own.
+func (m *Member) setIsolated(to bool) {
+	if m.isolated == to {
 		return
 	}
-	m.alone = to
-	for i := range m.all {
-		k := &m.all[i]
-		k.since = m.own
-		m.tellChange(i, "this door hears nobody, or somebody again")
+	m.isolated = to
+	for i := range m.members {
+		k := &m.members[i]
+		k.observedSince = m.activeTime
+		m.reportChange(i, "this door became isolated, or is no longer")
 	}
 }
 
-// compare asks for an exchange of whole states with one that holds something else, once no news is on its way.
-func (m *Member) compare(from int, in *Message) {
-	if in.Sum == m.digest() || in.Kind != Look && in.Kind != Ack {
+// compareDigest requests a push/pull exchange with a member whose digest differs, once gossip can't explain that any more.
+func (m *Member) compareDigest(from int, in *Message) {
+	if in.Digest == m.digest() || in.Kind != Ping && in.Kind != Ack {
 		return
 	}
-	if rest := m.own - m.met; rest > meetAnyway || rest > meetRest && m.own-m.news > calmFor {
-		m.met = m.own + meetRest*m.dice.Float64()
-		m.do(Meet{m.all[from].Peer})
+	if sinceExchange := m.activeTime - m.pushPullAt; sinceExchange > maxPushPullDelay || sinceExchange > pushPullInterval && m.activeTime-m.changedAt > quietBeforePushPull {
+		m.pushPullAt = m.activeTime + pushPullInterval*m.rng.Float64()
+		m.emit(Meet{m.members[from].Peer})
 	}
 }
 
-// digest sums up all that is held: equal sums, equal states.
+// digest returns a hash of the incarnations and states of all members. It doesn't depend on their order.
 func (m *Member) digest() uint64 {
-	if m.sumOld {
-		m.sumOld, m.sum = false, 0
-		for i := range m.all {
-			k := &m.all[i]
-			h := k.point ^ k.Nonce*0x9e3779b97f4a7c15 ^ (uint64(k.Life)<<8|uint64(k.State))*0xff51afd7ed558ccd
+	if m.digestStale {
+		m.digestStale, m.cachedDigest = false, 0
+		for i := range m.members {
+			k := &m.members[i]
+			h := k.ringPos ^ k.Nonce*0x9e3779b97f4a7c15 ^ (uint64(k.Life)<<8|uint64(k.State))*0xff51afd7ed558ccd
 			h ^= h >> 31
-			m.sum += h * 0xc4ceb9fe1a85ec53
+			m.cachedDigest += h * 0xc4ceb9fe1a85ec53
 		}
 	}
-	return m.sum
+	return m.cachedDigest
 }
 
-// reply answers a member, and tells it what is held of it where that is not what it says itself.
+// reply sends a message to a member. If this door holds it to be away, the message includes that record, so that the
+// member can refute it.
 func (m *Member) reply(to int, out *Message) {
-	if k := &m.all[to]; k.State == Away || k.foreign {
+	if k := &m.members[to]; k.State == Away || k.contested {
 		r := m.record(to)
 		r.State = Away
 		out.Records = append(out.Records, r)
-		if m.own-m.met >= meetRest && k.State == Away { // two parts of a fleet meet again
-			m.met = m.own
-			m.do(Meet{k.Peer})
+		if m.activeTime-m.pushPullAt >= pushPullInterval && k.State == Away { // a partition has healed
+			m.pushPullAt = m.activeTime
+			m.emit(Meet{k.Peer})
 		}
 	}
-	m.send(m.all[to].Peer, out)
+	m.send(m.members[to].Peer, out)
 }
 
-// answer takes in that a member answered a look.
-func (m *Member) answer(from int, in *Message) {
-	k := &m.all[from]
-	for j, f := range m.favours {
-		if f.no == in.No {
-			m.favours = slices.Delete(m.favours, j, j+1)
-			m.send(m.all[f.asker].Peer, &Message{Kind: Found, About: k.Name})
+// receiveAck processes an Ack: that of an indirect probe is passed on to its requester, any other is this door's own.
+func (m *Member) receiveAck(from int, in *Message) {
+	k := &m.members[from]
+	for j, f := range m.indirectProbes {
+		if f.seq == in.Seq {
+			m.indirectProbes = slices.Delete(m.indirectProbes, j, j+1)
+			m.send(m.members[f.requester].Peer, &Message{Kind: IndirectAck, Target: k.Name})
 			return
 		}
 	}
-	if in.No != k.lookNo {
-		if in.No == 0 || in.No > k.lookNo || !k.waiting {
+	if in.Seq != k.pingSeq {
+		if in.Seq == 0 || in.Seq > k.pingSeq || !k.awaitingAck {
 			return
 		}
-	} else if k.waiting {
-		trip := m.clock - k.lookClock
-		k.trip = cmp.Or(k.trip, trip)
-		k.trip += (trip - k.trip) / 8
+	} else if k.awaitingAck {
+		sample := m.clock - k.pingClock
+		k.rtt = cmp.Or(k.rtt, sample)
+		k.rtt += (sample - k.rtt) / 8
 	}
-	k.waiting = false
-	fresh := k.inLife != k.Life
-	k.answered, k.inLife = m.own, in.Life
-	if fresh && k.State == Joining && k.subject && k.inLife == k.Life {
-		m.look(from) // it enters once it hears that it was reached
+	k.awaitingAck = false
+	firstInIncarnation := k.ackedIncarnation != k.Life
+	k.ackedAt, k.ackedIncarnation = m.activeTime, in.Life
+	if firstInIncarnation && k.State == Joining && k.observed && k.ackedIncarnation == k.Life {
+		m.ping(from) // reports to the member that it was reached, without which it can't become Here
 	}
 }
 
-// merge takes in what is said of a member; direct tells that it said so itself.
+// merge applies a record; direct means that its subject sent it.
 func (m *Member) merge(r *Record, direct bool) {
-	if r.Name == m.all[m.self].Name {
-		m.ofMe(r)
+	if r.Name == m.members[m.self].Name {
+		m.mergeSelf(r)
 		return
 	}
 	if r.State >= Doubted || r.State == Unknown || r.Life == 0 || r.Name == "" {
@@ -478,181 +495,186 @@
 	}
 	i, ok := m.index[r.Name]
 	if !ok {
-		if !direct && (r.State == Away || r.State == Left) && r.Age > forgetAfter/2 || len(m.all) >= mostKnown {
-			return // forgotten here already, or soon; or more than any fleet has
+		if !direct && (r.State == Away || r.State == Left) && r.Age > forgetAfter/2 || len(m.members) >= maxMembers {
+			return // forgotten here already or soon, or over the limit of members
 		}
 		i = m.add(*r)
-		m.touch(i)
-		m.tellChange(i, "heard of")
+		m.markChanged(i)
+		m.reportChange(i, "newly known")
 		m.mergeVotes(i, r)
 		return
 	}
-	k := &m.all[i]
+	k := &m.members[i]
 	if k.Nonce != r.Nonce {
-		// Another process has the name. One that follows begins a later life; one elsewhere, while the one known is here, is
-		// told that the name is taken, and heard of through others only where a part of the fleet has taken it in.
-		if elsewhere := k.State.standing() && k.Address != r.Address; r.Life > k.Life && !(direct && elsewhere) {
-			m.begin(i, r)
+		// Another process has the name. A successor begins a later incarnation. A process at another address, while the
+		// known one is alive, is sent NameTaken by receive; its record is only accepted from other members, which means
+		// that another part of the fleet has accepted it.
+		if elsewhere := k.State.alive() && k.Address != r.Address; r.Life > k.Life && !(direct && elsewhere) {
+			m.startIncarnation(i, r)
 			m.mergeVotes(i, r)
 		}
 		return
 	}
 	switch {
 	case r.Life > k.Life:
-		if r.State == Away && k.State.standing() { // its word on that life may be on its way
+		if r.State == Away && k.State.alive() { // it may be about to refute that, which then arrives as a later incarnation
 			before := *r
 			before.State = Joining
-			m.begin(i, &before)
+			m.startIncarnation(i, &before)
 		} else {
-			m.begin(i, r)
+			m.startIncarnation(i, r)
 		}
 	case r.Life < k.Life:
 		return
 	}
 	m.mergeVotes(i, r)
-	if k = &m.all[i]; r.Life != k.Life || r.State <= k.State {
+	if k = &m.members[i]; r.Life != k.Life || r.State <= k.State {
 		return
 	}
-	// What others have judged is taken over with their votes. Where the votes known here don't bear it out, the member
-	// is given time to gainsay it: one part of a fleet that hears no other would else have all the rest away.
-	if r.State == Away && !m.plain(i) {
+	// Decisions of others are adopted along with their votes. If the votes known here don't support one, the member has
+	// time to refute it: otherwise one part of a partitioned fleet would have all the rest declared away.
+	if r.State == Away && !m.hasAwayQuorum(i) {
 		m.contest(i)
 		return
 	}
-	m.advance(i, r.State, "heard so")
-	m.all[i].at = m.own - r.Age
+	m.advance(i, r.State, "record received")
+	m.members[i].stateAt = m.activeTime - r.Age
 }
 
-// tally counts the words of a member's observers.
-func (m *Member) tally(i int) (silent, unreached, reached int) {
-	for _, v := range m.all[i].votes {
-		switch v.says {
-		case Silent:
-			silent++
-		case Unreached:
-			unreached++
+// countVotes counts the votes on a member by observation.
+func (m *Member) countVotes(i int) (unreachable, indirectly, reached int) {
+	for _, v := range m.members[i].votes {
+		switch v.observation {
+		case Unreachable:
+			unreachable++
+		case ReachedIndirectly:
+			indirectly++
 		default:
 			reached++
 		}
 	}
-	return silent, unreached, reached
+	return unreachable, indirectly, reached
 }
 
-// borneOut tells whether the votes known here bear a verdict out.
-func (m *Member) borneOut(i int) bool {
-	silent, unreached, reached := m.tally(i)
-	doubts := float64(silent + unreached)
-	// A zone's own line may be down: its doubts alone don't stand against others' word that they reach the member.
-	two, against := m.twoZones(&m.all[i])
-	return doubts > 0 && doubts >= most*(doubts+float64(reached)) && (two || !against)
+// votesSupportAway reports whether a quorum of the votes known here suspects a member, and more than one zone does if an
+// observer of another zone reaches it.
+func (m *Member) votesSupportAway(i int) bool {
+	unreachable, indirectly, reached := m.countVotes(i)
+	suspicions := float64(unreachable + indirectly)
+	// The link of a single zone may be down: its suspicions don't count against votes of other zones that reach the member.
+	severalZones, contradicted := m.suspectingZones(&m.members[i])
+	return suspicions > 0 && suspicions >= quorum*(suspicions+float64(reached)) && (severalZones || !contradicted)
 }
 
-// plain tells whether a verdict is borne out by as many votes as there could be in its favour, so that it needs no time.
-func (m *Member) plain(i int) bool {
-	return float64(m.doubts(i)) >= most*float64(m.observersOf(i)) && m.borneOut(i)
+// hasAwayQuorum reports whether a quorum of all observers of a member suspects it, so that a decision made elsewhere
+// applies at once.
+func (m *Member) hasAwayQuorum(i int) bool {
+	return float64(m.suspicions(i)) >= quorum*float64(m.observerCount(i)) && m.votesSupportAway(i)
 }
 
-// contest gives a member time to gainsay a verdict that the votes known here don't bear out plainly.
+// contest defers a decision that lacks a quorum here, and sends it to its subject, which has refuteTimeout to refute it.
 func (m *Member) contest(i int) {
-	if k := &m.all[i]; !k.foreign {
-		k.foreign, k.applies = true, m.own+contest
-		m.opened(i)
+	if k := &m.members[i]; !k.contested {
+		k.contested, k.contestEnds = true, m.activeTime+refuteTimeout
+		m.markUnsettled(i)
 		r := m.record(i)
 		r.State = Away
 		m.send(k.Peer, &Message{Kind: Tell, Records: []Record{r}})
 	}
 }
 
-// ofMe takes in what is said of this door.
-func (m *Member) ofMe(r *Record) {
-	k := &m.all[m.self]
+// mergeSelf applies a record of this door. It begins a later incarnation if the record says Away or has a later one than
+// the current.
+func (m *Member) mergeSelf(r *Record) {
+	k := &m.members[m.self]
 	if r.Nonce != k.Nonce {
-		m.namesake(r)
+		m.mergeNamesake(r)
 		return
 	}
 	if r.Life < k.Life {
-		m.outdated = true
+		m.senderOutdated = true
 		return
 	}
 	m.mergeVotes(m.self, r)
-	if r.Life > k.Life || r.State == Away && k.State.standing() {
-		m.raise(r.Life, "others held it to be away")
+	if r.Life > k.Life || r.State == Away && k.State.alive() {
+		m.raiseIncarnation(r.Life, "refutes that it is away")
 	}
 }
 
-// namesake takes in another process under this door's name: an earlier one of its own, or another door's.
-func (m *Member) namesake(r *Record) {
-	k := &m.all[m.self]
-	if r.Address != k.Address && r.State.standing() {
+// mergeNamesake applies a record of another process of this door's name: a predecessor of this one, or another door.
+func (m *Member) mergeNamesake(r *Record) {
+	k := &m.members[m.self]
+	if r.Address != k.Address && r.State.alive() {
 		if r.Life > k.Life || r.Life == k.Life && k.State == Joining && r.State != Joining {
-			m.nameTaken(r.Address)
+			m.yieldName(r.Address)
 		}
 		return
 	}
 	if r.Life >= k.Life {
-		m.raise(r.Life, "an earlier process had its name")
+		m.raiseIncarnation(r.Life, "supersedes an earlier process of its name")
 	}
 }
 
-// nameTaken has this door stand back: another has its name.
-func (m *Member) nameTaken(address string) {
-	k := &m.all[m.self]
-	if k.State == Here && m.own-k.at > settled && m.own-m.heard < deafAfter && m.reachedByMost() {
-		return // this door is the one that the fleet knows; the other stands back
+// yieldName stops this door from taking part because another door has its name, unless this door is the established one.
+func (m *Member) yieldName(address string) {
+	k := &m.members[m.self]
+	if k.State == Here && m.activeTime-k.stateAt > nameOwnedAfter && m.activeTime-m.receivedAt < unhealthyAfter && m.reachedByQuorum() {
+		return // the fleet knows this door by that name; the other one yields
 	}
-	m.takenAt = m.own
-	if m.taken == nil || m.taken.Address != address {
-		m.taken = &NameTakenError{k.Name, address}
-		m.do(Refused{m.taken})
+	m.nameConflictAt = m.activeTime
+	if m.nameConflict == nil || m.nameConflict.Address != address {
+		m.nameConflict = &NameTakenError{k.Name, address}
+		m.emit(Refused{m.nameConflict})
 	}
 }
 
-// raise begins a life of this door later than one that others know.
-func (m *Member) raise(over uint32, why string) {
-	k := &m.all[m.self]
-	if !math.IsInf(m.leaving, 1) || over == k.Life && m.own-m.raised < raiseRest && k.Life > 1 {
+// raiseIncarnation begins an incarnation of this door that is later than one known to others.
+func (m *Member) raiseIncarnation(known uint32, reason string) {
+	k := &m.members[m.self]
+	if !math.IsInf(m.leavingAt, 1) || known == k.Life && m.activeTime-m.incarnationAt < incarnationInterval && k.Life > 1 {
 		return
 	}
-	m.raised = m.own
-	k.kept = k.State == Here || k.State == Joining && k.kept
-	m.moves(m.self, Joining)
-	k.Life, k.at = over+1, m.own
-	k.votes, k.doubted = k.votes[:0], math.Inf(1)
-	clear(m.tickets)
-	m.touch(m.self)
-	m.tellChange(m.self, why)
-	for _, i := range m.subjects { // they learn of it first, and their looks bring it back
-		m.send(m.all[i].Peer, &Message{Kind: Tell})
+	m.incarnationAt = m.activeTime
+	k.rejoining = k.State == Here || k.State == Joining && k.rejoining
+	m.setState(m.self, Joining)
+	k.Life, k.stateAt = known+1, m.activeTime
+	k.votes, k.suspectedAt = k.votes[:0], math.Inf(1)
+	clear(m.reachReports)
+	m.markChanged(m.self)
+	m.reportChange(m.self, reason)
+	for _, i := range m.subjects { // they learn of it first; the pings of those that also observe this door make it Here again
+		m.send(m.members[i].Peer, &Message{Kind: Tell})
 	}
 }
 
 // ---- Votes ----
 
+// mergeVotes adds the votes of a record on a member's current incarnation; only votes of observers that are here count.
 func (m *Member) mergeVotes(i int, r *Record) {
-	k := &m.all[i]
-	if r.Life != k.Life || !k.State.standing() {
+	k := &m.members[i]
+	if r.Life != k.Life || !k.State.alive() {
 		return
 	}
-	news := false
+	changed := false
 	for _, v := range r.Votes {
 		by, ok := m.index[v.By]
-		if !ok || by == i || v.Age > voteFor {
+		if !ok || by == i || v.Age > voteTTL {
 			continue
 		}
-		if s := m.shows(by); s != Here && s != Doubted && s != Leaving {
+		if s := m.visibleState(by); s != Here && s != Doubted && s != Leaving {
 			continue
 		}
-		news = m.count(i, vote{by, v.Seq, v.Says, m.own - v.Age}) || news
+		changed = m.addVote(i, vote{by, v.Seq, v.Observation, m.activeTime - v.Age}) || changed
 	}
-	if news {
-		m.touch(i)
-		m.tellChange(i, "its observers say so")
+	if changed {
+		m.markChanged(i)
+		m.reportChange(i, "votes of its observers")
 	}
 }
 
-// count puts a vote in the place of the same observer's earlier one, and tells whether it is news.
-func (m *Member) count(i int, v vote) bool {
-	k := &m.all[i]
+// addVote replaces an observer's earlier vote on a member, and reports whether the vote was new.
+func (m *Member) addVote(i int, v vote) bool {
+	k := &m.members[i]
 	at := slices.IndexFunc(k.votes, func(w vote) bool { return w.by == v.by })
 	switch {
 	case at < 0:
@@ -662,323 +684,330 @@
 	default:
 		k.votes[at] = v
 	}
-	m.firstDoubt(i)
-	m.opened(i)
+	m.updateSuspectedAt(i)
+	m.markUnsettled(i)
 	return true
 }
 
-// opened has tick look after a member on whom something is not settled.
-func (m *Member) opened(i int) {
-	if !slices.Contains(m.open, i) {
-		m.open = append(m.open, i)
+// markUnsettled has each tick follow up a member until nothing about it is pending.
+func (m *Member) markUnsettled(i int) {
+	if !slices.Contains(m.unsettled, i) {
+		m.unsettled = append(m.unsettled, i)
 	}
 }
 
-// firstDoubt keeps the time from which doubts stand.
-func (m *Member) firstDoubt(i int) {
-	k := &m.all[i]
-	if !slices.ContainsFunc(k.votes, func(v vote) bool { return v.says != Reached }) {
-		k.doubted = math.Inf(1)
-	} else if math.IsInf(k.doubted, 1) {
-		k.doubted = m.own
+// updateSuspectedAt keeps the time of the first of a member's standing suspicions.
+func (m *Member) updateSuspectedAt(i int) {
+	k := &m.members[i]
+	if !slices.ContainsFunc(k.votes, func(v vote) bool { return v.observation != Reached }) {
+		k.suspectedAt = math.Inf(1)
+	} else if math.IsInf(k.suspectedAt, 1) {
+		k.suspectedAt = m.activeTime
 	}
 }
 
-// doubts counts those who doubt a member.
-func (m *Member) doubts(i int) int {
-	silent, unreached, _ := m.tally(i)
-	return silent + unreached
+// suspicions returns the number of observers that suspect a member.
+func (m *Member) suspicions(i int) int {
+	unreachable, indirectly, _ := m.countVotes(i)
+	return unreachable + indirectly
 }
 
-// cast votes on a member, and has the vote told.
-func (m *Member) cast(i int, says Says) {
-	k := &m.all[i]
-	m.voteNo++
-	k.myVote, k.votedAt = says, m.own
-	m.count(i, vote{m.self, m.all[m.self].Life<<12 + m.voteNo, says, m.own})
-	m.touch(i)
-	m.tellChange(i, "this door says so")
+// castVote casts this door's vote on a member and gossips it.
+func (m *Member) castVote(i int, observation Observation) {
+	k := &m.members[i]
+	m.voteSeq++
+	k.myObservation, k.votedAt = observation, m.activeTime
+	m.addVote(i, vote{m.self, m.members[m.self].Life<<12 + m.voteSeq, observation, m.activeTime})
+	m.markChanged(i)
+	m.reportChange(i, "this door's own vote")
 }
 
-// judge reaches a verdict on a member whom some doubt, by all votes known here. Every door that has heard the same votes
-// reaches the same one, and it is told on, so that those who have not heard them hold it as well.
-func (m *Member) judge(i int) {
-	k := &m.all[i]
-	if !k.State.standing() || i == m.self || math.IsInf(k.doubted, 1) {
+// decideAway declares a suspected member away if the votes known here support that for long enough. Doors that know the
+// same votes decide alike, and the decision is gossiped to those that don't know them.
+func (m *Member) decideAway(i int) {
+	k := &m.members[i]
+	if !k.State.alive() || i == m.self || math.IsInf(k.suspectedAt, 1) {
 		return
 	}
-	if !m.borneOut(i) {
+	if !m.votesSupportAway(i) {
 		return
 	}
-	silent, unreached, reached := m.tally(i)
-	doubts, n := silent+unreached, float64(m.observersOf(i))
-	if k.State == Joining && !k.kept && reached > 0 {
-		return // it has not come in so far; each verdict would make it begin another life
+	unreachable, indirectly, reached := m.countVotes(i)
+	suspicions, observerCount := unreachable+indirectly, float64(m.observerCount(i))
+	if k.State == Joining && !k.rejoining && reached > 0 {
+		return // it has not been Here yet, and each decision would make it begin another incarnation
 	}
-	wait := settle + fewSettle*max(0, 1-float64(doubts)/(most*n))
-	if float64(silent) < most*float64(doubts) {
-		wait = partial
+	wait := minSuspicion + fewVotesDelay*max(0, 1-float64(suspicions)/(quorum*observerCount))
+	if float64(unreachable) < quorum*float64(suspicions) {
+		wait = indirectlyReachedDelay
 	}
-	if two, _ := m.twoZones(k); !two && m.watchedFrom(i) > 1 {
-		wait += oneZone
+	if severalZones, _ := m.suspectingZones(k); !severalZones && m.observerZones(i) > 1 {
+		wait += singleZoneDelay
 	}
-	if m.own-k.doubted >= wait {
-		m.advance(i, Away, fmt.Sprintf("%d of %d observers doubt it, %d reach it", doubts, int(n), reached))
+	if m.activeTime-k.suspectedAt >= wait {
+		m.advance(i, Away, fmt.Sprintf("suspected by %d of %d observers, reached by %d", suspicions, int(observerCount), reached))
 	}
 }
 
-// twoZones tells whether doubts come from two zones, and whether a word from another zone than theirs stands against them.
-func (m *Member) twoZones(k *known) (two, against bool) {
+// suspectingZones reports whether the suspicions of a member come from two zones, and whether an observer outside the
+// (last) suspecting zone reaches it.
+func (m *Member) suspectingZones(k *memberState) (severalZones, contradicted bool) {
 	zone, seen := "", false
 	for _, v := range k.votes {
-		if v.says != Reached {
-			z := m.all[v.by].Zone
-			two = two || seen && z != zone
+		if v.observation != Reached {
+			z := m.members[v.by].Zone
+			severalZones = severalZones || seen && z != zone
 			zone, seen = z, true
 		}
 	}
-	return two, slices.ContainsFunc(k.votes, func(v vote) bool { return v.says == Reached && m.all[v.by].Zone != zone })
+	return severalZones, slices.ContainsFunc(k.votes, func(v vote) bool { return v.observation == Reached && m.members[v.by].Zone != zone })
 }
 
-// watchedFrom counts the zones in which a member has observers.
-func (m *Member) watchedFrom(i int) (zones int) {
-	for z := range m.zones {
-		if m.before(&m.zones[z], i, func(int) bool { return true }) {
+// observerZones returns the number of zones in which a member has observers.
+func (m *Member) observerZones(i int) (zones int) {
+	for z := range m.rings {
+		if m.anyObserver(&m.rings[z], i, func(int) bool { return true }) {
 			zones++
 		}
 	}
 	return zones
 }
 
-// ---- Time ----
+// ---- Ticks ----
 
+// tick does what time makes due: pings, votes, decisions, gossip.
 func (m *Member) tick() {
-	m.rank()
-	m.depart()
-	if m.over {
+	m.rebuildRings()
+	m.proceedLeave()
+	if m.departed {
 		return
 	}
-	if m.taken != nil && m.own-m.takenAt < nameRest {
+	if m.nameConflict != nil && m.activeTime-m.nameConflictAt < nameRetryInterval {
 		return
 	}
-	me := &m.all[m.self]
-	m.doubtItself()
-	if m.mute && m.own-m.heard > aloneAfter && m.standing > 1 {
-		m.setAlone(true)
-	} else if !m.mute {
-		m.setAlone(false)
+	me := &m.members[m.self]
+	m.checkLocalHealth()
+	if m.unhealthy && m.activeTime-m.receivedAt > isolatedAfter && m.aliveCount > 1 {
+		m.setIsolated(true)
+	} else if !m.unhealthy {
+		m.setIsolated(false)
 	}
 	for _, i := range m.subjects {
-		m.observe(i)
+		m.probe(i)
 	}
-	for n := 0; n < len(m.open); n++ {
-		i := m.open[n]
-		m.expire(i)
-		if !m.mute {
-			m.judge(i)
+	for n := 0; n < len(m.unsettled); n++ {
+		i := m.unsettled[n]
+		m.expireVotes(i)
+		if !m.unhealthy {
+			m.decideAway(i)
 		}
-		if k := &m.all[i]; k.foreign && m.own >= k.applies {
-			m.advance(i, Away, "another part of the fleet held it so, and it did not gainsay")
-		} else if k.State.standing() {
-			m.tellChange(i, "time has passed")
+		if k := &m.members[i]; k.contested && m.activeTime >= k.contestEnds {
+			m.advance(i, Away, "decided by another part of the fleet and not refuted")
+		} else if k.State.alive() {
+			m.reportChange(i, "time limit passed")
 		}
 	}
-	m.open = slices.DeleteFunc(m.open, func(i int) bool {
-		k := &m.all[i]
-		return len(k.votes) == 0 && !k.foreign && !(k.State == Joining && k.kept)
+	m.unsettled = slices.DeleteFunc(m.unsettled, func(i int) bool {
+		k := &m.members[i]
+		return len(k.votes) == 0 && !k.contested && !(k.State == Joining && k.rejoining)
 	})
 	if me.State == Joining {
 		m.enter()
 	}
-	m.lookAway()
-	m.tellRound()
-	m.favours = slices.DeleteFunc(m.favours, func(f favour) bool { return m.own-f.at > doubtAfter })
+	m.pingAway()
+	m.gossip()
+	m.indirectProbes = slices.DeleteFunc(m.indirectProbes, func(f indirectProbe) bool { return m.activeTime-f.at > suspectAfter })
 }
 
-// doubtItself finds whether the fault is this door's own: it hears nobody, or none of those that it looks at answers
-// though others are heard, or others hold it to be away: a zone that can't send would else drop all whom it hears. Then
-// it neither votes nor judges; what others have judged it still takes over.
-func (m *Member) doubtItself() {
-	was := m.mute
-	m.mute = m.own-m.heard > deafAfter || m.all[m.self].State == Joining || len(m.subjects) > 0 &&
-		!slices.ContainsFunc(m.subjects, func(i int) bool { return m.own-max(m.all[i].since, m.all[i].answered) < doubtAfter })
-	if m.mute && !was {
-		m.drop(m.self) // the first of its doubts came of the same fault
+// checkLocalHealth finds out whether the failure is this door's own: it receives nothing, or none of the members that it
+// pings answers while it receives from others, or it is Joining, as after being declared away. Then it neither votes nor
+// decides, but still adopts the decisions of others. Without this a zone that can receive and not send would drop all others.
+func (m *Member) checkLocalHealth() {
+	was := m.unhealthy
+	m.unhealthy = m.activeTime-m.receivedAt > unhealthyAfter || m.members[m.self].State == Joining || len(m.subjects) > 0 &&
+		!slices.ContainsFunc(m.subjects, func(i int) bool {
+			return m.activeTime-max(m.members[i].observedSince, m.members[i].ackedAt) < suspectAfter
+		})
+	if m.unhealthy && !was {
+		m.dropVotesBy(m.self) // its first suspicions are due to the same failure
 		for _, i := range m.subjects {
-			m.all[i].votedAt = math.Inf(-1)
+			m.members[i].votedAt = math.Inf(-1)
 		}
 	}
 }
 
-// observe looks at a member in time, and votes on it where that is news to others.
-func (m *Member) observe(i int) {
-	k := &m.all[i]
-	open := !math.IsInf(k.doubted, 1)
-	gap := lookEvery
-	if k.waiting || open || k.State == Joining && k.inLife != k.Life {
-		gap = lookAgain
+// probe pings a member when that is due, and votes on it if the observation is new to others.
+func (m *Member) probe(i int) {
+	k := &m.members[i]
+	suspected := !math.IsInf(k.suspectedAt, 1)
+	interval := pingInterval
+	if k.awaitingAck || suspected || k.State == Joining && k.ackedIncarnation != k.Life {
+		interval = pingRetryInterval
 	}
-	if m.own-k.looked >= gap {
-		m.look(i)
+	if m.activeTime-k.pingedAt >= interval {
+		m.ping(i)
 	}
-	silence := m.own - max(k.since, k.answered)
-	if silence > askAfter && m.own-k.asked > askAgain {
-		k.asked = m.own
-		m.askFor(i)
+	silence := m.activeTime - max(k.observedSince, k.ackedAt)
+	if silence > indirectPingAfter && m.activeTime-k.indirectPingAt > indirectPingInterval {
+		k.indirectPingAt = m.activeTime
+		m.requestIndirectPings(i)
 	}
-	says, say := Reached, false
-	limit := doubtAfter
-	if open {
-		limit = joinInDoubt
+	observation, voteDue := Reached, false
+	limit := suspectAfter
+	if suspected {
+		limit = joinSuspicionAfter
 	}
 	switch {
-	case m.mute:
+	case m.unhealthy:
 	case silence >= limit:
-		says, say = Silent, true
-		if m.own-k.elsewhere < doubtAfter {
-			says = Unreached
+		observation, voteDue = Unreachable, true
+		if m.activeTime-k.indirectAckAt < suspectAfter {
+			observation = ReachedIndirectly
 		}
-	case open:
-		say = m.own-k.answered < freshReach && k.inLife == k.Life && m.wanted(i)
+	case suspected:
+		voteDue = m.activeTime-k.ackedAt < ackFreshFor && k.ackedIncarnation == k.Life && m.reachedVoteWanted(i)
 	}
-	if say && (math.IsInf(k.votedAt, -1) || k.myVote != says || m.own-k.votedAt > voteAgain) {
-		m.cast(i, says)
-	} else if !say && !math.IsInf(k.votedAt, -1) && k.myVote != Reached && m.own-k.answered < freshReach {
-		m.cast(i, Reached)
+	if voteDue && (math.IsInf(k.votedAt, -1) || k.myObservation != observation || m.activeTime-k.votedAt > voteRepeatInterval) {
+		m.castVote(i, observation)
+	} else if !voteDue && !math.IsInf(k.votedAt, -1) && k.myObservation != Reached && m.activeTime-k.ackedAt < ackFreshFor {
+		m.castVote(i, Reached)
 	}
 }
 
-// wanted tells whether one more word that a member is reached matters: not where one less would do. Words half as old as
-// they may be don't count, so that the next is said before they go. Not all say so at once: a single doubt calls for two
-// words or three, and not for seven.
-func (m *Member) wanted(i int) bool {
-	doubts, reached := 0.0, 0.0
-	for _, v := range m.all[i].votes {
-		if v.says != Reached {
-			doubts++
-		} else if m.own-v.at < voteFor/2 {
+// reachedVoteWanted reports whether another Reached vote on a member may matter, which it doesn't where one fewer would
+// do. Votes older than half of voteTTL don't count, so that they are replaced before they expire. The random choice keeps
+// all observers from voting at once: a single suspicion needs two or three votes against it, not seven.
+func (m *Member) reachedVoteWanted(i int) bool {
+	suspicions, reached := 0.0, 0.0
+	for _, v := range m.members[i].votes {
+		if v.observation != Reached {
+			suspicions++
+		} else if m.activeTime-v.at < voteTTL/2 {
 			reached++
 		}
 	}
-	return doubts >= most*(doubts+reached-1) && m.dice.Float64() < speakUp
+	return suspicions >= quorum*(suspicions+reached-1) && m.rng.Float64() < reachedVoteChance
 }
 
-func (m *Member) look(i int) {
-	k := &m.all[i]
-	m.no++
-	k.looked, k.waiting, k.lookNo, k.lookClock = m.own, true, m.no, m.clock
-	out := &Message{Kind: Look, No: m.no}
-	if k.inLife == k.Life && m.own-k.answered < freshReach {
-		out.Reached = k.Life
+// ping sends a Ping to a member.
+func (m *Member) ping(i int) {
+	k := &m.members[i]
+	m.seq++
+	k.pingedAt, k.awaitingAck, k.pingSeq, k.pingClock = m.activeTime, true, m.seq, m.clock
+	out := &Message{Kind: Ping, Seq: m.seq}
+	if k.ackedIncarnation == k.Life && m.activeTime-k.ackedAt < ackFreshFor {
+		out.AckedIncarnation = k.Life
 	}
 	m.send(k.Peer, out)
 }
 
-// askFor has others look at a member: those who don't observe it, of other zones first.
-func (m *Member) askFor(i int) {
+// requestIndirectPings asks random members that are here to ping a member, preferably members of other zones.
+func (m *Member) requestIndirectPings(i int) {
 	asked := 0
-	for try := 0; try < 4*askOthers && asked < askOthers; try++ {
-		j := m.dice.IntN(len(m.all))
-		k := &m.all[j]
-		if j == m.self || j == i || k.State != Here || k.Zone == m.all[m.self].Zone && try < 2*askOthers && k.Zone != "" {
+	for try := 0; try < 4*indirectPingHelpers && asked < indirectPingHelpers; try++ {
+		j := m.rng.IntN(len(m.members))
+		k := &m.members[j]
+		if j == m.self || j == i || k.State != Here || k.Zone == m.members[m.self].Zone && try < 2*indirectPingHelpers && k.Zone != "" {
 			continue
 		}
 		asked++
-		m.send(k.Peer, &Message{Kind: Ask, About: m.all[i].Name})
+		m.send(k.Peer, &Message{Kind: IndirectPing, Target: m.members[i].Name})
 	}
 }
 
-// expire forgets votes that are old.
-func (m *Member) expire(i int) {
-	k := &m.all[i]
+// expireVotes discards votes on a member that are older than voteTTL, and all votes if nobody suspects the member and its
+// record hasn't changed for piggybackFor.
+func (m *Member) expireVotes(i int) {
+	k := &m.members[i]
 	n := len(k.votes)
-	k.votes = slices.DeleteFunc(k.votes, func(v vote) bool { return m.own-v.at > voteFor })
+	k.votes = slices.DeleteFunc(k.votes, func(v vote) bool { return m.activeTime-v.at > voteTTL })
 	if len(k.votes) < n {
-		m.firstDoubt(i)
-		m.tellChange(i, "doubts have grown old")
+		m.updateSuspectedAt(i)
+		m.reportChange(i, "votes expired")
 	}
-	if math.IsInf(k.doubted, 1) && len(k.votes) > 0 && m.own-k.changed > rideFor {
+	if math.IsInf(k.suspectedAt, 1) && len(k.votes) > 0 && m.activeTime-k.changedAt > piggybackFor {
 		k.votes = k.votes[:0]
 	}
 }
 
-// reachedByMost tells whether enough of this door's observers have said that they reach it in this life.
-func (m *Member) reachedByMost() bool {
+// reachedByQuorum reports whether a quorum of this door's observers has reached it in its current incarnation.
+func (m *Member) reachedByQuorum() bool {
 	n, reached := 0, 0
-	for z := range m.zones {
-		m.before(&m.zones[z], m.self, func(j int) bool {
+	for z := range m.rings {
+		m.anyObserver(&m.rings[z], m.self, func(j int) bool {
 			n++
-			if t, ok := m.tickets[j]; ok && t.life == m.all[m.self].Life && m.own-t.at < ticketFor {
+			if t, ok := m.reachReports[j]; ok && t.incarnation == m.members[m.self].Life && m.activeTime-t.at < reachReportTTL {
 				reached++
 			}
 			return false
 		})
 	}
-	return float64(reached) >= most*float64(n)
+	return float64(reached) >= quorum*float64(n)
 }
 
-// enter makes this door one that is here, once enough have reached it.
+// enter moves this door from Joining to Here once a quorum of its observers has reached it.
 func (m *Member) enter() {
-	if !m.reachedByMost() {
+	if !m.reachedByQuorum() {
 		return
 	}
-	if m.taken != nil && m.observersOf(m.self) > 0 { // the name has come free
-		m.taken = nil
-		m.do(Refused{})
+	if m.nameConflict != nil && m.observerCount(m.self) > 0 { // the name is free again
+		m.nameConflict = nil
+		m.emit(Refused{})
 	}
-	m.advance(m.self, Here, "its observers reach it")
+	m.advance(m.self, Here, "reached by its observers")
 }
 
-// lookAway looks at one of those that are away: a fleet that was cut in two finds itself again.
-func (m *Member) lookAway() {
-	if len(m.gone) == 0 || m.own-m.looked < awayLook {
+// pingAway pings one of the away members, so that the parts of a partitioned fleet find each other again. On its way it
+// forgets members that left long ago.
+func (m *Member) pingAway() {
+	if len(m.gone) == 0 || m.activeTime-m.awayPingedAt < awayPingInterval {
 		return
 	}
-	start := m.dice.IntN(len(m.gone))
+	start := m.rng.IntN(len(m.gone))
 	for n := range m.gone {
 		i := m.gone[(start+n)%len(m.gone)]
-		k := &m.all[i]
+		k := &m.members[i]
 		switch {
 		case k.State == Away:
-			m.looked = m.own
-			m.no++
+			m.awayPingedAt = m.activeTime
+			m.seq++
 			r := m.record(i)
-			m.send(k.Peer, &Message{Kind: Look, No: m.no, Records: []Record{r}})
+			m.send(k.Peer, &Message{Kind: Ping, Seq: m.seq, Records: []Record{r}})
 			return
-		case m.own-k.at > forgetAfter && i != m.self: // it has left
+		case m.activeTime-k.stateAt > forgetAfter && i != m.self: // Left
 			m.forget(i)
 			return
 		}
 	}
 }
 
-// forget lets a member's place go: the last one takes it.
+// forget removes a member; the last one takes its index.
 func (m *Member) forget(i int) {
-	m.do(Changed{Peer: m.all[i].Peer, From: m.all[i].shown, To: Unknown, Life: m.all[i].Life, Why: "gone for long"})
-	last := len(m.all) - 1
-	delete(m.index, m.all[i].Name)
-	m.drop(i)
+	m.emit(Changed{Peer: m.members[i].Peer, From: m.members[i].reported, To: Unknown, Life: m.members[i].Life, Why: "left long ago"})
+	last := len(m.members) - 1
+	delete(m.index, m.members[i].Name)
+	m.dropVotesBy(i)
 	if i != last {
-		m.all[i] = m.all[last]
-		m.index[m.all[i].Name] = i
-		for j := range m.all {
-			for n := range m.all[j].votes {
-				if m.all[j].votes[n].by == last {
-					m.all[j].votes[n].by = i
+		m.members[i] = m.members[last]
+		m.index[m.members[i].Name] = i
+		for j := range m.members {
+			for n := range m.members[j].votes {
+				if m.members[j].votes[n].by == last {
+					m.members[j].votes[n].by = i
 				}
 			}
 		}
-		delete(m.tickets, i)
-		if t, ok := m.tickets[last]; ok {
-			m.tickets[i] = t
+		delete(m.reachReports, i)
+		if t, ok := m.reachReports[last]; ok {
+			m.reachReports[i] = t
 		}
 		if m.self == last {
 			m.self = i
 		}
 	}
-	delete(m.tickets, last)
-	m.all = m.all[:last]
-	m.zones, m.ringOld = nil, true
+	delete(m.reachReports, last)
+	m.members = m.members[:last]
+	m.rings, m.ringsStale = nil, true
 	move := func(list []int) []int {
 		list = slices.DeleteFunc(list, func(j int) bool { return j == i })
 		for n := range list {
@@ -988,91 +1017,92 @@
 		}
 		return list
 	}
-	m.hot, m.riding, m.subjects = move(m.hot), move(m.riding), move(m.subjects)
-	m.open, m.gone = move(m.open), move(m.gone)
-	m.favours = m.favours[:0]
+	m.gossipQueue, m.piggyback, m.subjects = move(m.gossipQueue), move(m.piggyback), move(m.subjects)
+	m.unsettled, m.gone = move(m.unsettled), move(m.gone)
+	m.indirectProbes = m.indirectProbes[:0]
 }
 
-// depart says for a while that this door goes, then that it has gone.
-func (m *Member) depart() {
-	since := m.own - m.leaving
-	if since >= leaveFor && m.all[m.self].State == Leaving {
-		m.advance(m.self, Left, "told to leave")
+// proceedLeave announces Leaving, then Left, each for leavePhase, and ends the protocol.
+func (m *Member) proceedLeave() {
+	since := m.activeTime - m.leavingAt
+	if since >= leavePhase && m.members[m.self].State == Leaving {
+		m.advance(m.self, Left, "leave completed")
 	}
-	if since >= 2*leaveFor {
-		m.over = true
-		m.do(Departed{})
+	if since >= 2*leavePhase {
+		m.departed = true
+		m.emit(Departed{})
 	}
 }
 
-// rank finds whom this door observes. Members stand on a ring by their names' hashes; a member's observers are those before
-// it, of each zone as many as its share of the fleet makes out of eight. So who looks at whom follows from who is here
-// alone, one that comes or goes changes few, and no zone makes up most of anybody's observers by chance: a zone whose line
-// is down one way is then judged alike at every member.
-func (m *Member) rank() {
-	if !m.ringOld {
+// rebuildRings determines the members that this door observes. The members of each zone form a ring, ordered by the hash
+// of the name; a member's observers are its predecessors on each ring, and each zone provides them in proportion to its
+// share of the fleet. So the assignment follows from the set of alive members alone, few observers change when a member
+// joins or leaves, and no zone provides a quorum of anybody's observers by chance: a zone whose link fails in one
+// direction is then decided on alike for every member.
+func (m *Member) rebuildRings() {
+	if !m.ringsStale {
 		return
 	}
-	m.ringOld = false
-	m.zones = m.zones[:0]
-	for i := range m.all {
-		if k := &m.all[i]; k.State.standing() {
-			z := slices.IndexFunc(m.zones, func(z ring) bool { return z.name == k.Zone })
+	m.ringsStale = false
+	m.rings = m.rings[:0]
+	for i := range m.members {
+		if k := &m.members[i]; k.State.alive() {
+			z := slices.IndexFunc(m.rings, func(z zoneRing) bool { return z.name == k.Zone })
 			if z < 0 {
-				z = len(m.zones)
-				m.zones = append(m.zones, ring{name: k.Zone})
+				z = len(m.rings)
+				m.rings = append(m.rings, zoneRing{name: k.Zone})
 			}
-			m.zones[z].members = append(m.zones[z].members, i)
+			m.rings[z].members = append(m.rings[z].members, i)
 		}
 	}
-	slices.SortFunc(m.zones, func(a, b ring) int { return cmp.Compare(a.name, b.name) })
-	for z, sum := 0, 0; z < len(m.zones); z++ {
-		one := &m.zones[z]
-		slices.SortFunc(one.members, func(i, j int) int { return cmp.Compare(m.all[i].point, m.all[j].point) })
-		one.from = observers * float64(sum) / float64(m.standing)
+	slices.SortFunc(m.rings, func(a, b zoneRing) int { return cmp.Compare(a.name, b.name) })
+	for z, sum := 0, 0; z < len(m.rings); z++ {
+		one := &m.rings[z]
+		slices.SortFunc(one.members, func(i, j int) int { return cmp.Compare(m.members[i].ringPos, m.members[j].ringPos) })
+		one.shareFrom = observersPerMember * float64(sum) / float64(m.aliveCount)
 		sum += len(one.members)
-		one.to = observers * float64(sum) / float64(m.standing)
+		one.shareTo = observersPerMember * float64(sum) / float64(m.aliveCount)
 	}
 	was := append([]int(nil), m.subjects...)
 	m.subjects = m.subjects[:0]
-	if k := &m.all[m.self]; k.State.standing() {
-		mine := &m.zones[slices.IndexFunc(m.zones, func(z ring) bool { return z.name == k.Zone })]
-		for i := range m.all {
-			if i != m.self && m.all[i].State.standing() && m.before(mine, i, func(j int) bool { return j == m.self }) {
+	if k := &m.members[m.self]; k.State.alive() {
+		mine := &m.rings[slices.IndexFunc(m.rings, func(z zoneRing) bool { return z.name == k.Zone })]
+		for i := range m.members {
+			if i != m.self && m.members[i].State.alive() && m.anyObserver(mine, i, func(j int) bool { return j == m.self }) {
 				m.subjects = append(m.subjects, i)
 			}
 		}
 	}
 	for _, i := range was {
-		if i < len(m.all) && !slices.Contains(m.subjects, i) {
-			m.all[i].subject = false
-			m.all[i].votedAt = math.Inf(-1)
+		if i < len(m.members) && !slices.Contains(m.subjects, i) {
+			m.members[i].observed = false
+			m.members[i].votedAt = math.Inf(-1)
 		}
 	}
 	for _, i := range m.subjects {
-		if k := &m.all[i]; !k.subject {
-			k.subject, k.since, k.waiting = true, m.own, false
-			k.looked = m.own - lookEvery*m.dice.Float64() // looks of all doors must not come together
+		if k := &m.members[i]; !k.observed {
+			k.observed, k.observedSince, k.awaitingAck = true, m.activeTime, false
+			k.pingedAt = m.activeTime - pingInterval*m.rng.Float64() // spreads the pings of all doors
 		}
 	}
 }
 
-// ring is the members of one zone that stand, in the order of their places, and the zone's part of the observers' number.
-type ring struct {
-	name     string
-	members  []int
-	from, to float64
+// zoneRing holds the alive members of one zone by position, and the zone's part of the range [0, observersPerMember].
+type zoneRing struct {
+	name               string
+	members            []int
+	shareFrom, shareTo float64
 }
 
-// before calls out with a member's observers of one zone until one call says true, and tells whether one did.
-func (m *Member) before(z *ring, i int, call func(j int) bool) bool {
+// anyObserver calls call for a member's observers from one zone until it returns true, and reports whether it did.
+func (m *Member) anyObserver(z *zoneRing, i int, call func(j int) bool) bool {
 	n := len(z.members)
-	at, _ := slices.BinarySearchFunc(z.members, m.all[i].point, func(j int, p uint64) int { return cmp.Compare(m.all[j].point, p) })
+	at, _ := slices.BinarySearchFunc(z.members, m.members[i].ringPos, func(j int, p uint64) int { return cmp.Compare(m.members[j].ringPos, p) })
 	others := n
-	if z.name == m.all[i].Zone {
+	if z.name == m.members[i].Zone {
 		others--
 	}
-	left := min(others, m.quota(z, i))
+	left := min(others, m.observersFromZone(z, i))
 	for s := 1; left > 0 && s <= n; s++ {
 		if j := z.members[(at-s+2*n)%n]; j != i {
 			left--
@@ -1084,143 +1114,145 @@
 	return false
 }
 
-// quota is how many of a member's observers are of a zone: what the zone's share makes out of all observers, rounded so
-// that they add up, up or down by the member's name.
-func (m *Member) quota(z *ring, i int) int {
-	if m.standing <= observers+1 {
-		return observers // all look at all
+// observersFromZone returns the number of a member's observers from a zone: the zone's share of observersPerMember,
+// rounded up or down depending on the hash of the member's name, so that the numbers add up.
+func (m *Member) observersFromZone(z *zoneRing, i int) int {
+	if m.aliveCount <= observersPerMember+1 {
+		return observersPerMember // everybody observes everybody
 	}
-	at := float64(m.all[i].point*0x9e3779b97f4a7c15>>11) / (1 << 53)
-	return int(math.Floor(z.to+at) - math.Floor(z.from+at))
+	at := float64(m.members[i].ringPos*0x9e3779b97f4a7c15>>11) / (1 << 53)
+	return int(math.Floor(z.shareTo+at) - math.Floor(z.shareFrom+at))
 }
 
-// observersOf counts those that look at a member.
-func (m *Member) observersOf(i int) (n int) {
-	for z := range m.zones {
-		m.before(&m.zones[z], i, func(int) bool { n++; return false })
+// observerCount returns the number of observers of a member.
+func (m *Member) observerCount(i int) (n int) {
+	for z := range m.rings {
+		m.anyObserver(&m.rings[z], i, func(int) bool { n++; return false })
 	}
 	return n
 }
 
-// ---- Telling ----
+// ---- Sending ----
 
+// record returns the record of a member, with ages as of now.
 func (m *Member) record(i int) Record {
-	k := &m.all[i]
+	k := &m.members[i]
 	r := k.Record
-	r.Age = math.Round(m.own - k.at)
+	r.Age = math.Round(m.activeTime - k.stateAt)
 	for _, v := range k.votes {
-		r.Votes = append(r.Votes, Vote{m.all[v.by].Name, v.seq, v.says, math.Round(m.own - v.at)})
+		r.Votes = append(r.Votes, Vote{m.members[v.by].Name, v.seq, v.observation, math.Round(m.activeTime - v.at)})
 	}
 	return r
 }
 
-// All returns the whole state, for another door.
+// All returns the records of all members, for a push/pull exchange.
 func (m *Member) All() []Record {
-	all := make([]Record, 0, len(m.all))
-	for i := range m.all {
+	all := make([]Record, 0, len(m.members))
+	for i := range m.members {
 		all = append(all, m.record(i))
 	}
 	return all
 }
 
-// send fills in who sends, and lets news ride along.
+// send completes a message with the sender's state, piggybacks records and emits Send.
 func (m *Member) send(to Peer, out *Message) {
-	me := &m.all[m.self]
-	out.From, out.Life, out.State, out.Sum = me.Peer, me.Life, me.State, m.digest()
-	if out.Kind == Look || out.Kind == Ack {
-		m.ride(out)
+	me := &m.members[m.self]
+	out.From, out.Life, out.State, out.Digest = me.Peer, me.Life, me.State, m.digest()
+	if out.Kind == Ping || out.Kind == Ack {
+		m.attachPiggyback(out)
 	}
-	m.do(Send{to, out})
+	m.emit(Send{to, out})
 }
 
-func (m *Member) ride(out *Message) {
-	if len(m.riding) == 0 {
+// attachPiggyback adds some recently changed records to a message.
+func (m *Member) attachPiggyback(out *Message) {
+	if len(m.piggyback) == 0 {
 		return
 	}
-	m.riding = slices.DeleteFunc(m.riding, func(i int) bool { return m.own-m.all[i].changed > rideFor })
+	m.piggyback = slices.DeleteFunc(m.piggyback, func(i int) bool { return m.activeTime-m.members[i].changedAt > piggybackFor })
 	start := 0
-	if len(m.riding) > rideMost {
-		start = m.dice.IntN(len(m.riding))
+	if len(m.piggyback) > piggybackRecords {
+		start = m.rng.IntN(len(m.piggyback))
 	}
-	for n := range min(rideMost, len(m.riding)) {
-		if i := m.riding[(start+n)%len(m.riding)]; i != m.self {
+	for n := range min(piggybackRecords, len(m.piggyback)) {
+		if i := m.piggyback[(start+n)%len(m.piggyback)]; i != m.self {
 			out.Records = append(out.Records, m.record(i))
 		}
 	}
 }
 
-// tellRound tells what is new to a few members drawn at random.
-func (m *Member) tellRound() {
-	if len(m.hot) == 0 {
+// gossip sends changed records, those with the most rounds left first, to a few random members.
+func (m *Member) gossip() {
+	if len(m.gossipQueue) == 0 {
 		return
 	}
 	var to []int
-	for try := 0; try < 6*tellWho && len(to) < tellWho; try++ {
-		if j := m.dice.IntN(len(m.all)); j != m.self && m.all[j].State.standing() && !slices.Contains(to, j) {
+	for try := 0; try < 6*gossipFanout && len(to) < gossipFanout; try++ {
+		if j := m.rng.IntN(len(m.members)); j != m.self && m.members[j].State.alive() && !slices.Contains(to, j) {
 			to = append(to, j)
 		}
 	}
-	slices.SortStableFunc(m.hot, func(a, b int) int { return m.all[b].left - m.all[a].left })
+	slices.SortStableFunc(m.gossipQueue, func(a, b int) int { return m.members[b].roundsLeft - m.members[a].roundsLeft })
 	size, packets := 0, 1
 	var records []Record
 	flush := func() {
 		for _, j := range to {
-			m.send(m.all[j].Peer, &Message{Kind: Tell, Records: records})
+			m.send(m.members[j].Peer, &Message{Kind: Tell, Records: records})
 		}
 		records, size = nil, 0
 	}
-	for _, i := range m.hot {
+	for _, i := range m.gossipQueue {
 		r := m.record(i)
-		its := recordSize + voteSize*len(r.Votes)
-		if size+its > packetSize && len(records) > 0 {
-			if packets == tellPackets {
+		estimate := recordBytes + voteBytes*len(r.Votes)
+		if size+estimate > maxPacketBytes && len(records) > 0 {
+			if packets == gossipPackets {
 				break
 			}
 			packets++
 			flush()
 		}
-		records, size = append(records, r), size+its
-		m.all[i].left--
+		records, size = append(records, r), size+estimate
+		m.members[i].roundsLeft--
 	}
 	flush()
-	m.hot = slices.DeleteFunc(m.hot, func(i int) bool { return m.all[i].left <= 0 })
+	m.gossipQueue = slices.DeleteFunc(m.gossipQueue, func(i int) bool { return m.members[i].roundsLeft <= 0 })
 }
 
-// ---- What is believed ----
+// ---- Views ----
 
-// Row is what this door holds of one member.
+// Row is this door's view of one member.
 type Row struct {
 	Peer
 	State   State
-	Life    uint32
+	Life    uint32  // incarnation
 	Since   float64 // ms in that state
-	Doubts  int     // observers that doubt it
-	Looks   int     // observers that a member has
-	Observe bool    // this door looks at it,
-	Reach   bool    // and it answers
-	Trip    float64 // round trip, ms; 0 where not known
+	Doubts  int     // observers that suspect the member
+	Looks   int     // observers of the member
+	Observe bool    // this door is one of them
+	Reach   bool    // the member answered this door lately
+	Trip    float64 // round-trip time, ms; 0 if unknown
 }
 
-// Rows returns what is held of all members, this door among them, by name.
+// Rows returns the view of all members, including this door, sorted by name.
 func (m *Member) Rows() []Row {
-	rows := make([]Row, 0, len(m.all))
-	for i := range m.all {
-		k := &m.all[i]
-		rows = append(rows, Row{Peer: k.Peer, State: m.shows(i), Life: k.Life, Since: m.own - k.at, Doubts: m.doubts(i), Looks: m.observersOf(i), Observe: k.subject,
-			Reach: i == m.self || k.subject && m.own-k.answered < 2*lookEvery+freshReach, Trip: k.trip})
+	rows := make([]Row, 0, len(m.members))
+	for i := range m.members {
+		k := &m.members[i]
+		rows = append(rows, Row{Peer: k.Peer, State: m.visibleState(i), Life: k.Life, Since: m.activeTime - k.stateAt, Doubts: m.suspicions(i), Looks: m.observerCount(i), Observe: k.observed,
+			Reach: i == m.self || k.observed && m.activeTime-k.ackedAt < 2*pingInterval+ackFreshFor, Trip: k.rtt})
 	}
 	slices.SortFunc(rows, func(a, b Row) int { return cmp.Compare(a.Name, b.Name) })
 	return rows
 }
 
-// Self returns what this door holds of itself.
+// Self returns this door's identity, state and incarnation.
 func (m *Member) Self() (Peer, State, uint32) {
-	k := &m.all[m.self]
-	return k.Peer, m.shows(m.self), k.Life
+	k := &m.members[m.self]
+	return k.Peer, m.visibleState(m.self), k.Life
 }
 
-// Alone tells for how long nobody was heard, ms of own time.
-func (m *Member) Alone() float64 { return m.own - m.heard }
+// SilentMs returns the active time since a message was received from any other member, ms.
+func (m *Member) SilentMs() float64 { return m.activeTime - m.receivedAt }
 
-// Stopped tells for how long this door was stopped in all, ms.
-func (m *Member) Stopped() float64 { return m.stopped }
+// PausedMs returns the total time for which this process was suspended, ms.
+func (m *Member) PausedMs() float64 { return m.paused }
--- a/members/transporttest/transporttest.go
+++ b/members/transporttest/transporttest.go
@@ -1,4 +1,4 @@
-// Package transporttest holds what every transport of a fleet must keep, as testing/fstest does for file systems.
+// Package transporttest verifies transports of a fleet, as testing/fstest does for file systems.
 package transporttest
 
 import (
@@ -17,41 +17,41 @@
 	"go.uber.org/goleak"
 )
 
-// Kit is what a suite is run on.
-type Kit struct {
-	// Listen takes an address nobody has; the suite shuts down what it gets.
+// Config is the transport that is tested.
+type Config struct {
+	// Listen returns a transport on an unused address; the tests shut it down.
 	Listen func(t *testing.T) memberlist.NodeAwareTransport
-	// Nobody is an address at which nobody listens, and nobody will.
-	Nobody string
-	// Ordered and Lossless are what the transport promises of datagrams that are sent one after the other with a receiver
-	// that keeps up. None promises anything to a receiver that doesn't.
+	// UnusedAddress is an address at which no transport listens during the test.
+	UnusedAddress string
+	// Ordered and Lossless are what the transport guarantees for datagrams that are sent one after the other to a receiver
+	// that keeps up. There are no guarantees for a receiver that doesn't.
 	Ordered, Lossless bool
-	// Loses tells that about half of the datagrams are meant to be lost, and Repeats that all come twice.
-	Loses, Repeats bool
-	// Run runs a test, within a bubble of virtual time where the transport wants one; nil for as it is.
+	// Drops means that the transport loses about half of the datagrams, and Duplicates that it delivers all of them twice.
+	Drops, Duplicates bool
+	// Run runs a test, in a synctest bubble if the transport needs virtual time; nil to call the test directly.
 	Run func(t *testing.T, test func(t *testing.T))
 }
 
 const (
-	patience = 5 * time.Second
-	most     = 1400 // bytes of a datagram that every transport carries whole
+	waitTimeout = 5 * time.Second // for anything that is expected to happen
+	maxDatagram = 1400            // bytes of a datagram that every transport can carry
 )
 
-// Run holds a transport against the contract.
-func Run(t *testing.T, k Kit) {
+// Run tests a transport.
+func Run(t *testing.T, k Config) {
 	run := k.Run
 	if run == nil {
 		run = func(t *testing.T, test func(t *testing.T)) { test(t) }
 	}
 	for _, c := range []struct {
 		name string
-		test func(t *testing.T, k Kit)
+		test func(t *testing.T, k Config)
 	}{
-		{"datagrams come whole", datagrams},
-		{"a datagram is the receiver's own", owned},
-		{"order and loss are as promised", promised},
-		{"nobody there", nobody},
-		{"an address is given back", shutdown},
+		{"datagrams arrive complete", datagrams},
+		{"buffers are copied", buffersAreCopied},
+		{"order and loss are as configured", orderAndLoss},
+		{"sending to an unused address", unusedAddress},
+		{"shutdown frees the address", shutdownFreesAddress},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			run(t, func(t *testing.T) {
@@ -60,10 +60,11 @@
 			})
 		})
 	}
-	streams(t, StreamKit{Listen: func(t *testing.T) Streams { return packets{k.Listen(t)} }, Nobody: k.Nobody, Run: run})
+	streams(t, StreamKit{Listen: func(t *testing.T) Streams { return packetTransport{k.Listen(t)} }, Nobody: k.UnusedAddress, Run: run})
 }
 
-// Streams is what makes and takes connections: the part of a transport that whatever agrees or gossips stands on.
+// StreamLayer dials and accepts connections, as raft.StreamLayer does: the part of a transport that a fleet and the
+// coordinators both need.
 type Streams interface {
 	Accept() (net.Conn, error)
 	Dial(address string, timeout time.Duration) (net.Conn, error)
@@ -71,14 +72,14 @@
 	Close() error
 }
 
-// StreamKit is what the part of the suite about connections is run on.
+// StreamConfig is the stream layer that is tested.
 type StreamKit struct {
-	Listen func(t *testing.T) Streams // takes an address nobody has; the suite closes what it gets
-	Nobody string                     // an address at which nobody listens
-	Run    func(t *testing.T, test func(t *testing.T))
+	Listen func(t *testing.T) Streams                  // returns one on an unused address; the tests close it
+	Nobody string                                      // an address at which nothing listens
+	Run    func(t *testing.T, test func(t *testing.T)) // see Config.Run
 }
 
-// RunStreams holds a transport of connections alone against the contract.
+// RunStreams tests a stream layer.
 func RunStreams(t *testing.T, k StreamKit) {
 	if k.Run == nil {
 		k.Run = func(t *testing.T, test func(t *testing.T)) { test(t) }
@@ -91,12 +92,12 @@
 		name string
 		test func(t *testing.T, k StreamKit)
 	}{
-		{"nobody takes a connection", nobodyThere},
-		{"connections carry both ways", connections},
-		{"a peer that never reads", neverReads},
-		{"closing while writing", closing},
-		{"thousands of deadlines", deadlines},
-		{"closing ends those who wait for a connection", closed},
+		{"dialing an unused address", dialUnusedAddress},
+		{"connections carry data both ways", connections},
+		{"a peer that never reads", peerNeverReads},
+		{"close during a write", closeDuringWrite},
+		{"thousands of deadlines", manyDeadlines},
+		{"close unblocks Accept", closeUnblocksAccept},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			k.Run(t, func(t *testing.T) {
@@ -107,34 +108,34 @@
 	}
 }
 
-// packets makes connections by a transport of datagrams and connections.
-type packets struct{ memberlist.NodeAwareTransport }
+// packetTransport adapts the connections of a fleet's transport to the stream layer.
+type packetTransport struct{ memberlist.NodeAwareTransport }
 
-func (p packets) Accept() (net.Conn, error) {
+func (p packetTransport) Accept() (net.Conn, error) {
 	select {
 	case c, open := <-p.StreamCh():
 		if !open {
 			return nil, net.ErrClosed
 		}
 		return c, nil
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		return nil, os.ErrDeadlineExceeded
 	}
 }
 
-func (p packets) Dial(address string, timeout time.Duration) (net.Conn, error) {
+func (p packetTransport) Dial(address string, timeout time.Duration) (net.Conn, error) {
 	return p.DialAddressTimeout(memberlist.Address{Addr: address, Name: "b"}, timeout)
 }
 
-func (p packets) Addr() net.Addr {
+func (p packetTransport) Addr() net.Addr {
 	ip, port, _ := p.FinalAdvertiseAddr("", 0)
 	return &net.TCPAddr{IP: ip, Port: port}
 }
 
-func (p packets) Close() error { return p.Shutdown() }
+func (p packetTransport) Close() error { return p.Shutdown() }
 
-// at is where a transport can be reached.
-func at(t *testing.T, tr memberlist.NodeAwareTransport) string {
+// addressOf returns the address of a transport.
+func addressOf(t *testing.T, tr memberlist.NodeAwareTransport) string {
 	ip, port, err := tr.FinalAdvertiseAddr("", 0)
 	require.NoError(t, err)
 	require.NotEmpty(t, ip)
@@ -142,38 +143,39 @@
 	return net.JoinHostPort(ip.String(), fmt.Sprint(port))
 }
 
-func two(t *testing.T, k Kit) (a, b memberlist.NodeAwareTransport, to memberlist.Address, end func()) {
+// pair returns two transports, the address of the second, and a function that shuts both down.
+func pair(t *testing.T, k Config) (a, b memberlist.NodeAwareTransport, to memberlist.Address, end func()) {
 	a, b = k.Listen(t), k.Listen(t)
-	return a, b, memberlist.Address{Addr: at(t, b), Name: "b"}, func() {
+	return a, b, memberlist.Address{Addr: addressOf(t, b), Name: "b"}, func() {
 		assert.NoError(t, a.Shutdown())
 		assert.NoError(t, b.Shutdown())
 	}
 }
 
-// next waits for a datagram.
-func next(t *testing.T, tr memberlist.NodeAwareTransport) *memberlist.Packet {
+// nextPacket waits for a datagram.
+func nextPacket(t *testing.T, tr memberlist.NodeAwareTransport) *memberlist.Packet {
 	select {
 	case p := <-tr.PacketCh():
 		return p
-	case <-time.After(patience):
-		require.Fail(t, "no datagram has come")
+	case <-time.After(waitTimeout):
+		require.Fail(t, "no datagram received")
 		return nil
 	}
 }
 
-func datagrams(t *testing.T, k Kit) {
-	a, b, to, end := two(t, k)
+func datagrams(t *testing.T, k Config) {
+	a, b, to, end := pair(t, k)
 	defer end()
-	for _, size := range []int{1, 2, 100, most - 1, most} {
+	for _, size := range []int{1, 2, 100, maxDatagram - 1, maxDatagram} {
 		sent := bytes.Repeat([]byte{byte(size)}, size)
 		var got *memberlist.Packet
 		for try := 0; got == nil; try++ {
 			require.Less(t, try, 64)
 			when, err := a.WriteToAddress(sent, to)
 			require.NoError(t, err)
-			assert.WithinDuration(t, time.Now(), when, patience)
-			if !k.Loses {
-				got = next(t, b)
+			assert.WithinDuration(t, time.Now(), when, waitTimeout)
+			if !k.Drops {
+				got = nextPacket(t, b)
 				break
 			}
 			select {
@@ -183,8 +185,8 @@
 		}
 		assert.Equal(t, sent, got.Buf)
 		assert.NotNil(t, got.From)
-		assert.WithinDuration(t, time.Now(), got.Timestamp, patience)
-		for drained := false; !drained; { // repeats
+		assert.WithinDuration(t, time.Now(), got.Timestamp, waitTimeout)
+		for drained := false; !drained; { // discards duplicates
 			select {
 			case <-b.PacketCh():
 			case <-time.After(50 * time.Millisecond):
@@ -194,61 +196,61 @@
 	}
 }
 
-func owned(t *testing.T, k Kit) {
-	if k.Loses {
+func buffersAreCopied(t *testing.T, k Config) {
+	if k.Drops {
 		t.Skip("datagrams may be lost")
 	}
-	a, b, to, end := two(t, k)
+	a, b, to, end := pair(t, k)
 	defer end()
 	buf := []byte("first")
 	_, err := a.WriteToAddress(buf, to)
 	require.NoError(t, err)
 	copy(buf, "other")
-	assert.Equal(t, "first", string(next(t, b).Buf))
+	assert.Equal(t, "first", string(nextPacket(t, b).Buf))
 }
 
-func promised(t *testing.T, k Kit) {
-	a, b, to, end := two(t, k)
+func orderAndLoss(t *testing.T, k Config) {
+	a, b, to, end := pair(t, k)
 	defer end()
 	const n = 200
-	var came []int
+	var received []int
 	for i := range n {
 		_, err := a.WriteToAddress([]byte{byte(i), byte(i >> 8)}, to)
 		require.NoError(t, err)
-		wait := patience
-		if k.Loses || !k.Lossless {
+		wait := waitTimeout
+		if k.Drops || !k.Lossless {
 			wait = 20 * time.Millisecond
 		}
 		select {
 		case p := <-b.PacketCh():
-			came = append(came, int(p.Buf[0])+int(p.Buf[1])<<8)
+			received = append(received, int(p.Buf[0])+int(p.Buf[1])<<8)
 		case <-time.After(wait):
 		}
 	}
 	for more := true; more; {
 		select {
 		case p := <-b.PacketCh():
-			came = append(came, int(p.Buf[0])+int(p.Buf[1])<<8)
+			received = append(received, int(p.Buf[0])+int(p.Buf[1])<<8)
 		case <-time.After(100 * time.Millisecond):
 			more = false
 		}
 	}
 	once := map[int]int{}
-	for i, c := range came {
+	for i, c := range received {
 		once[c]++
 		if k.Ordered && i > 0 {
-			assert.GreaterOrEqual(t, c, came[i-1])
+			assert.GreaterOrEqual(t, c, received[i-1])
 		}
 	}
 	if k.Lossless {
 		assert.Len(t, once, n)
 	}
-	if k.Loses {
+	if k.Drops {
 		assert.Less(t, len(once), n*3/4)
 		assert.Greater(t, len(once), n/4)
 	}
 	for c, times := range once {
-		if k.Repeats {
+		if k.Duplicates {
 			assert.Equal(t, 2, times, c)
 		} else {
 			assert.Equal(t, 1, times, c)
@@ -256,29 +258,29 @@
 	}
 }
 
-func nobody(t *testing.T, k Kit) {
+func unusedAddress(t *testing.T, k Config) {
 	a := k.Listen(t)
 	defer func() { assert.NoError(t, a.Shutdown()) }()
-	_, _ = a.WriteToAddress([]byte("anybody?"), memberlist.Address{Addr: k.Nobody}) // an error or none, but no wait
+	_, _ = a.WriteToAddress([]byte("anybody?"), memberlist.Address{Addr: k.UnusedAddress}) // may return an error, but must not block
 	began := time.Now()
-	_, err := a.DialAddressTimeout(memberlist.Address{Addr: k.Nobody}, 300*time.Millisecond)
+	_, err := a.DialAddressTimeout(memberlist.Address{Addr: k.UnusedAddress}, 300*time.Millisecond)
 	assert.Error(t, err)
-	assert.Less(t, time.Since(began), patience)
-	_, err = a.WriteTo(make([]byte, 1<<20), k.Nobody)
-	assert.Error(t, err, "no datagram is so long")
+	assert.Less(t, time.Since(began), waitTimeout)
+	_, err = a.WriteTo(make([]byte, 1<<20), k.UnusedAddress)
+	assert.Error(t, err, "the datagram is too long")
 }
 
-func nobodyThere(t *testing.T, k StreamKit) {
+func dialUnusedAddress(t *testing.T, k StreamKit) {
 	a := k.Listen(t)
 	defer func() { assert.NoError(t, a.Close()) }()
 	began := time.Now()
 	_, err := a.Dial(k.Nobody, 300*time.Millisecond)
 	assert.Error(t, err)
-	assert.Less(t, time.Since(began), patience)
+	assert.Less(t, time.Since(began), waitTimeout)
 }
 
-// connected makes a connection.
-func connected(t *testing.T, k StreamKit) (mine, theirs net.Conn, end func()) {
+// connect returns both ends of a connection, and a function that closes it and the stream layers.
+func connect(t *testing.T, k StreamKit) (local, remote net.Conn, end func()) {
 	a, b := k.Listen(t), k.Listen(t)
 	got := make(chan net.Conn, 1)
 	go func() {
@@ -288,19 +290,19 @@
 		}
 		got <- c
 	}()
-	mine, err := a.Dial(b.Addr().String(), patience)
+	local, err := a.Dial(b.Addr().String(), waitTimeout)
 	require.NoError(t, err)
-	theirs = <-got
-	require.NotNil(t, theirs)
-	return mine, theirs, func() {
-		mine.Close()
-		theirs.Close()
+	remote = <-got
+	require.NotNil(t, remote)
+	return local, remote, func() {
+		local.Close()
+		remote.Close()
 		assert.NoError(t, a.Close())
 		assert.NoError(t, b.Close())
 	}
 }
 
-func closed(t *testing.T, k StreamKit) {
+func closeUnblocksAccept(t *testing.T, k StreamKit) {
 	a, b := k.Listen(t), k.Listen(t)
 	at := b.Addr().String()
 	ended := make(chan error, 1)
@@ -312,8 +314,8 @@
 	select {
 	case err := <-ended:
 		assert.Error(t, err)
-	case <-time.After(2 * patience):
-		assert.Fail(t, "it waits on")
+	case <-time.After(2 * waitTimeout):
+		assert.Fail(t, "Accept is still blocked")
 	}
 	_, err := a.Dial(at, 200*time.Millisecond)
 	assert.Error(t, err)
@@ -321,94 +323,94 @@
 }
 
 func connections(t *testing.T, k StreamKit) {
-	mine, theirs, end := connected(t, k)
+	local, remote, end := connect(t, k)
 	defer end()
 	sent := bytes.Repeat([]byte("state "), 1<<17)
 	echoed := make(chan error, 1)
 	go func() {
 		all := make([]byte, len(sent))
-		_, err := io.ReadFull(theirs, all)
+		_, err := io.ReadFull(remote, all)
 		if err == nil {
-			_, err = theirs.Write(all)
+			_, err = remote.Write(all)
 		}
 		echoed <- err
 	}()
-	require.NoError(t, mine.SetDeadline(time.Now().Add(patience)))
-	_, err := mine.Write(sent)
+	require.NoError(t, local.SetDeadline(time.Now().Add(waitTimeout)))
+	_, err := local.Write(sent)
 	require.NoError(t, err)
-	back := make([]byte, len(sent))
-	_, err = io.ReadFull(mine, back)
+	reply := make([]byte, len(sent))
+	_, err = io.ReadFull(local, reply)
 	require.NoError(t, err)
-	assert.True(t, bytes.Equal(sent, back))
+	assert.True(t, bytes.Equal(sent, reply))
 	require.NoError(t, <-echoed)
 }
 
-func neverReads(t *testing.T, k StreamKit) {
-	mine, _, end := connected(t, k)
+func peerNeverReads(t *testing.T, k StreamKit) {
+	local, _, end := connect(t, k)
 	defer end()
-	require.NoError(t, mine.SetWriteDeadline(time.Now().Add(200*time.Millisecond)))
+	require.NoError(t, local.SetWriteDeadline(time.Now().Add(200*time.Millisecond)))
 	var err error
 	for range 1024 {
-		if _, err = mine.Write(make([]byte, 64<<10)); err != nil {
+		if _, err = local.Write(make([]byte, 64<<10)); err != nil {
 			break
 		}
 	}
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	require.NoError(t, mine.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
-	_, err = mine.Read(make([]byte, 1))
-	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "nor does it say anything")
+	require.NoError(t, local.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
+	_, err = local.Read(make([]byte, 1))
+	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "the peer sent something")
 }
 
-func closing(t *testing.T, k StreamKit) {
-	mine, theirs, end := connected(t, k)
+func closeDuringWrite(t *testing.T, k StreamKit) {
+	local, remote, end := connect(t, k)
 	defer end()
 	ended := make(chan error, 1)
 	go func() {
 		var err error
 		for err == nil {
-			_, err = mine.Write(make([]byte, 16<<10))
+			_, err = local.Write(make([]byte, 16<<10))
 		}
 		ended <- err
 	}()
-	_, err := io.ReadFull(theirs, make([]byte, 1<<10))
+	_, err := io.ReadFull(remote, make([]byte, 1<<10))
 	require.NoError(t, err)
-	require.NoError(t, theirs.Close())
+	require.NoError(t, remote.Close())
 	select {
 	case err := <-ended:
 		assert.Error(t, err)
 		assert.False(t, errors.Is(err, os.ErrDeadlineExceeded))
-	case <-time.After(patience):
-		assert.Fail(t, "the writer goes on")
+	case <-time.After(waitTimeout):
+		assert.Fail(t, "the write is still blocked")
 	}
-	mine.Close()
+	local.Close()
 }
 
-func deadlines(t *testing.T, k StreamKit) {
-	mine, theirs, end := connected(t, k)
+func manyDeadlines(t *testing.T, k StreamKit) {
+	local, remote, end := connect(t, k)
 	defer end()
 	for range 5000 {
-		require.NoError(t, mine.SetDeadline(time.Now().Add(time.Hour)))
+		require.NoError(t, local.SetDeadline(time.Now().Add(time.Hour)))
 	}
-	require.NoError(t, mine.SetDeadline(time.Now().Add(-time.Second)))
-	_, err := mine.Read(make([]byte, 1))
+	require.NoError(t, local.SetDeadline(time.Now().Add(-time.Second)))
+	_, err := local.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	require.NoError(t, mine.SetDeadline(time.Now().Add(patience)))
-	go func() { _, _ = theirs.Write([]byte("x")) }()
-	_, err = io.ReadFull(mine, make([]byte, 1))
-	assert.NoError(t, err, "a later deadline takes the place of one that is over")
+	require.NoError(t, local.SetDeadline(time.Now().Add(waitTimeout)))
+	go func() { _, _ = remote.Write([]byte("x")) }()
+	_, err = io.ReadFull(local, make([]byte, 1))
+	assert.NoError(t, err, "a later deadline replaces an expired one")
 }
 
-func shutdown(t *testing.T, k Kit) {
-	a, b, to, end := two(t, k)
+func shutdownFreesAddress(t *testing.T, k Config) {
+	a, b, to, end := pair(t, k)
 	end()
 	_, err := a.DialAddressTimeout(to, 200*time.Millisecond)
 	assert.Error(t, err)
 	select {
 	case _, open := <-b.PacketCh():
-		assert.False(t, open, "nothing comes any more")
+		assert.False(t, open, "datagram received after the shutdown")
 	default:
 	}
 	c := k.Listen(t)
 	assert.NoError(t, c.Shutdown())
-	assert.NoError(t, c.Shutdown(), "twice is once")
+	assert.NoError(t, c.Shutdown(), "a second shutdown does nothing")
 }
