--- a/store/store.go
+++ b/store/store.go
@@ -1,6 +1,6 @@
-// Package store keeps what a coordinator must not forget: hashicorp/raft's log, its votes and its snapshots, in one file of
-// bbolt, or in memory. Each record carries a version and a checksum: an older form is read, a newer one and a damaged one are
-// refused by type. A write that fails is the end of its coordinator; the others go on.
+// Package store keeps the durable state of a coordinator: hashicorp/raft's log, term, vote and snapshots, in one bbolt file
+// or in memory. Each record has a version and a checksum: records of older versions are read, newer and damaged ones are
+// rejected with an error type of their own. A failed write ends its coordinator; the others continue.
 package store
 
 import (
@@ -17,7 +17,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// Store is all that raft keeps. storetest holds what every one must do.
+// Store is everything that raft persists. Package storetest verifies implementations.
 type Store interface {
 	raft.LogStore
 	raft.StableStore
@@ -25,47 +25,47 @@
 	Close() error
 }
 
-// Version of the records. An older one is read, a newer one refused.
+// Version is the version of the records. Older versions are read, newer ones rejected.
 const Version = 1
 
 const (
-	lockFor   = time.Second // that another process may still hold the file for
-	snapshots = 2           // that are kept: the latest, and the one before it
-	headSize  = 9           // bytes before a record: version and checksum
-	private   = 0o600       // mode of the file: it tells who may do what
+	lockTimeout   = time.Second // to wait for the file's lock, which a process that is ending may still hold
+	snapshotsKept = 2           // the latest one and the one before it
+	headerSize    = 9           // bytes of the header of a record: version, checksum (xxhash64, big endian)
+	fileMode      = 0o600       // the file is private: it contains who may do what
 )
 
 var (
-	logBucket  = []byte("log")
-	termBucket = []byte("stable")
-	metaBucket = []byte("snapshot")
-	dataBucket = []byte("snapshot-data")
+	logBucket          = []byte("log")
+	stableBucket       = []byte("stable")
+	snapshotMetaBucket = []byte("snapshot")
+	snapshotDataBucket = []byte("snapshot-data")
 )
 
-// Options of a file.
+// Options configures a Bolt store. Any function may be nil.
 type Options struct {
-	NoSync bool                // leave it to the system when bytes reach the disk: a machine that stops loses what it said
-	Before func() error        // called before each write; its error is the write's. For rigs that spoil disks
-	Wrote  func(time.Duration) // hears how long each write took
-	Failed func(error)         // hears of a write that failed before raft does, and need not return
+	NoSync bool                // don't sync writes to the disk: a machine that crashes loses acknowledged writes
+	Before func() error        // called before each write; an error fails the write. Used to inject disk faults
+	Wrote  func(time.Duration) // called after each write with its duration
+	Failed func(error)         // called when a write fails, before raft gets the error; it need not return
 }
 
-// Bolt is a store in one file.
+// Bolt is a store in one bbolt file.
 type Bolt struct {
-	path string
-	db   *bbolt.DB
-	o    Options
+	path    string
+	db      *bbolt.DB
+	options Options
 }
 
-// Open opens a file, or makes it.
+// Open opens a file, which it creates if there is none.
 func Open(path string, o Options) (*Bolt, error) {
-	db, err := bbolt.Open(path, private, &bbolt.Options{Timeout: lockFor, NoSync: o.NoSync, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType})
+	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: lockTimeout, NoSync: o.NoSync, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType})
 	if err != nil {
 		return nil, &OpenError{path, err}
 	}
 	b := &Bolt{path, db, o}
 	err = b.write(func(tx *bbolt.Tx) error {
-		for _, name := range [][]byte{logBucket, termBucket, metaBucket, dataBucket} {
+		for _, name := range [][]byte{logBucket, stableBucket, snapshotMetaBucket, snapshotDataBucket} {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 				return err
 			}
@@ -79,56 +79,59 @@
 	return b, nil
 }
 
-// Close gives the file back.
+// Close closes the file and releases its lock.
 func (b *Bolt) Close() error { return b.db.Close() }
 
+// write runs a transaction and calls the functions of the options.
 func (b *Bolt) write(do func(tx *bbolt.Tx) error) error {
 	began := time.Now()
 	var err error
-	if b.o.Before != nil {
-		err = b.o.Before()
+	if b.options.Before != nil {
+		err = b.options.Before()
 	}
 	if err == nil {
 		err = b.db.Update(do)
 	}
-	if b.o.Wrote != nil {
-		b.o.Wrote(time.Since(began))
+	if b.options.Wrote != nil {
+		b.options.Wrote(time.Since(began))
 	}
 	if err != nil {
 		err = &WriteError{b.path, err}
-		if b.o.Failed != nil {
-			b.o.Failed(err)
+		if b.options.Failed != nil {
+			b.options.Failed(err)
 		}
 	}
 	return err
 }
 
-// seal puts version and checksum before a record.
-func seal(raw []byte) []byte {
-	out := make([]byte, headSize, headSize+len(raw))
+// encodeRecord returns a record with its header.
+func encodeRecord(raw []byte) []byte {
+	out := make([]byte, headerSize, headerSize+len(raw))
 	out[0] = Version
 	binary.BigEndian.PutUint64(out[1:], xxhash.Sum64(raw))
 	return append(out, raw...)
 }
 
-// unseal gives a record back, as a copy of its own.
-func (b *Bolt) unseal(what string, raw []byte) ([]byte, error) {
+// decodeRecord verifies the header of a record and returns a copy of the rest; what names the record in errors.
+func (b *Bolt) decodeRecord(what string, raw []byte) ([]byte, error) {
 	switch {
-	case len(raw) < headSize:
+	case len(raw) < headerSize:
 		return nil, &DamagedError{b.path, what}
 	case raw[0] > Version || raw[0] == 0:
 		return nil, &VersionError{b.path, int(raw[0])}
-	case binary.BigEndian.Uint64(raw[1:]) != xxhash.Sum64(raw[headSize:]):
+	case binary.BigEndian.Uint64(raw[1:]) != xxhash.Sum64(raw[headerSize:]):
 		return nil, &DamagedError{b.path, what}
 	}
-	return bytes.Clone(raw[headSize:]), nil
+	return bytes.Clone(raw[headerSize:]), nil
 }
 
-func number(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+// encodeUint64 encodes an integer so that keys sort by their number.
+func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
 // ---- The log ----
 
-func (b *Bolt) end(first bool) (n uint64, err error) {
+// boundIndex returns the index of the first or last entry; 0 if the log is empty.
+func (b *Bolt) boundIndex(first bool) (n uint64, err error) {
 	err = b.db.View(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(logBucket).Cursor()
 		k, _ := c.Last()
@@ -143,26 +146,26 @@
 	return n, err
 }
 
-// FirstIndex is that of the first entry; 0 for none.
-func (b *Bolt) FirstIndex() (uint64, error) { return b.end(true) }
+// FirstIndex returns the index of the first entry; 0 if the log is empty.
+func (b *Bolt) FirstIndex() (uint64, error) { return b.boundIndex(true) }
 
-// LastIndex is that of the last entry; 0 for none.
-func (b *Bolt) LastIndex() (uint64, error) { return b.end(false) }
+// LastIndex returns the index of the last entry; 0 if the log is empty.
+func (b *Bolt) LastIndex() (uint64, error) { return b.boundIndex(false) }
 
-// GetLog reads an entry.
+// GetLog reads an entry; raft.ErrLogNotFound if there is none.
 func (b *Bolt) GetLog(index uint64, l *raft.Log) error {
 	return b.db.View(func(tx *bbolt.Tx) error {
-		raw := tx.Bucket(logBucket).Get(number(index))
+		raw := tx.Bucket(logBucket).Get(encodeUint64(index))
 		if raw == nil {
 			return raft.ErrLogNotFound
 		}
 		what := fmt.Sprintf("entry %d of the log", index)
-		plain, err := b.unseal(what, raw)
+		payload, err := b.decodeRecord(what, raw)
 		if err != nil {
 			return err
 		}
 		*l = raft.Log{}
-		if json.Unmarshal(plain, l) != nil {
+		if json.Unmarshal(payload, l) != nil {
 			return &DamagedError{b.path, what}
 		}
 		return nil
@@ -172,7 +175,7 @@
 // StoreLog writes an entry.
 func (b *Bolt) StoreLog(l *raft.Log) error { return b.StoreLogs([]*raft.Log{l}) }
 
-// StoreLogs writes entries, all or none.
+// StoreLogs writes entries in one transaction.
 func (b *Bolt) StoreLogs(logs []*raft.Log) error {
 	return b.write(func(tx *bbolt.Tx) error {
 		for _, l := range logs {
@@ -180,7 +183,7 @@
 			if err != nil {
 				return err
 			}
-			if err := tx.Bucket(logBucket).Put(number(l.Index), seal(raw)); err != nil {
+			if err := tx.Bucket(logBucket).Put(encodeUint64(l.Index), encodeRecord(raw)); err != nil {
 				return err
 			}
 		}
@@ -188,11 +191,11 @@
 	})
 }
 
-// DeleteRange deletes entries from one index to another, both among them.
+// DeleteRange deletes the entries from one index to another, inclusive.
 func (b *Bolt) DeleteRange(from, to uint64) error {
 	return b.write(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(logBucket).Cursor()
-		for k, _ := c.Seek(number(from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = c.Next() {
+		for k, _ := c.Seek(encodeUint64(from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = c.Next() {
 			if err := c.Delete(); err != nil {
 				return err
 			}
@@ -201,18 +204,18 @@
 	})
 }
 
-// ---- Votes ----
+// ---- Term and vote ----
 
 // Set writes a value under a key.
 func (b *Bolt) Set(key, value []byte) error {
-	return b.write(func(tx *bbolt.Tx) error { return tx.Bucket(termBucket).Put(key, seal(value)) })
+	return b.write(func(tx *bbolt.Tx) error { return tx.Bucket(stableBucket).Put(key, encodeRecord(value)) })
 }
 
-// Get reads it; nothing where there is none.
+// Get reads the value of a key; nil if there is none.
 func (b *Bolt) Get(key []byte) (value []byte, err error) {
 	err = b.db.View(func(tx *bbolt.Tx) error {
-		if raw := tx.Bucket(termBucket).Get(key); raw != nil {
-			value, err = b.unseal(string(key), raw)
+		if raw := tx.Bucket(stableBucket).Get(key); raw != nil {
+			value, err = b.decodeRecord(string(key), raw)
 			return err
 		}
 		return nil
@@ -220,10 +223,10 @@
 	return value, err
 }
 
-// SetUint64 writes a number under a key.
-func (b *Bolt) SetUint64(key []byte, value uint64) error { return b.Set(key, number(value)) }
+// SetUint64 writes an integer under a key.
+func (b *Bolt) SetUint64(key []byte, value uint64) error { return b.Set(key, encodeUint64(value)) }
 
-// GetUint64 reads it; 0 where there is none.
+// GetUint64 reads the integer of a key; 0 if there is none.
 func (b *Bolt) GetUint64(key []byte) (uint64, error) {
 	raw, err := b.Get(key)
 	if err != nil || len(raw) == 0 {
@@ -237,47 +240,47 @@
 
 // ---- Snapshots ----
 
-// Create begins a snapshot. It is kept in memory until it is closed: the state is some hundred kilobytes.
+// Create begins a snapshot. It is buffered in memory until it is closed, as the state is some hundred kilobytes.
 func (b *Bolt) Create(version raft.SnapshotVersion, index, term uint64, of raft.Configuration, ofIndex uint64, _ raft.Transport) (raft.SnapshotSink, error) {
 	m := raft.SnapshotMeta{Version: version, ID: fmt.Sprintf("%020d-%020d-%d", term, index, time.Now().UnixNano()), Index: index, Term: term,
 		Configuration: of, ConfigurationIndex: ofIndex}
-	return &sink{b: b, meta: m}, nil
+	return &snapshotSink{store: b, meta: m}, nil
 }
 
-// sink is a snapshot that is being written.
-type sink struct {
-	b    *Bolt
-	meta raft.SnapshotMeta
+// snapshotSink is a snapshot that is being written.
+type snapshotSink struct {
+	store *Bolt
+	meta  raft.SnapshotMeta
 	bytes.Buffer
-	over bool
+	closed bool
 }
 
-func (s *sink) ID() string { return s.meta.ID }
+func (s *snapshotSink) ID() string { return s.meta.ID }
 
-// Cancel forgets it.
-func (s *sink) Cancel() error {
-	s.over = true
+// Cancel discards the snapshot.
+func (s *snapshotSink) Cancel() error {
+	s.closed = true
 	return nil
 }
 
-// Close writes it, whole or not at all, and lets older ones go.
-func (s *sink) Close() error {
-	if s.over {
+// Close writes the snapshot and deletes the oldest ones, in one transaction.
+func (s *snapshotSink) Close() error {
+	if s.closed {
 		return nil
 	}
-	s.over = true
+	s.closed = true
 	s.meta.Size = int64(s.Len())
 	raw, err := json.Marshal(s.meta)
 	if err != nil {
 		return err
 	}
-	return s.b.write(func(tx *bbolt.Tx) error {
-		metas, data := tx.Bucket(metaBucket), tx.Bucket(dataBucket)
+	return s.store.write(func(tx *bbolt.Tx) error {
+		metas, data := tx.Bucket(snapshotMetaBucket), tx.Bucket(snapshotDataBucket)
 		id := []byte(s.meta.ID)
-		if err := metas.Put(id, seal(raw)); err != nil {
+		if err := metas.Put(id, encodeRecord(raw)); err != nil {
 			return err
 		}
-		if err := data.Put(id, seal(s.Bytes())); err != nil {
+		if err := data.Put(id, encodeRecord(s.Bytes())); err != nil {
 			return err
 		}
 		var all [][]byte
@@ -287,7 +290,7 @@
 			c.Seek(k)
 			k, _ = c.Next()
 		}
-		for _, old := range all[:max(0, len(all)-snapshots)] {
+		for _, old := range all[:max(0, len(all)-snapshotsKept)] {
 			if err := errors.Join(metas.Delete(old), data.Delete(old)); err != nil {
 				return err
 			}
@@ -296,12 +299,12 @@
 	})
 }
 
-// List lists snapshots, the latest first. Ids sort by term and index.
+// List returns the snapshots, the latest first: IDs sort by term and index.
 func (b *Bolt) List() (all []*raft.SnapshotMeta, err error) {
 	err = b.db.View(func(tx *bbolt.Tx) error {
-		c := tx.Bucket(metaBucket).Cursor()
+		c := tx.Bucket(snapshotMetaBucket).Cursor()
 		for k, raw := c.Last(); k != nil; k, raw = c.Prev() {
-			m, err := b.meta(string(k), raw)
+			m, err := b.decodeMeta(string(k), raw)
 			if err != nil {
 				return err
 			}
@@ -312,13 +315,14 @@
 	return all, err
 }
 
-func (b *Bolt) meta(id string, raw []byte) (*raft.SnapshotMeta, error) {
-	plain, err := b.unseal("snapshot "+id, raw)
+// decodeMeta decodes the metadata of a snapshot.
+func (b *Bolt) decodeMeta(id string, raw []byte) (*raft.SnapshotMeta, error) {
+	payload, err := b.decodeRecord("snapshot "+id, raw)
 	if err != nil {
 		return nil, err
 	}
 	m := &raft.SnapshotMeta{}
-	if json.Unmarshal(plain, m) != nil {
+	if json.Unmarshal(payload, m) != nil {
 		return nil, &DamagedError{b.path, "snapshot " + id}
 	}
 	return m, nil
@@ -327,30 +331,30 @@
 // Open opens a snapshot.
 func (b *Bolt) Open(id string) (m *raft.SnapshotMeta, r io.ReadCloser, err error) {
 	err = b.db.View(func(tx *bbolt.Tx) error {
-		raw, data := tx.Bucket(metaBucket).Get([]byte(id)), tx.Bucket(dataBucket).Get([]byte(id))
+		raw, data := tx.Bucket(snapshotMetaBucket).Get([]byte(id)), tx.Bucket(snapshotDataBucket).Get([]byte(id))
 		if raw == nil || data == nil {
-			return &UnknownError{b.path, id}
+			return &SnapshotNotFoundError{b.path, id}
 		}
-		if m, err = b.meta(id, raw); err != nil {
+		if m, err = b.decodeMeta(id, raw); err != nil {
 			return err
 		}
-		plain, err := b.unseal("snapshot "+id, data)
-		r = io.NopCloser(bytes.NewReader(plain))
+		payload, err := b.decodeRecord("snapshot "+id, data)
+		r = io.NopCloser(bytes.NewReader(payload))
 		return err
 	})
 	return m, r, err
 }
 
-// Memory is a store that ends with its process.
+// Memory is a store in memory.
 type Memory struct {
 	*raft.InmemStore
 	*raft.InmemSnapshotStore
 }
 
-// NewMemory returns an empty one.
+// NewMemory returns an empty store.
 func NewMemory() *Memory { return &Memory{raft.NewInmemStore(), raft.NewInmemSnapshotStore()} }
 
-// Get reads a value; nothing where there is none, as the interface has it. The library's own makes an error of that.
+// Get reads the value of a key; nil if there is none, as raft.StableStore requires. The library's store returns an error.
 func (m *Memory) Get(key []byte) ([]byte, error) {
 	v, err := m.InmemStore.Get(key)
 	if err != nil {
@@ -359,7 +363,7 @@
 	return bytes.Clone(v), nil
 }
 
-// Set writes a copy of a value.
+// Set writes a copy of a value under a key.
 func (m *Memory) Set(key, value []byte) error { return m.InmemStore.Set(key, bytes.Clone(value)) }
 
 // Close does nothing.
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -27,29 +27,29 @@
 	}
 }
 
-func TestContractOfMemory(t *testing.T) {
-	storetest.Run(t, storetest.Kit{Open: func(*testing.T, string) store.Store { return store.NewMemory() }})
+func TestMemory(t *testing.T) {
+	storetest.Run(t, storetest.Config{Open: func(*testing.T, string) store.Store { return store.NewMemory() }})
 }
 
-func TestContractOfBolt(t *testing.T) {
-	storetest.Run(t, storetest.Kit{Open: onDisk(store.Options{}), Durable: true, File: file, Roots: []int{0, 1}})
+func TestBolt(t *testing.T) {
+	storetest.Run(t, storetest.Config{Open: onDisk(store.Options{}), Durable: true, File: file, MetaPages: []int{0, 1}})
 }
 
-func TestContractOfBoltWithoutSync(t *testing.T) {
-	storetest.Run(t, storetest.Kit{Open: onDisk(store.Options{NoSync: true}), Durable: true})
+func TestBoltWithoutSync(t *testing.T) {
+	storetest.Run(t, storetest.Config{Open: onDisk(store.Options{NoSync: true}), Durable: true})
 }
 
-func TestContractOfASlowDisk(t *testing.T) {
+func TestBoltOnASlowDisk(t *testing.T) {
 	slow := func() error { time.Sleep(time.Millisecond); return nil }
-	storetest.Run(t, storetest.Kit{Open: onDisk(store.Options{Before: slow}), Durable: true})
+	storetest.Run(t, storetest.Config{Open: onDisk(store.Options{Before: slow}), Durable: true})
 }
 
-func TestAWriteThatFailsIsToldFirstAndChangesNothing(t *testing.T) {
+func TestAFailedWriteIsReportedAndChangesNothing(t *testing.T) {
 	var broken error
-	var told error
-	var took []time.Duration
-	s, err := store.Open(filepath.Join(t.TempDir(), file), store.Options{Before: func() error { return broken }, Failed: func(err error) { told = err },
-		Wrote: func(d time.Duration) { took = append(took, d) }})
+	var reported error
+	var durations []time.Duration
+	s, err := store.Open(filepath.Join(t.TempDir(), file), store.Options{Before: func() error { return broken }, Failed: func(err error) { reported = err },
+		Wrote: func(d time.Duration) { durations = append(durations, d) }})
 	require.NoError(t, err)
 	defer s.Close()
 	require.NoError(t, s.SetUint64([]byte("term"), 1))
@@ -57,16 +57,16 @@
 	err = s.SetUint64([]byte("term"), 2)
 	var failed *store.WriteError
 	require.ErrorAs(t, err, &failed)
-	assert.Equal(t, err, told)
+	assert.Equal(t, err, reported)
 	assert.ErrorIs(t, err, syscall.ENOSPC)
 	assert.Contains(t, failed.Remedy(), "Make room")
 	n, err := s.GetUint64([]byte("term"))
 	require.NoError(t, err)
 	assert.EqualValues(t, 1, n)
-	assert.NotEmpty(t, took)
+	assert.NotEmpty(t, durations)
 }
 
-// patch changes a record in the file behind the store's back.
+// patch changes the first record of a bucket directly in the file.
 func patch(t *testing.T, path, bucket string, change func(raw []byte) []byte) {
 	db, err := bbolt.Open(path, 0o600, nil)
 	require.NoError(t, err)
@@ -78,7 +78,7 @@
 	}))
 }
 
-func TestADamagedOrNewerRecordIsRefused(t *testing.T) {
+func TestADamagedOrNewerRecordIsRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), file)
 	s, err := store.Open(path, store.Options{})
 	require.NoError(t, err)
@@ -106,7 +106,7 @@
 	require.ErrorAs(t, entry, &damaged)
 }
 
-func TestAFileThatIsNoStoreIsNamed(t *testing.T) {
+func TestOpenRejectsAFileThatIsNoStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), file)
 	require.NoError(t, os.WriteFile(path, []byte("no store at all, and longer than a few bytes"), 0o600))
 	_, err := store.Open(path, store.Options{})
--- a/store/storetest/storetest.go
+++ b/store/storetest/storetest.go
@@ -1,4 +1,4 @@
-// Package storetest holds what every store of a coordinator must keep, as testing/fstest does for file systems.
+// Package storetest verifies implementations of store.Store, as testing/fstest does for file systems.
 package storetest
 
 import (
@@ -19,38 +19,38 @@
 	"github.com/swifthall/swifthall/store"
 )
 
-// Kit is what a suite is run on.
-type Kit struct {
-	// Open opens the store in a folder, which may hold what an earlier one left.
+// Config is the store that is tested.
+type Config struct {
+	// Open opens the store in a directory, which may have files of an earlier store.
 	Open func(t *testing.T, dir string) store.Store
-	// Durable tells that what was written is there when the store is opened again.
+	// Durable means that a store that is opened again has what was written.
 	Durable bool
-	// File is the file, within the folder, whose pages a crash tears; empty where there is none. Roots are the pages that a
-	// commit writes last, on their own.
-	File  string
-	Roots []int
+	// File is the file in the directory that a crash may leave partly written; empty for none. MetaPages are its pages
+	// that a commit writes last and separately.
+	File      string
+	MetaPages []int
 }
 
 const (
-	page   = 4096
-	sector = 512
+	pageSize   = 4096 // bytes
+	sectorSize = 512  // bytes that a disk writes as a unit
 )
 
-// Run holds a store against the contract.
-func Run(t *testing.T, k Kit) {
+// Run tests a store.
+func Run(t *testing.T, k Config) {
 	for _, c := range []struct {
 		name string
-		test func(t *testing.T, k Kit)
+		test func(t *testing.T, k Config)
 		only bool
 	}{
-		{"the log keeps entries and their bounds", logs, true},
-		{"entries are deleted from either end", ranges, true},
-		{"a vote is what was written last", votes, true},
-		{"snapshots come whole or not at all", snapshots, true},
-		{"what is kept is the store's own", owned, true},
-		{"reading while writing", side, true},
-		{"opened again it holds all", again, k.Durable},
-		{"torn at every write it is as before or as after", torn, k.File != ""},
+		{"log entries and bounds", testLog, true},
+		{"deleting entries from either end", testDeleteRange, true},
+		{"term and vote", testStable, true},
+		{"snapshots are complete or absent", testSnapshots, true},
+		{"values are copied", testCopies, true},
+		{"concurrent reads and writes", testConcurrentReads, true},
+		{"reopening", testReopen, k.Durable},
+		{"a torn write leaves the state before or after it", testTornWrites, k.File != ""},
 	} {
 		if c.only {
 			t.Run(c.name, func(t *testing.T) { c.test(t, k) })
@@ -62,7 +62,7 @@
 	return &raft.Log{Index: i, Term: 1 + i/10, Type: raft.LogCommand, Data: bytes.Repeat([]byte{byte(i)}, int(i%7)*300+1)}
 }
 
-func write(t *testing.T, s store.Store, from, to uint64) {
+func appendEntries(t *testing.T, s store.Store, from, to uint64) {
 	var all []*raft.Log
 	for i := from; i <= to; i++ {
 		all = append(all, entry(i))
@@ -78,20 +78,20 @@
 	return first, last
 }
 
-func open(t *testing.T, k Kit) store.Store {
+func openEmpty(t *testing.T, k Config) store.Store {
 	s := k.Open(t, t.TempDir())
 	t.Cleanup(func() { s.Close() })
 	return s
 }
 
-func logs(t *testing.T, k Kit) {
-	s := open(t, k)
+func testLog(t *testing.T, k Config) {
+	s := openEmpty(t, k)
 	first, last := bounds(t, s)
 	assert.Zero(t, first)
 	assert.Zero(t, last)
 	var l raft.Log
 	assert.ErrorIs(t, s.GetLog(3, &l), raft.ErrLogNotFound)
-	write(t, s, 5, 40)
+	appendEntries(t, s, 5, 40)
 	require.NoError(t, s.StoreLog(entry(41)))
 	first, last = bounds(t, s)
 	assert.EqualValues(t, []uint64{5, 41}, []uint64{first, last})
@@ -109,9 +109,9 @@
 	assert.ErrorIs(t, s.GetLog(42, &l), raft.ErrLogNotFound)
 }
 
-func ranges(t *testing.T, k Kit) {
-	s := open(t, k)
-	write(t, s, 1, 1000)
+func testDeleteRange(t *testing.T, k Config) {
+	s := openEmpty(t, k)
+	appendEntries(t, s, 1, 1000)
 	require.NoError(t, s.DeleteRange(1, 600))
 	require.NoError(t, s.DeleteRange(901, 1000))
 	first, last := bounds(t, s)
@@ -125,8 +125,8 @@
 	assert.Zero(t, last)
 }
 
-func votes(t *testing.T, k Kit) {
-	s := open(t, k)
+func testStable(t *testing.T, k Config) {
+	s := openEmpty(t, k)
 	v, err := s.Get([]byte("who"))
 	require.NoError(t, err)
 	assert.Empty(t, v)
@@ -145,7 +145,7 @@
 	assert.Equal(t, "c-4", string(v))
 }
 
-func snapshot(t *testing.T, s store.Store, index, term uint64, data []byte) string {
+func createSnapshot(t *testing.T, s store.Store, index, term uint64, data []byte) string {
 	_, trans := raft.NewInmemTransport("")
 	sink, err := s.Create(1, index, term, raft.Configuration{Servers: []raft.Server{{ID: "c", Address: "a"}}}, 1, trans)
 	require.NoError(t, err)
@@ -158,7 +158,7 @@
 	return sink.ID()
 }
 
-func latest(t *testing.T, s store.Store) (*raft.SnapshotMeta, []byte) {
+func latestSnapshot(t *testing.T, s store.Store) (*raft.SnapshotMeta, []byte) {
 	all, err := s.List()
 	require.NoError(t, err)
 	if len(all) == 0 {
@@ -172,13 +172,13 @@
 	return m, raw
 }
 
-func snapshots(t *testing.T, k Kit) {
-	s := open(t, k)
-	m, _ := latest(t, s)
+func testSnapshots(t *testing.T, k Config) {
+	s := openEmpty(t, k)
+	m, _ := latestSnapshot(t, s)
 	assert.Nil(t, m)
 	for i := uint64(1); i < 6; i++ {
-		id := snapshot(t, s, i*100, i, bytes.Repeat([]byte{byte(i)}, int(i)<<16))
-		m, raw := latest(t, s)
+		id := createSnapshot(t, s, i*100, i, bytes.Repeat([]byte{byte(i)}, int(i)<<16))
+		m, raw := latestSnapshot(t, s)
 		assert.Equal(t, id, m.ID)
 		assert.EqualValues(t, i*100, m.Index)
 		assert.EqualValues(t, i, m.Term)
@@ -192,16 +192,16 @@
 	_, err = sink.Write([]byte("half"))
 	require.NoError(t, err)
 	require.NoError(t, sink.Cancel())
-	if _, memory := s.(*store.Memory); !memory { // the library's own keeps what was cancelled
-		m, _ = latest(t, s)
+	if _, memory := s.(*store.Memory); !memory { // the library's store keeps a cancelled snapshot
+		m, _ = latestSnapshot(t, s)
 		assert.EqualValues(t, 500, m.Index)
 	}
 	_, _, err = s.Open("no such")
 	assert.Error(t, err)
 }
 
-func owned(t *testing.T, k Kit) {
-	s := open(t, k)
+func testCopies(t *testing.T, k Config) {
+	s := openEmpty(t, k)
 	v := []byte("first")
 	require.NoError(t, s.Set([]byte("who"), v))
 	copy(v, "other")
@@ -214,9 +214,9 @@
 	assert.Equal(t, "first", string(got))
 }
 
-func side(t *testing.T, k Kit) {
-	s := open(t, k)
-	write(t, s, 1, 50)
+func testConcurrentReads(t *testing.T, k Config) {
+	s := openEmpty(t, k)
+	appendEntries(t, s, 1, 50)
 	var group sync.WaitGroup
 	for range 4 {
 		group.Go(func() {
@@ -229,20 +229,20 @@
 		})
 	}
 	for i := uint64(51); i < 80; i++ {
-		write(t, s, i, i)
+		appendEntries(t, s, i, i)
 	}
 	group.Wait()
 }
 
-func again(t *testing.T, k Kit) {
+func testReopen(t *testing.T, k Config) {
 	dir := t.TempDir()
 	s := k.Open(t, dir)
-	write(t, s, 1, 30)
+	appendEntries(t, s, 1, 30)
 	require.NoError(t, s.SetUint64([]byte("term"), 7))
-	id := snapshot(t, s, 20, 2, []byte("state"))
+	id := createSnapshot(t, s, 20, 2, []byte("state"))
 	require.NoError(t, s.DeleteRange(1, 10))
 	require.NoError(t, s.Close())
-	assert.Error(t, s.StoreLog(entry(99)), "it is closed")
+	assert.Error(t, s.StoreLog(entry(99)), "the store is closed")
 	s = k.Open(t, dir)
 	defer s.Close()
 	first, last := bounds(t, s)
@@ -250,13 +250,13 @@
 	n, err := s.GetUint64([]byte("term"))
 	require.NoError(t, err)
 	assert.EqualValues(t, 7, n)
-	m, raw := latest(t, s)
+	m, raw := latestSnapshot(t, s)
 	assert.Equal(t, id, m.ID)
 	assert.Equal(t, "state", string(raw))
 }
 
-// sum is all that a store holds, in one text.
-func sum(t *testing.T, s store.Store) string {
+// dump returns the contents of a store as text.
+func dump(t *testing.T, s store.Store) string {
 	var out bytes.Buffer
 	first, last := bounds(t, s)
 	fmt.Fprint(&out, first, last)
@@ -270,7 +270,7 @@
 	}
 	n, err := s.GetUint64([]byte("term"))
 	v, err2 := s.Get([]byte("who"))
-	m, raw := latest(t, s)
+	m, raw := latestSnapshot(t, s)
 	fmt.Fprint(&out, n, err, string(v), err2)
 	if m != nil {
 		fmt.Fprintf(&out, "%d %d %x", m.Index, m.Term, raw)
@@ -278,89 +278,90 @@
 	return out.String()
 }
 
-// torn plays a crash at each write of a series: of the pages that the write changed some are on the disk, one of them in part;
-// its roots, which are written last, come whole, in part or not at all.
-func torn(t *testing.T, k Kit) {
-	dice := rand.New(rand.NewPCG(11, 1))
+// testTornWrites simulates a crash during each of a series of writes. A random subset of the changed pages is on the disk,
+// one of them in part; the meta pages, which are written last, are written completely, in part or not at all. The store
+// must then have the state before the write or the state after it.
+func testTornWrites(t *testing.T, k Config) {
+	rng := rand.New(rand.NewPCG(11, 1))
 	dir := t.TempDir()
 	file := filepath.Join(dir, k.File)
-	look := func(image []byte) string {
+	dumpImage := func(image []byte) string {
 		other := t.TempDir()
 		require.NoError(t, os.WriteFile(filepath.Join(other, k.File), image, 0o600))
 		s := k.Open(t, other)
 		defer s.Close()
-		return sum(t, s)
+		return dump(t, s)
 	}
-	read := func() []byte {
+	readFile := func() []byte {
 		raw, err := os.ReadFile(file)
 		require.NoError(t, err)
 		return raw
 	}
 	s := k.Open(t, dir)
 	defer func() { s.Close() }()
-	write(t, s, 1, 40)
+	appendEntries(t, s, 1, 40)
 	steps := []func(){
-		func() { write(t, s, 41, 41) },
-		func() { write(t, s, 42, 70) },
+		func() { appendEntries(t, s, 41, 41) },
+		func() { appendEntries(t, s, 42, 70) },
 		func() { require.NoError(t, s.SetUint64([]byte("term"), 8)) },
 		func() { require.NoError(t, s.Set([]byte("who"), []byte("c-2"))) },
-		func() { snapshot(t, s, 60, 3, bytes.Repeat([]byte("state"), 3000)) },
+		func() { createSnapshot(t, s, 60, 3, bytes.Repeat([]byte("state"), 3000)) },
 		func() { require.NoError(t, s.DeleteRange(1, 55)) },
-		func() { write(t, s, 71, 300) },
+		func() { appendEntries(t, s, 71, 300) },
 		func() { require.NoError(t, s.DeleteRange(250, 300)) },
-		func() { snapshot(t, s, 240, 4, bytes.Repeat([]byte("later"), 30000)) },
+		func() { createSnapshot(t, s, 240, 4, bytes.Repeat([]byte("later"), 30000)) },
 		func() { require.NoError(t, s.SetUint64([]byte("term"), 9)) },
 	}
 	images, asBefore := 0, 0
 	for _, step := range steps {
-		before, was := read(), sum(t, s)
+		before, stateBefore := readFile(), dump(t, s)
 		step()
-		after, is := read(), sum(t, s)
-		require.NotEqual(t, was, is)
-		var pages, roots []int
-		long := append(bytes.Clone(before), make([]byte, max(0, len(after)-len(before)))...)
-		for p := 0; p*page < len(after); p++ {
-			if at := p * page; !bytes.Equal(long[at:at+page], after[at:at+page]) {
-				if slices.Contains(k.Roots, p) {
-					roots = append(roots, p)
+		after, stateAfter := readFile(), dump(t, s)
+		require.NotEqual(t, stateBefore, stateAfter)
+		var pages, metaPages []int
+		padded := append(bytes.Clone(before), make([]byte, max(0, len(after)-len(before)))...)
+		for p := 0; p*pageSize < len(after); p++ {
+			if at := p * pageSize; !bytes.Equal(padded[at:at+pageSize], after[at:at+pageSize]) {
+				if slices.Contains(k.MetaPages, p) {
+					metaPages = append(metaPages, p)
 				} else {
 					pages = append(pages, p)
 				}
 			}
 		}
-		require.NotEmpty(t, roots)
-		try := func(image []byte) string {
+		require.NotEmpty(t, metaPages)
+		check := func(image []byte) string {
 			images++
-			got := look(image)
-			require.Contains(t, []string{was, is}, got, "neither as before nor as after")
-			if got == was {
+			got := dumpImage(image)
+			require.Contains(t, []string{stateBefore, stateAfter}, got, "neither the state before the write nor the state after it")
+			if got == stateBefore {
 				asBefore++
 			}
 			return got
 		}
-		for range 6 { // before the roots: as before
-			image := bytes.Clone(long)
-			dice.Shuffle(len(pages), func(a, b int) { pages[a], pages[b] = pages[b], pages[a] })
-			n := dice.IntN(len(pages) + 1)
+		for range 6 { // meta pages not written yet: state before the write
+			image := bytes.Clone(padded)
+			rng.Shuffle(len(pages), func(a, b int) { pages[a], pages[b] = pages[b], pages[a] })
+			n := rng.IntN(len(pages) + 1)
 			for i, p := range pages[:n] {
-				size := page
+				size := pageSize
 				if i == n-1 {
-					size = sector * (1 + dice.IntN(page/sector))
+					size = sectorSize * (1 + rng.IntN(pageSize/sectorSize))
 				}
-				copy(image[p*page:p*page+size], after[p*page:])
+				copy(image[p*pageSize:p*pageSize+size], after[p*pageSize:])
 			}
-			require.Equal(t, was, try(image), "what isn't committed isn't there")
+			require.Equal(t, stateBefore, check(image), "uncommitted changes are visible")
 		}
-		for cut := 8; cut <= 96; cut += 8 { // within a root
+		for cut := 8; cut <= 96; cut += 8 { // meta page written in part
 			image := bytes.Clone(after)
-			for _, r := range roots {
-				copy(image[r*page+cut:(r+1)*page], long[r*page+cut:])
+			for _, r := range metaPages {
+				copy(image[r*pageSize+cut:(r+1)*pageSize], padded[r*pageSize+cut:])
 			}
-			try(image)
+			check(image)
 		}
-		require.Equal(t, is, try(after), "what is committed is there")
+		require.Equal(t, stateAfter, check(after), "committed changes are missing")
 	}
 	assert.Greater(t, images, 100)
 	assert.Greater(t, asBefore, images/3)
-	t.Logf("%d images of a torn file, %d as before, the rest as after", images, asBefore)
+	t.Logf("%d images of a torn file, %d with the state before the write, the others with the state after it", images, asBefore)
 }
