--- a/fleet/clock.go
+++ b/fleet/clock.go
@@ -4,7 +4,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Monotonic is the machine's monotonic clock, ms: the same for all processes on it, whatever their wall clocks say.
+// Monotonic returns the machine's monotonic clock, ms. It is the same for all processes on a machine and independent of
+// the wall clock.
 func Monotonic() float64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
--- a/fleet/errors.go
+++ b/fleet/errors.go
@@ -6,76 +6,76 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// BindError is an address that a door can't take its fleet's messages at.
+// BindError is an address that a door can't bind for its fleet's messages.
 type BindError struct {
 	Address string
 	Cause   error
 }
 
-func (e *BindError) Error() string     { return remedy.Because("fleet at "+e.Address, e.Cause) }
+func (e *BindError) Error() string     { return remedy.Because("fleet address "+e.Address, e.Cause) }
 func (e *BindError) Unwrap() error     { return e.Cause }
 func (e *BindError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names the key.
+// Remedy names the setting to change.
 func (e *BindError) Remedy() string {
 	return fmt.Sprintf("Free %s, or name another address of this machine in the key \"fleet.listen\".", e.Address)
 }
 
-// PeerError is a peer that can't be joined: it doesn't answer, or isn't of this fleet.
+// PeerError is a peer that can't be joined: it doesn't answer, or isn't a door of this fleet.
 type PeerError struct {
 	Address string
 	Cause   error
 }
 
-func (e *PeerError) Error() string     { return remedy.Because("peer "+e.Address, e.Cause) }
+func (e *PeerError) Error() string     { return remedy.Because("joining peer "+e.Address, e.Cause) }
 func (e *PeerError) Unwrap() error     { return e.Cause }
 func (e *PeerError) Kind() remedy.Kind { return remedy.Unreachable }
 
-// Remedy names the keys.
+// Remedy names the settings to check.
 func (e *PeerError) Remedy() string {
-	return fmt.Sprintf("See that a door of the same \"fleet.name\" listens at %s, or take it out of \"fleet.peers\"; the door serves on and asks again.", e.Address)
+	return fmt.Sprintf("Check that a door with the same \"fleet.name\" listens at %s, or remove it from \"fleet.peers\"; the door keeps serving and tries again.", e.Address)
 }
 
-// VersionError is a door that speaks another version of the fleet's messages; it isn't taken for a member.
+// VersionError is a door that uses another version of the fleet's messages; it is rejected as a member.
 type VersionError struct {
 	Peer, Address string
-	Speaks, Wants int
+	Have, Want    int
 }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("%s at %s speaks version %d of the fleet's messages, this door %d", e.Peer, e.Address, e.Speaks, e.Wants)
+	return fmt.Sprintf("%s at %s uses version %d of the fleet's messages, this door %d", e.Peer, e.Address, e.Have, e.Want)
 }
 func (e *VersionError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names both.
+// Remedy names the doors to update.
 func (e *VersionError) Remedy() string {
-	return fmt.Sprintf("Bring %s and this door to releases that speak the same version (swifthall version), or give one another \"fleet.name\".", e.Peer)
+	return fmt.Sprintf("Update %s or this door to a release that uses the same version (swifthall version), or give one of them another \"fleet.name\".", e.Peer)
 }
 
-// StrangerError is one that speaks for another fleet, or for none.
-type StrangerError struct{ Peer, Address, Fleet, Wants string }
+// FleetMismatchError is a node that belongs to another fleet, or to none.
+type FleetMismatchError struct{ Peer, Address, Fleet, Want string }
 
-func (e *StrangerError) Error() string {
-	return fmt.Sprintf("%s at %s is of fleet %q, this door of %q", e.Peer, e.Address, e.Fleet, e.Wants)
+func (e *FleetMismatchError) Error() string {
+	return fmt.Sprintf("%s at %s belongs to fleet %q, this door to %q", e.Peer, e.Address, e.Fleet, e.Want)
 }
-func (e *StrangerError) Kind() remedy.Kind { return remedy.Refused }
+func (e *FleetMismatchError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names the key.
-func (e *StrangerError) Remedy() string {
-	return fmt.Sprintf("Take %s out of \"fleet.peers\", or give both doors the same \"fleet.name\".", e.Address)
+// Remedy names the settings to change.
+func (e *FleetMismatchError) Remedy() string {
+	return fmt.Sprintf("Remove %s from \"fleet.peers\", or give both doors the same \"fleet.name\".", e.Address)
 }
 
-// MessageError is what came to a door's fleet address and can't be read; it is dropped.
+// MessageError is data received at a door's fleet address that can't be decoded; it is dropped.
 type MessageError struct {
-	What  string // a message or a state
+	What  string // "message" or "state"
 	Cause error
 }
 
-func (e *MessageError) Error() string     { return remedy.Because("an unreadable "+e.What, e.Cause) }
+func (e *MessageError) Error() string     { return remedy.Because("malformed "+e.What, e.Cause) }
 func (e *MessageError) Unwrap() error     { return e.Cause }
 func (e *MessageError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says what it means.
+// Remedy says what may have sent it.
 func (e *MessageError) Remedy() string {
-	return "See that nothing but doors of this release reaches the key \"fleet.listen\": the fleet's network must be private."
+	return "Make sure that only doors of this release can reach the address in \"fleet.listen\": the fleet's network must be private."
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,8 +1,9 @@
-// Package fleet carries the decisions of members over a real network: gossip, joins and whole states by hashicorp/memberlist
-// and its Transport, messages between doors as JSON in the library's user messages. It decides nothing.
+// Package fleet runs the protocol of package members over a network. It joins fleets, sends messages and exchanges full
+// states with hashicorp/memberlist and its Transport; messages are JSON in the library's user messages. It makes no
+// membership decisions.
 //
-// The library's own failure detector only keeps its list of whom it talks to; docs/members.md tells why verdicts are not
-// its own. The network must be private: whoever can send to a door's fleet address can speak for any member.
+// The library's own failure detector only maintains its list of nodes; docs/members.md explains why the membership isn't
+// taken from it. The network must be private: whoever can send to a door's fleet address can impersonate any member.
 package fleet
 
 import (
@@ -23,72 +24,74 @@
 	"github.com/swifthall/swifthall/members"
 )
 
-// Version of the messages between doors. One of another version is no member.
+// Version is the version of the messages between doors. A door of another version is rejected.
 const Version = 1
 
 const (
-	listProbe   = 3 * time.Second        // between the library's own looks: they only keep its list
-	listTimeout = time.Second            // of one
-	listGossip  = 500 * time.Millisecond // between its rounds of gossip
-	listSync    = time.Minute            // between its exchanges of whole states; the module asks for its own
-	joinRest    = 10 * time.Second       // where some are known, between tries to find those that are not
-	tcpTimeout  = 2 * time.Second        // of a connection, and of what is written to it
-	waiting     = 1024                   // events that wait for the owner; more are lost, as datagrams may be
-	mostNames   = 64                     // doors turned away that are remembered, to be logged once
+	// The library's own protocol only maintains its list of nodes.
+	memberlistProbeInterval    = 3 * time.Second        // interval of its pings
+	memberlistProbeTimeout     = time.Second            // of such a ping
+	memberlistGossipInterval   = 500 * time.Millisecond // interval of its gossip rounds
+	memberlistPushPullInterval = time.Minute            // interval of its push/pull exchanges; package members requests more as needed
+
+	rejoinInterval    = 10 * time.Second // between attempts to join peers that are unknown, once any other door is known
+	tcpTimeout        = 2 * time.Second  // of connecting, and of each write
+	eventQueueSize    = 1024             // events queued for Driver.run; more are dropped, as datagrams may be
+	maxRejectedLogged = 64               // rejections remembered so that each is logged once
 )
 
-// Identity is who a door is in its fleet.
+// Identity is a door's identity in its fleet, and how it joins and leaves.
 type Identity struct {
-	Fleet   string // only doors that name the same one are members
+	Fleet   string // only doors of the same fleet name become members
 	Name    string
 	Zone    string
 	Number  int // of the door; -1 for none
 	Release string
-	Peers   []string      // addresses to be asked for others; its own is passed over
-	Join    time.Duration // between tries to find any other door
-	Leave   time.Duration // at most, in which Leave says that the door goes
+	Peers   []string      // addresses of doors to join, as host:port or name/host:port; the door's own is skipped
+	Join    time.Duration // between attempts to join while no other door is known
+	Leave   time.Duration // limit on the time that Driver.Leave takes
 }
 
-// meta rides on the library's own list.
+// meta is the metadata of a node in the library's list.
 type meta struct {
 	Version int    `json:"v"`
 	Fleet   string `json:"f"`
 }
 
-// Driver is a door's place in its fleet.
+// Driver runs the membership of one door.
 type Driver struct {
-	id      Identity
-	address string
-	log     logrus.FieldLogger
-	list    *memberlist.Memberlist
-	on      func(members.Changed)
-	clock   func() float64
-
-	events chan any
-	done   chan struct{}
-	closed context.CancelFunc
-	ctx    context.Context
-	group  sync.WaitGroup
-	meets  chan members.Peer
-	gone   chan struct{} // closed once Leave has been said
-	taken  atomic.Pointer[members.NameTakenError]
-
-	mu     sync.Mutex
-	turned map[string]bool // doors turned away, logged once
-
-	member *members.Member // the owner's
+	id       Identity
+	address  string
+	log      logrus.FieldLogger
+	list     *memberlist.Memberlist
+	onChange func(members.Changed)
+	clock    func() float64
+
+	events       chan any
+	done         chan struct{}
+	cancel       context.CancelFunc
+	ctx          context.Context
+	group        sync.WaitGroup
+	pushPulls    chan members.Peer
+	departed     chan struct{} // closed once the departure has been announced
+	nameConflict atomic.Pointer[members.NameTakenError]
+
+	mu       sync.Mutex
+	rejected map[string]bool // rejections logged so far, by message
+
+	member *members.Member // used only by run
 }
 
-// query is something that the owner does between events.
+// query is a function that run calls between events.
 type query func(m *members.Member)
 
-// Start joins a fleet over a transport, which is the driver's from here on. on hears each change of what is held of a
-// member; it must not block. nonce tells this process from another of its name.
-func Start(id Identity, t memberlist.NodeAwareTransport, nonce uint64, l logrus.FieldLogger, on func(members.Changed)) (*Driver, error) {
+// Start joins a fleet over a transport, which it takes over. It calls onChange for each change of a member's visible
+// state; onChange must not block. nonce distinguishes this process from others of the same name.
+func Start(id Identity, t memberlist.NodeAwareTransport, nonce uint64, l logrus.FieldLogger, onChange func(members.Changed)) (*Driver, error) {
 	began := time.Now()
 	ctx, cancel := context.WithCancel(context.Background())
-	d := &Driver{id: id, log: l, on: on, events: make(chan any, waiting), done: make(chan struct{}), ctx: ctx, closed: cancel,
-		meets: make(chan members.Peer, 1), gone: make(chan struct{}), turned: map[string]bool{},
+	d := &Driver{id: id, log: l, onChange: onChange, events: make(chan any, eventQueueSize), done: make(chan struct{}), ctx: ctx, cancel: cancel,
+		pushPulls: make(chan members.Peer, 1), departed: make(chan struct{}), rejected: map[string]bool{},
 		clock: func() float64 { return float64(time.Since(began)) / float64(time.Millisecond) }} // monotonic, whatever the wall clock does
 	ip, port, err := t.FinalAdvertiseAddr("", 0)
 	if err != nil {
@@ -100,36 +103,36 @@
 	cfg := memberlist.DefaultLANConfig()
 	cfg.Name, cfg.Transport, cfg.Label = id.Name, t, id.Fleet
 	cfg.AdvertiseAddr, cfg.AdvertisePort = ip.String(), port
-	cfg.ProbeInterval, cfg.ProbeTimeout, cfg.GossipInterval, cfg.PushPullInterval = listProbe, listTimeout, listGossip, listSync
+	cfg.ProbeInterval, cfg.ProbeTimeout, cfg.GossipInterval, cfg.PushPullInterval = memberlistProbeInterval, memberlistProbeTimeout, memberlistGossipInterval, memberlistPushPullInterval
 	cfg.TCPTimeout, cfg.DisableTcpPings, cfg.EnableCompression = tcpTimeout, true, false
-	cfg.DeadNodeReclaimTime = listTimeout // a door may come back elsewhere under its name
+	cfg.DeadNodeReclaimTime = memberlistProbeTimeout // a door may return under its name at another address
 	cfg.Delegate, cfg.Alive, cfg.Merge = d, d, d
-	cfg.Logger = log.New(lines{l}, "", 0)
+	cfg.Logger = log.New(debugWriter{l}, "", 0)
 	if d.list, err = memberlist.Create(cfg); err != nil {
 		cancel()
 		return nil, &BindError{d.address, err}
 	}
-	d.group.Go(d.own)
+	d.group.Go(d.run)
 	d.group.Go(d.tick)
 	d.group.Go(d.join)
-	d.group.Go(d.meet)
+	d.group.Go(d.pushPull)
 	return d, nil
 }
 
-// Address is where others reach this door.
+// Address returns the address at which others reach this door, host:port.
 func (d *Driver) Address() string { return d.address }
 
-// lines passes the library's log on as debugging: what an operator needs of it is told by the driver.
-type lines struct{ logrus.FieldLogger }
+// debugWriter logs the library's messages at debug level; the driver itself logs what operators need to know.
+type debugWriter struct{ logrus.FieldLogger }
 
-func (l lines) Write(p []byte) (int, error) {
+func (l debugWriter) Write(p []byte) (int, error) {
 	l.Debug(strings.TrimSpace(string(p)))
 	return len(p), nil
 }
 
-// ---- The owner ----
+// ---- Event loop ----
 
-// post hands an event to the owner. What doesn't fit is lost, as a datagram may be.
+// post queues an event for run. If the queue is full the event is dropped, as a datagram may be.
 func (d *Driver) post(e any) {
 	select {
 	case d.events <- e:
@@ -137,24 +140,24 @@
 	}
 }
 
-// ask has the owner do something, and waits for it; false where the driver has ended.
-func (d *Driver) ask(do query) bool {
-	over := make(chan struct{})
+// withMember has run call a function with the member, and waits for it. It returns false if the driver has ended.
+func (d *Driver) withMember(do query) bool {
+	finished := make(chan struct{})
 	select {
-	case d.events <- query(func(m *members.Member) { do(m); close(over) }):
+	case d.events <- query(func(m *members.Member) { do(m); close(finished) }):
 	case <-d.done:
 		return false
 	}
 	select {
-	case <-over:
+	case <-finished:
 		return true
 	case <-d.done:
 		return false
 	}
 }
 
-// own is the goroutine that owns the decisions.
-func (d *Driver) own() {
+// run is the goroutine that owns the member.
+func (d *Driver) run() {
 	defer close(d.done)
 	for {
 		select {
@@ -172,6 +175,7 @@
 	}
 }
 
+// tick posts ticks until the driver ends.
 func (d *Driver) tick() {
 	t := time.NewTicker(members.TickEvery * time.Millisecond)
 	defer t.Stop()
@@ -185,6 +189,7 @@
 	}
 }
 
+// act carries out an action.
 func (d *Driver) act(a members.Action) {
 	switch a := a.(type) {
 	case members.Send:
@@ -192,38 +197,38 @@
 		if err == nil {
 			err = d.list.SendToAddress(memberlist.Address{Addr: a.To.Address, Name: a.To.Name}, raw)
 		}
-		if err != nil { // a datagram that can't be sent is one that is lost
+		if err != nil { // the same as a lost datagram
 			d.log.WithError(err).WithField(fields.Member, a.To.Name).Debug("not sent")
 		}
 	case members.Meet:
 		select {
-		case d.meets <- a.With:
+		case d.pushPulls <- a.With:
 		default: // one exchange at a time
 		}
 	case members.Changed:
 		d.log.WithFields(logrus.Fields{fields.Member: a.Name, fields.From: a.From.String(), fields.To: a.To.String(), fields.Life: a.Life,
-			fields.Doubts: a.Doubts, fields.Why: a.Why, fields.Clock: Monotonic()}).Info(MemberChanged)
-		d.on(a)
+			fields.Doubts: a.Suspicions, fields.Why: a.Why, fields.Clock: Monotonic()}).Info(MemberChanged)
+		d.onChange(a)
 	case members.Refused:
-		d.taken.Store(a.Err)
+		d.nameConflict.Store(a.Err)
 		if a.Err == nil {
-			d.log.Info("a member of the fleet again")
+			d.log.Info("member of the fleet again")
 			return
 		}
 		d.log.WithError(a.Err).WithField(fields.Remedy, a.Err.Remedy()).Error("no member of the fleet")
 	case members.Departed:
-		close(d.gone)
+		close(d.departed)
 	}
 }
 
-// MemberChanged is the message of the log line that tells a change.
+// MemberChanged is the message of the log line for a change of a member's visible state.
 const MemberChanged = "member"
 
 // ---- Joining ----
 
-// join asks the peers for others until some are known, and now and then for as long as one of them is not.
+// join tries to join the configured peers until another door is known, and less often for as long as a peer is unknown.
 func (d *Driver) join() {
-	told := map[string]bool{}
+	warned := map[string]bool{}
 	for rest := time.Duration(0); ; {
 		select {
 		case <-time.After(rest):
@@ -232,7 +237,7 @@
 		}
 		known := map[string]bool{}
 		others := 0
-		if !d.ask(func(m *members.Member) {
+		if !d.withMember(func(m *members.Member) {
 			for _, r := range m.Rows() {
 				if r.Name != d.id.Name && (r.State == members.Here || r.State == members.Doubted) {
 					others++
@@ -251,29 +256,29 @@
 				continue
 			}
 			if _, err := d.list.Join([]string{p}); err != nil {
-				if !told[p] && d.ctx.Err() == nil {
+				if !warned[p] && d.ctx.Err() == nil {
 					e := &PeerError{p, err}
 					d.log.WithError(e).WithField(fields.Remedy, e.Remedy()).Warn("not joined so far")
 				}
-				told[p] = true
-			} else if told[p] {
-				told[p] = false
+				warned[p] = true
+			} else if warned[p] {
+				warned[p] = false
 				d.log.WithField(fields.Member, p).Info("joined")
 			}
 		}
 		if rest = d.id.Join; others > 0 {
-			rest = joinRest
+			rest = rejoinInterval
 		}
 	}
 }
 
-// meet exchanges whole states with one member at a time.
-func (d *Driver) meet() {
+// pushPull runs the requested push/pull exchanges, one at a time.
+func (d *Driver) pushPull() {
 	for {
 		select {
-		case p := <-d.meets:
+		case p := <-d.pushPulls:
 			if _, err := d.list.Join([]string{p.Name + "/" + p.Address}); err != nil {
-				d.log.WithError(err).WithField(fields.Member, p.Name).Debug("no exchange")
+				d.log.WithError(err).WithField(fields.Member, p.Name).Debug("push/pull exchange failed")
 			}
 		case <-d.ctx.Done():
 			return
@@ -281,118 +286,119 @@
 	}
 }
 
-// ---- What the library asks ----
+// ---- memberlist.Delegate, AliveDelegate and MergeDelegate ----
 
-// NodeMeta is what rides on the library's list.
+// NodeMeta returns the metadata of this node.
 func (d *Driver) NodeMeta(int) []byte {
 	raw, _ := json.Marshal(meta{Version, d.id.Fleet})
 	return raw
 }
 
-// NotifyMsg takes a message of another door.
+// NotifyMsg receives a message of another door.
 func (d *Driver) NotifyMsg(raw []byte) {
 	var m members.Message
 	if err := json.Unmarshal(raw, &m); err != nil {
-		d.turnAway(&MessageError{"message", err})
+		d.reject(&MessageError{"message", err})
 		return
 	}
 	d.post(members.Received{Message: &m})
 }
 
-// GetBroadcasts has nothing: the module chooses whom it tells.
+// GetBroadcasts returns nothing: package members chooses the receivers of its gossip.
 func (d *Driver) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState is the whole state, for an exchange.
+// LocalState returns the full state, for a push/pull exchange.
 func (d *Driver) LocalState(bool) []byte {
 	var all []members.Record
-	d.ask(func(m *members.Member) { all = m.All() })
+	d.withMember(func(m *members.Member) { all = m.All() })
 	raw, _ := json.Marshal(all)
 	return raw
 }
 
-// MergeRemoteState takes another's whole state.
+// MergeRemoteState receives the full state of another door.
 func (d *Driver) MergeRemoteState(raw []byte, _ bool) {
 	var all []members.Record
 	if err := json.Unmarshal(raw, &all); err != nil {
-		d.turnAway(&MessageError{"state", err})
+		d.reject(&MessageError{"state", err})
 		return
 	}
 	d.post(members.Learnt{Records: all})
 }
 
-// NotifyAlive turns away who is of another fleet or version.
-func (d *Driver) NotifyAlive(n *memberlist.Node) error { return d.fits(n) }
+// NotifyAlive rejects a node of another fleet or version.
+func (d *Driver) NotifyAlive(n *memberlist.Node) error { return d.checkNode(n) }
 
-// NotifyMerge turns away a whole list with one of another fleet or version in it.
+// NotifyMerge rejects a list that has a node of another fleet or version.
 func (d *Driver) NotifyMerge(nodes []*memberlist.Node) error {
 	for _, n := range nodes {
-		if err := d.fits(n); err != nil {
+		if err := d.checkNode(n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d *Driver) fits(n *memberlist.Node) error {
+// checkNode returns an error for a node of another fleet or version.
+func (d *Driver) checkNode(n *memberlist.Node) error {
 	var m meta
 	if err := json.Unmarshal(n.Meta, &m); err != nil || m.Fleet != d.id.Fleet {
-		return d.turnAway(&StrangerError{n.Name, n.Address(), m.Fleet, d.id.Fleet})
+		return d.reject(&FleetMismatchError{n.Name, n.Address(), m.Fleet, d.id.Fleet})
 	}
 	if m.Version != Version {
-		return d.turnAway(&VersionError{n.Name, n.Address(), m.Version, Version})
+		return d.reject(&VersionError{n.Name, n.Address(), m.Version, Version})
 	}
 	return nil
 }
 
-// turnAway logs each door that is turned away once.
-func (d *Driver) turnAway(err interface {
+// reject logs a rejection, once per message and at most maxRejectedLogged of them, and returns its error.
+func (d *Driver) reject(err interface {
 	error
 	Remedy() string
 }) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if text := err.Error(); !d.turned[text] && len(d.turned) < mostNames {
-		d.turned[text] = true
+	if text := err.Error(); !d.rejected[text] && len(d.rejected) < maxRejectedLogged {
+		d.rejected[text] = true
 		d.log.WithError(err).WithField(fields.Remedy, err.Remedy()).Warn("turned away")
 	}
 	return err
 }
 
-// ---- What a door and its operators ask ----
+// ---- Views and leaving ----
 
-// View is what a door holds of its fleet.
+// View is a door's view of its fleet.
 type View struct {
 	Self    string
 	Fleet   string
 	Release string
-	Alone   float64 // ms since any other was heard
-	Stopped float64 // ms that this process was stopped in all
-	Taken   *members.NameTakenError
+	Alone   float64                 // active time since a message was received from any other member, ms
+	Stopped float64                 // total time for which this process was suspended, ms
+	Taken   *members.NameTakenError // set while another door has this door's name
 	Rows    []members.Row
 }
 
-// View tells what is held now.
+// View returns the current view; it is empty if the driver has ended.
 func (d *Driver) View() (v View) {
-	d.ask(func(m *members.Member) {
-		v = View{Self: d.id.Name, Fleet: d.id.Fleet, Release: d.id.Release, Alone: m.Alone(), Stopped: m.Stopped(), Taken: d.taken.Load(), Rows: m.Rows()}
+	d.withMember(func(m *members.Member) {
+		v = View{Self: d.id.Name, Fleet: d.id.Fleet, Release: d.id.Release, Alone: m.SilentMs(), Stopped: m.PausedMs(), Taken: d.nameConflict.Load(), Rows: m.Rows()}
 	})
 	return v
 }
 
-// Leave tells the others that the door goes by plan, and returns once that is said, or after a while, or with ctx.
+// Leave announces that the door leaves the fleet, and returns once that is done, after the identity's limit, or when ctx ends.
 func (d *Driver) Leave(ctx context.Context) {
 	d.post(members.Leave{})
 	select {
-	case <-d.gone:
+	case <-d.departed:
 	case <-d.done:
 	case <-ctx.Done():
 	case <-time.After(d.id.Leave):
 	}
 }
 
-// Close ends the driver at once, without a word to the others.
+// Close ends the driver at once, without an announcement.
 func (d *Driver) Close() {
-	d.closed()
+	d.cancel()
 	_ = d.list.Shutdown()
 	d.group.Wait()
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -19,64 +19,64 @@
 	"github.com/swifthall/swifthall/members"
 )
 
-// crowd is some doors over one network.
-type crowd struct {
-	t    *testing.T
-	net  *Network
-	all  []*Driver
-	logs []*bytes.Buffer
+// cluster is a number of doors on one network.
+type cluster struct {
+	t     *testing.T
+	net   *Network
+	doors []*Driver
+	logs  []*bytes.Buffer
 }
 
-func at(i int) string { return fmt.Sprintf("10.0.%d.%d:7946", i/200, i%200+1) }
+func address(i int) string { return fmt.Sprintf("10.0.%d.%d:7946", i/200, i%200+1) }
 
-func name(i int) string { return fmt.Sprintf("door-%03d", i) }
+func doorName(i int) string { return fmt.Sprintf("door-%03d", i) }
 
-// door starts one.
-func (c *crowd) door(id Identity, address string, nonce uint64) *Driver {
+// start starts a door.
+func (c *cluster) start(id Identity, address string, nonce uint64) *Driver {
 	m, err := c.net.Listen(address)
 	require.NoError(c.t, err)
 	out := new(bytes.Buffer)
 	l := logrus.New()
-	l.SetOutput(&locked{out: out})
+	l.SetOutput(&lockedWriter{out: out})
 	d, err := Start(id, m, nonce, l, func(members.Changed) {})
 	require.NoError(c.t, err)
-	c.all, c.logs = append(c.all, d), append(c.logs, out)
+	c.doors, c.logs = append(c.doors, d), append(c.logs, out)
 	return d
 }
 
-type locked struct {
+type lockedWriter struct {
 	mu  sync.Mutex
 	out *bytes.Buffer
 }
 
-func (l *locked) Write(p []byte) (int, error) {
+func (l *lockedWriter) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.out.Write(p)
 }
 
 func identity(i int) Identity {
-	return Identity{Fleet: "test", Name: name(i), Zone: fmt.Sprint("z", i%3), Number: i, Join: time.Second, Leave: 3 * time.Second, Peers: []string{at(0), at(1)}}
+	return Identity{Fleet: "test", Name: doorName(i), Zone: fmt.Sprint("z", i%3), Number: i, Join: time.Second, Leave: 3 * time.Second, Peers: []string{address(0), address(1)}}
 }
 
-func crowded(t *testing.T, n int, way func(from, to string) Fate) *crowd {
-	c := &crowd{t: t, net: NewNetwork()}
-	c.net.Way = way
+func newCluster(t *testing.T, n int, impair func(from, to string) Fate) *cluster {
+	c := &cluster{t: t, net: NewNetwork()}
+	c.net.Way = impair
 	for i := range n {
-		c.door(identity(i), at(i), uint64(i+1))
+		c.start(identity(i), address(i), uint64(i+1))
 	}
 	return c
 }
 
-func (c *crowd) end() {
-	for _, d := range c.all {
+func (c *cluster) end() {
+	for _, d := range c.doors {
 		d.Close()
 	}
-	time.Sleep(time.Minute) // what the library leaves behind ends with its time-outs
+	time.Sleep(time.Minute) // the library's remaining goroutines end with their time-outs
 }
 
-// counts how many members a door holds to be in each state.
-func counts(d *Driver) map[members.State]int {
+// stateCounts returns the number of members by state, as a door sees them.
+func stateCounts(d *Driver) map[members.State]int {
 	n := map[members.State]int{}
 	for _, r := range d.View().Rows {
 		n[r.State]++
@@ -84,115 +84,115 @@
 	return n
 }
 
-func TestDoorsFindEachOtherAndLoseOneThatDies(t *testing.T) {
+func TestDoorsJoinAndDetectACrash(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	synctest.Test(t, func(t *testing.T) {
-		c := crowded(t, 12, func(string, string) Fate { return Fate{Delay: time.Millisecond} })
+		c := newCluster(t, 12, func(string, string) Fate { return Fate{Delay: time.Millisecond} })
 		time.Sleep(8 * time.Second)
-		for _, d := range c.all {
-			assert.Equal(t, map[members.State]int{members.Here: 12}, counts(d), d.id.Name)
+		for _, d := range c.doors {
+			assert.Equal(t, map[members.State]int{members.Here: 12}, stateCounts(d), d.id.Name)
 		}
-		c.all[5].Close()
+		c.doors[5].Close()
 		time.Sleep(3 * time.Second)
-		for i, d := range c.all {
+		for i, d := range c.doors {
 			if i != 5 {
-				assert.Equal(t, map[members.State]int{members.Here: 11, members.Away: 1}, counts(d), d.id.Name)
+				assert.Equal(t, map[members.State]int{members.Here: 11, members.Away: 1}, stateCounts(d), d.id.Name)
 			}
 		}
 		c.end()
 	})
 }
 
-func TestLeavingIsNoDeath(t *testing.T) {
+func TestLeavingIsNotReportedAsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := crowded(t, 5, nil)
+		c := newCluster(t, 5, nil)
 		time.Sleep(8 * time.Second)
 		began := time.Now()
-		c.all[3].Leave(context.Background())
+		c.doors[3].Leave(context.Background())
 		assert.Less(t, time.Since(began), 3*time.Second)
-		c.all[3].Close()
+		c.doors[3].Close()
 		time.Sleep(time.Second)
-		assert.Equal(t, map[members.State]int{members.Here: 4, members.Left: 1}, counts(c.all[0]))
+		assert.Equal(t, map[members.State]int{members.Here: 4, members.Left: 1}, stateCounts(c.doors[0]))
 		c.end()
 	})
 }
 
-func TestAnotherLabelVersionOrFleetIsRefusedWithItsType(t *testing.T) {
+func TestNodesOfAnotherFleetOrVersionAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := crowded(t, 2, nil)
+		c := newCluster(t, 2, nil)
 		id := identity(2)
 		id.Fleet = "other"
-		c.door(id, at(2), 3)
+		c.start(id, address(2), 3)
 		time.Sleep(8 * time.Second)
-		assert.Equal(t, map[members.State]int{members.Here: 2}, counts(c.all[0]))
-		assert.Equal(t, map[members.State]int{members.Here: 1}, counts(c.all[2]))
+		assert.Equal(t, map[members.State]int{members.Here: 2}, stateCounts(c.doors[0]))
+		assert.Equal(t, map[members.State]int{members.Here: 1}, stateCounts(c.doors[2]))
 		assert.Contains(t, c.logs[2].String(), "not joined so far")
 		assert.Contains(t, c.logs[2].String(), "fleet.peers")
 
 		raw, err := json.Marshal(meta{Version + 1, "test"})
 		require.NoError(t, err)
-		err = c.all[0].NotifyMerge([]*memberlist.Node{{Name: "late", Meta: raw}})
+		err = c.doors[0].NotifyMerge([]*memberlist.Node{{Name: "late", Meta: raw}})
 		var version *VersionError
 		require.ErrorAs(t, err, &version)
-		assert.Equal(t, Version+1, version.Speaks)
-		err = c.all[0].NotifyAlive(&memberlist.Node{Name: "odd", Meta: []byte("?")})
-		var stranger *StrangerError
+		assert.Equal(t, Version+1, version.Have)
+		err = c.doors[0].NotifyAlive(&memberlist.Node{Name: "odd", Meta: []byte("?")})
+		var stranger *FleetMismatchError
 		require.ErrorAs(t, err, &stranger)
 		c.end()
 	})
 }
 
-func TestAPeerListThatNamesItselfOrAStrangerIsNoTrouble(t *testing.T) {
+func TestAPeerListMayNameTheDoorItselfAndUnreachablePeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := crowded(t, 3, nil)
+		c := newCluster(t, 3, nil)
 		id := identity(3)
-		id.Peers = []string{at(3), "10.9.9.9:1", name(3) + "/" + at(9), at(0)}
-		c.door(id, at(3), 9)
+		id.Peers = []string{address(3), "10.9.9.9:1", doorName(3) + "/" + address(9), address(0)}
+		c.start(id, address(3), 9)
 		time.Sleep(8 * time.Second)
-		assert.Equal(t, map[members.State]int{members.Here: 4}, counts(c.all[3]))
+		assert.Equal(t, map[members.State]int{members.Here: 4}, stateCounts(c.doors[3]))
 		assert.Contains(t, c.logs[3].String(), "10.9.9.9:1")
 		c.end()
 	})
 }
 
-func TestTwoDoorsOfOneName(t *testing.T) {
+func TestASecondDoorOfANameIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := crowded(t, 5, nil)
+		c := newCluster(t, 5, nil)
 		time.Sleep(8 * time.Second)
-		late := c.door(identity(3), at(30), 99)
+		late := c.start(identity(3), address(30), 99)
 		time.Sleep(8 * time.Second)
 		require.NotNil(t, late.View().Taken)
-		assert.Equal(t, at(3), late.View().Taken.Address)
+		assert.Equal(t, address(3), late.View().Taken.Address)
 		assert.Contains(t, c.logs[5].String(), "no member of the fleet")
-		assert.Nil(t, c.all[3].View().Taken)
+		assert.Nil(t, c.doors[3].View().Taken)
 		for i := range 5 {
-			assert.Equal(t, map[members.State]int{members.Here: 5}, counts(c.all[i]), i)
+			assert.Equal(t, map[members.State]int{members.Here: 5}, stateCounts(c.doors[i]), i)
 		}
 		c.end()
 	})
 }
 
-func TestOneThatHearsAndIsNotHeardIsAwayForAllThatHear(t *testing.T) {
+func TestADoorThatReceivesAndCantSendIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		cut := false
-		c := crowded(t, 12, func(from, _ string) Fate {
+		c := newCluster(t, 12, func(from, _ string) Fate {
 			mu.Lock()
 			defer mu.Unlock()
-			return Fate{Delay: time.Millisecond, Lost: cut && from == at(4)}
+			return Fate{Delay: time.Millisecond, Lost: cut && from == address(4)}
 		})
 		time.Sleep(8 * time.Second)
 		mu.Lock()
 		cut = true
 		mu.Unlock()
 		time.Sleep(5 * time.Second)
-		for i, d := range c.all {
+		for i, d := range c.doors {
 			for _, r := range d.View().Rows {
 				switch {
-				case r.Name != name(4):
+				case r.Name != doorName(4):
 					assert.Contains(t, []members.State{members.Here, members.Doubted}, r.State)
 				case i == 4:
-					assert.Equal(t, members.Joining, r.State, "it hears that it is away")
+					assert.Equal(t, members.Joining, r.State, "it receives the records that say that it is away")
 				default:
 					assert.Equal(t, members.Away, r.State)
 				}
@@ -202,39 +202,39 @@
 		cut = false
 		mu.Unlock()
 		time.Sleep(5 * time.Second)
-		for _, d := range c.all {
-			assert.Equal(t, map[members.State]int{members.Here: 12}, counts(d))
+		for _, d := range c.doors {
+			assert.Equal(t, map[members.State]int{members.Here: 12}, stateCounts(d))
 		}
 		c.end()
 	})
 }
 
-func TestNoiseOnTheFleetsAddressIsSaidAndNothingFalls(t *testing.T) {
+func TestMalformedMessagesAreLoggedAndDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := crowded(t, 2, nil)
+		c := newCluster(t, 2, nil)
 		time.Sleep(4 * time.Second)
-		c.all[0].NotifyMsg([]byte("{"))
-		c.all[0].NotifyMsg([]byte(`{"k":99,"f":{"n":"door-001"},"r":[{"s":77,"l":0},{"n":"x","l":4,"s":200}]}`))
-		c.all[0].MergeRemoteState([]byte("[1]"), false)
+		c.doors[0].NotifyMsg([]byte("{"))
+		c.doors[0].NotifyMsg([]byte(`{"k":99,"f":{"n":"door-001"},"r":[{"s":77,"l":0},{"n":"x","l":4,"s":200}]}`))
+		c.doors[0].MergeRemoteState([]byte("[1]"), false)
 		time.Sleep(time.Second)
-		assert.Equal(t, 2, counts(c.all[0])[members.Here])
+		assert.Equal(t, 2, stateCounts(c.doors[0])[members.Here])
 		assert.Contains(t, c.logs[0].String(), "turned away")
 		c.end()
 	})
 }
 
-func TestANameThatComesFreeIsTaken(t *testing.T) {
+func TestANameThatBecomesFreeIsTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := crowded(t, 5, nil)
+		c := newCluster(t, 5, nil)
 		time.Sleep(8 * time.Second)
-		late := c.door(identity(3), at(30), 99)
+		late := c.start(identity(3), address(30), 99)
 		time.Sleep(4 * time.Second)
 		require.NotNil(t, late.View().Taken)
-		c.all[3].Close()
+		c.doors[3].Close()
 		time.Sleep(30 * time.Second)
 		assert.Nil(t, late.View().Taken)
-		assert.Equal(t, map[members.State]int{members.Here: 5}, counts(c.all[0]))
-		assert.Equal(t, map[members.State]int{members.Here: 5}, counts(late))
+		assert.Equal(t, map[members.State]int{members.Here: 5}, stateCounts(c.doors[0]))
+		assert.Equal(t, map[members.State]int{members.Here: 5}, stateCounts(late))
 		c.end()
 	})
 }
--- a/fleet/memory.go
+++ b/fleet/memory.go
@@ -10,38 +10,40 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Fate is what becomes of one datagram, or of a connection's packets, on its way.
+// Impairment is what a network does to one datagram, or to a connection attempt.
 type Fate struct {
 	Lost  bool
 	Delay time.Duration
-	Twice bool
+	Twice bool // delivered twice
 }
 
-// Network is a network within this process, in the time that the process sees: under testing/synctest, in virtual time.
+// Network is a network within this process. It uses the process's clock, which is virtual under testing/synctest.
 type Network struct {
-	// Way tells the fate of what goes from one address to another; nil for a network that loses and delays nothing.
-	// A way that is lost one way is dead for connections, which need both.
+	// Impair returns what happens to a datagram from one address to another; nil for a network that neither loses nor
+	// delays anything. If one direction loses, connections fail in both, as they need both.
 	Way func(from, to string) Fate
 
-	mu   sync.Mutex
-	at   map[string]*Memory
-	sent map[string]Sent
+	mu         sync.Mutex
+	transports map[string]*MemoryTransport // by address
+	sent       map[string]Sent             // by address
 }
 
-// Sent counts what one address sent.
+// Sent counts the datagrams that one address sent, and their bytes.
 type Sent struct{ Packets, Bytes int }
 
-// NewNetwork returns a network without anybody on it.
-func NewNetwork() *Network { return &Network{at: map[string]*Memory{}, sent: map[string]Sent{}} }
+// NewNetwork returns a network without addresses.
+func NewNetwork() *Network {
+	return &Network{transports: map[string]*MemoryTransport{}, sent: map[string]Sent{}}
+}
 
-// Sent tells what an address has sent so far, over all its lives.
+// Sent returns what an address has sent so far, including earlier transports of that address.
 func (n *Network) Sent(address string) Sent {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sent[address]
 }
 
-func (n *Network) fate(from, to string) Fate {
+func (n *Network) impairment(from, to string) Fate {
 	if n.Way == nil {
 		return Fate{}
 	}
@@ -49,14 +51,14 @@
 }
 
 const (
-	memoryQueue = 1024     // datagrams that wait at an address; more are lost, as from a socket's buffer
-	mostPacket  = 64 << 10 // bytes of a datagram; a longer one is refused
+	memoryQueueSize = 1024     // datagrams queued at an address; more are dropped, as by a full socket buffer
+	maxDatagram     = 64 << 10 // bytes of a datagram; a longer one is an error
 )
 
-// Memory is one address of a Network. It keeps the order of datagrams where Way delays them alike, and loses what Way loses
-// and what comes while memoryQueue wait.
-type Memory struct {
-	n       *Network
+// MemoryTransport is the transport at one address of a Network. It keeps the order of datagrams that are delayed alike. It
+// drops what the network loses and what arrives at a full queue.
+type MemoryTransport struct {
+	network *Network
 	address string
 	packets chan *memberlist.Packet
 	streams chan net.Conn
@@ -65,28 +67,28 @@
 	group   sync.WaitGroup
 }
 
-var _ memberlist.NodeAwareTransport = (*Memory)(nil)
+var _ memberlist.NodeAwareTransport = (*MemoryTransport)(nil)
 
-// Listen takes an address of the network, as "10.0.0.1:7946".
-func (n *Network) Listen(address string) (*Memory, error) {
+// Listen binds an address of the network, such as "10.0.0.1:7946".
+func (n *Network) Listen(address string) (*MemoryTransport, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.at[address] != nil {
+	if n.transports[address] != nil {
 		return nil, &BindError{address, os.ErrExist}
 	}
-	m := &Memory{n: n, address: address, packets: make(chan *memberlist.Packet, memoryQueue), streams: make(chan net.Conn), done: make(chan struct{})}
-	n.at[address] = m
+	m := &MemoryTransport{network: n, address: address, packets: make(chan *memberlist.Packet, memoryQueueSize), streams: make(chan net.Conn), done: make(chan struct{})}
+	n.transports[address] = m
 	return m, nil
 }
 
-func (n *Network) find(address string) *Memory {
+func (n *Network) lookup(address string) *MemoryTransport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.at[address]
+	return n.transports[address]
 }
 
-// FinalAdvertiseAddr tells the address itself.
-func (m *Memory) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+// FinalAdvertiseAddr returns the transport's own address.
+func (m *MemoryTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	host, port, err := net.SplitHostPort(m.address)
 	if err != nil {
 		return nil, 0, &BindError{m.address, err}
@@ -99,16 +101,16 @@
 }
 
 // WriteTo sends a datagram.
-func (m *Memory) WriteTo(b []byte, addr string) (time.Time, error) {
+func (m *MemoryTransport) WriteTo(b []byte, addr string) (time.Time, error) {
 	now := time.Now()
-	if len(b) > mostPacket {
+	if len(b) > maxDatagram {
 		return now, &net.OpError{Op: "write", Net: "memory", Err: os.ErrInvalid}
 	}
-	m.n.mu.Lock()
-	s := m.n.sent[m.address]
-	m.n.sent[m.address] = Sent{s.Packets + 1, s.Bytes + len(b)}
-	m.n.mu.Unlock()
-	f := m.n.fate(m.address, addr)
+	m.network.mu.Lock()
+	s := m.network.sent[m.address]
+	m.network.sent[m.address] = Sent{s.Packets + 1, s.Bytes + len(b)}
+	m.network.mu.Unlock()
+	f := m.network.impairment(m.address, addr)
 	if f.Lost {
 		return now, nil
 	}
@@ -123,16 +125,16 @@
 	for range copies {
 		p := &memberlist.Packet{Buf: append([]byte(nil), b...), From: from}
 		if f.Delay == 0 {
-			m.n.deliver(addr, p)
+			m.network.deliver(addr, p)
 		} else {
-			time.AfterFunc(f.Delay, func() { m.n.deliver(addr, p) })
+			time.AfterFunc(f.Delay, func() { m.network.deliver(addr, p) })
 		}
 	}
 	return now, nil
 }
 
 func (n *Network) deliver(addr string, p *memberlist.Packet) {
-	to := n.find(addr)
+	to := n.lookup(addr)
 	if to == nil {
 		return
 	}
@@ -144,61 +146,61 @@
 	}
 }
 
-// WriteToAddress sends a datagram; names mean nothing here.
-func (m *Memory) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+// WriteToAddress sends a datagram; the name is ignored.
+func (m *MemoryTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	return m.WriteTo(b, a.Addr)
 }
 
-// PacketCh brings datagrams.
-func (m *Memory) PacketCh() <-chan *memberlist.Packet { return m.packets }
+// PacketCh returns the channel of received datagrams.
+func (m *MemoryTransport) PacketCh() <-chan *memberlist.Packet { return m.packets }
 
-// StreamCh brings connections.
-func (m *Memory) StreamCh() <-chan net.Conn { return m.streams }
+// StreamCh returns the channel of accepted connections.
+func (m *MemoryTransport) StreamCh() <-chan net.Conn { return m.streams }
 
-// DialTimeout connects to an address. Where either way is lost it waits in vain, as a handshake does.
-func (m *Memory) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	patience := time.NewTimer(timeout)
-	defer patience.Stop()
-	late := &net.OpError{Op: "dial", Net: "memory", Err: os.ErrDeadlineExceeded}
-	there, back := m.n.fate(m.address, addr), m.n.fate(addr, m.address)
-	if there.Lost || back.Lost {
+// DialTimeout connects to an address. If either direction loses, it times out, as a handshake would.
+func (m *MemoryTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	timedOut := &net.OpError{Op: "dial", Net: "memory", Err: os.ErrDeadlineExceeded}
+	outward, inward := m.network.impairment(m.address, addr), m.network.impairment(addr, m.address)
+	if outward.Lost || inward.Lost {
 		select {
-		case <-patience.C:
+		case <-timer.C:
 		case <-m.done:
 		}
-		return nil, late
+		return nil, timedOut
 	}
-	to := m.n.find(addr)
+	to := m.network.lookup(addr)
 	if to == nil {
 		return nil, &net.OpError{Op: "dial", Net: "memory", Err: os.ErrNotExist}
 	}
-	if d := there.Delay + back.Delay; d > 0 {
+	if d := outward.Delay + inward.Delay; d > 0 {
 		time.Sleep(min(d, timeout))
 	}
-	mine, theirs := net.Pipe()
+	local, remote := net.Pipe()
 	select {
-	case to.streams <- theirs:
-		return mine, nil
+	case to.streams <- remote:
+		return local, nil
 	case <-to.done:
 		return nil, &net.OpError{Op: "dial", Net: "memory", Err: os.ErrClosed}
-	case <-patience.C:
-		return nil, late
+	case <-timer.C:
+		return nil, timedOut
 	}
 }
 
-// DialAddressTimeout connects to an address; names mean nothing here.
-func (m *Memory) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+// DialAddressTimeout connects to an address; the name is ignored.
+func (m *MemoryTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return m.DialTimeout(a.Addr, timeout)
 }
 
-// Shutdown gives the address back.
-func (m *Memory) Shutdown() error {
+// Shutdown frees the address.
+func (m *MemoryTransport) Shutdown() error {
 	m.once.Do(func() {
-		m.n.mu.Lock()
-		if m.n.at[m.address] == m {
-			delete(m.n.at, m.address)
+		m.network.mu.Lock()
+		if m.network.transports[m.address] == m {
+			delete(m.network.transports, m.address)
 		}
-		m.n.mu.Unlock()
+		m.network.mu.Unlock()
 		close(m.done)
 	})
 	return nil
--- a/fleet/transport.go
+++ b/fleet/transport.go
@@ -10,7 +10,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Bind takes an address of this machine, for UDP and TCP alike, by the library's own transport. Port 0 takes a free one.
+// Bind returns the library's UDP and TCP transport on an address of this machine. Port 0 chooses a free port.
 func Bind(address string, logger *log.Logger) (memberlist.NodeAwareTransport, error) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -27,14 +27,15 @@
 	return t, nil
 }
 
-// routed reaches members by a table of its own, by name. Those that the table doesn't name are reached as they say.
+// routed replaces the addresses of members by those of a table, by name. Other members are reached at the address that
+// they announce.
 type routed struct {
 	memberlist.NodeAwareTransport
 	routes map[string]string
 }
 
-// Routed puts a table of addresses by name before a transport: doors behind translated addresses, each of which sees the
-// others elsewhere.
+// Routed returns a transport that reaches members at the addresses of a table, by name. It is for doors behind address
+// translation, where each door reaches the others at different addresses.
 func Routed(t memberlist.NodeAwareTransport, routes map[string]string) memberlist.NodeAwareTransport {
 	if len(routes) == 0 {
 		return t
@@ -42,7 +43,7 @@
 	return &routed{t, routes}
 }
 
-func (r *routed) to(a memberlist.Address) memberlist.Address {
+func (r *routed) route(a memberlist.Address) memberlist.Address {
 	if at, ok := r.routes[a.Name]; ok {
 		a.Addr = at
 	}
@@ -50,31 +51,31 @@
 }
 
 func (r *routed) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	return r.NodeAwareTransport.WriteToAddress(b, r.to(a))
+	return r.NodeAwareTransport.WriteToAddress(b, r.route(a))
 }
 
 func (r *routed) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	return r.NodeAwareTransport.DialAddressTimeout(r.to(a), timeout)
+	return r.NodeAwareTransport.DialAddressTimeout(r.route(a), timeout)
 }
 
-// spoiled spoils what another transport sends.
-type spoiled struct {
+// impaired applies faults to what a transport sends.
+type impaired struct {
 	memberlist.NodeAwareTransport
-	way func(to string) Fate
+	impair func(to string) Fate
 }
 
-// Spoiled puts faults before a transport: what goes out to an address meets the fate that way tells. A way that loses
-// datagrams lets no connection be made.
-func Spoiled(t memberlist.NodeAwareTransport, way func(to string) Fate) memberlist.NodeAwareTransport {
-	return &spoiled{t, way}
+// Impaired returns a transport that applies the faults returned by impair to what it sends to an address. If a datagram would
+// be lost, a connection attempt times out.
+func Impaired(t memberlist.NodeAwareTransport, impair func(to string) Fate) memberlist.NodeAwareTransport {
+	return &impaired{t, impair}
 }
 
-func (s *spoiled) WriteTo(b []byte, addr string) (time.Time, error) {
+func (s *impaired) WriteTo(b []byte, addr string) (time.Time, error) {
 	return s.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-func (s *spoiled) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	f := s.way(a.Addr)
+func (s *impaired) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+	f := s.impair(a.Addr)
 	if f.Lost {
 		return time.Now(), nil
 	}
@@ -83,7 +84,7 @@
 			return at, err
 		}
 	}
-	if f.Delay > 0 && len(b) <= mostPacket { // one that is too long is refused at once
+	if f.Delay > 0 && len(b) <= maxDatagram { // without a delay for one that is too long, so that the error is returned
 		copied := append([]byte(nil), b...)
 		time.AfterFunc(f.Delay, func() { _, _ = s.NodeAwareTransport.WriteToAddress(copied, a) })
 		return time.Now(), nil
@@ -91,12 +92,12 @@
 	return s.NodeAwareTransport.WriteToAddress(b, a)
 }
 
-func (s *spoiled) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+func (s *impaired) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	return s.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-func (s *spoiled) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	f := s.way(a.Addr)
+func (s *impaired) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	f := s.impair(a.Addr)
 	if f.Lost {
 		time.Sleep(timeout)
 		return nil, &net.OpError{Op: "dial", Net: "spoiled", Err: os.ErrDeadlineExceeded}
--- a/fleet/transport_test.go
+++ b/fleet/transport_test.go
@@ -19,11 +19,11 @@
 	"github.com/swifthall/swifthall/members/transporttest"
 )
 
-func bubble(t *testing.T, test func(t *testing.T)) { synctest.Test(t, test) }
+func inSynctest(t *testing.T, test func(t *testing.T)) { synctest.Test(t, test) }
 
-func onMemory(way func(from, to string) Fate) func(t *testing.T) memberlist.NodeAwareTransport {
+func onMemory(impair func(from, to string) Fate) func(t *testing.T) memberlist.NodeAwareTransport {
 	n := NewNetwork()
-	n.Way = way
+	n.Way = impair
 	var next atomic.Int64
 	return func(t *testing.T) memberlist.NodeAwareTransport {
 		m, err := n.Listen(fmt.Sprintf("10.0.0.%d:7946", next.Add(1)))
@@ -38,56 +38,56 @@
 	return tr
 }
 
-func TestMemoryKeepsTheContract(t *testing.T) {
-	transporttest.Run(t, transporttest.Kit{Listen: onMemory(nil), Nobody: "10.9.9.9:1", Ordered: true, Lossless: true, Run: bubble})
+func TestMemoryTransport(t *testing.T) {
+	transporttest.Run(t, transporttest.Config{Listen: onMemory(nil), UnusedAddress: "10.9.9.9:1", Ordered: true, Lossless: true, Run: inSynctest})
 }
 
-func TestMemoryThatDelaysKeepsTheContract(t *testing.T) {
-	transporttest.Run(t, transporttest.Kit{Listen: onMemory(func(string, string) Fate { return Fate{Delay: 3 * time.Millisecond} }),
-		Nobody: "10.9.9.9:1", Lossless: true, Run: bubble})
+func TestMemoryTransportWithDelays(t *testing.T) {
+	transporttest.Run(t, transporttest.Config{Listen: onMemory(func(string, string) Fate { return Fate{Delay: 3 * time.Millisecond} }),
+		UnusedAddress: "10.9.9.9:1", Lossless: true, Run: inSynctest})
 }
 
-func TestLoopbackKeepsTheContract(t *testing.T) {
-	transporttest.Run(t, transporttest.Kit{Listen: onLoopback, Nobody: "127.0.0.1:1", Ordered: true, Lossless: true})
+func TestLoopbackTransport(t *testing.T) {
+	transporttest.Run(t, transporttest.Config{Listen: onLoopback, UnusedAddress: "127.0.0.1:1", Ordered: true, Lossless: true})
 }
 
-func TestRoutedKeepsTheContract(t *testing.T) {
-	transporttest.Run(t, transporttest.Kit{Listen: func(t *testing.T) memberlist.NodeAwareTransport {
+func TestRoutedTransport(t *testing.T) {
+	transporttest.Run(t, transporttest.Config{Listen: func(t *testing.T) memberlist.NodeAwareTransport {
 		return Routed(onLoopback(t), map[string]string{"z": "127.0.0.1:1"})
-	}, Nobody: "127.0.0.1:1", Ordered: true, Lossless: true})
+	}, UnusedAddress: "127.0.0.1:1", Ordered: true, Lossless: true})
 }
 
-func TestSpoiledKeepsTheContract(t *testing.T) {
+func TestImpairedTransport(t *testing.T) {
 	memory := onMemory(nil)
 	var mu sync.Mutex
-	dice := rand.New(rand.NewPCG(1, 2))
-	for name, way := range map[string]func(string) Fate{
-		"loses":   func(string) Fate { mu.Lock(); defer mu.Unlock(); return Fate{Lost: dice.Float64() < 0.5} },
+	rng := rand.New(rand.NewPCG(1, 2))
+	for name, impair := range map[string]func(string) Fate{
+		"loses":   func(string) Fate { mu.Lock(); defer mu.Unlock(); return Fate{Lost: rng.Float64() < 0.5} },
 		"repeats": func(string) Fate { return Fate{Twice: true} },
 		"delays":  func(string) Fate { return Fate{Delay: time.Millisecond} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			k := transporttest.Kit{Listen: func(t *testing.T) memberlist.NodeAwareTransport { return Spoiled(memory(t), way) },
-				Nobody: "10.9.9.9:1", Lossless: name != "loses", Loses: name == "loses", Repeats: name == "repeats", Run: bubble}
-			if name == "loses" { // connections are lost with the datagrams; those of the half that aren't are the plain transport's
-				k.Listen = func(t *testing.T) memberlist.NodeAwareTransport { return lossy{memory(t), way} }
+			k := transporttest.Config{Listen: func(t *testing.T) memberlist.NodeAwareTransport { return Impaired(memory(t), impair) },
+				UnusedAddress: "10.9.9.9:1", Lossless: name != "loses", Drops: name == "loses", Duplicates: name == "repeats", Run: inSynctest}
+			if name == "loses" { // connections of an Impaired transport would fail at random, too
+				k.Listen = func(t *testing.T) memberlist.NodeAwareTransport { return lossyDatagrams{memory(t), impair} }
 			}
 			transporttest.Run(t, k)
 		})
 	}
 }
 
-// lossy loses datagrams alone.
-type lossy struct {
+// lossyDatagrams loses datagrams, but no connections.
+type lossyDatagrams struct {
 	memberlist.NodeAwareTransport
-	way func(string) Fate
+	impair func(string) Fate
 }
 
-func (l lossy) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	return Spoiled(l.NodeAwareTransport, l.way).WriteToAddress(b, a)
+func (l lossyDatagrams) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+	return Impaired(l.NodeAwareTransport, l.impair).WriteToAddress(b, a)
 }
 
-func TestRoutesWinByName(t *testing.T) {
+func TestRoutesReplaceAddressesByName(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listen := onMemory(nil)
 		a, b := listen(t), listen(t)
@@ -101,10 +101,10 @@
 	})
 }
 
-func TestAWayLostOneWayTakesConnectionsAlongInBoth(t *testing.T) {
+func TestLossInOneDirectionFailsConnectionsInBoth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var aAt string
-		listen := onMemory(func(from, _ string) Fate { return Fate{Lost: from == aAt} })
+		var aAddress string
+		listen := onMemory(func(from, _ string) Fate { return Fate{Lost: from == aAddress} })
 		a, b := listen(t), listen(t)
 		defer func() { _ = a.Shutdown(); _ = b.Shutdown() }()
 		address := func(m memberlist.NodeAwareTransport) string {
@@ -112,18 +112,18 @@
 			require.NoError(t, err)
 			return net.JoinHostPort(ip.String(), fmt.Sprint(port))
 		}
-		aAt = address(a)
-		_, err := b.WriteTo([]byte("in"), aAt)
+		aAddress = address(a)
+		_, err := b.WriteTo([]byte("in"), aAddress)
 		require.NoError(t, err)
-		assert.Equal(t, "in", string((<-a.PacketCh()).Buf), "datagrams come in")
+		assert.Equal(t, "in", string((<-a.PacketCh()).Buf), "datagrams are received")
 		_, err = a.DialTimeout(address(b), time.Second)
 		assert.Error(t, err)
-		_, err = b.DialTimeout(aAt, time.Second)
-		assert.Error(t, err, "no acknowledgement comes back")
+		_, err = b.DialTimeout(aAddress, time.Second)
+		assert.Error(t, err, "the reply is lost")
 	})
 }
 
-func TestAnAddressTwiceIsRefused(t *testing.T) {
+func TestAnAddressInUseCantBeBound(t *testing.T) {
 	n := NewNetwork()
 	m, err := n.Listen("10.0.0.1:1")
 	require.NoError(t, err)
