--- a/internal/doorfleet/doorfleet.go
+++ b/internal/doorfleet/doorfleet.go
@@ -1,5 +1,5 @@
-// Package doorfleet makes a door a member of its fleet: it starts the fleet's driver beside the door, tells the door's
-// decisions who is here, and operators what is held.
+// Package doorfleet connects a door's process with its fleet: it runs the membership driver and the agreed plans, passes
+// the membership to the door, and serves it to operators.
 package doorfleet
 
 import (
@@ -24,19 +24,20 @@
 	"github.com/swifthall/swifthall/permits"
 )
 
-// wrongClock moves the times of a log.
-type wrongClock time.Duration
+// clockOffset is a hook that shifts the times of log entries.
+type clockOffset time.Duration
 
-func (wrongClock) Levels() []logrus.Level { return logrus.AllLevels }
+func (clockOffset) Levels() []logrus.Level { return logrus.AllLevels }
 
-func (w wrongClock) Fire(e *logrus.Entry) error {
+func (w clockOffset) Fire(e *logrus.Entry) error {
 	e.Time = e.Time.Add(time.Duration(w))
 	return nil
 }
 
-const tellAtMost = 100 * time.Millisecond // between two words to the decisions: changes come in crowds
+const updateInterval = 100 * time.Millisecond // at least between membership updates to the door, as changes come in bursts
 
-// Beside runs a door's membership until ctx ends, and says that the door leaves. The door serves whatever becomes of it.
+// Run runs a door's membership until ctx ends, and then leaves the fleet. A failure doesn't affect the door, which serves
+// without membership.
 func Beside(ctx context.Context, cfg config.Door, door *frontdoor.Door, l logrus.FieldLogger) error {
 	f := cfg.Fleet
 	if f == nil {
@@ -44,12 +45,12 @@
 	}
 	if wrong := serving.WallWrong(); wrong != 0 {
 		if logger, ok := l.(*logrus.Logger); ok {
-			logger.AddHook(wrongClock(wrong))
+			logger.AddHook(clockOffset(wrong))
 		}
 	}
-	told := func() {}
+	withheldKnown := func() {}
 	if len(f.Coordinators) > 0 {
-		told = hold(door)
+		withheldKnown = holdUnready(door)
 	}
 	t, err := bind(ctx, f, l)
 	if t == nil {
@@ -68,58 +69,59 @@
 		return err
 	}
 	defer d.Close()
-	apart, end := context.WithCancel(context.WithoutCancel(ctx)) // goes on while the door leaves
+	detached, end := context.WithCancel(context.WithoutCancel(ctx)) // remains valid while the door leaves
 	defer end()
-	var agreed *plans
+	var driver *planDriver
 	if len(f.Coordinators) > 0 {
-		agreed = keep(apart, cfg, door, d.View, told, l)
+		driver = startPlans(detached, cfg, door, d.View, withheldKnown, l)
 	}
 	failed := make(chan error, 1)
 	if f.Status != "" {
-		var told admin.Plans
-		if agreed != nil {
-			told = agreed
+		var served admin.Plans
+		if driver != nil {
+			served = driver
 		}
-		go func() { failed <- admin.Serve(apart, f.Status, d.View, told) }()
+		go func() { failed <- admin.Serve(detached, f.Status, d.View, served) }()
 	}
 	for {
 		select {
 		case <-ctx.Done():
-			said, stop := context.WithTimeout(context.WithoutCancel(ctx), ms(f.LeaveMs, config.LeaveMost))
+			leaveCtx, stop := context.WithTimeout(context.WithoutCancel(ctx), ms(f.LeaveMs, config.LeaveMost))
 			defer stop()
-			if agreed != nil {
-				agreed.post(permits.Leave{})
+			if driver != nil {
+				driver.post(permits.Leave{})
 			}
-			d.Leave(said)
-			if agreed != nil {
-				agreed.part()
+			d.Leave(leaveCtx)
+			if driver != nil {
+				driver.reportEnd()
 			}
 			return nil
-		case err := <-failed: // operators see less; the door and its fleet go on
+		case err := <-failed: // only the status is lost; the door and its membership continue
 			if err != nil {
-				l.WithError(err).Error("no status is told")
+				l.WithError(err).Error("status is not served")
 			}
 		case <-changed:
-			door.Members(Word(d.View().Rows, cfg.Deal.Terms.Doors))
+			door.Members(GateDoors(d.View().Rows, cfg.Deal.Terms.Doors))
 			select {
-			case <-time.After(tellAtMost):
+			case <-time.After(updateInterval):
 			case <-ctx.Done():
 			}
 		}
 	}
 }
 
-// bind takes the fleet's address; while another process has it, as the one before this may, it tries again.
+// bind binds the fleet's address. It retries while another process has it, such as the predecessor of this one. Both
+// results are nil if ctx ends first.
 func bind(ctx context.Context, f *config.Fleet, l logrus.FieldLogger) (memberlist.NodeAwareTransport, error) {
-	for told := false; ; {
+	for warned := false; ; {
 		t, err := fleet.Bind(f.Listen, log.New(io.Discard, "", 0))
 		if err == nil {
 			return t, nil
 		}
-		var at *fleet.BindError
-		if errors.As(err, &at) && !told {
-			told = true
-			l.WithError(err).WithField(fields.Remedy, at.Remedy()).Warn("no member of the fleet so far")
+		var bindErr *fleet.BindError
+		if errors.As(err, &bindErr) && !warned {
+			warned = true
+			l.WithError(err).WithField(fields.Remedy, bindErr.Remedy()).Warn("no member of the fleet so far")
 		}
 		select {
 		case <-ctx.Done():
@@ -129,16 +131,17 @@
 	}
 }
 
-func ms(told, def float64) time.Duration {
-	if told == 0 {
-		told = def
+// ms converts a setting in ms, or its default if it is 0.
+func ms(configured, def float64) time.Duration {
+	if configured == 0 {
+		configured = def
 	}
-	return time.Duration(told * float64(time.Millisecond))
+	return time.Duration(configured * float64(time.Millisecond))
 }
 
-// Word words what is held of the fleet for the decisions. Only of one who was a member is it known that it has gone: the
-// doors that were never heard of count as here, as they do without membership.
-func Word(rows []members.Row, doors int) gate.Doors {
+// GateDoors converts the view of the members for the gate; doors is the number of doors in the fleet. Doors that were never
+// members count as here, as all doors do without membership: only a former member can be known to be gone.
+func GateDoors(rows []members.Row, doors int) gate.Doors {
 	e := gate.Doors{Here: make([]bool, doors)}
 	for i := range e.Here {
 		e.Here[i] = true
@@ -152,7 +155,7 @@
 	for i := range rows {
 		if r := &rows[i]; r.State == members.Here || r.State == members.Doubted || r.State == members.Leaving {
 			e.Count++
-			if numbered(r) { // one that follows another of its number stands in for it
+			if numbered(r) { // also if an earlier door of that number is gone
 				e.Here[r.Number] = true
 			}
 		}
--- a/internal/doorfleet/plans.go
+++ b/internal/doorfleet/plans.go
@@ -22,68 +22,71 @@
 )
 
 const (
-	holdFor   = time.Second            // at a start, in which a coordinator that is well has told what is withheld
-	answerFor = 2 * time.Second        // that a question to the coordinators may take; asked again before that
-	lookEvery = 200 * time.Millisecond // between looks at how the door stands
-	partFor   = 700 * time.Millisecond // in which a door that has ended says so
-	waiting   = 64                     // events that wait for the keeper; it is asked again for what is lost
+	holdTimeout      = time.Second            // for which a starting door waits for the withheld backends; a healthy coordinator answers sooner
+	requestTimeout   = 2 * time.Second        // limit of a request to the coordinators; the keeper repeats it earlier
+	pollInterval     = 200 * time.Millisecond // between reports of the door's state to the keeper
+	endReportTimeout = 700 * time.Millisecond // in which a door that has ended reports that to the coordinators
+	eventQueueSize   = 64                     // events queued for the keeper
 )
 
-// Messages of the log lines that tell a step by plan, with the machine's clock at the step.
+// Messages of the log lines for a planned step of the door; the lines have the machine's monotonic clock at the step.
 const (
 	WentAside = "aside"
 	CameBack  = "back"
 )
 
-// plans carries out what the fleet agrees on: the driver of a permits.Keeper. No request waits for it.
-type plans struct {
-	door    *frontdoor.Door
-	client  *client.Client
-	view    func() fleet.View
-	log     logrus.FieldLogger
-	began   time.Time
-	events  chan any
-	ctx     context.Context
-	process uint64        // drawn at its start, for its counts
-	told    func()        // called once it is known what is withheld
-	parted  chan struct{} // closed once coordinators have heard that the door has ended
+// planDriver is the driver of a permits.Keeper: it exchanges messages with the coordinators and carries out the orders that
+// the fleet agreed on. No request waits for it.
+type planDriver struct {
+	door          *frontdoor.Door
+	client        *client.Client
+	view          func() fleet.View
+	log           logrus.FieldLogger
+	began         time.Time
+	events        chan any
+	ctx           context.Context
+	process       uint64        // random, identifies this process in its counts
+	withheldKnown func()        // called once the withheld backends are known
+	endReported   chan struct{} // closed once a coordinator has acknowledged that the door has ended
 
-	mu     sync.Mutex
-	k      *permits.Keeper
-	heard  time.Time // a coordinator answered
-	silent bool
+	mu          sync.Mutex // protects what follows
+	keeper      *permits.Keeper
+	answeredAt  time.Time // of the latest answer of a coordinator
+	unreachable bool      // logged that no coordinator answers
 }
 
-// hold has a door that starts say that it isn't ready until it has been told what is withheld, or for a moment: a process that
-// coordinators don't know of would send to backends that they say are drained. Where none of them answers it serves.
-func hold(door *frontdoor.Door) (told func()) {
+// holdUnready keeps a starting door unready until the returned function is called, which is when the withheld backends are known,
+// or for holdTimeout. Otherwise a process that the coordinators don't know yet would send requests to backends that they
+// report as drained. If no coordinator answers, the door serves.
+func holdUnready(door *frontdoor.Door) (markReady func()) {
 	var once sync.Once
-	door.Aside(true, time.Now().Add(holdFor), func(bool) {})
-	told = func() { once.Do(func() { go door.Aside(false, time.Time{}, func(bool) {}) }) }
-	time.AfterFunc(holdFor, told)
-	return told
+	door.Aside(true, time.Now().Add(holdTimeout), func(bool) {})
+	markReady = func() { once.Do(func() { go door.Aside(false, time.Time{}, func(bool) {}) }) }
+	time.AfterFunc(holdTimeout, markReady)
+	return markReady
 }
 
-// keep starts it.
-func keep(ctx context.Context, cfg config.Door, door *frontdoor.Door, view func() fleet.View, told func(), l logrus.FieldLogger) *plans {
+// startPlans starts a planDriver, which ends with ctx.
+func startPlans(ctx context.Context, cfg config.Door, door *frontdoor.Door, view func() fleet.View, withheldKnown func(), l logrus.FieldLogger) *planDriver {
 	var all []config.NamedAddress
 	for _, c := range cfg.Fleet.Coordinators {
 		if n, err := config.Named(c); err == nil {
 			all = append(all, n)
 		}
 	}
-	p := &plans{door: door, client: client.New(all), view: view, log: l, began: time.Now(), heard: time.Now(), events: make(chan any, waiting), ctx: ctx,
-		process: rand.Uint64(), told: told, parted: make(chan struct{}),
-		k: permits.NewKeeper(permits.Unit{Kind: permits.Door, Name: cfg.Name, Zone: cfg.Fleet.Zone, Size: 1}, func() uint64 { return rand.Uint64()>>1 | 1 })}
+	p := &planDriver{door: door, client: client.New(all), view: view, log: l, began: time.Now(), answeredAt: time.Now(), events: make(chan any, eventQueueSize), ctx: ctx,
+		process: rand.Uint64(), withheldKnown: withheldKnown, endReported: make(chan struct{}),
+		keeper: permits.NewKeeper(permits.Unit{Kind: permits.Door, Name: cfg.Name, Zone: cfg.Fleet.Zone, Size: 1}, func() uint64 { return rand.Uint64()>>1 | 1 })}
 	go p.run()
-	go p.look()
+	go p.poll()
 	return p
 }
 
-func (p *plans) now() float64 { return float64(time.Since(p.began)) / float64(time.Millisecond) }
+// now returns the keeper's clock, ms since the start.
+func (p *planDriver) now() float64 { return float64(time.Since(p.began)) / float64(time.Millisecond) }
 
-// post hands an event to the keeper.
-func (p *plans) post(e any) {
+// post queues an event for the keeper, and waits while the queue is full.
+func (p *planDriver) post(e any) {
 	select {
 	case p.events <- e:
 	case <-p.ctx.Done():
@@ -91,7 +94,7 @@
 }
 
 // run is the goroutine that owns the keeper.
-func (p *plans) run() {
+func (p *planDriver) run() {
 	tick := time.NewTicker(permits.TickEvery * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -103,7 +106,7 @@
 		case e = <-p.events:
 		}
 		p.mu.Lock()
-		do := p.k.Step(p.now(), e)
+		do := p.keeper.Step(p.now(), e)
 		p.mu.Unlock()
 		for _, a := range do {
 			p.act(a)
@@ -111,25 +114,26 @@
 	}
 }
 
-func (p *plans) act(a any) {
+// act carries out an action of the keeper.
+func (p *planDriver) act(a any) {
 	switch a := a.(type) {
 	case permits.Post:
-		go p.ask(a)
+		go p.request(a)
 	case permits.Withhold:
 		p.log.WithFields(logrus.Fields{fields.Names: a.Names, fields.Change: a.Change, fields.Clock: fleet.Monotonic()}).Info("withheld backends")
 		p.door.Withhold(a.Names, func() {
-			p.told()
+			p.withheldKnown()
 			go p.post(permits.Did{Change: a.Change})
 		})
 	case permits.Aside:
 		at := p.began.Add(time.Duration(a.UntilMs * float64(time.Millisecond)))
 		p.door.Aside(a.Out, at, func(taken bool) {
 			if taken {
-				says := CameBack
+				message := CameBack
 				if a.Out {
-					says = WentAside
+					message = WentAside
 				}
-				p.log.WithFields(logrus.Fields{fields.Number: a.Number, fields.Why: a.Why, fields.Clock: fleet.Monotonic()}).Info(says)
+				p.log.WithFields(logrus.Fields{fields.Number: a.Number, fields.Why: a.Why, fields.Clock: fleet.Monotonic()}).Info(message)
 			}
 			if a.Out {
 				go p.post(permits.Stepped{Done: taken})
@@ -138,16 +142,16 @@
 	}
 }
 
-// ask carries one question to the coordinators.
-func (p *plans) ask(q permits.Post) {
-	ctx, stop := context.WithTimeout(p.ctx, answerFor)
+// request sends one request to the coordinators and posts the answer.
+func (p *planDriver) request(q permits.Post) {
+	ctx, stop := context.WithTimeout(p.ctx, requestTimeout)
 	defer stop()
 	var e any
 	var err error
 	if q.Word != nil {
 		var r permits.Reply
 		if r, err = p.client.Word(ctx, q.Word); err == nil && len(r.Withheld) == 0 {
-			p.told()
+			p.withheldKnown()
 		}
 		e = permits.Replied{Seq: q.Seq, Reply: r}
 	} else {
@@ -158,43 +162,43 @@
 	if err != nil {
 		e = permits.Unanswered{Seq: q.Seq}
 	}
-	p.note(err)
+	p.noteOutcome(err)
 	p.post(e)
 	if err == nil && q.Word != nil && q.Word.Standing == permits.Ended {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		select {
-		case <-p.parted:
+		case <-p.endReported:
 		default:
-			close(p.parted)
+			close(p.endReported)
 		}
 	}
 }
 
-// note logs once that no coordinator answers, and once that one does again.
-func (p *plans) note(err error) {
+// noteOutcome records whether a coordinator answered, and logs when that changes.
+func (p *planDriver) noteOutcome(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case err == nil:
-		p.heard = time.Now()
-		if p.silent {
-			p.silent = false
+		p.answeredAt = time.Now()
+		if p.unreachable {
+			p.unreachable = false
 			p.log.Info("coordinators answer again")
 		}
-	case !p.silent && time.Since(p.heard) > answerFor && p.ctx.Err() == nil:
-		p.silent = true
+	case !p.unreachable && time.Since(p.answeredAt) > requestTimeout && p.ctx.Err() == nil:
+		p.unreachable = true
 		entry := p.log.WithError(err)
 		if r, ok := err.(interface{ Remedy() string }); ok {
 			entry = entry.WithField(fields.Remedy, r.Remedy())
 		}
-		entry.Warn("no coordinator answers; the door keeps to what it was told")
+		entry.Warn("no coordinator answers; the door keeps its latest orders")
 	}
 }
 
-// look tells the keeper how the door stands and what it knows.
-func (p *plans) look() {
-	t := time.NewTicker(lookEvery)
+// poll posts the door's state and what it observes of others to the keeper, at every pollInterval.
+func (p *planDriver) poll() {
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
 		s := permits.Stands{Ready: p.door.Ready()}
@@ -203,12 +207,12 @@
 				s.Away = append(s.Away, r.Name)
 			}
 		}
-		told := p.door.Tell()
-		n := told.Counts
+		status := p.door.Tell()
+		n := status.Counts
 		s.Counts, s.ByBackend = &release.Counts{}, map[string]release.Counts{}
-		*s.Counts = counted(n)
-		s.Counts.Process, s.Counts.MemoryMB = p.process, resident()
-		for _, b := range told.Backends {
+		*s.Counts = toCounts(n)
+		s.Counts.Process, s.Counts.MemoryMB = p.process, residentMB()
+		for _, b := range status.Backends {
 			g := permits.Sighting{Unit: permits.Unit{Kind: permits.Backend, Name: b.ID, Zone: b.Zone, Size: b.Size}, Standing: permits.Failed, Process: uint64(max(0, b.Started))}
 			switch {
 			case b.Up && b.Warm:
@@ -216,7 +220,7 @@
 			case b.Up:
 				g.Standing = permits.Starting
 			}
-			s.Backends, s.ByBackend[b.ID] = append(s.Backends, g), counted(b.Counts)
+			s.Backends, s.ByBackend[b.ID] = append(s.Backends, g), toCounts(b.Counts)
 		}
 		p.post(s)
 		select {
@@ -227,12 +231,13 @@
 	}
 }
 
-func counted(n frontdoor.Counts) release.Counts {
+// toCounts converts the door's counts.
+func toCounts(n frontdoor.Counts) release.Counts {
 	return release.Counts{Arrived: n.Arrived, InTime: n.InTime, Finished: n.Finished, Rejected: n.Rejected, Failed: n.Failed, LatencyMs: n.LatencyMs}
 }
 
-// resident is the memory that this process holds, MB; 0 where that can't be told.
-func resident() float64 {
+// residentMB returns the resident memory of this process, MiB; 0 if it can't be read.
+func residentMB() float64 {
 	raw, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
 		return 0
@@ -244,31 +249,31 @@
 	return pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// Plan tells operators what the door was ordered to do.
-func (p *plans) Plan() (of admin.Plan) {
+// Plan returns what the door was ordered to do, for operators.
+func (p *planDriver) Plan() (of admin.Plan) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	of.Number, of.Out = p.k.Out()
-	of.Withheld = append([]string{}, p.k.Held()...)
-	if o := p.k.Order(); o != nil {
+	of.Number, of.Out = p.keeper.Out()
+	of.Withheld = append([]string{}, p.keeper.Held()...)
+	if o := p.keeper.Order(); o != nil {
 		of.Number, of.Who, of.Why = o.Number, o.Who, o.Why
 	}
-	of.SilentMs = float64(time.Since(p.heard)) / float64(time.Millisecond)
+	of.SilentMs = float64(time.Since(p.answeredAt)) / float64(time.Millisecond)
 	return of
 }
 
-// Back ends by hand what the door was ordered to do.
-func (p *plans) Back() {
-	p.log.Warn("ended by hand, at the door itself")
+// Back cancels the door's current order at an operator's request.
+func (p *planDriver) Back() {
+	p.log.Warn("order cancelled by an operator at this door")
 	p.post(permits.ByHand{})
 }
 
-// part says, once the door has served all it took, that it has ended.
-func (p *plans) part() {
+// reportEnd waits until the door has served all that it accepted, and reports to the coordinators that it has ended.
+func (p *planDriver) reportEnd() {
 	<-p.door.Done()
 	p.post(permits.Left{})
 	select {
-	case <-p.parted:
-	case <-time.After(partFor):
+	case <-p.endReported:
+	case <-time.After(endReportTimeout):
 	}
 }
