--- a/members/members.go
+++ b/members/members.go
@@ -208,6 +208,7 @@
 	return m.actions
 }
 
+// emit adds an action to those that Step returns.
 func (m *Member) emit(a Action) { m.actions = append(m.actions, a) }
 
 // ---- Member states ----
@@ -277,10 +278,10 @@
 			m.aliveCount--
 		}
 	}
-	was, is := k.State == Away || k.State == Left, to == Away || to == Left
-	if is && !was {
+	wasGone, isGone := k.State == Away || k.State == Left, to == Away || to == Left
+	if isGone && !wasGone {
 		m.gone = append(m.gone, i)
-	} else if was && !is {
+	} else if wasGone && !isGone {
 		m.gone = slices.DeleteFunc(m.gone, func(j int) bool { return j == i })
 	}
 	k.State = to
@@ -460,10 +461,10 @@
 // receiveAck processes an Ack: that of an indirect probe is passed on to its requester, any other is this door's own.
 func (m *Member) receiveAck(from int, in *Message) {
 	k := &m.members[from]
-	for j, f := range m.indirectProbes {
-		if f.seq == in.Seq {
+	for j, p := range m.indirectProbes {
+		if p.seq == in.Seq {
 			m.indirectProbes = slices.Delete(m.indirectProbes, j, j+1)
-			m.send(m.members[f.requester].Peer, &Message{Kind: IndirectAck, Target: k.Name})
+			m.send(m.members[p.requester].Peer, &Message{Kind: IndirectAck, Target: k.Name})
 			return
 		}
 	}
@@ -675,14 +676,14 @@
 // addVote replaces an observer's earlier vote on a member, and reports whether the vote was new.
 func (m *Member) addVote(i int, v vote) bool {
 	k := &m.members[i]
-	at := slices.IndexFunc(k.votes, func(w vote) bool { return w.by == v.by })
+	n := slices.IndexFunc(k.votes, func(w vote) bool { return w.by == v.by })
 	switch {
-	case at < 0:
+	case n < 0:
 		k.votes = append(k.votes, v)
-	case k.votes[at].seq >= v.seq:
+	case k.votes[n].seq >= v.seq:
 		return false
 	default:
-		k.votes[at] = v
+		k.votes[n] = v
 	}
 	m.updateSuspectedAt(i)
 	m.markUnsettled(i)
@@ -816,19 +817,19 @@
 	}
 	m.pingAway()
 	m.gossip()
-	m.indirectProbes = slices.DeleteFunc(m.indirectProbes, func(f indirectProbe) bool { return m.activeTime-f.at > suspectAfter })
+	m.indirectProbes = slices.DeleteFunc(m.indirectProbes, func(p indirectProbe) bool { return m.activeTime-p.at > suspectAfter })
 }
 
 // checkLocalHealth finds out whether the failure is this door's own: it receives nothing, or none of the members that it
 // pings answers while it receives from others, or it is Joining, as after being declared away. Then it neither votes nor
 // decides, but still adopts the decisions of others. Without this a zone that can receive and not send would drop all others.
 func (m *Member) checkLocalHealth() {
-	was := m.unhealthy
+	wasUnhealthy := m.unhealthy
 	m.unhealthy = m.activeTime-m.receivedAt > unhealthyAfter || m.members[m.self].State == Joining || len(m.subjects) > 0 &&
 		!slices.ContainsFunc(m.subjects, func(i int) bool {
 			return m.activeTime-max(m.members[i].observedSince, m.members[i].ackedAt) < suspectAfter
 		})
-	if m.unhealthy && !was {
+	if m.unhealthy && !wasUnhealthy {
 		m.dropVotesBy(m.self) // its first suspicions are due to the same failure
 		for _, i := range m.subjects {
 			m.members[i].votedAt = math.Inf(-1)
@@ -1057,23 +1058,23 @@
 	}
 	slices.SortFunc(m.rings, func(a, b zoneRing) int { return cmp.Compare(a.name, b.name) })
 	for z, sum := 0, 0; z < len(m.rings); z++ {
-		one := &m.rings[z]
-		slices.SortFunc(one.members, func(i, j int) int { return cmp.Compare(m.members[i].ringPos, m.members[j].ringPos) })
-		one.shareFrom = observersPerMember * float64(sum) / float64(m.aliveCount)
-		sum += len(one.members)
-		one.shareTo = observersPerMember * float64(sum) / float64(m.aliveCount)
+		ring := &m.rings[z]
+		slices.SortFunc(ring.members, func(i, j int) int { return cmp.Compare(m.members[i].ringPos, m.members[j].ringPos) })
+		ring.shareFrom = observersPerMember * float64(sum) / float64(m.aliveCount)
+		sum += len(ring.members)
+		ring.shareTo = observersPerMember * float64(sum) / float64(m.aliveCount)
 	}
-	was := append([]int(nil), m.subjects...)
+	previous := append([]int(nil), m.subjects...)
 	m.subjects = m.subjects[:0]
 	if k := &m.members[m.self]; k.State.alive() {
-		mine := &m.rings[slices.IndexFunc(m.rings, func(z zoneRing) bool { return z.name == k.Zone })]
+		ownRing := &m.rings[slices.IndexFunc(m.rings, func(z zoneRing) bool { return z.name == k.Zone })]
 		for i := range m.members {
-			if i != m.self && m.members[i].State.alive() && m.anyObserver(mine, i, func(j int) bool { return j == m.self }) {
+			if i != m.self && m.members[i].State.alive() && m.anyObserver(ownRing, i, func(j int) bool { return j == m.self }) {
 				m.subjects = append(m.subjects, i)
 			}
 		}
 	}
-	for _, i := range was {
+	for _, i := range previous {
 		if i < len(m.members) && !slices.Contains(m.subjects, i) {
 			m.members[i].observed = false
 			m.members[i].votedAt = math.Inf(-1)
@@ -1098,14 +1099,14 @@
 func (m *Member) anyObserver(z *zoneRing, i int, call func(j int) bool) bool {
 	n := len(z.members)
 	at, _ := slices.BinarySearchFunc(z.members, m.members[i].ringPos, func(j int, p uint64) int { return cmp.Compare(m.members[j].ringPos, p) })
-	others := n
+	candidates := n
 	if z.name == m.members[i].Zone {
-		others--
+		candidates--
 	}
-	left := min(others, m.observersFromZone(z, i))
-	for s := 1; left > 0 && s <= n; s++ {
+	remaining := min(candidates, m.observersFromZone(z, i))
+	for s := 1; remaining > 0 && s <= n; s++ {
 		if j := z.members[(at-s+2*n)%n]; j != i {
-			left--
+			remaining--
 			if call(j) {
 				return true
 			}
@@ -1120,8 +1121,8 @@
 	if m.aliveCount <= observersPerMember+1 {
 		return observersPerMember // everybody observes everybody
 	}
-	at := float64(m.members[i].ringPos*0x9e3779b97f4a7c15>>11) / (1 << 53)
-	return int(math.Floor(z.shareTo+at) - math.Floor(z.shareFrom+at))
+	offset := float64(m.members[i].ringPos*0x9e3779b97f4a7c15>>11) / (1 << 53)
+	return int(math.Floor(z.shareTo+offset) - math.Floor(z.shareFrom+offset))
 }
 
 // observerCount returns the number of observers of a member.
