--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -136,8 +136,8 @@
 		require.ErrorAs(t, err, &version)
 		assert.Equal(t, Version+1, version.Have)
 		err = c.doors[0].NotifyAlive(&memberlist.Node{Name: "odd", Meta: []byte("?")})
-		var stranger *FleetMismatchError
-		require.ErrorAs(t, err, &stranger)
+		var mismatch *FleetMismatchError
+		require.ErrorAs(t, err, &mismatch)
 		c.end()
 	})
 }
--- a/fleet/transport.go
+++ b/fleet/transport.go
@@ -43,6 +43,7 @@
 	return &routed{t, routes}
 }
 
+// route replaces the address of a member that the table names.
 func (r *routed) route(a memberlist.Address) memberlist.Address {
 	if at, ok := r.routes[a.Name]; ok {
 		a.Addr = at
@@ -64,8 +65,8 @@
 	impair func(to string) Fate
 }
 
-// Impaired returns a transport that applies the faults returned by impair to what it sends to an address. If a datagram would
-// be lost, a connection attempt times out.
+// Impaired returns a transport that applies faults to what it sends: impair returns those for an address. Where a datagram
+// would be lost, a connection attempt times out.
 func Impaired(t memberlist.NodeAwareTransport, impair func(to string) Fate) memberlist.NodeAwareTransport {
 	return &impaired{t, impair}
 }
--- a/internal/doorfleet/plans.go
+++ b/internal/doorfleet/plans.go
@@ -55,9 +55,9 @@
 	unreachable bool      // logged that no coordinator answers
 }
 
-// holdUnready keeps a starting door unready until the returned function is called, which is when the withheld backends are known,
-// or for holdTimeout. Otherwise a process that the coordinators don't know yet would send requests to backends that they
-// report as drained. If no coordinator answers, the door serves.
+// holdUnready keeps a starting door unready until the returned function is called, which is once the withheld backends are
+// known, but no longer than holdTimeout. Otherwise a process that the coordinators don't know yet would send requests to
+// backends that they report as drained. If no coordinator answers, the door serves.
 func holdUnready(door *frontdoor.Door) (markReady func()) {
 	var once sync.Once
 	door.Aside(true, time.Now().Add(holdTimeout), func(bool) {})
