--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -385,7 +385,8 @@
 	return v
 }
 
-// Leave announces that the door leaves the fleet, and returns once that is done, after the identity's limit, or when ctx ends.
+// Leave announces that the door leaves the fleet. It returns once that is done, after Identity's time limit, or when ctx
+// ends.
 func (d *Driver) Leave(ctx context.Context) {
 	d.post(members.Leave{})
 	select {
--- a/fleet/memory.go
+++ b/fleet/memory.go
@@ -43,6 +43,7 @@
 	return n.sent[address]
 }
 
+// impairment returns what happens to a datagram.
 func (n *Network) impairment(from, to string) Fate {
 	if n.Way == nil {
 		return Fate{}
@@ -81,6 +82,7 @@
 	return m, nil
 }
 
+// lookup returns the transport at an address; nil if there is none.
 func (n *Network) lookup(address string) *MemoryTransport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -133,6 +135,7 @@
 	return now, nil
 }
 
+// deliver queues a datagram at an address, or drops it if nothing listens there or the queue is full.
 func (n *Network) deliver(addr string, p *memberlist.Packet) {
 	to := n.lookup(addr)
 	if to == nil {
