--- a/admin/admin.go
+++ b/admin/admin.go
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// Ask asks a door whom it holds to be here.
-func Ask(ctx context.Context, address string) (m Members, err error) {
+// GetMembers asks a door whom it holds to be here.
+func GetMembers(ctx context.Context, address string) (m Members, err error) {
 	err = ask(ctx, http.MethodGet, address, MembersPath, &m)
 	return m, err
 }
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -25,7 +25,7 @@
 func TestADoorsStatusIsToldAndAsked(t *testing.T) {
 	srv := httptest.NewServer(Handler(view, nil))
 	defer srv.Close()
-	m, err := Ask(context.Background(), strings.TrimPrefix(srv.URL, "http://"))
+	m, err := GetMembers(context.Background(), strings.TrimPrefix(srv.URL, "http://"))
 	require.NoError(t, err)
 	assert.Equal(t, Word(view()), m)
 	require.Len(t, m.Members, 2)
@@ -49,12 +49,12 @@
 
 func TestNobodyThereOrNoDoorIsToldWithWhatToDo(t *testing.T) {
 	var ask *AskError
-	_, err := Ask(context.Background(), "127.0.0.1:1")
+	_, err := GetMembers(context.Background(), "127.0.0.1:1")
 	require.ErrorAs(t, err, &ask)
 	assert.Contains(t, ask.Remedy(), "fleet.status")
 	for _, answer := range []http.HandlerFunc{http.NotFound, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) }} {
 		srv := httptest.NewServer(answer)
-		_, err = Ask(context.Background(), strings.TrimPrefix(srv.URL, "http://"))
+		_, err = GetMembers(context.Background(), strings.TrimPrefix(srv.URL, "http://"))
 		assert.ErrorAs(t, err, &ask)
 		srv.Close()
 	}
--- a/fleet/errors.go
+++ b/fleet/errors.go
@@ -12,7 +12,7 @@
 	Cause   error
 }
 
-func (e *BindError) Error() string     { return remedy.Because("fleet address "+e.Address, e.Cause) }
+func (e *BindError) Error() string     { return remedy.WithCause("fleet address "+e.Address, e.Cause) }
 func (e *BindError) Unwrap() error     { return e.Cause }
 func (e *BindError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -27,7 +27,7 @@
 	Cause   error
 }
 
-func (e *PeerError) Error() string     { return remedy.Because("joining peer "+e.Address, e.Cause) }
+func (e *PeerError) Error() string     { return remedy.WithCause("joining peer "+e.Address, e.Cause) }
 func (e *PeerError) Unwrap() error     { return e.Cause }
 func (e *PeerError) Kind() remedy.Kind { return remedy.Unreachable }
 
@@ -71,7 +71,7 @@
 	Cause error
 }
 
-func (e *MessageError) Error() string     { return remedy.Because("malformed "+e.What, e.Cause) }
+func (e *MessageError) Error() string     { return remedy.WithCause("malformed "+e.What, e.Cause) }
 func (e *MessageError) Unwrap() error     { return e.Cause }
 func (e *MessageError) Kind() remedy.Kind { return remedy.Refused }
 
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -206,8 +206,8 @@
 		default: // one exchange at a time
 		}
 	case members.Changed:
-		d.log.WithFields(logrus.Fields{fields.Member: a.Name, fields.From: a.From.String(), fields.To: a.To.String(), fields.Life: a.Life,
-			fields.Doubts: a.Suspicions, fields.Why: a.Why, fields.Clock: Monotonic()}).Info(MemberChanged)
+		d.log.WithFields(logrus.Fields{fields.Member: a.Name, fields.From: a.From.String(), fields.To: a.To.String(), fields.Incarnation: a.Life,
+			fields.Suspicions: a.Suspicions, fields.Why: a.Why, fields.Clock: Monotonic()}).Info(MemberChanged)
 		d.onChange(a)
 	case members.Refused:
 		d.nameConflict.Store(a.Err)
--- a/internal/doorfleet/doorfleet.go
+++ b/internal/doorfleet/doorfleet.go
@@ -43,7 +43,7 @@
 	if f == nil {
 		return nil
 	}
-	if wrong := serving.WallWrong(); wrong != 0 {
+	if wrong := serving.WallClockOffset(); wrong != 0 {
 		if logger, ok := l.(*logrus.Logger); ok {
 			logger.AddHook(clockOffset(wrong))
 		}
@@ -57,8 +57,8 @@
 		return err
 	}
 	changed := make(chan struct{}, 1)
-	d, err := fleet.Start(fleet.Identity{Fleet: f.Name, Name: cfg.Name, Zone: f.Zone, Number: cfg.Deal.Terms.Number, Release: serving.Release(),
-		Peers: f.Peers, Join: ms(f.JoinMs, config.JoinAgain), Leave: ms(f.LeaveMs, config.LeaveMost)},
+	d, err := fleet.Start(fleet.Identity{Fleet: f.Name, Name: cfg.Name, Zone: f.Zone, Number: cfg.Settings.Terms.DoorNumber, Release: serving.Release(),
+		Peers: f.Peers, Join: ms(f.JoinRetryMs, config.DefaultJoinRetryMs), Leave: ms(f.LeaveMs, config.DefaultLeaveMs)},
 		fleet.Routed(t, f.Routes), rand.Uint64()>>1, l, func(members.Changed) {
 			select {
 			case changed <- struct{}{}:
@@ -86,10 +86,10 @@
 	for {
 		select {
 		case <-ctx.Done():
-			leaveCtx, stop := context.WithTimeout(context.WithoutCancel(ctx), ms(f.LeaveMs, config.LeaveMost))
+			leaveCtx, stop := context.WithTimeout(context.WithoutCancel(ctx), ms(f.LeaveMs, config.DefaultLeaveMs))
 			defer stop()
 			if driver != nil {
-				driver.post(permits.Leave{})
+				driver.post(permits.Terminating{})
 			}
 			d.Leave(leaveCtx)
 			if driver != nil {
@@ -101,7 +101,7 @@
 				l.WithError(err).Error("status is not served")
 			}
 		case <-changed:
-			door.Members(GateDoors(d.View().Rows, cfg.Deal.Terms.Doors))
+			door.SetMembers(GateDoors(d.View().Rows, cfg.Settings.Terms.Doors))
 			select {
 			case <-time.After(updateInterval):
 			case <-ctx.Done():
@@ -126,7 +126,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, nil
-		case <-time.After(ms(f.JoinMs, config.JoinAgain)):
+		case <-time.After(ms(f.JoinRetryMs, config.DefaultJoinRetryMs)):
 		}
 	}
 }
@@ -141,22 +141,22 @@
 
 // GateDoors converts the view of the members for the gate; doors is the number of doors in the fleet. Doors that were never
 // members count as here, as all doors do without membership: only a former member can be known to be gone.
-func GateDoors(rows []members.Row, doors int) gate.Doors {
-	e := gate.Doors{Here: make([]bool, doors)}
-	for i := range e.Here {
-		e.Here[i] = true
+func GateDoors(rows []members.Row, doors int) gate.DoorsUpdate {
+	e := gate.DoorsUpdate{Present: make([]bool, doors)}
+	for i := range e.Present {
+		e.Present[i] = true
 	}
 	numbered := func(r *members.Row) bool { return r.Number >= 0 && r.Number < doors }
 	for i := range rows {
 		if r := &rows[i]; numbered(r) && (r.State == members.Away || r.State == members.Left) {
-			e.Here[r.Number] = false
+			e.Present[r.Number] = false
 		}
 	}
 	for i := range rows {
 		if r := &rows[i]; r.State == members.Here || r.State == members.Doubted || r.State == members.Leaving {
-			e.Count++
+			e.PresentCount++
 			if numbered(r) { // also if an earlier door of that number is gone
-				e.Here[r.Number] = true
+				e.Present[r.Number] = true
 			}
 		}
 	}
--- a/internal/doorfleet/plans.go
+++ b/internal/doorfleet/plans.go
@@ -50,7 +50,7 @@
 	endReported   chan struct{} // closed once a coordinator has acknowledged that the door has ended
 
 	mu          sync.Mutex // protects what follows
-	keeper      *permits.Keeper
+	keeper      *permits.DoorAgent
 	answeredAt  time.Time // of the latest answer of a coordinator
 	unreachable bool      // logged that no coordinator answers
 }
@@ -60,8 +60,8 @@
 // backends that they report as drained. If no coordinator answers, the door serves.
 func holdUnready(door *frontdoor.Door) (markReady func()) {
 	var once sync.Once
-	door.Aside(true, time.Now().Add(holdTimeout), func(bool) {})
-	markReady = func() { once.Do(func() { go door.Aside(false, time.Time{}, func(bool) {}) }) }
+	door.SetOutOfService(true, time.Now().Add(holdTimeout), func(bool) {})
+	markReady = func() { once.Do(func() { go door.SetOutOfService(false, time.Time{}, func(bool) {}) }) }
 	time.AfterFunc(holdTimeout, markReady)
 	return markReady
 }
@@ -70,13 +70,13 @@
 func startPlans(ctx context.Context, cfg config.Door, door *frontdoor.Door, view func() fleet.View, withheldKnown func(), l logrus.FieldLogger) *planDriver {
 	var all []config.NamedAddress
 	for _, c := range cfg.Fleet.Coordinators {
-		if n, err := config.Named(c); err == nil {
+		if n, err := config.ParseNamedAddress(c); err == nil {
 			all = append(all, n)
 		}
 	}
 	p := &planDriver{door: door, client: client.New(all), view: view, log: l, began: time.Now(), answeredAt: time.Now(), events: make(chan any, eventQueueSize), ctx: ctx,
 		process: rand.Uint64(), withheldKnown: withheldKnown, endReported: make(chan struct{}),
-		keeper: permits.NewKeeper(permits.Unit{Kind: permits.Door, Name: cfg.Name, Zone: cfg.Fleet.Zone, Size: 1}, func() uint64 { return rand.Uint64()>>1 | 1 })}
+		keeper: permits.NewDoorAgent(permits.Unit{Kind: permits.Door, Name: cfg.Name, Zone: cfg.Fleet.Zone, Size: 1}, func() uint64 { return rand.Uint64()>>1 | 1 })}
 	go p.run()
 	go p.poll()
 	return p
@@ -123,11 +123,11 @@
 		p.log.WithFields(logrus.Fields{fields.Names: a.Names, fields.Change: a.Change, fields.Clock: fleet.Monotonic()}).Info("withheld backends")
 		p.door.Withhold(a.Names, func() {
 			p.withheldKnown()
-			go p.post(permits.Did{Change: a.Change})
+			go p.post(permits.WithholdApplied{Change: a.Change})
 		})
-	case permits.Aside:
+	case permits.SetOut:
 		at := p.began.Add(time.Duration(a.UntilMs * float64(time.Millisecond)))
-		p.door.Aside(a.Out, at, func(taken bool) {
+		p.door.SetOutOfService(a.Out, at, func(taken bool) {
 			if taken {
 				message := CameBack
 				if a.Out {
@@ -136,7 +136,7 @@
 				p.log.WithFields(logrus.Fields{fields.Number: a.Number, fields.Why: a.Why, fields.Clock: fleet.Monotonic()}).Info(message)
 			}
 			if a.Out {
-				go p.post(permits.Stepped{Done: taken})
+				go p.post(permits.SetOutDone{Done: taken})
 			}
 		})
 	}
@@ -148,9 +148,9 @@
 	defer stop()
 	var e any
 	var err error
-	if q.Word != nil {
+	if q.Report != nil {
 		var r permits.Reply
-		if r, err = p.client.Word(ctx, q.Word); err == nil && len(r.Withheld) == 0 {
+		if r, err = p.client.Word(ctx, q.Report); err == nil && len(r.Withheld) == 0 {
 			p.withheldKnown()
 		}
 		e = permits.Replied{Seq: q.Seq, Reply: r}
@@ -164,7 +164,7 @@
 	}
 	p.noteOutcome(err)
 	p.post(e)
-	if err == nil && q.Word != nil && q.Word.Standing == permits.Ended {
+	if err == nil && q.Report != nil && q.Report.Standing == permits.Ended {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		select {
@@ -201,13 +201,13 @@
 	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
-		s := permits.Stands{Ready: p.door.Ready()}
+		s := permits.DoorStatus{Ready: p.door.Ready()}
 		for _, r := range p.view().Rows {
 			if r.State == members.Away {
 				s.Away = append(s.Away, r.Name)
 			}
 		}
-		status := p.door.Tell()
+		status := p.door.Snapshot()
 		n := status.Counts
 		s.Counts, s.ByBackend = &release.Counts{}, map[string]release.Counts{}
 		*s.Counts = toCounts(n)
@@ -254,7 +254,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	of.Number, of.Out = p.keeper.Out()
-	of.Withheld = append([]string{}, p.keeper.Held()...)
+	of.Withheld = append([]string{}, p.keeper.Withheld()...)
 	if o := p.keeper.Order(); o != nil {
 		of.Number, of.Who, of.Why = o.Number, o.Who, o.Why
 	}
@@ -265,13 +265,13 @@
 // Back cancels the door's current order at an operator's request.
 func (p *planDriver) Back() {
 	p.log.Warn("order cancelled by an operator at this door")
-	p.post(permits.ByHand{})
+	p.post(permits.EndByHand{})
 }
 
 // reportEnd waits until the door has served all that it accepted, and reports to the coordinators that it has ended.
 func (p *planDriver) reportEnd() {
 	<-p.door.Done()
-	p.post(permits.Left{})
+	p.post(permits.Terminated{})
 	select {
 	case <-p.endReported:
 	case <-time.After(endReportTimeout):
