--- a/admin/admin.go
+++ b/admin/admin.go
@@ -53,15 +53,15 @@
 
 // NewMembers converts a door's view of its fleet.
 func NewMembers(v fleet.View) Members {
-	m := Members{Self: v.Self, Fleet: v.Fleet, AloneMs: v.Alone, StoppedMs: v.Stopped, Members: []Member{}}
-	if v.Taken != nil {
-		m.Refused, m.Remedy = v.Taken.Error(), v.Taken.Remedy()
+	m := Members{Self: v.Self, Fleet: v.Fleet, AloneMs: v.SilentMs, StoppedMs: v.PausedMs, Members: []Member{}}
+	if v.NameConflict != nil {
+		m.Refused, m.Remedy = v.NameConflict.Error(), v.NameConflict.Remedy()
 	}
 	for _, r := range v.Rows {
 		row := Member{Name: r.Name, Zone: r.Zone, Number: r.Number, Address: r.Address, State: r.State.String(), SinceMs: r.Since,
-			SeenBy: max(0, r.Looks-r.Doubts), Observers: r.Looks, Incarnation: r.Life, Release: r.Release, RoundTripMs: r.Trip}
-		if r.Observe {
-			reached := r.Reach
+			SeenBy: max(0, r.Observers-r.Suspicions), Observers: r.Observers, Incarnation: r.Incarnation, Release: r.Release, RoundTripMs: r.RTT}
+		if r.Observed {
+			reached := r.Reached
 			row.Reached = &reached
 		}
 		m.Members = append(m.Members, row)
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -16,9 +16,9 @@
 )
 
 func view() fleet.View {
-	return fleet.View{Self: "a", Fleet: "prod", Alone: 20, Rows: []members.Row{
-		{Peer: members.Peer{Name: "a", Zone: "z1", Address: "10.0.0.1:7946"}, State: members.Here, Life: 1, Looks: 2, Since: 61e3},
-		{Peer: members.Peer{Name: "b", Zone: "z2", Address: "10.0.0.2:7946", Release: "abc"}, State: members.Doubted, Life: 3, Looks: 2, Doubts: 1, Observe: true, Trip: 1.25},
+	return fleet.View{Self: "a", Fleet: "prod", SilentMs: 20, Rows: []members.Row{
+		{Peer: members.Peer{Name: "a", Zone: "z1", Address: "10.0.0.1:7946"}, State: members.Here, Incarnation: 1, Observers: 2, Since: 61e3},
+		{Peer: members.Peer{Name: "b", Zone: "z2", Address: "10.0.0.2:7946", Release: "abc"}, State: members.Suspect, Incarnation: 3, Observers: 2, Suspicions: 1, Observed: true, RTT: 1.25},
 	}}
 }
 
@@ -40,7 +40,7 @@
 
 func TestARefusedDoorPrintsItsRemedy(t *testing.T) {
 	v := view()
-	v.Taken = &members.NameTakenError{Name: "a", Address: "10.0.0.9:7946"}
+	v.NameConflict = &members.NameTakenError{Name: "a", Address: "10.0.0.9:7946"}
 	var out bytes.Buffer
 	NewMembers(v).Print(&out)
 	assert.Contains(t, out.String(), "no member: ")
--- a/cmd/swifthall-fleet/commands.go
+++ b/cmd/swifthall-fleet/commands.go
@@ -30,11 +30,11 @@
 // serve is one door. With the key fleet.releases it is a process that holds the door's listener, and has the door run as another.
 func serve(cmd *cobra.Command, l serving.LogFlags) error {
 	if os.Getenv(serving.ListenerVariable) != "" {
-		return serving.Door(l, nil, doorfleet.Beside)
+		return serving.Door(l, nil, doorfleet.Run)
 	}
 	cfg, err := serving.Load(cmd.Context())
 	if err != nil || cfg.Fleet == nil || cfg.Fleet.Releases == "" {
-		return serving.Door(l, nil, doorfleet.Beside) // what is wrong with the file it says itself
+		return serving.Door(l, nil, doorfleet.Run) // what is wrong with the file it says itself
 	}
 	log, flush := serving.NewLog()
 	defer flush()
--- a/coordinator/run.go
+++ b/coordinator/run.go
@@ -61,15 +61,15 @@
 	if err := os.MkdirAll(cfg.Data, private); err != nil {
 		return &store.OpenError{Path: cfg.Data, Cause: err}
 	}
-	st, err := store.Open(filepath.Join(cfg.Data, fileName), store.Options{NoSync: o.NoSync, Before: o.Before,
-		Failed: func(err error) {
+	st, err := store.Open(filepath.Join(cfg.Data, fileName), store.Options{NoSync: o.NoSync, BeforeWrite: o.Before,
+		OnWriteError: func(err error) {
 			select {
 			case <-begun:
 				c.Failed(err)
 			default: // at the start, whose error it is
 			}
 		},
-		Wrote: func(d time.Duration) {
+		OnWrite: func(d time.Duration) {
 			select {
 			case <-begun:
 				c.Wrote(d)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -42,14 +42,14 @@
 
 // Identity is a door's identity in its fleet, and how it joins and leaves.
 type Identity struct {
-	Fleet   string // only doors of the same fleet name become members
-	Name    string
-	Zone    string
-	Number  int // of the door; -1 for none
-	Release string
-	Peers   []string      // addresses of doors to join, as host:port or name/host:port; the door's own is skipped
-	Join    time.Duration // between attempts to join while no other door is known
-	Leave   time.Duration // limit on the time that Driver.Leave takes
+	Fleet        string // only doors of the same fleet name become members
+	Name         string
+	Zone         string
+	Number       int // of the door; -1 for none
+	Release      string
+	Peers        []string      // addresses of doors to join, as host:port or name/host:port; the door's own is skipped
+	JoinInterval time.Duration // between attempts to join while no other door is known
+	LeaveTimeout time.Duration // limit on the time that Driver.Leave takes
 }
 
 // meta is the metadata of a node in the library's list.
@@ -200,16 +200,16 @@
 		if err != nil { // the same as a lost datagram
 			d.log.WithError(err).WithField(fields.Member, a.To.Name).Debug("not sent")
 		}
-	case members.Meet:
+	case members.PushPull:
 		select {
 		case d.pushPulls <- a.With:
 		default: // one exchange at a time
 		}
 	case members.Changed:
-		d.log.WithFields(logrus.Fields{fields.Member: a.Name, fields.From: a.From.String(), fields.To: a.To.String(), fields.Incarnation: a.Life,
-			fields.Suspicions: a.Suspicions, fields.Why: a.Why, fields.Clock: Monotonic()}).Info(MemberChanged)
+		d.log.WithFields(logrus.Fields{fields.Member: a.Name, fields.From: a.From.String(), fields.To: a.To.String(), fields.Incarnation: a.Incarnation,
+			fields.Suspicions: a.Suspicions, fields.Why: a.Reason, fields.Clock: Monotonic()}).Info(MemberChanged)
 		d.onChange(a)
-	case members.Refused:
+	case members.NameConflict:
 		d.nameConflict.Store(a.Err)
 		if a.Err == nil {
 			d.log.Info("member of the fleet again")
@@ -239,7 +239,7 @@
 		others := 0
 		if !d.withMember(func(m *members.Member) {
 			for _, r := range m.Rows() {
-				if r.Name != d.id.Name && (r.State == members.Here || r.State == members.Doubted) {
+				if r.Name != d.id.Name && (r.State == members.Here || r.State == members.Suspect) {
 					others++
 					known[r.Address], known[r.Name] = true, true
 				}
@@ -266,7 +266,7 @@
 				d.log.WithField(fields.Member, p).Info("joined")
 			}
 		}
-		if rest = d.id.Join; others > 0 {
+		if rest = d.id.JoinInterval; others > 0 {
 			rest = rejoinInterval
 		}
 	}
@@ -322,7 +322,7 @@
 		d.reject(&MessageError{"state", err})
 		return
 	}
-	d.post(members.Learnt{Records: all})
+	d.post(members.RemoteState{Records: all})
 }
 
 // NotifyAlive rejects a node of another fleet or version.
@@ -368,19 +368,19 @@
 
 // View is a door's view of its fleet.
 type View struct {
-	Self    string
-	Fleet   string
-	Release string
-	Alone   float64                 // active time since a message was received from any other member, ms
-	Stopped float64                 // total time for which this process was suspended, ms
-	Taken   *members.NameTakenError // set while another door has this door's name
-	Rows    []members.Row
+	Self         string
+	Fleet        string
+	Release      string
+	SilentMs     float64                 // active time since a message was received from any other member, ms
+	PausedMs     float64                 // total time for which this process was suspended, ms
+	NameConflict *members.NameTakenError // set while another door has this door's name
+	Rows         []members.Row
 }
 
 // View returns the current view; it is empty if the driver has ended.
 func (d *Driver) View() (v View) {
 	d.withMember(func(m *members.Member) {
-		v = View{Self: d.id.Name, Fleet: d.id.Fleet, Release: d.id.Release, Alone: m.SilentMs(), Stopped: m.PausedMs(), Taken: d.nameConflict.Load(), Rows: m.Rows()}
+		v = View{Self: d.id.Name, Fleet: d.id.Fleet, Release: d.id.Release, SilentMs: m.SilentMs(), PausedMs: m.PausedMs(), NameConflict: d.nameConflict.Load(), Rows: m.Rows()}
 	})
 	return v
 }
@@ -393,7 +393,7 @@
 	case <-d.departed:
 	case <-d.done:
 	case <-ctx.Done():
-	case <-time.After(d.id.Leave):
+	case <-time.After(d.id.LeaveTimeout):
 	}
 }
 
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -56,12 +56,12 @@
 }
 
 func identity(i int) Identity {
-	return Identity{Fleet: "test", Name: doorName(i), Zone: fmt.Sprint("z", i%3), Number: i, Join: time.Second, Leave: 3 * time.Second, Peers: []string{address(0), address(1)}}
+	return Identity{Fleet: "test", Name: doorName(i), Zone: fmt.Sprint("z", i%3), Number: i, JoinInterval: time.Second, LeaveTimeout: 3 * time.Second, Peers: []string{address(0), address(1)}}
 }
 
-func newCluster(t *testing.T, n int, impair func(from, to string) Fate) *cluster {
+func newCluster(t *testing.T, n int, impair func(from, to string) Impairment) *cluster {
 	c := &cluster{t: t, net: NewNetwork()}
-	c.net.Way = impair
+	c.net.Impair = impair
 	for i := range n {
 		c.start(identity(i), address(i), uint64(i+1))
 	}
@@ -87,7 +87,7 @@
 func TestDoorsJoinAndDetectACrash(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 12, func(string, string) Fate { return Fate{Delay: time.Millisecond} })
+		c := newCluster(t, 12, func(string, string) Impairment { return Impairment{Delay: time.Millisecond} })
 		time.Sleep(8 * time.Second)
 		for _, d := range c.doors {
 			assert.Equal(t, map[members.State]int{members.Here: 12}, stateCounts(d), d.id.Name)
@@ -161,10 +161,10 @@
 		time.Sleep(8 * time.Second)
 		late := c.start(identity(3), address(30), 99)
 		time.Sleep(8 * time.Second)
-		require.NotNil(t, late.View().Taken)
-		assert.Equal(t, address(3), late.View().Taken.Address)
+		require.NotNil(t, late.View().NameConflict)
+		assert.Equal(t, address(3), late.View().NameConflict.Address)
 		assert.Contains(t, c.logs[5].String(), "no member of the fleet")
-		assert.Nil(t, c.doors[3].View().Taken)
+		assert.Nil(t, c.doors[3].View().NameConflict)
 		for i := range 5 {
 			assert.Equal(t, map[members.State]int{members.Here: 5}, stateCounts(c.doors[i]), i)
 		}
@@ -176,10 +176,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		cut := false
-		c := newCluster(t, 12, func(from, _ string) Fate {
+		c := newCluster(t, 12, func(from, _ string) Impairment {
 			mu.Lock()
 			defer mu.Unlock()
-			return Fate{Delay: time.Millisecond, Lost: cut && from == address(4)}
+			return Impairment{Delay: time.Millisecond, Lost: cut && from == address(4)}
 		})
 		time.Sleep(8 * time.Second)
 		mu.Lock()
@@ -190,7 +190,7 @@
 			for _, r := range d.View().Rows {
 				switch {
 				case r.Name != doorName(4):
-					assert.Contains(t, []members.State{members.Here, members.Doubted}, r.State)
+					assert.Contains(t, []members.State{members.Here, members.Suspect}, r.State)
 				case i == 4:
 					assert.Equal(t, members.Joining, r.State, "it receives the records that say that it is away")
 				default:
@@ -229,10 +229,10 @@
 		time.Sleep(8 * time.Second)
 		late := c.start(identity(3), address(30), 99)
 		time.Sleep(4 * time.Second)
-		require.NotNil(t, late.View().Taken)
+		require.NotNil(t, late.View().NameConflict)
 		c.doors[3].Close()
 		time.Sleep(30 * time.Second)
-		assert.Nil(t, late.View().Taken)
+		assert.Nil(t, late.View().NameConflict)
 		assert.Equal(t, map[members.State]int{members.Here: 5}, stateCounts(c.doors[0]))
 		assert.Equal(t, map[members.State]int{members.Here: 5}, stateCounts(late))
 		c.end()
--- a/fleet/memory.go
+++ b/fleet/memory.go
@@ -11,17 +11,17 @@
 )
 
 // Impairment is what a network does to one datagram, or to a connection attempt.
-type Fate struct {
-	Lost  bool
-	Delay time.Duration
-	Twice bool // delivered twice
+type Impairment struct {
+	Lost       bool
+	Delay      time.Duration
+	Duplicated bool // delivered twice
 }
 
 // Network is a network within this process. It uses the process's clock, which is virtual under testing/synctest.
 type Network struct {
 	// Impair returns what happens to a datagram from one address to another; nil for a network that neither loses nor
 	// delays anything. If one direction loses, connections fail in both, as they need both.
-	Way func(from, to string) Fate
+	Impair func(from, to string) Impairment
 
 	mu         sync.Mutex
 	transports map[string]*MemoryTransport // by address
@@ -44,11 +44,11 @@
 }
 
 // impairment returns what happens to a datagram.
-func (n *Network) impairment(from, to string) Fate {
-	if n.Way == nil {
-		return Fate{}
+func (n *Network) impairment(from, to string) Impairment {
+	if n.Impair == nil {
+		return Impairment{}
 	}
-	return n.Way(from, to)
+	return n.Impair(from, to)
 }
 
 const (
@@ -117,7 +117,7 @@
 		return now, nil
 	}
 	copies := 1
-	if f.Twice {
+	if f.Duplicated {
 		copies = 2
 	}
 	from, err := net.ResolveUDPAddr("udp", m.address)
--- a/fleet/transport.go
+++ b/fleet/transport.go
@@ -62,12 +62,12 @@
 // impaired applies faults to what a transport sends.
 type impaired struct {
 	memberlist.NodeAwareTransport
-	impair func(to string) Fate
+	impair func(to string) Impairment
 }
 
 // Impaired returns a transport that applies faults to what it sends: impair returns those for an address. Where a datagram
 // would be lost, a connection attempt times out.
-func Impaired(t memberlist.NodeAwareTransport, impair func(to string) Fate) memberlist.NodeAwareTransport {
+func Impaired(t memberlist.NodeAwareTransport, impair func(to string) Impairment) memberlist.NodeAwareTransport {
 	return &impaired{t, impair}
 }
 
@@ -80,7 +80,7 @@
 	if f.Lost {
 		return time.Now(), nil
 	}
-	if f.Twice {
+	if f.Duplicated {
 		if at, err := s.NodeAwareTransport.WriteToAddress(b, a); err != nil {
 			return at, err
 		}
--- a/fleet/transport_test.go
+++ b/fleet/transport_test.go
@@ -21,9 +21,9 @@
 
 func inSynctest(t *testing.T, test func(t *testing.T)) { synctest.Test(t, test) }
 
-func onMemory(impair func(from, to string) Fate) func(t *testing.T) memberlist.NodeAwareTransport {
+func onMemory(impair func(from, to string) Impairment) func(t *testing.T) memberlist.NodeAwareTransport {
 	n := NewNetwork()
-	n.Way = impair
+	n.Impair = impair
 	var next atomic.Int64
 	return func(t *testing.T) memberlist.NodeAwareTransport {
 		m, err := n.Listen(fmt.Sprintf("10.0.0.%d:7946", next.Add(1)))
@@ -43,7 +43,7 @@
 }
 
 func TestMemoryTransportWithDelays(t *testing.T) {
-	transporttest.Run(t, transporttest.Config{Listen: onMemory(func(string, string) Fate { return Fate{Delay: 3 * time.Millisecond} }),
+	transporttest.Run(t, transporttest.Config{Listen: onMemory(func(string, string) Impairment { return Impairment{Delay: 3 * time.Millisecond} }),
 		UnusedAddress: "10.9.9.9:1", Lossless: true, Run: inSynctest})
 }
 
@@ -61,10 +61,10 @@
 	memory := onMemory(nil)
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(1, 2))
-	for name, impair := range map[string]func(string) Fate{
-		"loses":   func(string) Fate { mu.Lock(); defer mu.Unlock(); return Fate{Lost: rng.Float64() < 0.5} },
-		"repeats": func(string) Fate { return Fate{Twice: true} },
-		"delays":  func(string) Fate { return Fate{Delay: time.Millisecond} },
+	for name, impair := range map[string]func(string) Impairment{
+		"loses":   func(string) Impairment { mu.Lock(); defer mu.Unlock(); return Impairment{Lost: rng.Float64() < 0.5} },
+		"repeats": func(string) Impairment { return Impairment{Duplicated: true} },
+		"delays":  func(string) Impairment { return Impairment{Delay: time.Millisecond} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			k := transporttest.Config{Listen: func(t *testing.T) memberlist.NodeAwareTransport { return Impaired(memory(t), impair) },
@@ -80,7 +80,7 @@
 // lossyDatagrams loses datagrams, but no connections.
 type lossyDatagrams struct {
 	memberlist.NodeAwareTransport
-	impair func(string) Fate
+	impair func(string) Impairment
 }
 
 func (l lossyDatagrams) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
@@ -104,7 +104,7 @@
 func TestLossInOneDirectionFailsConnectionsInBoth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var aAddress string
-		listen := onMemory(func(from, _ string) Fate { return Fate{Lost: from == aAddress} })
+		listen := onMemory(func(from, _ string) Impairment { return Impairment{Lost: from == aAddress} })
 		a, b := listen(t), listen(t)
 		defer func() { _ = a.Shutdown(); _ = b.Shutdown() }()
 		address := func(m memberlist.NodeAwareTransport) string {
--- a/internal/doorfleet/doorfleet.go
+++ b/internal/doorfleet/doorfleet.go
@@ -38,7 +38,7 @@
 
 // Run runs a door's membership until ctx ends, and then leaves the fleet. A failure doesn't affect the door, which serves
 // without membership.
-func Beside(ctx context.Context, cfg config.Door, door *frontdoor.Door, l logrus.FieldLogger) error {
+func Run(ctx context.Context, cfg config.Door, door *frontdoor.Door, l logrus.FieldLogger) error {
 	f := cfg.Fleet
 	if f == nil {
 		return nil
@@ -58,7 +58,7 @@
 	}
 	changed := make(chan struct{}, 1)
 	d, err := fleet.Start(fleet.Identity{Fleet: f.Name, Name: cfg.Name, Zone: f.Zone, Number: cfg.Settings.Terms.DoorNumber, Release: serving.Release(),
-		Peers: f.Peers, Join: ms(f.JoinRetryMs, config.DefaultJoinRetryMs), Leave: ms(f.LeaveMs, config.DefaultLeaveMs)},
+		Peers: f.Peers, JoinInterval: ms(f.JoinRetryMs, config.DefaultJoinRetryMs), LeaveTimeout: ms(f.LeaveMs, config.DefaultLeaveMs)},
 		fleet.Routed(t, f.Routes), rand.Uint64()>>1, l, func(members.Changed) {
 			select {
 			case changed <- struct{}{}:
@@ -153,7 +153,7 @@
 		}
 	}
 	for i := range rows {
-		if r := &rows[i]; r.State == members.Here || r.State == members.Doubted || r.State == members.Leaving {
+		if r := &rows[i]; r.State == members.Here || r.State == members.Suspect || r.State == members.Leaving {
 			e.PresentCount++
 			if numbered(r) { // also if an earlier door of that number is gone
 				e.Present[r.Number] = true
--- a/internal/doorfleet/doorfleet_test.go
+++ b/internal/doorfleet/doorfleet_test.go
@@ -14,7 +14,7 @@
 }
 
 func TestOnlyFormerMembersCountAsGone(t *testing.T) {
-	e := GateDoors([]members.Row{row("a", 0, members.Here), row("b", 1, members.Doubted), row("c", 2, members.Away), row("d", 3, members.Left),
+	e := GateDoors([]members.Row{row("a", 0, members.Here), row("b", 1, members.Suspect), row("c", 2, members.Away), row("d", 3, members.Left),
 		row("e", -1, members.Here), row("f", 9, members.Leaving), row("g", 4, members.Joining)}, 6)
 	assert.Equal(t, gate.DoorsUpdate{Present: []bool{true, true, false, false, true, true}, PresentCount: 4}, e)
 }
--- a/members/members.go
+++ b/members/members.go
@@ -167,7 +167,7 @@
 func New(self Peer, seed uint64) *Member {
 	m := &Member{index: map[string]int{}, rng: rand.New(rand.NewPCG(seed, xxhash.Sum64String(self.Name))), leavingAt: math.Inf(1),
 		incarnationAt: math.Inf(-1), pushPullAt: math.Inf(-1), ringsStale: true, reachReports: map[int]reachReport{}, nameConflictAt: math.Inf(-1)}
-	m.self = m.add(Record{Peer: self, Life: 1, State: Joining})
+	m.self = m.add(Record{Peer: self, Incarnation: 1, State: Joining})
 	m.markChanged(m.self)
 	return m
 }
@@ -192,7 +192,7 @@
 		switch e := e.(type) {
 		case Received:
 			m.receive(e.Message)
-		case Learnt:
+		case RemoteState:
 			for i := range e.Records {
 				m.merge(&e.Records[i], false)
 			}
@@ -249,7 +249,7 @@
 		return Away // only in this door's own view: it is not gossiped
 	case k.State == Joining && k.rejoining && m.activeTime-k.stateAt < rejoinGrace, k.State == Here:
 		if n := m.suspicions(i); n >= 2 || n > 0 && m.activeTime-k.suspectedAt > singleSuspicionDelay {
-			return Doubted
+			return Suspect
 		}
 		return Here
 	}
@@ -263,7 +263,7 @@
 	if now == k.reported {
 		return
 	}
-	m.emit(Changed{Peer: k.Peer, From: k.reported, To: now, Life: k.Life, Suspicions: m.suspicions(i), Why: reason})
+	m.emit(Changed{Peer: k.Peer, From: k.reported, To: now, Incarnation: k.Incarnation, Suspicions: m.suspicions(i), Reason: reason})
 	k.reported = now
 }
 
@@ -323,9 +323,9 @@
 // startIncarnation replaces what is known of a member by a later incarnation, or by another process of the same name.
 func (m *Member) startIncarnation(i int, r *Record) {
 	k := &m.members[i]
-	rejoining := (k.reported == Here || k.reported == Doubted) && !m.hasAwayQuorum(i) && k.Nonce == r.Nonce && r.State == Joining
+	rejoining := (k.reported == Here || k.reported == Suspect) && !m.hasAwayQuorum(i) && k.Nonce == r.Nonce && r.State == Joining
 	m.setState(i, r.State)
-	k.Peer, k.Life = r.Peer, r.Life
+	k.Peer, k.Incarnation = r.Peer, r.Incarnation
 	k.rejoining, k.contested, k.stateAt = rejoining, false, m.activeTime-r.Age
 	k.votes, k.suspectedAt, k.votedAt = k.votes[:0], math.Inf(1), math.Inf(-1)
 	k.observedSince, k.pingedAt, k.indirectAckAt, k.awaitingAck = m.activeTime, math.Inf(-1), math.Inf(-1), false
@@ -344,7 +344,7 @@
 func (m *Member) receive(in *Message) {
 	if in.From.Name == m.members[m.self].Name {
 		if in.From.Nonce != m.members[m.self].Nonce {
-			m.mergeNamesake(&Record{Peer: in.From, Life: in.Life, State: in.State})
+			m.mergeNamesake(&Record{Peer: in.From, Incarnation: in.Incarnation, State: in.State})
 		}
 		return
 	}
@@ -353,7 +353,7 @@
 		m.yieldName(in.Target)
 		return
 	}
-	m.merge(&Record{Peer: in.From, Life: in.Life, State: in.State}, true)
+	m.merge(&Record{Peer: in.From, Incarnation: in.Incarnation, State: in.State}, true)
 	from, known := m.index[in.From.Name]
 	m.senderOutdated = false
 	for i := range in.Records {
@@ -374,7 +374,7 @@
 		if k.State.alive() && k.Address != in.From.Address {
 			m.send(in.From, &Message{Kind: NameTaken, Target: k.Address})
 		} else { // send it the record of the earlier process of its name: it must begin a later incarnation
-			m.send(in.From, &Message{Kind: Tell, Records: []Record{m.record(from)}})
+			m.send(in.From, &Message{Kind: Gossip, Records: []Record{m.record(from)}})
 		}
 		return
 	}
@@ -397,9 +397,9 @@
 		if i, ok := m.index[in.Target]; ok {
 			m.members[i].indirectAckAt = m.activeTime
 		}
-	case Tell:
-		if !k.State.alive() || k.Life != in.Life || outdated { // a Ping is answered in any case
-			m.reply(from, &Message{Kind: Tell})
+	case Gossip:
+		if !k.State.alive() || k.Incarnation != in.Incarnation || outdated { // a Ping is answered in any case
+			m.reply(from, &Message{Kind: Gossip})
 		}
 	}
 }
@@ -425,7 +425,7 @@
 	}
 	if sinceExchange := m.activeTime - m.pushPullAt; sinceExchange > maxPushPullDelay || sinceExchange > pushPullInterval && m.activeTime-m.changedAt > quietBeforePushPull {
 		m.pushPullAt = m.activeTime + pushPullInterval*m.rng.Float64()
-		m.emit(Meet{m.members[from].Peer})
+		m.emit(PushPull{m.members[from].Peer})
 	}
 }
 
@@ -435,7 +435,7 @@
 		m.digestStale, m.cachedDigest = false, 0
 		for i := range m.members {
 			k := &m.members[i]
-			h := k.ringPos ^ k.Nonce*0x9e3779b97f4a7c15 ^ (uint64(k.Life)<<8|uint64(k.State))*0xff51afd7ed558ccd
+			h := k.ringPos ^ k.Nonce*0x9e3779b97f4a7c15 ^ (uint64(k.Incarnation)<<8|uint64(k.State))*0xff51afd7ed558ccd
 			h ^= h >> 31
 			m.cachedDigest += h * 0xc4ceb9fe1a85ec53
 		}
@@ -452,7 +452,7 @@
 		out.Records = append(out.Records, r)
 		if m.activeTime-m.pushPullAt >= pushPullInterval && k.State == Away { // a partition has healed
 			m.pushPullAt = m.activeTime
-			m.emit(Meet{k.Peer})
+			m.emit(PushPull{k.Peer})
 		}
 	}
 	m.send(m.members[to].Peer, out)
@@ -478,9 +478,9 @@
 		k.rtt += (sample - k.rtt) / 8
 	}
 	k.awaitingAck = false
-	firstInIncarnation := k.ackedIncarnation != k.Life
-	k.ackedAt, k.ackedIncarnation = m.activeTime, in.Life
-	if firstInIncarnation && k.State == Joining && k.observed && k.ackedIncarnation == k.Life {
+	firstInIncarnation := k.ackedIncarnation != k.Incarnation
+	k.ackedAt, k.ackedIncarnation = m.activeTime, in.Incarnation
+	if firstInIncarnation && k.State == Joining && k.observed && k.ackedIncarnation == k.Incarnation {
 		m.ping(from) // reports to the member that it was reached, without which it can't become Here
 	}
 }
@@ -491,7 +491,7 @@
 		m.mergeSelf(r)
 		return
 	}
-	if r.State >= Doubted || r.State == Unknown || r.Life == 0 || r.Name == "" {
+	if r.State >= Suspect || r.State == Unknown || r.Incarnation == 0 || r.Name == "" {
 		return
 	}
 	i, ok := m.index[r.Name]
@@ -510,14 +510,14 @@
 		// Another process has the name. A successor begins a later incarnation. A process at another address, while the
 		// known one is alive, is sent NameTaken by receive; its record is only accepted from other members, which means
 		// that another part of the fleet has accepted it.
-		if elsewhere := k.State.alive() && k.Address != r.Address; r.Life > k.Life && !(direct && elsewhere) {
+		if elsewhere := k.State.alive() && k.Address != r.Address; r.Incarnation > k.Incarnation && !(direct && elsewhere) {
 			m.startIncarnation(i, r)
 			m.mergeVotes(i, r)
 		}
 		return
 	}
 	switch {
-	case r.Life > k.Life:
+	case r.Incarnation > k.Incarnation:
 		if r.State == Away && k.State.alive() { // it may be about to refute that, which then arrives as a later incarnation
 			before := *r
 			before.State = Joining
@@ -525,11 +525,11 @@
 		} else {
 			m.startIncarnation(i, r)
 		}
-	case r.Life < k.Life:
+	case r.Incarnation < k.Incarnation:
 		return
 	}
 	m.mergeVotes(i, r)
-	if k = &m.members[i]; r.Life != k.Life || r.State <= k.State {
+	if k = &m.members[i]; r.Incarnation != k.Incarnation || r.State <= k.State {
 		return
 	}
 	// Decisions of others are adopted along with their votes. If the votes known here don't support one, the member has
@@ -580,7 +580,7 @@
 		m.markUnsettled(i)
 		r := m.record(i)
 		r.State = Away
-		m.send(k.Peer, &Message{Kind: Tell, Records: []Record{r}})
+		m.send(k.Peer, &Message{Kind: Gossip, Records: []Record{r}})
 	}
 }
 
@@ -592,13 +592,13 @@
 		m.mergeNamesake(r)
 		return
 	}
-	if r.Life < k.Life {
+	if r.Incarnation < k.Incarnation {
 		m.senderOutdated = true
 		return
 	}
 	m.mergeVotes(m.self, r)
-	if r.Life > k.Life || r.State == Away && k.State.alive() {
-		m.raiseIncarnation(r.Life, "refutes that it is away")
+	if r.Incarnation > k.Incarnation || r.State == Away && k.State.alive() {
+		m.raiseIncarnation(r.Incarnation, "refutes that it is away")
 	}
 }
 
@@ -606,13 +606,13 @@
 func (m *Member) mergeNamesake(r *Record) {
 	k := &m.members[m.self]
 	if r.Address != k.Address && r.State.alive() {
-		if r.Life > k.Life || r.Life == k.Life && k.State == Joining && r.State != Joining {
+		if r.Incarnation > k.Incarnation || r.Incarnation == k.Incarnation && k.State == Joining && r.State != Joining {
 			m.yieldName(r.Address)
 		}
 		return
 	}
-	if r.Life >= k.Life {
-		m.raiseIncarnation(r.Life, "supersedes an earlier process of its name")
+	if r.Incarnation >= k.Incarnation {
+		m.raiseIncarnation(r.Incarnation, "supersedes an earlier process of its name")
 	}
 }
 
@@ -625,26 +625,26 @@
 	m.nameConflictAt = m.activeTime
 	if m.nameConflict == nil || m.nameConflict.Address != address {
 		m.nameConflict = &NameTakenError{k.Name, address}
-		m.emit(Refused{m.nameConflict})
+		m.emit(NameConflict{m.nameConflict})
 	}
 }
 
 // raiseIncarnation begins an incarnation of this door that is later than one known to others.
 func (m *Member) raiseIncarnation(known uint32, reason string) {
 	k := &m.members[m.self]
-	if !math.IsInf(m.leavingAt, 1) || known == k.Life && m.activeTime-m.incarnationAt < incarnationInterval && k.Life > 1 {
+	if !math.IsInf(m.leavingAt, 1) || known == k.Incarnation && m.activeTime-m.incarnationAt < incarnationInterval && k.Incarnation > 1 {
 		return
 	}
 	m.incarnationAt = m.activeTime
 	k.rejoining = k.State == Here || k.State == Joining && k.rejoining
 	m.setState(m.self, Joining)
-	k.Life, k.stateAt = known+1, m.activeTime
+	k.Incarnation, k.stateAt = known+1, m.activeTime
 	k.votes, k.suspectedAt = k.votes[:0], math.Inf(1)
 	clear(m.reachReports)
 	m.markChanged(m.self)
 	m.reportChange(m.self, reason)
 	for _, i := range m.subjects { // they learn of it first; the pings of those that also observe this door make it Here again
-		m.send(m.members[i].Peer, &Message{Kind: Tell})
+		m.send(m.members[i].Peer, &Message{Kind: Gossip})
 	}
 }
 
@@ -653,7 +653,7 @@
 // mergeVotes adds the votes of a record on a member's current incarnation; only votes of observers that are here count.
 func (m *Member) mergeVotes(i int, r *Record) {
 	k := &m.members[i]
-	if r.Life != k.Life || !k.State.alive() {
+	if r.Incarnation != k.Incarnation || !k.State.alive() {
 		return
 	}
 	changed := false
@@ -662,7 +662,7 @@
 		if !ok || by == i || v.Age > voteTTL {
 			continue
 		}
-		if s := m.visibleState(by); s != Here && s != Doubted && s != Leaving {
+		if s := m.visibleState(by); s != Here && s != Suspect && s != Leaving {
 			continue
 		}
 		changed = m.addVote(i, vote{by, v.Seq, v.Observation, m.activeTime - v.Age}) || changed
@@ -718,7 +718,7 @@
 	k := &m.members[i]
 	m.voteSeq++
 	k.myObservation, k.votedAt = observation, m.activeTime
-	m.addVote(i, vote{m.self, m.members[m.self].Life<<12 + m.voteSeq, observation, m.activeTime})
+	m.addVote(i, vote{m.self, m.members[m.self].Incarnation<<12 + m.voteSeq, observation, m.activeTime})
 	m.markChanged(i)
 	m.reportChange(i, "this door's own vote")
 }
@@ -842,7 +842,7 @@
 	k := &m.members[i]
 	suspected := !math.IsInf(k.suspectedAt, 1)
 	interval := pingInterval
-	if k.awaitingAck || suspected || k.State == Joining && k.ackedIncarnation != k.Life {
+	if k.awaitingAck || suspected || k.State == Joining && k.ackedIncarnation != k.Incarnation {
 		interval = pingRetryInterval
 	}
 	if m.activeTime-k.pingedAt >= interval {
@@ -866,7 +866,7 @@
 			observation = ReachedIndirectly
 		}
 	case suspected:
-		voteDue = m.activeTime-k.ackedAt < ackFreshFor && k.ackedIncarnation == k.Life && m.reachedVoteWanted(i)
+		voteDue = m.activeTime-k.ackedAt < ackFreshFor && k.ackedIncarnation == k.Incarnation && m.reachedVoteWanted(i)
 	}
 	if voteDue && (math.IsInf(k.votedAt, -1) || k.myObservation != observation || m.activeTime-k.votedAt > voteRepeatInterval) {
 		m.castVote(i, observation)
@@ -896,8 +896,8 @@
 	m.seq++
 	k.pingedAt, k.awaitingAck, k.pingSeq, k.pingClock = m.activeTime, true, m.seq, m.clock
 	out := &Message{Kind: Ping, Seq: m.seq}
-	if k.ackedIncarnation == k.Life && m.activeTime-k.ackedAt < ackFreshFor {
-		out.AckedIncarnation = k.Life
+	if k.ackedIncarnation == k.Incarnation && m.activeTime-k.ackedAt < ackFreshFor {
+		out.AckedIncarnation = k.Incarnation
 	}
 	m.send(k.Peer, out)
 }
@@ -937,7 +937,7 @@
 	for z := range m.rings {
 		m.anyObserver(&m.rings[z], m.self, func(j int) bool {
 			n++
-			if t, ok := m.reachReports[j]; ok && t.incarnation == m.members[m.self].Life && m.activeTime-t.at < reachReportTTL {
+			if t, ok := m.reachReports[j]; ok && t.incarnation == m.members[m.self].Incarnation && m.activeTime-t.at < reachReportTTL {
 				reached++
 			}
 			return false
@@ -953,7 +953,7 @@
 	}
 	if m.nameConflict != nil && m.observerCount(m.self) > 0 { // the name is free again
 		m.nameConflict = nil
-		m.emit(Refused{})
+		m.emit(NameConflict{})
 	}
 	m.advance(m.self, Here, "reached by its observers")
 }
@@ -984,7 +984,7 @@
 
 // forget removes a member; the last one takes its index.
 func (m *Member) forget(i int) {
-	m.emit(Changed{Peer: m.members[i].Peer, From: m.members[i].reported, To: Unknown, Life: m.members[i].Life, Why: "left long ago"})
+	m.emit(Changed{Peer: m.members[i].Peer, From: m.members[i].reported, To: Unknown, Incarnation: m.members[i].Incarnation, Reason: "left long ago"})
 	last := len(m.members) - 1
 	delete(m.index, m.members[i].Name)
 	m.dropVotesBy(i)
@@ -1158,7 +1158,7 @@
 // send completes a message with the sender's state, piggybacks records and emits Send.
 func (m *Member) send(to Peer, out *Message) {
 	me := &m.members[m.self]
-	out.From, out.Life, out.State, out.Digest = me.Peer, me.Life, me.State, m.digest()
+	out.From, out.Incarnation, out.State, out.Digest = me.Peer, me.Incarnation, me.State, m.digest()
 	if out.Kind == Ping || out.Kind == Ack {
 		m.attachPiggyback(out)
 	}
@@ -1198,7 +1198,7 @@
 	var records []Record
 	flush := func() {
 		for _, j := range to {
-			m.send(m.members[j].Peer, &Message{Kind: Tell, Records: records})
+			m.send(m.members[j].Peer, &Message{Kind: Gossip, Records: records})
 		}
 		records, size = nil, 0
 	}
@@ -1224,14 +1224,14 @@
 // Row is this door's view of one member.
 type Row struct {
 	Peer
-	State   State
-	Life    uint32  // incarnation
-	Since   float64 // ms in that state
-	Doubts  int     // observers that suspect the member
-	Looks   int     // observers of the member
-	Observe bool    // this door is one of them
-	Reach   bool    // the member answered this door lately
-	Trip    float64 // round-trip time, ms; 0 if unknown
+	State       State
+	Incarnation uint32  // incarnation
+	Since       float64 // ms in that state
+	Suspicions  int     // observers that suspect the member
+	Observers   int     // observers of the member
+	Observed    bool    // this door is one of them
+	Reached     bool    // the member answered this door lately
+	RTT         float64 // round-trip time, ms; 0 if unknown
 }
 
 // Rows returns the view of all members, including this door, sorted by name.
@@ -1239,8 +1239,8 @@
 	rows := make([]Row, 0, len(m.members))
 	for i := range m.members {
 		k := &m.members[i]
-		rows = append(rows, Row{Peer: k.Peer, State: m.visibleState(i), Life: k.Life, Since: m.activeTime - k.stateAt, Doubts: m.suspicions(i), Looks: m.observerCount(i), Observe: k.observed,
-			Reach: i == m.self || k.observed && m.activeTime-k.ackedAt < 2*pingInterval+ackFreshFor, Trip: k.rtt})
+		rows = append(rows, Row{Peer: k.Peer, State: m.visibleState(i), Incarnation: k.Incarnation, Since: m.activeTime - k.stateAt, Suspicions: m.suspicions(i), Observers: m.observerCount(i), Observed: k.observed,
+			Reached: i == m.self || k.observed && m.activeTime-k.ackedAt < 2*pingInterval+ackFreshFor, RTT: k.rtt})
 	}
 	slices.SortFunc(rows, func(a, b Row) int { return cmp.Compare(a.Name, b.Name) })
 	return rows
@@ -1249,7 +1249,7 @@
 // Self returns this door's identity, state and incarnation.
 func (m *Member) Self() (Peer, State, uint32) {
 	k := &m.members[m.self]
-	return k.Peer, m.visibleState(m.self), k.Life
+	return k.Peer, m.visibleState(m.self), k.Incarnation
 }
 
 // SilentMs returns the active time since a message was received from any other member, ms.
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -17,14 +17,14 @@
 }
 
 // hereRecord returns the record of a door that is here.
-func hereRecord(i int) Record { return Record{Peer: peer(i), Life: 1, State: Here} }
+func hereRecord(i int) Record { return Record{Peer: peer(i), Incarnation: 1, State: Here} }
 
 // viewOf returns door 0's view of n doors that are all here, including itself, and its clock.
 func viewOf(n int) (*Member, *float64) {
 	m, now := New(peer(0), 1), new(float64)
 	m.Step(0)
 	for i := 1; i < n; i++ {
-		m.Step(0, Learnt{[]Record{hereRecord(i)}})
+		m.Step(0, RemoteState{[]Record{hereRecord(i)}})
 	}
 	m.advance(m.self, Here, "test")
 	m.rebuildRings()
@@ -41,7 +41,7 @@
 			if s, ok := a.(Send); ok && s.Message.Kind == Ping {
 				for i := range 64 {
 					if peer(i).Name == s.To.Name && answering(i) {
-						acks = append(acks, Received{&Message{Kind: Ack, From: peer(i), Life: 1, State: Here, Seq: s.Message.Seq}})
+						acks = append(acks, Received{&Message{Kind: Ack, From: peer(i), Incarnation: 1, State: Here, Seq: s.Message.Seq}})
 					}
 				}
 			}
@@ -68,7 +68,7 @@
 	for _, b := range by {
 		r.Votes = append(r.Votes, Vote{By: peer(b).Name, Seq: 1 << 20, Observation: says})
 	}
-	return Received{&Message{Kind: Tell, From: peer(by[0]), Life: 1, State: Here, Records: []Record{r}}}
+	return Received{&Message{Kind: Gossip, From: peer(by[0]), Incarnation: 1, State: Here, Records: []Record{r}}}
 }
 
 func TestMembersThatAnswerStayHere(t *testing.T) {
@@ -98,9 +98,9 @@
 	}
 	m.Step(*now, gossipedVotes(about, Reached, others...))
 	runFor(m, now, 4000, silent)
-	assert.Equal(t, Doubted, state(m, about), "this door still suspects it")
+	assert.Equal(t, Suspect, state(m, about), "this door still suspects it")
 	m.Step(*now, gossipedVotes(about, Unreachable, others...))
-	assert.Equal(t, Doubted, state(m, about))
+	assert.Equal(t, Suspect, state(m, about))
 }
 
 func TestAQuorumOfObserversDecidesAndTheDecisionIsGossiped(t *testing.T) {
@@ -110,7 +110,7 @@
 	assert.Equal(t, Away, state(m, 7))
 	gossiped := false
 	for _, a := range out {
-		if s, ok := a.(Send); ok && s.Message.Kind == Tell {
+		if s, ok := a.(Send); ok && s.Message.Kind == Gossip {
 			for _, r := range s.Message.Records {
 				gossiped = gossiped || r.Name == peer(7).Name && r.State == Away
 			}
@@ -153,7 +153,7 @@
 	runFor(m, now, 3000, everyone)
 	for range 60 { // it receives from one of them all the time
 		runFor(m, now, 100, func(int) bool { return false })
-		m.Step(*now, Received{&Message{Kind: Tell, From: peer(5), Life: 1, State: Here}})
+		m.Step(*now, Received{&Message{Kind: Gossip, From: peer(5), Incarnation: 1, State: Here}})
 	}
 	for i := range 12 {
 		assert.Equal(t, Here, state(m, i), "it doesn't suspect door %d", i)
@@ -170,14 +170,14 @@
 func TestADoorHeldToBeAwayBeginsALaterIncarnation(t *testing.T) {
 	m, now := viewOf(12)
 	runFor(m, now, 1000, everyone)
-	r := Record{Peer: peer(0), Life: 1, State: Away}
-	m.Step(*now, Received{&Message{Kind: Ack, From: peer(3), Life: 1, State: Here, Records: []Record{r}}})
+	r := Record{Peer: peer(0), Incarnation: 1, State: Away}
+	m.Step(*now, Received{&Message{Kind: Ack, From: peer(3), Incarnation: 1, State: Here, Records: []Record{r}}})
 	_, s, incarnation := m.Self()
 	assert.Equal(t, Joining, s)
 	assert.Equal(t, uint32(2), incarnation)
 	var from []Event
 	for _, i := range m.subjects { // in a small fleet they are also its observers
-		from = append(from, Received{&Message{Kind: Ping, From: m.members[i].Peer, Life: 1, State: Here, Seq: 1, AckedIncarnation: 2}})
+		from = append(from, Received{&Message{Kind: Ping, From: m.members[i].Peer, Incarnation: 1, State: Here, Seq: 1, AckedIncarnation: 2}})
 	}
 	m.Step(*now, from...)
 	runFor(m, now, 100, everyone)
@@ -190,11 +190,11 @@
 	m.Step(*now, gossipedVotes(7, Unreachable, 1, 2, 3, 4, 5, 6))
 	runFor(m, now, 1000, everyone)
 	require.Equal(t, Away, state(m, 7))
-	m.Step(*now, Learnt{[]Record{hereRecord(7)}}, Received{&Message{Kind: Tell, From: peer(2), Life: 1, State: Here, Records: []Record{hereRecord(7)}}})
+	m.Step(*now, RemoteState{[]Record{hereRecord(7)}}, Received{&Message{Kind: Gossip, From: peer(2), Incarnation: 1, State: Here, Records: []Record{hereRecord(7)}}})
 	assert.Equal(t, Away, state(m, 7), "an earlier state of the same incarnation doesn't count")
 	next := hereRecord(7)
-	next.Life, next.State = 2, Joining
-	m.Step(*now, Learnt{[]Record{next}})
+	next.Incarnation, next.State = 2, Joining
+	m.Step(*now, RemoteState{[]Record{next}})
 	assert.Equal(t, Joining, state(m, 7))
 }
 
@@ -203,14 +203,14 @@
 	runFor(m, now, 1000, everyone)
 	gone := hereRecord(7)
 	gone.State, gone.Age = Away, 30e3
-	m.Step(*now, Learnt{[]Record{gone}})
+	m.Step(*now, RemoteState{[]Record{gone}})
 	assert.Equal(t, Here, state(m, 7))
 	again := hereRecord(7)
-	again.Life, again.State = 2, Joining
-	m.Step(*now, Learnt{[]Record{again}})
+	again.Incarnation, again.State = 2, Joining
+	m.Step(*now, RemoteState{[]Record{again}})
 	runFor(m, now, 2000, everyone)
 	assert.Equal(t, Here, state(m, 7), "it refuted, and was here before")
-	m.Step(*now, Learnt{[]Record{func() Record { r := hereRecord(8); r.State = Away; return r }()}})
+	m.Step(*now, RemoteState{[]Record{func() Record { r := hereRecord(8); r.State = Away; return r }()}})
 	runFor(m, now, refuteTimeout+100, everyone)
 	assert.Equal(t, Away, state(m, 8), "it did not refute")
 }
@@ -219,17 +219,17 @@
 	m, now := viewOf(12)
 	other := peer(4)
 	other.Address, other.Nonce = "10.0.0.99:7946", 99
-	out := m.Step(*now, Received{&Message{Kind: Ping, From: other, Life: 1, State: Joining, Seq: 1}})
+	out := m.Step(*now, Received{&Message{Kind: Ping, From: other, Incarnation: 1, State: Joining, Seq: 1}})
 	require.Len(t, out, 1)
 	assert.Equal(t, NameTaken, out[0].(Send).Message.Kind)
 	assert.Equal(t, peer(4).Address, out[0].(Send).Message.Target)
 
 	late := New(other, 1)
 	late.Step(0)
-	out = late.Step(10, Received{&Message{Kind: NameTaken, From: peer(0), Life: 1, State: Here, Target: peer(4).Address}})
+	out = late.Step(10, Received{&Message{Kind: NameTaken, From: peer(0), Incarnation: 1, State: Here, Target: peer(4).Address}})
 	require.Len(t, out, 1)
 	var taken *NameTakenError
-	require.True(t, errors.As(out[0].(Refused).Err, &taken))
+	require.True(t, errors.As(out[0].(NameConflict).Err, &taken))
 	assert.Equal(t, remedy.Refused, taken.Kind())
 	assert.Contains(t, taken.Remedy(), "GW_NAME")
 }
@@ -238,18 +238,18 @@
 	m, now := viewOf(12)
 	again := peer(4)
 	again.Nonce = 77
-	out := m.Step(*now, Received{&Message{Kind: Ping, From: again, Life: 1, State: Joining, Seq: 1}})
+	out := m.Step(*now, Received{&Message{Kind: Ping, From: again, Incarnation: 1, State: Joining, Seq: 1}})
 	require.NotEmpty(t, out)
 	reply := out[0].(Send).Message
-	assert.Equal(t, Tell, reply.Kind)
+	assert.Equal(t, Gossip, reply.Kind)
 	fresh := New(again, 1)
 	fresh.Step(0)
 	fresh.Step(10, Received{reply})
 	_, _, incarnation := fresh.Self()
 	assert.Equal(t, uint32(2), incarnation)
-	m.Step(*now, Received{&Message{Kind: Ping, From: again, Life: incarnation, State: Joining, Seq: 2}})
+	m.Step(*now, Received{&Message{Kind: Ping, From: again, Incarnation: incarnation, State: Joining, Seq: 2}})
 	assert.NotEqual(t, Here, state(m, 4))
-	assert.Equal(t, uint32(2), m.members[m.index[again.Name]].Life)
+	assert.Equal(t, uint32(2), m.members[m.index[again.Name]].Incarnation)
 }
 
 func TestLeavingIsAnnouncedAndEnds(t *testing.T) {
@@ -288,8 +288,8 @@
 func TestAMemberThatLeftIsForgotten(t *testing.T) {
 	m, now := viewOf(5)
 	gone := hereRecord(2)
-	gone.State, gone.Life = Left, 1
-	m.Step(*now, Learnt{[]Record{gone}})
+	gone.State, gone.Incarnation = Left, 1
+	m.Step(*now, RemoteState{[]Record{gone}})
 	require.Equal(t, Left, state(m, 2))
 	for range 70 {
 		runFor(m, now, 10e3, everyone)
@@ -312,7 +312,7 @@
 func TestVotesSurviveEncoding(t *testing.T) {
 	p := peer(3)
 	p.Number, p.Release = 7, "abc" // no field may hide another of the same JSON key
-	r := Record{Peer: p, Life: 2, State: Here, Votes: []Vote{{By: "d01", Seq: 1<<32 - 1, Observation: Unreachable, Age: 12.5}, {By: "d02"}}}
+	r := Record{Peer: p, Incarnation: 2, State: Here, Votes: []Vote{{By: "d01", Seq: 1<<32 - 1, Observation: Unreachable, Age: 12.5}, {By: "d02"}}}
 	raw, err := json.Marshal(r)
 	require.NoError(t, err)
 	assert.Contains(t, string(raw), `["d01",4294967295,2,12.5]`)
@@ -327,10 +327,10 @@
 func TestASenderOfAnEarlierIncarnationReceivesTheCurrentOne(t *testing.T) {
 	m, now := viewOf(12)
 	runFor(m, now, 1000, everyone)
-	claim := Received{&Message{Kind: Tell, From: peer(3), Life: 1, State: Here, Records: []Record{{Peer: peer(0), Life: 1, State: Away}}}}
+	claim := Received{&Message{Kind: Gossip, From: peer(3), Incarnation: 1, State: Here, Records: []Record{{Peer: peer(0), Incarnation: 1, State: Away}}}}
 	m.Step(*now, claim)
 	out := m.Step(*now, claim)
 	require.Len(t, out, 1)
 	assert.Equal(t, peer(3).Name, out[0].(Send).To.Name)
-	assert.Equal(t, uint32(2), out[0].(Send).Message.Life)
+	assert.Equal(t, uint32(2), out[0].(Send).Message.Incarnation)
 }
--- a/members/transporttest/transporttest.go
+++ b/members/transporttest/transporttest.go
@@ -60,12 +60,12 @@
 			})
 		})
 	}
-	streams(t, StreamKit{Listen: func(t *testing.T) Streams { return packetTransport{k.Listen(t)} }, Nobody: k.UnusedAddress, Run: run})
+	streams(t, StreamConfig{Listen: func(t *testing.T) StreamLayer { return packetTransport{k.Listen(t)} }, UnusedAddress: k.UnusedAddress, Run: run})
 }
 
 // StreamLayer dials and accepts connections, as raft.StreamLayer does: the part of a transport that a fleet and the
 // coordinators both need.
-type Streams interface {
+type StreamLayer interface {
 	Accept() (net.Conn, error)
 	Dial(address string, timeout time.Duration) (net.Conn, error)
 	Addr() net.Addr
@@ -73,24 +73,24 @@
 }
 
 // StreamConfig is the stream layer that is tested.
-type StreamKit struct {
-	Listen func(t *testing.T) Streams                  // returns one on an unused address; the tests close it
-	Nobody string                                      // an address at which nothing listens
-	Run    func(t *testing.T, test func(t *testing.T)) // see Config.Run
+type StreamConfig struct {
+	Listen        func(t *testing.T) StreamLayer              // returns one on an unused address; the tests close it
+	UnusedAddress string                                      // an address at which nothing listens
+	Run           func(t *testing.T, test func(t *testing.T)) // see Config.Run
 }
 
 // RunStreams tests a stream layer.
-func RunStreams(t *testing.T, k StreamKit) {
+func RunStreams(t *testing.T, k StreamConfig) {
 	if k.Run == nil {
 		k.Run = func(t *testing.T, test func(t *testing.T)) { test(t) }
 	}
 	streams(t, k)
 }
 
-func streams(t *testing.T, k StreamKit) {
+func streams(t *testing.T, k StreamConfig) {
 	for _, c := range []struct {
 		name string
-		test func(t *testing.T, k StreamKit)
+		test func(t *testing.T, k StreamConfig)
 	}{
 		{"dialing an unused address", dialUnusedAddress},
 		{"connections carry data both ways", connections},
@@ -270,17 +270,17 @@
 	assert.Error(t, err, "the datagram is too long")
 }
 
-func dialUnusedAddress(t *testing.T, k StreamKit) {
+func dialUnusedAddress(t *testing.T, k StreamConfig) {
 	a := k.Listen(t)
 	defer func() { assert.NoError(t, a.Close()) }()
 	began := time.Now()
-	_, err := a.Dial(k.Nobody, 300*time.Millisecond)
+	_, err := a.Dial(k.UnusedAddress, 300*time.Millisecond)
 	assert.Error(t, err)
 	assert.Less(t, time.Since(began), waitTimeout)
 }
 
 // connect returns both ends of a connection, and a function that closes it and the stream layers.
-func connect(t *testing.T, k StreamKit) (local, remote net.Conn, end func()) {
+func connect(t *testing.T, k StreamConfig) (local, remote net.Conn, end func()) {
 	a, b := k.Listen(t), k.Listen(t)
 	got := make(chan net.Conn, 1)
 	go func() {
@@ -302,7 +302,7 @@
 	}
 }
 
-func closeUnblocksAccept(t *testing.T, k StreamKit) {
+func closeUnblocksAccept(t *testing.T, k StreamConfig) {
 	a, b := k.Listen(t), k.Listen(t)
 	at := b.Addr().String()
 	ended := make(chan error, 1)
@@ -322,7 +322,7 @@
 	assert.NoError(t, a.Close())
 }
 
-func connections(t *testing.T, k StreamKit) {
+func connections(t *testing.T, k StreamConfig) {
 	local, remote, end := connect(t, k)
 	defer end()
 	sent := bytes.Repeat([]byte("state "), 1<<17)
@@ -345,7 +345,7 @@
 	require.NoError(t, <-echoed)
 }
 
-func peerNeverReads(t *testing.T, k StreamKit) {
+func peerNeverReads(t *testing.T, k StreamConfig) {
 	local, _, end := connect(t, k)
 	defer end()
 	require.NoError(t, local.SetWriteDeadline(time.Now().Add(200*time.Millisecond)))
@@ -361,7 +361,7 @@
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "the peer sent something")
 }
 
-func closeDuringWrite(t *testing.T, k StreamKit) {
+func closeDuringWrite(t *testing.T, k StreamConfig) {
 	local, remote, end := connect(t, k)
 	defer end()
 	ended := make(chan error, 1)
@@ -385,7 +385,7 @@
 	local.Close()
 }
 
-func manyDeadlines(t *testing.T, k StreamKit) {
+func manyDeadlines(t *testing.T, k StreamConfig) {
 	local, remote, end := connect(t, k)
 	defer end()
 	for range 5000 {
--- a/members/types.go
+++ b/members/types.go
@@ -19,7 +19,7 @@
 	Leaving       // announced that it is leaving
 	Away          // a quorum of the votes says that it can't be reached
 	Left          // announced that it has left
-	Doubted       // here, but suspected by some observers
+	Suspect       // here, but suspected by some observers
 )
 
 var stateNames = [...]string{"unknown", "joining", "here", "leaving", "away", "left", "doubted"}
@@ -76,10 +76,10 @@
 // all states of an earlier one.
 type Record struct {
 	Peer
-	Life  uint32  `json:"l"` // incarnation, raised only by the member itself
-	State State   `json:"s"`
-	Age   float64 `json:"t"` // ms since the state was reached
-	Votes []Vote  `json:"v,omitempty"`
+	Incarnation uint32  `json:"l"` // incarnation, raised only by the member itself
+	State       State   `json:"s"`
+	Age         float64 `json:"t"` // ms since the state was reached
+	Votes       []Vote  `json:"v,omitempty"`
 }
 
 // Kind is the kind of a message.
@@ -91,7 +91,7 @@
 	Ack                      // answers a Ping, with its sequence number
 	IndirectPing             // requests that the receiver ping Target
 	IndirectAck              // reports that Target answered the indirect ping that the receiver asked for
-	Tell                     // carries records only
+	Gossip                   // carries records only
 	NameTaken                // reports that another door has the receiver's name; Target is the address of that door
 )
 
@@ -99,7 +99,7 @@
 type Message struct {
 	Kind             Kind     `json:"k"`
 	From             Peer     `json:"f"`
-	Life             uint32   `json:"l"`           // incarnation of the sender
+	Incarnation      uint32   `json:"l"`           // incarnation of the sender
 	State            State    `json:"s"`           // of the sender, in its own view
 	Seq              uint32   `json:"q,omitempty"` // sequence number of a Ping and its Ack
 	Target           string   `json:"x,omitempty"` // name or address, see Kind
@@ -118,7 +118,7 @@
 type Received struct{ Message *Message }
 
 // RemoteState is the full state of another door, received in a push/pull exchange.
-type Learnt struct{ Records []Record }
+type RemoteState struct{ Records []Record }
 
 // Leave requests that this door leave the fleet gracefully.
 type Leave struct{}
@@ -133,19 +133,19 @@
 }
 
 // PushPull requests a push/pull exchange of full states with a member, over a connection.
-type Meet struct{ With Peer }
+type PushPull struct{ With Peer }
 
 // Changed reports that the visible state of a member has changed.
 type Changed struct {
 	Peer
-	From, To   State
-	Life       uint32 // incarnation
-	Suspicions int    // observers known to suspect the member
-	Why        string // reason, for logs
+	From, To    State
+	Incarnation uint32 // incarnation
+	Suspicions  int    // observers known to suspect the member
+	Reason      string // reason, for logs
 }
 
 // NameConflict reports that this door can't be a member because another door has its name; a nil Err, that it can again.
-type Refused struct{ Err *NameTakenError }
+type NameConflict struct{ Err *NameTakenError }
 
 // Departed reports that the departure requested by Leave has been announced and the protocol has ended.
 type Departed struct{}
--- a/store/store.go
+++ b/store/store.go
@@ -44,10 +44,10 @@
 
 // Options configures a Bolt store. Any function may be nil.
 type Options struct {
-	NoSync bool                // don't sync writes to the disk: a machine that crashes loses acknowledged writes
-	Before func() error        // called before each write; an error fails the write. Used to inject disk faults
-	Wrote  func(time.Duration) // called after each write with its duration
-	Failed func(error)         // called when a write fails, before raft gets the error; it need not return
+	NoSync       bool                // don't sync writes to the disk: a machine that crashes loses acknowledged writes
+	BeforeWrite  func() error        // called before each write; an error fails the write. Used to inject disk faults
+	OnWrite      func(time.Duration) // called after each write with its duration
+	OnWriteError func(error)         // called when a write fails, before raft gets the error; it need not return
 }
 
 // Bolt is a store in one bbolt file.
@@ -86,19 +86,19 @@
 func (b *Bolt) write(do func(tx *bbolt.Tx) error) error {
 	began := time.Now()
 	var err error
-	if b.options.Before != nil {
-		err = b.options.Before()
+	if b.options.BeforeWrite != nil {
+		err = b.options.BeforeWrite()
 	}
 	if err == nil {
 		err = b.db.Update(do)
 	}
-	if b.options.Wrote != nil {
-		b.options.Wrote(time.Since(began))
+	if b.options.OnWrite != nil {
+		b.options.OnWrite(time.Since(began))
 	}
 	if err != nil {
 		err = &WriteError{b.path, err}
-		if b.options.Failed != nil {
-			b.options.Failed(err)
+		if b.options.OnWriteError != nil {
+			b.options.OnWriteError(err)
 		}
 	}
 	return err
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -41,15 +41,15 @@
 
 func TestBoltOnASlowDisk(t *testing.T) {
 	slow := func() error { time.Sleep(time.Millisecond); return nil }
-	storetest.Run(t, storetest.Config{Open: onDisk(store.Options{Before: slow}), Durable: true})
+	storetest.Run(t, storetest.Config{Open: onDisk(store.Options{BeforeWrite: slow}), Durable: true})
 }
 
 func TestAFailedWriteIsReportedAndChangesNothing(t *testing.T) {
 	var broken error
 	var reported error
 	var durations []time.Duration
-	s, err := store.Open(filepath.Join(t.TempDir(), file), store.Options{Before: func() error { return broken }, Failed: func(err error) { reported = err },
-		Wrote: func(d time.Duration) { durations = append(durations, d) }})
+	s, err := store.Open(filepath.Join(t.TempDir(), file), store.Options{BeforeWrite: func() error { return broken }, OnWriteError: func(err error) { reported = err },
+		OnWrite: func(d time.Duration) { durations = append(durations, d) }})
 	require.NoError(t, err)
 	defer s.Close()
 	require.NoError(t, s.SetUint64([]byte("term"), 1))
