--- a/calendar/calendar.go
+++ b/calendar/calendar.go
@@ -24,7 +24,7 @@
 	Coordinators  Kind = "coordinators"  // one more, or one less
 )
 
-var kinds = []Kind{Drain, Release, Configuration, Terms, MigrationStep, Coordinators}
+var allKinds = []Kind{Drain, Release, Configuration, Terms, MigrationStep, Coordinators}
 
 // Stage of an entry.
 type Stage string
@@ -43,27 +43,27 @@
 	Withdrawn   Stage = "withdrawn"
 )
 
-// planned tells whether an entry has yet to begin.
-func (s Stage) planned() bool {
+// notStarted tells whether an entry has yet to begin.
+func (s Stage) notStarted() bool {
 	return s == Drafted || s == Waiting || s == Approved || s == Due
 }
 
-// under tells whether an entry has part of the fleet.
-func (s Stage) under() bool { return s == Running || s == Halted || s == RollingBack }
+// inProgress tells whether an entry has part of the fleet.
+func (s Stage) inProgress() bool { return s == Running || s == Halted || s == RollingBack }
 
 const (
-	readingFor   = 30e3  // ms for which a coordinator's reading of its clock counts
-	apartMost    = 5e3   // ms by which clocks may differ and still agree
-	historyMost  = 10000 // events that are kept, told or not
-	entriesMost  = 20000 // entries: the oldest that are over go first
-	nameMost     = 80    // bytes of a name: it stands in lines of 80 columns
-	wavesMost    = 1000
-	sightFor     = 5 * 60e3          // ms for which what was seen before a change counts
-	stepsMost    = 100               // of a migration
-	longestFor   = 400 * 24 * 3600e3 // ms that are looked ahead, and that a window or a freeze lasts at most
-	approvalFor  = 30 * 24 * 3600e3  // ms after which an approval lapses where its rule says nothing
-	spansMost    = 10000             // of a freeze, in what is looked ahead
-	subjectsMost = 1000              // names in a subject
+	readingTTLMs         = 30e3  // ms for which a coordinator's reading of its clock counts
+	maxClockSpreadMs     = 5e3   // ms by which clocks may differ and still agree
+	maxEvents            = 10000 // events that are kept, told or not
+	maxEntries           = 20000 // entries: the oldest that are over go first
+	maxNameBytes         = 80    // bytes of a name: it stands in lines of 80 columns
+	maxWaves             = 1000
+	observationTTLMs     = 5 * 60e3          // ms for which what was seen before a change counts
+	maxMigrationSteps    = 100               // of a migration
+	horizonMs            = 400 * 24 * 3600e3 // ms that are looked ahead, and that a window or a freeze lasts at most
+	defaultApprovalTTLMs = 30 * 24 * 3600e3  // ms after which an approval lapses where its rule says nothing
+	maxFreezeSpans       = 10000             // of a freeze, in what is looked ahead
+	maxSubjectNames      = 1000              // names in a subject
 )
 
 // Span is from an instant to another, the second not in it; ms since 1970, UTC.
@@ -72,8 +72,8 @@
 	ToMs   float64 `json:"to_ms"`
 }
 
-func (s Span) has(at float64) bool   { return s.FromMs <= at && at < s.ToMs }
-func (s Span) meets(other Span) bool { return s.FromMs < other.ToMs && other.FromMs < s.ToMs }
+func (s Span) contains(at float64) bool { return s.FromMs <= at && at < s.ToMs }
+func (s Span) overlaps(other Span) bool { return s.FromMs < other.ToMs && other.FromMs < s.ToMs }
 
 // Change is what is to be done, as its author writes it.
 type Change struct {
@@ -95,8 +95,8 @@
 // Needs is the time that it takes, its watch with it.
 func (c *Change) Needs() float64 { return float64(c.Waves)*c.WaveMs + c.SoakMs }
 
-// deadline is when it must be over: its window's end, with the lateness that it allows itself.
-func (c *Change) deadline() float64 { return c.Window.ToMs + c.LateMs }
+// deadlineMs is when it must be over: its window's end, with the lateness that it allows itself.
+func (c *Change) deadlineMs() float64 { return c.Window.ToMs + c.LateMs }
 
 // Digest names what would be done: approvals are bound to it. A change that would do anything else, or at another time, has
 // another.
@@ -125,15 +125,15 @@
 	WavesDoneMs    float64                `json:"waves_done_ms,omitempty"`    // when its last wave was done
 	Observations   map[string]Observation `json:"observations,omitempty"`     // of its preconditions and postconditions
 
-	digest string // worked out once: each step of each command compares it
+	cachedDigest string // worked out once: each step of each command compares it
 }
 
 // Digest names what the entry would do.
 func (e *Entry) Digest() string {
-	if e.digest == "" {
-		e.digest = e.Change.Digest()
+	if e.cachedDigest == "" {
+		e.cachedDigest = e.Change.Digest()
 	}
-	return e.digest
+	return e.cachedDigest
 }
 
 // Observation is what somebody saw of the fleet.
@@ -143,11 +143,11 @@
 	AtMs float64 `json:"at_ms"`
 }
 
-// left is the time that it takes from where it is.
-func (e *Entry) left() float64 { return float64(e.Waves-e.Wave)*e.WaveMs + e.SoakMs }
+// remainingMs is the time that it takes from where it is.
+func (e *Entry) remainingMs() float64 { return float64(e.Waves-e.Wave)*e.WaveMs + e.SoakMs }
 
-// unobserved is the first of some names that was not seen well since an instant; empty for none.
-func (e *Entry) unobserved(names []string, sinceMs float64) (name string, seen Observation) {
+// missingObservation is the first of some names that was not seen well since an instant; empty for none.
+func (e *Entry) missingObservation(names []string, sinceMs float64) (name string, seen Observation) {
 	for _, n := range names {
 		if v := e.Observations[n]; !v.Well || v.AtMs < sinceMs {
 			return n, v
@@ -229,7 +229,7 @@
 
 // New returns an empty calendar: it asks for nothing and lets everything begin.
 func New() *State {
-	return &State{NextID: 1, Size: 1, Readings: map[string]Reading{}, Entries: map[uint64]*Entry{}, Freezes: map[uint64]*Freeze{}, Migrations: map[uint64]*Migration{}, Doubt: noClock}
+	return &State{NextID: 1, Size: 1, Readings: map[string]Reading{}, Entries: map[uint64]*Entry{}, Freezes: map[uint64]*Freeze{}, Migrations: map[uint64]*Migration{}, Doubt: noClockMajority}
 }
 
 // InUse tells whether anybody has ever used it.
@@ -371,19 +371,19 @@
 // with an error has changed nothing but what time alone changes.
 func (s *State) Do(nowMs float64, c any) (number uint64, err error) {
 	s.Pass(nowMs)
-	number, err = s.do(c)
-	s.pass()
+	number, err = s.dispatch(c)
+	s.advance()
 	return number, err
 }
 
 // Pass has time pass, up to a reading of the agreed clock.
 func (s *State) Pass(nowMs float64) {
 	s.NowMs = max(s.NowMs, nowMs)
-	s.tell()
-	s.pass()
+	s.updateAgreedTime()
+	s.advance()
 }
 
-func (s *State) do(c any) (uint64, error) {
+func (s *State) dispatch(c any) (uint64, error) {
 	switch c := c.(type) {
 	case Plan:
 		return s.plan(c)
@@ -394,15 +394,15 @@
 	case Refuse:
 		return s.refuse(c)
 	case Withdraw:
-		e, err := s.at(c.ID, c.Revision)
+		e, err := s.entryAtRevision(c.ID, c.Revision)
 		if err != nil {
 			return 0, err
 		}
-		if !e.Stage.planned() {
+		if !e.Stage.notStarted() {
 			return 0, &StageError{e.ID, e.Stage, "withdrawn"}
 		}
 		e.Revision++
-		s.move(e, Withdrawn, c.Who, c.Why)
+		s.setStage(e, Withdrawn, c.Who, c.Why)
 	case DeclareEmergency:
 		return s.declareEmergency(c)
 	case SetFreeze:
@@ -410,12 +410,12 @@
 	case Extend:
 		return s.extend(c)
 	case Thaw:
-		f, err := s.freezeAt(c.ID, c.Revision)
+		f, err := s.freezeAtRevision(c.ID, c.Revision)
 		if err != nil {
 			return 0, err
 		}
 		delete(s.Freezes, f.ID)
-		s.note(f.ID, "thawed: "+f.Name, c.Who, c.Why)
+		s.recordEvent(f.ID, "thawed: "+f.Name, c.Who, c.Why)
 	case SetRules:
 		for i, r := range c.Rules {
 			if err := r.check(i); err != nil {
@@ -423,17 +423,17 @@
 			}
 		}
 		for i, b := range c.Budgets {
-			if !slices.Contains(kinds, b.Kind) || b.Most < 1 {
+			if !slices.Contains(allKinds, b.Kind) || b.Most < 1 {
 				return 0, &FormError{fmt.Sprintf("budgets[%d]", i), "a kind and at least 1 are wanted"}
 			}
 		}
 		s.Rules, s.Budgets = slices.Clone(c.Rules), slices.Clone(c.Budgets)
-		s.note(0, "rules and budgets set", c.Who, "")
+		s.recordEvent(0, "rules and budgets set", c.Who, "")
 	case Clock:
-		return 0, s.clock(c)
+		return 0, s.recordClock(c)
 	case LeaderChanged:
 		clear(s.Readings)
-		s.tell()
+		s.updateAgreedTime()
 	case Start:
 		return s.start(c.ID)
 	case WaveDone:
@@ -448,34 +448,34 @@
 		return 0, s.revert(c)
 	case Halt:
 		turned := s.Entries[c.ID] != nil && s.Entries[c.ID].Stage == RollingBack
-		if err := s.steer(c.ID, []Stage{Running, RollingBack}, Halted, c.Who, c.Why); err != nil {
+		if err := s.transition(c.ID, []Stage{Running, RollingBack}, Halted, c.Who, c.Why); err != nil {
 			return 0, err
 		}
 		s.Entries[c.ID].WasRollingBack = turned
 	case Resume:
 		e := s.Entries[c.ID]
 		if e != nil && e.Stage == Halted && e.WasRollingBack { // a way back is never frozen
-			return 0, s.steer(c.ID, []Stage{Halted}, RollingBack, c.Who, "")
+			return 0, s.transition(c.ID, []Stage{Halted}, RollingBack, c.Who, "")
 		}
 		if e != nil && e.Stage == Halted {
 			if m := s.Migrations[e.Migration]; m != nil && m.Stage == RollingBack {
 				return 0, &StageError{e.ID, e.Stage, "resumed: its migration is going back"}
 			}
-			if f := s.frozen(e, s.WallMs); f != nil {
-				return 0, &FrozenError{f.ID, f.Name, f.until(s.WallMs), f.Who}
+			if f := s.activeFreeze(e, s.WallMs); f != nil {
+				return 0, &FrozenError{f.ID, f.Name, f.endMs(s.WallMs), f.Who}
 			}
 		}
-		return 0, s.steer(c.ID, []Stage{Halted}, Running, c.Who, "")
+		return 0, s.transition(c.ID, []Stage{Halted}, Running, c.Who, "")
 	case RollBack:
 		if e := s.Entries[c.ID]; e != nil && s.Migrations[e.Migration] != nil {
 			return 0, &StageError{e.ID, e.Stage, fmt.Sprintf("sent back by itself: revert migration %d", e.Migration)}
 		}
-		if e := s.Entries[c.ID]; e != nil && e.Stage.under() && len(e.Rollback) == 0 {
+		if e := s.Entries[c.ID]; e != nil && e.Stage.inProgress() && len(e.Rollback) == 0 {
 			return 0, &NoRollbackError{c.ID}
 		}
-		return 0, s.steer(c.ID, []Stage{Running, Halted}, RollingBack, c.Who, c.Why)
+		return 0, s.transition(c.ID, []Stage{Running, Halted}, RollingBack, c.Who, c.Why)
 	case RolledBack:
-		return 0, s.steer(c.ID, []Stage{RollingBack}, Withdrawn, c.Who, takenBack)
+		return 0, s.transition(c.ID, []Stage{RollingBack}, Withdrawn, c.Who, rolledBackReason)
 	case Acknowledge:
 		s.Acknowledged = min(max(s.Acknowledged, c.Number), s.Number)
 	case Restored:
@@ -486,22 +486,22 @@
 	return 0, nil
 }
 
-const takenBack = "taken back: all is as it was"
+const rolledBackReason = "taken back: all is as it was"
 
-// at finds an entry that nobody has changed since.
-func (s *State) at(id, rev uint64) (*Entry, error) {
+// entryAtRevision finds an entry that nobody has changed since.
+func (s *State) entryAtRevision(id, rev uint64) (*Entry, error) {
 	e := s.Entries[id]
 	if e == nil {
 		return nil, &UnknownError{"entry", id}
 	}
 	if e.Revision != rev {
-		return nil, &ChangedError{"entry", id, rev, e.Revision, s.last(id)}
+		return nil, &ChangedError{"entry", id, rev, e.Revision, s.lastAction(id)}
 	}
 	return e, nil
 }
 
-// last is what was done with an entry or a freeze last.
-func (s *State) last(id uint64) string {
+// lastAction is what was done with an entry or a freeze lastAction.
+func (s *State) lastAction(id uint64) string {
 	for i := len(s.Events) - 1; i >= 0; i-- {
 		if e := &s.Events[i]; e.ID == id && e.Who != "" {
 			return fmt.Sprintf("%s, by %s", e.What, e.Who)
@@ -510,25 +510,25 @@
 	return "nothing that is remembered"
 }
 
-func (s *State) note(id uint64, what, who, why string) {
+func (s *State) recordEvent(id uint64, what, who, why string) {
 	s.Number++
 	s.Events = append(s.Events, Event{s.Number, s.WallMs, id, what, who, why})
-	if n := len(s.Events); n > historyMost {
-		s.Events = slices.Delete(s.Events, 0, n-historyMost)
+	if n := len(s.Events); n > maxEvents {
+		s.Events = slices.Delete(s.Events, 0, n-maxEvents)
 	}
 }
 
-// move has an entry go to another stage.
-func (s *State) move(e *Entry, to Stage, who, why string) {
-	s.note(e.ID, fmt.Sprintf("%s -> %s", e.Stage, to), who, why)
+// setStage has an entry go to another stage.
+func (s *State) setStage(e *Entry, to Stage, who, why string) {
+	s.recordEvent(e.ID, fmt.Sprintf("%s -> %s", e.Stage, to), who, why)
 	e.Stage, e.Says = to, why
 	if to != Halted {
 		e.HeldBy, e.WasRollingBack = 0, false
 	}
 }
 
-// steer moves an entry from one of some stages to another.
-func (s *State) steer(id uint64, from []Stage, to Stage, who, why string) error {
+// transition moves an entry from one of some stages to another.
+func (s *State) transition(id uint64, from []Stage, to Stage, who, why string) error {
 	e := s.Entries[id]
 	if e == nil {
 		return &UnknownError{"entry", id}
@@ -536,35 +536,35 @@
 	if !slices.Contains(from, e.Stage) {
 		return &StageError{id, e.Stage, string(to)}
 	}
-	s.move(e, to, who, why)
+	s.setStage(e, to, who, why)
 	return nil
 }
 
 func (s *State) plan(c Plan) (uint64, error) {
-	if err := s.check(&c.Change, c.Who, 0); err != nil {
+	if err := s.checkChange(&c.Change, c.Who, 0); err != nil {
 		return 0, err
 	}
 	if c.Window.ToMs <= s.WallMs {
 		return 0, &FormError{"window", "it is over"}
 	}
-	s.make()
+	s.evictOldest()
 	e := &Entry{Change: c.Change, ID: s.NextID, Revision: 1, Author: c.Who, Stage: Drafted}
 	s.NextID++
 	s.Entries[e.ID] = e
-	s.note(e.ID, "planned: "+e.Name, c.Who, "")
+	s.recordEvent(e.ID, "planned: "+e.Name, c.Who, "")
 	if !c.Draft {
-		s.move(e, Waiting, c.Who, "")
+		s.setStage(e, Waiting, c.Who, "")
 	}
 	return e.ID, nil
 }
 
-// make has room for one more entry: the oldest that are over go.
-func (s *State) make() {
-	if len(s.Entries) < entriesMost {
+// evictOldest has room for one more entry: the oldest that are over go.
+func (s *State) evictOldest() {
+	if len(s.Entries) < maxEntries {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.Entries)) {
-		if e := s.Entries[id]; !e.Stage.planned() && !e.Stage.under() && !s.live(e.Migration) {
+		if e := s.Entries[id]; !e.Stage.notStarted() && !e.Stage.inProgress() && !s.migrationActive(e.Migration) {
 			delete(s.Entries, id)
 			return
 		}
@@ -572,21 +572,21 @@
 }
 
 func (s *State) edit(c Edit) (uint64, error) {
-	e, err := s.at(c.ID, c.Revision)
+	e, err := s.entryAtRevision(c.ID, c.Revision)
 	if err != nil {
 		return 0, err
 	}
-	if !e.Stage.planned() {
+	if !e.Stage.notStarted() {
 		return 0, &StageError{e.ID, e.Stage, "edited"}
 	}
-	if err := s.check(&c.Change, c.Who, c.ID); err != nil {
+	if err := s.checkChange(&c.Change, c.Who, c.ID); err != nil {
 		return 0, err
 	}
 	if e.Migration != 0 && (!slices.Equal(c.After, e.After) || len(c.Rollback) == 0) {
 		return 0, &FormError{"after", "a step of a migration waits for the step before it, and has a way back"}
 	}
 	same := c.Change.Digest() == e.Digest()
-	e.Change, e.Revision, e.digest, e.Observations = c.Change, e.Revision+1, "", nil // what was looked at was for something else
+	e.Change, e.Revision, e.cachedDigest, e.Observations = c.Change, e.Revision+1, "", nil // what was looked at was for something else
 	to := Waiting
 	if c.Draft {
 		to = Drafted
@@ -594,31 +594,31 @@
 	if !same || c.Draft {
 		e.Author, e.Approvals = c.Who, nil // who would do something else is its author: nobody approves their own words
 	}
-	s.move(e, to, c.Who, "edited")
+	s.setStage(e, to, c.Who, "edited")
 	return e.ID, nil
 }
 
-// check tells what is wrong with a change.
-func (s *State) check(c *Change, who string, id uint64) error {
+// checkChange tells what is wrong with a change.
+func (s *State) checkChange(c *Change, who string, id uint64) error {
 	form := func(key, format string, args ...any) error { return &FormError{key, fmt.Sprintf(format, args...)} }
 	switch {
 	case who == "":
 		return form("who", "missing")
-	case c.Name == "" || len(c.Name) > nameMost:
-		return form("name", "1 to %d bytes are wanted", nameMost)
-	case !slices.Contains(kinds, c.Kind):
-		return form("kind", "%q, one of %v is wanted", c.Kind, kinds)
-	case !(c.Window.FromMs < c.Window.ToMs) || !(c.Window.ToMs-c.Window.FromMs <= longestFor):
-		return form("window", "it must end after it begins, within %.0f days", longestFor/24/3600e3)
-	case !(c.LateMs >= 0 && c.LateMs <= longestFor):
+	case c.Name == "" || len(c.Name) > maxNameBytes:
+		return form("name", "1 to %d bytes are wanted", maxNameBytes)
+	case !slices.Contains(allKinds, c.Kind):
+		return form("kind", "%q, one of %v is wanted", c.Kind, allKinds)
+	case !(c.Window.FromMs < c.Window.ToMs) || !(c.Window.ToMs-c.Window.FromMs <= horizonMs):
+		return form("window", "it must end after it begins, within %.0f days", horizonMs/24/3600e3)
+	case !(c.LateMs >= 0 && c.LateMs <= horizonMs):
 		return form("late_ms", "%g", c.LateMs)
-	case !(c.SoakMs >= 0 && c.SoakMs <= longestFor):
+	case !(c.SoakMs >= 0 && c.SoakMs <= horizonMs):
 		return form("soak_ms", "%g", c.SoakMs)
 	case slices.Contains(c.Preconditions, "") || slices.Contains(c.Postconditions, ""):
 		return form("preconditions", "what is to be seen has a name")
-	case c.Waves < 1 || c.Waves > wavesMost:
-		return form("waves", "%d, 1 to %d are wanted", c.Waves, wavesMost)
-	case !(c.WaveMs >= 0 && c.WaveMs <= longestFor):
+	case c.Waves < 1 || c.Waves > maxWaves:
+		return form("waves", "%d, 1 to %d are wanted", c.Waves, maxWaves)
+	case !(c.WaveMs >= 0 && c.WaveMs <= horizonMs):
 		return form("wave_ms", "%g", c.WaveMs)
 	case !json.Valid(c.Do):
 		return form("do", "no JSON")
@@ -629,27 +629,27 @@
 		if s.Entries[a] == nil || a == id || slices.Contains(c.After[:i], a) {
 			return form(fmt.Sprintf("after[%d]", i), "%d is no other entry", a)
 		}
-		if s.waitsFor(a, id, map[uint64]bool{}) {
+		if s.dependsOn(a, id, map[uint64]bool{}) {
 			return form(fmt.Sprintf("after[%d]", i), "%d waits for this one", a)
 		}
 	}
 	return c.Subject.check("subject")
 }
 
-// waitsFor tells whether an entry waits for another, by however many in between.
-func (s *State) waitsFor(id, other uint64, seen map[uint64]bool) bool {
+// dependsOn tells whether an entry waits for another, by however many in between.
+func (s *State) dependsOn(id, other uint64, seen map[uint64]bool) bool {
 	e := s.Entries[id]
 	if e == nil || seen[id] {
 		return false
 	}
 	seen[id] = true
-	return slices.ContainsFunc(e.After, func(a uint64) bool { return a == other || s.waitsFor(a, other, seen) })
+	return slices.ContainsFunc(e.After, func(a uint64) bool { return a == other || s.dependsOn(a, other, seen) })
 }
 
 func (r *Rule) check(i int) error {
 	at := fmt.Sprintf("rules[%d].", i)
 	for _, k := range r.Kinds {
-		if !slices.Contains(kinds, k) {
+		if !slices.Contains(allKinds, k) {
 			return &FormError{at + "kinds", fmt.Sprintf("%q is none", k)}
 		}
 	}
@@ -659,8 +659,8 @@
 	return r.Subject.check(at + "subject")
 }
 
-// asked finds an entry that somebody is asked about, if it would still do what the digest names.
-func (s *State) asked(id uint64, digest, to string) (*Entry, error) {
+// entryForReview finds an entry that somebody is entryForReview about, if it would still do what the digest names.
+func (s *State) entryForReview(id uint64, digest, to string) (*Entry, error) {
 	e := s.Entries[id]
 	switch {
 	case e == nil:
@@ -668,13 +668,13 @@
 	case e.Stage != Waiting && e.Stage != Approved && e.Stage != Due:
 		return nil, &StageError{id, e.Stage, to}
 	case digest != e.Digest():
-		return nil, &ChangedError{"entry", id, 0, e.Revision, s.last(id)}
+		return nil, &ChangedError{"entry", id, 0, e.Revision, s.lastAction(id)}
 	}
 	return e, nil
 }
 
 func (s *State) approve(c Approve) (uint64, error) {
-	e, err := s.asked(c.ID, c.Digest, "approved")
+	e, err := s.entryForReview(c.ID, c.Digest, "approved")
 	switch {
 	case err != nil:
 		return 0, err
@@ -685,12 +685,12 @@
 	}
 	e.Approvals = slices.DeleteFunc(e.Approvals, func(a Approval) bool { return a.Who == c.Who })
 	e.Approvals = append(e.Approvals, Approval{c.Who, c.Role, c.Digest, s.WallMs})
-	s.note(e.ID, "approval", c.Who, c.Role)
+	s.recordEvent(e.ID, "approval", c.Who, c.Role)
 	return e.ID, nil
 }
 
 func (s *State) refuse(c Refuse) (uint64, error) {
-	e, err := s.asked(c.ID, c.Digest, "refused")
+	e, err := s.entryForReview(c.ID, c.Digest, "refused")
 	switch {
 	case err != nil:
 		return 0, err
@@ -698,7 +698,7 @@
 		return 0, &FormError{"why", "a refusal needs a name and a reason"}
 	}
 	e.Revision, e.Approvals = e.Revision+1, nil
-	s.move(e, Drafted, c.Who, c.Why)
+	s.setStage(e, Drafted, c.Who, c.Why)
 	return e.ID, nil
 }
 
@@ -707,33 +707,33 @@
 	switch {
 	case e == nil:
 		return 0, &UnknownError{"entry", c.ID}
-	case !e.Stage.planned():
+	case !e.Stage.notStarted():
 		return 0, &StageError{e.ID, e.Stage, "an emergency"}
 	case c.Who == "" || c.Second == "" || c.Who == c.Second || c.Why == "":
 		return 0, &FormError{"second", "an emergency needs a reason and two names"}
 	}
 	m := c.Emergency
 	e.Emergency, e.Revision = &m, e.Revision+1
-	s.note(e.ID, "emergency, with "+c.Second, c.Who, c.Why)
+	s.recordEvent(e.ID, "emergency, with "+c.Second, c.Who, c.Why)
 	return e.ID, nil
 }
 
-// asks tells whether a rule is about a change.
-func (s *State) asks(r *Rule, c *Change) bool {
-	return (len(r.Kinds) == 0 || slices.Contains(r.Kinds, c.Kind)) && s.touch(&r.Subject, &c.Subject)
+// ruleApplies tells whether a rule is about a change.
+func (s *State) ruleApplies(r *Rule, c *Change) bool {
+	return (len(r.Kinds) == 0 || slices.Contains(r.Kinds, c.Kind)) && s.subjectsOverlap(&r.Subject, &c.Subject)
 }
 
-// lacks tells what approvals an entry lacks: a rule, and how many so far. The same person counts once for each rule.
-func (s *State) lacks(e *Entry) error {
+// checkApprovals tells what approvals an entry checkApprovals: a rule, and how many so far. The same person counts once for each rule.
+func (s *State) checkApprovals(e *Entry) error {
 	digest := e.Digest()
 	for i := range s.Rules {
 		r := &s.Rules[i]
-		if !s.asks(r, &e.Change) {
+		if !s.ruleApplies(r, &e.Change) {
 			continue
 		}
 		last := r.ForMs
 		if last == 0 {
-			last = approvalFor
+			last = defaultApprovalTTLMs
 		}
 		have := 0
 		for _, a := range e.Approvals {
@@ -748,42 +748,42 @@
 	return nil
 }
 
-// pass has entries go where time and what has become known take them.
-func (s *State) pass() {
+// advance has entries go where time and what has become known take them.
+func (s *State) advance() {
 	for _, id := range slices.Sorted(maps.Keys(s.Entries)) {
-		s.passOne(s.Entries[id])
+		s.advanceEntry(s.Entries[id])
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.Migrations)) {
-		s.passMigration(s.Migrations[id])
+		s.advanceMigration(s.Migrations[id])
 	}
 }
 
-func (s *State) passOne(e *Entry) {
-	if e.Stage == Waiting && s.lacks(e) == nil {
-		s.move(e, Approved, "", "")
-	} else if (e.Stage == Approved || e.Stage == Due) && s.lacks(e) != nil {
-		s.move(e, Waiting, "", "an approval lapsed, or a rule asks for more")
+func (s *State) advanceEntry(e *Entry) {
+	if e.Stage == Waiting && s.checkApprovals(e) == nil {
+		s.setStage(e, Approved, "", "")
+	} else if (e.Stage == Approved || e.Stage == Due) && s.checkApprovals(e) != nil {
+		s.setStage(e, Waiting, "", "an approval lapsed, or a rule asks for more")
 	}
-	if e.Stage.planned() && s.WallMs >= e.deadline() {
-		s.move(e, Missed, "", "its window passed")
+	if e.Stage.notStarted() && s.WallMs >= e.deadlineMs() {
+		s.setStage(e, Missed, "", "its window passed")
 		return
 	}
 	if e.Stage == Approved && s.WallMs >= e.Window.FromMs {
-		s.move(e, Due, "", "")
+		s.setStage(e, Due, "", "")
 	}
 	if e.Stage != Running && e.HeldBy == 0 {
 		return
 	}
 	if e.Stage == Running && e.WavesDoneMs > 0 { // it changes nothing any more: no freeze is about it
-		s.soaked(e)
+		s.completeIfSoaked(e)
 		return
 	}
-	f := s.frozen(e, s.WallMs)
+	f := s.activeFreeze(e, s.WallMs)
 	switch {
 	case e.Stage == Running && f != nil && f.Sends == SendsBack && len(e.Rollback) > 0:
-		s.move(e, RollingBack, "", "freeze "+f.Name)
-	case e.Stage == Halted && f == nil && e.deadline()-s.WallMs >= e.left():
-		s.move(e, Running, "", "the freeze is over")
+		s.setStage(e, RollingBack, "", "freeze "+f.Name)
+	case e.Stage == Halted && f == nil && e.deadlineMs()-s.WallMs >= e.remainingMs():
+		s.setStage(e, Running, "", "the freeze is over")
 	}
 }
 
@@ -797,7 +797,7 @@
 		return 0, err
 	}
 	e.Starts++
-	s.move(e, Running, "", "")
+	s.setStage(e, Running, "", "")
 	return id, nil
 }
 
@@ -817,35 +817,35 @@
 	switch {
 	case e == nil:
 		return 0, &UnknownError{"entry", c.ID}
-	case e.Stage.under() && c.Wave == e.Wave || e.Stage == Done && c.Wave == e.Waves: // told twice
+	case e.Stage.inProgress() && c.Wave == e.Wave || e.Stage == Done && c.Wave == e.Waves: // told twice
 	case e.Stage != Running && e.Stage != Halted, c.Wave != e.Wave+1:
 		return 0, &StageError{e.ID, e.Stage, fmt.Sprintf("done with wave %d", c.Wave)}
 	default:
 		e.Wave = c.Wave
-		s.note(e.ID, fmt.Sprintf("wave %d of %d done", e.Wave, e.Waves), c.Who, "")
+		s.recordEvent(e.ID, fmt.Sprintf("wave %d of %d done", e.Wave, e.Waves), c.Who, "")
 	}
-	if f := s.frozen(e, s.WallMs); e.Stage == Running && e.Wave < e.Waves && f != nil {
-		s.move(e, Halted, "", "freeze "+f.Name)
+	if f := s.activeFreeze(e, s.WallMs); e.Stage == Running && e.Wave < e.Waves && f != nil {
+		s.setStage(e, Halted, "", "freeze "+f.Name)
 		e.HeldBy = f.ID
 	}
 	switch {
-	case e.Wave == e.Waves && e.Stage.under() && e.WavesDoneMs == 0:
+	case e.Wave == e.Waves && e.Stage.inProgress() && e.WavesDoneMs == 0:
 		e.WavesDoneMs = max(1, s.WallMs)
 		maps.DeleteFunc(e.Observations, func(n string, _ Observation) bool { return slices.Contains(e.Postconditions, n) }) // it was before
-		s.soaked(e)
+		s.completeIfSoaked(e)
 	case e.Stage == Running && e.Wave < e.Waves:
 		return uint64(e.Wave + 1), nil
 	}
 	return 0, nil
 }
 
-// soaked ends an entry that was watched for long enough and shows what it must. One that is halted stays so until it is resumed.
-func (s *State) soaked(e *Entry) {
+// completeIfSoaked ends an entry that was watched for long enough and shows what it must. One that is halted stays so until it is resumed.
+func (s *State) completeIfSoaked(e *Entry) {
 	if e.WavesDoneMs == 0 || e.Stage != Running || s.WallMs < e.WavesDoneMs+e.SoakMs {
 		return
 	}
-	if name, _ := e.unobserved(e.Postconditions, 0); name == "" {
-		s.move(e, Done, "", "")
+	if name, _ := e.missingObservation(e.Postconditions, 0); name == "" {
+		s.setStage(e, Done, "", "")
 	}
 }
 
@@ -857,7 +857,7 @@
 		return &UnknownError{"entry", c.ID}
 	case !slices.Contains(e.Preconditions, c.What) && !slices.Contains(e.Postconditions, c.What):
 		return &FormError{"what", fmt.Sprintf("entry %d looks for no %q", e.ID, c.What)}
-	case !e.Stage.planned() && !e.Stage.under():
+	case !e.Stage.notStarted() && !e.Stage.inProgress():
 		return &StageError{e.ID, e.Stage, "looked at"}
 	}
 	if e.Observations == nil {
@@ -865,10 +865,10 @@
 	}
 	e.Observations[c.What] = Observation{c.Well, c.Says, s.WallMs}
 	if c.Who != "" { // programs look again and again
-		s.note(e.ID, fmt.Sprintf("seen %s: %t", c.What, c.Well), c.Who, c.Says)
+		s.recordEvent(e.ID, fmt.Sprintf("seen %s: %t", c.What, c.Well), c.Who, c.Says)
 	}
 	if e.Stage == Running && e.WavesDoneMs > 0 && !c.Well && slices.Contains(e.Postconditions, c.What) {
-		s.move(e, Halted, "", fmt.Sprintf("%s is not seen: %s", c.What, c.Says))
+		s.setStage(e, Halted, "", fmt.Sprintf("%s is not seen: %s", c.What, c.Says))
 	}
 	return nil
 }
@@ -879,11 +879,11 @@
 		switch e := s.Entries[id]; {
 		case e.Stage == Running || e.Stage == RollingBack:
 			turned := e.Stage == RollingBack
-			s.move(e, Halted, who, "the state was restored: look how far it is")
+			s.setStage(e, Halted, who, "the state was restored: look how far it is")
 			e.WasRollingBack = turned
 		case e.Stage == Approved || e.Stage == Due || e.Stage == Waiting:
 			e.Revision, e.Approvals = e.Revision+1, nil
-			s.move(e, Drafted, who, "the state was restored: it may have been done")
+			s.setStage(e, Drafted, who, "the state was restored: it may have been done")
 		}
 	}
 }
--- a/calendar/calendar_test.go
+++ b/calendar/calendar_test.go
@@ -14,60 +14,60 @@
 )
 
 const (
-	sec  = 1e3
-	min1 = 60e3
-	hour = 3600e3
-	day  = 24 * hour
-	noon = 20000*day + 12*hour // the day on which most tests begin
+	sec    = 1e3
+	minute = 60e3
+	hour   = 3600e3
+	day    = 24 * hour
+	noon   = 20000*day + 12*hour // the day on which most tests begin
 )
 
-// units are the fleet of the tests: doors d0 to d3 and backends b0 to b3, two of each in z0 and in z1.
-type units struct{}
+// testZones are the fleet of the tests: doors d0 to d3 and backends b0 to b3, two of each in z0 and in z1.
+type testZones struct{}
 
-func (units) ZoneOf(_ Scope, name string) (string, bool) {
+func (testZones) ZoneOf(_ Scope, name string) (string, bool) {
 	if len(name) != 2 || strings.IndexByte("db", name[0]) < 0 || name[1] > '3' {
 		return "", false
 	}
 	return fmt.Sprintf("z%d", (name[1]-'0')/2), true
 }
 
-// desk is a calendar with a clock that the test moves, and three coordinators that tell theirs.
-type desk struct {
+// fixture is a calendar with a clock that the test moves, and three coordinators that tell theirs.
+type fixture struct {
 	*State
-	t   *testing.T
-	now float64 // true time
+	t     *testing.T
+	nowMs float64 // true time
 }
 
-func open(t *testing.T) *desk {
-	d := &desk{New(), t, noon}
-	d.See(units{})
-	d.clocks()
+func newFixture(t *testing.T) *fixture {
+	d := &fixture{New(), t, noon}
+	d.See(testZones{})
+	d.reportClocks()
 	return d
 }
 
-// clocks has the three tell what they show, rightly.
-func (d *desk) clocks() {
+// reportClocks has the three tell what they show, rightly.
+func (d *fixture) reportClocks() {
 	for i := range 3 {
-		_, err := d.Do(d.now, Clock{fmt.Sprint("c", i), d.now, 3})
+		_, err := d.Do(d.nowMs, Clock{fmt.Sprint("c", i), d.nowMs, 3})
 		require.NoError(d.t, err)
 	}
 }
 
-func (d *desk) pass(ms float64) {
-	d.now += ms
-	d.clocks()
+func (d *fixture) elapse(ms float64) {
+	d.nowMs += ms
+	d.reportClocks()
 }
 
-func (d *desk) must(c any) uint64 {
-	n, err := d.Do(d.now, c)
+func (d *fixture) mustApply(c any) uint64 {
+	n, err := d.Do(d.nowMs, c)
 	require.NoError(d.t, err, "%#v", c)
 	return n
 }
 
-func (d *desk) refused(c any, as any) {
+func (d *fixture) mustRefuse(c any, as any) {
 	before, err := json.Marshal(d.State)
 	require.NoError(d.t, err)
-	_, err = d.Do(d.now, c)
+	_, err = d.Do(d.nowMs, c)
 	require.ErrorAs(d.t, err, as, "%#v", c)
 	after, _ := json.Marshal(d.State)
 	assert.JSONEq(d.t, string(before), string(after), "a command with an error has changed nothing")
@@ -77,104 +77,104 @@
 	assert.Equal(d.t, remedy.Refused, typed[0].Kind())
 }
 
-func change(from, to float64) Change {
+func testChange(from, to float64) Change {
 	return Change{Name: "a", Kind: Drain, Subject: Subject{Scope: Doors, Names: []string{"d0"}}, Window: Span{noon + from, noon + to},
-		Waves: 2, WaveMs: 10 * min1, Do: json.RawMessage(`{"drain":"d0"}`), Rollback: json.RawMessage(`{"undrain":"d0"}`)}
+		Waves: 2, WaveMs: 10 * minute, Do: json.RawMessage(`{"drain":"d0"}`), Rollback: json.RawMessage(`{"undrain":"d0"}`)}
 }
 
-func (d *desk) plan(c Change) uint64 { return d.must(Plan{Change: c, Who: "ana"}) }
+func (d *fixture) plan(c Change) uint64 { return d.mustApply(Plan{Change: c, Who: "ana"}) }
 
-func (d *desk) stage(id uint64) Stage { return d.Entries[id].Stage }
+func (d *fixture) stage(id uint64) Stage { return d.Entries[id].Stage }
 
-func freeze(from, to float64, sends string) Freeze {
+func testFreeze(from, to float64, sends string) Freeze {
 	return Freeze{Name: "feast", Subject: Subject{Scope: Fleet}, Spans: []Span{{noon + from, noon + to}}, Sends: sends, Who: "bea", Why: "a feast"}
 }
 
-func TestWhereNothingIsAskedForAChangeNeedsNobody(t *testing.T) {
-	d := open(t)
-	id := d.plan(change(hour, 2*hour))
+func TestChangeNeedsNoApprovalWhereNoRuleApplies(t *testing.T) {
+	d := newFixture(t)
+	id := d.plan(testChange(hour, 2*hour))
 	assert.Equal(t, Approved, d.stage(id))
 	var early *EarlyError
-	d.refused(Start{id}, &early)
-	d.pass(hour)
+	d.mustRefuse(Start{id}, &early)
+	d.elapse(hour)
 	assert.Equal(t, Due, d.stage(id))
 	assert.Equal(t, []uint64{id}, d.Startable())
-	d.must(Start{id})
+	d.mustApply(Start{id})
 	assert.Equal(t, Running, d.stage(id))
 	var stage *StageError
-	d.refused(Start{id}, &stage)
-	assert.EqualValues(t, 2, d.must(WaveDone{ID: id, Wave: 1}), "the next wave")
-	assert.EqualValues(t, 2, d.must(WaveDone{ID: id, Wave: 1}), "told twice")
-	assert.EqualValues(t, 0, d.must(WaveDone{ID: id, Wave: 2}))
+	d.mustRefuse(Start{id}, &stage)
+	assert.EqualValues(t, 2, d.mustApply(WaveDone{ID: id, Wave: 1}), "the next wave")
+	assert.EqualValues(t, 2, d.mustApply(WaveDone{ID: id, Wave: 1}), "told twice")
+	assert.EqualValues(t, 0, d.mustApply(WaveDone{ID: id, Wave: 2}))
 	assert.Equal(t, Done, d.stage(id))
-	assert.EqualValues(t, 0, d.must(WaveDone{ID: id, Wave: 2}), "told twice")
+	assert.EqualValues(t, 0, d.mustApply(WaveDone{ID: id, Wave: 2}), "told twice")
 	assert.Equal(t, 1, d.Entries[id].Starts)
-	d.pass(day)
+	d.elapse(day)
 	assert.Equal(t, Done, d.stage(id))
 }
 
-func TestApprovalsAreOfOthersForWhatWouldBeDone(t *testing.T) {
-	d := open(t)
-	d.must(SetRules{Who: "boss", Rules: []Rule{{Kinds: []Kind{Drain}, Subject: Subject{Scope: Zone, Names: []string{"z0"}}, Count: 2, Roles: []string{"sre", "lead"}, ForMs: day}}})
+func TestApprovalsComeFromOthersAndAreBoundToTheDigest(t *testing.T) {
+	d := newFixture(t)
+	d.mustApply(SetRules{Who: "boss", Rules: []Rule{{Kinds: []Kind{Drain}, Subject: Subject{Scope: Zone, Names: []string{"z0"}}, Count: 2, Roles: []string{"sre", "lead"}, ForMs: day}}})
 	free := d.plan(Change{Name: "b", Kind: Drain, Subject: Subject{Scope: Doors, Names: []string{"d2"}}, Window: Span{noon, noon + hour}, Waves: 1, Do: json.RawMessage(`1`)})
 	assert.Equal(t, Due, d.stage(free), "no rule is about it")
-	c := change(hour, 2*hour)
+	c := testChange(hour, 2*hour)
 	id := d.plan(c)
 	assert.Equal(t, Waiting, d.stage(id))
 	digest := c.Digest()
 	var own *OwnError
-	d.refused(Approve{id, digest, "ana", "sre"}, &own)
-	d.must(Approve{id, digest, "bea", "sre"})
-	d.must(Approve{id, digest, "bea", "lead"})
+	d.mustRefuse(Approve{id, digest, "ana", "sre"}, &own)
+	d.mustApply(Approve{id, digest, "bea", "sre"})
+	d.mustApply(Approve{id, digest, "bea", "lead"})
 	assert.Equal(t, Waiting, d.stage(id), "the same person counts once")
-	d.must(Approve{id, digest, "cem", "intern"})
+	d.mustApply(Approve{id, digest, "cem", "intern"})
 	var lacks *ApprovalError
 	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &lacks)
 	assert.Equal(t, ApprovalError{id, "ana", 2, 1, []string{"sre", "lead"}}, *lacks)
-	d.must(Approve{id, digest, "dan", "sre"})
+	d.mustApply(Approve{id, digest, "dan", "sre"})
 	assert.Equal(t, Approved, d.stage(id))
 
 	c.Do = json.RawMessage(`{"drain":"d0","hard":true}`)
 	var changed *ChangedError
-	d.refused(Edit{id, 7, c, "eve", false}, &changed)
-	d.must(Edit{id, d.Entries[id].Revision, c, "eve", false}) // in the same millisecond as
-	d.refused(Approve{id, digest, "fay", "sre"}, &changed)
+	d.mustRefuse(Edit{id, 7, c, "eve", false}, &changed)
+	d.mustApply(Edit{id, d.Entries[id].Revision, c, "eve", false}) // in the same millisecond as
+	d.mustRefuse(Approve{id, digest, "fay", "sre"}, &changed)
 	assert.Contains(t, changed.Error(), "eve")
 	assert.Equal(t, Waiting, d.stage(id), "a changed change asks anew")
-	d.refused(Approve{id, c.Digest(), "eve", "sre"}, &own)
-	d.must(Approve{id, c.Digest(), "dan", "sre"})
+	d.mustRefuse(Approve{id, c.Digest(), "eve", "sre"}, &own)
+	d.mustApply(Approve{id, c.Digest(), "dan", "sre"})
 	elsewhere := c
 	elsewhere.Subject = Subject{Scope: Doors, Names: []string{"d1"}}
-	d.must(Edit{id, d.Entries[id].Revision, elsewhere, "eve", false})
-	d.must(Edit{id, d.Entries[id].Revision, c, "eve", false})
+	d.mustApply(Edit{id, d.Entries[id].Revision, elsewhere, "eve", false})
+	d.mustApply(Edit{id, d.Entries[id].Revision, c, "eve", false})
 	assert.Empty(t, d.Entries[id].Approvals, "there and back asks anew, too")
-	d.must(Approve{id, c.Digest(), "ana", "sre"})
-	d.must(Approve{id, c.Digest(), "bea", "sre"})
+	d.mustApply(Approve{id, c.Digest(), "ana", "sre"})
+	d.mustApply(Approve{id, c.Digest(), "bea", "sre"})
 	assert.Equal(t, Approved, d.stage(id))
 
 	var form *FormError
-	d.refused(Refuse{id, c.Digest(), "cem", ""}, &form)
-	d.must(Refuse{id, c.Digest(), "cem", "not tonight"})
+	d.mustRefuse(Refuse{id, c.Digest(), "cem", ""}, &form)
+	d.mustApply(Refuse{id, c.Digest(), "cem", "not tonight"})
 	assert.Equal(t, Drafted, d.stage(id))
 	assert.Empty(t, d.Entries[id].Approvals)
-	d.must(Edit{id, d.Entries[id].Revision, c, "eve", false})
-	d.must(Approve{id, c.Digest(), "ana", "sre"})
-	d.must(Approve{id, c.Digest(), "bea", "sre"})
+	d.mustApply(Edit{id, d.Entries[id].Revision, c, "eve", false})
+	d.mustApply(Approve{id, c.Digest(), "ana", "sre"})
+	d.mustApply(Approve{id, c.Digest(), "bea", "sre"})
 	late := c
 	late.Window = Span{noon + 2*day, noon + 3*day}
-	d.must(Edit{id, d.Entries[id].Revision, late, "eve", false})
-	d.must(Approve{id, late.Digest(), "ana", "sre"})
-	d.must(Approve{id, late.Digest(), "bea", "sre"})
+	d.mustApply(Edit{id, d.Entries[id].Revision, late, "eve", false})
+	d.mustApply(Approve{id, late.Digest(), "ana", "sre"})
+	d.mustApply(Approve{id, late.Digest(), "bea", "sre"})
 	assert.Equal(t, Approved, d.stage(id))
-	d.pass(day)
+	d.elapse(day)
 	assert.Equal(t, Waiting, d.stage(id), "approvals lapse")
 	assert.Contains(t, d.Entries[id].Says, "lapsed")
 }
 
 // A calendar's first use comes before its first agreed time, by a second or two: what is said then counts from then.
-func TestWhatIsSaidBeforeTheFirstAgreedTimeIsNotOf1970(t *testing.T) {
+func TestTimesBeforeTheFirstAgreedTimeAreBackfilled(t *testing.T) {
 	s := New()
-	s.See(units{})
+	s.See(testZones{})
 	do := func(c any) {
 		_, err := s.Do(10, c)
 		require.NoError(t, err)
@@ -194,153 +194,153 @@
 	}
 }
 
-func TestAFreezeKeepsWhatWouldBeginAndHaltsOrSendsBackWhatRuns(t *testing.T) {
+func TestFreezeBlocksStartsAndHaltsOrRollsBackRunningEntries(t *testing.T) {
 	for sends, after := range map[string]Stage{FinishesWave: Running, SendsBack: RollingBack} {
-		d := open(t)
-		id := d.plan(change(0, 3*hour))
+		d := newFixture(t)
+		id := d.plan(testChange(0, 3*hour))
 		other := d.plan(Change{Name: "b", Kind: Drain, Subject: Subject{Scope: Doors, Names: []string{"d2"}}, Window: Span{noon, noon + 3*hour}, Waves: 1, Do: json.RawMessage(`1`)})
-		d.must(Start{id})
-		d.must(SetFreeze{0, 0, freeze(5*min1, hour, sends)})
-		d.pass(5 * min1)
+		d.mustApply(Start{id})
+		d.mustApply(SetFreeze{0, 0, testFreeze(5*minute, hour, sends)})
+		d.elapse(5 * minute)
 		assert.Equal(t, after, d.stage(id), "it is never left amid a wave")
 		var frozen *FrozenError
-		d.refused(Start{other}, &frozen)
+		d.mustRefuse(Start{other}, &frozen)
 		assert.Equal(t, noon+hour, frozen.UntilMs)
 		if sends == FinishesWave {
-			assert.EqualValues(t, 0, d.must(WaveDone{ID: id, Wave: 1}))
+			assert.EqualValues(t, 0, d.mustApply(WaveDone{ID: id, Wave: 1}))
 			assert.Equal(t, Halted, d.stage(id))
-			d.refused(Resume{id, "ana"}, &frozen)
-			d.pass(hour)
+			d.mustRefuse(Resume{id, "ana"}, &frozen)
+			d.elapse(hour)
 			assert.Equal(t, Running, d.stage(id), "it goes on by itself")
-			d.must(WaveDone{ID: id, Wave: 2})
+			d.mustApply(WaveDone{ID: id, Wave: 2})
 			assert.Equal(t, Done, d.stage(id))
 			continue
 		}
-		d.must(RolledBack{ID: id})
+		d.mustApply(RolledBack{ID: id})
 		assert.Equal(t, Withdrawn, d.stage(id))
-		d.pass(hour)
-		d.must(Start{other})
+		d.elapse(hour)
+		d.mustApply(Start{other})
 	}
 }
 
-func TestAHaltedOneDoesNotGoOnWhereItsWindowIsTooShortByThen(t *testing.T) {
-	d := open(t)
-	id := d.plan(change(0, hour))
-	d.must(Start{id})
-	d.must(SetFreeze{0, 0, freeze(5*min1, 55*min1, FinishesWave)})
-	d.pass(10 * min1)
-	d.must(WaveDone{ID: id, Wave: 1})
-	d.pass(45 * min1)
+func TestHaltedEntryDoesNotResumeWithTooLittleTimeLeft(t *testing.T) {
+	d := newFixture(t)
+	id := d.plan(testChange(0, hour))
+	d.mustApply(Start{id})
+	d.mustApply(SetFreeze{0, 0, testFreeze(5*minute, 55*minute, FinishesWave)})
+	d.elapse(10 * minute)
+	d.mustApply(WaveDone{ID: id, Wave: 1})
+	d.elapse(45 * minute)
 	assert.Equal(t, Halted, d.stage(id), "five minutes are left, its wave takes ten")
-	d.must(RollBack{id, "ana", "too late"})
+	d.mustApply(RollBack{id, "ana", "too late"})
 	assert.Equal(t, RollingBack, d.stage(id), "a way back begins at any time")
-	d.must(SetFreeze{0, 0, freeze(0, day, SendsBack)})
-	d.pass(min1)
+	d.mustApply(SetFreeze{0, 0, testFreeze(0, day, SendsBack)})
+	d.elapse(minute)
 	assert.Equal(t, RollingBack, d.stage(id), "and no freeze stops it")
-	d.must(RolledBack{ID: id})
+	d.mustApply(RolledBack{ID: id})
 }
 
-func TestOneWithoutAWayBackFinishesItsWave(t *testing.T) {
-	d := open(t)
-	c := change(0, 3*hour)
+func TestEntryWithoutRollbackFinishesItsWave(t *testing.T) {
+	d := newFixture(t)
+	c := testChange(0, 3*hour)
 	c.Rollback = nil
 	id := d.plan(c)
-	d.must(Start{id})
-	d.must(SetFreeze{0, 0, freeze(min1, hour, SendsBack)})
-	d.pass(min1)
+	d.mustApply(Start{id})
+	d.mustApply(SetFreeze{0, 0, testFreeze(minute, hour, SendsBack)})
+	d.elapse(minute)
 	assert.Equal(t, Running, d.stage(id))
-	d.must(WaveDone{ID: id, Wave: 1})
+	d.mustApply(WaveDone{ID: id, Wave: 1})
 	assert.Equal(t, Halted, d.stage(id))
 	var no *NoRollbackError
-	d.refused(RollBack{id, "ana", "why"}, &no)
+	d.mustRefuse(RollBack{id, "ana", "why"}, &no)
 }
 
-func TestOfTwoFreezesTheOneThatSendsBackIsHeeded(t *testing.T) {
-	d := open(t)
-	id := d.plan(change(0, 3*hour))
-	d.must(Start{id})
-	d.must(SetFreeze{0, 0, freeze(min1, hour, FinishesWave)})
-	d.must(SetFreeze{0, 0, freeze(min1, hour, SendsBack)})
-	d.pass(min1)
+func TestRollBackFreezeTakesPrecedence(t *testing.T) {
+	d := newFixture(t)
+	id := d.plan(testChange(0, 3*hour))
+	d.mustApply(Start{id})
+	d.mustApply(SetFreeze{0, 0, testFreeze(minute, hour, FinishesWave)})
+	d.mustApply(SetFreeze{0, 0, testFreeze(minute, hour, SendsBack)})
+	d.elapse(minute)
 	assert.Equal(t, RollingBack, d.stage(id))
 }
 
-func TestOneThatRunsPastItsWindowKeepsItsSubject(t *testing.T) {
-	d := open(t)
-	id := d.plan(change(0, hour))
-	d.must(Start{id})
-	d.pass(2 * hour)
-	c := change(2*hour, 3*hour)
-	assert.Equal(t, noon+2*hour+20*min1, d.Next(&c, 0, 1)[0].FromMs, "as long as its waves take, at least")
+func TestEntryRunningPastItsWindowKeepsItsSubject(t *testing.T) {
+	d := newFixture(t)
+	id := d.plan(testChange(0, hour))
+	d.mustApply(Start{id})
+	d.elapse(2 * hour)
+	c := testChange(2*hour, 3*hour)
+	assert.Equal(t, noon+2*hour+20*minute, d.Next(&c, 0, 1)[0].FromMs, "as long as its waves take, at least")
 }
 
-func TestAnEmergencyPassesFreezesWithTwoNamesAndStaysMarked(t *testing.T) {
-	d := open(t)
-	d.must(SetFreeze{0, 0, freeze(0, day, SendsBack)})
-	id := d.plan(change(0, hour))
+func TestEmergencyNeedsTwoNamesAndBypassesFreezes(t *testing.T) {
+	d := newFixture(t)
+	d.mustApply(SetFreeze{0, 0, testFreeze(0, day, SendsBack)})
+	id := d.plan(testChange(0, hour))
 	var form *FormError
-	d.refused(DeclareEmergency{id, Emergency{"ana", "ana", "fire"}}, &form)
-	d.refused(DeclareEmergency{id, Emergency{"ana", "bea", ""}}, &form)
+	d.mustRefuse(DeclareEmergency{id, Emergency{"ana", "ana", "fire"}}, &form)
+	d.mustRefuse(DeclareEmergency{id, Emergency{"ana", "bea", ""}}, &form)
 	var frozen *FrozenError
-	d.refused(Start{id}, &frozen)
-	d.must(DeclareEmergency{id, Emergency{"ana", "bea", "fire"}})
-	d.must(Start{id})
-	d.pass(min1)
+	d.mustRefuse(Start{id}, &frozen)
+	d.mustApply(DeclareEmergency{id, Emergency{"ana", "bea", "fire"}})
+	d.mustApply(Start{id})
+	d.elapse(minute)
 	assert.Equal(t, Running, d.stage(id))
-	d.must(WaveDone{ID: id, Wave: 1})
-	d.must(WaveDone{ID: id, Wave: 2})
+	d.mustApply(WaveDone{ID: id, Wave: 1})
+	d.mustApply(WaveDone{ID: id, Wave: 2})
 	assert.Equal(t, "fire", d.Entries[id].Emergency.Why)
 }
 
-func TestOneAtATimeOnASubjectInOrderWithinBudgets(t *testing.T) {
-	d := open(t)
-	d.must(SetRules{Budgets: []Budget{{Drain, 2}}, Who: "boss"})
+func TestSubjectsBudgetsAndDependenciesLimitStarts(t *testing.T) {
+	d := newFixture(t)
+	d.mustApply(SetRules{Budgets: []Budget{{Drain, 2}}, Who: "boss"})
 	on := func(scope Scope, names ...string) uint64 {
-		c := change(0, 3*hour)
+		c := testChange(0, 3*hour)
 		c.Subject = Subject{scope, names}
 		return d.plan(c)
 	}
 	zone, inIt, apart, third := on(Zone, "z0"), on(Backends, "b1"), on(Doors, "d2"), on(Doors, "d3")
 	gone := on(Doors, "d9")
-	d.must(Start{zone})
+	d.mustApply(Start{zone})
 	var busy *BusyError
-	d.refused(Start{inIt}, &busy)
+	d.mustRefuse(Start{inIt}, &busy)
 	assert.Equal(t, zone, busy.Other)
-	d.refused(Start{gone}, &busy) // nobody knows where it stands
-	d.must(Start{apart})
+	d.mustRefuse(Start{gone}, &busy) // nobody knows where it stands
+	d.mustApply(Start{apart})
 	var full *FullError
-	d.refused(Start{third}, &full)
-	d.must(WaveDone{ID: zone, Wave: 1})
-	d.must(WaveDone{ID: zone, Wave: 2})
-	d.must(Start{third})
+	d.mustRefuse(Start{third}, &full)
+	d.mustApply(WaveDone{ID: zone, Wave: 1})
+	d.mustApply(WaveDone{ID: zone, Wave: 2})
+	d.mustApply(Start{third})
 
-	c := change(0, 3*hour)
+	c := testChange(0, 3*hour)
 	c.Kind, c.After, c.Subject = Configuration, []uint64{inIt}, Subject{Plans, []string{"basic"}}
 	then := d.plan(c)
 	var after *AfterError
-	d.refused(Start{then}, &after)
+	d.mustRefuse(Start{then}, &after)
 	again := d.Entries[inIt].Change
 	again.After = []uint64{then}
 	var form *FormError
-	d.refused(Edit{inIt, 1, again, "ana", false}, &form)
+	d.mustRefuse(Edit{inIt, 1, again, "ana", false}, &form)
 	assert.Equal(t, "after[0]", form.Key, "a ring")
 	var stage *StageError
-	d.refused(Withdraw{apart, 1, "ana", ""}, &stage)
-	d.must(Withdraw{inIt, 1, "ana", "not needed"})
+	d.mustRefuse(Withdraw{apart, 1, "ana", ""}, &stage)
+	d.mustApply(Withdraw{inIt, 1, "ana", "not needed"})
 }
 
-func TestWhatWasDueWhileNobodyLedIsMissedOrRunsLate(t *testing.T) {
+func TestEntryDueWithoutALeaderIsMissedOrStartsLate(t *testing.T) {
 	for late, want := range map[float64]Stage{0: Missed, 3 * hour: Due} {
-		d := open(t)
-		c := change(hour, 2*hour)
+		d := newFixture(t)
+		c := testChange(hour, 2*hour)
 		c.LateMs = late
 		id := d.plan(c)
-		d.now += 3 * hour
+		d.nowMs += 3 * hour
 		d.Do(noon+1, LeaderChanged{}) // the agreed clock stood still meanwhile
 		assert.Equal(t, Approved, d.stage(id))
 		assert.NotEmpty(t, d.Doubt)
 		for i := range 2 {
-			_, err := d.Do(noon+2, Clock{fmt.Sprint("c", i), d.now, 3})
+			_, err := d.Do(noon+2, Clock{fmt.Sprint("c", i), d.nowMs, 3})
 			require.NoError(t, err)
 		}
 		assert.Equal(t, want, d.stage(id))
@@ -348,37 +348,37 @@
 }
 
 func TestOneClockAheadStartsNothingEarly(t *testing.T) {
-	d := open(t)
-	id := d.plan(change(10*min1, 2*hour))
-	d.Do(d.now, LeaderChanged{})
-	d.Do(d.now, Clock{"c0", d.now + 10*min1, 3}) // it leads, and is ten minutes ahead
+	d := newFixture(t)
+	id := d.plan(testChange(10*minute, 2*hour))
+	d.Do(d.nowMs, LeaderChanged{})
+	d.Do(d.nowMs, Clock{"c0", d.nowMs + 10*minute, 3}) // it leads, and is ten minutes ahead
 	var doubt *ClockError
 	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &doubt)
-	d.Do(d.now, Clock{"c1", d.now, 3})
+	d.Do(d.nowMs, Clock{"c1", d.nowMs, 3})
 	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &doubt, "they differ")
-	d.Do(d.now, Clock{"c2", d.now + 1000, 3})
+	d.Do(d.nowMs, Clock{"c2", d.nowMs + 1000, 3})
 	var early *EarlyError
 	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &early)
-	assert.Equal(t, d.now, d.WallMs)
-	d.Do(d.now, LeaderChanged{})
+	assert.Equal(t, d.nowMs, d.WallMs)
+	d.Do(d.nowMs, LeaderChanged{})
 	for i, ahead := range []float64{8 * sec, 4 * sec, 0} {
-		d.Do(d.now, Clock{fmt.Sprint("c", i), d.now + ahead, 3})
+		d.Do(d.nowMs, Clock{fmt.Sprint("c", i), d.nowMs + ahead, 3})
 	}
-	d.now += sec
-	d.Do(d.now, Clock{"c2", d.now, 3})
-	assert.Equal(t, d.now+3*sec, d.WallMs, "once two had agreed on that; from then on it goes by the earliest two")
+	d.nowMs += sec
+	d.Do(d.nowMs, Clock{"c2", d.nowMs, 3})
+	assert.Equal(t, d.nowMs+3*sec, d.WallMs, "once two had agreed on that; from then on it goes by the earliest two")
 	assert.Empty(t, d.Doubt)
 }
 
 func TestClocksSetBackRepeatNothing(t *testing.T) {
-	d := open(t)
-	id := d.plan(change(0, hour))
-	d.must(Start{id})
-	d.must(WaveDone{ID: id, Wave: 1})
-	d.must(WaveDone{ID: id, Wave: 2})
+	d := newFixture(t)
+	id := d.plan(testChange(0, hour))
+	d.mustApply(Start{id})
+	d.mustApply(WaveDone{ID: id, Wave: 1})
+	d.mustApply(WaveDone{ID: id, Wave: 2})
 	was := d.WallMs
 	for i := range 3 {
-		d.Do(d.now+1, Clock{fmt.Sprint("c", i), noon - day, 3})
+		d.Do(d.nowMs+1, Clock{fmt.Sprint("c", i), noon - day, 3})
 	}
 	assert.Equal(t, was+1, d.WallMs, "as it was when one of three had told another")
 	assert.Contains(t, d.Doubt, "behind")
@@ -386,20 +386,20 @@
 	assert.Empty(t, d.Startable())
 }
 
-func TestAStateOfYesterdayStartsNothingByItself(t *testing.T) {
-	d := open(t)
-	begun, later := d.plan(change(0, day)), d.plan(change(2*hour, day))
-	d.must(Start{begun})
-	d.must(Restored{"ana"})
+func TestRestoredStateStartsNothing(t *testing.T) {
+	d := newFixture(t)
+	begun, later := d.plan(testChange(0, day)), d.plan(testChange(2*hour, day))
+	d.mustApply(Start{begun})
+	d.mustApply(Restored{"ana"})
 	assert.Equal(t, Halted, d.stage(begun))
 	assert.Equal(t, Drafted, d.stage(later))
-	d.pass(3 * hour)
+	d.elapse(3 * hour)
 	assert.Empty(t, d.Startable())
 	assert.Equal(t, Halted, d.stage(begun))
 }
 
-func TestWhatIsWrongIsNamedByItsKey(t *testing.T) {
-	d := open(t)
+func TestInvalidCommandsNameTheKey(t *testing.T) {
+	d := newFixture(t)
 	for key, spoil := range map[string]func(*Change){
 		"name":           func(c *Change) { c.Name = "" },
 		"kind":           func(c *Change) { c.Kind = "whim" },
@@ -414,67 +414,67 @@
 		"subject.names":  func(c *Change) { c.Subject.Names = []string{""} },
 		"window, before": func(c *Change) { c.Window = Span{noon - hour, noon} },
 	} {
-		c := change(0, hour)
+		c := testChange(0, hour)
 		spoil(&c)
 		var form *FormError
-		d.refused(Plan{Change: c, Who: "ana"}, &form)
+		d.mustRefuse(Plan{Change: c, Who: "ana"}, &form)
 		assert.Equal(t, strings.Split(key, ",")[0], form.Key)
 	}
 	var form *FormError
-	d.refused(Plan{Change: change(0, hour)}, &form)
-	d.refused(struct{}{}, &form)
-	d.refused(SetRules{Rules: []Rule{{Subject: Subject{Scope: Fleet}}}}, &form)
+	d.mustRefuse(Plan{Change: testChange(0, hour)}, &form)
+	d.mustRefuse(struct{}{}, &form)
+	d.mustRefuse(SetRules{Rules: []Rule{{Subject: Subject{Scope: Fleet}}}}, &form)
 	assert.Equal(t, "rules[0].count", form.Key)
-	for _, f := range []Freeze{{}, freeze(hour, 0, SendsBack), freeze(0, hour, "melt")} {
-		d.refused(SetFreeze{0, 0, f}, &form)
+	for _, f := range []Freeze{{}, testFreeze(hour, 0, SendsBack), testFreeze(0, hour, "melt")} {
+		d.mustRefuse(SetFreeze{0, 0, f}, &form)
 	}
 	var unknown *UnknownError
 	for _, c := range []any{Start{9}, Withdraw{ID: 9}, Approve{ID: 9}, Refuse{ID: 9}, Thaw{ID: 9}, Halt{ID: 9}, RollBack{ID: 9}, Edit{ID: 9}, WaveDone{ID: 9}, DeclareEmergency{ID: 9}, Extend{ID: 9}} {
-		d.refused(c, &unknown)
+		d.mustRefuse(c, &unknown)
 	}
 }
 
 func TestFreezesAreChangedByCompareAndSet(t *testing.T) {
-	d := open(t)
-	id := d.must(SetFreeze{0, 0, freeze(0, hour, SendsBack)})
-	longer := freeze(0, 2*hour, SendsBack)
-	d.must(SetFreeze{id, 1, longer})
+	d := newFixture(t)
+	id := d.mustApply(SetFreeze{0, 0, testFreeze(0, hour, SendsBack)})
+	longer := testFreeze(0, 2*hour, SendsBack)
+	d.mustApply(SetFreeze{id, 1, longer})
 	var changed *ChangedError
-	d.refused(Thaw{id, 1, "cem", ""}, &changed)
-	d.must(Thaw{id, 2, "cem", "over"})
+	d.mustRefuse(Thaw{id, 1, "cem", ""}, &changed)
+	d.mustApply(Thaw{id, 2, "cem", "over"})
 	assert.Empty(t, d.Freezes)
 }
 
-func TestEventsAreNumberedAndKeptUntilHeard(t *testing.T) {
-	d := open(t)
-	id := d.plan(change(0, hour))
-	d.must(Start{id})
+func TestEventsAreNumberedAndAcknowledged(t *testing.T) {
+	d := newFixture(t)
+	id := d.plan(testChange(0, hour))
+	d.mustApply(Start{id})
 	for i, e := range d.Events {
 		assert.EqualValues(t, i+1, e.Number)
 	}
-	d.must(Acknowledge{2})
+	d.mustApply(Acknowledge{2})
 	assert.EqualValues(t, 2, d.Acknowledged)
-	d.must(Acknowledge{1})
+	d.mustApply(Acknowledge{1})
 	assert.EqualValues(t, 2, d.Acknowledged, "it never goes back")
-	d.must(Acknowledge{999})
+	d.mustApply(Acknowledge{999})
 	assert.EqualValues(t, d.Number, d.Acknowledged)
 }
 
 // What is written down and read again goes on alike: a follower that begins from a snapshot decides as the others do.
-func TestASnapshotGoesOnAlike(t *testing.T) {
-	d := open(t)
-	d.must(SetRules{Who: "boss", Rules: []Rule{{Subject: Subject{Scope: Fleet}, Count: 1}}})
-	id := d.plan(change(hour, 4*hour))
-	d.must(SetFreeze{0, 0, freeze(2*hour, 3*hour, FinishesWave)})
-	d.must(Approve{id, d.Entries[id].Digest(), "bea", ""})
+func TestSnapshotRestoredStateBehavesIdentically(t *testing.T) {
+	d := newFixture(t)
+	d.mustApply(SetRules{Who: "boss", Rules: []Rule{{Subject: Subject{Scope: Fleet}, Count: 1}}})
+	id := d.plan(testChange(hour, 4*hour))
+	d.mustApply(SetFreeze{0, 0, testFreeze(2*hour, 3*hour, FinishesWave)})
+	d.mustApply(Approve{id, d.Entries[id].Digest(), "bea", ""})
 	raw, err := json.Marshal(d.State)
 	require.NoError(t, err)
 	other := New()
 	require.NoError(t, json.Unmarshal(raw, other))
-	other.See(units{})
+	other.See(testZones{})
 	for _, c := range []any{Clock{"c0", noon + hour, 3}, Clock{"c1", noon + hour, 3}, Start{id}, WaveDone{ID: id, Wave: 1}, Clock{"c0", noon + 2*hour, 3}, Clock{"c1", noon + 2*hour, 3}, WaveDone{ID: id, Wave: 2}} {
-		n, err := d.Do(d.now+1, c)
-		m, err2 := other.Do(d.now+1, c)
+		n, err := d.Do(d.nowMs+1, c)
+		m, err2 := other.Do(d.nowMs+1, c)
 		assert.Equal(t, n, m)
 		assert.Equal(t, err, err2)
 	}
@@ -485,21 +485,21 @@
 }
 
 // What is over goes first when there is no more room, and what is to come stays.
-func TestTheOldestThatAreOverGoFirst(t *testing.T) {
-	d := open(t)
-	kept := d.plan(change(0, day))
-	for i := range entriesMost + 10 {
+func TestOldestFinishedEntriesAreEvictedFirst(t *testing.T) {
+	d := newFixture(t)
+	kept := d.plan(testChange(0, day))
+	for i := range maxEntries + 10 {
 		id := uint64(i + 1000)
-		d.Entries[id] = &Entry{Change: change(-2*hour, -hour), ID: id, Stage: Done}
+		d.Entries[id] = &Entry{Change: testChange(-2*hour, -hour), ID: id, Stage: Done}
 	}
 	before := len(d.Entries)
-	d.plan(change(0, day))
+	d.plan(testChange(0, day))
 	assert.Len(t, d.Entries, before)
 	assert.NotNil(t, d.Entries[kept])
 	assert.Nil(t, d.Entries[1000])
 }
 
-func TestLocalTimesThatDoNotExistOrComeTwice(t *testing.T) {
+func TestSkippedAndRepeatedLocalTimes(t *testing.T) {
 	utc := func(text string) float64 {
 		at, err := time.Parse(time.RFC3339, text)
 		require.NoError(t, err)
@@ -545,29 +545,29 @@
 	assert.Len(t, spans, 1, "of the hour that isn't, nothing")
 }
 
-func TestRecurringFreezesAreHeldToLastWhereNobodyHasWorkedThemOut(t *testing.T) {
-	d := open(t)
-	f := freeze(0, 1, FinishesWave)
+func TestRecurringFreezeAppliesPastItsExpandedSpans(t *testing.T) {
+	d := newFixture(t)
+	f := testFreeze(0, 1, FinishesWave)
 	f.When = Recurrence{Begin: "2024-01-01T00:00", Minutes: 24 * 60, Every: "FREQ=DAILY", In: "UTC"}
 	require.NoError(t, f.Ahead(time.UTC, noon))
 	require.Len(t, f.Spans, 1, "days without a gap are one span")
-	id := d.must(SetFreeze{0, 0, f})
-	c := change(hour, 2*hour)
+	id := d.mustApply(SetFreeze{0, 0, f})
+	c := testChange(hour, 2*hour)
 	assert.Empty(t, d.Next(&c, 0, 3), "no free hour for a year")
 	met, instead := d.Conflicts(&c, 0, 3)
 	assert.Len(t, met, 1)
 	assert.Empty(t, instead)
 	assert.Empty(t, d.Short())
-	d.now += longestFor/2 + day
-	d.Do(d.now, LeaderChanged{})
-	d.clocks()
+	d.nowMs += horizonMs/2 + day
+	d.Do(d.nowMs, LeaderChanged{})
+	d.reportClocks()
 	assert.Equal(t, []uint64{id}, d.Short())
-	d.now += longestFor
-	d.clocks()
+	d.nowMs += horizonMs
+	d.reportClocks()
 	e := &Entry{Change: c}
-	assert.NotNil(t, d.frozen(e, d.now), "past what was worked out")
-	require.NoError(t, f.Ahead(time.UTC, d.now))
-	d.must(Extend{id, 1, f.Spans, f.ThroughMs})
+	assert.NotNil(t, d.activeFreeze(e, d.nowMs), "past what was worked out")
+	require.NoError(t, f.Ahead(time.UTC, d.nowMs))
+	d.mustApply(Extend{id, 1, f.Spans, f.ThroughMs})
 	assert.Empty(t, d.Short())
 	for _, bad := range []Recurrence{{Begin: "x", Minutes: 1}, {Begin: "2026-01-01T00:00"}, {Begin: "2026-01-01T00:00", Minutes: 1, Every: "often"},
 		{Begin: "2026-01-01T00:00", Minutes: 1, Every: "FREQ=MINUTELY"}} {
@@ -577,21 +577,21 @@
 	}
 }
 
-func TestConflictsAreToldWithWhatWouldFitInstead(t *testing.T) {
-	d := open(t)
-	d.must(SetRules{Budgets: []Budget{{Drain, 1}}, Who: "boss"})
-	d.plan(change(hour, 2*hour))
-	c := change(hour, 2*hour)
+func TestConflictsListFreeAlternatives(t *testing.T) {
+	d := newFixture(t)
+	d.mustApply(SetRules{Budgets: []Budget{{Drain, 1}}, Who: "boss"})
+	d.plan(testChange(hour, 2*hour))
+	c := testChange(hour, 2*hour)
 	c.Subject = Subject{Scope: Zone, Names: []string{"z0"}}
 	met, instead := d.Conflicts(&c, 0, 2)
 	require.Len(t, met, 2, "its subject, and the budget")
 	assert.Contains(t, met[0].Says, "doors d0")
-	assert.Equal(t, []Span{{noon, noon + hour}, {noon + 2*hour, noon + longestFor}}, instead)
-	c.Window.ToMs = c.Window.FromMs + 5*min1
+	assert.Equal(t, []Span{{noon, noon + hour}, {noon + 2*hour, noon + horizonMs}}, instead)
+	c.Window.ToMs = c.Window.FromMs + 5*minute
 	met, _ = d.Conflicts(&c, 0, 2)
 	assert.Contains(t, met[0].Says, "5 min", "its waves take twenty")
-	d.must(SetFreeze{0, 0, freeze(2*hour, 3*hour, SendsBack)})
-	c.Window = Span{noon + 2*hour, noon + 3*hour + 10*min1}
+	d.mustApply(SetFreeze{0, 0, testFreeze(2*hour, 3*hour, SendsBack)})
+	c.Window = Span{noon + 2*hour, noon + 3*hour + 10*minute}
 	met, instead = d.Conflicts(&c, 0, 2)
 	require.Len(t, met, 1)
 	assert.Contains(t, met[0].Says, "feast")
--- a/calendar/errors.go
+++ b/calendar/errors.go
@@ -8,7 +8,7 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-func clockOf(ms float64) string {
+func formatTime(ms float64) string {
 	return time.UnixMilli(int64(ms)).UTC().Format("2006-01-02 15:04 UTC")
 }
 
@@ -72,9 +72,9 @@
 	switch {
 	case e.Stage == Drafted:
 		return "Its author has it asked about with an edit that is no draft."
-	case e.Stage.planned():
+	case e.Stage.notStarted():
 		return "Edit or withdraw it, or wait until it begins."
-	case e.Stage.under():
+	case e.Stage.inProgress():
 		return "Halt it, resume it, or send it back."
 	}
 	return "It is over: plan another."
@@ -101,16 +101,16 @@
 }
 
 func (e *ApprovalError) Error() string {
-	return fmt.Sprintf("entry %d has %d of %d approvals%s", e.ID, e.Have, e.Count, ofRoles(e.Roles))
+	return fmt.Sprintf("entry %d has %d of %d approvals%s", e.ID, e.Have, e.Count, roleSuffix(e.Roles))
 }
 func (e *ApprovalError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says who can give them.
 func (e *ApprovalError) Remedy() string {
-	return fmt.Sprintf("Have it approved by %d more%s, not %s.", e.Count-e.Have, ofRoles(e.Roles), e.Author)
+	return fmt.Sprintf("Have it approved by %d more%s, not %s.", e.Count-e.Have, roleSuffix(e.Roles), e.Author)
 }
 
-func ofRoles(roles []string) string {
+func roleSuffix(roles []string) string {
 	if len(roles) == 0 {
 		return ""
 	}
@@ -135,7 +135,7 @@
 }
 
 func (e *EarlyError) Error() string {
-	return fmt.Sprintf("entry %d begins from %s on", e.ID, clockOf(e.FromMs))
+	return fmt.Sprintf("entry %d begins from %s on", e.ID, formatTime(e.FromMs))
 }
 func (e *EarlyError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -149,7 +149,7 @@
 }
 
 func (e *ShortError) Error() string {
-	return fmt.Sprintf("entry %d has %s left, its waves take %s", e.ID, lasting(max(0, e.LeftMs)), lasting(e.Want))
+	return fmt.Sprintf("entry %d has %s left, its waves take %s", e.ID, formatDuration(max(0, e.LeftMs)), formatDuration(e.Want))
 }
 func (e *ShortError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -183,7 +183,7 @@
 }
 
 func (e *FrozenError) Error() string {
-	return fmt.Sprintf("freeze %d %q lasts until %s", e.ID, e.Name, clockOf(e.UntilMs))
+	return fmt.Sprintf("freeze %d %q lasts until %s", e.ID, e.Name, formatTime(e.UntilMs))
 }
 func (e *FrozenError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -248,7 +248,7 @@
 	if e.Observation.AtMs == 0 {
 		return fmt.Sprintf("entry %d wants %q seen, and nobody has looked", e.ID, e.What)
 	}
-	return fmt.Sprintf("entry %d wants %q seen; at %s it was well: %t %s", e.ID, e.What, clockOf(e.Observation.AtMs), e.Observation.Well, e.Observation.Says)
+	return fmt.Sprintf("entry %d wants %q seen; at %s it was well: %t %s", e.ID, e.What, formatTime(e.Observation.AtMs), e.Observation.Well, e.Observation.Says)
 }
 func (e *PreconditionError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -282,7 +282,7 @@
 }
 
 func (e *UnplannedError) Error() string {
-	return fmt.Sprintf("a %s of %s asks for %d approvals%s", e.Of, e.Subject, e.Count, ofRoles(e.Roles))
+	return fmt.Sprintf("a %s of %s asks for %d approvals%s", e.Of, e.Subject, e.Count, roleSuffix(e.Roles))
 }
 func (e *UnplannedError) Kind() remedy.Kind { return remedy.Refused }
 
--- a/calendar/find.go
+++ b/calendar/find.go
@@ -14,7 +14,7 @@
 	case Drafted:
 		return &StageError{e.ID, e.Stage, "begun"}
 	case Waiting:
-		if err := s.lacks(e); err != nil {
+		if err := s.checkApprovals(e); err != nil {
 			return err
 		}
 	case Approved, Due:
@@ -27,7 +27,7 @@
 	if s.WallMs < e.Window.FromMs {
 		return &EarlyError{e.ID, e.Window.FromMs}
 	}
-	if end := e.deadline(); s.WallMs+e.Needs() > end || s.WallMs >= end {
+	if end := e.deadlineMs(); s.WallMs+e.Needs() > end || s.WallMs >= end {
 		return &ShortError{e.ID, end - s.WallMs, e.Needs()}
 	}
 	for _, id := range e.After {
@@ -35,13 +35,13 @@
 			return &AfterError{e.ID, id, a.Stage}
 		}
 	}
-	if f := s.frozen(e, s.WallMs); f != nil {
-		return &FrozenError{f.ID, f.Name, f.until(s.WallMs), f.Who}
+	if f := s.activeFreeze(e, s.WallMs); f != nil {
+		return &FrozenError{f.ID, f.Name, f.endMs(s.WallMs), f.Who}
 	}
-	if name, seen := e.unobserved(e.Preconditions, s.WallMs-sightFor); name != "" {
+	if name, seen := e.missingObservation(e.Preconditions, s.WallMs-observationTTLMs); name != "" {
 		return &PreconditionError{e.ID, name, seen}
 	}
-	return s.taken(e.ID, e.Migration, &e.Change)
+	return s.checkSubjectAndBudget(e.ID, e.Migration, &e.Change)
 }
 
 // MayBegin is the first thing that keeps a change that nobody has planned from beginning now, as an operator's own drain: a freeze,
@@ -50,36 +50,36 @@
 	c := &Change{Kind: k, Subject: b}
 	for _, id := range slices.Sorted(maps.Keys(s.Freezes)) {
 		f := s.Freezes[id]
-		if !s.applies(f, c) {
+		if !s.freezeApplies(f, c) {
 			continue
 		}
 		if s.Doubt != "" {
 			return &ClockError{s.Doubt}
 		}
-		if _, is := f.at(s.WallMs); is {
-			return &FrozenError{f.ID, f.Name, f.until(s.WallMs), f.Who}
+		if _, is := f.spanAt(s.WallMs); is {
+			return &FrozenError{f.ID, f.Name, f.endMs(s.WallMs), f.Who}
 		}
 	}
 	for i := range s.Rules {
-		if r := &s.Rules[i]; s.asks(r, c) {
+		if r := &s.Rules[i]; s.ruleApplies(r, c) {
 			return &UnplannedError{k, b.String(), r.Count, r.Roles}
 		}
 	}
-	return s.taken(0, 0, c)
+	return s.checkSubjectAndBudget(0, 0, c)
 }
 
-// taken tells which other entry has what a change touches, or that a budget is used up by others.
-func (s *State) taken(own, migration uint64, c *Change) error {
+// checkSubjectAndBudget tells which other entry has what a change touches, or that a budget is used up by others.
+func (s *State) checkSubjectAndBudget(own, migration uint64, c *Change) error {
 	under := 0
 	for _, id := range slices.Sorted(maps.Keys(s.Entries)) {
 		o := s.Entries[id]
-		if !s.Holds(o) || o.Migration != 0 && o.Migration == migration && !o.Stage.under() {
+		if !s.Holds(o) || o.Migration != 0 && o.Migration == migration && !o.Stage.inProgress() {
 			continue
 		}
-		if s.touch(&o.Subject, &c.Subject) {
+		if s.subjectsOverlap(&o.Subject, &c.Subject) {
 			return &BusyError{own, id, o.Stage, o.Author}
 		}
-		if o.Kind == c.Kind && o.Stage.under() {
+		if o.Kind == c.Kind && o.Stage.inProgress() {
 			under++
 		}
 	}
@@ -94,7 +94,7 @@
 // Holds tells whether an entry has its subject: while it is under way, and as a done step until its migration is over, or the way
 // back could not end where the migration began.
 func (s *State) Holds(e *Entry) bool {
-	return e.Stage.under() || e.Stage == Done && s.live(e.Migration)
+	return e.Stage.inProgress() || e.Stage == Done && s.migrationActive(e.Migration)
 }
 
 // Conflict is something that a change meets in its window.
@@ -106,25 +106,25 @@
 // Conflicts tells what a change would meet in its window, and where there would be room instead. id is its own entry; 0 for none.
 func (s *State) Conflicts(c *Change, id uint64, most int) (met []Conflict, instead []Span) {
 	if c.Needs() > c.Window.ToMs-c.Window.FromMs {
-		met = append(met, Conflict{0, fmt.Sprintf("the window is %s, its waves take %s", lasting(c.Window.ToMs-c.Window.FromMs), lasting(c.Needs()))})
+		met = append(met, Conflict{0, fmt.Sprintf("the window is %s, its waves take %s", formatDuration(c.Window.ToMs-c.Window.FromMs), formatDuration(c.Needs()))})
 	}
 	for _, other := range slices.Sorted(maps.Keys(s.Entries)) {
 		o := s.Entries[other]
-		if span, has := s.has(o); has && other != id && s.touch(&o.Subject, &c.Subject) && span.meets(c.Window) {
+		if span, has := s.occupancy(o); has && other != id && s.subjectsOverlap(&o.Subject, &c.Subject) && span.overlaps(c.Window) {
 			met = append(met, Conflict{other, fmt.Sprintf("%s %q has %s then", o.Kind, o.Name, o.Subject.String())})
 		}
 	}
 	for _, fid := range slices.Sorted(maps.Keys(s.Freezes)) {
 		f := s.Freezes[fid]
-		if !s.applies(f, c) {
+		if !s.freezeApplies(f, c) {
 			continue
 		}
-		if spans := s.during(f, c.Window); len(spans) > 0 && len(gaps(spans, c.Window, c.Needs())) == 0 {
-			met = append(met, Conflict{fid, fmt.Sprintf("freeze %q leaves no %s of it", f.Name, lasting(c.Needs()))})
+		if spans := s.freezeSpansIn(f, c.Window); len(spans) > 0 && len(gaps(spans, c.Window, c.Needs())) == 0 {
+			met = append(met, Conflict{fid, fmt.Sprintf("freeze %q leaves no %s of it", f.Name, formatDuration(c.Needs()))})
 		}
 	}
 	for _, b := range s.Budgets {
-		if b.Kind == c.Kind && slices.ContainsFunc(s.full(b, id), c.Window.meets) {
+		if b.Kind == c.Kind && slices.ContainsFunc(s.exhaustedSpans(b, id), c.Window.overlaps) {
 			met = append(met, Conflict{0, fmt.Sprintf("%d of kind %s have part of it already, %d may be under way", b.Most, b.Kind, b.Most)})
 		}
 	}
@@ -134,23 +134,23 @@
 	return met, instead
 }
 
-// has is the time that an entry has part of the fleet, as far as is known.
-func (s *State) has(e *Entry) (Span, bool) {
+// occupancy is the time that an entry occupancy part of the fleet, as far as is known.
+func (s *State) occupancy(e *Entry) (Span, bool) {
 	switch {
-	case e.Stage.planned() && e.Stage != Drafted:
-		return Span{e.Window.FromMs, e.deadline()}, true
-	case s.Holds(e) && !e.Stage.under():
-		return Span{min(s.WallMs, e.Window.FromMs), s.Migrations[e.Migration].untilMs(s)}, true
-	case e.Stage.under(): // one that is past its window lasts as long as its waves, at least
-		return Span{min(s.WallMs, e.Window.FromMs), max(e.deadline(), s.WallMs+max(1, e.left()))}, true
+	case e.Stage.notStarted() && e.Stage != Drafted:
+		return Span{e.Window.FromMs, e.deadlineMs()}, true
+	case s.Holds(e) && !e.Stage.inProgress():
+		return Span{min(s.WallMs, e.Window.FromMs), s.Migrations[e.Migration].lastDeadlineMs(s)}, true
+	case e.Stage.inProgress(): // one that is past its window lasts as long as its waves, at least
+		return Span{min(s.WallMs, e.Window.FromMs), max(e.deadlineMs(), s.WallMs+max(1, e.remainingMs()))}, true
 	}
 	return Span{}, false
 }
 
-// during lists a freeze's spans that meet a window.
-func (s *State) during(f *Freeze, w Span) (spans []Span) {
+// freezeSpansIn lists a freeze's spans that meet a window.
+func (s *State) freezeSpansIn(f *Freeze, w Span) (spans []Span) {
 	for _, p := range f.Spans {
-		if p.meets(w) {
+		if p.overlaps(w) {
 			spans = append(spans, p)
 		}
 	}
@@ -160,15 +160,15 @@
 	return spans
 }
 
-// full lists when a budget is used up by others.
-func (s *State) full(b Budget, but uint64) (spans []Span) {
+// exhaustedSpans lists when a budget is used up by others.
+func (s *State) exhaustedSpans(b Budget, but uint64) (spans []Span) {
 	type edge struct {
 		at  float64
 		add int
 	}
 	var edges []edge
 	for id, e := range s.Entries {
-		if span, has := s.has(e); has && id != but && e.Kind == b.Kind {
+		if span, has := s.occupancy(e); has && id != but && e.Kind == b.Kind {
 			edges = append(edges, edge{span.FromMs, 1}, edge{span.ToMs, -1})
 		}
 	}
@@ -190,21 +190,21 @@
 // Next finds free time for a change, from now on: no freeze that it must heed, nobody else on its subject, no budget used up,
 // and long enough for its waves. None means that there is none as far as is looked ahead.
 func (s *State) Next(c *Change, id uint64, most int) []Span {
-	ahead := Span{s.WallMs, s.WallMs + longestFor}
+	ahead := Span{s.WallMs, s.WallMs + horizonMs}
 	var taken []Span
 	for other, o := range s.Entries {
-		if span, has := s.has(o); has && other != id && s.touch(&o.Subject, &c.Subject) {
+		if span, has := s.occupancy(o); has && other != id && s.subjectsOverlap(&o.Subject, &c.Subject) {
 			taken = append(taken, span)
 		}
 	}
 	for _, f := range s.Freezes {
-		if s.applies(f, c) {
-			taken = append(taken, s.during(f, ahead)...)
+		if s.freezeApplies(f, c) {
+			taken = append(taken, s.freezeSpansIn(f, ahead)...)
 		}
 	}
 	for _, b := range s.Budgets {
 		if b.Kind == c.Kind {
-			taken = append(taken, s.full(b, id)...)
+			taken = append(taken, s.exhaustedSpans(b, id)...)
 		}
 	}
 	free := gaps(taken, ahead, c.Needs())
@@ -228,8 +228,8 @@
 	return free
 }
 
-// lasting words a time that something takes.
-func lasting(ms float64) string {
+// formatDuration words a time that something takes.
+func formatDuration(ms float64) string {
 	switch m := ms / 60e3; {
 	case m < 1:
 		return fmt.Sprintf("%.0f s", ms/1000)
--- a/calendar/freeze.go
+++ b/calendar/freeze.go
@@ -41,19 +41,19 @@
 	In      string `json:"in"`              // zone by name, as Europe/Lisbon
 }
 
-const localForm = "2006-01-02T15:04"
+const localTimeLayout = "2006-01-02T15:04"
 
 // Instant is the instant of a local time. One that doesn't exist is the instant at which the clocks skip it. Of one that comes
 // twice it is the first or the second.
 func Instant(local string, in *time.Location, second bool) (ms float64, err error) {
-	wall, err := time.Parse(localForm, local)
+	wall, err := time.Parse(localTimeLayout, local)
 	if err != nil {
-		return 0, &FormError{"time", fmt.Sprintf("%q, one as %s is wanted", local, localForm)}
+		return 0, &FormError{"time", fmt.Sprintf("%q, one as %s is wanted", local, localTimeLayout)}
 	}
-	return instant(wall, in, second), nil
+	return resolveLocal(wall, in, second), nil
 }
 
-func instant(wall time.Time, in *time.Location, second bool) float64 {
+func resolveLocal(wall time.Time, in *time.Location, second bool) float64 {
 	offset := func(t time.Time) time.Duration {
 		_, s := t.In(in).Zone()
 		return time.Duration(s) * time.Second
@@ -91,12 +91,12 @@
 // Spans works out when a freeze is, from an instant through another. It is as long as local times can mean: in an hour that
 // comes twice it begins with the first and ends with the second.
 func (r *Recurrence) Spans(in *time.Location, fromMs, throughMs float64) (spans []Span, err error) {
-	begin, err := time.Parse(localForm, r.Begin)
+	begin, err := time.Parse(localTimeLayout, r.Begin)
 	if err != nil {
-		return nil, &FormError{"when.begin", fmt.Sprintf("%q, one as %s is wanted", r.Begin, localForm)}
+		return nil, &FormError{"when.begin", fmt.Sprintf("%q, one as %s is wanted", r.Begin, localTimeLayout)}
 	}
-	if r.Minutes < 1 || float64(r.Minutes)*60e3 > longestFor {
-		return nil, &FormError{"when.minutes", fmt.Sprintf("%d, 1 to %.0f are wanted", r.Minutes, longestFor/60e3)}
+	if r.Minutes < 1 || float64(r.Minutes)*60e3 > horizonMs {
+		return nil, &FormError{"when.minutes", fmt.Sprintf("%d, 1 to %.0f are wanted", r.Minutes, horizonMs/60e3)}
 	}
 	lasts := time.Duration(r.Minutes) * time.Minute
 	begins := []time.Time{begin}
@@ -117,7 +117,7 @@
 		begins = rule.Between(time.UnixMilli(int64(fromMs)).UTC().Add(-lasts-day), time.UnixMilli(int64(throughMs)).UTC().Add(day), true)
 	}
 	for _, b := range begins {
-		span := Span{instant(b, in, false), instant(b.Add(lasts), in, true)}
+		span := Span{resolveLocal(b, in, false), resolveLocal(b.Add(lasts), in, true)}
 		if n := len(spans); span.FromMs >= span.ToMs { // all of it in an hour that is skipped
 			continue
 		} else if n > 0 && span.FromMs <= spans[n-1].ToMs {
@@ -126,61 +126,61 @@
 			spans = append(spans, span)
 		}
 	}
-	if len(spans) > spansMost {
-		return nil, &FormError{"when.every", fmt.Sprintf("%d times, at most %d are wanted", len(spans), spansMost)}
+	if len(spans) > maxFreezeSpans {
+		return nil, &FormError{"when.every", fmt.Sprintf("%d times, at most %d are wanted", len(spans), maxFreezeSpans)}
 	}
 	return spans, nil
 }
 
 // Ahead works out a freeze's spans as far as the calendar looks.
 func (f *Freeze) Ahead(in *time.Location, nowMs float64) (err error) {
-	f.ThroughMs = nowMs + longestFor
+	f.ThroughMs = nowMs + horizonMs
 	f.Spans, err = f.When.Spans(in, nowMs, f.ThroughMs)
 	return err
 }
 
-// at finds the span that an instant is in.
-func (f *Freeze) at(ms float64) (Span, bool) {
+// spanAt finds the span that an instant is in.
+func (f *Freeze) spanAt(ms float64) (Span, bool) {
 	if f.When.Every != "" && ms >= f.ThroughMs {
 		return Span{f.ThroughMs, math.Inf(1)}, true
 	}
 	i := sort.Search(len(f.Spans), func(i int) bool { return f.Spans[i].ToMs > ms })
-	if i < len(f.Spans) && f.Spans[i].has(ms) {
+	if i < len(f.Spans) && f.Spans[i].contains(ms) {
 		return f.Spans[i], true
 	}
 	return Span{}, false
 }
 
-func (f *Freeze) until(ms float64) float64 {
-	s, _ := f.at(ms)
-	return min(s.ToMs, ms+longestFor) // one that is known no further ahead has no end that could be written down
+func (f *Freeze) endMs(ms float64) float64 {
+	s, _ := f.spanAt(ms)
+	return min(s.ToMs, ms+horizonMs) // one that is known no further ahead has no end that could be written down
 }
 
-func (s *State) applies(f *Freeze, c *Change) bool {
-	return (len(f.Kinds) == 0 || slices.Contains(f.Kinds, c.Kind)) && s.touch(&f.Subject, &c.Subject)
+func (s *State) freezeApplies(f *Freeze, c *Change) bool {
+	return (len(f.Kinds) == 0 || slices.Contains(f.Kinds, c.Kind)) && s.subjectsOverlap(&f.Subject, &c.Subject)
 }
 
-// frozen finds a freeze that an entry must heed at an instant; of several, one that sends back, then the first.
-func (s *State) frozen(e *Entry, ms float64) (found *Freeze) {
+// activeFreeze finds a freeze that an entry must heed at an instant; of several, one that sends back, then the first.
+func (s *State) activeFreeze(e *Entry, ms float64) (found *Freeze) {
 	if e.Emergency != nil {
 		return nil
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.Freezes)) {
 		f := s.Freezes[id]
-		if _, is := f.at(ms); is && s.applies(f, &e.Change) && (found == nil || f.Sends == SendsBack && found.Sends != SendsBack) {
+		if _, is := f.spanAt(ms); is && s.freezeApplies(f, &e.Change) && (found == nil || f.Sends == SendsBack && found.Sends != SendsBack) {
 			found = f
 		}
 	}
 	return found
 }
 
-func (s *State) freezeAt(id, rev uint64) (*Freeze, error) {
+func (s *State) freezeAtRevision(id, rev uint64) (*Freeze, error) {
 	f := s.Freezes[id]
 	if f == nil {
 		return nil, &UnknownError{"freeze", id}
 	}
 	if f.Revision != rev {
-		return nil, &ChangedError{"freeze", id, rev, f.Revision, s.last(id)}
+		return nil, &ChangedError{"freeze", id, rev, f.Revision, s.lastAction(id)}
 	}
 	return f, nil
 }
@@ -189,27 +189,27 @@
 	f := c.Freeze
 	form := func(key, says string) error { return &FormError{key, says} }
 	switch {
-	case f.Name == "" || len(f.Name) > nameMost:
-		return 0, form("name", fmt.Sprintf("1 to %d bytes are wanted", nameMost))
+	case f.Name == "" || len(f.Name) > maxNameBytes:
+		return 0, form("name", fmt.Sprintf("1 to %d bytes are wanted", maxNameBytes))
 	case f.Who == "" || f.Why == "":
 		return 0, form("why", "a freeze needs a name and a reason")
 	case f.Sends != FinishesWave && f.Sends != SendsBack:
 		return 0, form("sends", fmt.Sprintf("%q, %q or %q is wanted", f.Sends, FinishesWave, SendsBack))
 	}
 	for _, k := range f.Kinds {
-		if !slices.Contains(kinds, k) {
+		if !slices.Contains(allKinds, k) {
 			return 0, form("kinds", fmt.Sprintf("%q is none", k))
 		}
 	}
 	if err := f.Subject.check("subject"); err != nil {
 		return 0, err
 	}
-	if err := apart(f.Spans); err != nil {
+	if err := checkSpans(f.Spans); err != nil {
 		return 0, err
 	}
 	f.ID, f.Revision = c.ID, 1
 	if c.ID != 0 {
-		old, err := s.freezeAt(c.ID, c.Revision)
+		old, err := s.freezeAtRevision(c.ID, c.Revision)
 		if err != nil {
 			return 0, err
 		}
@@ -220,29 +220,29 @@
 	}
 	f.Spans = slices.Clone(f.Spans)
 	s.Freezes[f.ID] = &f
-	s.note(f.ID, "freeze: "+f.Name, f.Who, f.Why)
+	s.recordEvent(f.ID, "freeze: "+f.Name, f.Who, f.Why)
 	return f.ID, nil
 }
 
-// apart tells what is wrong with spans that must be sorted and apart.
-func apart(spans []Span) error {
+// checkSpans tells what is wrong with spans that must be sorted and checkSpans.
+func checkSpans(spans []Span) error {
 	for i, p := range spans {
 		if !(p.FromMs < p.ToMs) || i > 0 && p.FromMs < spans[i-1].ToMs {
 			return &FormError{fmt.Sprintf("spans[%d]", i), "they must be sorted, apart, and end after they begin"}
 		}
 	}
-	if len(spans) > spansMost {
-		return &FormError{"spans", fmt.Sprintf("%d, at most %d are wanted", len(spans), spansMost)}
+	if len(spans) > maxFreezeSpans {
+		return &FormError{"spans", fmt.Sprintf("%d, at most %d are wanted", len(spans), maxFreezeSpans)}
 	}
 	return nil
 }
 
 func (s *State) extend(c Extend) (uint64, error) {
-	f, err := s.freezeAt(c.ID, c.Revision)
+	f, err := s.freezeAtRevision(c.ID, c.Revision)
 	if err != nil {
 		return 0, err
 	}
-	if err := apart(c.Spans); err != nil {
+	if err := checkSpans(c.Spans); err != nil {
 		return 0, err
 	}
 	if c.ThroughMs < f.ThroughMs {
@@ -255,7 +255,7 @@
 // Short lists the recurring freezes that are to be worked out further ahead.
 func (s *State) Short() (ids []uint64) {
 	for _, id := range slices.Sorted(maps.Keys(s.Freezes)) {
-		if f := s.Freezes[id]; f.When.Every != "" && f.ThroughMs-s.WallMs < longestFor/2 {
+		if f := s.Freezes[id]; f.When.Every != "" && f.ThroughMs-s.WallMs < horizonMs/2 {
 			ids = append(ids, id)
 		}
 	}
--- a/calendar/migration.go
+++ b/calendar/migration.go
@@ -17,23 +17,23 @@
 	Steps    []uint64 `json:"steps"` // entries
 }
 
-func (m *Migration) live() bool { return m != nil && m.Stage != Done && m.Stage != Withdrawn }
+func (m *Migration) active() bool { return m != nil && m.Stage != Done && m.Stage != Withdrawn }
 
-func (s *State) live(id uint64) bool { return s.Migrations[id].live() }
+func (s *State) migrationActive(id uint64) bool { return s.Migrations[id].active() }
 
-// untilMs is when its last step is over, as planned.
-func (m *Migration) untilMs(s *State) (ms float64) {
+// lastDeadlineMs is when its last step is over, as planned.
+func (m *Migration) lastDeadlineMs(s *State) (ms float64) {
 	for _, id := range m.Steps {
 		if e := s.Entries[id]; e != nil {
-			ms = max(ms, e.deadline())
+			ms = max(ms, e.deadlineMs())
 		}
 	}
 	return max(ms, s.WallMs+1)
 }
 
 func (s *State) migrate(c Migrate) (uint64, error) {
-	if c.Name == "" || len(c.Name) > nameMost {
-		return 0, &FormError{"name", fmt.Sprintf("1 to %d bytes are wanted", nameMost)}
+	if c.Name == "" || len(c.Name) > maxNameBytes {
+		return 0, &FormError{"name", fmt.Sprintf("1 to %d bytes are wanted", maxNameBytes)}
 	}
 	if err := s.checkSteps(c.Steps, c.Who); err != nil {
 		return 0, err
@@ -41,19 +41,19 @@
 	m := &Migration{ID: s.NextID, Revision: 1, Name: c.Name, Who: c.Who, Stage: Running}
 	s.NextID++
 	s.Migrations[m.ID] = m
-	s.note(m.ID, "migration: "+m.Name, c.Who, "")
-	s.append(m, c.Steps, c.Who)
+	s.recordEvent(m.ID, "migration: "+m.Name, c.Who, "")
+	s.appendSteps(m, c.Steps, c.Who)
 	return m.ID, nil
 }
 
 func (s *State) checkSteps(steps []Change, who string) error {
-	if len(steps) == 0 || len(steps) > stepsMost {
-		return &FormError{"steps", fmt.Sprintf("1 to %d are wanted", stepsMost)}
+	if len(steps) == 0 || len(steps) > maxMigrationSteps {
+		return &FormError{"steps", fmt.Sprintf("1 to %d are wanted", maxMigrationSteps)}
 	}
 	for i := range steps {
 		c := &steps[i]
 		under := fmt.Sprintf("steps[%d].", i)
-		if err := s.check(c, who, 0); err != nil {
+		if err := s.checkChange(c, who, 0); err != nil {
 			if form, is := err.(*FormError); is {
 				return &FormError{under + form.Key, form.Says}
 			}
@@ -64,7 +64,7 @@
 			return &FormError{under + "rollback", "each step of a migration has a way back"}
 		case len(c.After) > 0:
 			return &FormError{under + "after", "a step waits for the one before it"}
-		case i > 0 && c.deadline() < steps[i-1].Window.FromMs+steps[i-1].Needs()+c.Needs():
+		case i > 0 && c.deadlineMs() < steps[i-1].Window.FromMs+steps[i-1].Needs()+c.Needs():
 			return &FormError{under + "window", "it would be over before the step before it is done"}
 		}
 	}
@@ -74,10 +74,10 @@
 	return nil
 }
 
-// append enters steps behind those that a migration has.
-func (s *State) append(m *Migration, steps []Change, who string) {
+// appendSteps enters steps behind those that a migration has.
+func (s *State) appendSteps(m *Migration, steps []Change, who string) {
 	for _, c := range steps {
-		s.make()
+		s.evictOldest()
 		e := &Entry{Change: c, ID: s.NextID, Revision: 1, Author: who, Stage: Drafted, Migration: m.ID}
 		if n := len(m.Steps); n > 0 {
 			e.After = []uint64{m.Steps[n-1]}
@@ -85,8 +85,8 @@
 		s.NextID++
 		s.Entries[e.ID] = e
 		m.Steps = append(m.Steps, e.ID)
-		s.note(e.ID, "planned: "+e.Name, who, "")
-		s.move(e, Waiting, who, "")
+		s.recordEvent(e.ID, "planned: "+e.Name, who, "")
+		s.setStage(e, Waiting, who, "")
 	}
 }
 
@@ -97,7 +97,7 @@
 	case m == nil:
 		return 0, &UnknownError{"migration", c.ID}
 	case m.Revision != c.Revision:
-		return 0, &ChangedError{"migration", m.ID, c.Revision, m.Revision, s.last(m.ID)}
+		return 0, &ChangedError{"migration", m.ID, c.Revision, m.Revision, s.lastAction(m.ID)}
 	case m.Stage != Running && m.Stage != Halted:
 		return 0, &StageError{m.ID, m.Stage, "replaced"}
 	}
@@ -121,13 +121,13 @@
 		}
 	}
 	for _, id := range m.Steps[begun:] {
-		if e := s.Entries[id]; e.Stage.planned() {
-			s.move(e, Withdrawn, c.Who, "its migration has other steps")
+		if e := s.Entries[id]; e.Stage.notStarted() {
+			s.setStage(e, Withdrawn, c.Who, "its migration has other steps")
 		}
 	}
 	m.Steps, m.Revision = m.Steps[:begun:begun], m.Revision+1
-	s.note(m.ID, "migration replaced: "+m.Name, c.Who, "")
-	s.append(m, c.Steps[begun:], c.Who)
+	s.recordEvent(m.ID, "migration replaced: "+m.Name, c.Who, "")
+	s.appendSteps(m, c.Steps[begun:], c.Who)
 	return m.ID, nil
 }
 
@@ -143,21 +143,21 @@
 		return &FormError{"why", "a way back needs a name and a reason"}
 	}
 	for _, id := range m.Steps {
-		if e := s.Entries[id]; e.Stage.planned() {
-			s.move(e, Withdrawn, c.Who, "its migration goes back")
+		if e := s.Entries[id]; e.Stage.notStarted() {
+			s.setStage(e, Withdrawn, c.Who, "its migration goes back")
 		}
 	}
-	s.moveMigration(m, RollingBack, c.Who, c.Why)
+	s.setMigrationStage(m, RollingBack, c.Who, c.Why)
 	return nil
 }
 
-func (s *State) moveMigration(m *Migration, to Stage, who, why string) {
-	s.note(m.ID, fmt.Sprintf("migration %s -> %s", m.Stage, to), who, why)
+func (s *State) setMigrationStage(m *Migration, to Stage, who, why string) {
+	s.recordEvent(m.ID, fmt.Sprintf("migration %s -> %s", m.Stage, to), who, why)
 	m.Stage, m.Says = to, why
 }
 
-// passMigration has a migration go where its steps take it.
-func (s *State) passMigration(m *Migration) {
+// advanceMigration has a migration go where its steps take it.
+func (s *State) advanceMigration(m *Migration) {
 	switch m.Stage {
 	case Running, Halted:
 		done, says := 0, ""
@@ -174,11 +174,11 @@
 		}
 		switch {
 		case done == len(m.Steps):
-			s.moveMigration(m, Done, "", "")
+			s.setMigrationStage(m, Done, "", "")
 		case says != "" && (m.Stage == Running || m.Says != says):
-			s.moveMigration(m, Halted, "", says)
+			s.setMigrationStage(m, Halted, "", says)
 		case says == "" && m.Stage == Halted:
-			s.moveMigration(m, Running, "", "")
+			s.setMigrationStage(m, Running, "", "")
 		}
 	case RollingBack:
 		for _, id := range slices.Backward(m.Steps) {
@@ -187,10 +187,10 @@
 			case e.Stage == RollingBack || e.Stage == Halted && e.WasRollingBack:
 				return // one after the other
 			case e.Stage == Running || e.Stage == Halted || e.Stage == Done:
-				s.move(e, RollingBack, "", "its migration goes back")
+				s.setStage(e, RollingBack, "", "its migration goes back")
 				return
 			}
 		}
-		s.moveMigration(m, Withdrawn, "", takenBack)
+		s.setMigrationStage(m, Withdrawn, "", rolledBackReason)
 	}
 }
--- a/calendar/model_test.go
+++ b/calendar/model_test.go
@@ -14,67 +14,67 @@
 	"pgregory.net/rapid"
 )
 
-// witness is a plain model of the calendar, apart from its code: it hears the same commands, knows the true time, and says what
+// model is a plain model of the calendar, apart from its code: it hears the same commands, knows the true time, and says what
 // may not have begun and what should have. It holds words of people and spans, and no stage of the calendar's.
-type witness struct {
-	trueMs  float64
-	entries map[uint64]*seen
-	freezes map[uint64]frozenTime
-	moves   map[uint64]bool     // migrations, and whether they are over
-	stacks  map[string][]uint64 // what was done to each unit and could be taken back, newest last
-	needed  map[Kind]int        // approvals, by kind
-	most    map[Kind]int        // under way at once, by kind
+type model struct {
+	trueMs          float64
+	entries         map[uint64]*modelEntry
+	freezes         map[uint64]modelFreeze
+	migrationOver   map[uint64]bool     // migrations, and whether they are over
+	undoStacks      map[string][]uint64 // what was done to each unit and could be taken back, newest last
+	approvalsNeeded map[Kind]int        // approvals, by kind
+	budgets         map[Kind]int        // under way at once, by kind
 }
 
-type seen struct {
-	kind     Kind
-	parts    map[string]bool // what it is about, unit by unit
-	from, to float64
-	takes    float64
-	author   string
-	yes      map[string]bool // who approves it as it is now
-	after    []uint64
-	draft    bool
-	urgent   bool
-	began    int
-	waves    int
-	did      int // waves
-	wavedMs  float64
-	soakMs   float64
-	wants    []string
-	shows    []string
-	sights   map[string]sight
-	over     bool // done, withdrawn or missed
-	move     uint64
-	halted   bool
-	under    bool
+type modelEntry struct {
+	kind           Kind
+	units          map[string]bool // what it is about, unit by unit
+	from, to       float64
+	durationMs     float64
+	author         string
+	approvers      map[string]bool // who approves it as it is now
+	after          []uint64
+	draft          bool
+	emergency      bool
+	starts         int
+	waves          int
+	wavesDone      int // waves
+	lastWaveMs     float64
+	soakMs         float64
+	preconditions  []string
+	postconditions []string
+	observations   map[string]modelObservation
+	finished       bool // done, withdrawn or missed
+	migration      uint64
+	halted         bool
+	inProgress     bool
 }
 
-type sight struct {
-	well bool
-	at   float64
+type modelObservation struct {
+	passed bool
+	atMs   float64
 }
 
-// done tells whether its waves and its watch are over, and all was seen that it must show; by a margin, early or late.
-func (e *seen) done(at, margin float64) bool {
-	for _, n := range e.shows {
-		if !e.sights[n].well {
+// complete tells whether its waves and its watch are over, and all was seen that it must show; by a margin, early or late.
+func (e *modelEntry) complete(at, margin float64) bool {
+	for _, n := range e.postconditions {
+		if !e.observations[n].passed {
 			return false
 		}
 	}
-	return e.did == e.waves && at >= e.wavedMs+e.soakMs+margin
+	return e.wavesDone == e.waves && at >= e.lastWaveMs+e.soakMs+margin
 }
 
-type frozenTime struct {
+type modelFreeze struct {
 	kinds []Kind
-	parts map[string]bool
+	units map[string]bool
 	spans [][2]float64
 }
 
-const slackMs = 6000 // that the agreed time may differ from the true one: what clocks may differ by, and one that errs by as much as it may
+const toleranceMs = 6000 // that the agreed time may differ from the true one: what clocks may differ by, and one that errs by as much as it may
 
-// parts lists what a subject is about.
-func parts(b Subject) map[string]bool {
+// unitsOf lists what a subject is about.
+func unitsOf(b Subject) map[string]bool {
 	all := map[string]bool{}
 	for _, u := range []string{"d0", "d1", "d2", "d3", "b0", "b1", "b2", "b3", "plan basic", "plan gold"} {
 		zone := map[byte]string{'0': "z0", '1': "z0", '2': "z1", '3': "z1"}[u[1]]
@@ -98,7 +98,7 @@
 	return all
 }
 
-func common(a, b map[string]bool) bool {
+func overlap(a, b map[string]bool) bool {
 	for u := range a {
 		if a[u] && b[u] {
 			return true
@@ -108,36 +108,36 @@
 }
 
 // frozen tells whether an entry must not begin at a time; surely, or perhaps.
-func (w *witness) frozen(e *seen, at float64) (surely, perhaps bool) {
+func (w *model) frozen(e *modelEntry, at float64) (surely, perhaps bool) {
 	for _, f := range w.freezes {
 		of := len(f.kinds) == 0
 		for _, k := range f.kinds {
 			of = of || k == e.kind
 		}
-		if !of || !common(f.parts, e.parts) || e.urgent {
+		if !of || !overlap(f.units, e.units) || e.emergency {
 			continue
 		}
 		for _, s := range f.spans {
-			surely = surely || s[0]+slackMs <= at && at < s[1]-slackMs
-			perhaps = perhaps || s[0]-slackMs <= at && at < s[1]+slackMs
+			surely = surely || s[0]+toleranceMs <= at && at < s[1]-toleranceMs
+			perhaps = perhaps || s[0]-toleranceMs <= at && at < s[1]+toleranceMs
 		}
 	}
 	return surely, perhaps
 }
 
-// wrong says why an entry may not have begun; empty where it may have.
-func (w *witness) wrong(id uint64) string {
+// startViolation says why an entry may not have begun; empty where it may have.
+func (w *model) startViolation(id uint64) string {
 	e := w.entries[id]
 	others := 0
 	for other, o := range w.entries {
 		if other == id {
 			continue
 		}
-		if o.move != 0 && o.move != e.move && o.began > 0 && !w.moves[o.move] && !(o.over && o.did < o.waves) && common(o.parts, e.parts) {
+		if o.migration != 0 && o.migration != e.migration && o.starts > 0 && !w.migrationOver[o.migration] && !(o.finished && o.wavesDone < o.waves) && overlap(o.units, e.units) {
 			return fmt.Sprintf("%d has part of it until its migration is over", other)
 		}
-		if o.under {
-			if common(o.parts, e.parts) {
+		if o.inProgress {
+			if overlap(o.units, e.units) {
 				return fmt.Sprintf("%d has part of it", other)
 			}
 			if o.kind == e.kind {
@@ -147,97 +147,97 @@
 	}
 	surely, _ := w.frozen(e, w.trueMs)
 	switch {
-	case e.began > 0:
+	case e.starts > 0:
 		return "it has begun before"
-	case e.move != 0 && w.moves[e.move]:
+	case e.migration != 0 && w.migrationOver[e.migration]:
 		return "its migration is over"
-	case e.over || e.draft:
+	case e.finished || e.draft:
 		return "it is over, or a draft"
-	case len(e.yes) < w.needed[e.kind]:
+	case len(e.approvers) < w.approvalsNeeded[e.kind]:
 		return "not approved as it is"
 	case surely:
 		return "frozen"
-	case w.trueMs < e.from-slackMs:
+	case w.trueMs < e.from-toleranceMs:
 		return "early"
-	case w.trueMs+e.takes > e.to+slackMs:
+	case w.trueMs+e.durationMs > e.to+toleranceMs:
 		return "no time left"
-	case w.most[e.kind] > 0 && others >= w.most[e.kind]:
+	case w.budgets[e.kind] > 0 && others >= w.budgets[e.kind]:
 		return "beyond its budget"
 	}
-	for _, n := range e.wants {
-		if v := e.sights[n]; !v.well || w.trueMs-v.at > sightFor+slackMs {
+	for _, n := range e.preconditions {
+		if v := e.observations[n]; !v.passed || w.trueMs-v.atMs > observationTTLMs+toleranceMs {
 			return "nobody has looked"
 		}
 	}
 	for _, a := range e.after {
-		if o := w.entries[a]; !o.done(w.trueMs, -slackMs) {
+		if o := w.entries[a]; !o.complete(w.trueMs, -toleranceMs) {
 			return "before what it waits for"
 		}
 	}
 	return ""
 }
 
-// should tells whether an entry must be startable now, by a margin.
-func (w *witness) should(id uint64) bool {
+// mustBeStartable tells whether an entry must be startable now, by a margin.
+func (w *model) mustBeStartable(id uint64) bool {
 	e := w.entries[id]
 	_, perhaps := w.frozen(e, w.trueMs)
 	for _, a := range e.after {
-		perhaps = perhaps || w.entries[a].halted || !w.entries[a].done(w.trueMs, slackMs)
+		perhaps = perhaps || w.entries[a].halted || !w.entries[a].complete(w.trueMs, toleranceMs)
 	}
-	for _, n := range e.wants {
-		perhaps = perhaps || w.trueMs-e.sights[n].at > sightFor-slackMs
+	for _, n := range e.preconditions {
+		perhaps = perhaps || w.trueMs-e.observations[n].atMs > observationTTLMs-toleranceMs
 	}
-	if e.move != 0 && !w.goesOn(e.move) {
+	if e.migration != 0 && !w.migrationProceeds(e.migration) {
 		return false
 	}
-	return !e.over && !e.under && !perhaps && w.wrong(id) == "" && w.trueMs > e.from+slackMs && w.trueMs+e.takes < e.to-slackMs
+	return !e.finished && !e.inProgress && !perhaps && w.startViolation(id) == "" && w.trueMs > e.from+toleranceMs && w.trueMs+e.durationMs < e.to-toleranceMs
 }
 
-// goesOn tells whether a migration has no step that halts it.
-func (w *witness) goesOn(move uint64) bool {
+// migrationProceeds tells whether a migration has no step that halts it.
+func (w *model) migrationProceeds(move uint64) bool {
 	for _, e := range w.entries {
-		if e.move == move && (e.over && !e.done(w.trueMs, -slackMs) || e.halted) {
+		if e.migration == move && (e.finished && !e.complete(w.trueMs, -toleranceMs) || e.halted) {
 			return false
 		}
 	}
-	return !w.moves[move]
+	return !w.migrationOver[move]
 }
 
-// world is a calendar and its witness, before random commands.
-type world struct {
-	t       *rapid.T
-	s       *State
-	w       *witness
-	agreed  float64 // the leader's clock, which stands still while nobody leads
-	wrongMs float64 // by which one clock errs
-	spoil   string  // fault that is planted
-	found   string  // what the witness found
+// simulation is a calendar and its witness, before random commands.
+type simulation struct {
+	t            *rapid.T
+	state        *State
+	model        *model
+	agreedMs     float64 // the leader's clock, which stands still while nobody leads
+	clockErrorMs float64 // by which one clock errs
+	defect       string  // fault that is planted
+	violation    string  // what the witness found
 }
 
-func begun(t *rapid.T, spoil string) *world {
-	v := &world{t: t, s: New(), spoil: spoil, agreed: 5000,
-		w: &witness{trueMs: noon, entries: map[uint64]*seen{}, freezes: map[uint64]frozenTime{}, moves: map[uint64]bool{}, stacks: map[string][]uint64{}, needed: map[Kind]int{}, most: map[Kind]int{}}}
-	v.s.See(units{})
-	v.clocks()
+func newSimulation(t *rapid.T, spoil string) *simulation {
+	v := &simulation{t: t, state: New(), defect: spoil, agreedMs: 5000,
+		model: &model{trueMs: noon, entries: map[uint64]*modelEntry{}, freezes: map[uint64]modelFreeze{}, migrationOver: map[uint64]bool{}, undoStacks: map[string][]uint64{}, approvalsNeeded: map[Kind]int{}, budgets: map[Kind]int{}}}
+	v.state.See(testZones{})
+	v.reportClocks()
 	return v
 }
 
-func (v *world) do(c any) (uint64, error) { return v.s.Do(v.agreed, c) }
+func (v *simulation) apply(c any) (uint64, error) { return v.state.Do(v.agreedMs, c) }
 
-func (v *world) hold(bad string, args ...any) {
-	if v.found == "" {
-		v.found = fmt.Sprintf(bad, args...)
+func (v *simulation) fail(bad string, args ...any) {
+	if v.violation == "" {
+		v.violation = fmt.Sprintf(bad, args...)
 	}
 }
 
-// clocks has coordinators tell their clocks; one of the three errs by any amount.
-func (v *world) clocks() {
+// reportClocks has coordinators tell their reportClocks; one of the three errs by any amount.
+func (v *simulation) reportClocks() {
 	for i := range 3 {
-		at := v.w.trueMs + float64(rapid.IntRange(-1000, 1000).Draw(v.t, "error"))
+		at := v.model.trueMs + float64(rapid.IntRange(-1000, 1000).Draw(v.t, "error"))
 		if i == 1 {
-			at += v.wrongMs
+			at += v.clockErrorMs
 		}
-		if _, err := v.do(Clock{fmt.Sprint("c", i), max(0, at), 3}); err != nil {
+		if _, err := v.apply(Clock{fmt.Sprint("c", i), max(0, at), 3}); err != nil {
 			v.t.Fatal(err)
 		}
 	}
@@ -248,15 +248,15 @@
 	subjects = []Subject{{Scope: Fleet}, {Scope: Zone, Names: []string{"z0"}}, {Scope: Zone, Names: []string{"z1"}}, {Scope: Zone}, {Scope: Doors},
 		{Scope: Doors, Names: []string{"d0"}}, {Scope: Doors, Names: []string{"d1", "d2"}}, {Scope: Doors, Names: []string{"d3"}},
 		{Scope: Backends, Names: []string{"b0"}}, {Scope: Backends, Names: []string{"b2", "b3"}}, {Scope: Plans, Names: []string{"basic"}}, {Scope: Plans}}
-	some = []Kind{Drain, Release, Terms}
+	testKinds = []Kind{Drain, Release, Terms}
 )
 
-func (v *world) change() Change {
-	from := v.w.trueMs + float64(rapid.IntRange(-30, 90).Draw(v.t, "from"))*min1
-	c := Change{Name: "x", Kind: rapid.SampledFrom(some).Draw(v.t, "kind"), Subject: rapid.SampledFrom(subjects).Draw(v.t, "subject"),
-		Window: Span{from, from + float64(rapid.IntRange(1, 120).Draw(v.t, "minutes"))*min1}, LateMs: float64(rapid.SampledFrom([]int{0, 0, 30, 120}).Draw(v.t, "late")) * min1,
-		Waves: rapid.IntRange(1, 3).Draw(v.t, "waves"), WaveMs: float64(rapid.IntRange(0, 20).Draw(v.t, "wave")) * min1, Do: json.RawMessage(`1`),
-		SoakMs: float64(rapid.SampledFrom([]int{0, 0, 0, 5}).Draw(v.t, "soak")) * min1}
+func (v *simulation) randomChange() Change {
+	from := v.model.trueMs + float64(rapid.IntRange(-30, 90).Draw(v.t, "from"))*minute
+	c := Change{Name: "x", Kind: rapid.SampledFrom(testKinds).Draw(v.t, "kind"), Subject: rapid.SampledFrom(subjects).Draw(v.t, "subject"),
+		Window: Span{from, from + float64(rapid.IntRange(1, 120).Draw(v.t, "minutes"))*minute}, LateMs: float64(rapid.SampledFrom([]int{0, 0, 30, 120}).Draw(v.t, "late")) * minute,
+		Waves: rapid.IntRange(1, 3).Draw(v.t, "waves"), WaveMs: float64(rapid.IntRange(0, 20).Draw(v.t, "wave")) * minute, Do: json.RawMessage(`1`),
+		SoakMs: float64(rapid.SampledFrom([]int{0, 0, 0, 5}).Draw(v.t, "soak")) * minute}
 	switch rapid.IntRange(0, 9).Draw(v.t, "sights") {
 	case 0:
 		c.Preconditions = []string{"calm"}
@@ -266,347 +266,347 @@
 	if rapid.Bool().Draw(v.t, "back") {
 		c.Rollback = json.RawMessage(`2`)
 	}
-	for id := range v.s.NextID {
-		if v.w.entries[id] != nil && rapid.IntRange(0, 7).Draw(v.t, "after") == 0 {
+	for id := range v.state.NextID {
+		if v.model.entries[id] != nil && rapid.IntRange(0, 7).Draw(v.t, "after") == 0 {
 			c.After = append(c.After, id)
 		}
 	}
 	return c
 }
 
-// changeOf is another change in an entry's place.
-func (v *world) changeOf(id uint64) Change {
-	c := v.change()
-	if e := v.s.Entries[id]; e.Migration != 0 {
+// replacementFor is another change in an entry's place.
+func (v *simulation) replacementFor(id uint64) Change {
+	c := v.randomChange()
+	if e := v.state.Entries[id]; e.Migration != 0 {
 		c.After, c.Rollback = e.After, json.RawMessage(`2`)
 	}
 	return c
 }
 
-// migration enters one of some steps, whose windows follow each other.
-func (v *world) migration() {
+// planMigration enters one of some steps, whose windows follow each other.
+func (v *simulation) planMigration() {
 	var steps []Change
 	for range rapid.IntRange(1, 3).Draw(v.t, "steps") {
-		c := v.change()
-		c.After, c.Rollback, c.LateMs = nil, json.RawMessage(`2`), 300*min1
+		c := v.randomChange()
+		c.After, c.Rollback, c.LateMs = nil, json.RawMessage(`2`), 300*minute
 		steps = append(steps, c)
 	}
-	id, err := v.do(Migrate{"m", steps, "ana"})
+	id, err := v.apply(Migrate{"m", steps, "ana"})
 	if err != nil {
 		return
 	}
-	v.w.moves[id] = false
-	for i, step := range v.s.Migrations[id].Steps {
+	v.model.migrationOver[id] = false
+	for i, step := range v.state.Migrations[id].Steps {
 		c := steps[i]
-		c.After = v.s.Entries[step].After
-		v.saw(step, c, "ana", false)
+		c.After = v.state.Entries[step].After
+		v.recordEntry(step, c, "ana", false)
 	}
 }
 
-func (v *world) revert(id uint64) error {
-	_, err := v.do(Revert{id, "ana", "enough"})
-	if err == nil && v.spoil == "the way back is in the wrong order" {
-		slices.Reverse(v.s.Migrations[id].Steps)
+func (v *simulation) revert(id uint64) error {
+	_, err := v.apply(Revert{id, "ana", "enough"})
+	if err == nil && v.defect == "the way back is in the wrong order" {
+		slices.Reverse(v.state.Migrations[id].Steps)
 	}
 	return err
 }
 
-// undone takes an entry off what it was done to; it must be the newest there.
-func (v *world) undone(id uint64) {
-	for u, stack := range v.w.stacks {
+// recordRollback takes an entry off what it was done to; it must be the newest there.
+func (v *simulation) recordRollback(id uint64) {
+	for u, stack := range v.model.undoStacks {
 		switch at := slices.Index(stack, id); {
 		case at < 0:
 		case at < len(stack)-1:
-			v.hold("%d was taken back under %v", id, stack[at+1:])
+			v.fail("%d was taken back under %v", id, stack[at+1:])
 		default:
-			v.w.stacks[u] = stack[:at]
+			v.model.undoStacks[u] = stack[:at]
 		}
 	}
 }
 
-// settled says that what an entry did stays.
-func (v *world) settled(id uint64) {
-	for u, stack := range v.w.stacks {
-		v.w.stacks[u] = slices.DeleteFunc(slices.Clone(stack), func(i uint64) bool { return i == id })
+// dropFromUndoStacks says that what an entry did stays.
+func (v *simulation) dropFromUndoStacks(id uint64) {
+	for u, stack := range v.model.undoStacks {
+		v.model.undoStacks[u] = slices.DeleteFunc(slices.Clone(stack), func(i uint64) bool { return i == id })
 	}
 }
 
-func (v *world) saw(id uint64, c Change, who string, draft bool) {
-	v.w.entries[id] = &seen{kind: c.Kind, parts: parts(c.Subject), from: c.Window.FromMs, to: c.Window.ToMs + c.LateMs, takes: float64(c.Waves)*c.WaveMs + c.SoakMs,
-		soakMs: c.SoakMs, wants: c.Preconditions, shows: c.Postconditions, sights: map[string]sight{}, move: v.s.Entries[id].Migration,
-		author: who, yes: map[string]bool{}, after: c.After, draft: draft, waves: c.Waves}
+func (v *simulation) recordEntry(id uint64, c Change, who string, draft bool) {
+	v.model.entries[id] = &modelEntry{kind: c.Kind, units: unitsOf(c.Subject), from: c.Window.FromMs, to: c.Window.ToMs + c.LateMs, durationMs: float64(c.Waves)*c.WaveMs + c.SoakMs,
+		soakMs: c.SoakMs, preconditions: c.Preconditions, postconditions: c.Postconditions, observations: map[string]modelObservation{}, migration: v.state.Entries[id].Migration,
+		author: who, approvers: map[string]bool{}, after: c.After, draft: draft, waves: c.Waves}
 }
 
-func (v *world) pick() (uint64, *seen) {
-	id := uint64(rapid.IntRange(1, int(v.s.NextID)).Draw(v.t, "id"))
-	return id, v.w.entries[id]
+func (v *simulation) randomEntry() (uint64, *modelEntry) {
+	id := uint64(rapid.IntRange(1, int(v.state.NextID)).Draw(v.t, "id"))
+	return id, v.model.entries[id]
 }
 
 // step is one random command.
-func (v *world) step() {
+func (v *simulation) step() {
 	switch rapid.IntRange(0, 22).Draw(v.t, "step") {
 	case 18:
-		v.migration()
+		v.planMigration()
 	case 19:
-		for _, id := range slices.Sorted(maps.Keys(v.w.moves)) {
+		for _, id := range slices.Sorted(maps.Keys(v.model.migrationOver)) {
 			if rapid.IntRange(0, 2).Draw(v.t, "revert") == 0 {
 				v.revert(id)
 			}
 		}
 	case 20, 21:
-		for _, id := range slices.Sorted(maps.Keys(v.w.entries)) {
-			e := v.w.entries[id]
-			for _, n := range slices.Concat(e.wants, e.shows) {
+		for _, id := range slices.Sorted(maps.Keys(v.model.entries)) {
+			e := v.model.entries[id]
+			for _, n := range slices.Concat(e.preconditions, e.postconditions) {
 				well := rapid.IntRange(0, 3).Draw(v.t, "well") > 0
-				if _, err := v.do(Observe{ID: id, What: n, Well: well, Says: ""}); err == nil {
-					e.sights[n] = sight{well, v.w.trueMs}
+				if _, err := v.apply(Observe{ID: id, What: n, Well: well, Says: ""}); err == nil {
+					e.observations[n] = modelObservation{well, v.model.trueMs}
 				}
 			}
 		}
 	case 22:
-		id, e := v.pick()
+		id, e := v.randomEntry()
 		if e != nil {
-			v.do(Halt{id, "ana", "wait"})
+			v.apply(Halt{id, "ana", "wait"})
 		}
 	case 0, 1, 2:
-		c, who, draft := v.change(), rapid.SampledFrom(people).Draw(v.t, "who"), rapid.IntRange(0, 5).Draw(v.t, "draft") == 0
-		if id, err := v.do(Plan{c, who, draft}); err == nil {
-			v.saw(id, c, who, draft)
+		c, who, draft := v.randomChange(), rapid.SampledFrom(people).Draw(v.t, "who"), rapid.IntRange(0, 5).Draw(v.t, "draft") == 0
+		if id, err := v.apply(Plan{c, who, draft}); err == nil {
+			v.recordEntry(id, c, who, draft)
 		}
 	case 3, 16:
-		id, e := v.pick()
+		id, e := v.randomEntry()
 		if e == nil {
 			return
 		}
-		c, who, rev := v.changeOf(id), rapid.SampledFrom(people).Draw(v.t, "who"), v.s.Entries[id].Revision+uint64(rapid.IntRange(0, 1).Draw(v.t, "stale"))
-		if _, err := v.do(Edit{id, rev, c, who, false}); err == nil {
-			urgent := e.urgent
-			if v.spoil == "approvals outlive edits" {
-				for who := range e.yes {
-					v.s.Entries[id].Approvals = append(v.s.Entries[id].Approvals, Approval{who, "", v.s.Entries[id].Digest(), v.s.WallMs})
+		c, who, rev := v.replacementFor(id), rapid.SampledFrom(people).Draw(v.t, "who"), v.state.Entries[id].Revision+uint64(rapid.IntRange(0, 1).Draw(v.t, "stale"))
+		if _, err := v.apply(Edit{id, rev, c, who, false}); err == nil {
+			urgent := e.emergency
+			if v.defect == "approvals outlive edits" {
+				for who := range e.approvers {
+					v.state.Entries[id].Approvals = append(v.state.Entries[id].Approvals, Approval{who, "", v.state.Entries[id].Digest(), v.state.WallMs})
 				}
 			}
-			v.saw(id, c, who, false)
-			v.w.entries[id].urgent = urgent
+			v.recordEntry(id, c, who, false)
+			v.model.entries[id].emergency = urgent
 		}
 	case 4, 5, 6, 17:
-		id, e := v.pick()
+		id, e := v.randomEntry()
 		if e == nil {
 			return
 		}
 		who := rapid.SampledFrom(people).Draw(v.t, "who")
-		if _, err := v.do(Approve{id, v.s.Entries[id].Digest(), who, ""}); err == nil {
+		if _, err := v.apply(Approve{id, v.state.Entries[id].Digest(), who, ""}); err == nil {
 			if who == e.author {
-				v.hold("%s approved their own %d", who, id)
+				v.fail("%s approved their own %d", who, id)
 			}
-			e.yes[who] = true
+			e.approvers[who] = true
 		}
 	case 7:
-		id, e := v.pick()
+		id, e := v.randomEntry()
 		if e == nil {
 			return
 		}
-		if _, err := v.do(Refuse{id, v.s.Entries[id].Digest(), "dan", "no"}); err == nil {
-			e.yes, e.draft = map[string]bool{}, true
+		if _, err := v.apply(Refuse{id, v.state.Entries[id].Digest(), "dan", "no"}); err == nil {
+			e.approvers, e.draft = map[string]bool{}, true
 		}
 	case 8:
-		id, e := v.pick()
+		id, e := v.randomEntry()
 		if e == nil {
 			return
 		}
-		if _, err := v.do(DeclareEmergency{id, Emergency{"ana", "bea", "fire"}}); err == nil {
-			e.urgent = true
+		if _, err := v.apply(DeclareEmergency{id, Emergency{"ana", "bea", "fire"}}); err == nil {
+			e.emergency = true
 		}
 	case 9:
 		f := Freeze{Name: "f", Subject: rapid.SampledFrom(subjects).Draw(v.t, "subject"), Sends: rapid.SampledFrom([]string{FinishesWave, SendsBack}).Draw(v.t, "sends"), Who: "ana", Why: "y"}
 		if rapid.Bool().Draw(v.t, "one kind") {
-			f.Kinds = []Kind{rapid.SampledFrom(some).Draw(v.t, "kind")}
+			f.Kinds = []Kind{rapid.SampledFrom(testKinds).Draw(v.t, "kind")}
 		}
-		at := v.w.trueMs
-		known := frozenTime{f.Kinds, parts(f.Subject), nil}
+		at := v.model.trueMs
+		known := modelFreeze{f.Kinds, unitsOf(f.Subject), nil}
 		for range rapid.IntRange(1, 3).Draw(v.t, "spans") {
-			at += float64(rapid.IntRange(0, 40).Draw(v.t, "gap")) * min1
-			end := at + float64(rapid.IntRange(1, 60).Draw(v.t, "lasts"))*min1
+			at += float64(rapid.IntRange(0, 40).Draw(v.t, "gap")) * minute
+			end := at + float64(rapid.IntRange(1, 60).Draw(v.t, "lasts"))*minute
 			f.Spans, known.spans = append(f.Spans, Span{at, end}), append(known.spans, [2]float64{at, end})
 			at = end
 		}
-		if id, err := v.do(SetFreeze{0, 0, f}); err == nil {
-			v.w.freezes[id] = known
-			if v.spoil == "a freeze is lost" {
-				delete(v.s.Freezes, id)
+		if id, err := v.apply(SetFreeze{0, 0, f}); err == nil {
+			v.model.freezes[id] = known
+			if v.defect == "a freeze is lost" {
+				delete(v.state.Freezes, id)
 			}
 		} else {
 			v.t.Fatal(err)
 		}
 	case 10:
-		id, _ := v.pick()
-		if v.w.freezes[id].spans != nil {
-			if _, err := v.do(Thaw{id, 1, "ana", ""}); err == nil {
-				delete(v.w.freezes, id)
+		id, _ := v.randomEntry()
+		if v.model.freezes[id].spans != nil {
+			if _, err := v.apply(Thaw{id, 1, "ana", ""}); err == nil {
+				delete(v.model.freezes, id)
 			}
 		}
 	case 11:
-		v.rules()
+		v.setRules()
 	case 12:
-		v.wrongMs = float64(rapid.SampledFrom([]int{0, 0, 4, 600, -600, 7200, -7200}).Draw(v.t, "wrong")) * sec
+		v.clockErrorMs = float64(rapid.SampledFrom([]int{0, 0, 4, 600, -600, 7200, -7200}).Draw(v.t, "wrong")) * sec
 	case 13: // nobody leads for a while
-		v.w.trueMs += float64(rapid.IntRange(1, 120).Draw(v.t, "down")) * min1
-		if v.spoil != "clocks of before count" {
-			v.do(LeaderChanged{})
+		v.model.trueMs += float64(rapid.IntRange(1, 120).Draw(v.t, "down")) * minute
+		if v.defect != "clocks of before count" {
+			v.apply(LeaderChanged{})
 		} else {
 			v.settle()
 		}
-		v.clocks()
+		v.reportClocks()
 	default:
-		ms := float64(rapid.IntRange(0, 60).Draw(v.t, "passes")) * min1 / float64(rapid.SampledFrom([]int{1, 60}).Draw(v.t, "slow"))
-		v.w.trueMs, v.agreed = v.w.trueMs+ms, v.agreed+ms
-		v.clocks()
+		ms := float64(rapid.IntRange(0, 60).Draw(v.t, "passes")) * minute / float64(rapid.SampledFrom([]int{1, 60}).Draw(v.t, "slow"))
+		v.model.trueMs, v.agreedMs = v.model.trueMs+ms, v.agreedMs+ms
+		v.reportClocks()
 	}
 }
 
-// rules sets how many must approve a release, and how many drains may be under way.
-func (v *world) rules() {
-	v.w.needed[Release], v.w.most[Drain] = rapid.IntRange(0, 2).Draw(v.t, "count"), rapid.IntRange(0, 2).Draw(v.t, "most")
+// setRules sets how many must approve a release, and how many drains may be under way.
+func (v *simulation) setRules() {
+	v.model.approvalsNeeded[Release], v.model.budgets[Drain] = rapid.IntRange(0, 2).Draw(v.t, "count"), rapid.IntRange(0, 2).Draw(v.t, "most")
 	var c SetRules
-	if n := v.w.needed[Release]; n > 0 {
+	if n := v.model.approvalsNeeded[Release]; n > 0 {
 		c.Rules = []Rule{{Kinds: []Kind{Release}, Subject: Subject{Scope: Fleet}, Count: n}}
 	}
-	if n := v.w.most[Drain]; n > 0 && v.spoil != "a budget is lost" {
+	if n := v.model.budgets[Drain]; n > 0 && v.defect != "a budget is lost" {
 		c.Budgets = []Budget{{Drain, n}}
 	}
-	if _, err := v.do(c); err != nil {
+	if _, err := v.apply(c); err != nil {
 		v.t.Fatal(err)
 	}
 }
 
 // settle has whoever leads start what can be, and carries some of it on; the witness looks at each.
-func (v *world) settle() {
-	if v.spoil == "it runs twice" {
-		for _, e := range v.s.Entries {
+func (v *simulation) settle() {
+	if v.defect == "it runs twice" {
+		for _, e := range v.state.Entries {
 			if e.Stage == Done {
 				e.Stage = Due
 			}
 		}
 	}
-	ids := slices.Sorted(maps.Keys(v.w.entries))
+	ids := slices.Sorted(maps.Keys(v.model.entries))
 	for _, id := range ids { // what ended by itself
-		e := v.w.entries[id]
-		e.halted = v.s.Entries[id].Stage == Halted || v.s.Entries[id].Stage == RollingBack
-		switch at := v.s.Entries[id].Stage; at {
+		e := v.model.entries[id]
+		e.halted = v.state.Entries[id].Stage == Halted || v.state.Entries[id].Stage == RollingBack
+		switch at := v.state.Entries[id].Stage; at {
 		case Missed:
-			if !e.over && !e.under && v.w.should(id) {
-				v.hold("%d was missed though it could begin", id)
+			if !e.finished && !e.inProgress && v.model.mustBeStartable(id) {
+				v.fail("%d was missed though it could begin", id)
 			}
-			e.over = true
+			e.finished = true
 		case Done:
-			if e.under && !e.done(v.w.trueMs, -slackMs) {
-				v.hold("%d is done, and its waves, its watch or what it shows are not", id)
+			if e.inProgress && !e.complete(v.model.trueMs, -toleranceMs) {
+				v.fail("%d is done, and its waves, its watch or what it shows are not", id)
 			}
-			if e.under && e.move == 0 {
-				v.settled(id)
+			if e.inProgress && e.migration == 0 {
+				v.dropFromUndoStacks(id)
 			}
-			e.under, e.over = false, true
+			e.inProgress, e.finished = false, true
 		case Withdrawn:
-			e.under, e.over = false, true
+			e.inProgress, e.finished = false, true
 		case RollingBack: // also one that was done
-			e.under, e.over, e.did = true, false, 0
+			e.inProgress, e.finished, e.wavesDone = true, false, 0
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(v.w.moves)) {
-		m := v.s.Migrations[id]
-		if m.Stage != Done && m.Stage != Withdrawn || v.w.moves[id] {
+	for _, id := range slices.Sorted(maps.Keys(v.model.migrationOver)) {
+		m := v.state.Migrations[id]
+		if m.Stage != Done && m.Stage != Withdrawn || v.model.migrationOver[id] {
 			continue
 		}
-		v.w.moves[id] = true
+		v.model.migrationOver[id] = true
 		for _, step := range m.Steps {
-			if e := v.w.entries[step]; m.Stage == Done && (e.did < e.waves || e.began == 0) {
-				v.hold("migration %d is done, and its step %d is not", id, step)
+			if e := v.model.entries[step]; m.Stage == Done && (e.wavesDone < e.waves || e.starts == 0) {
+				v.fail("migration %d is done, and its step %d is not", id, step)
 			}
-			for u, stack := range v.w.stacks {
+			for u, stack := range v.model.undoStacks {
 				if m.Stage == Withdrawn && slices.Contains(stack, step) {
-					v.hold("migration %d was taken back, and step %d is still done at %s", id, step, u)
+					v.fail("migration %d was taken back, and step %d is still done at %s", id, step, u)
 				}
 			}
-			v.settled(step)
+			v.dropFromUndoStacks(step)
 		}
 	}
-	for ids := v.s.Startable(); len(ids) > 0; ids = v.s.Startable() {
+	for ids := v.state.Startable(); len(ids) > 0; ids = v.state.Startable() {
 		id := ids[0]
-		if says := v.w.wrong(id); says != "" {
-			v.hold("%d began: %s", id, says)
+		if says := v.model.startViolation(id); says != "" {
+			v.fail("%d began: %s", id, says)
 			return
 		}
-		if _, err := v.do(Start{id}); err != nil {
+		if _, err := v.apply(Start{id}); err != nil {
 			v.t.Fatal(err)
 		}
-		e := v.w.entries[id]
-		e.began++
-		e.under = true
-		for u, is := range e.parts {
+		e := v.model.entries[id]
+		e.starts++
+		e.inProgress = true
+		for u, is := range e.units {
 			if is {
-				v.w.stacks[u] = append(v.w.stacks[u], id)
+				v.model.undoStacks[u] = append(v.model.undoStacks[u], id)
 			}
 		}
 	}
 	for _, id := range ids {
-		if v.w.should(id) {
-			v.hold("%d could begin and doesn't: %v", id, v.s.InTheWay(v.s.Entries[id]))
+		if v.model.mustBeStartable(id) {
+			v.fail("%d could begin and doesn't: %v", id, v.state.InTheWay(v.state.Entries[id]))
 		}
 	}
 	for _, id := range ids { // one that runs goes on or back
-		e, at := v.w.entries[id], v.s.Entries[id]
-		if !e.under || rapid.IntRange(0, 2).Draw(v.t, "goes on") > 0 {
+		e, at := v.model.entries[id], v.state.Entries[id]
+		if !e.inProgress || rapid.IntRange(0, 2).Draw(v.t, "goes on") > 0 {
 			continue
 		}
 		switch at.Stage {
 		case Running:
-			if e.did == e.waves { // it is watched
+			if e.wavesDone == e.waves { // it is watched
 				break
 			}
-			e.did++
-			if e.wavedMs = v.w.trueMs; e.did == e.waves {
-				for _, n := range e.shows { // what was seen before its last wave is no word on it
-					delete(e.sights, n)
+			e.wavesDone++
+			if e.lastWaveMs = v.model.trueMs; e.wavesDone == e.waves {
+				for _, n := range e.postconditions { // what was seen before its last wave is no word on it
+					delete(e.observations, n)
 				}
 			}
-			if _, err := v.do(WaveDone{ID: id, Wave: e.did}); err != nil {
-				v.hold("%d: wave %d: %v", id, e.did, err)
+			if _, err := v.apply(WaveDone{ID: id, Wave: e.wavesDone}); err != nil {
+				v.fail("%d: wave %d: %v", id, e.wavesDone, err)
 			}
 		case Halted:
 			var err error
 			switch {
 			case at.WasRollingBack:
-				_, err = v.do(Resume{id, "ana"})
-			case at.Migration != 0 && v.s.Migrations[at.Migration].Stage != RollingBack:
+				_, err = v.apply(Resume{id, "ana"})
+			case at.Migration != 0 && v.state.Migrations[at.Migration].Stage != RollingBack:
 				err = v.revert(at.Migration)
 			case at.Migration == 0 && len(at.Rollback) > 0:
-				_, err = v.do(RollBack{id, "ana", "enough"})
+				_, err = v.apply(RollBack{id, "ana", "enough"})
 			default: // nothing else ends it
-				v.do(Resume{id, "ana"})
+				v.apply(Resume{id, "ana"})
 			}
 			if err != nil {
-				v.hold("%d is halted without a way back: %v", id, err)
+				v.fail("%d is halted without a way back: %v", id, err)
 			}
 		case RollingBack:
-			if _, err := v.do(RolledBack{ID: id}); err != nil {
-				v.hold("%d: %v", id, err)
+			if _, err := v.apply(RolledBack{ID: id}); err != nil {
+				v.fail("%d: %v", id, err)
 			}
-			v.undone(id)
-			e.under, e.over, e.did = false, true, 0
+			v.recordRollback(id)
+			e.inProgress, e.finished, e.wavesDone = false, true, 0
 		}
 		if at.Starts > 1 {
-			v.hold("%d started %d times", id, at.Starts)
+			v.fail("%d started %d times", id, at.Starts)
 		}
 	}
 }
 
-func (v *world) run() string {
-	v.rules()
+func (v *simulation) run() string {
+	v.setRules()
 	for range rapid.IntRange(10, 60).Draw(v.t, "commands") {
 		v.step()
 		v.settle()
-		if v.found != "" {
-			return v.found
+		if v.violation != "" {
+			return v.violation
 		}
 	}
 	return ""
@@ -614,17 +614,17 @@
 
 func TestModelRandomCommandsAndClocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if found := begun(t, "").run(); found != "" {
+		if found := newSimulation(t, "").run(); found != "" {
 			t.Fatal(found)
 		}
 	})
 }
 
 // The witness finds what is planted.
-func TestModelFindsPlantedFaults(t *testing.T) {
+func TestModelFindsPlantedDefects(t *testing.T) {
 	for _, spoil := range []string{"approvals outlive edits", "the way back is in the wrong order", "a freeze is lost", "a budget is lost", "it runs twice", "clocks of before count"} {
 		t.Run(spoil, func(t *testing.T) {
-			days := rapid.Custom(func(t *rapid.T) string { return begun(t, spoil).run() })
+			days := rapid.Custom(func(t *rapid.T) string { return newSimulation(t, spoil).run() })
 			for seed := 1; ; seed++ {
 				require.Less(t, seed, 5000, "never found")
 				if says := days.Example(seed); says != "" {
@@ -637,11 +637,11 @@
 }
 
 // Free time against a search of every hour.
-func TestNextAgainstAnExhaustiveSearch(t *testing.T) {
+func TestFreeTimeAgainstExhaustiveSearch(t *testing.T) {
 	const hours = 48
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
-		s.See(units{})
+		s.See(testZones{})
 		s.Size, s.WallMs, s.Doubt = 1, noon, ""
 		s.Readings["c0"] = Reading{noon, 0}
 		span := func() Span {
@@ -654,19 +654,19 @@
 		}
 		for id := range uint64(rapid.IntRange(0, 6).Draw(t, "entries")) {
 			s.Entries[id+1] = &Entry{ID: id + 1, Stage: rapid.SampledFrom([]Stage{Drafted, Waiting, Approved, Due, Done, Missed}).Draw(t, "stage"),
-				Change: Change{Kind: rapid.SampledFrom(some).Draw(t, "kind"), Subject: rapid.SampledFrom(subjects).Draw(t, "subject"), Window: span(), Waves: 1}}
+				Change: Change{Kind: rapid.SampledFrom(testKinds).Draw(t, "kind"), Subject: rapid.SampledFrom(subjects).Draw(t, "subject"), Window: span(), Waves: 1}}
 		}
 		for id := range uint64(rapid.IntRange(0, 3).Draw(t, "freezes")) {
 			s.Freezes[id+100] = &Freeze{ID: id + 100, Subject: rapid.SampledFrom(subjects).Draw(t, "subject"), Spans: []Span{span()}}
 		}
 		takes := rapid.IntRange(1, 5).Draw(t, "takes")
-		c := &Change{Kind: rapid.SampledFrom(some).Draw(t, "kind"), Subject: rapid.SampledFrom(subjects).Draw(t, "subject"), Waves: takes, WaveMs: hour}
+		c := &Change{Kind: rapid.SampledFrom(testKinds).Draw(t, "kind"), Subject: rapid.SampledFrom(subjects).Draw(t, "subject"), Waves: takes, WaveMs: hour}
 		free := func(h int) bool { // by each thing apart, at the middle of the hour
 			at, of := noon+(float64(h)+0.5)*hour, 0
 			in := func(p Span) bool { return p.FromMs <= at && at < p.ToMs }
 			for _, e := range s.Entries {
 				if e.Stage == Waiting || e.Stage == Approved || e.Stage == Due {
-					if in(e.Window) && common(parts(e.Subject), parts(c.Subject)) {
+					if in(e.Window) && overlap(unitsOf(e.Subject), unitsOf(c.Subject)) {
 						return false
 					}
 					if in(e.Window) && e.Kind == c.Kind && c.Kind == Drain {
@@ -675,7 +675,7 @@
 				}
 			}
 			for _, f := range s.Freezes {
-				if in(f.Spans[0]) && common(parts(f.Subject), parts(c.Subject)) {
+				if in(f.Spans[0]) && overlap(unitsOf(f.Subject), unitsOf(c.Subject)) {
 					return false
 				}
 			}
@@ -688,14 +688,14 @@
 				end++
 			}
 			if end == hours {
-				want = append(want, Span{noon + float64(h)*hour, noon + longestFor})
+				want = append(want, Span{noon + float64(h)*hour, noon + horizonMs})
 			} else if end-h >= takes {
 				want = append(want, Span{noon + float64(h)*hour, noon + float64(end)*hour})
 			}
 			h = end
 		}
-		if len(want) == 0 || want[len(want)-1].ToMs < noon+longestFor { // all is free past what is searched
-			want = append(want, Span{noon + hours*hour, noon + longestFor})
+		if len(want) == 0 || want[len(want)-1].ToMs < noon+horizonMs { // all is free past what is searched
+			want = append(want, Span{noon + hours*hour, noon + horizonMs})
 		}
 		got := s.Next(c, 0, math.MaxInt)
 		if fmt.Sprint(got) != fmt.Sprint(want) {
@@ -707,11 +707,11 @@
 // Ten thousand entries, a hundred of which are under way or due: what a command and a question take.
 func BenchmarkTenThousandEntries(b *testing.B) {
 	s := New()
-	s.See(units{})
+	s.See(testZones{})
 	s.Do(0, SetRules{Who: "boss", Rules: []Rule{{Subject: Subject{Scope: Fleet}, Count: 1}}, Budgets: []Budget{{Drain, 3}}})
 	s.Do(0, Clock{"c0", noon, 1})
 	for i := range 10000 {
-		c := change(float64(i)*2*hour*0.9, float64(i)*2*hour*0.9+hour)
+		c := testChange(float64(i)*2*hour*0.9, float64(i)*2*hour*0.9+hour)
 		c.Subject = subjects[i%len(subjects)]
 		c.Window = Span{noon + float64(i%4000)*hour, noon + float64(i%4000)*hour + hour}
 		id, err := s.Do(0, Plan{Change: c, Who: "ana"})
@@ -722,13 +722,13 @@
 		}
 	}
 	for i := range 20 {
-		f := freeze(0, hour, SendsBack)
+		f := testFreeze(0, hour, SendsBack)
 		f.When = Recurrence{Begin: fmt.Sprintf("2024-10-%02dT02:00", i+1), Minutes: 60, Every: "FREQ=WEEKLY", In: "UTC"}
 		f.Subject = subjects[i%len(subjects)]
 		require.NoError(b, f.Ahead(time.UTC, noon))
 		s.Do(0, SetFreeze{0, 0, f})
 	}
-	c := change(0, hour)
+	c := testChange(0, hour)
 	now := 0.0
 	b.Run("command", func(b *testing.B) {
 		for b.Loop() {
--- a/calendar/subject.go
+++ b/calendar/subject.go
@@ -30,8 +30,8 @@
 		return &FormError{key + ".scope", fmt.Sprintf("%q, one of fleet, zone, doors, backends and plans is wanted", b.Scope)}
 	case b.Scope == Fleet && len(b.Names) > 0:
 		return &FormError{key + ".names", "the fleet has none"}
-	case len(b.Names) > subjectsMost || slices.Contains(b.Names, ""):
-		return &FormError{key + ".names", fmt.Sprintf("at most %d names, none of them empty, are wanted", subjectsMost)}
+	case len(b.Names) > maxSubjectNames || slices.Contains(b.Names, ""):
+		return &FormError{key + ".names", fmt.Sprintf("at most %d names, none of them empty, are wanted", maxSubjectNames)}
 	}
 	return nil
 }
@@ -43,8 +43,8 @@
 	return string(b.Scope) + " " + strings.Join(b.Names, ", ")
 }
 
-// touch tells whether two subjects have something in common. What isn't known to be apart is held to touch.
-func (s *State) touch(a, b *Subject) bool {
+// subjectsOverlap tells whether two subjects have something in common. What isn't known to be apart is held to subjectsOverlap.
+func (s *State) subjectsOverlap(a, b *Subject) bool {
 	if a.Scope == Fleet || b.Scope == Fleet {
 		return true
 	}
