--- a/calendar/calendar.go
+++ b/calendar/calendar.go
@@ -1,5 +1,6 @@
-// Package calendar decides when changes of a fleet may begin: who has to agree, when nothing may, what is in the way, and
-// where there is room. It knows no I/O; its state is part of what coordinators agree on, and time enters with the commands.
+// Package calendar is the replicated state machine of a fleet's change calendar. It decides when a change may begin: which approvals
+// it needs, which freezes block it, which entries and budgets conflict with it, and when there is free time. It does no I/O and reads
+// no clock; its state is part of what the coordinators agree on, and time arrives with the commands.
 package calendar
 
 import (
@@ -11,62 +12,62 @@
 	"slices"
 )
 
-// Kind of a change.
+// Kind classifies a change by what it changes.
 type Kind string
 
-// Kinds.
+// Kinds of changes.
 const (
-	Drain         Kind = "drain"         // of doors, backends or zones
-	Release       Kind = "release"       // of a program, or of backends that are replaced
-	Configuration Kind = "configuration" // of doors
+	Drain         Kind = "drain"         // of front doors, backends or zones
+	Release       Kind = "release"       // of a program, or a replacement of backends
+	Configuration Kind = "configuration" // of front doors
 	Terms         Kind = "terms"         // of a plan
-	MigrationStep Kind = "migration"     // a step of one
-	Coordinators  Kind = "coordinators"  // one more, or one less
+	MigrationStep Kind = "migration"     // a step of a migration
+	Coordinators  Kind = "coordinators"  // a coordinator is added or removed
 )
 
 var allKinds = []Kind{Drain, Release, Configuration, Terms, MigrationStep, Coordinators}
 
-// Stage of an entry.
+// Stage is the position of an entry or a migration in its life cycle.
 type Stage string
 
-// Stages.
+// Stages of entries and migrations.
 const (
 	Drafted     Stage = "drafted"
 	Waiting     Stage = "waiting for approval"
 	Approved    Stage = "approved"
-	Due         Stage = "due" // its window has begun; it starts as soon as nothing is in the way
+	Due         Stage = "due" // the window is open; the entry starts as soon as nothing blocks it
 	Running     Stage = "running"
 	Halted      Stage = "halted" // at the end of a wave
 	RollingBack Stage = "going back"
 	Done        Stage = "done"
-	Missed      Stage = "missed"
+	Missed      Stage = "missed" // the deadline passed before the entry could start
 	Withdrawn   Stage = "withdrawn"
 )
 
-// notStarted tells whether an entry has yet to begin.
+// notStarted reports whether an entry in this stage has yet to start.
 func (s Stage) notStarted() bool {
 	return s == Drafted || s == Waiting || s == Approved || s == Due
 }
 
-// inProgress tells whether an entry has part of the fleet.
+// inProgress reports whether an entry in this stage has started and not finished, and therefore holds its subject.
 func (s Stage) inProgress() bool { return s == Running || s == Halted || s == RollingBack }
 
 const (
-	readingTTLMs         = 30e3  // ms for which a coordinator's reading of its clock counts
-	maxClockSpreadMs     = 5e3   // ms by which clocks may differ and still agree
-	maxEvents            = 10000 // events that are kept, told or not
-	maxEntries           = 20000 // entries: the oldest that are over go first
-	maxNameBytes         = 80    // bytes of a name: it stands in lines of 80 columns
-	maxWaves             = 1000
-	observationTTLMs     = 5 * 60e3          // ms for which what was seen before a change counts
-	maxMigrationSteps    = 100               // of a migration
-	horizonMs            = 400 * 24 * 3600e3 // ms that are looked ahead, and that a window or a freeze lasts at most
-	defaultApprovalTTLMs = 30 * 24 * 3600e3  // ms after which an approval lapses where its rule says nothing
-	maxFreezeSpans       = 10000             // of a freeze, in what is looked ahead
+	readingTTLMs         = 30e3              // ms; older clock readings do not count towards the agreed time
+	maxClockSpreadMs     = 5e3               // ms; clocks that differ by up to this much still agree
+	maxEvents            = 10000             // events kept, acknowledged or not
+	maxEntries           = 20000             // at this many, a new entry evicts the oldest finished one
+	maxNameBytes         = 80                // bytes; names appear in 80-column output
+	maxWaves             = 1000              // waves of a change
+	observationTTLMs     = 5 * 60e3          // ms for which the observation of a precondition is valid
+	maxMigrationSteps    = 100               // steps of a migration
+	horizonMs            = 400 * 24 * 3600e3 // ms; how far ahead the calendar plans, and the longest window or freeze
+	defaultApprovalTTLMs = 30 * 24 * 3600e3  // ms after which an approval lapses if its rule sets no time
+	maxFreezeSpans       = 10000             // spans of a freeze within the horizon
 	maxSubjectNames      = 1000              // names in a subject
 )
 
-// Span is from an instant to another, the second not in it; ms since 1970, UTC.
+// Span is the time from FromMs, included, to ToMs, excluded, in ms since 1970 UTC.
 type Span struct {
 	FromMs float64 `json:"from_ms"`
 	ToMs   float64 `json:"to_ms"`
@@ -75,33 +76,33 @@
 func (s Span) contains(at float64) bool { return s.FromMs <= at && at < s.ToMs }
 func (s Span) overlaps(other Span) bool { return s.FromMs < other.ToMs && other.FromMs < s.ToMs }
 
-// Change is what is to be done, as its author writes it.
+// Change describes what is to be done, as its author enters it.
 type Change struct {
 	Name           string          `json:"name"`
 	Kind           Kind            `json:"kind"`
 	Subject        Subject         `json:"subject"`
-	Window         Span            `json:"window"`                   // it begins in it, with time enough left
-	LateMs         float64         `json:"late_ms,omitempty"`        // past the window, in which it may still run
-	After          []uint64        `json:"after,omitempty"`          // entries that must be done before
+	Window         Span            `json:"window"`                   // the change starts within it, with enough time left to finish
+	LateMs         float64         `json:"late_ms,omitempty"`        // ms past the window's end for which it may still run
+	After          []uint64        `json:"after,omitempty"`          // entries that must be done before it starts
 	Waves          int             `json:"waves"`                    // 1 or more
-	WaveMs         float64         `json:"wave_ms"`                  // that one takes, as measured
-	SoakMs         float64         `json:"soak_ms,omitempty"`        // that it is watched for after its last wave
-	Preconditions  []string        `json:"preconditions,omitempty"`  // what must be seen before it
-	Postconditions []string        `json:"postconditions,omitempty"` // what must be seen after it
-	Do             json.RawMessage `json:"do"`                       // for whoever carries it out
-	Rollback       json.RawMessage `json:"rollback,omitempty"`       // its way back; none where there is none
+	WaveMs         float64         `json:"wave_ms"`                  // measured or estimated duration of a wave, ms
+	SoakMs         float64         `json:"soak_ms,omitempty"`        // ms for which it is watched after its last wave
+	Preconditions  []string        `json:"preconditions,omitempty"`  // names of what must be observed before it starts
+	Postconditions []string        `json:"postconditions,omitempty"` // names of what must be observed after its last wave
+	Do             json.RawMessage `json:"do"`                       // the action, read by whoever carries it out
+	Rollback       json.RawMessage `json:"rollback,omitempty"`       // the action that undoes Do; empty if there is none
 }
 
-// Needs is the time that it takes, its watch with it.
+// DurationMs is the time the change takes, including its soak, in ms.
 func (c *Change) Needs() float64 { return float64(c.Waves)*c.WaveMs + c.SoakMs }
 
-// deadlineMs is when it must be over: its window's end, with the lateness that it allows itself.
+// deadlineMs is when the change must be over: the end of its window plus its allowed lateness.
 func (c *Change) deadlineMs() float64 { return c.Window.ToMs + c.LateMs }
 
-// Digest names what would be done: approvals are bound to it. A change that would do anything else, or at another time, has
-// another.
+// Digest is a hash of the whole change. Approvals are bound to it: a change that does anything else, or at another time, has
+// another digest.
 func (c *Change) Digest() string {
-	raw, _ := json.Marshal(c) // no field of it can fail
+	raw, _ := json.Marshal(c) // no field of a Change can fail to encode
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:])
 }
@@ -110,25 +111,25 @@
 type Entry struct {
 	Change
 	ID        uint64     `json:"id"`
-	Revision  uint64     `json:"revision"` // grows with each change by people; compare and set
+	Revision  uint64     `json:"revision"` // incremented by each edit by a person; commands compare and set it
 	Author    string     `json:"author"`
 	Stage     Stage      `json:"stage"`
-	Says      string     `json:"says,omitempty"` // why it stands as it does
+	Says      string     `json:"says,omitempty"` // why the entry is in its stage
 	Approvals []Approval `json:"approvals,omitempty"`
 	Emergency *Emergency `json:"emergency,omitempty"`
-	Wave      int        `json:"wave"`              // that are done
+	Wave      int        `json:"wave"`              // number of waves done
 	Starts    int        `json:"starts"`            // 0 or 1
-	HeldBy    uint64     `json:"held_by,omitempty"` // freeze that halted it
+	HeldBy    uint64     `json:"held_by,omitempty"` // freeze that halted the entry; it resumes when that is over
 
-	Migration      uint64                 `json:"migration,omitempty"`        // whose step it is
-	WasRollingBack bool                   `json:"was_rolling_back,omitempty"` // it was halted on its way back
-	WavesDoneMs    float64                `json:"waves_done_ms,omitempty"`    // when its last wave was done
-	Observations   map[string]Observation `json:"observations,omitempty"`     // of its preconditions and postconditions
+	Migration      uint64                 `json:"migration,omitempty"`        // migration of which the entry is a step; 0 for none
+	WasRollingBack bool                   `json:"was_rolling_back,omitempty"` // whether it was halted during its rollback
+	WavesDoneMs    float64                `json:"waves_done_ms,omitempty"`    // when its last wave ended; 0 before that
+	Observations   map[string]Observation `json:"observations,omitempty"`     // of its preconditions and postconditions, by name
 
-	cachedDigest string // worked out once: each step of each command compares it
+	cachedDigest string // computed once, since each step of each command compares it
 }
 
-// Digest names what the entry would do.
+// Digest is the digest of the entry's change.
 func (e *Entry) Digest() string {
 	if e.cachedDigest == "" {
 		e.cachedDigest = e.Change.Digest()
@@ -136,17 +137,18 @@
 	return e.cachedDigest
 }
 
-// Observation is what somebody saw of the fleet.
+// Observation is the last reported result of checking a precondition or a postcondition.
 type Observation struct {
 	Well bool    `json:"well"`
 	Says string  `json:"says,omitempty"`
 	AtMs float64 `json:"at_ms"`
 }
 
-// remainingMs is the time that it takes from where it is.
+// remainingMs is the time the entry takes from where it is, including its soak, in ms.
 func (e *Entry) remainingMs() float64 { return float64(e.Waves-e.Wave)*e.WaveMs + e.SoakMs }
 
-// missingObservation is the first of some names that was not seen well since an instant; empty for none.
+// missingObservation returns the first of names that has not been observed to pass since sinceMs, with its last observation. The name
+// is empty if all have.
 func (e *Entry) missingObservation(names []string, sinceMs float64) (name string, seen Observation) {
 	for _, n := range names {
 		if v := e.Observations[n]; !v.Well || v.AtMs < sinceMs {
@@ -156,7 +158,7 @@
 	return "", Observation{}
 }
 
-// Approval is somebody's word for a digest. Names and roles are as told: nobody signs in.
+// Approval is one person's approval of a digest. Names and roles are recorded as given: there is no authentication.
 type Approval struct {
 	Who    string  `json:"who"`
 	Role   string  `json:"role"`
@@ -164,211 +166,214 @@
 	AtMs   float64 `json:"at_ms"`
 }
 
-// Emergency lets an entry pass freezes. It stays marked.
+// Emergency exempts an entry from freezes. The entry stays marked as an emergency.
 type Emergency struct {
 	Who    string `json:"who"`
-	Second string `json:"second"`
+	Second string `json:"second"` // another person, who agrees
 	Why    string `json:"why"`
 }
 
-// Rule says how many must approve. An entry needs what every rule asks for that is of its kind and touches its subject.
+// Rule requires approvals. An entry must satisfy every rule that applies to its kind and overlaps its subject.
 type Rule struct {
 	Kinds   []Kind   `json:"kinds,omitempty"` // empty for all
 	Subject Subject  `json:"subject"`
-	Count   int      `json:"count"`
-	Roles   []string `json:"roles,omitempty"`  // that count; empty for any
-	ForMs   float64  `json:"for_ms,omitempty"` // after which an approval lapses; 0 for the calendar's own
+	Count   int      `json:"count"`            // approvals required, of different people
+	Roles   []string `json:"roles,omitempty"`  // roles whose approvals count; empty for any
+	ForMs   float64  `json:"for_ms,omitempty"` // ms after which an approval lapses; 0 for defaultApprovalTTLMs
 }
 
-// Budget bounds how many entries of a kind may be under way at once.
+// Budget limits how many entries of a kind may be in progress at once.
 type Budget struct {
 	Kind Kind `json:"kind"`
 	Most int  `json:"most"`
 }
 
-// Event is a change of an entry's stage, or of a freeze. Numbers grow by one: a receiver drops a repeat.
+// Event records a command or a change of stage. Numbers increase by one, so that a receiver can drop duplicates.
 type Event struct {
 	Number uint64  `json:"number"`
 	AtMs   float64 `json:"at_ms"`
-	ID     uint64  `json:"id"`
+	ID     uint64  `json:"id"` // of an entry, a freeze or a migration; 0 for none
 	What   string  `json:"what"`
 	Who    string  `json:"who,omitempty"`
 	Why    string  `json:"why,omitempty"`
 }
 
-// Reading is a coordinator's wall clock less the agreed clock, and when it was told.
+// Reading is a coordinator's wall clock as an offset from the agreed clock.
 type Reading struct {
 	OffsetMs float64 `json:"offset_ms"`
-	AtMs     float64 `json:"at_ms"`
+	AtMs     float64 `json:"at_ms"` // agreed clock when it was reported
 }
 
-// State is what coordinators agree on.
+// State is the calendar that the coordinators agree on.
 type State struct {
-	NowMs        float64               `json:"now_ms"`  // agreed clock: it only grows, and stands still while nobody leads
-	WallMs       float64               `json:"wall_ms"` // agreed time: what a majority's wall clocks show; it only grows
-	Doubt        string                `json:"doubt"`   // why time stands still; empty where it doesn't, which must be written down
-	Size         int                   `json:"size"`    // coordinators
+	NowMs        float64               `json:"now_ms"`  // agreed clock, ms; never decreases, and stands still while there is no leader
+	WallMs       float64               `json:"wall_ms"` // agreed time, ms since 1970: what a majority's wall clocks show; never decreases
+	Doubt        string                `json:"doubt"`   // why the agreed time stands still; empty if it advances, and encoded even then
+	Size         int                   `json:"size"`    // number of coordinators
 	Readings     map[string]Reading    `json:"readings,omitempty"`
 	NextID       uint64                `json:"next_id"`
 	Entries      map[uint64]*Entry     `json:"entries"`
 	Freezes      map[uint64]*Freeze    `json:"freezes"`
-	Migrations   map[uint64]*Migration `json:"migrations"` // migrations
+	Migrations   map[uint64]*Migration `json:"migrations"`
 	Rules        []Rule                `json:"rules,omitempty"`
 	Budgets      []Budget              `json:"budgets,omitempty"`
 	Events       []Event               `json:"events,omitempty"`
-	Acknowledged uint64                `json:"acknowledged"` // number of the last event that its receiver has had
-	Number       uint64                `json:"number"`
+	Acknowledged uint64                `json:"acknowledged"` // number of the last event that its receiver has acknowledged
+	Number       uint64                `json:"number"`       // number of the last event
 
 	zones Zones
 }
 
-// Zones tells in which zone a unit stands; nil where nobody knows.
+// Zones maps units to zones.
 type Zones interface {
+	// ZoneOf returns the zone of a unit; known is false if the unit or its zone is unknown.
 	ZoneOf(scope Scope, name string) (zone string, known bool)
 }
 
-// New returns an empty calendar: it asks for nothing and lets everything begin.
+// New returns an empty calendar, which has no rules, freezes or budgets and so blocks nothing.
 func New() *State {
 	return &State{NextID: 1, Size: 1, Readings: map[string]Reading{}, Entries: map[uint64]*Entry{}, Freezes: map[uint64]*Freeze{}, Migrations: map[uint64]*Migration{}, Doubt: noClockMajority}
 }
 
-// InUse tells whether anybody has ever used it.
+// InUse reports whether the calendar has ever been used.
 func (s *State) InUse() bool { return s.Number > 0 }
 
-// See has the state know where units stand. It is no part of what is agreed; whoever applies commands passes what is.
+// SetZones sets where the calendar looks up the zones of units. The lookup is not part of the encoded state, so whoever applies
+// commands must pass one that reads agreed state.
 func (s *State) See(z Zones) { s.zones = z }
 
-// Commands, beside Change's, which Plan and Edit hold.
+// The commands. Apply accepts them; their encoded form is part of the raft log.
 type (
-	// Plan enters a change. A draft asks nobody so far.
+	// Plan adds an entry for a change. A draft does not request approval yet.
 	Plan struct {
 		Change
 		Who   string
 		Draft bool
 	}
-	// Edit puts another change in an entry's place, if nobody has changed it since.
+	// Edit replaces the change of an entry, if its revision is still the given one.
 	Edit struct {
 		ID, Revision uint64
 		Change
 		Who   string
 		Draft bool
 	}
-	// Approve gives somebody's word for what the digest names.
+	// Approve records a person's approval of the change with the given digest.
 	Approve struct {
 		ID     uint64
 		Digest string
 		Who    string
 		Role   string
 	}
-	// Refuse sends an entry back to its author.
+	// Refuse returns an entry to its author as a draft.
 	Refuse struct {
 		ID     uint64
 		Digest string
 		Who    string
 		Why    string
 	}
-	// Withdraw ends an entry that has not begun.
+	// Withdraw ends an entry that has not started.
 	Withdraw struct {
 		ID, Revision uint64
 		Who, Why     string
 	}
-	// DeclareEmergency makes an entry an emergency.
+	// DeclareEmergency marks an entry as an emergency.
 	DeclareEmergency struct {
 		ID uint64
 		Emergency
 	}
-	// SetFreeze puts a freeze in, or another in the place of one.
+	// SetFreeze adds a freeze or replaces an existing one.
 	SetFreeze struct {
-		ID, Revision uint64 // 0 for a new one
+		ID, Revision uint64 // 0 for a new freeze
 		Freeze
 	}
-	// Extend tells the spans of a recurring freeze further ahead.
+	// ExtendFreeze replaces the expanded spans of a recurring freeze with ones that reach further ahead.
 	Extend struct {
 		ID, Revision uint64
 		Spans        []Span
 		ThroughMs    float64
 	}
-	// Thaw takes a freeze out.
+	// Thaw removes a freeze.
 	Thaw struct {
 		ID, Revision uint64
 		Who, Why     string
 	}
-	// SetRules puts others in the place of all rules and budgets.
+	// SetRules replaces all rules and budgets.
 	SetRules struct {
 		Rules   []Rule
 		Budgets []Budget
 		Who     string
 	}
-	// Clock tells a coordinator's wall clock, and how many coordinators there are.
+	// ReportClock reports a coordinator's wall clock and the number of coordinators.
 	Clock struct {
 		Name   string
 		WallMs float64
 		Size   int
 	}
-	// LeaderChanged says that another coordinator leads: the agreed clock may have stood for as long as none did, so what clocks showed
-	// beside it before counts no more.
+	// LeaderChanged reports a new leader. The agreed clock stood still for as long as there was no leader, so the offsets of earlier
+	// clock readings are no longer valid.
 	LeaderChanged struct{}
-	// Start begins an entry that is due: the last look before the step that can't be taken back.
+	// Start starts a due entry. It repeats all checks, as the last opportunity before the change begins.
 	Start struct{ ID uint64 }
-	// WaveDone says that a running entry's wave of that number has ended well, from 1 on.
+	// WaveDone reports that a wave of a running entry has succeeded. Waves are numbered from 1.
 	WaveDone struct {
 		ID   uint64
 		Wave int
-		Who  string `json:",omitempty"` // of people, who did it
+		Who  string `json:",omitempty"` // set if a person carried it out
 	}
-	// Observe tells what was seen of what an entry wants or shows.
+	// Observe reports the result of checking a precondition or a postcondition of an entry.
 	Observe struct {
 		ID   uint64
-		What string
-		Well bool
-		Says string
-		Who  string `json:",omitempty"`
+		What string // name of the condition
+		Well bool   `json:"Well"`
+		Says string `json:"Says"`
+		Who  string `json:",omitempty"` // set if a person checked it
 	}
-	// Migrate enters a migration: steps, each after the one before.
+	// Migrate adds a migration, whose steps run one after the other.
 	Migrate struct {
 		Name  string
 		Steps []Change
 		Who   string
 	}
-	// Replace puts other steps in the place of those that have not begun.
+	// ReplaceSteps replaces the steps of a migration that have not started.
 	Replace struct {
 		ID, Revision uint64
 		Steps        []Change
 		Who          string
 	}
-	// Revert takes a migration back from where it is, the newest step first.
+	// RevertMigration rolls a migration back from where it is, the newest step first.
 	Revert struct {
 		ID       uint64
 		Who, Why string
 	}
-	// Halt stops a running entry at the end of its wave, or its way back.
+	// Halt stops a running entry at the end of its wave, or pauses its rollback.
 	Halt struct {
 		ID       uint64
 		Who, Why string
 	}
-	// Resume has a halted entry go on.
+	// Resume continues a halted entry.
 	Resume struct {
 		ID  uint64
 		Who string
 	}
-	// RollBack sends an entry back.
+	// RollBack starts the rollback of an entry.
 	RollBack struct {
 		ID       uint64
 		Who, Why string
 	}
-	// RolledBack says that an entry's way back has been gone.
+	// RolledBack reports that the rollback of an entry is complete.
 	RolledBack struct {
 		ID  uint64
-		Who string `json:",omitempty"` // of people, who took it back
+		Who string `json:",omitempty"` // set if a person carried it out
 	}
-	// Acknowledge says up to which event the receiver has heard.
+	// Acknowledge reports the number of the last event that the receiver has accepted.
 	Acknowledge struct{ Number uint64 }
-	// Restored says that this state may lack what happened last: nothing of before starts by itself.
+	// Restored reports that the state was restored from a backup and may lack the latest commands, so that nothing from before starts by
+	// itself.
 	Restored struct{ Who string }
 )
 
-// Do takes a command in, at a reading of the agreed clock. Its number is an entry's or a freeze's, or the next wave. A command
-// with an error has changed nothing but what time alone changes.
+// Apply applies a command at nowMs of the agreed clock. The number is the ID of the entry, freeze or migration, or the next wave to
+// run. A command that returns an error changes nothing beyond what the passing of time changes.
 func (s *State) Do(nowMs float64, c any) (number uint64, err error) {
 	s.Pass(nowMs)
 	number, err = s.dispatch(c)
@@ -376,13 +381,14 @@
 	return number, err
 }
 
-// Pass has time pass, up to a reading of the agreed clock.
+// AdvanceTo advances the calendar to nowMs of the agreed clock.
 func (s *State) Pass(nowMs float64) {
 	s.NowMs = max(s.NowMs, nowMs)
 	s.updateAgreedTime()
 	s.advance()
 }
 
+// dispatch applies a command without advancing the calendar.
 func (s *State) dispatch(c any) (uint64, error) {
 	switch c := c.(type) {
 	case Plan:
@@ -447,14 +453,14 @@
 	case Revert:
 		return 0, s.revert(c)
 	case Halt:
-		turned := s.Entries[c.ID] != nil && s.Entries[c.ID].Stage == RollingBack
+		wasRollingBack := s.Entries[c.ID] != nil && s.Entries[c.ID].Stage == RollingBack
 		if err := s.transition(c.ID, []Stage{Running, RollingBack}, Halted, c.Who, c.Why); err != nil {
 			return 0, err
 		}
-		s.Entries[c.ID].WasRollingBack = turned
+		s.Entries[c.ID].WasRollingBack = wasRollingBack
 	case Resume:
 		e := s.Entries[c.ID]
-		if e != nil && e.Stage == Halted && e.WasRollingBack { // a way back is never frozen
+		if e != nil && e.Stage == Halted && e.WasRollingBack { // freezes do not apply to rollbacks
 			return 0, s.transition(c.ID, []Stage{Halted}, RollingBack, c.Who, "")
 		}
 		if e != nil && e.Stage == Halted {
@@ -486,9 +492,10 @@
 	return 0, nil
 }
 
+// rolledBackReason is the reason recorded when a rollback is complete.
 const rolledBackReason = "taken back: all is as it was"
 
-// entryAtRevision finds an entry that nobody has changed since.
+// entryAtRevision returns the entry with the given ID, which must be at revision rev.
 func (s *State) entryAtRevision(id, rev uint64) (*Entry, error) {
 	e := s.Entries[id]
 	if e == nil {
@@ -500,7 +507,7 @@
 	return e, nil
 }
 
-// lastAction is what was done with an entry or a freeze lastAction.
+// lastAction describes the last event of an entry, a freeze or a migration that records who caused it.
 func (s *State) lastAction(id uint64) string {
 	for i := len(s.Events) - 1; i >= 0; i-- {
 		if e := &s.Events[i]; e.ID == id && e.Who != "" {
@@ -510,6 +517,7 @@
 	return "nothing that is remembered"
 }
 
+// recordEvent appends an event and drops the oldest beyond maxEvents.
 func (s *State) recordEvent(id uint64, what, who, why string) {
 	s.Number++
 	s.Events = append(s.Events, Event{s.Number, s.WallMs, id, what, who, why})
@@ -518,7 +526,7 @@
 	}
 }
 
-// setStage has an entry go to another stage.
+// setStage changes the stage of an entry and records the event. who is empty where time or the state caused it.
 func (s *State) setStage(e *Entry, to Stage, who, why string) {
 	s.recordEvent(e.ID, fmt.Sprintf("%s -> %s", e.Stage, to), who, why)
 	e.Stage, e.Says = to, why
@@ -527,7 +535,7 @@
 	}
 }
 
-// transition moves an entry from one of some stages to another.
+// transition moves an entry that is in one of the stages in from to another stage.
 func (s *State) transition(id uint64, from []Stage, to Stage, who, why string) error {
 	e := s.Entries[id]
 	if e == nil {
@@ -540,6 +548,7 @@
 	return nil
 }
 
+// plan adds an entry, waiting for approval or as a draft.
 func (s *State) plan(c Plan) (uint64, error) {
 	if err := s.checkChange(&c.Change, c.Who, 0); err != nil {
 		return 0, err
@@ -558,7 +567,8 @@
 	return e.ID, nil
 }
 
-// evictOldest has room for one more entry: the oldest that are over go.
+// evictOldest makes room for a new entry. At maxEntries it deletes the oldest entry that is finished and not part of an active
+// migration.
 func (s *State) evictOldest() {
 	if len(s.Entries) < maxEntries {
 		return
@@ -571,6 +581,8 @@
 	}
 }
 
+// edit replaces the change of an entry that has not started. Approvals are kept only if the digest is unchanged and the entry is no
+// draft.
 func (s *State) edit(c Edit) (uint64, error) {
 	e, err := s.entryAtRevision(c.ID, c.Revision)
 	if err != nil {
@@ -586,19 +598,19 @@
 		return 0, &FormError{"after", "a step of a migration waits for the step before it, and has a way back"}
 	}
 	same := c.Change.Digest() == e.Digest()
-	e.Change, e.Revision, e.cachedDigest, e.Observations = c.Change, e.Revision+1, "", nil // what was looked at was for something else
+	e.Change, e.Revision, e.cachedDigest, e.Observations = c.Change, e.Revision+1, "", nil // the observations were for the previous change
 	to := Waiting
 	if c.Draft {
 		to = Drafted
 	}
 	if !same || c.Draft {
-		e.Author, e.Approvals = c.Who, nil // who would do something else is its author: nobody approves their own words
+		e.Author, e.Approvals = c.Who, nil // whoever changes the digest becomes the author, so that nobody approves their own change
 	}
 	s.setStage(e, to, c.Who, "edited")
 	return e.ID, nil
 }
 
-// checkChange tells what is wrong with a change.
+// checkChange validates a change. id is the entry it replaces, 0 for a new one.
 func (s *State) checkChange(c *Change, who string, id uint64) error {
 	form := func(key, format string, args ...any) error { return &FormError{key, fmt.Sprintf(format, args...)} }
 	switch {
@@ -636,7 +648,7 @@
 	return c.Subject.check("subject")
 }
 
-// dependsOn tells whether an entry waits for another, by however many in between.
+// dependsOn reports whether an entry waits for another, directly or through others. seen holds the entries visited so far.
 func (s *State) dependsOn(id, other uint64, seen map[uint64]bool) bool {
 	e := s.Entries[id]
 	if e == nil || seen[id] {
@@ -646,20 +658,22 @@
 	return slices.ContainsFunc(e.After, func(a uint64) bool { return a == other || s.dependsOn(a, other, seen) })
 }
 
+// check validates the rule, which is number i of the list it is set with.
 func (r *Rule) check(i int) error {
-	at := fmt.Sprintf("rules[%d].", i)
+	prefix := fmt.Sprintf("rules[%d].", i)
 	for _, k := range r.Kinds {
 		if !slices.Contains(allKinds, k) {
-			return &FormError{at + "kinds", fmt.Sprintf("%q is none", k)}
+			return &FormError{prefix + "kinds", fmt.Sprintf("%q is none", k)}
 		}
 	}
 	if r.Count < 1 || !(r.ForMs >= 0) {
-		return &FormError{at + "count", "at least 1, for a time from 0 on, is wanted"}
+		return &FormError{prefix + "count", "at least 1, for a time from 0 on, is wanted"}
 	}
-	return r.Subject.check(at + "subject")
+	return r.Subject.check(prefix + "subject")
 }
 
-// entryForReview finds an entry that somebody is entryForReview about, if it would still do what the digest names.
+// entryForReview returns an entry that can be approved or refused, if its digest is still the given one. to names the attempted action
+// in a StageError.
 func (s *State) entryForReview(id uint64, digest, to string) (*Entry, error) {
 	e := s.Entries[id]
 	switch {
@@ -718,12 +732,12 @@
 	return e.ID, nil
 }
 
-// ruleApplies tells whether a rule is about a change.
+// ruleApplies reports whether a rule requires approvals for a change.
 func (s *State) ruleApplies(r *Rule, c *Change) bool {
 	return (len(r.Kinds) == 0 || slices.Contains(r.Kinds, c.Kind)) && s.subjectsOverlap(&r.Subject, &c.Subject)
 }
 
-// checkApprovals tells what approvals an entry checkApprovals: a rule, and how many so far. The same person counts once for each rule.
+// checkApprovals returns an ApprovalError for the first rule that the entry's approvals do not satisfy. A person counts once per rule.
 func (s *State) checkApprovals(e *Entry) error {
 	digest := e.Digest()
 	for i := range s.Rules {
@@ -731,24 +745,25 @@
 		if !s.ruleApplies(r, &e.Change) {
 			continue
 		}
-		last := r.ForMs
-		if last == 0 {
-			last = defaultApprovalTTLMs
+		ttlMs := r.ForMs
+		if ttlMs == 0 {
+			ttlMs = defaultApprovalTTLMs
 		}
-		have := 0
+		valid := 0
 		for _, a := range e.Approvals {
-			if a.Digest == digest && s.WallMs-a.AtMs < last && (len(r.Roles) == 0 || slices.Contains(r.Roles, a.Role)) {
-				have++
+			if a.Digest == digest && s.WallMs-a.AtMs < ttlMs && (len(r.Roles) == 0 || slices.Contains(r.Roles, a.Role)) {
+				valid++
 			}
 		}
-		if have < r.Count {
-			return &ApprovalError{e.ID, e.Author, r.Count, have, r.Roles}
+		if valid < r.Count {
+			return &ApprovalError{e.ID, e.Author, r.Count, valid, r.Roles}
 		}
 	}
 	return nil
 }
 
-// advance has entries go where time and what has become known take them.
+// advance makes every transition of entries and migrations that follows from the agreed time and the state, in the order of their
+// IDs, since all coordinators must make them alike.
 func (s *State) advance() {
 	for _, id := range slices.Sorted(maps.Keys(s.Entries)) {
 		s.advanceEntry(s.Entries[id])
@@ -758,6 +773,7 @@
 	}
 }
 
+// advanceEntry makes the transitions that are pending for an entry.
 func (s *State) advanceEntry(e *Entry) {
 	if e.Stage == Waiting && s.checkApprovals(e) == nil {
 		s.setStage(e, Approved, "", "")
@@ -774,7 +790,7 @@
 	if e.Stage != Running && e.HeldBy == 0 {
 		return
 	}
-	if e.Stage == Running && e.WavesDoneMs > 0 { // it changes nothing any more: no freeze is about it
+	if e.Stage == Running && e.WavesDoneMs > 0 { // during its soak it changes nothing, so freezes do not apply
 		s.completeIfSoaked(e)
 		return
 	}
@@ -787,7 +803,7 @@
 	}
 }
 
-// start begins an entry, once.
+// start starts an entry that nothing blocks. An entry starts at most once.
 func (s *State) start(id uint64) (uint64, error) {
 	e := s.Entries[id]
 	if e == nil {
@@ -801,7 +817,8 @@
 	return id, nil
 }
 
-// Startable lists the entries that are due with nothing in the way, by number: whoever leads starts the first, and asks again.
+// Startable lists the due entries that nothing blocks, by ID. The leader starts the first and asks again, since that may block the
+// others.
 func (s *State) Startable() (ids []uint64) {
 	for _, id := range slices.Sorted(maps.Keys(s.Entries)) {
 		if e := s.Entries[id]; e.Stage == Due && s.InTheWay(e) == nil {
@@ -811,13 +828,13 @@
 	return ids
 }
 
-// waveDone takes in that a wave has ended. Its number is of the next wave, 0 where none is to begin now.
+// waveDone records that a wave has succeeded. It returns the number of the next wave, 0 if none is to start now.
 func (s *State) waveDone(c WaveDone) (uint64, error) {
 	e := s.Entries[c.ID]
 	switch {
 	case e == nil:
 		return 0, &UnknownError{"entry", c.ID}
-	case e.Stage.inProgress() && c.Wave == e.Wave || e.Stage == Done && c.Wave == e.Waves: // told twice
+	case e.Stage.inProgress() && c.Wave == e.Wave || e.Stage == Done && c.Wave == e.Waves: // duplicate report
 	case e.Stage != Running && e.Stage != Halted, c.Wave != e.Wave+1:
 		return 0, &StageError{e.ID, e.Stage, fmt.Sprintf("done with wave %d", c.Wave)}
 	default:
@@ -831,7 +848,7 @@
 	switch {
 	case e.Wave == e.Waves && e.Stage.inProgress() && e.WavesDoneMs == 0:
 		e.WavesDoneMs = max(1, s.WallMs)
-		maps.DeleteFunc(e.Observations, func(n string, _ Observation) bool { return slices.Contains(e.Postconditions, n) }) // it was before
+		maps.DeleteFunc(e.Observations, func(n string, _ Observation) bool { return slices.Contains(e.Postconditions, n) }) // only observations after the last wave count
 		s.completeIfSoaked(e)
 	case e.Stage == Running && e.Wave < e.Waves:
 		return uint64(e.Wave + 1), nil
@@ -839,7 +856,8 @@
 	return 0, nil
 }
 
-// completeIfSoaked ends an entry that was watched for long enough and shows what it must. One that is halted stays so until it is resumed.
+// completeIfSoaked marks an entry done if its soak is over and its postconditions have been observed. A halted entry stays halted until
+// it is resumed.
 func (s *State) completeIfSoaked(e *Entry) {
 	if e.WavesDoneMs == 0 || e.Stage != Running || s.WallMs < e.WavesDoneMs+e.SoakMs {
 		return
@@ -849,7 +867,7 @@
 	}
 }
 
-// observe takes in what was seen. One that must show it and doesn't is halted.
+// observe records an observation. A failed postcondition during the soak halts the entry.
 func (s *State) observe(c Observe) error {
 	e := s.Entries[c.ID]
 	switch {
@@ -864,7 +882,7 @@
 		e.Observations = map[string]Observation{}
 	}
 	e.Observations[c.What] = Observation{c.Well, c.Says, s.WallMs}
-	if c.Who != "" { // programs look again and again
+	if c.Who != "" { // observations by programs recur and would fill the events
 		s.recordEvent(e.ID, fmt.Sprintf("seen %s: %t", c.What, c.Well), c.Who, c.Says)
 	}
 	if e.Stage == Running && e.WavesDoneMs > 0 && !c.Well && slices.Contains(e.Postconditions, c.What) {
@@ -873,14 +891,15 @@
 	return nil
 }
 
-// restored halts what was under way, and misses what was to begin, as it may have been done by a state that is lost.
+// restored halts the entries that are running or rolling back and returns those that have not started to drafts, since the commands
+// that the restored state lacks may already have finished or started them.
 func (s *State) restored(who string) {
 	for _, id := range slices.Sorted(maps.Keys(s.Entries)) {
 		switch e := s.Entries[id]; {
 		case e.Stage == Running || e.Stage == RollingBack:
-			turned := e.Stage == RollingBack
+			wasRollingBack := e.Stage == RollingBack
 			s.setStage(e, Halted, who, "the state was restored: look how far it is")
-			e.WasRollingBack = turned
+			e.WasRollingBack = wasRollingBack
 		case e.Stage == Approved || e.Stage == Due || e.Stage == Waiting:
 			e.Revision, e.Approvals = e.Revision+1, nil
 			s.setStage(e, Drafted, who, "the state was restored: it may have been done")
