--- a/calendar/clock.go
+++ b/calendar/clock.go
@@ -6,11 +6,13 @@
 	"slices"
 )
 
-// Agreed time. One coordinator's clock may be wrong by any amount, and it may lead: its word alone starts nothing and misses
-// nothing. What a majority's clocks show, within some seconds, is the time; without one there is doubt, and time stands still.
+// The agreed time is what the wall clocks of a majority of the coordinators show, within maxClockSpreadMs. Any single clock may be wrong
+// by any amount, even the leader's, so that one reading alone neither starts an entry nor makes it missed. Without a majority that
+// agrees, the agreed time stands still and State.ClockProblem gives the reason.
 
 const noClockMajority = "no majority of the coordinators has told its clock"
 
+// recordClock records a coordinator's wall clock and updates the agreed time.
 func (s *State) recordClock(c Clock) error {
 	if c.Name == "" || c.Size < 1 || !(c.WallMs >= 0) {
 		return &FormError{"clock", "a name, a time and a number of coordinators are wanted"}
@@ -21,7 +23,9 @@
 	return nil
 }
 
-// updateAgreedTime works out the agreed time.
+// updateAgreedTime drops expired readings and computes the agreed time from the others. Of the
+// majorities that agree it takes the one with the earliest clock, and that clock. The agreed time never goes back, and stands still if
+// that clock is behind it by more than maxClockSpreadMs.
 func (s *State) updateAgreedTime() {
 	maps.DeleteFunc(s.Readings, func(_ string, r Reading) bool { return s.NowMs-r.AtMs > readingTTLMs })
 	var offsets []float64
@@ -29,12 +33,12 @@
 		offsets = append(offsets, r.OffsetMs)
 	}
 	slices.Sort(offsets)
-	most := s.Size/2 + 1
-	for i := 0; i+most <= len(offsets); i++ {
-		if offsets[i+most-1]-offsets[i] > maxClockSpreadMs {
+	majority := s.Size/2 + 1
+	for i := 0; i+majority <= len(offsets); i++ {
+		if offsets[i+majority-1]-offsets[i] > maxClockSpreadMs {
 			continue
 		}
-		at := s.NowMs + offsets[i] // the earliest of those that agree: nothing starts early
+		at := s.NowMs + offsets[i] // the earliest of the clocks that agree, so that nothing starts early
 		if behind := s.WallMs - at; behind > maxClockSpreadMs {
 			s.Doubt = fmt.Sprintf("the clocks are %.0f s behind what was agreed before", behind/1000)
 			return
@@ -46,13 +50,13 @@
 		return
 	}
 	s.Doubt = noClockMajority
-	if len(offsets) >= most {
+	if len(offsets) >= majority {
 		s.Doubt = fmt.Sprintf("the coordinators' clocks differ by %.0f s", (offsets[len(offsets)-1]-offsets[0])/1000)
 	}
 }
 
-// backfillTimes has what was said before there was any agreed time count as said when it was first agreed: an approval given in the first
-// seconds of a calendar's use would else be of 1970, and have lapsed.
+// backfillTimes moves all recorded times up to the first agreed time. An approval given in the first seconds of a calendar's use, before
+// any time was agreed, would otherwise be dated 1970 and have lapsed.
 func (s *State) backfillTimes(at float64) {
 	for _, e := range s.Entries {
 		for i := range e.Approvals {
--- a/calendar/find.go
+++ b/calendar/find.go
@@ -8,7 +8,8 @@
 	"slices"
 )
 
-// InTheWay is the first thing that keeps an entry from beginning now; nil where nothing does. Its remedy says who can clear it.
+// CheckStart returns the first reason why an entry cannot start now, nil if nothing blocks it. The error's remedy says who can resolve
+// it.
 func (s *State) InTheWay(e *Entry) error {
 	switch e.Stage {
 	case Drafted:
@@ -44,8 +45,8 @@
 	return s.checkSubjectAndBudget(e.ID, e.Migration, &e.Change)
 }
 
-// MayBegin is the first thing that keeps a change that nobody has planned from beginning now, as an operator's own drain: a freeze,
-// a rule that asks for approvals, an entry that has its subject, a budget. Where the calendar is empty it asks for nothing.
+// CheckUnplanned returns the first reason why a change that is not in the calendar, such as an operator's drain, cannot start now: a
+// freeze, a rule that requires approvals, an entry that holds its subject, or a budget. An empty calendar blocks nothing.
 func (s *State) MayBegin(k Kind, b Subject) error {
 	c := &Change{Kind: k, Subject: b}
 	for _, id := range slices.Sorted(maps.Keys(s.Freezes)) {
@@ -56,7 +57,7 @@
 		if s.Doubt != "" {
 			return &ClockError{s.Doubt}
 		}
-		if _, is := f.spanAt(s.WallMs); is {
+		if _, active := f.spanAt(s.WallMs); active {
 			return &FrozenError{f.ID, f.Name, f.endMs(s.WallMs), f.Who}
 		}
 	}
@@ -68,9 +69,10 @@
 	return s.checkSubjectAndBudget(0, 0, c)
 }
 
-// checkSubjectAndBudget tells which other entry has what a change touches, or that a budget is used up by others.
+// checkSubjectAndBudget returns an error if another entry holds part of the change's subject, or if other entries use up its budget.
+// Finished steps of the change's own migration don't block it. own and migration are the change's IDs, 0 for none.
 func (s *State) checkSubjectAndBudget(own, migration uint64, c *Change) error {
-	under := 0
+	inProgress := 0
 	for _, id := range slices.Sorted(maps.Keys(s.Entries)) {
 		o := s.Entries[id]
 		if !s.Holds(o) || o.Migration != 0 && o.Migration == migration && !o.Stage.inProgress() {
@@ -80,38 +82,39 @@
 			return &BusyError{own, id, o.Stage, o.Author}
 		}
 		if o.Kind == c.Kind && o.Stage.inProgress() {
-			under++
+			inProgress++
 		}
 	}
 	for _, b := range s.Budgets {
-		if b.Kind == c.Kind && under >= b.Most {
-			return &FullError{b, under}
+		if b.Kind == c.Kind && inProgress >= b.Most {
+			return &FullError{b, inProgress}
 		}
 	}
 	return nil
 }
 
-// Holds tells whether an entry has its subject: while it is under way, and as a done step until its migration is over, or the way
-// back could not end where the migration began.
+// Holds reports whether an entry holds its subject: while it is in progress, and, as a step that is done, until its migration is over.
+// Otherwise another change could come in between, and rolling the migration back would not restore the initial state.
 func (s *State) Holds(e *Entry) bool {
 	return e.Stage.inProgress() || e.Stage == Done && s.migrationActive(e.Migration)
 }
 
-// Conflict is something that a change meets in its window.
+// Conflict is something that blocks a change during its window.
 type Conflict struct {
-	With uint64 // entry or freeze; 0 for none
-	Says string
+	With uint64 // ID of an entry or a freeze; 0 for none
+	Says string `json:"Says"`
 }
 
-// Conflicts tells what a change would meet in its window, and where there would be room instead. id is its own entry; 0 for none.
-func (s *State) Conflicts(c *Change, id uint64, most int) (met []Conflict, instead []Span) {
+// Conflicts lists what would block a change during its window and, if anything does, up to most spans that are free instead. id is the
+// change's own entry, 0 for none.
+func (s *State) Conflicts(c *Change, id uint64, most int) (conflicts []Conflict, free []Span) {
 	if c.Needs() > c.Window.ToMs-c.Window.FromMs {
-		met = append(met, Conflict{0, fmt.Sprintf("the window is %s, its waves take %s", formatDuration(c.Window.ToMs-c.Window.FromMs), formatDuration(c.Needs()))})
+		conflicts = append(conflicts, Conflict{0, fmt.Sprintf("the window is %s, its waves take %s", formatDuration(c.Window.ToMs-c.Window.FromMs), formatDuration(c.Needs()))})
 	}
 	for _, other := range slices.Sorted(maps.Keys(s.Entries)) {
 		o := s.Entries[other]
 		if span, has := s.occupancy(o); has && other != id && s.subjectsOverlap(&o.Subject, &c.Subject) && span.overlaps(c.Window) {
-			met = append(met, Conflict{other, fmt.Sprintf("%s %q has %s then", o.Kind, o.Name, o.Subject.String())})
+			conflicts = append(conflicts, Conflict{other, fmt.Sprintf("%s %q has %s then", o.Kind, o.Name, o.Subject.String())})
 		}
 	}
 	for _, fid := range slices.Sorted(maps.Keys(s.Freezes)) {
@@ -120,34 +123,34 @@
 			continue
 		}
 		if spans := s.freezeSpansIn(f, c.Window); len(spans) > 0 && len(gaps(spans, c.Window, c.Needs())) == 0 {
-			met = append(met, Conflict{fid, fmt.Sprintf("freeze %q leaves no %s of it", f.Name, formatDuration(c.Needs()))})
+			conflicts = append(conflicts, Conflict{fid, fmt.Sprintf("freeze %q leaves no %s of it", f.Name, formatDuration(c.Needs()))})
 		}
 	}
 	for _, b := range s.Budgets {
 		if b.Kind == c.Kind && slices.ContainsFunc(s.exhaustedSpans(b, id), c.Window.overlaps) {
-			met = append(met, Conflict{0, fmt.Sprintf("%d of kind %s have part of it already, %d may be under way", b.Most, b.Kind, b.Most)})
+			conflicts = append(conflicts, Conflict{0, fmt.Sprintf("%d of kind %s have part of it already, %d may be under way", b.Most, b.Kind, b.Most)})
 		}
 	}
-	if len(met) > 0 {
-		instead = s.Next(c, id, most)
+	if len(conflicts) > 0 {
+		free = s.Next(c, id, most)
 	}
-	return met, instead
+	return conflicts, free
 }
 
-// occupancy is the time that an entry occupancy part of the fleet, as far as is known.
+// occupancy returns the span in which an entry holds its subject, or will hold it as planned; false if there is none.
 func (s *State) occupancy(e *Entry) (Span, bool) {
 	switch {
 	case e.Stage.notStarted() && e.Stage != Drafted:
 		return Span{e.Window.FromMs, e.deadlineMs()}, true
 	case s.Holds(e) && !e.Stage.inProgress():
 		return Span{min(s.WallMs, e.Window.FromMs), s.Migrations[e.Migration].lastDeadlineMs(s)}, true
-	case e.Stage.inProgress(): // one that is past its window lasts as long as its waves, at least
+	case e.Stage.inProgress(): // past its window it still takes at least as long as its remaining waves
 		return Span{min(s.WallMs, e.Window.FromMs), max(e.deadlineMs(), s.WallMs+max(1, e.remainingMs()))}, true
 	}
 	return Span{}, false
 }
 
-// freezeSpansIn lists a freeze's spans that meet a window.
+// freezeSpansIn lists the spans of a freeze that overlap a window. A recurring freeze is taken to last from the end of its expansion on.
 func (s *State) freezeSpansIn(f *Freeze, w Span) (spans []Span) {
 	for _, p := range f.Spans {
 		if p.overlaps(w) {
@@ -160,35 +163,35 @@
 	return spans
 }
 
-// exhaustedSpans lists when a budget is used up by others.
-func (s *State) exhaustedSpans(b Budget, but uint64) (spans []Span) {
+// exhaustedSpans lists the spans in which entries other than exclude use up a budget.
+func (s *State) exhaustedSpans(b Budget, exclude uint64) (spans []Span) {
 	type edge struct {
 		at  float64
 		add int
 	}
 	var edges []edge
 	for id, e := range s.Entries {
-		if span, has := s.occupancy(e); has && id != but && e.Kind == b.Kind {
+		if span, has := s.occupancy(e); has && id != exclude && e.Kind == b.Kind {
 			edges = append(edges, edge{span.FromMs, 1}, edge{span.ToMs, -1})
 		}
 	}
 	slices.SortFunc(edges, func(a, b edge) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.add, b.add)) })
 	n := 0
 	for _, e := range edges {
-		was := n >= b.Most
+		wasFull := n >= b.Most
 		n += e.add
-		switch is := n >= b.Most; {
-		case is && !was:
+		switch full := n >= b.Most; {
+		case full && !wasFull:
 			spans = append(spans, Span{e.at, math.Inf(1)})
-		case was && !is:
+		case wasFull && !full:
 			spans[len(spans)-1].ToMs = e.at
 		}
 	}
 	return slices.DeleteFunc(spans, func(p Span) bool { return p.FromMs >= p.ToMs })
 }
 
-// Next finds free time for a change, from now on: no freeze that it must heed, nobody else on its subject, no budget used up,
-// and long enough for its waves. None means that there is none as far as is looked ahead.
+// FindFree lists up to most spans, from now on, in which a change could run: no freeze applies, no other entry holds its subject, its
+// budgets are not used up, and there is time for all of it. It returns none if there is none within the horizon.
 func (s *State) Next(c *Change, id uint64, most int) []Span {
 	ahead := Span{s.WallMs, s.WallMs + horizonMs}
 	var taken []Span
@@ -211,24 +214,24 @@
 	return free[:min(most, len(free))]
 }
 
-// gaps lists what is left of a span beside others, in pieces of some length at least.
+// gaps lists the parts of a span that no taken span covers and that are at least least ms long.
 func gaps(taken []Span, in Span, least float64) (free []Span) {
 	slices.SortFunc(taken, func(a, b Span) int { return cmp.Compare(a.FromMs, b.FromMs) })
 	at := in.FromMs
-	put := func(to float64) {
+	add := func(to float64) {
 		if to = min(to, in.ToMs); to > at && to-at >= least {
 			free = append(free, Span{at, to})
 		}
 	}
 	for _, p := range taken {
-		put(p.FromMs)
+		add(p.FromMs)
 		at = max(at, p.ToMs)
 	}
-	put(in.ToMs)
+	add(in.ToMs)
 	return free
 }
 
-// formatDuration words a time that something takes.
+// formatDuration formats a duration in seconds, minutes or hours, by its length.
 func formatDuration(ms float64) string {
 	switch m := ms / 60e3; {
 	case m < 1:
--- a/calendar/freeze.go
+++ b/calendar/freeze.go
@@ -11,14 +11,14 @@
 	"github.com/teambition/rrule-go"
 )
 
-// What a freeze does to what is running when it begins.
+// Policies of a freeze for entries that are running when it begins.
 const (
-	FinishesWave = "finish wave" // the wave ends, then it is halted until the freeze is over
-	SendsBack    = "send back"   // it goes back at once; one without a way back finishes its wave
+	FinishesWave = "finish wave" // the entry finishes its wave, then it is halted until the freeze is over
+	SendsBack    = "send back"   // the entry is rolled back at once; one without a rollback finishes its wave
 )
 
-// Freeze is when changes of some kinds on a subject don't begin. Its spans are told with it, worked out by whoever took it in:
-// coordinators whose tables of time zones differ would else disagree.
+// Freeze is a set of spans in which changes of some kinds on a subject must not start. The spans are part of the command that sets the
+// freeze, expanded by whoever issues it: coordinators whose time zone databases differ would otherwise disagree about them.
 type Freeze struct {
 	ID        uint64     `json:"id"`
 	Revision  uint64     `json:"revision"`
@@ -26,25 +26,26 @@
 	Kinds     []Kind     `json:"kinds,omitempty"` // empty for all
 	Subject   Subject    `json:"subject"`
 	When      Recurrence `json:"when"`
-	Spans     []Span     `json:"spans"`      // sorted, apart
-	ThroughMs float64    `json:"through_ms"` // up to which they are worked out; a recurring freeze is held to last from there on
-	Sends     string     `json:"sends"`
+	Spans     []Span     `json:"spans"`      // sorted, without overlaps
+	ThroughMs float64    `json:"through_ms"` // end of the expansion; a recurring freeze is taken to last from there on
+	Sends     string     `json:"sends"`      // HaltAfterWave or RollBackAtOnce
 	Who       string     `json:"who"`
 	Why       string     `json:"why"`
 }
 
-// Recurrence is when a freeze is, as people say it: by the clock on the wall of a place.
+// Recurrence defines when a freeze begins and how long it lasts, in the local time of a time zone.
 type Recurrence struct {
-	Begin   string `json:"begin"`           // 2026-12-24T18:00, local
-	Minutes int    `json:"minutes"`         // by that clock, so that 18:00 to 06:00 ends at 06:00 whatever the night does
-	Every   string `json:"every,omitempty"` // as RFC 5545's RRULE, its UNTIL in local time; empty for once
-	In      string `json:"in"`              // zone by name, as Europe/Lisbon
+	Begin   string `json:"begin"`           // local time, as 2026-12-24T18:00
+	Minutes int    `json:"minutes"`         // in local time: 18:00 plus 720 ends at 06:00 even if the clocks change in between
+	Every   string `json:"every,omitempty"` // RFC 5545 RRULE, with UNTIL in local time; empty for a single occurrence
+	In      string `json:"in"`              // IANA time zone, as Europe/Lisbon
 }
 
+// localTimeLayout is the layout of local times, for package time.
 const localTimeLayout = "2006-01-02T15:04"
 
-// Instant is the instant of a local time. One that doesn't exist is the instant at which the clocks skip it. Of one that comes
-// twice it is the first or the second.
+// ParseLocalTime converts a local time to ms since 1970 UTC. A local time that a clock change skips becomes the instant of the change.
+// If it occurs twice, second selects the second occurrence.
 func Instant(local string, in *time.Location, second bool) (ms float64, err error) {
 	wall, err := time.Parse(localTimeLayout, local)
 	if err != nil {
@@ -53,33 +54,34 @@
 	return resolveLocal(wall, in, second), nil
 }
 
+// resolveLocal is ParseLocalTime for a local time that is given as if it were UTC.
 func resolveLocal(wall time.Time, in *time.Location, second bool) float64 {
 	offset := func(t time.Time) time.Duration {
 		_, s := t.In(in).Zone()
 		return time.Duration(s) * time.Second
 	}
-	var of []time.Time
+	var matches []time.Time // instants at which local clocks show wall
 	before, after := offset(wall.Add(-24*time.Hour)), offset(wall.Add(24*time.Hour))
 	for _, o := range []time.Duration{before, after} {
-		if t := wall.Add(-o); offset(t) == o && !slices.ContainsFunc(of, t.Equal) {
-			of = append(of, t)
+		if t := wall.Add(-o); offset(t) == o && !slices.ContainsFunc(matches, t.Equal) {
+			matches = append(matches, t)
 		}
 	}
 	switch {
-	case len(of) == 0: // by the offset of before it would be past the skip
+	case len(matches) == 0: // skipped: with the offset from before the change, wall is past it
 		from, _ := wall.Add(-before).In(in).ZoneBounds()
 		return float64(from.UnixMilli())
-	case len(of) == 2 && of[1].Before(of[0]):
-		of[0], of[1] = of[1], of[0]
+	case len(matches) == 2 && matches[1].Before(matches[0]):
+		matches[0], matches[1] = matches[1], matches[0]
 	}
 	if second {
-		return float64(of[len(of)-1].UnixMilli())
+		return float64(matches[len(matches)-1].UnixMilli())
 	}
-	return float64(of[0].UnixMilli())
+	return float64(matches[0].UnixMilli())
 }
 
-// Window is a window between two local times. It is as short as they can mean: in an hour that comes twice it begins with the
-// second and ends with the first.
+// ParseWindow returns the span between two local times. Of its possible readings it is the shortest: a local time that occurs twice is
+// read as the second occurrence at the start and the first at the end.
 func Window(from, to string, in *time.Location) (w Span, err error) {
 	if w.FromMs, err = Instant(from, in, true); err != nil {
 		return w, err
@@ -88,8 +90,9 @@
 	return w, err
 }
 
-// Spans works out when a freeze is, from an instant through another. It is as long as local times can mean: in an hour that
-// comes twice it begins with the first and ends with the second.
+// Spans expands the recurrence into the spans from fromMs through throughMs, with overlapping and adjacent ones merged. Of its possible
+// readings each span is the longest: a local time that occurs twice is read as the first occurrence at the start and the second at the
+// end.
 func (r *Recurrence) Spans(in *time.Location, fromMs, throughMs float64) (spans []Span, err error) {
 	begin, err := time.Parse(localTimeLayout, r.Begin)
 	if err != nil {
@@ -98,7 +101,7 @@
 	if r.Minutes < 1 || float64(r.Minutes)*60e3 > horizonMs {
 		return nil, &FormError{"when.minutes", fmt.Sprintf("%d, 1 to %.0f are wanted", r.Minutes, horizonMs/60e3)}
 	}
-	lasts := time.Duration(r.Minutes) * time.Minute
+	duration := time.Duration(r.Minutes) * time.Minute
 	begins := []time.Time{begin}
 	if r.Every != "" {
 		o, err := rrule.StrToROption(r.Every)
@@ -108,17 +111,17 @@
 		if o.Freq > rrule.HOURLY || !o.Dtstart.IsZero() {
 			return nil, &FormError{"when.every", "it recurs hourly at most, and has no DTSTART of its own"}
 		}
-		o.Dtstart = begin // local times as if they were UTC: what the clocks do to them is decided here, not there
+		o.Dtstart = begin // local times are expanded as if they were UTC; resolveLocal handles clock changes
 		rule, err := rrule.NewRRule(*o)
 		if err != nil {
 			return nil, &FormError{"when.every", err.Error()}
 		}
-		day := 24 * time.Hour // local times are up to so far from UTC's
-		begins = rule.Between(time.UnixMilli(int64(fromMs)).UTC().Add(-lasts-day), time.UnixMilli(int64(throughMs)).UTC().Add(day), true)
+		day := 24 * time.Hour // upper bound of the difference between local time and UTC
+		begins = rule.Between(time.UnixMilli(int64(fromMs)).UTC().Add(-duration-day), time.UnixMilli(int64(throughMs)).UTC().Add(day), true)
 	}
 	for _, b := range begins {
-		span := Span{resolveLocal(b, in, false), resolveLocal(b.Add(lasts), in, true)}
-		if n := len(spans); span.FromMs >= span.ToMs { // all of it in an hour that is skipped
+		span := Span{resolveLocal(b, in, false), resolveLocal(b.Add(duration), in, true)}
+		if n := len(spans); span.FromMs >= span.ToMs { // entirely within a skipped hour
 			continue
 		} else if n > 0 && span.FromMs <= spans[n-1].ToMs {
 			spans[n-1].ToMs = max(spans[n-1].ToMs, span.ToMs)
@@ -132,14 +135,14 @@
 	return spans, nil
 }
 
-// Ahead works out a freeze's spans as far as the calendar looks.
+// ExpandSpans expands a freeze's recurrence from nowMs up to the horizon.
 func (f *Freeze) Ahead(in *time.Location, nowMs float64) (err error) {
 	f.ThroughMs = nowMs + horizonMs
 	f.Spans, err = f.When.Spans(in, nowMs, f.ThroughMs)
 	return err
 }
 
-// spanAt finds the span that an instant is in.
+// spanAt returns the span that contains an instant. A recurring freeze is taken to last from the end of its expansion on.
 func (f *Freeze) spanAt(ms float64) (Span, bool) {
 	if f.When.Every != "" && ms >= f.ThroughMs {
 		return Span{f.ThroughMs, math.Inf(1)}, true
@@ -151,29 +154,33 @@
 	return Span{}, false
 }
 
+// endMs returns the end of the span that contains an instant, at most the horizon after it.
 func (f *Freeze) endMs(ms float64) float64 {
 	s, _ := f.spanAt(ms)
-	return min(s.ToMs, ms+horizonMs) // one that is known no further ahead has no end that could be written down
+	return min(s.ToMs, ms+horizonMs) // past the expansion the end is infinite, which JSON cannot encode
 }
 
+// freezeApplies reports whether a freeze applies to the kind and the subject of a change.
 func (s *State) freezeApplies(f *Freeze, c *Change) bool {
 	return (len(f.Kinds) == 0 || slices.Contains(f.Kinds, c.Kind)) && s.subjectsOverlap(&f.Subject, &c.Subject)
 }
 
-// activeFreeze finds a freeze that an entry must heed at an instant; of several, one that sends back, then the first.
+// activeFreeze returns the freeze that applies to an entry at an instant, nil if none does. Of several it prefers one that rolls entries
+// back, then the lowest ID. No freeze applies to an emergency.
 func (s *State) activeFreeze(e *Entry, ms float64) (found *Freeze) {
 	if e.Emergency != nil {
 		return nil
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.Freezes)) {
 		f := s.Freezes[id]
-		if _, is := f.spanAt(ms); is && s.freezeApplies(f, &e.Change) && (found == nil || f.Sends == SendsBack && found.Sends != SendsBack) {
+		if _, active := f.spanAt(ms); active && s.freezeApplies(f, &e.Change) && (found == nil || f.Sends == SendsBack && found.Sends != SendsBack) {
 			found = f
 		}
 	}
 	return found
 }
 
+// freezeAtRevision returns the freeze with the given ID, which must be at revision rev.
 func (s *State) freezeAtRevision(id, rev uint64) (*Freeze, error) {
 	f := s.Freezes[id]
 	if f == nil {
@@ -185,6 +192,7 @@
 	return f, nil
 }
 
+// setFreeze adds a freeze or replaces an existing one.
 func (s *State) setFreeze(c SetFreeze) (uint64, error) {
 	f := c.Freeze
 	form := func(key, says string) error { return &FormError{key, says} }
@@ -224,7 +232,7 @@
 	return f.ID, nil
 }
 
-// checkSpans tells what is wrong with spans that must be sorted and checkSpans.
+// checkSpans validates that spans are sorted, do not overlap and are not too many.
 func checkSpans(spans []Span) error {
 	for i, p := range spans {
 		if !(p.FromMs < p.ToMs) || i > 0 && p.FromMs < spans[i-1].ToMs {
@@ -237,6 +245,7 @@
 	return nil
 }
 
+// extend replaces the expanded spans of a freeze.
 func (s *State) extend(c Extend) (uint64, error) {
 	f, err := s.freezeAtRevision(c.ID, c.Revision)
 	if err != nil {
@@ -252,7 +261,7 @@
 	return f.ID, nil
 }
 
-// Short lists the recurring freezes that are to be worked out further ahead.
+// FreezesToExtend lists the recurring freezes whose expansion ends within half the horizon, by ID.
 func (s *State) Short() (ids []uint64) {
 	for _, id := range slices.Sorted(maps.Keys(s.Freezes)) {
 		if f := s.Freezes[id]; f.When.Every != "" && f.ThroughMs-s.WallMs < horizonMs/2 {
--- a/calendar/migration.go
+++ b/calendar/migration.go
@@ -5,23 +5,26 @@
 	"slices"
 )
 
-// Migration is steps in their order, each an entry of its own that waits for the one before. A step that is halted,
-// missed or taken out halts it; what is done stays done, and goes back from there, the newest first.
+// Migration is a sequence of steps, each an entry of its own that waits for the one before. A step that is halted, missed, withdrawn or
+// rolling back halts the migration. The steps done so far stay done until the migration is reverted, which rolls them back, the newest
+// first.
 type Migration struct {
 	ID       uint64   `json:"id"`
 	Revision uint64   `json:"revision"`
 	Name     string   `json:"name"`
 	Who      string   `json:"who"`
-	Stage    Stage    `json:"stage"` // running, halted, going back, done or withdrawn
-	Says     string   `json:"says,omitempty"`
-	Steps    []uint64 `json:"steps"` // entries
+	Stage    Stage    `json:"stage"`          // Running, Halted, RollingBack, Done or Withdrawn
+	Says     string   `json:"says,omitempty"` // why it is in its stage
+	Steps    []uint64 `json:"steps"`          // IDs of the entries, in their order
 }
 
+// active reports whether the migration is neither done nor withdrawn. A nil migration is not active.
 func (m *Migration) active() bool { return m != nil && m.Stage != Done && m.Stage != Withdrawn }
 
+// migrationActive reports whether there is an active migration with the given ID.
 func (s *State) migrationActive(id uint64) bool { return s.Migrations[id].active() }
 
-// lastDeadlineMs is when its last step is over, as planned.
+// lastDeadlineMs is the latest deadline of its steps, and at least 1 ms after the agreed time.
 func (m *Migration) lastDeadlineMs(s *State) (ms float64) {
 	for _, id := range m.Steps {
 		if e := s.Entries[id]; e != nil {
@@ -31,6 +34,7 @@
 	return max(ms, s.WallMs+1)
 }
 
+// migrate adds a migration and the entries of its steps.
 func (s *State) migrate(c Migrate) (uint64, error) {
 	if c.Name == "" || len(c.Name) > maxNameBytes {
 		return 0, &FormError{"name", fmt.Sprintf("1 to %d bytes are wanted", maxNameBytes)}
@@ -46,26 +50,27 @@
 	return m.ID, nil
 }
 
+// checkSteps validates the steps of a migration, as entered.
 func (s *State) checkSteps(steps []Change, who string) error {
 	if len(steps) == 0 || len(steps) > maxMigrationSteps {
 		return &FormError{"steps", fmt.Sprintf("1 to %d are wanted", maxMigrationSteps)}
 	}
 	for i := range steps {
 		c := &steps[i]
-		under := fmt.Sprintf("steps[%d].", i)
+		prefix := fmt.Sprintf("steps[%d].", i)
 		if err := s.checkChange(c, who, 0); err != nil {
 			if form, is := err.(*FormError); is {
-				return &FormError{under + form.Key, form.Says}
+				return &FormError{prefix + form.Key, form.Says}
 			}
 			return err
 		}
 		switch {
 		case len(c.Rollback) == 0:
-			return &FormError{under + "rollback", "each step of a migration has a way back"}
+			return &FormError{prefix + "rollback", "each step of a migration has a way back"}
 		case len(c.After) > 0:
-			return &FormError{under + "after", "a step waits for the one before it"}
+			return &FormError{prefix + "after", "a step waits for the one before it"}
 		case i > 0 && c.deadlineMs() < steps[i-1].Window.FromMs+steps[i-1].Needs()+c.Needs():
-			return &FormError{under + "window", "it would be over before the step before it is done"}
+			return &FormError{prefix + "window", "it would be over before the step before it is done"}
 		}
 	}
 	if last := steps[len(steps)-1]; last.Window.ToMs <= s.WallMs {
@@ -74,7 +79,7 @@
 	return nil
 }
 
-// appendSteps enters steps behind those that a migration has.
+// appendSteps adds entries for steps after those that a migration already has.
 func (s *State) appendSteps(m *Migration, steps []Change, who string) {
 	for _, c := range steps {
 		s.evictOldest()
@@ -90,7 +95,7 @@
 	}
 }
 
-// replace takes a file in whose first steps are those that have begun, and puts its others in the place of what has not.
+// replace replaces the steps that have not started. The new list must begin with the steps that have started, unchanged.
 func (s *State) replace(c Replace) (uint64, error) {
 	m := s.Migrations[c.ID]
 	switch {
@@ -101,37 +106,38 @@
 	case m.Stage != Running && m.Stage != Halted:
 		return 0, &StageError{m.ID, m.Stage, "replaced"}
 	}
-	begun := 0
-	for begun < len(m.Steps) && s.Entries[m.Steps[begun]].Starts > 0 && s.Entries[m.Steps[begun]].Stage != Withdrawn { // taken back by a freeze
-		begun++
+	numStarted := 0
+	for numStarted < len(m.Steps) && s.Entries[m.Steps[numStarted]].Starts > 0 && s.Entries[m.Steps[numStarted]].Stage != Withdrawn { // a step that a freeze rolled back counts as not started
+		numStarted++
 	}
 	if len(c.Steps) == 0 {
 		return 0, &FormError{"steps", "none"}
 	}
-	for i, id := range m.Steps[:begun] {
-		was := s.Entries[id].Change
-		was.After = nil
-		if i >= len(c.Steps) || c.Steps[i].Digest() != was.Digest() {
+	for i, id := range m.Steps[:numStarted] {
+		started := s.Entries[id].Change
+		started.After = nil // set by appendSteps, not by the author
+		if i >= len(c.Steps) || c.Steps[i].Digest() != started.Digest() {
 			return 0, &BegunError{m.ID, i}
 		}
 	}
-	if len(c.Steps) > begun {
+	if len(c.Steps) > numStarted {
 		if err := s.checkSteps(c.Steps, c.Who); err != nil {
 			return 0, err
 		}
 	}
-	for _, id := range m.Steps[begun:] {
+	for _, id := range m.Steps[numStarted:] {
 		if e := s.Entries[id]; e.Stage.notStarted() {
 			s.setStage(e, Withdrawn, c.Who, "its migration has other steps")
 		}
 	}
-	m.Steps, m.Revision = m.Steps[:begun:begun], m.Revision+1
+	m.Steps, m.Revision = m.Steps[:numStarted:numStarted], m.Revision+1
 	s.recordEvent(m.ID, "migration replaced: "+m.Name, c.Who, "")
-	s.appendSteps(m, c.Steps[begun:], c.Who)
+	s.appendSteps(m, c.Steps[numStarted:], c.Who)
 	return m.ID, nil
 }
 
-// revert takes a migration back. What has not begun is withdrawn; what has goes back one after the other.
+// revert starts to roll a migration back: steps that have not started are withdrawn, and advanceMigration rolls back the others, one
+// after the other.
 func (s *State) revert(c Revert) error {
 	m := s.Migrations[c.ID]
 	switch {
@@ -151,33 +157,35 @@
 	return nil
 }
 
+// setMigrationStage changes the stage of a migration and records the event.
 func (s *State) setMigrationStage(m *Migration, to Stage, who, why string) {
 	s.recordEvent(m.ID, fmt.Sprintf("migration %s -> %s", m.Stage, to), who, why)
 	m.Stage, m.Says = to, why
 }
 
-// advanceMigration has a migration go where its steps take it.
+// advanceMigration makes the transition of a migration that follows from the stages of its steps, and starts the rollback of the next
+// step of one that is rolling back.
 func (s *State) advanceMigration(m *Migration) {
 	switch m.Stage {
 	case Running, Halted:
-		done, says := 0, ""
+		done, reason := 0, ""
 		for i, id := range m.Steps {
 			switch e := s.Entries[id]; e.Stage {
 			case Done:
 				done++
 			case Halted, Missed, Withdrawn, RollingBack:
-				says = fmt.Sprintf("step %d, entry %d, is %s: %s", i+1, id, e.Stage, e.Says)
+				reason = fmt.Sprintf("step %d, entry %d, is %s: %s", i+1, id, e.Stage, e.Says)
 			}
-			if says != "" {
+			if reason != "" {
 				break
 			}
 		}
 		switch {
 		case done == len(m.Steps):
 			s.setMigrationStage(m, Done, "", "")
-		case says != "" && (m.Stage == Running || m.Says != says):
-			s.setMigrationStage(m, Halted, "", says)
-		case says == "" && m.Stage == Halted:
+		case reason != "" && (m.Stage == Running || m.Says != reason):
+			s.setMigrationStage(m, Halted, "", reason)
+		case reason == "" && m.Stage == Halted:
 			s.setMigrationStage(m, Running, "", "")
 		}
 	case RollingBack:
@@ -185,7 +193,7 @@
 			e := s.Entries[id]
 			switch {
 			case e.Stage == RollingBack || e.Stage == Halted && e.WasRollingBack:
-				return // one after the other
+				return // the next step waits until this one is rolled back
 			case e.Stage == Running || e.Stage == Halted || e.Stage == Done:
 				s.setStage(e, RollingBack, "", "its migration goes back")
 				return
--- a/calendar/subject.go
+++ b/calendar/subject.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// Scope of a subject.
+// Scope is the kind of things that a subject covers.
 type Scope string
 
-// Scopes.
+// Scopes of subjects.
 const (
 	Fleet    Scope = "fleet"
 	Zone     Scope = "zone"
@@ -18,12 +18,13 @@
 	Plans    Scope = "plans"
 )
 
-// Subject is what a change, a freeze or a rule is about. Without names it is all of its scope.
+// Subject is the part of the fleet that a change, a freeze or a rule applies to. Without names it covers everything in its scope.
 type Subject struct {
 	Scope Scope    `json:"scope"`
 	Names []string `json:"names,omitempty"`
 }
 
+// check validates the subject, which is at the given key of a command.
 func (b *Subject) check(key string) error {
 	switch {
 	case !slices.Contains([]Scope{Fleet, Zone, Doors, Backends, Plans}, b.Scope):
@@ -36,6 +37,7 @@
 	return nil
 }
 
+// String returns the scope and the names, as in "doors d0, d1".
 func (b *Subject) String() string {
 	if len(b.Names) == 0 {
 		return string(b.Scope)
@@ -43,7 +45,7 @@
 	return string(b.Scope) + " " + strings.Join(b.Names, ", ")
 }
 
-// subjectsOverlap tells whether two subjects have something in common. What isn't known to be apart is held to subjectsOverlap.
+// subjectsOverlap reports whether two subjects have a unit in common. A unit whose zone is unknown is taken to be in every zone.
 func (s *State) subjectsOverlap(a, b *Subject) bool {
 	if a.Scope == Fleet || b.Scope == Fleet {
 		return true
@@ -54,7 +56,7 @@
 	if b.Scope == Zone {
 		a, b = b, a
 	}
-	if a.Scope != Zone || b.Scope == Plans { // plans stand in no zone; doors and backends are apart
+	if a.Scope != Zone || b.Scope == Plans { // plans belong to no zone; doors and backends never overlap
 		return false
 	}
 	if len(a.Names) == 0 || len(b.Names) == 0 {
