--- a/calendar/errors.go
+++ b/calendar/errors.go
@@ -8,108 +8,112 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
+// formatTime formats ms since 1970 as UTC, to the minute.
 func formatTime(ms float64) string {
 	return time.UnixMilli(int64(ms)).UTC().Format("2006-01-02 15:04 UTC")
 }
 
-// FormError is a command with a key that can't be.
+// FormError is a command with an invalid or missing value. Says is the reason.
 type FormError struct{ Key, Says string }
 
 func (e *FormError) Error() string     { return fmt.Sprintf("key %q: %s", e.Key, e.Says) }
 func (e *FormError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names the key.
+// Remedy names the key to correct.
 func (e *FormError) Remedy() string {
-	return fmt.Sprintf("Set %q to what is wanted, and plan again.", e.Key)
+	return fmt.Sprintf("Correct %q and give the command again.", e.Key)
 }
 
-// UnknownError is an entry or a freeze that isn't there.
+// UnknownError is an entry, a freeze or a migration that does not exist. What names which of them.
 type UnknownError struct {
 	What string
 	ID   uint64
 }
 
-func (e *UnknownError) Error() string     { return fmt.Sprintf("there is no %s %d", e.What, e.ID) }
+func (e *UnknownError) Error() string     { return fmt.Sprintf("%s %d does not exist", e.What, e.ID) }
 func (e *UnknownError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says where numbers stand.
+// Remedy says where the valid IDs are listed.
 func (e *UnknownError) Remedy() string {
-	return "Name one that the calendar lists; what is long over is forgotten."
+	return "Use an ID that the calendar lists. Entries that finished long ago are deleted."
 }
 
-// ChangedError is a command about something that somebody else has changed since.
+// ChangedError is a command for an outdated revision or digest: somebody else has made a change since.
 type ChangedError struct {
-	What         string
+	What         string // "entry", "freeze" or "migration"
 	ID           uint64
-	Revision, Is uint64
-	Last         string // what was done last
+	Revision, Is uint64 // the revision in the command, 0 if it has a digest instead; and the current one
+	Last         string // the last event that records who caused it
 }
 
 func (e *ChangedError) Error() string {
-	return fmt.Sprintf("%s %d has changed: %s (revision %d now)", e.What, e.ID, e.Last, e.Is)
+	return fmt.Sprintf("%s %d has changed: %s (it is now at revision %d)", e.What, e.ID, e.Last, e.Is)
 }
 func (e *ChangedError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says to look first.
+// Remedy says to review the change first.
 func (e *ChangedError) Remedy() string {
-	return "Look at it as it is now, and give the command again if it still holds."
+	return "Look at its current state, and give the command again if it still applies."
 }
 
-// StageError is a command that an entry's stage doesn't allow.
+// StageError is a command that the stage of an entry or a migration does not allow.
 type StageError struct {
 	ID    uint64
 	Stage Stage
-	To    string
+	To    string // what the command would have made it
 }
 
 func (e *StageError) Error() string {
-	return fmt.Sprintf("entry %d is %s, it can't be %s", e.ID, e.Stage, e.To)
+	return fmt.Sprintf("entry %d is %s and cannot be %s", e.ID, e.Stage, e.To)
 }
 func (e *StageError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says what the stage allows.
+// Remedy says which commands the stage allows.
 func (e *StageError) Remedy() string {
 	switch {
 	case e.Stage == Drafted:
-		return "Its author has it asked about with an edit that is no draft."
+		return "Have its author edit it, not as a draft; that requests approval."
 	case e.Stage.notStarted():
-		return "Edit or withdraw it, or wait until it begins."
+		return "Edit or withdraw it, or wait until it starts."
 	case e.Stage.inProgress():
-		return "Halt it, resume it, or send it back."
+		return "Halt it, resume it, or roll it back."
 	}
-	return "It is over: plan another."
+	return "It is finished. Plan another one."
 }
 
-// OwnError is an approval of somebody's own words.
+// SelfApprovalError is an approval by the author of the change.
 type OwnError struct {
 	ID  uint64
 	Who string
 }
 
-func (e *OwnError) Error() string     { return fmt.Sprintf("entry %d is %s's own", e.ID, e.Who) }
+func (e *OwnError) Error() string {
+	return fmt.Sprintf("entry %d was authored by %s, who cannot approve it", e.ID, e.Who)
+}
 func (e *OwnError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says who can.
+// Remedy says who can approve it.
 func (e *OwnError) Remedy() string { return "Have somebody else approve it." }
 
-// ApprovalError is an entry that lacks approvals.
+// ApprovalError is an entry without all the approvals that a rule requires.
 type ApprovalError struct {
 	ID          uint64
 	Author      string
-	Count, Have int
-	Roles       []string
+	Count, Have int      // required; and given so far
+	Roles       []string // roles whose approvals count; empty for any
 }
 
 func (e *ApprovalError) Error() string {
-	return fmt.Sprintf("entry %d has %d of %d approvals%s", e.ID, e.Have, e.Count, roleSuffix(e.Roles))
+	return fmt.Sprintf("entry %d has %d of %d required approvals%s", e.ID, e.Have, e.Count, roleSuffix(e.Roles))
 }
 func (e *ApprovalError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says who can give them.
+// Remedy says whose approvals are missing.
 func (e *ApprovalError) Remedy() string {
-	return fmt.Sprintf("Have it approved by %d more%s, not %s.", e.Count-e.Have, roleSuffix(e.Roles), e.Author)
+	return fmt.Sprintf("Have %d more people%s approve it, other than %s.", e.Count-e.Have, roleSuffix(e.Roles), e.Author)
 }
 
+// roleSuffix lists roles for a message; it is empty for none.
 func roleSuffix(roles []string) string {
 	if len(roles) == 0 {
 		return ""
@@ -117,64 +121,68 @@
 	return " of role " + strings.Join(roles, " or ")
 }
 
-// ClockError is a time on which coordinators don't agree.
-type ClockError struct{ Says string }
+// ClockError is the lack of an agreed time among the coordinators.
+type ClockError struct {
+	Says string `json:"Says"` // State.ClockProblem
+}
 
-func (e *ClockError) Error() string     { return "the time is in doubt: " + e.Says }
+func (e *ClockError) Error() string     { return "there is no agreed time: " + e.Says }
 func (e *ClockError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says what to look at.
+// Remedy says how to restore the agreed time.
 func (e *ClockError) Remedy() string {
-	return "Set the clocks of the coordinators right; nothing begins or is missed until most agree."
+	return "Synchronize the clocks of the coordinators. Until a majority agrees, no entry starts or is missed."
 }
 
-// EarlyError is an entry whose window has not begun.
+// BeforeWindowError is an entry whose window has not begun.
 type EarlyError struct {
 	ID     uint64
 	FromMs float64
 }
 
 func (e *EarlyError) Error() string {
-	return fmt.Sprintf("entry %d begins from %s on", e.ID, formatTime(e.FromMs))
+	return fmt.Sprintf("the window of entry %d begins at %s", e.ID, formatTime(e.FromMs))
 }
 func (e *EarlyError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says that it waits by itself.
-func (e *EarlyError) Remedy() string { return "Wait, or have its author edit the window." }
+// Remedy says that the entry starts without further commands.
+func (e *EarlyError) Remedy() string {
+	return "Wait until it starts by itself, or have its author edit the window."
+}
 
-// ShortError is a window with too little left for an entry's waves.
+// WindowTooShortError is a window with too little time left for an entry's waves and soak.
 type ShortError struct {
 	ID           uint64
-	LeftMs, Want float64
+	LeftMs, Want float64 // ms until its deadline; and ms that it takes
 }
 
 func (e *ShortError) Error() string {
-	return fmt.Sprintf("entry %d has %s left, its waves take %s", e.ID, formatDuration(max(0, e.LeftMs)), formatDuration(e.Want))
+	return fmt.Sprintf("entry %d has %s left until its deadline and takes %s", e.ID, formatDuration(max(0, e.LeftMs)), formatDuration(e.Want))
 }
 func (e *ShortError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says who can lengthen it.
+// Remedy says who can change the window.
 func (e *ShortError) Remedy() string {
-	return "Have its author edit the window, or plan it anew; next lists free time."
+	return "Have its author edit the window or plan it again; the command next lists free time."
 }
 
-// AfterError is an entry that waits for another.
+// DependencyError is an entry that must start after another one, which is not done.
 type AfterError struct {
-	ID, For uint64
-	Stage   Stage
+	ID, For uint64 // the entry; and the one it waits for
+	Stage   Stage  // of the one it waits for
 }
 
 func (e *AfterError) Error() string {
-	return fmt.Sprintf("entry %d waits for %d, which is %s", e.ID, e.For, e.Stage)
+	return fmt.Sprintf("entry %d waits for entry %d, which is %s", e.ID, e.For, e.Stage)
 }
 func (e *AfterError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names the other.
+// Remedy names the entry it waits for.
 func (e *AfterError) Remedy() string {
-	return fmt.Sprintf("Have %d done, or edit this one so that it waits for no other.", e.For)
+	return fmt.Sprintf("Complete entry %d, or edit this entry so that it does not wait for it.", e.For)
 }
 
-// FrozenError is a freeze that an entry must heed.
+// FrozenError is an active freeze that applies to an entry or a change.
 type FrozenError struct {
 	ID      uint64
 	Name    string
@@ -187,106 +195,106 @@
 }
 func (e *FrozenError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names who laid it.
+// Remedy names who set the freeze.
 func (e *FrozenError) Remedy() string {
-	return fmt.Sprintf("Wait, ask %s to thaw it, or make it an emergency with a reason and a second name.", e.Who)
+	return fmt.Sprintf("Wait, ask %s to thaw it, or declare the change an emergency, with a reason and a second name.", e.Who)
 }
 
-// BusyError is somebody else on the same subject.
+// BusyError is another entry that holds part of the subject.
 type BusyError struct {
-	ID, Other uint64
-	Stage     Stage
-	Who       string
+	ID, Other uint64 // the blocked entry, 0 for a change outside the calendar; and the entry that holds the subject
+	Stage     Stage  // of the entry that holds the subject
+	Who       string // its author
 }
 
 func (e *BusyError) Error() string {
 	if e.ID == 0 {
-		return fmt.Sprintf("entry %d is %s on what this would change", e.Other, e.Stage)
+		return fmt.Sprintf("entry %d, which is %s, holds part of the subject of this change", e.Other, e.Stage)
 	}
-	return fmt.Sprintf("entry %d is %s on what entry %d would change", e.Other, e.Stage, e.ID)
+	return fmt.Sprintf("entry %d, which is %s, holds part of the subject of entry %d", e.Other, e.Stage, e.ID)
 }
 func (e *BusyError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names whose it is.
+// Remedy names the entry and its author.
 func (e *BusyError) Remedy() string {
-	return fmt.Sprintf("Wait for %d, or ask %s to take it back.", e.Other, e.Who)
+	return fmt.Sprintf("Wait until entry %d releases its subject, or ask %s to roll it back.", e.Other, e.Who)
 }
 
-// FullError is a budget that is used up.
+// BudgetError is a budget that other entries use up.
 type FullError struct {
 	Budget Budget
-	Under  int
+	Under  int // entries in progress
 }
 
 func (e *FullError) Error() string {
-	return fmt.Sprintf("%d of kind %s are under way, %d may be", e.Under, e.Budget.Kind, e.Budget.Most)
+	return fmt.Sprintf("%d entries of kind %s are in progress, the budget allows %d", e.Under, e.Budget.Kind, e.Budget.Most)
 }
 func (e *FullError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says to wait.
+// Remedy says to wait or to raise the budget.
 func (e *FullError) Remedy() string {
-	return "Wait until one of them is over, or raise the calendar's budget."
+	return "Wait until one of them is finished, or raise the calendar's budget."
 }
 
-// NoRollbackError is an entry that was planned without a way back.
+// NoRollbackError is a rollback of an entry that was planned without one.
 type NoRollbackError struct{ ID uint64 }
 
-func (e *NoRollbackError) Error() string     { return fmt.Sprintf("entry %d has no way back", e.ID) }
+func (e *NoRollbackError) Error() string     { return fmt.Sprintf("entry %d has no rollback", e.ID) }
 func (e *NoRollbackError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says what is left.
-func (e *NoRollbackError) Remedy() string { return "Halt it, and plan what undoes it." }
+// Remedy says how to undo the change without a rollback.
+func (e *NoRollbackError) Remedy() string { return "Halt it, and plan a change that undoes it." }
 
-// PreconditionError is an entry that wants something seen first.
+// PreconditionError is an entry with a precondition that was not observed to pass recently.
 type PreconditionError struct {
 	ID          uint64
-	What        string
-	Observation Observation
+	What        string      // name of the precondition
+	Observation Observation // the last one; zero for none
 }
 
 func (e *PreconditionError) Error() string {
 	if e.Observation.AtMs == 0 {
-		return fmt.Sprintf("entry %d wants %q seen, and nobody has looked", e.ID, e.What)
+		return fmt.Sprintf("entry %d requires %q, which has not been observed", e.ID, e.What)
 	}
-	return fmt.Sprintf("entry %d wants %q seen; at %s it was well: %t %s", e.ID, e.What, formatTime(e.Observation.AtMs), e.Observation.Well, e.Observation.Says)
+	return fmt.Sprintf("entry %d requires %q; last observed at %s, passed: %t %s", e.ID, e.What, formatTime(e.Observation.AtMs), e.Observation.Well, e.Observation.Says)
 }
 func (e *PreconditionError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names what to look at.
+// Remedy names the precondition to check.
 func (e *PreconditionError) Remedy() string {
-	return fmt.Sprintf("Look at %q, and tell; what was seen counts for five minutes.", e.What)
+	return fmt.Sprintf("Check %q and report the result; it is valid for five minutes.", e.What)
 }
 
-// BegunError is a replacement of migration steps that have begun.
+// StepStartedError is a replacement of migration steps that would change one that has started.
 type BegunError struct {
 	ID   uint64
-	Step int
+	Step int // index of the step, from 0 on
 }
 
 func (e *BegunError) Error() string {
-	return fmt.Sprintf("step %d of migration %d has begun, and the new one is another", e.Step+1, e.ID)
+	return fmt.Sprintf("step %d of migration %d has started and cannot be changed or left out", e.Step+1, e.ID)
 }
 func (e *BegunError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says what can be replaced.
+// Remedy says which steps can be replaced.
 func (e *BegunError) Remedy() string {
-	return fmt.Sprintf("Leave the first steps as they are in the calendar, or revert migration %d and plan anew.", e.ID)
+	return fmt.Sprintf("Keep the steps that have started as the calendar lists them, or revert migration %d and plan a new one.", e.ID)
 }
 
-// UnplannedError is a change that an operator gives at once, though a rule asks for approvals of such.
+// ApprovalRequiredError is a change outside the calendar, for which a rule requires approvals.
 type UnplannedError struct {
 	Of      Kind
 	Subject string
-	Count   int
-	Roles   []string
+	Count   int      // approvals required
+	Roles   []string // roles whose approvals count; empty for any
 }
 
 func (e *UnplannedError) Error() string {
-	return fmt.Sprintf("a %s of %s asks for %d approvals%s", e.Of, e.Subject, e.Count, roleSuffix(e.Roles))
+	return fmt.Sprintf("a %s of %s requires %d approvals%s", e.Of, e.Subject, e.Count, roleSuffix(e.Roles))
 }
 func (e *UnplannedError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says where they are given.
+// Remedy says how to get the approvals.
 func (e *UnplannedError) Remedy() string {
-	return "Plan it in the calendar with swifthall plan, and have it approved; it begins by itself then."
+	return "Plan it in the calendar with swifthall plan, and have it approved; it then starts by itself."
 }
--- a/calendar/find.go
+++ b/calendar/find.go
@@ -109,12 +109,12 @@
 // change's own entry, 0 for none.
 func (s *State) Conflicts(c *Change, id uint64, most int) (conflicts []Conflict, free []Span) {
 	if c.Needs() > c.Window.ToMs-c.Window.FromMs {
-		conflicts = append(conflicts, Conflict{0, fmt.Sprintf("the window is %s, its waves take %s", formatDuration(c.Window.ToMs-c.Window.FromMs), formatDuration(c.Needs()))})
+		conflicts = append(conflicts, Conflict{0, fmt.Sprintf("the window is %s, the change takes %s", formatDuration(c.Window.ToMs-c.Window.FromMs), formatDuration(c.Needs()))})
 	}
 	for _, other := range slices.Sorted(maps.Keys(s.Entries)) {
 		o := s.Entries[other]
 		if span, has := s.occupancy(o); has && other != id && s.subjectsOverlap(&o.Subject, &c.Subject) && span.overlaps(c.Window) {
-			conflicts = append(conflicts, Conflict{other, fmt.Sprintf("%s %q has %s then", o.Kind, o.Name, o.Subject.String())})
+			conflicts = append(conflicts, Conflict{other, fmt.Sprintf("%s %q holds %s at that time", o.Kind, o.Name, o.Subject.String())})
 		}
 	}
 	for _, fid := range slices.Sorted(maps.Keys(s.Freezes)) {
@@ -123,12 +123,12 @@
 			continue
 		}
 		if spans := s.freezeSpansIn(f, c.Window); len(spans) > 0 && len(gaps(spans, c.Window, c.Needs())) == 0 {
-			conflicts = append(conflicts, Conflict{fid, fmt.Sprintf("freeze %q leaves no %s of it", f.Name, formatDuration(c.Needs()))})
+			conflicts = append(conflicts, Conflict{fid, fmt.Sprintf("freeze %q leaves no %s of the window free", f.Name, formatDuration(c.Needs()))})
 		}
 	}
 	for _, b := range s.Budgets {
 		if b.Kind == c.Kind && slices.ContainsFunc(s.exhaustedSpans(b, id), c.Window.overlaps) {
-			conflicts = append(conflicts, Conflict{0, fmt.Sprintf("%d of kind %s have part of it already, %d may be under way", b.Most, b.Kind, b.Most)})
+			conflicts = append(conflicts, Conflict{0, fmt.Sprintf("%d entries of kind %s are planned in part of the window, the budget allows %d", b.Most, b.Kind, b.Most)})
 		}
 	}
 	if len(conflicts) > 0 {
