--- a/calendar/calendar_test.go
+++ b/calendar/calendar_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	sec    = 1e3
+	sec    = 1e3 // these are in ms
 	minute = 60e3
 	hour   = 3600e3
 	day    = 24 * hour
-	noon   = 20000*day + 12*hour // the day on which most tests begin
+	noon   = 20000*day + 12*hour // time at which most tests begin, in ms since 1970
 )
 
-// testZones are the fleet of the tests: doors d0 to d3 and backends b0 to b3, two of each in z0 and in z1.
+// testZones is the fleet of the tests: doors d0 to d3 and backends b0 to b3. Those numbered 0 and 1 are in zone z0, 2 and 3 in z1.
 type testZones struct{}
 
 func (testZones) ZoneOf(_ Scope, name string) (string, bool) {
@@ -31,11 +31,11 @@
 	return fmt.Sprintf("z%d", (name[1]-'0')/2), true
 }
 
-// fixture is a calendar with a clock that the test moves, and three coordinators that tell theirs.
+// fixture is a calendar with three coordinators, whose clocks the test advances.
 type fixture struct {
 	*State
 	t     *testing.T
-	nowMs float64 // true time
+	nowMs float64 // true time, which also serves as the agreed clock
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -45,7 +45,7 @@
 	return d
 }
 
-// reportClocks has the three tell what they show, rightly.
+// reportClocks reports the correct time from all three coordinators.
 func (d *fixture) reportClocks() {
 	for i := range 3 {
 		_, err := d.Do(d.nowMs, Clock{fmt.Sprint("c", i), d.nowMs, 3})
@@ -53,41 +53,47 @@
 	}
 }
 
+// elapse advances the true time and reports it.
 func (d *fixture) elapse(ms float64) {
 	d.nowMs += ms
 	d.reportClocks()
 }
 
+// mustApply applies a command that must succeed.
 func (d *fixture) mustApply(c any) uint64 {
 	n, err := d.Do(d.nowMs, c)
 	require.NoError(d.t, err, "%#v", c)
 	return n
 }
 
-func (d *fixture) mustRefuse(c any, as any) {
+// mustRefuse applies a command that must fail with an error of the type of target, and checks that it changes no state.
+func (d *fixture) mustRefuse(c any, target any) {
 	before, err := json.Marshal(d.State)
 	require.NoError(d.t, err)
 	_, err = d.Do(d.nowMs, c)
-	require.ErrorAs(d.t, err, as, "%#v", c)
+	require.ErrorAs(d.t, err, target, "%#v", c)
 	after, _ := json.Marshal(d.State)
-	assert.JSONEq(d.t, string(before), string(after), "a command with an error has changed nothing")
+	assert.JSONEq(d.t, string(before), string(after), "a command that fails changes nothing")
 	typed := remedy.Typed(err)
 	require.Len(d.t, typed, 1)
 	assert.NotEmpty(d.t, typed[0].Remedy())
 	assert.Equal(d.t, remedy.Refused, typed[0].Kind())
 }
 
+// testChange returns a drain of d0 in two waves of ten minutes, with a window relative to noon.
 func testChange(from, to float64) Change {
 	return Change{Name: "a", Kind: Drain, Subject: Subject{Scope: Doors, Names: []string{"d0"}}, Window: Span{noon + from, noon + to},
 		Waves: 2, WaveMs: 10 * minute, Do: json.RawMessage(`{"drain":"d0"}`), Rollback: json.RawMessage(`{"undrain":"d0"}`)}
 }
 
+// plan adds an entry for a change by ana.
 func (d *fixture) plan(c Change) uint64 { return d.mustApply(Plan{Change: c, Who: "ana"}) }
 
 func (d *fixture) stage(id uint64) Stage { return d.Entries[id].Stage }
 
-func testFreeze(from, to float64, sends string) Freeze {
-	return Freeze{Name: "feast", Subject: Subject{Scope: Fleet}, Spans: []Span{{noon + from, noon + to}}, Sends: sends, Who: "bea", Why: "a feast"}
+// testFreeze returns a freeze of the whole fleet with a span relative to noon.
+func testFreeze(from, to float64, policy string) Freeze {
+	return Freeze{Name: "feast", Subject: Subject{Scope: Fleet}, Spans: []Span{{noon + from, noon + to}}, Sends: policy, Who: "bea", Why: "a feast"}
 }
 
 func TestChangeNeedsNoApprovalWhereNoRuleApplies(t *testing.T) {
@@ -104,10 +110,10 @@
 	var stage *StageError
 	d.mustRefuse(Start{id}, &stage)
 	assert.EqualValues(t, 2, d.mustApply(WaveDone{ID: id, Wave: 1}), "the next wave")
-	assert.EqualValues(t, 2, d.mustApply(WaveDone{ID: id, Wave: 1}), "told twice")
+	assert.EqualValues(t, 2, d.mustApply(WaveDone{ID: id, Wave: 1}), "duplicate report")
 	assert.EqualValues(t, 0, d.mustApply(WaveDone{ID: id, Wave: 2}))
 	assert.Equal(t, Done, d.stage(id))
-	assert.EqualValues(t, 0, d.mustApply(WaveDone{ID: id, Wave: 2}), "told twice")
+	assert.EqualValues(t, 0, d.mustApply(WaveDone{ID: id, Wave: 2}), "duplicate report")
 	assert.Equal(t, 1, d.Entries[id].Starts)
 	d.elapse(day)
 	assert.Equal(t, Done, d.stage(id))
@@ -116,38 +122,38 @@
 func TestApprovalsComeFromOthersAndAreBoundToTheDigest(t *testing.T) {
 	d := newFixture(t)
 	d.mustApply(SetRules{Who: "boss", Rules: []Rule{{Kinds: []Kind{Drain}, Subject: Subject{Scope: Zone, Names: []string{"z0"}}, Count: 2, Roles: []string{"sre", "lead"}, ForMs: day}}})
-	free := d.plan(Change{Name: "b", Kind: Drain, Subject: Subject{Scope: Doors, Names: []string{"d2"}}, Window: Span{noon, noon + hour}, Waves: 1, Do: json.RawMessage(`1`)})
-	assert.Equal(t, Due, d.stage(free), "no rule is about it")
+	exempt := d.plan(Change{Name: "b", Kind: Drain, Subject: Subject{Scope: Doors, Names: []string{"d2"}}, Window: Span{noon, noon + hour}, Waves: 1, Do: json.RawMessage(`1`)})
+	assert.Equal(t, Due, d.stage(exempt), "no rule applies to it")
 	c := testChange(hour, 2*hour)
 	id := d.plan(c)
 	assert.Equal(t, Waiting, d.stage(id))
 	digest := c.Digest()
-	var own *OwnError
-	d.mustRefuse(Approve{id, digest, "ana", "sre"}, &own)
+	var selfApproval *OwnError
+	d.mustRefuse(Approve{id, digest, "ana", "sre"}, &selfApproval)
 	d.mustApply(Approve{id, digest, "bea", "sre"})
 	d.mustApply(Approve{id, digest, "bea", "lead"})
-	assert.Equal(t, Waiting, d.stage(id), "the same person counts once")
+	assert.Equal(t, Waiting, d.stage(id), "a person counts once")
 	d.mustApply(Approve{id, digest, "cem", "intern"})
-	var lacks *ApprovalError
-	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &lacks)
-	assert.Equal(t, ApprovalError{id, "ana", 2, 1, []string{"sre", "lead"}}, *lacks)
+	var missing *ApprovalError
+	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &missing)
+	assert.Equal(t, ApprovalError{id, "ana", 2, 1, []string{"sre", "lead"}}, *missing)
 	d.mustApply(Approve{id, digest, "dan", "sre"})
 	assert.Equal(t, Approved, d.stage(id))
 
 	c.Do = json.RawMessage(`{"drain":"d0","hard":true}`)
 	var changed *ChangedError
 	d.mustRefuse(Edit{id, 7, c, "eve", false}, &changed)
-	d.mustApply(Edit{id, d.Entries[id].Revision, c, "eve", false}) // in the same millisecond as
+	d.mustApply(Edit{id, d.Entries[id].Revision, c, "eve", false}) // at the same agreed time
 	d.mustRefuse(Approve{id, digest, "fay", "sre"}, &changed)
 	assert.Contains(t, changed.Error(), "eve")
-	assert.Equal(t, Waiting, d.stage(id), "a changed change asks anew")
-	d.mustRefuse(Approve{id, c.Digest(), "eve", "sre"}, &own)
+	assert.Equal(t, Waiting, d.stage(id), "an edit requires new approvals")
+	d.mustRefuse(Approve{id, c.Digest(), "eve", "sre"}, &selfApproval)
 	d.mustApply(Approve{id, c.Digest(), "dan", "sre"})
 	elsewhere := c
 	elsewhere.Subject = Subject{Scope: Doors, Names: []string{"d1"}}
 	d.mustApply(Edit{id, d.Entries[id].Revision, elsewhere, "eve", false})
 	d.mustApply(Edit{id, d.Entries[id].Revision, c, "eve", false})
-	assert.Empty(t, d.Entries[id].Approvals, "there and back asks anew, too")
+	assert.Empty(t, d.Entries[id].Approvals, "two edits that cancel out require new approvals, too")
 	d.mustApply(Approve{id, c.Digest(), "ana", "sre"})
 	d.mustApply(Approve{id, c.Digest(), "bea", "sre"})
 	assert.Equal(t, Approved, d.stage(id))
@@ -171,7 +177,8 @@
 	assert.Contains(t, d.Entries[id].Says, "lapsed")
 }
 
-// A calendar's first use comes before its first agreed time, by a second or two: what is said then counts from then.
+// A calendar is first used a second or two before there is an agreed time. Approvals and observations of that time must be dated with the
+// first agreed time, or they would be dated 1970 and have expired.
 func TestTimesBeforeTheFirstAgreedTimeAreBackfilled(t *testing.T) {
 	s := New()
 	s.See(testZones{})
@@ -188,30 +195,30 @@
 		do(Clock{fmt.Sprint("c", i), noon, 3})
 	}
 	assert.Equal(t, Due, e.Stage, "the approval has not lapsed")
-	assert.NoError(t, s.InTheWay(e), "nor is what was seen old")
+	assert.NoError(t, s.InTheWay(e), "the observation has not expired")
 	for _, ev := range s.Events {
 		assert.Equal(t, float64(noon), ev.AtMs, ev.What)
 	}
 }
 
 func TestFreezeBlocksStartsAndHaltsOrRollsBackRunningEntries(t *testing.T) {
-	for sends, after := range map[string]Stage{FinishesWave: Running, SendsBack: RollingBack} {
+	for policy, after := range map[string]Stage{FinishesWave: Running, SendsBack: RollingBack} {
 		d := newFixture(t)
 		id := d.plan(testChange(0, 3*hour))
 		other := d.plan(Change{Name: "b", Kind: Drain, Subject: Subject{Scope: Doors, Names: []string{"d2"}}, Window: Span{noon, noon + 3*hour}, Waves: 1, Do: json.RawMessage(`1`)})
 		d.mustApply(Start{id})
-		d.mustApply(SetFreeze{0, 0, testFreeze(5*minute, hour, sends)})
+		d.mustApply(SetFreeze{0, 0, testFreeze(5*minute, hour, policy)})
 		d.elapse(5 * minute)
-		assert.Equal(t, after, d.stage(id), "it is never left amid a wave")
+		assert.Equal(t, after, d.stage(id), "it is never stopped within a wave")
 		var frozen *FrozenError
 		d.mustRefuse(Start{other}, &frozen)
 		assert.Equal(t, noon+hour, frozen.UntilMs)
-		if sends == FinishesWave {
+		if policy == FinishesWave {
 			assert.EqualValues(t, 0, d.mustApply(WaveDone{ID: id, Wave: 1}))
 			assert.Equal(t, Halted, d.stage(id))
 			d.mustRefuse(Resume{id, "ana"}, &frozen)
 			d.elapse(hour)
-			assert.Equal(t, Running, d.stage(id), "it goes on by itself")
+			assert.Equal(t, Running, d.stage(id), "it resumes by itself")
 			d.mustApply(WaveDone{ID: id, Wave: 2})
 			assert.Equal(t, Done, d.stage(id))
 			continue
@@ -231,12 +238,12 @@
 	d.elapse(10 * minute)
 	d.mustApply(WaveDone{ID: id, Wave: 1})
 	d.elapse(45 * minute)
-	assert.Equal(t, Halted, d.stage(id), "five minutes are left, its wave takes ten")
+	assert.Equal(t, Halted, d.stage(id), "five minutes are left, and its wave takes ten")
 	d.mustApply(RollBack{id, "ana", "too late"})
-	assert.Equal(t, RollingBack, d.stage(id), "a way back begins at any time")
+	assert.Equal(t, RollingBack, d.stage(id), "a rollback can start at any time")
 	d.mustApply(SetFreeze{0, 0, testFreeze(0, day, SendsBack)})
 	d.elapse(minute)
-	assert.Equal(t, RollingBack, d.stage(id), "and no freeze stops it")
+	assert.Equal(t, RollingBack, d.stage(id), "and no freeze applies to it")
 	d.mustApply(RolledBack{ID: id})
 }
 
@@ -251,8 +258,8 @@
 	assert.Equal(t, Running, d.stage(id))
 	d.mustApply(WaveDone{ID: id, Wave: 1})
 	assert.Equal(t, Halted, d.stage(id))
-	var no *NoRollbackError
-	d.mustRefuse(RollBack{id, "ana", "why"}, &no)
+	var noRollback *NoRollbackError
+	d.mustRefuse(RollBack{id, "ana", "why"}, &noRollback)
 }
 
 func TestRollBackFreezeTakesPrecedence(t *testing.T) {
@@ -271,7 +278,7 @@
 	d.mustApply(Start{id})
 	d.elapse(2 * hour)
 	c := testChange(2*hour, 3*hour)
-	assert.Equal(t, noon+2*hour+20*minute, d.Next(&c, 0, 1)[0].FromMs, "as long as its waves take, at least")
+	assert.Equal(t, noon+2*hour+20*minute, d.Next(&c, 0, 1)[0].FromMs, "at least as long as its remaining waves take")
 }
 
 func TestEmergencyNeedsTwoNamesAndBypassesFreezes(t *testing.T) {
@@ -306,7 +313,7 @@
 	var busy *BusyError
 	d.mustRefuse(Start{inIt}, &busy)
 	assert.Equal(t, zone, busy.Other)
-	d.mustRefuse(Start{gone}, &busy) // nobody knows where it stands
+	d.mustRefuse(Start{gone}, &busy) // its zone is unknown, so it may be in z0
 	d.mustApply(Start{apart})
 	var full *FullError
 	d.mustRefuse(Start{third}, &full)
@@ -323,7 +330,7 @@
 	again.After = []uint64{then}
 	var form *FormError
 	d.mustRefuse(Edit{inIt, 1, again, "ana", false}, &form)
-	assert.Equal(t, "after[0]", form.Key, "a ring")
+	assert.Equal(t, "after[0]", form.Key, "a dependency cycle")
 	var stage *StageError
 	d.mustRefuse(Withdraw{apart, 1, "ana", ""}, &stage)
 	d.mustApply(Withdraw{inIt, 1, "ana", "not needed"})
@@ -336,7 +343,7 @@
 		c.LateMs = late
 		id := d.plan(c)
 		d.nowMs += 3 * hour
-		d.Do(noon+1, LeaderChanged{}) // the agreed clock stood still meanwhile
+		d.Do(noon+1, LeaderChanged{}) // the agreed clock stood still without a leader
 		assert.Equal(t, Approved, d.stage(id))
 		assert.NotEmpty(t, d.Doubt)
 		for i := range 2 {
@@ -351,11 +358,11 @@
 	d := newFixture(t)
 	id := d.plan(testChange(10*minute, 2*hour))
 	d.Do(d.nowMs, LeaderChanged{})
-	d.Do(d.nowMs, Clock{"c0", d.nowMs + 10*minute, 3}) // it leads, and is ten minutes ahead
-	var doubt *ClockError
-	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &doubt)
+	d.Do(d.nowMs, Clock{"c0", d.nowMs + 10*minute, 3}) // the only reading, ten minutes ahead
+	var noTime *ClockError
+	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &noTime)
 	d.Do(d.nowMs, Clock{"c1", d.nowMs, 3})
-	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &doubt, "they differ")
+	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &noTime, "the two clocks differ")
 	d.Do(d.nowMs, Clock{"c2", d.nowMs + 1000, 3})
 	var early *EarlyError
 	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &early)
@@ -366,7 +373,7 @@
 	}
 	d.nowMs += sec
 	d.Do(d.nowMs, Clock{"c2", d.nowMs, 3})
-	assert.Equal(t, d.nowMs+3*sec, d.WallMs, "once two had agreed on that; from then on it goes by the earliest two")
+	assert.Equal(t, d.nowMs+3*sec, d.WallMs, "two clocks agreed on that before; from then on the two earliest count")
 	assert.Empty(t, d.Doubt)
 }
 
@@ -380,7 +387,7 @@
 	for i := range 3 {
 		d.Do(d.nowMs+1, Clock{fmt.Sprint("c", i), noon - day, 3})
 	}
-	assert.Equal(t, was+1, d.WallMs, "as it was when one of three had told another")
+	assert.Equal(t, was+1, d.WallMs, "unchanged since the first of the wrong clocks was reported")
 	assert.Contains(t, d.Doubt, "behind")
 	assert.Equal(t, Done, d.stage(id))
 	assert.Empty(t, d.Startable())
@@ -400,7 +407,7 @@
 
 func TestInvalidCommandsNameTheKey(t *testing.T) {
 	d := newFixture(t)
-	for key, spoil := range map[string]func(*Change){
+	for key, invalidate := range map[string]func(*Change){
 		"name":           func(c *Change) { c.Name = "" },
 		"kind":           func(c *Change) { c.Kind = "whim" },
 		"window":         func(c *Change) { c.Window.ToMs = c.Window.FromMs },
@@ -415,7 +422,7 @@
 		"window, before": func(c *Change) { c.Window = Span{noon - hour, noon} },
 	} {
 		c := testChange(0, hour)
-		spoil(&c)
+		invalidate(&c)
 		var form *FormError
 		d.mustRefuse(Plan{Change: c, Who: "ana"}, &form)
 		assert.Equal(t, strings.Split(key, ",")[0], form.Key)
@@ -455,12 +462,12 @@
 	d.mustApply(Acknowledge{2})
 	assert.EqualValues(t, 2, d.Acknowledged)
 	d.mustApply(Acknowledge{1})
-	assert.EqualValues(t, 2, d.Acknowledged, "it never goes back")
+	assert.EqualValues(t, 2, d.Acknowledged, "it never decreases")
 	d.mustApply(Acknowledge{999})
 	assert.EqualValues(t, d.Number, d.Acknowledged)
 }
 
-// What is written down and read again goes on alike: a follower that begins from a snapshot decides as the others do.
+// A follower that starts from a snapshot must make the same decisions as the coordinators that replayed the whole log.
 func TestSnapshotRestoredStateBehavesIdentically(t *testing.T) {
 	d := newFixture(t)
 	d.mustApply(SetRules{Who: "boss", Rules: []Rule{{Subject: Subject{Scope: Fleet}, Count: 1}}})
@@ -484,7 +491,7 @@
 	assert.Equal(t, Done, d.stage(id))
 }
 
-// What is over goes first when there is no more room, and what is to come stays.
+// At maxEntries a new entry evicts the oldest finished one, never one that has yet to run.
 func TestOldestFinishedEntriesAreEvictedFirst(t *testing.T) {
 	d := newFixture(t)
 	kept := d.plan(testChange(0, day))
@@ -513,8 +520,8 @@
 		{"Europe/Berlin", "2026-10-25T02:30", "2026-10-25T00:30:00Z", "2026-10-25T01:30:00Z"}, // twice
 		{"Europe/Berlin", "2026-10-25T02:00", "2026-10-25T00:00:00Z", "2026-10-25T01:00:00Z"},
 		{"Europe/Berlin", "2026-10-25T03:00", "2026-10-25T02:00:00Z", "2026-10-25T02:00:00Z"},
-		{"Australia/Lord_Howe", "2026-04-05T01:45", "2026-04-04T14:45:00Z", "2026-04-04T15:15:00Z"}, // half an hour
-		{"Pacific/Apia", "2011-12-30T12:00", "2011-12-30T10:00:00Z", "2011-12-30T10:00:00Z"},        // a day that never was
+		{"Australia/Lord_Howe", "2026-04-05T01:45", "2026-04-04T14:45:00Z", "2026-04-04T15:15:00Z"}, // clocks go back by half an hour
+		{"Pacific/Apia", "2011-12-30T12:00", "2011-12-30T10:00:00Z", "2011-12-30T10:00:00Z"},        // a skipped day
 		{"UTC", "2026-03-29T02:30", "2026-03-29T02:30:00Z", "2026-03-29T02:30:00Z"},
 	} {
 		in, err := time.LoadLocation(c.in)
@@ -534,15 +541,15 @@
 	spans, err := night.Spans(berlin, utc("2026-10-01T00:00:00Z"), utc("2026-12-01T00:00:00Z"))
 	require.NoError(t, err)
 	assert.Equal(t, []Span{{utc("2026-10-24T00:30:00Z"), utc("2026-10-24T00:45:00Z")},
-		{utc("2026-10-25T00:30:00Z"), utc("2026-10-25T01:45:00Z")}, // both of them, and what is between
+		{utc("2026-10-25T00:30:00Z"), utc("2026-10-25T01:45:00Z")}, // from the first occurrence to the second
 		{utc("2026-10-26T01:30:00Z"), utc("2026-10-26T01:45:00Z")}}, spans)
 	w, err := Window("2026-10-25T02:15", "2026-10-25T02:45", berlin)
 	require.NoError(t, err)
-	assert.Greater(t, w.FromMs, w.ToMs, "as short as it can mean: nothing, and planning refuses it")
+	assert.Greater(t, w.FromMs, w.ToMs, "the shortest reading is empty, and Plan rejects it")
 	skipped := Recurrence{Begin: "2026-03-28T02:15", Minutes: 30, Every: "FREQ=DAILY;COUNT=2"}
 	spans, err = skipped.Spans(berlin, utc("2026-03-01T00:00:00Z"), utc("2026-04-01T00:00:00Z"))
 	require.NoError(t, err)
-	assert.Len(t, spans, 1, "of the hour that isn't, nothing")
+	assert.Len(t, spans, 1, "the occurrence within the skipped hour is dropped")
 }
 
 func TestRecurringFreezeAppliesPastItsExpandedSpans(t *testing.T) {
@@ -550,13 +557,13 @@
 	f := testFreeze(0, 1, FinishesWave)
 	f.When = Recurrence{Begin: "2024-01-01T00:00", Minutes: 24 * 60, Every: "FREQ=DAILY", In: "UTC"}
 	require.NoError(t, f.Ahead(time.UTC, noon))
-	require.Len(t, f.Spans, 1, "days without a gap are one span")
+	require.Len(t, f.Spans, 1, "adjacent days are merged into one span")
 	id := d.mustApply(SetFreeze{0, 0, f})
 	c := testChange(hour, 2*hour)
-	assert.Empty(t, d.Next(&c, 0, 3), "no free hour for a year")
-	met, instead := d.Conflicts(&c, 0, 3)
-	assert.Len(t, met, 1)
-	assert.Empty(t, instead)
+	assert.Empty(t, d.Next(&c, 0, 3), "no free hour within the horizon")
+	conflicts, free := d.Conflicts(&c, 0, 3)
+	assert.Len(t, conflicts, 1)
+	assert.Empty(t, free)
 	assert.Empty(t, d.Short())
 	d.nowMs += horizonMs/2 + day
 	d.Do(d.nowMs, LeaderChanged{})
@@ -565,7 +572,7 @@
 	d.nowMs += horizonMs
 	d.reportClocks()
 	e := &Entry{Change: c}
-	assert.NotNil(t, d.activeFreeze(e, d.nowMs), "past what was worked out")
+	assert.NotNil(t, d.activeFreeze(e, d.nowMs), "past the end of its expansion")
 	require.NoError(t, f.Ahead(time.UTC, d.nowMs))
 	d.mustApply(Extend{id, 1, f.Spans, f.ThroughMs})
 	assert.Empty(t, d.Short())
@@ -583,21 +590,21 @@
 	d.plan(testChange(hour, 2*hour))
 	c := testChange(hour, 2*hour)
 	c.Subject = Subject{Scope: Zone, Names: []string{"z0"}}
-	met, instead := d.Conflicts(&c, 0, 2)
-	require.Len(t, met, 2, "its subject, and the budget")
-	assert.Contains(t, met[0].Says, "doors d0")
-	assert.Equal(t, []Span{{noon, noon + hour}, {noon + 2*hour, noon + horizonMs}}, instead)
+	conflicts, free := d.Conflicts(&c, 0, 2)
+	require.Len(t, conflicts, 2, "its subject, and the budget")
+	assert.Contains(t, conflicts[0].Says, "doors d0")
+	assert.Equal(t, []Span{{noon, noon + hour}, {noon + 2*hour, noon + horizonMs}}, free)
 	c.Window.ToMs = c.Window.FromMs + 5*minute
-	met, _ = d.Conflicts(&c, 0, 2)
-	assert.Contains(t, met[0].Says, "5 min", "its waves take twenty")
+	conflicts, _ = d.Conflicts(&c, 0, 2)
+	assert.Contains(t, conflicts[0].Says, "5 min", "its waves take twenty")
 	d.mustApply(SetFreeze{0, 0, testFreeze(2*hour, 3*hour, SendsBack)})
 	c.Window = Span{noon + 2*hour, noon + 3*hour + 10*minute}
-	met, instead = d.Conflicts(&c, 0, 2)
-	require.Len(t, met, 1)
-	assert.Contains(t, met[0].Says, "feast")
-	assert.Equal(t, noon+3*hour, instead[1].FromMs)
+	conflicts, free = d.Conflicts(&c, 0, 2)
+	require.Len(t, conflicts, 1)
+	assert.Contains(t, conflicts[0].Says, "feast")
+	assert.Equal(t, noon+3*hour, free[1].FromMs)
 	c.Window = Span{noon + 4*hour, noon + 5*hour}
-	met, instead = d.Conflicts(&c, 0, 2)
-	assert.Empty(t, met)
-	assert.Empty(t, instead)
+	conflicts, free = d.Conflicts(&c, 0, 2)
+	assert.Empty(t, conflicts)
+	assert.Empty(t, free)
 }
