--- a/calendar/model_test.go
+++ b/calendar/model_test.go
@@ -14,31 +14,33 @@
 	"pgregory.net/rapid"
 )
 
-// model is a plain model of the calendar, apart from its code: it hears the same commands, knows the true time, and says what
-// may not have begun and what should have. It holds words of people and spans, and no stage of the calendar's.
+// model is a simple reference model that shares no code with the calendar. It receives the same commands, knows the true time, and decides
+// which entries must not have started and which must be startable. It records what people did and when, and none of the calendar's
+// stages.
 type model struct {
 	trueMs          float64
 	entries         map[uint64]*modelEntry
 	freezes         map[uint64]modelFreeze
-	migrationOver   map[uint64]bool     // migrations, and whether they are over
-	undoStacks      map[string][]uint64 // what was done to each unit and could be taken back, newest last
-	approvalsNeeded map[Kind]int        // approvals, by kind
-	budgets         map[Kind]int        // under way at once, by kind
+	migrationOver   map[uint64]bool     // by ID of the migration
+	undoStacks      map[string][]uint64 // entries by unit that can still be rolled back, newest last
+	approvalsNeeded map[Kind]int        // by kind
+	budgets         map[Kind]int        // entries in progress at once, by kind; 0 for no limit
 }
 
+// modelEntry is the model's record of an entry. Times are in ms of the true time.
 type modelEntry struct {
 	kind           Kind
-	units          map[string]bool // what it is about, unit by unit
-	from, to       float64
-	durationMs     float64
+	units          map[string]bool // units of its subject
+	from, to       float64         // window, with the allowed lateness
+	durationMs     float64         // of its waves and its soak
 	author         string
-	approvers      map[string]bool // who approves it as it is now
+	approvers      map[string]bool // of its current change
 	after          []uint64
 	draft          bool
 	emergency      bool
 	starts         int
 	waves          int
-	wavesDone      int // waves
+	wavesDone      int
 	lastWaveMs     float64
 	soakMs         float64
 	preconditions  []string
@@ -50,12 +52,14 @@
 	inProgress     bool
 }
 
+// modelObservation is the model's record of an observation.
 type modelObservation struct {
 	passed bool
 	atMs   float64
 }
 
-// complete tells whether its waves and its watch are over, and all was seen that it must show; by a margin, early or late.
+// complete reports whether its waves and its soak are over and its postconditions were observed to pass. The soak must be over for at
+// least margin ms; a negative margin accepts it that much early.
 func (e *modelEntry) complete(at, margin float64) bool {
 	for _, n := range e.postconditions {
 		if !e.observations[n].passed {
@@ -65,15 +69,17 @@
 	return e.wavesDone == e.waves && at >= e.lastWaveMs+e.soakMs+margin
 }
 
+// modelFreeze is the model's record of a freeze.
 type modelFreeze struct {
 	kinds []Kind
 	units map[string]bool
 	spans [][2]float64
 }
 
-const toleranceMs = 6000 // that the agreed time may differ from the true one: what clocks may differ by, and one that errs by as much as it may
+// toleranceMs is the largest difference between the agreed and the true time, in ms: maxClockSpreadMs plus the error of a correct clock.
+const toleranceMs = 6000
 
-// unitsOf lists what a subject is about.
+// unitsOf returns the units of the fleet and the plans that a subject covers.
 func unitsOf(b Subject) map[string]bool {
 	all := map[string]bool{}
 	for _, u := range []string{"d0", "d1", "d2", "d3", "b0", "b1", "b2", "b3", "plan basic", "plan gold"} {
@@ -98,6 +104,7 @@
 	return all
 }
 
+// overlap reports whether two sets of units have one in common.
 func overlap(a, b map[string]bool) bool {
 	for u := range a {
 		if a[u] && b[u] {
@@ -107,14 +114,15 @@
 	return false
 }
 
-// frozen tells whether an entry must not begin at a time; surely, or perhaps.
-func (w *model) frozen(e *modelEntry, at float64) (surely, perhaps bool) {
-	for _, f := range w.freezes {
-		of := len(f.kinds) == 0
+// frozen reports whether a freeze applies to an entry at a time: surely, if for every agreed time within the tolerance; perhaps, if for
+// any.
+func (m *model) frozen(e *modelEntry, at float64) (surely, perhaps bool) {
+	for _, f := range m.freezes {
+		ofKind := len(f.kinds) == 0
 		for _, k := range f.kinds {
-			of = of || k == e.kind
+			ofKind = ofKind || k == e.kind
 		}
-		if !of || !overlap(f.units, e.units) || e.emergency {
+		if !ofKind || !overlap(f.units, e.units) || e.emergency {
 			continue
 		}
 		for _, s := range f.spans {
@@ -125,120 +133,121 @@
 	return surely, perhaps
 }
 
-// startViolation says why an entry may not have begun; empty where it may have.
-func (w *model) startViolation(id uint64) string {
-	e := w.entries[id]
+// startViolation returns why an entry must not start now, whatever the agreed time within the tolerance; empty if it may.
+func (m *model) startViolation(id uint64) string {
+	e := m.entries[id]
 	others := 0
-	for other, o := range w.entries {
+	for other, o := range m.entries {
 		if other == id {
 			continue
 		}
-		if o.migration != 0 && o.migration != e.migration && o.starts > 0 && !w.migrationOver[o.migration] && !(o.finished && o.wavesDone < o.waves) && overlap(o.units, e.units) {
-			return fmt.Sprintf("%d has part of it until its migration is over", other)
+		if o.migration != 0 && o.migration != e.migration && o.starts > 0 && !m.migrationOver[o.migration] && !(o.finished && o.wavesDone < o.waves) && overlap(o.units, e.units) {
+			return fmt.Sprintf("entry %d holds part of its subject until its migration is over", other)
 		}
 		if o.inProgress {
 			if overlap(o.units, e.units) {
-				return fmt.Sprintf("%d has part of it", other)
+				return fmt.Sprintf("entry %d holds part of its subject", other)
 			}
 			if o.kind == e.kind {
 				others++
 			}
 		}
 	}
-	surely, _ := w.frozen(e, w.trueMs)
+	surely, _ := m.frozen(e, m.trueMs)
 	switch {
 	case e.starts > 0:
-		return "it has begun before"
-	case e.migration != 0 && w.migrationOver[e.migration]:
+		return "it has started before"
+	case e.migration != 0 && m.migrationOver[e.migration]:
 		return "its migration is over"
 	case e.finished || e.draft:
-		return "it is over, or a draft"
-	case len(e.approvers) < w.approvalsNeeded[e.kind]:
-		return "not approved as it is"
+		return "it is finished or a draft"
+	case len(e.approvers) < m.approvalsNeeded[e.kind]:
+		return "its current change lacks approvals"
 	case surely:
 		return "frozen"
-	case w.trueMs < e.from-toleranceMs:
-		return "early"
-	case w.trueMs+e.durationMs > e.to+toleranceMs:
-		return "no time left"
-	case w.budgets[e.kind] > 0 && others >= w.budgets[e.kind]:
-		return "beyond its budget"
+	case m.trueMs < e.from-toleranceMs:
+		return "its window has not begun"
+	case m.trueMs+e.durationMs > e.to+toleranceMs:
+		return "too little time is left"
+	case m.budgets[e.kind] > 0 && others >= m.budgets[e.kind]:
+		return "its budget is used up"
 	}
 	for _, n := range e.preconditions {
-		if v := e.observations[n]; !v.passed || w.trueMs-v.atMs > observationTTLMs+toleranceMs {
-			return "nobody has looked"
+		if v := e.observations[n]; !v.passed || m.trueMs-v.atMs > observationTTLMs+toleranceMs {
+			return "a precondition was not observed"
 		}
 	}
 	for _, a := range e.after {
-		if o := w.entries[a]; !o.complete(w.trueMs, -toleranceMs) {
-			return "before what it waits for"
+		if o := m.entries[a]; !o.complete(m.trueMs, -toleranceMs) {
+			return "an entry it waits for is not done"
 		}
 	}
 	return ""
 }
 
-// mustBeStartable tells whether an entry must be startable now, by a margin.
-func (w *model) mustBeStartable(id uint64) bool {
-	e := w.entries[id]
-	_, perhaps := w.frozen(e, w.trueMs)
+// mustBeStartable reports whether an entry must be startable now, whatever the agreed time within the tolerance.
+func (m *model) mustBeStartable(id uint64) bool {
+	e := m.entries[id]
+	_, blocked := m.frozen(e, m.trueMs)
 	for _, a := range e.after {
-		perhaps = perhaps || w.entries[a].halted || !w.entries[a].complete(w.trueMs, toleranceMs)
+		blocked = blocked || m.entries[a].halted || !m.entries[a].complete(m.trueMs, toleranceMs)
 	}
 	for _, n := range e.preconditions {
-		perhaps = perhaps || w.trueMs-e.observations[n].atMs > observationTTLMs-toleranceMs
+		blocked = blocked || m.trueMs-e.observations[n].atMs > observationTTLMs-toleranceMs
 	}
-	if e.migration != 0 && !w.migrationProceeds(e.migration) {
+	if e.migration != 0 && !m.migrationProceeds(e.migration) {
 		return false
 	}
-	return !e.finished && !e.inProgress && !perhaps && w.startViolation(id) == "" && w.trueMs > e.from+toleranceMs && w.trueMs+e.durationMs < e.to-toleranceMs
+	return !e.finished && !e.inProgress && !blocked && m.startViolation(id) == "" && m.trueMs > e.from+toleranceMs && m.trueMs+e.durationMs < e.to-toleranceMs
 }
 
-// migrationProceeds tells whether a migration has no step that halts it.
-func (w *model) migrationProceeds(move uint64) bool {
-	for _, e := range w.entries {
-		if e.migration == move && (e.finished && !e.complete(w.trueMs, -toleranceMs) || e.halted) {
+// migrationProceeds reports whether a migration is not over and has no step that halts it.
+func (m *model) migrationProceeds(id uint64) bool {
+	for _, e := range m.entries {
+		if e.migration == id && (e.finished && !e.complete(m.trueMs, -toleranceMs) || e.halted) {
 			return false
 		}
 	}
-	return !w.migrationOver[move]
+	return !m.migrationOver[id]
 }
 
-// simulation is a calendar and its witness, before random commands.
+// simulation applies the same random commands to a calendar and to its model.
 type simulation struct {
 	t            *rapid.T
 	state        *State
 	model        *model
-	agreedMs     float64 // the leader's clock, which stands still while nobody leads
-	clockErrorMs float64 // by which one clock errs
-	defect       string  // fault that is planted
-	violation    string  // what the witness found
+	agreedMs     float64 // the agreed clock, which stands still without a leader
+	clockErrorMs float64 // error of the clock of coordinator c1
+	defect       string  // planted defect, one of those that TestModelFindsPlantedDefects names; empty for none
+	violation    string  // first contradiction between calendar and model; empty for none
 }
 
-func newSimulation(t *rapid.T, spoil string) *simulation {
-	v := &simulation{t: t, state: New(), defect: spoil, agreedMs: 5000,
+func newSimulation(t *rapid.T, defect string) *simulation {
+	s := &simulation{t: t, state: New(), defect: defect, agreedMs: 5000,
 		model: &model{trueMs: noon, entries: map[uint64]*modelEntry{}, freezes: map[uint64]modelFreeze{}, migrationOver: map[uint64]bool{}, undoStacks: map[string][]uint64{}, approvalsNeeded: map[Kind]int{}, budgets: map[Kind]int{}}}
-	v.state.See(testZones{})
-	v.reportClocks()
-	return v
+	s.state.See(testZones{})
+	s.reportClocks()
+	return s
 }
 
-func (v *simulation) apply(c any) (uint64, error) { return v.state.Do(v.agreedMs, c) }
+func (s *simulation) apply(c any) (uint64, error) { return s.state.Do(s.agreedMs, c) }
 
-func (v *simulation) fail(bad string, args ...any) {
-	if v.violation == "" {
-		v.violation = fmt.Sprintf(bad, args...)
+// fail records a violation.
+func (s *simulation) fail(format string, args ...any) {
+	if s.violation == "" {
+		s.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// reportClocks has coordinators tell their reportClocks; one of the three errs by any amount.
-func (v *simulation) reportClocks() {
+// reportClocks reports the clocks of the three coordinators. Two are correct within 1000 ms, c1 is off by clockErrorMs as well.
+func (s *simulation) reportClocks() {
 	for i := range 3 {
-		at := v.model.trueMs + float64(rapid.IntRange(-1000, 1000).Draw(v.t, "error"))
+		at := s.model.trueMs + float64(rapid.IntRange(-1000, 1000).Draw(s.t, "error"))
 		if i == 1 {
-			at += v.clockErrorMs
+			at += s.clockErrorMs
 		}
-		if _, err := v.apply(Clock{fmt.Sprint("c", i), max(0, at), 3}); err != nil {
-			v.t.Fatal(err)
+		if _, err := s.apply(Clock{fmt.Sprint("c", i), max(0, at), 3}); err != nil {
+			s.t.Fatal(err)
 		}
 	}
 }
@@ -251,384 +260,390 @@
 	testKinds = []Kind{Drain, Release, Terms}
 )
 
-func (v *simulation) randomChange() Change {
-	from := v.model.trueMs + float64(rapid.IntRange(-30, 90).Draw(v.t, "from"))*minute
-	c := Change{Name: "x", Kind: rapid.SampledFrom(testKinds).Draw(v.t, "kind"), Subject: rapid.SampledFrom(subjects).Draw(v.t, "subject"),
-		Window: Span{from, from + float64(rapid.IntRange(1, 120).Draw(v.t, "minutes"))*minute}, LateMs: float64(rapid.SampledFrom([]int{0, 0, 30, 120}).Draw(v.t, "late")) * minute,
-		Waves: rapid.IntRange(1, 3).Draw(v.t, "waves"), WaveMs: float64(rapid.IntRange(0, 20).Draw(v.t, "wave")) * minute, Do: json.RawMessage(`1`),
-		SoakMs: float64(rapid.SampledFrom([]int{0, 0, 0, 5}).Draw(v.t, "soak")) * minute}
-	switch rapid.IntRange(0, 9).Draw(v.t, "sights") {
+// randomChange returns a change, mostly a valid one.
+func (s *simulation) randomChange() Change {
+	from := s.model.trueMs + float64(rapid.IntRange(-30, 90).Draw(s.t, "from"))*minute
+	c := Change{Name: "x", Kind: rapid.SampledFrom(testKinds).Draw(s.t, "kind"), Subject: rapid.SampledFrom(subjects).Draw(s.t, "subject"),
+		Window: Span{from, from + float64(rapid.IntRange(1, 120).Draw(s.t, "minutes"))*minute}, LateMs: float64(rapid.SampledFrom([]int{0, 0, 30, 120}).Draw(s.t, "late")) * minute,
+		Waves: rapid.IntRange(1, 3).Draw(s.t, "waves"), WaveMs: float64(rapid.IntRange(0, 20).Draw(s.t, "wave")) * minute, Do: json.RawMessage(`1`),
+		SoakMs: float64(rapid.SampledFrom([]int{0, 0, 0, 5}).Draw(s.t, "soak")) * minute}
+	switch rapid.IntRange(0, 9).Draw(s.t, "conditions") {
 	case 0:
 		c.Preconditions = []string{"calm"}
 	case 1:
 		c.Postconditions = []string{"well"}
 	}
-	if rapid.Bool().Draw(v.t, "back") {
+	if rapid.Bool().Draw(s.t, "back") {
 		c.Rollback = json.RawMessage(`2`)
 	}
-	for id := range v.state.NextID {
-		if v.model.entries[id] != nil && rapid.IntRange(0, 7).Draw(v.t, "after") == 0 {
+	for id := range s.state.NextID {
+		if s.model.entries[id] != nil && rapid.IntRange(0, 7).Draw(s.t, "after") == 0 {
 			c.After = append(c.After, id)
 		}
 	}
 	return c
 }
 
-// replacementFor is another change in an entry's place.
-func (v *simulation) replacementFor(id uint64) Change {
-	c := v.randomChange()
-	if e := v.state.Entries[id]; e.Migration != 0 {
+// replacementFor returns a random change that can replace the one of an entry.
+func (s *simulation) replacementFor(id uint64) Change {
+	c := s.randomChange()
+	if e := s.state.Entries[id]; e.Migration != 0 {
 		c.After, c.Rollback = e.After, json.RawMessage(`2`)
 	}
 	return c
 }
 
-// planMigration enters one of some steps, whose windows follow each other.
-func (v *simulation) planMigration() {
+// planMigration adds a migration of random steps. Invalid ones, such as those with windows out of order, are rejected and ignored.
+func (s *simulation) planMigration() {
 	var steps []Change
-	for range rapid.IntRange(1, 3).Draw(v.t, "steps") {
-		c := v.randomChange()
+	for range rapid.IntRange(1, 3).Draw(s.t, "steps") {
+		c := s.randomChange()
 		c.After, c.Rollback, c.LateMs = nil, json.RawMessage(`2`), 300*minute
 		steps = append(steps, c)
 	}
-	id, err := v.apply(Migrate{"m", steps, "ana"})
+	id, err := s.apply(Migrate{"m", steps, "ana"})
 	if err != nil {
 		return
 	}
-	v.model.migrationOver[id] = false
-	for i, step := range v.state.Migrations[id].Steps {
+	s.model.migrationOver[id] = false
+	for i, step := range s.state.Migrations[id].Steps {
 		c := steps[i]
-		c.After = v.state.Entries[step].After
-		v.recordEntry(step, c, "ana", false)
+		c.After = s.state.Entries[step].After
+		s.recordEntry(step, c, "ana", false)
 	}
 }
 
-func (v *simulation) revert(id uint64) error {
-	_, err := v.apply(Revert{id, "ana", "enough"})
-	if err == nil && v.defect == "the way back is in the wrong order" {
-		slices.Reverse(v.state.Migrations[id].Steps)
+// revert reverts a migration.
+func (s *simulation) revert(id uint64) error {
+	_, err := s.apply(Revert{id, "ana", "enough"})
+	if err == nil && s.defect == "steps are rolled back in the wrong order" {
+		slices.Reverse(s.state.Migrations[id].Steps)
 	}
 	return err
 }
 
-// recordRollback takes an entry off what it was done to; it must be the newest there.
-func (v *simulation) recordRollback(id uint64) {
-	for u, stack := range v.model.undoStacks {
+// recordRollback removes an entry from the undo stacks of its units. On each it must be the newest.
+func (s *simulation) recordRollback(id uint64) {
+	for u, stack := range s.model.undoStacks {
 		switch at := slices.Index(stack, id); {
 		case at < 0:
 		case at < len(stack)-1:
-			v.fail("%d was taken back under %v", id, stack[at+1:])
+			s.fail("entry %d was rolled back before the newer %v", id, stack[at+1:])
 		default:
-			v.model.undoStacks[u] = stack[:at]
+			s.model.undoStacks[u] = stack[:at]
 		}
 	}
 }
 
-// dropFromUndoStacks says that what an entry did stays.
-func (v *simulation) dropFromUndoStacks(id uint64) {
-	for u, stack := range v.model.undoStacks {
-		v.model.undoStacks[u] = slices.DeleteFunc(slices.Clone(stack), func(i uint64) bool { return i == id })
+// dropFromUndoStacks removes an entry that can no longer be rolled back.
+func (s *simulation) dropFromUndoStacks(id uint64) {
+	for u, stack := range s.model.undoStacks {
+		s.model.undoStacks[u] = slices.DeleteFunc(slices.Clone(stack), func(i uint64) bool { return i == id })
 	}
 }
 
-func (v *simulation) recordEntry(id uint64, c Change, who string, draft bool) {
-	v.model.entries[id] = &modelEntry{kind: c.Kind, units: unitsOf(c.Subject), from: c.Window.FromMs, to: c.Window.ToMs + c.LateMs, durationMs: float64(c.Waves)*c.WaveMs + c.SoakMs,
-		soakMs: c.SoakMs, preconditions: c.Preconditions, postconditions: c.Postconditions, observations: map[string]modelObservation{}, migration: v.state.Entries[id].Migration,
+// recordEntry adds an entry to the model or replaces its change.
+func (s *simulation) recordEntry(id uint64, c Change, who string, draft bool) {
+	s.model.entries[id] = &modelEntry{kind: c.Kind, units: unitsOf(c.Subject), from: c.Window.FromMs, to: c.Window.ToMs + c.LateMs, durationMs: float64(c.Waves)*c.WaveMs + c.SoakMs,
+		soakMs: c.SoakMs, preconditions: c.Preconditions, postconditions: c.Postconditions, observations: map[string]modelObservation{}, migration: s.state.Entries[id].Migration,
 		author: who, approvers: map[string]bool{}, after: c.After, draft: draft, waves: c.Waves}
 }
 
-func (v *simulation) randomEntry() (uint64, *modelEntry) {
-	id := uint64(rapid.IntRange(1, int(v.state.NextID)).Draw(v.t, "id"))
-	return id, v.model.entries[id]
+// randomEntry returns the ID of an entry, and nil if there is none with that ID.
+func (s *simulation) randomEntry() (uint64, *modelEntry) {
+	id := uint64(rapid.IntRange(1, int(s.state.NextID)).Draw(s.t, "id"))
+	return id, s.model.entries[id]
 }
 
-// step is one random command.
-func (v *simulation) step() {
-	switch rapid.IntRange(0, 22).Draw(v.t, "step") {
+// step applies one random command.
+func (s *simulation) step() {
+	switch rapid.IntRange(0, 22).Draw(s.t, "step") {
 	case 18:
-		v.planMigration()
+		s.planMigration()
 	case 19:
-		for _, id := range slices.Sorted(maps.Keys(v.model.migrationOver)) {
-			if rapid.IntRange(0, 2).Draw(v.t, "revert") == 0 {
-				v.revert(id)
+		for _, id := range slices.Sorted(maps.Keys(s.model.migrationOver)) {
+			if rapid.IntRange(0, 2).Draw(s.t, "revert") == 0 {
+				s.revert(id)
 			}
 		}
 	case 20, 21:
-		for _, id := range slices.Sorted(maps.Keys(v.model.entries)) {
-			e := v.model.entries[id]
+		for _, id := range slices.Sorted(maps.Keys(s.model.entries)) {
+			e := s.model.entries[id]
 			for _, n := range slices.Concat(e.preconditions, e.postconditions) {
-				well := rapid.IntRange(0, 3).Draw(v.t, "well") > 0
-				if _, err := v.apply(Observe{ID: id, What: n, Well: well, Says: ""}); err == nil {
-					e.observations[n] = modelObservation{well, v.model.trueMs}
+				well := rapid.IntRange(0, 3).Draw(s.t, "well") > 0
+				if _, err := s.apply(Observe{ID: id, What: n, Well: well, Says: ""}); err == nil {
+					e.observations[n] = modelObservation{well, s.model.trueMs}
 				}
 			}
 		}
 	case 22:
-		id, e := v.randomEntry()
+		id, e := s.randomEntry()
 		if e != nil {
-			v.apply(Halt{id, "ana", "wait"})
+			s.apply(Halt{id, "ana", "wait"})
 		}
 	case 0, 1, 2:
-		c, who, draft := v.randomChange(), rapid.SampledFrom(people).Draw(v.t, "who"), rapid.IntRange(0, 5).Draw(v.t, "draft") == 0
-		if id, err := v.apply(Plan{c, who, draft}); err == nil {
-			v.recordEntry(id, c, who, draft)
+		c, who, draft := s.randomChange(), rapid.SampledFrom(people).Draw(s.t, "who"), rapid.IntRange(0, 5).Draw(s.t, "draft") == 0
+		if id, err := s.apply(Plan{c, who, draft}); err == nil {
+			s.recordEntry(id, c, who, draft)
 		}
 	case 3, 16:
-		id, e := v.randomEntry()
+		id, e := s.randomEntry()
 		if e == nil {
 			return
 		}
-		c, who, rev := v.replacementFor(id), rapid.SampledFrom(people).Draw(v.t, "who"), v.state.Entries[id].Revision+uint64(rapid.IntRange(0, 1).Draw(v.t, "stale"))
-		if _, err := v.apply(Edit{id, rev, c, who, false}); err == nil {
+		c, who, rev := s.replacementFor(id), rapid.SampledFrom(people).Draw(s.t, "who"), s.state.Entries[id].Revision+uint64(rapid.IntRange(0, 1).Draw(s.t, "stale"))
+		if _, err := s.apply(Edit{id, rev, c, who, false}); err == nil {
 			urgent := e.emergency
-			if v.defect == "approvals outlive edits" {
+			if s.defect == "approvals outlive edits" {
 				for who := range e.approvers {
-					v.state.Entries[id].Approvals = append(v.state.Entries[id].Approvals, Approval{who, "", v.state.Entries[id].Digest(), v.state.WallMs})
+					s.state.Entries[id].Approvals = append(s.state.Entries[id].Approvals, Approval{who, "", s.state.Entries[id].Digest(), s.state.WallMs})
 				}
 			}
-			v.recordEntry(id, c, who, false)
-			v.model.entries[id].emergency = urgent
+			s.recordEntry(id, c, who, false)
+			s.model.entries[id].emergency = urgent
 		}
 	case 4, 5, 6, 17:
-		id, e := v.randomEntry()
+		id, e := s.randomEntry()
 		if e == nil {
 			return
 		}
-		who := rapid.SampledFrom(people).Draw(v.t, "who")
-		if _, err := v.apply(Approve{id, v.state.Entries[id].Digest(), who, ""}); err == nil {
+		who := rapid.SampledFrom(people).Draw(s.t, "who")
+		if _, err := s.apply(Approve{id, s.state.Entries[id].Digest(), who, ""}); err == nil {
 			if who == e.author {
-				v.fail("%s approved their own %d", who, id)
+				s.fail("%s approved their own entry %d", who, id)
 			}
 			e.approvers[who] = true
 		}
 	case 7:
-		id, e := v.randomEntry()
+		id, e := s.randomEntry()
 		if e == nil {
 			return
 		}
-		if _, err := v.apply(Refuse{id, v.state.Entries[id].Digest(), "dan", "no"}); err == nil {
+		if _, err := s.apply(Refuse{id, s.state.Entries[id].Digest(), "dan", "no"}); err == nil {
 			e.approvers, e.draft = map[string]bool{}, true
 		}
 	case 8:
-		id, e := v.randomEntry()
+		id, e := s.randomEntry()
 		if e == nil {
 			return
 		}
-		if _, err := v.apply(DeclareEmergency{id, Emergency{"ana", "bea", "fire"}}); err == nil {
+		if _, err := s.apply(DeclareEmergency{id, Emergency{"ana", "bea", "fire"}}); err == nil {
 			e.emergency = true
 		}
 	case 9:
-		f := Freeze{Name: "f", Subject: rapid.SampledFrom(subjects).Draw(v.t, "subject"), Sends: rapid.SampledFrom([]string{FinishesWave, SendsBack}).Draw(v.t, "sends"), Who: "ana", Why: "y"}
-		if rapid.Bool().Draw(v.t, "one kind") {
-			f.Kinds = []Kind{rapid.SampledFrom(testKinds).Draw(v.t, "kind")}
-		}
-		at := v.model.trueMs
-		known := modelFreeze{f.Kinds, unitsOf(f.Subject), nil}
-		for range rapid.IntRange(1, 3).Draw(v.t, "spans") {
-			at += float64(rapid.IntRange(0, 40).Draw(v.t, "gap")) * minute
-			end := at + float64(rapid.IntRange(1, 60).Draw(v.t, "lasts"))*minute
-			f.Spans, known.spans = append(f.Spans, Span{at, end}), append(known.spans, [2]float64{at, end})
+		f := Freeze{Name: "f", Subject: rapid.SampledFrom(subjects).Draw(s.t, "subject"), Sends: rapid.SampledFrom([]string{FinishesWave, SendsBack}).Draw(s.t, "sends"), Who: "ana", Why: "y"}
+		if rapid.Bool().Draw(s.t, "one kind") {
+			f.Kinds = []Kind{rapid.SampledFrom(testKinds).Draw(s.t, "kind")}
+		}
+		at := s.model.trueMs
+		modeled := modelFreeze{f.Kinds, unitsOf(f.Subject), nil}
+		for range rapid.IntRange(1, 3).Draw(s.t, "spans") {
+			at += float64(rapid.IntRange(0, 40).Draw(s.t, "gap")) * minute
+			end := at + float64(rapid.IntRange(1, 60).Draw(s.t, "lasts"))*minute
+			f.Spans, modeled.spans = append(f.Spans, Span{at, end}), append(modeled.spans, [2]float64{at, end})
 			at = end
 		}
-		if id, err := v.apply(SetFreeze{0, 0, f}); err == nil {
-			v.model.freezes[id] = known
-			if v.defect == "a freeze is lost" {
-				delete(v.state.Freezes, id)
+		if id, err := s.apply(SetFreeze{0, 0, f}); err == nil {
+			s.model.freezes[id] = modeled
+			if s.defect == "a freeze is lost" {
+				delete(s.state.Freezes, id)
 			}
 		} else {
-			v.t.Fatal(err)
+			s.t.Fatal(err)
 		}
 	case 10:
-		id, _ := v.randomEntry()
-		if v.model.freezes[id].spans != nil {
-			if _, err := v.apply(Thaw{id, 1, "ana", ""}); err == nil {
-				delete(v.model.freezes, id)
+		id, _ := s.randomEntry()
+		if s.model.freezes[id].spans != nil {
+			if _, err := s.apply(Thaw{id, 1, "ana", ""}); err == nil {
+				delete(s.model.freezes, id)
 			}
 		}
 	case 11:
-		v.setRules()
+		s.setRules()
 	case 12:
-		v.clockErrorMs = float64(rapid.SampledFrom([]int{0, 0, 4, 600, -600, 7200, -7200}).Draw(v.t, "wrong")) * sec
-	case 13: // nobody leads for a while
-		v.model.trueMs += float64(rapid.IntRange(1, 120).Draw(v.t, "down")) * minute
-		if v.defect != "clocks of before count" {
-			v.apply(LeaderChanged{})
+		s.clockErrorMs = float64(rapid.SampledFrom([]int{0, 0, 4, 600, -600, 7200, -7200}).Draw(s.t, "wrong")) * sec
+	case 13: // there is no leader for a while
+		s.model.trueMs += float64(rapid.IntRange(1, 120).Draw(s.t, "down")) * minute
+		if s.defect != "clock readings survive a leader change" {
+			s.apply(LeaderChanged{})
 		} else {
-			v.settle()
+			s.settle()
 		}
-		v.reportClocks()
+		s.reportClocks()
 	default:
-		ms := float64(rapid.IntRange(0, 60).Draw(v.t, "passes")) * minute / float64(rapid.SampledFrom([]int{1, 60}).Draw(v.t, "slow"))
-		v.model.trueMs, v.agreedMs = v.model.trueMs+ms, v.agreedMs+ms
-		v.reportClocks()
+		ms := float64(rapid.IntRange(0, 60).Draw(s.t, "passes")) * minute / float64(rapid.SampledFrom([]int{1, 60}).Draw(s.t, "slow"))
+		s.model.trueMs, s.agreedMs = s.model.trueMs+ms, s.agreedMs+ms
+		s.reportClocks()
 	}
 }
 
-// setRules sets how many must approve a release, and how many drains may be under way.
-func (v *simulation) setRules() {
-	v.model.approvalsNeeded[Release], v.model.budgets[Drain] = rapid.IntRange(0, 2).Draw(v.t, "count"), rapid.IntRange(0, 2).Draw(v.t, "most")
+// setRules sets the number of approvals that a release requires and the budget of drains.
+func (s *simulation) setRules() {
+	s.model.approvalsNeeded[Release], s.model.budgets[Drain] = rapid.IntRange(0, 2).Draw(s.t, "count"), rapid.IntRange(0, 2).Draw(s.t, "most")
 	var c SetRules
-	if n := v.model.approvalsNeeded[Release]; n > 0 {
+	if n := s.model.approvalsNeeded[Release]; n > 0 {
 		c.Rules = []Rule{{Kinds: []Kind{Release}, Subject: Subject{Scope: Fleet}, Count: n}}
 	}
-	if n := v.model.budgets[Drain]; n > 0 && v.defect != "a budget is lost" {
+	if n := s.model.budgets[Drain]; n > 0 && s.defect != "a budget is lost" {
 		c.Budgets = []Budget{{Drain, n}}
 	}
-	if _, err := v.apply(c); err != nil {
-		v.t.Fatal(err)
+	if _, err := s.apply(c); err != nil {
+		s.t.Fatal(err)
 	}
 }
 
-// settle has whoever leads start what can be, and carries some of it on; the witness looks at each.
-func (v *simulation) settle() {
-	if v.defect == "it runs twice" {
-		for _, e := range v.state.Entries {
+// settle starts every startable entry, as the leader does, and advances some of the running ones. It compares each step with the model.
+func (s *simulation) settle() {
+	if s.defect == "an entry runs twice" {
+		for _, e := range s.state.Entries {
 			if e.Stage == Done {
 				e.Stage = Due
 			}
 		}
 	}
-	ids := slices.Sorted(maps.Keys(v.model.entries))
-	for _, id := range ids { // what ended by itself
-		e := v.model.entries[id]
-		e.halted = v.state.Entries[id].Stage == Halted || v.state.Entries[id].Stage == RollingBack
-		switch at := v.state.Entries[id].Stage; at {
+	ids := slices.Sorted(maps.Keys(s.model.entries))
+	for _, id := range ids { // follow transitions that no command asked for
+		e := s.model.entries[id]
+		e.halted = s.state.Entries[id].Stage == Halted || s.state.Entries[id].Stage == RollingBack
+		switch at := s.state.Entries[id].Stage; at {
 		case Missed:
-			if !e.finished && !e.inProgress && v.model.mustBeStartable(id) {
-				v.fail("%d was missed though it could begin", id)
+			if !e.finished && !e.inProgress && s.model.mustBeStartable(id) {
+				s.fail("entry %d was missed although it could start", id)
 			}
 			e.finished = true
 		case Done:
-			if e.inProgress && !e.complete(v.model.trueMs, -toleranceMs) {
-				v.fail("%d is done, and its waves, its watch or what it shows are not", id)
+			if e.inProgress && !e.complete(s.model.trueMs, -toleranceMs) {
+				s.fail("entry %d is done, but its waves, its soak or its postconditions are not", id)
 			}
 			if e.inProgress && e.migration == 0 {
-				v.dropFromUndoStacks(id)
+				s.dropFromUndoStacks(id)
 			}
 			e.inProgress, e.finished = false, true
 		case Withdrawn:
 			e.inProgress, e.finished = false, true
-		case RollingBack: // also one that was done
+		case RollingBack: // also an entry that was done, as a step of a migration
 			e.inProgress, e.finished, e.wavesDone = true, false, 0
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(v.model.migrationOver)) {
-		m := v.state.Migrations[id]
-		if m.Stage != Done && m.Stage != Withdrawn || v.model.migrationOver[id] {
+	for _, id := range slices.Sorted(maps.Keys(s.model.migrationOver)) {
+		m := s.state.Migrations[id]
+		if m.Stage != Done && m.Stage != Withdrawn || s.model.migrationOver[id] {
 			continue
 		}
-		v.model.migrationOver[id] = true
+		s.model.migrationOver[id] = true
 		for _, step := range m.Steps {
-			if e := v.model.entries[step]; m.Stage == Done && (e.wavesDone < e.waves || e.starts == 0) {
-				v.fail("migration %d is done, and its step %d is not", id, step)
+			if e := s.model.entries[step]; m.Stage == Done && (e.wavesDone < e.waves || e.starts == 0) {
+				s.fail("migration %d is done, but its step %d is not", id, step)
 			}
-			for u, stack := range v.model.undoStacks {
+			for u, stack := range s.model.undoStacks {
 				if m.Stage == Withdrawn && slices.Contains(stack, step) {
-					v.fail("migration %d was taken back, and step %d is still done at %s", id, step, u)
+					s.fail("migration %d was rolled back, but step %d was not at %s", id, step, u)
 				}
 			}
-			v.dropFromUndoStacks(step)
+			s.dropFromUndoStacks(step)
 		}
 	}
-	for ids := v.state.Startable(); len(ids) > 0; ids = v.state.Startable() {
+	for ids := s.state.Startable(); len(ids) > 0; ids = s.state.Startable() {
 		id := ids[0]
-		if says := v.model.startViolation(id); says != "" {
-			v.fail("%d began: %s", id, says)
+		if reason := s.model.startViolation(id); reason != "" {
+			s.fail("entry %d started: %s", id, reason)
 			return
 		}
-		if _, err := v.apply(Start{id}); err != nil {
-			v.t.Fatal(err)
+		if _, err := s.apply(Start{id}); err != nil {
+			s.t.Fatal(err)
 		}
-		e := v.model.entries[id]
+		e := s.model.entries[id]
 		e.starts++
 		e.inProgress = true
 		for u, is := range e.units {
 			if is {
-				v.model.undoStacks[u] = append(v.model.undoStacks[u], id)
+				s.model.undoStacks[u] = append(s.model.undoStacks[u], id)
 			}
 		}
 	}
 	for _, id := range ids {
-		if v.model.mustBeStartable(id) {
-			v.fail("%d could begin and doesn't: %v", id, v.state.InTheWay(v.state.Entries[id]))
+		if s.model.mustBeStartable(id) {
+			s.fail("entry %d could start but is not startable: %v", id, s.state.InTheWay(s.state.Entries[id]))
 		}
 	}
-	for _, id := range ids { // one that runs goes on or back
-		e, at := v.model.entries[id], v.state.Entries[id]
-		if !e.inProgress || rapid.IntRange(0, 2).Draw(v.t, "goes on") > 0 {
+	for _, id := range ids { // advance some of the running entries
+		e, at := s.model.entries[id], s.state.Entries[id]
+		if !e.inProgress || rapid.IntRange(0, 2).Draw(s.t, "advances") > 0 {
 			continue
 		}
 		switch at.Stage {
 		case Running:
-			if e.wavesDone == e.waves { // it is watched
+			if e.wavesDone == e.waves { // in its soak
 				break
 			}
 			e.wavesDone++
-			if e.lastWaveMs = v.model.trueMs; e.wavesDone == e.waves {
-				for _, n := range e.postconditions { // what was seen before its last wave is no word on it
+			if e.lastWaveMs = s.model.trueMs; e.wavesDone == e.waves {
+				for _, n := range e.postconditions { // only observations after the last wave count
 					delete(e.observations, n)
 				}
 			}
-			if _, err := v.apply(WaveDone{ID: id, Wave: e.wavesDone}); err != nil {
-				v.fail("%d: wave %d: %v", id, e.wavesDone, err)
+			if _, err := s.apply(WaveDone{ID: id, Wave: e.wavesDone}); err != nil {
+				s.fail("entry %d: wave %d: %v", id, e.wavesDone, err)
 			}
 		case Halted:
 			var err error
 			switch {
 			case at.WasRollingBack:
-				_, err = v.apply(Resume{id, "ana"})
-			case at.Migration != 0 && v.state.Migrations[at.Migration].Stage != RollingBack:
-				err = v.revert(at.Migration)
+				_, err = s.apply(Resume{id, "ana"})
+			case at.Migration != 0 && s.state.Migrations[at.Migration].Stage != RollingBack:
+				err = s.revert(at.Migration)
 			case at.Migration == 0 && len(at.Rollback) > 0:
-				_, err = v.apply(RollBack{id, "ana", "enough"})
-			default: // nothing else ends it
-				v.apply(Resume{id, "ana"})
+				_, err = s.apply(RollBack{id, "ana", "enough"})
+			default: // without a rollback it can only resume
+				s.apply(Resume{id, "ana"})
 			}
 			if err != nil {
-				v.fail("%d is halted without a way back: %v", id, err)
+				s.fail("entry %d is halted and can neither resume nor be rolled back: %v", id, err)
 			}
 		case RollingBack:
-			if _, err := v.apply(RolledBack{ID: id}); err != nil {
-				v.fail("%d: %v", id, err)
+			if _, err := s.apply(RolledBack{ID: id}); err != nil {
+				s.fail("entry %d: %v", id, err)
 			}
-			v.recordRollback(id)
+			s.recordRollback(id)
 			e.inProgress, e.finished, e.wavesDone = false, true, 0
 		}
 		if at.Starts > 1 {
-			v.fail("%d started %d times", id, at.Starts)
+			s.fail("entry %d started %d times", id, at.Starts)
 		}
 	}
 }
 
-func (v *simulation) run() string {
-	v.setRules()
-	for range rapid.IntRange(10, 60).Draw(v.t, "commands") {
-		v.step()
-		v.settle()
-		if v.violation != "" {
-			return v.violation
+// run applies random commands until the first violation, which it returns.
+func (s *simulation) run() string {
+	s.setRules()
+	for range rapid.IntRange(10, 60).Draw(s.t, "commands") {
+		s.step()
+		s.settle()
+		if s.violation != "" {
+			return s.violation
 		}
 	}
 	return ""
 }
 
+// The calendar must agree with the model for random commands, with clocks that are wrong and times without a leader.
 func TestModelRandomCommandsAndClocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if found := newSimulation(t, "").run(); found != "" {
-			t.Fatal(found)
+		if violation := newSimulation(t, "").run(); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
 
-// The witness finds what is planted.
+// The model must find each planted defect; otherwise a pass of TestModelRandomCommandsAndClocks means little.
 func TestModelFindsPlantedDefects(t *testing.T) {
-	for _, spoil := range []string{"approvals outlive edits", "the way back is in the wrong order", "a freeze is lost", "a budget is lost", "it runs twice", "clocks of before count"} {
-		t.Run(spoil, func(t *testing.T) {
-			days := rapid.Custom(func(t *rapid.T) string { return newSimulation(t, spoil).run() })
+	for _, defect := range []string{"approvals outlive edits", "steps are rolled back in the wrong order", "a freeze is lost", "a budget is lost", "an entry runs twice", "clock readings survive a leader change"} {
+		t.Run(defect, func(t *testing.T) {
+			runs := rapid.Custom(func(t *rapid.T) string { return newSimulation(t, defect).run() })
 			for seed := 1; ; seed++ {
 				require.Less(t, seed, 5000, "never found")
-				if says := days.Example(seed); says != "" {
-					t.Logf("found on run %d: %s", seed, says)
+				if violation := runs.Example(seed); violation != "" {
+					t.Logf("found on run %d: %s", seed, violation)
 					return
 				}
 			}
@@ -636,7 +651,7 @@
 	}
 }
 
-// Free time against a search of every hour.
+// The free time that the calendar finds must equal that of a search of each hour.
 func TestFreeTimeAgainstExhaustiveSearch(t *testing.T) {
 	const hours = 48
 	rapid.Check(t, func(t *rapid.T) {
@@ -661,8 +676,8 @@
 		}
 		takes := rapid.IntRange(1, 5).Draw(t, "takes")
 		c := &Change{Kind: rapid.SampledFrom(testKinds).Draw(t, "kind"), Subject: rapid.SampledFrom(subjects).Draw(t, "subject"), Waves: takes, WaveMs: hour}
-		free := func(h int) bool { // by each thing apart, at the middle of the hour
-			at, of := noon+(float64(h)+0.5)*hour, 0
+		free := func(h int) bool { // checks every entry, freeze and budget at the middle of the hour
+			at, inUse := noon+(float64(h)+0.5)*hour, 0
 			in := func(p Span) bool { return p.FromMs <= at && at < p.ToMs }
 			for _, e := range s.Entries {
 				if e.Stage == Waiting || e.Stage == Approved || e.Stage == Due {
@@ -670,7 +685,7 @@
 						return false
 					}
 					if in(e.Window) && e.Kind == c.Kind && c.Kind == Drain {
-						of++
+						inUse++
 					}
 				}
 			}
@@ -679,7 +694,7 @@
 					return false
 				}
 			}
-			return most == 0 || of < most
+			return most == 0 || inUse < most
 		}
 		var want []Span
 		for h := 0; h < hours; h++ {
@@ -694,17 +709,17 @@
 			}
 			h = end
 		}
-		if len(want) == 0 || want[len(want)-1].ToMs < noon+horizonMs { // all is free past what is searched
+		if len(want) == 0 || want[len(want)-1].ToMs < noon+horizonMs { // everything is free past the hours searched
 			want = append(want, Span{noon + hours*hour, noon + horizonMs})
 		}
 		got := s.Next(c, 0, math.MaxInt)
 		if fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Fatalf("%v, by search %v", got, want)
+			t.Fatalf("got %v, the search found %v", got, want)
 		}
 	})
 }
 
-// Ten thousand entries, a hundred of which are under way or due: what a command and a question take.
+// BenchmarkTenThousandEntries measures commands and queries with ten thousand entries, a hundred of which are in progress or due.
 func BenchmarkTenThousandEntries(b *testing.B) {
 	s := New()
 	s.See(testZones{})
