--- a/calendar/calendar_test.go
+++ b/calendar/calendar_test.go
@@ -395,14 +395,14 @@
 
 func TestRestoredStateStartsNothing(t *testing.T) {
 	d := newFixture(t)
-	begun, later := d.plan(testChange(0, day)), d.plan(testChange(2*hour, day))
-	d.mustApply(Start{begun})
+	running, later := d.plan(testChange(0, day)), d.plan(testChange(2*hour, day))
+	d.mustApply(Start{running})
 	d.mustApply(Restored{"ana"})
-	assert.Equal(t, Halted, d.stage(begun))
+	assert.Equal(t, Halted, d.stage(running))
 	assert.Equal(t, Drafted, d.stage(later))
 	d.elapse(3 * hour)
 	assert.Empty(t, d.Startable())
-	assert.Equal(t, Halted, d.stage(begun))
+	assert.Equal(t, Halted, d.stage(running))
 }
 
 func TestInvalidCommandsNameTheKey(t *testing.T) {
--- a/calendar/migration_test.go
+++ b/calendar/migration_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// threeSteps are the steps of a migration, an hour each, at threeSteps doors.
+// threeSteps returns the steps of a migration, one for each of the doors d0, d1 and d2, with windows of an hour that follow each other.
 func threeSteps() (steps []Change) {
 	for i, n := range []string{"d0", "d1", "d2"} {
 		c := testChange(float64(i)*hour, float64(i+1)*hour)
@@ -18,7 +18,7 @@
 	return steps
 }
 
-// runStep has a step start and end.
+// runStep starts an entry of one wave and completes it.
 func (d *fixture) runStep(id uint64) {
 	d.mustApply(Start{id})
 	d.mustApply(WaveDone{ID: id, Wave: 1})
@@ -35,9 +35,9 @@
 	d.runStep(steps[1])
 	other := testChange(hour, 9*hour)
 	other.Subject = Subject{Scope: Doors, Names: []string{"d0"}}
-	oid := d.plan(other)
+	otherID := d.plan(other)
 	var busy *BusyError
-	d.mustRefuse(Start{oid}, &busy) // the way back could not end where it began
+	d.mustRefuse(Start{otherID}, &busy) // otherwise a rollback could not restore the initial state of d0
 	d.elapse(hour)
 	d.mustApply(Start{steps[2]})
 	var stage *StageError
@@ -45,13 +45,13 @@
 	d.mustApply(Halt{steps[2], "bea", "it looks odd"})
 	assert.Equal(t, Halted, m.Stage)
 	assert.Contains(t, m.Says, "step 3")
-	d.mustApply(SetFreeze{0, 0, testFreeze(2*hour, day, SendsBack)}) // a way back is never frozen
+	d.mustApply(SetFreeze{0, 0, testFreeze(2*hour, day, SendsBack)}) // freezes do not apply to rollbacks
 	d.mustApply(Revert{id, "ana", "enough"})
 	for _, i := range []int{2, 1, 0} {
 		for j, s := range steps {
 			assert.Equal(t, j == i, d.stage(s) == RollingBack, "%d while %d goes back", j, i)
 		}
-		if i == 1 { // it gets stuck, and goes on
+		if i == 1 { // a rollback can be halted and resumed
 			d.mustApply(Halt{steps[i], "bea", "stuck"})
 			d.mustApply(Resume{steps[i], "bea"})
 			assert.Equal(t, RollingBack, d.stage(steps[i]))
@@ -89,11 +89,11 @@
 	for i := range later[1:] {
 		later[i+1].Window = Span{noon + float64(i+3)*hour, noon + float64(i+4)*hour}
 	}
-	spoilt := append([]Change{}, later...)
-	spoilt[0].Do = json.RawMessage(`"other"`)
-	var begun *BegunError
-	d.mustRefuse(Replace{id, m.Revision, spoilt, "bea"}, &begun)
-	assert.Equal(t, 0, begun.Step)
+	altered := append([]Change{}, later...)
+	altered[0].Do = json.RawMessage(`"other"`)
+	var started *BegunError
+	d.mustRefuse(Replace{id, m.Revision, altered, "bea"}, &started)
+	assert.Equal(t, 0, started.Step)
 	d.mustApply(Replace{id, m.Revision, later, "bea"})
 	assert.Equal(t, Running, m.Stage)
 	assert.Len(t, m.Steps, 3)
@@ -110,17 +110,17 @@
 	m := d.Migrations[id]
 	d.runStep(m.Steps[0])
 	d.elapse(hour)
-	sent := m.Steps[1]
-	d.mustApply(Start{sent})
-	fid := d.mustApply(SetFreeze{0, 0, testFreeze(hour+minute, 2*hour, SendsBack)})
+	frozen := m.Steps[1]
+	d.mustApply(Start{frozen})
+	freezeID := d.mustApply(SetFreeze{0, 0, testFreeze(hour+minute, 2*hour, SendsBack)})
 	d.elapse(minute)
-	assert.Equal(t, RollingBack, d.stage(sent))
+	assert.Equal(t, RollingBack, d.stage(frozen))
 	assert.Equal(t, Halted, m.Stage)
-	d.mustApply(RolledBack{ID: sent})
+	d.mustApply(RolledBack{ID: frozen})
 	assert.Equal(t, Halted, m.Stage)
-	d.mustApply(Thaw{fid, 1, "bea", "over"})
+	d.mustApply(Thaw{freezeID, 1, "bea", "over"})
 	d.mustApply(Replace{id, m.Revision, threeSteps(), "ana"})
-	assert.NotContains(t, m.Steps, sent)
+	assert.NotContains(t, m.Steps, frozen)
 	d.runStep(m.Steps[1])
 	d.elapse(hour)
 	d.runStep(m.Steps[2])
@@ -134,20 +134,20 @@
 	id := d.mustApply(Migrate{"shape", steps, "ana"})
 	m := d.Migrations[id]
 	first := m.Steps[0]
-	var unseen *PreconditionError
-	d.mustRefuse(Start{first}, &unseen)
+	var missing *PreconditionError
+	d.mustRefuse(Start{first}, &missing)
 	d.mustApply(Observe{ID: first, What: "no fault", Well: true, Says: ""})
 	d.elapse(observationTTLMs + sec)
-	d.mustRefuse(Start{first}, &unseen)
+	d.mustRefuse(Start{first}, &missing)
 	d.mustApply(Observe{ID: first, What: "no fault", Well: false, Says: "a key"})
-	d.mustRefuse(Start{first}, &unseen)
-	assert.Contains(t, unseen.Error(), "a key")
+	d.mustRefuse(Start{first}, &missing)
+	assert.Contains(t, missing.Error(), "a key")
 	d.mustApply(Observe{ID: first, What: "no fault", Well: true, Says: ""})
 	d.mustApply(Observe{ID: first, What: "rejections as before", Well: true, Says: "too soon to tell"})
 	d.mustApply(Start{first})
 	d.mustApply(WaveDone{ID: first, Wave: 1})
 	d.elapse(10 * minute)
-	assert.Equal(t, Running, d.stage(first), "what was seen before its last wave doesn't count")
+	assert.Equal(t, Running, d.stage(first), "observations from before the last wave do not count")
 	d.mustApply(Observe{ID: first, What: "rejections as before", Well: false, Says: "0.3 against 0.1"})
 	assert.Equal(t, Halted, d.stage(first))
 	assert.Equal(t, Halted, m.Stage)
@@ -162,7 +162,7 @@
 
 func TestInvalidStepsNameTheKey(t *testing.T) {
 	d := newFixture(t)
-	for key, spoil := range map[string]func([]Change) []Change{
+	for key, invalidate := range map[string]func([]Change) []Change{
 		"steps":                  func([]Change) []Change { return nil },
 		"steps[1].waves":         func(s []Change) []Change { s[1].Waves = 0; return s },
 		"steps[1].subject.scope": func(s []Change) []Change { s[1].Subject.Scope = "x"; return s },
@@ -172,18 +172,18 @@
 		"steps[0].preconditions": func(s []Change) []Change { s[0].Preconditions = []string{""}; return s },
 		"steps[1].window":        func(s []Change) []Change { s[1].Window = Span{noon - hour, noon - minute}; return s },
 	} {
-		d.plan(testChange(0, hour)) // that there is an entry 1
+		d.plan(testChange(0, hour)) // so that entry 1 exists
 		var form *FormError
-		d.mustRefuse(Migrate{"m", spoil(threeSteps()), "ana"}, &form)
+		d.mustRefuse(Migrate{"m", invalidate(threeSteps()), "ana"}, &form)
 		assert.Equal(t, key, form.Key)
 	}
 	var form *FormError
 	d.mustRefuse(Migrate{"", threeSteps(), "ana"}, &form)
 	id := d.mustApply(Migrate{"m", threeSteps(), "ana"})
 	m := d.Migrations[id]
-	loose := d.Entries[m.Steps[1]].Change
-	loose.After = nil
-	d.mustRefuse(Edit{m.Steps[1], 1, loose, "ana", false}, &form)
+	detached := d.Entries[m.Steps[1]].Change
+	detached.After = nil
+	d.mustRefuse(Edit{m.Steps[1], 1, detached, "ana", false}, &form)
 	d.mustRefuse(Replace{id, 1, nil, "ana"}, &form)
 	d.mustRefuse(Revert{id, "ana", ""}, &form)
 	var unknown *UnknownError
@@ -225,7 +225,7 @@
 	d.mustApply(WaveDone{ID: id, Wave: 1})
 	d.mustApply(Halt{id, "ana", "look"})
 	d.mustApply(WaveDone{ID: id, Wave: 2})
-	assert.Equal(t, Halted, d.stage(id), "its last wave was under way")
+	assert.Equal(t, Halted, d.stage(id), "it was halted during its last wave")
 	d.mustApply(Resume{id, "ana"})
 	assert.Equal(t, Done, d.stage(id))
 }
