--- a/calendar/calendar.go
+++ b/calendar/calendar.go
@@ -1,6 +1,9 @@
 // Package calendar is the replicated state machine of a fleet's change calendar. It decides when a change may begin: which approvals
 // it needs, which freezes block it, which entries and budgets conflict with it, and when there is free time. It does no I/O and reads
 // no clock; its state is part of what the coordinators agree on, and time arrives with the commands.
+//
+// Texts that commands leave in the state (of events, reasons, State.ClockProblem) or return in the fields of an error are replicated, too.
+// Changing one would make coordinators of different releases disagree while both apply the same log.
 package calendar
 
 import (
--- a/calendar/calendar_test.go
+++ b/calendar/calendar_test.go
@@ -308,12 +308,12 @@
 		return d.plan(c)
 	}
 	zone, inIt, apart, third := on(Zone, "z0"), on(Backends, "b1"), on(Doors, "d2"), on(Doors, "d3")
-	gone := on(Doors, "d9")
+	unknownZone := on(Doors, "d9")
 	d.mustApply(Start{zone})
 	var busy *BusyError
 	d.mustRefuse(Start{inIt}, &busy)
 	assert.Equal(t, zone, busy.Other)
-	d.mustRefuse(Start{gone}, &busy) // its zone is unknown, so it may be in z0
+	d.mustRefuse(Start{unknownZone}, &busy) // its zone is unknown, so it may be in z0
 	d.mustApply(Start{apart})
 	var full *FullError
 	d.mustRefuse(Start{third}, &full)
--- a/calendar/clock.go
+++ b/calendar/clock.go
@@ -23,9 +23,9 @@
 	return nil
 }
 
-// updateAgreedTime drops expired readings and computes the agreed time from the others. Of the
-// majorities that agree it takes the one with the earliest clock, and that clock. The agreed time never goes back, and stands still if
-// that clock is behind it by more than maxClockSpreadMs.
+// updateAgreedTime drops expired readings and computes the agreed time from the others: the earliest clock of the first majority, in the
+// order of their offsets, whose clocks agree. The agreed time never goes back, and stands still if that clock is behind it by more than
+// maxClockSpreadMs.
 func (s *State) updateAgreedTime() {
 	maps.DeleteFunc(s.Readings, func(_ string, r Reading) bool { return s.NowMs-r.AtMs > readingTTLMs })
 	var offsets []float64
--- a/calendar/find.go
+++ b/calendar/find.go
@@ -113,7 +113,7 @@
 	}
 	for _, other := range slices.Sorted(maps.Keys(s.Entries)) {
 		o := s.Entries[other]
-		if span, has := s.occupancy(o); has && other != id && s.subjectsOverlap(&o.Subject, &c.Subject) && span.overlaps(c.Window) {
+		if span, ok := s.occupancy(o); ok && other != id && s.subjectsOverlap(&o.Subject, &c.Subject) && span.overlaps(c.Window) {
 			conflicts = append(conflicts, Conflict{other, fmt.Sprintf("%s %q holds %s at that time", o.Kind, o.Name, o.Subject.String())})
 		}
 	}
@@ -171,7 +171,7 @@
 	}
 	var edges []edge
 	for id, e := range s.Entries {
-		if span, has := s.occupancy(e); has && id != exclude && e.Kind == b.Kind {
+		if span, ok := s.occupancy(e); ok && id != exclude && e.Kind == b.Kind {
 			edges = append(edges, edge{span.FromMs, 1}, edge{span.ToMs, -1})
 		}
 	}
@@ -196,7 +196,7 @@
 	ahead := Span{s.WallMs, s.WallMs + horizonMs}
 	var taken []Span
 	for other, o := range s.Entries {
-		if span, has := s.occupancy(o); has && other != id && s.subjectsOverlap(&o.Subject, &c.Subject) {
+		if span, ok := s.occupancy(o); ok && other != id && s.subjectsOverlap(&o.Subject, &c.Subject) {
 			taken = append(taken, span)
 		}
 	}
@@ -214,7 +214,7 @@
 	return free[:min(most, len(free))]
 }
 
-// gaps lists the parts of a span that no taken span covers and that are at least least ms long.
+// gaps lists the parts of a span that no taken span covers, in pieces of least ms or more.
 func gaps(taken []Span, in Span, least float64) (free []Span) {
 	slices.SortFunc(taken, func(a, b Span) int { return cmp.Compare(a.FromMs, b.FromMs) })
 	at := in.FromMs
--- a/calendar/freeze.go
+++ b/calendar/freeze.go
@@ -195,7 +195,7 @@
 // setFreeze adds a freeze or replaces an existing one.
 func (s *State) setFreeze(c SetFreeze) (uint64, error) {
 	f := c.Freeze
-	form := func(key, says string) error { return &FormError{key, says} }
+	form := func(key, detail string) error { return &FormError{key, detail} }
 	switch {
 	case f.Name == "" || len(f.Name) > maxNameBytes:
 		return 0, form("name", fmt.Sprintf("1 to %d bytes are wanted", maxNameBytes))
--- a/calendar/migration_test.go
+++ b/calendar/migration_test.go
@@ -49,7 +49,7 @@
 	d.mustApply(Revert{id, "ana", "enough"})
 	for _, i := range []int{2, 1, 0} {
 		for j, s := range steps {
-			assert.Equal(t, j == i, d.stage(s) == RollingBack, "%d while %d goes back", j, i)
+			assert.Equal(t, j == i, d.stage(s) == RollingBack, "%d while %d rolls back", j, i)
 		}
 		if i == 1 { // a rollback can be halted and resumed
 			d.mustApply(Halt{steps[i], "bea", "stuck"})
