--- a/admin/admin.go
+++ b/admin/admin.go
@@ -53,15 +53,15 @@
 
 // Word words what a door holds.
 func Word(v fleet.View) Members {
-	m := Members{Self: v.Self, Fleet: v.Fleet, AloneMs: v.Alone, StoppedMs: v.Stopped, Members: []Member{}}
-	if v.Taken != nil {
-		m.Refused, m.Remedy = v.Taken.Error(), v.Taken.Remedy()
+	m := Members{Self: v.Self, Fleet: v.Fleet, AloneMs: v.SilentMs, StoppedMs: v.PausedMs, Members: []Member{}}
+	if v.NameConflict != nil {
+		m.Refused, m.Remedy = v.NameConflict.Error(), v.NameConflict.Remedy()
 	}
 	for _, r := range v.Rows {
 		row := Member{Name: r.Name, Zone: r.Zone, Number: r.Number, Address: r.Address, State: r.State.String(), SinceMs: r.Since,
-			SeenBy: max(0, r.Looks-r.Doubts), Observers: r.Looks, Life: r.Life, Release: r.Release, TripMs: r.Trip}
-		if r.Observe {
-			reached := r.Reach
+			SeenBy: max(0, r.Observers-r.Suspicions), Observers: r.Observers, Life: r.Incarnation, Release: r.Release, TripMs: r.RTT}
+		if r.Observed {
+			reached := r.Reached
 			row.Reached = &reached
 		}
 		m.Members = append(m.Members, row)
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// Ask asks a door whom it holds to be here.
-func Ask(ctx context.Context, address string) (m Members, err error) {
+// GetMembers asks a door whom it holds to be here.
+func GetMembers(ctx context.Context, address string) (m Members, err error) {
 	err = ask(ctx, http.MethodGet, address, MembersPath, &m)
 	return m, err
 }
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -16,16 +16,16 @@
 )
 
 func view() fleet.View {
-	return fleet.View{Self: "a", Fleet: "prod", Alone: 20, Rows: []members.Row{
-		{Peer: members.Peer{Name: "a", Zone: "z1", Address: "10.0.0.1:7946"}, State: members.Here, Life: 1, Looks: 2, Since: 61e3},
-		{Peer: members.Peer{Name: "b", Zone: "z2", Address: "10.0.0.2:7946", Release: "abc"}, State: members.Doubted, Life: 3, Looks: 2, Doubts: 1, Observe: true, Trip: 1.25},
+	return fleet.View{Self: "a", Fleet: "prod", SilentMs: 20, Rows: []members.Row{
+		{Peer: members.Peer{Name: "a", Zone: "z1", Address: "10.0.0.1:7946"}, State: members.Here, Incarnation: 1, Observers: 2, Since: 61e3},
+		{Peer: members.Peer{Name: "b", Zone: "z2", Address: "10.0.0.2:7946", Release: "abc"}, State: members.Suspect, Incarnation: 3, Observers: 2, Suspicions: 1, Observed: true, RTT: 1.25},
 	}}
 }
 
 func TestADoorsStatusIsToldAndAsked(t *testing.T) {
 	srv := httptest.NewServer(Handler(view, nil))
 	defer srv.Close()
-	m, err := Ask(context.Background(), strings.TrimPrefix(srv.URL, "http://"))
+	m, err := GetMembers(context.Background(), strings.TrimPrefix(srv.URL, "http://"))
 	require.NoError(t, err)
 	assert.Equal(t, Word(view()), m)
 	require.Len(t, m.Members, 2)
@@ -40,7 +40,7 @@
 
 func TestARefusedDoorSaysWhatToDo(t *testing.T) {
 	v := view()
-	v.Taken = &members.NameTakenError{Name: "a", Address: "10.0.0.9:7946"}
+	v.NameConflict = &members.NameTakenError{Name: "a", Address: "10.0.0.9:7946"}
 	var out bytes.Buffer
 	Word(v).Print(&out)
 	assert.Contains(t, out.String(), "no member: ")
@@ -49,12 +49,12 @@
 
 func TestNobodyThereOrNoDoorIsToldWithWhatToDo(t *testing.T) {
 	var ask *AskError
-	_, err := Ask(context.Background(), "127.0.0.1:1")
+	_, err := GetMembers(context.Background(), "127.0.0.1:1")
 	require.ErrorAs(t, err, &ask)
 	assert.Contains(t, ask.Remedy(), "fleet.status")
 	for _, answer := range []http.HandlerFunc{http.NotFound, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) }} {
 		srv := httptest.NewServer(answer)
-		_, err = Ask(context.Background(), strings.TrimPrefix(srv.URL, "http://"))
+		_, err = GetMembers(context.Background(), strings.TrimPrefix(srv.URL, "http://"))
 		assert.ErrorAs(t, err, &ask)
 		srv.Close()
 	}
--- a/admin/errors.go
+++ b/admin/errors.go
@@ -12,7 +12,7 @@
 	Cause   error
 }
 
-func (e *ListenError) Error() string     { return remedy.Because("status at "+e.Address, e.Cause) }
+func (e *ListenError) Error() string     { return remedy.WithCause("status at "+e.Address, e.Cause) }
 func (e *ListenError) Unwrap() error     { return e.Cause }
 func (e *ListenError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -30,9 +30,9 @@
 
 func (e *AskError) Error() string {
 	if e.Says != "" {
-		return remedy.Because("status at "+e.Address+": "+e.Says, e.Cause)
+		return remedy.WithCause("status at "+e.Address+": "+e.Says, e.Cause)
 	}
-	return remedy.Because("status at "+e.Address, e.Cause)
+	return remedy.WithCause("status at "+e.Address, e.Cause)
 }
 func (e *AskError) Unwrap() error     { return e.Cause }
 func (e *AskError) Kind() remedy.Kind { return remedy.Unreachable }
--- a/cmd/swifthall-coordinate/calendar_test.go
+++ b/cmd/swifthall-coordinate/calendar_test.go
@@ -280,7 +280,7 @@
 		require.NoError(t, err)
 		sum := sha256.Sum256(raw)
 		assert.Equal(t, hex.EncodeToString(sum[:]), do.Release.Digest, step.Name)
-		whole, err := config.Over(own, raw)
+		whole, err := config.Overlay(own, raw)
 		require.NoError(t, err)
 		door, err := config.Read(whole, func(string) string { return "" })
 		require.NoError(t, err, step.Name)
--- a/cmd/swifthall-coordinate/commands.go
+++ b/cmd/swifthall-coordinate/commands.go
@@ -60,7 +60,7 @@
 		text = defaultAt
 	}
 	for _, one := range strings.Split(text, ",") {
-		n, err := config.Named(strings.TrimSpace(one))
+		n, err := config.ParseNamedAddress(strings.TrimSpace(one))
 		if err != nil {
 			return nil, &AtError{one}
 		}
@@ -85,7 +85,7 @@
 // command gives one command; an answer that was lost is asked for again, with its number.
 func (o *operator) command(cmd *cobra.Command, do any) (a permits.Answer, err error) {
 	err = o.with(cmd, func(ctx context.Context, c *client.Client) error {
-		a, err = c.Command(ctx, permits.Command{Caller: permits.Caller("operator "+o.who, rand.Uint64()), Seq: 1, Do: do})
+		a, err = c.Command(ctx, permits.Command{Caller: permits.CallerName("operator "+o.who, rand.Uint64()), Seq: 1, Do: do})
 		return err
 	})
 	if err == nil {
@@ -121,7 +121,7 @@
 func coordinate() *cobra.Command {
 	var file string
 	var check, restore, noSync bool
-	var l serving.Log
+	var l serving.LogFlags
 	cmd := &cobra.Command{Use: "coordinate", Short: "Run a coordinator", Args: cobra.NoArgs,
 		Long: "Runs the coordinator that --config describes, or GW_CONFIG where the flag isn't given; docs/coordinators.md tells the rest.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -142,7 +142,7 @@
 				return err
 			}
 			return coordinator.Run(cmd.Context(), cfg, coordinator.Options{Restore: restore, NoSync: noSync,
-				Before: coordinator.Spoiled(os.Getenv(coordinator.DiskFault)), Wrong: serving.WallWrong()}, log)
+				Before: coordinator.Spoiled(os.Getenv(coordinator.DiskFault)), Wrong: serving.WallClockOffset()}, log)
 		}}
 	f := cmd.Flags()
 	f.StringVar(&file, "config", "", "the coordinator's file")
@@ -540,7 +540,7 @@
 				return err
 			}
 			return o.with(cmd, func(ctx context.Context, c *client.Client) error {
-				var lines []permits.Line
+				var lines []permits.AuditEntry
 				var last error
 				for _, a := range all {
 					if last = c.Once(ctx, a, client.AuditPath, &lines); last == nil {
--- a/cmd/swifthall-coordinate/commands_test.go
+++ b/cmd/swifthall-coordinate/commands_test.go
@@ -39,9 +39,9 @@
 		assert.Equal(t, remedy.Usage, remedy.Typed(err)[0].Kind(), args)
 	}
 	_, err := do("budgets", "nowhere.json", "--who", "a", "--why", "b")
-	assert.Equal(t, 3, remedy.Exit(err))
+	assert.Equal(t, 3, remedy.ExitCode(err))
 	_, err = do("status", "--at", "c/127.0.0.1:1", "--patience", "100ms")
-	assert.Equal(t, 5, remedy.Exit(err))
+	assert.Equal(t, 5, remedy.ExitCode(err))
 	out, err := do("status", "--each", "--at", "c/127.0.0.1:1", "--patience", "100ms")
 	require.NoError(t, err)
 	assert.Contains(t, out, "coordinator c at 127.0.0.1:1")
@@ -73,7 +73,7 @@
 	print(&out, client.Status{Self: "c-1", Fleet: "prod", Leader: "c-1", Current: true, Members: []client.Member{{Name: "c-1"}, {Name: "c-2", SilentMs: 4e3}},
 		Halts:  []permits.Halt{{Who: "ana", Why: "errors"}},
 		Places: []client.Place{{Permit: permits.Permit{Number: 7, Unit: unit, Order: true, Stage: permits.Out, Who: "bea"}, Waiting: []string{"door-3"}}},
-		Units:  []client.Unit{{Known: permits.Known{Unit: unit, Standing: permits.Ready, AtMs: 5}, Out: true, AgeMs: 200}}})
+		Units:  []client.Unit{{UnitState: permits.UnitState{Unit: unit, Standing: permits.Ready, AtMs: 5}, Out: true, AgeMs: 200}}})
 	assert.Regexp(t, `HALT of all by ana: errors`, out.String())
 	assert.Regexp(t, `c-2 +silent for 4 s`, out.String())
 	assert.Regexp(t, `7 +backend b-1 +going out +bea +door-3`, out.String())
--- a/cmd/swifthall-coordinate/errors.go
+++ b/cmd/swifthall-coordinate/errors.go
@@ -54,7 +54,7 @@
 	Cause error
 }
 
-func (e *BudgetsError) Error() string     { return remedy.Because("budgets of "+e.Path, e.Cause) }
+func (e *BudgetsError) Error() string     { return remedy.WithCause("budgets of "+e.Path, e.Cause) }
 func (e *BudgetsError) Unwrap() error     { return e.Cause }
 func (e *BudgetsError) Kind() remedy.Kind { return remedy.Configuration }
 
@@ -114,7 +114,7 @@
 	Cause error
 }
 
-func (e *StepError) Error() string     { return remedy.Because(fmt.Sprintf("step %d", e.Step), e.Cause) }
+func (e *StepError) Error() string     { return remedy.WithCause(fmt.Sprintf("step %d", e.Step), e.Cause) }
 func (e *StepError) Unwrap() error     { return e.Cause }
 func (e *StepError) Kind() remedy.Kind { return remedy.Configuration }
 
--- a/cmd/swifthall-coordinate/release.go
+++ b/cmd/swifthall-coordinate/release.go
@@ -119,15 +119,15 @@
 	fmt.Fprintln(t, "release\tof\tdigest\tstands\twave\tchanged\twho\tsays")
 	for _, r := range st.Releases {
 		changed, all := 0, 0
-		for _, part := range r.Parts {
+		for _, part := range r.UnitsByWave {
 			for _, d := range part {
 				all++
-				if r.Changes == release.Backends && st.Seen[d] != r.From[d] || r.Changes != release.Backends && st.Runs[d][r.Changes] == r.Digest {
+				if r.Changes == release.Backends && st.Seen[d] != r.Previous[d] || r.Changes != release.Backends && st.Runs[d][r.Changes] == r.Digest {
 					changed++
 				}
 			}
 		}
-		fmt.Fprintf(t, "%s\t%s\t%.8s\t%s\t%d of %d\t%d of %d\t%s\t%s\n", r.Name, r.Changes, r.Digest, r.Stage, r.Wave+1, len(r.Waves), changed, all, r.Who, r.Says)
+		fmt.Fprintf(t, "%s\t%s\t%.8s\t%s\t%d of %d\t%d of %d\t%s\t%s\n", r.Name, r.Changes, r.Digest, r.Stage, r.Wave+1, len(r.Waves), changed, all, r.Who, r.Reason)
 	}
 	for _, r := range st.Releases {
 		for d, why := range r.Failed {
@@ -152,8 +152,8 @@
 			case release.Done:
 				fmt.Fprintln(cmd.OutOrStdout(), "done")
 				return nil
-			case release.Halted, release.Returned, release.Replaced:
-				return &release.StageError{Name: name, Stage: r.Stage, To: "go on: " + r.Says}
+			case release.Halted, release.RolledBack, release.Replaced:
+				return &release.StageError{Name: name, Stage: r.Stage, To: "go on: " + r.Reason}
 			}
 			break
 		}
--- a/cmd/swifthall-fleet/commands.go
+++ b/cmd/swifthall-fleet/commands.go
@@ -16,7 +16,7 @@
 )
 
 func root() *cobra.Command {
-	var l serving.Log
+	var l serving.LogFlags
 	cmd := &cobra.Command{Use: "swifthall-fleet", Short: "A front door that is a member of a fleet", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	serve := &cobra.Command{Use: "serve", Short: "Serve as one front door of a fleet", Args: cobra.NoArgs,
@@ -28,13 +28,13 @@
 }
 
 // serve is one door. With the key fleet.releases it is a process that holds the door's listener, and has the door run as another.
-func serve(cmd *cobra.Command, l serving.Log) error {
+func serve(cmd *cobra.Command, l serving.LogFlags) error {
 	if os.Getenv(serving.ListenerVariable) != "" {
-		return serving.Door(l, nil, doorfleet.Beside)
+		return serving.Door(l, nil, doorfleet.Run)
 	}
 	cfg, err := serving.Load(cmd.Context())
 	if err != nil || cfg.Fleet == nil || cfg.Fleet.Releases == "" {
-		return serving.Door(l, nil, doorfleet.Beside) // what is wrong with the file it says itself
+		return serving.Door(l, nil, doorfleet.Run) // what is wrong with the file it says itself
 	}
 	log, flush := serving.NewLog()
 	defer flush()
@@ -68,7 +68,7 @@
 				at = status()
 			}
 			for {
-				m, err := admin.Ask(cmd.Context(), at)
+				m, err := admin.GetMembers(cmd.Context(), at)
 				if err != nil {
 					return err
 				}
--- a/cmd/swifthall/beside.go
+++ b/cmd/swifthall/beside.go
@@ -36,7 +36,7 @@
 }
 
 // serve is one front door. With the key fleet it goes over into the program that carries membership.
-func serve(l serving.Log) error {
+func serve(l serving.LogFlags) error {
 	return serving.Door(l, func(cfg config.Door) error {
 		if cfg.Fleet == nil {
 			return nil
--- a/cmd/swifthall/commands.go
+++ b/cmd/swifthall/commands.go
@@ -11,7 +11,7 @@
 )
 
 func root() *cobra.Command {
-	var l serving.Log
+	var l serving.LogFlags
 	cmd := &cobra.Command{Use: "swifthall", Short: "An admission gateway for services sold by plan", Args: cobra.NoArgs,
 		Long: "Alone, swifthall serves as one front door, as swifthall serve does: it reads the file that GW_CONFIG names;\n" +
 			"GW_NAME, GW_LISTEN and GW_DISCOVERY win over its keys.",
@@ -70,10 +70,10 @@
 		}
 	}
 	door, err := config.Load(getenv)
-	for _, odd := range door.Odd {
+	for _, odd := range door.Warnings {
 		fmt.Fprintln(cmd.OutOrStdout(), "warning:", odd)
 	}
-	faults := config.Faults(err)
+	faults := config.SplitErrors(err)
 	for _, f := range faults {
 		fmt.Fprintln(cmd.OutOrStdout(), f)
 	}
--- a/cmd/swifthall/errors.go
+++ b/cmd/swifthall/errors.go
@@ -28,9 +28,9 @@
 
 func (e *ProgramError) Error() string {
 	if e.Path == "" {
-		return remedy.Because(e.Name+" is neither beside this program nor on the path", e.Cause)
+		return remedy.WithCause(e.Name+" is neither beside this program nor on the path", e.Cause)
 	}
-	return remedy.Because("starting "+e.Path, e.Cause)
+	return remedy.WithCause("starting "+e.Path, e.Cause)
 }
 func (e *ProgramError) Unwrap() error     { return e.Cause }
 func (e *ProgramError) Kind() remedy.Kind { return remedy.Unreachable }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -15,7 +15,7 @@
 		return policy.New(t, seed)
 	})
 	if err := host.Serve(os.Stdin, os.Stdout); err != nil {
-		remedy.Tell(os.Stderr, err)
-		os.Exit(remedy.Exit(err))
+		remedy.Print(os.Stderr, err)
+		os.Exit(remedy.ExitCode(err))
 	}
 }
--- a/config/config.go
+++ b/config/config.go
@@ -25,40 +25,40 @@
 	Cores                   float64
 	MemoryMB, Sockets       int
 	Known                   registry.List
-	Deal                    Deal
+	Settings                Settings
 	Watch                   *gate.Terms // terms of another shape that decisions are compared with; nil where there is no watch
 	Pace                    Pace
 	Log                     Log
 	Fleet                   *Fleet   // nil where the door goes by itself
-	Odd                     []string // keys that nothing reads, each with a word on it
+	Warnings                []string // keys that nothing reads, each with a word on it
 }
 
 // One rule bounds how late a door hears what discovery could have told it, whatever came before: a watch that falls silent
 // is noticed after Silence, and then a call may fail and the next one must be answered, each after ConnectTimeout at most
 // for its connection, FirstWord for its first byte, and the longest pause behind it. The sum stays within toldWithin.
 const (
-	RedialGrows    = 5   // times Redial, up to which the pause between failed calls doubles
-	toldWithin     = 6e3 // ms after which what discovery has told counts as known
-	firstWordMost  = 1e3 // an agent answers at once; over that it is down, and the next dial may find it back
-	firstWordLeast = 100 // less would give up an answer that is on its way
+	MaxRedialFactor = 5   // times Redial, up to which the pause between failed calls doubles
+	toldWithin      = 6e3 // ms after which what discovery has told counts as known
+	firstWordMost   = 1e3 // an agent answers at once; over that it is down, and the next dial may find it back
+	firstWordLeast  = 100 // less would give up an answer that is on its way
 )
 
 // told is that sum, ms.
 func (p *Pace) told(connectTimeout float64) float64 {
-	return p.Silence + 2*(connectTimeout+p.FirstWord+RedialGrows*p.Redial)
+	return p.Silence + 2*(connectTimeout+p.FirstByte+MaxRedialFactor*p.Redial)
 }
 
 // Pace holds the carrier's own times, ms. The key "pace" overrides the defaults.
 type Pace struct {
-	SlowInput   float64 `json:"slow_input_ms"`   // a message that takes longer to arrive or leave is given up
-	IdleClient  float64 `json:"idle_client_ms"`  // a client connection with no request for longer is closed
-	IdleBackend float64 `json:"idle_backend_ms"` // a backend connection idle for longer is closed
-	Settle      float64 `json:"settle_ms"`       // a backend connection carries nothing for so long after an answer
-	Silence     float64 `json:"silence_ms"`      // a watch silent for longer is dialled again
-	FirstWord   float64 `json:"first_word_ms"`   // and so is one that has not begun to answer for longer
-	DeadCounter float64 `json:"dead_counter_ms"` // a counter connection that owes an answer for longer is closed
-	Redial      float64 `json:"redial_ms"`       // rest between failed dials of the counter, and the first between those of discovery
-	Linger      float64 `json:"linger_ms"`       // new connections are served for this long after the call to stop
+	SlowInput    float64 `json:"slow_input_ms"`   // a message that takes longer to arrive or leave is given up
+	IdleClient   float64 `json:"idle_client_ms"`  // a client connection with no request for longer is closed
+	IdleBackend  float64 `json:"idle_backend_ms"` // a backend connection idle for longer is closed
+	Settle       float64 `json:"settle_ms"`       // a backend connection carries nothing for so long after an answer
+	Silence      float64 `json:"silence_ms"`      // a watch silent for longer is dialled again
+	FirstByte    float64 `json:"first_word_ms"`   // and so is one that has not begun to answer for longer
+	CounterStall float64 `json:"dead_counter_ms"` // a counter connection that owes an answer for longer is closed
+	Redial       float64 `json:"redial_ms"`       // rest between failed dials of the counter, and the first between those of discovery
+	Linger       float64 `json:"linger_ms"`       // new connections are served for this long after the call to stop
 }
 
 // Log is how the door logs. It never logs single requests.
@@ -127,8 +127,8 @@
 	return Read(raw, getenv)
 }
 
-// Faults takes apart what Load, Read or Again say is wrong: one fault for each key.
-func Faults(err error) []error {
+// SplitErrors takes apart what Load, Read or Again say is wrong: one fault for each key.
+func SplitErrors(err error) []error {
 	var joined interface{ Unwrap() []error }
 	switch {
 	case err == nil:
@@ -136,7 +136,7 @@
 	case errors.As(err, &joined):
 		var all []error
 		for _, e := range joined.Unwrap() {
-			all = append(all, Faults(e)...)
+			all = append(all, SplitErrors(e)...)
 		}
 		return all
 	}
@@ -155,7 +155,7 @@
 		}
 	}
 	d := Door{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Counter: f.Counter, Cores: f.Limits.Cores,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Pace: f.Pace, Log: f.Log, Fleet: f.Fleet, Odd: oddKeys(raw)}
+		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Pace: f.Pace, Log: f.Log, Fleet: f.Fleet, Warnings: oddKeys(raw)}
 	var faults []error
 	for _, a := range []struct {
 		key, value string
@@ -183,18 +183,18 @@
 	}
 	if len(f.Settings) == 0 {
 		faults = append(faults, keyFault("settings", "missing"))
-	} else if d.Deal, err = ReadDeal(f.Settings); err != nil {
+	} else if d.Settings, err = ReadSettings(f.Settings); err != nil {
 		faults = append(faults, err)
 	} else {
 		faults = append(faults, d.check()...)
 		faults = append(faults, d.watch(f.Watch)...)
 	}
 	if err := errors.Join(faults...); err != nil {
-		return Door{Odd: d.Odd}, err
+		return Door{Warnings: d.Warnings}, err
 	}
 	d.defaults()
-	if sum := d.Pace.told(d.Deal.ConnectTimeout); sum > toldWithin {
-		d.Odd = append(d.Odd, fmt.Sprintf("key \"pace.silence_ms\": with connect_timeout, pace.first_word_ms and pace.redial_ms a change of the fleet list may be heard %.0f ms late, and counts as told after %.0f", sum, toldWithin))
+	if sum := d.Pace.told(d.Settings.ConnectTimeout); sum > toldWithin {
+		d.Warnings = append(d.Warnings, fmt.Sprintf("key \"pace.silence_ms\": with connect_timeout, pace.first_word_ms and pace.redial_ms a change of the fleet list may be heard %.0f ms late, and counts as told after %.0f", sum, toldWithin))
 	}
 	return d, nil
 }
@@ -230,12 +230,12 @@
 
 // check holds what serving needs, over what the simulator's first message must have.
 func (d *Door) check() (faults []error) {
-	t := &d.Deal.Terms
+	t := &d.Settings.Terms
 	fault := func(key, format string, args ...any) { faults = append(faults, keyFault(key, format, args...)) }
 	if t.Doors < 1 {
 		fault("settings.fleet_size", "%d doors", t.Doors)
-	} else if t.Number < 0 || t.Number >= t.Doors {
-		fault("settings.my_number", "%d of %d doors", t.Number, t.Doors)
+	} else if t.DoorNumber < 0 || t.DoorNumber >= t.Doors {
+		fault("settings.my_number", "%d of %d doors", t.DoorNumber, t.Doors)
 	}
 	faults = append(faults, termFaults("settings", t)...)
 	if t.Counter && d.Counter == "" {
@@ -243,10 +243,10 @@
 	}
 	return append(faults, below0([]figure{{"limits.cores", d.Cores}, {"limits.memory_mb", float64(d.MemoryMB)}, {"limits.sockets", float64(d.Sockets)},
 		{"pace.slow_input_ms", d.Pace.SlowInput}, {"pace.idle_client_ms", d.Pace.IdleClient}, {"pace.idle_backend_ms", d.Pace.IdleBackend},
-		{"pace.settle_ms", d.Pace.Settle}, {"pace.silence_ms", d.Pace.Silence}, {"pace.first_word_ms", d.Pace.FirstWord}, {"pace.dead_counter_ms", d.Pace.DeadCounter},
+		{"pace.settle_ms", d.Pace.Settle}, {"pace.silence_ms", d.Pace.Silence}, {"pace.first_word_ms", d.Pace.FirstByte}, {"pace.dead_counter_ms", d.Pace.CounterStall},
 		{"pace.redial_ms", d.Pace.Redial}, {"pace.linger_ms", d.Pace.Linger},
-		{"settings.limits.conn_idle", d.Deal.ConnIdle}, {"settings.limits.connect_timeout", d.Deal.ConnectTimeout},
-		{"settings.extra.counter_timeout", d.Deal.CounterTimeout}, {"settings.extra.units_top", d.Deal.MostUnits}})...)
+		{"settings.limits.conn_idle", d.Settings.ConnIdle}, {"settings.limits.connect_timeout", d.Settings.ConnectTimeout},
+		{"settings.extra.counter_timeout", d.Settings.CounterTimeout}, {"settings.extra.units_top", d.Settings.MaxUnits}})...)
 }
 
 // watch reads the settings of another shape. They must name the same classes and plans in the same order, as an
@@ -262,7 +262,7 @@
 	for _, n := range []struct {
 		of            string
 		present, next map[string]int
-	}{{"profiles", d.Deal.Classes, other.Classes}, {"tariffs", d.Deal.Plans, other.Plans}} {
+	}{{"profiles", d.Settings.Classes, other.Classes}, {"tariffs", d.Settings.Plans, other.Plans}} {
 		if !maps.Equal(n.present, n.next) {
 			faults = append(faults, keyFault("watch."+n.of, "other names than settings.%s has, or in another order", n.of))
 		}
@@ -293,8 +293,8 @@
 		if p.Gain < 0 {
 			fault(at+"worth", "below 0")
 		}
-		if p.Semantics == gate.Keyed && p.Window <= 0 {
-			fault(at+"window", "%g, though the class is deduplicated", p.Window/msPerSecond)
+		if p.Semantics == gate.Keyed && p.DedupWindow <= 0 {
+			fault(at+"window", "%g, though the class is deduplicated", p.DedupWindow/msPerSecond)
 		}
 	}
 	for i, p := range t.Plans {
@@ -304,7 +304,7 @@
 		}
 		at = under + "." + at
 		faults = append(faults, below0([]figure{{at + "rate", p.Rate}, {at + "depth", p.Depth}, {at + "never_over_rate", p.CeilingRate},
-			{at + "ceiling_burst", p.CeilingDepth}, {at + "beyond_earns", p.Beyond}, {at + "over_cost", p.OverCost},
+			{at + "ceiling_burst", p.CeilingDepth}, {at + "beyond_earns", p.OverQuotaGain}, {at + "over_cost", p.OverQuotaCost},
 			{at + "pays", p.Price}})...)
 	}
 	return faults
@@ -344,17 +344,17 @@
 
 func (d *Door) defaults() {
 	d.Cores, d.Sockets = or(d.Cores, 1), or(d.Sockets, 1024)
-	l, p := &d.Deal, &d.Pace
+	l, p := &d.Settings, &d.Pace
 	l.ConnectTimeout = or(l.ConnectTimeout, 250)
 	l.CounterTimeout = or(l.CounterTimeout, 100)
-	l.LongestWait = or(l.LongestWait, 10e3)
+	l.MaxWait = or(l.MaxWait, 10e3)
 	p.SlowInput = or(p.SlowInput, 2400) // clients write in one go; with a look at idle ones it stays under 3 s
 	p.IdleClient = or(p.IdleClient, 2200)
 	p.IdleBackend = or(p.IdleBackend, or(l.ConnIdle, 10e3)/2)
 	p.Settle = or(p.Settle, 20)    // a second answer comes some milliseconds behind the first
 	p.Silence = or(p.Silence, 3e3) // a watch says something every 2 s
-	p.DeadCounter = or(p.DeadCounter, 10*l.CounterTimeout)
+	p.CounterStall = or(p.CounterStall, 10*l.CounterTimeout)
 	p.Redial = or(p.Redial, 100)
-	p.FirstWord = or(p.FirstWord, max(firstWordLeast, min(firstWordMost, (toldWithin-p.Silence)/2-l.ConnectTimeout-RedialGrows*p.Redial)))
+	p.FirstByte = or(p.FirstByte, max(firstWordLeast, min(firstWordMost, (toldWithin-p.Silence)/2-l.ConnectTimeout-MaxRedialFactor*p.Redial)))
 	p.Linger = or(p.Linger, 700) // clients come for up to 0.4 s, and may for 0.3 s more
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -29,17 +29,17 @@
 	assert.Equal(t, "127.0.0.9:1", d.Listen, "the environment wins")
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), d.Seed)
 	assert.Equal(t, "s", d.Known.Backends[0].ID)
-	assert.Equal(t, []gate.Class{{Contract: 500, Semantics: gate.Keyed, Scope: gate.ScopeZone, Window: 5000}}, d.Deal.Terms.Classes)
-	assert.Equal(t, []gate.Plan{{Rate: 0.002, Depth: 8}}, d.Deal.Terms.Plans)
-	assert.Equal(t, 500.0, d.Deal.Terms.MaxRetryAfter)
-	assert.Equal(t, []float64{15e3, 250, 80, 4000, 8}, []float64{d.Deal.ConnIdle, d.Deal.ConnectTimeout,
-		d.Deal.CounterTimeout, d.Deal.LongestWait, d.Deal.MostUnits})
+	assert.Equal(t, []gate.Class{{Contract: 500, Semantics: gate.Keyed, Scope: gate.ScopeZone, DedupWindow: 5000}}, d.Settings.Terms.Classes)
+	assert.Equal(t, []gate.Plan{{Rate: 0.002, Depth: 8}}, d.Settings.Terms.Plans)
+	assert.Equal(t, 500.0, d.Settings.Terms.MaxRetryAfter)
+	assert.Equal(t, []float64{15e3, 250, 80, 4000, 8}, []float64{d.Settings.ConnIdle, d.Settings.ConnectTimeout,
+		d.Settings.CounterTimeout, d.Settings.MaxWait, d.Settings.MaxUnits})
 }
 
 func TestDefaultsFollowFromTheSettings(t *testing.T) {
 	d, err := Read([]byte(strings.Replace(full, `"seed"`, `"pace":{"linger_ms":5},"seed"`, 1)), unset)
 	require.NoError(t, err)
-	assert.Equal(t, Pace{SlowInput: 2400, IdleClient: 2200, IdleBackend: 7500, Settle: 20, Silence: 3000, FirstWord: 750, DeadCounter: 800, Redial: 100, Linger: 5}, d.Pace)
+	assert.Equal(t, Pace{SlowInput: 2400, IdleClient: 2200, IdleBackend: 7500, Settle: 20, Silence: 3000, FirstByte: 750, CounterStall: 800, Redial: 100, Linger: 5}, d.Pace)
 }
 
 // Whatever failed before, what discovery could tell is heard within 6 s: by default, and with connections slow to come.
@@ -47,14 +47,14 @@
 	for connect, want := range map[string]float64{"0.25": 750, "0.15": 850, "0.6": 400, "0.8": 200} {
 		d, err := Read([]byte(strings.Replace(full, `"connect_timeout":0.25`, `"connect_timeout":`+connect, 1)), unset)
 		require.NoError(t, err)
-		assert.InDelta(t, want, d.Pace.FirstWord, 1e-6, connect)
-		assert.LessOrEqual(t, d.Pace.told(d.Deal.ConnectTimeout), toldWithin, connect)
-		assert.Empty(t, d.Odd)
+		assert.InDelta(t, want, d.Pace.FirstByte, 1e-6, connect)
+		assert.LessOrEqual(t, d.Pace.told(d.Settings.ConnectTimeout), toldWithin, connect)
+		assert.Empty(t, d.Warnings)
 	}
 	d, err := Read([]byte(strings.Replace(full, `"seed"`, `"pace":{"silence_ms":9000},"seed"`, 1)), unset)
 	require.NoError(t, err)
-	assert.Len(t, d.Odd, 1)
-	assert.Contains(t, d.Odd[0], "pace.silence_ms")
+	assert.Len(t, d.Warnings, 1)
+	assert.Contains(t, d.Warnings[0], "pace.silence_ms")
 }
 
 func TestErrorsNameTheFaultyKey(t *testing.T) {
@@ -100,8 +100,8 @@
 	d, err := Read([]byte(watchingConfig(`{"profiles":[{"name":"read","aim":0.5,"semantics":"idempotent"}],
 		"tariffs":[{"name":"basic","rate":2,"depth":8,"beyond_earns":0.3}],"limits":{"max_attempts":4}}`)), unset)
 	require.NoError(t, err)
-	assert.Zero(t, d.Deal.Terms.Plans[0].Beyond)
-	assert.Equal(t, 0.3, d.Watch.Plans[0].Beyond)
+	assert.Zero(t, d.Settings.Terms.Plans[0].OverQuotaGain)
+	assert.Equal(t, 0.3, d.Watch.Plans[0].OverQuotaGain)
 	assert.Equal(t, 4, d.Watch.MaxAttempts)
 	assert.Zero(t, d.Watch.MaxRetryAfter)
 	d, err = Read([]byte(full), unset)
@@ -124,7 +124,7 @@
 	with := func(more string) string { return strings.Replace(full, `"depth":8`, `"depth":8,`+more, 1) }
 	d, err := Read([]byte(with(`"beyond_earns":0.3,"over_cost":1.2,"pays":0.7`)), unset)
 	require.NoError(t, err)
-	assert.Equal(t, gate.Plan{Rate: 0.002, Depth: 8, Beyond: 0.3, OverCost: 1.2, Price: 0.7}, d.Deal.Terms.Plans[0])
+	assert.Equal(t, gate.Plan{Rate: 0.002, Depth: 8, OverQuotaGain: 0.3, OverQuotaCost: 1.2, Price: 0.7}, d.Settings.Terms.Plans[0])
 	_, err = Read([]byte(with(`"beyond_earns":-0.3`)), unset)
 	assert.ErrorContains(t, err, `key "settings.tariffs[0].beyond_earns": below 0`)
 }
@@ -145,7 +145,7 @@
 	d, err := read(good)
 	require.NoError(t, err)
 	assert.Equal(t, "prod", d.Fleet.Name)
-	assert.Empty(t, d.Odd)
+	assert.Empty(t, d.Warnings)
 	for key, value := range map[string]any{"name": "", "listen": "8.8.8.8:7946", "peers": []string{"door-2:7946"}, "routes": map[string]string{"d3": "there"},
 		"status": "10.1.2.3:80", "join_again_ms": -1, "leave_ms": -1} {
 		bad := maps.Clone(good)
@@ -157,7 +157,7 @@
 	bad["zones"] = "a"
 	d, err = read(bad)
 	require.NoError(t, err)
-	assert.Equal(t, []string{`key "fleet.zones": nothing reads it`}, d.Odd)
+	assert.Equal(t, []string{`key "fleet.zones": nothing reads it`}, d.Warnings)
 }
 
 func TestTheExamplesCanBeServed(t *testing.T) {
@@ -166,19 +166,19 @@
 		require.NoError(t, err)
 		d, err := Read(raw, unset)
 		require.NoError(t, err, name)
-		assert.Empty(t, d.Odd, name)
+		assert.Empty(t, d.Warnings, name)
 		assert.Equal(t, name == "fleet.json", d.Fleet != nil)
 	}
 }
 
 func TestWhatIsLaidOverLeavesADoorItself(t *testing.T) {
 	base := []byte(`{"name":"a","listen":"x","settings":{"my_number":3,"profiles":[1],"extra":{"counter":true}},"pace":{"linger_ms":1}}`)
-	raw, err := Over(base, []byte(`{"settings":{"profiles":[2,3],"extra":{"cold_for":1}},"log":{"level":"debug"}}`))
+	raw, err := Overlay(base, []byte(`{"settings":{"profiles":[2,3],"extra":{"cold_for":1}},"log":{"level":"debug"}}`))
 	require.NoError(t, err)
 	assert.JSONEq(t, `{"name":"a","listen":"x","settings":{"my_number":3,"profiles":[2,3],"extra":{"counter":true,"cold_for":1}},"pace":{"linger_ms":1},"log":{"level":"debug"}}`, string(raw))
 	for _, bad := range []string{`{"name":"b"}`, `{"settings":{"my_number":1}}`, `{"fleet":{}}`, `[]`} {
 		var key *KeyError
-		_, err := Over(base, []byte(bad))
+		_, err := Overlay(base, []byte(bad))
 		assert.ErrorAs(t, err, &key, bad)
 	}
 }
--- a/config/coordinator.go
+++ b/config/coordinator.go
@@ -45,8 +45,8 @@
 // NamedAddress is "name/address", taken apart.
 type NamedAddress struct{ Name, Address string }
 
-// Named takes "name/address" apart. The address is of IP and port.
-func Named(text string) (n NamedAddress, err error) {
+// ParseNamedAddress takes "name/address" apart. The address is of IP and port.
+func ParseNamedAddress(text string) (n NamedAddress, err error) {
 	name, address, ok := strings.Cut(text, "/")
 	if !ok || name == "" {
 		return n, &KeyError{Says: `"name/address" is wanted`}
@@ -101,7 +101,7 @@
 	}
 	self := false
 	for i, p := range c.Peers {
-		n, err := Named(p)
+		n, err := ParseNamedAddress(p)
 		if err != nil {
 			bad(fmt.Sprintf("peers[%d]", i), "%q: %v", p, err)
 			continue
--- a/config/deal.go
+++ b/config/deal.go
@@ -11,17 +11,17 @@
 
 const msPerSecond = 1000
 
-// Deal is what the settings say: the terms of the decisions, the names of classes and plans by their
+// Settings is what the settings say: the terms of the decisions, the names of classes and plans by their
 // indices, and what the carrier needs besides.
-type Deal struct {
+type Settings struct {
 	Terms          gate.Terms
 	Classes, Plans map[string]int
 	ConnIdle       float64  // a backend closes a connection idle for this long, ms; 0 where not told
 	ConnectTimeout float64  // a connection that takes longer is given up, ms
 	CounterTimeout float64  // a call of the counter that takes longer is given up, ms
-	LongestWait    float64  // no client waits longer, ms
-	MostUnits      float64  // no request takes more; 0 where not told
-	Reports        []string // what the values of a load report are, in their order; empty where answers hold none
+	MaxWait        float64  // no client waits longer, ms
+	MaxUnits       float64  // no request takes more; 0 where not told
+	ReportNames    []string // what the values of a load report are, in their order; empty where answers hold none
 }
 
 // What the bench's pages call the one value of a load report that the decisions read; others are skipped.
@@ -31,19 +31,19 @@
 )
 
 // Queue takes what waits at a backend from its report, the values in the order of Reports; -1 where none tells.
-func (d *Deal) Queue(row []float64) (float64, error) {
-	if len(row) > len(d.Reports) {
-		return -1, &ReportError{len(row), len(d.Reports)}
+func (d *Settings) Queue(row []float64) (float64, error) {
+	if len(row) > len(d.ReportNames) {
+		return -1, &ReportError{len(row), len(d.ReportNames)}
 	}
-	if i := slices.Index(d.Reports, reportQueue); i >= 0 && i < len(row) && row[i] >= 0 {
+	if i := slices.Index(d.ReportNames, reportQueue); i >= 0 && i < len(row) && row[i] >= 0 {
 		return row[i], nil
 	}
 	return -1, nil
 }
 
-// TellsQueue tells whether answers may say what waits at their backend.
-func (d *Deal) TellsQueue() bool {
-	return slices.Contains(d.Reports, reportQueue) || slices.Contains(d.Reports, pressedQueue)
+// ReportsQueue tells whether answers may say what waits at their backend.
+func (d *Settings) ReportsQueue() bool {
+	return slices.Contains(d.ReportNames, reportQueue) || slices.Contains(d.ReportNames, pressedQueue)
 }
 
 var semantics = map[string]gate.Semantics{
@@ -108,36 +108,36 @@
 	} `json:"safety"`
 }
 
-// ReadDeal decodes the settings, which an adapter's first message and a door's configuration share.
-func ReadDeal(raw json.RawMessage) (Deal, error) { return readDeal("settings", raw) }
+// ReadSettings decodes the settings, which an adapter's first message and a door's configuration share.
+func ReadSettings(raw json.RawMessage) (Settings, error) { return readDeal("settings", raw) }
 
 // readDeal decodes settings found under a key.
-func readDeal(under string, raw json.RawMessage) (Deal, error) {
+func readDeal(under string, raw json.RawMessage) (Settings, error) {
 	var s settings
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return Deal{}, decodeFault(under, err)
+		return Settings{}, decodeFault(under, err)
 	}
-	d := Deal{
+	d := Settings{
 		Terms: gate.Terms{
-			Doors: s.FleetSize, Number: s.MyNumber,
+			Doors: s.FleetSize, DoorNumber: s.MyNumber,
 			MaxAttempts: s.Limits.MaxAttempts, Hedging: s.Limits.Hedging,
 			MayCancel: s.Limits.Cancel, MeterPeriod: s.Extra.Metering * msPerSecond,
-			Counter: s.Extra.Counter, MustAsk: s.Registry == "ask",
-			ColdFrom: s.Safety.ColdFrom, ColdFor: s.Safety.Cold * msPerSecond,
-			FallMultiple: s.Safety.FallMultiple, FallWindow: s.Safety.TipAfter * msPerSecond,
+			Counter: s.Extra.Counter, MustSubscribe: s.Registry == "ask",
+			ColdCapacity: s.Safety.ColdFrom, WarmupTime: s.Safety.Cold * msPerSecond,
+			OverloadMultiple: s.Safety.FallMultiple, OverloadWindow: s.Safety.TipAfter * msPerSecond,
 		},
 		Classes: map[string]int{}, Plans: map[string]int{},
 		ConnIdle:       s.Limits.ConnIdle * msPerSecond,
 		ConnectTimeout: s.Limits.ConnectTimeout * msPerSecond,
 		CounterTimeout: s.Extra.CounterTimeout * msPerSecond,
-		MostUnits:      s.Extra.UnitsTop,
+		MaxUnits:       s.Extra.UnitsTop,
 	}
 	switch s.Reporting.How {
 	case "inline":
-		d.Reports = s.Reporting.Names
+		d.ReportNames = s.Reporting.Names
 	case "", "off", "on_probe": // the decisions probe nothing
 	default:
-		return Deal{}, keyFault(under+".reporting.how", "unknown word %q", s.Reporting.How)
+		return Settings{}, keyFault(under+".reporting.how", "unknown word %q", s.Reporting.How)
 	}
 	if s.Limits.RetryAfter {
 		d.Terms.MaxRetryAfter = s.Limits.MaxRetryAfter * msPerSecond
@@ -145,38 +145,38 @@
 	for i, p := range s.Classes {
 		sem, ok := semantics[p.Semantics]
 		if !ok {
-			return Deal{}, keyFault(fmt.Sprintf("%s.profiles[%d].semantics", under, i), "unknown word %q", p.Semantics)
+			return Settings{}, keyFault(fmt.Sprintf("%s.profiles[%d].semantics", under, i), "unknown word %q", p.Semantics)
 		}
 		scope, ok := scopes[p.Scope]
 		if !ok {
-			return Deal{}, keyFault(fmt.Sprintf("%s.profiles[%d].dedup_scope", under, i), "unknown word %q", p.Scope)
+			return Settings{}, keyFault(fmt.Sprintf("%s.profiles[%d].dedup_scope", under, i), "unknown word %q", p.Scope)
 		}
 		at := fmt.Sprintf("%s.profiles[%d].", under, i)
 		if err := named(d.Classes, p.Name, i, at, "class"); err != nil {
-			return Deal{}, err
+			return Settings{}, err
 		}
 		if p.GiveUp != nil {
 			if *p.GiveUp <= 0 {
-				return Deal{}, keyFault(at+"give_up", "%g: no request could be answered", *p.GiveUp)
+				return Settings{}, keyFault(at+"give_up", "%g: no request could be answered", *p.GiveUp)
 			}
-			d.LongestWait = max(d.LongestWait, *p.GiveUp*msPerSecond)
+			d.MaxWait = max(d.MaxWait, *p.GiveUp*msPerSecond)
 		}
 		if first := s.Classes[0].Fraction; (p.Fraction == nil) != (first == nil) || p.Fraction != nil && *p.Fraction < 0 {
-			return Deal{}, keyFault(at+"fraction", "missing or below 0, though other classes have theirs")
+			return Settings{}, keyFault(at+"fraction", "missing or below 0, though other classes have theirs")
 		}
 		d.Terms.Classes = append(d.Terms.Classes, gate.Class{
 			Contract: p.Aim * msPerSecond, Semantics: sem, Scope: scope,
-			Window: p.Window * msPerSecond, LateValue: p.LateValue, Gain: p.Worth,
+			DedupWindow: p.Window * msPerSecond, LateValue: p.LateValue, Gain: p.Worth,
 		})
 	}
 	for i, p := range s.Tariffs {
 		if err := named(d.Plans, p.Name, i, fmt.Sprintf("%s.tariffs[%d].", under, i), "plan"); err != nil {
-			return Deal{}, err
+			return Settings{}, err
 		}
 		d.Terms.Plans = append(d.Terms.Plans, gate.Plan{
-			Rate: p.Rate / msPerSecond, Depth: p.Depth, AtOnce: p.AtOnce,
+			Rate: p.Rate / msPerSecond, Depth: p.Depth, MaxConcurrent: p.AtOnce,
 			CeilingRate: p.CeilingRate / msPerSecond, CeilingDepth: p.CeilingBurst, Price: p.Pays,
-			Beyond: p.BeyondEarns, OverCost: p.OverCost,
+			OverQuotaGain: p.BeyondEarns, OverQuotaCost: p.OverCost,
 		})
 	}
 	return d, nil
--- a/config/errors.go
+++ b/config/errors.go
@@ -15,7 +15,7 @@
 }
 
 func (e *KeyError) Error() string {
-	return fmt.Sprintf("key %q: %s", e.Key, remedy.Because(e.Says, e.Cause))
+	return fmt.Sprintf("key %q: %s", e.Key, remedy.WithCause(e.Says, e.Cause))
 }
 func (e *KeyError) Unwrap() error     { return e.Cause }
 func (e *KeyError) Kind() remedy.Kind { return remedy.Configuration }
@@ -45,7 +45,7 @@
 	if e.Path == "" {
 		return "GW_CONFIG is not set: it names the configuration file"
 	}
-	return remedy.Because("GW_CONFIG", e.Cause)
+	return remedy.WithCause("GW_CONFIG", e.Cause)
 }
 func (e *FileError) Unwrap() error     { return e.Cause }
 func (e *FileError) Kind() remedy.Kind { return remedy.Configuration }
--- a/config/fleet.go
+++ b/config/fleet.go
@@ -11,14 +11,14 @@
 
 // Fleet is a door's place among the doors of its fleet, the key "fleet". Addresses are of IP and port: no name is looked up.
 type Fleet struct {
-	Name    string            `json:"name"`          // of the fleet: only doors that name the same one are members
-	Zone    string            `json:"zone"`          // of this door; verdicts want observers of more than one
-	Listen  string            `json:"listen"`        // loopback or private, for UDP and TCP; others reach the door there
-	Peers   []string          `json:"peers"`         // some doors that others can be asked of, as "address" or "name/address"
-	Routes  map[string]string `json:"routes"`        // where this door reaches others, by name, if not where they say
-	Status  string            `json:"status"`        // loopback address that tells the door's own status; empty for none
-	JoinMs  float64           `json:"join_again_ms"` // between tries to find any other door; 0 for the default
-	LeaveMs float64           `json:"leave_ms"`      // at most, in which the door says that it leaves; 0 for the default
+	Name        string            `json:"name"`          // of the fleet: only doors that name the same one are members
+	Zone        string            `json:"zone"`          // of this door; verdicts want observers of more than one
+	Listen      string            `json:"listen"`        // loopback or private, for UDP and TCP; others reach the door there
+	Peers       []string          `json:"peers"`         // some doors that others can be asked of, as "address" or "name/address"
+	Routes      map[string]string `json:"routes"`        // where this door reaches others, by name, if not where they say
+	Status      string            `json:"status"`        // loopback address that tells the door's own status; empty for none
+	JoinRetryMs float64           `json:"join_again_ms"` // between tries to find any other door; 0 for the default
+	LeaveMs     float64           `json:"leave_ms"`      // at most, in which the door says that it leaves; 0 for the default
 
 	Releases     string   `json:"releases"`     // folder of what is released to this door, by digest; empty where it takes none
 	Coordinators []string `json:"coordinators"` // of drains and releases, each as "name/address" of its API; none where the door goes without
@@ -28,8 +28,8 @@
 
 // Defaults of a fleet's times, ms.
 const (
-	JoinAgain = 1000 // a fleet that starts at once finds itself in a second or two
-	LeaveMost = 3000 // well under the time that a platform gives a process to end
+	DefaultJoinRetryMs = 1000 // a fleet that starts at once finds itself in a second or two
+	DefaultLeaveMs     = 3000 // well under the time that a platform gives a process to end
 )
 
 func (f *Fleet) check(door string) (faults []error) {
@@ -65,7 +65,7 @@
 		bad("releases", "there is a folder, and no coordinators")
 	}
 	for i, p := range f.Coordinators {
-		if _, err := Named(p); err != nil {
+		if _, err := ParseNamedAddress(p); err != nil {
 			bad(fmt.Sprintf("coordinators[%d]", i), "%q: %v", p, err)
 		}
 	}
@@ -79,7 +79,7 @@
 			bad("status", "%q is not a loopback address with a port", f.Status)
 		}
 	}
-	return append(faults, below0([]figure{{"fleet.join_again_ms", f.JoinMs}, {"fleet.leave_ms", f.LeaveMs}})...)
+	return append(faults, below0([]figure{{"fleet.join_again_ms", f.JoinRetryMs}, {"fleet.leave_ms", f.LeaveMs}})...)
 }
 
 func loopback(host string) bool {
--- a/config/over.go
+++ b/config/over.go
@@ -8,9 +8,9 @@
 // ownKeys are those by which a door is itself: nothing that is given to all doors may name them.
 var ownKeys = []string{"name", "listen", "seed", "fleet", "known"}
 
-// Over lays a file that is given to many doors over a door's own: objects are merged key by key, anything else takes the
+// Overlay lays a file that is given to many doors over a door's own: objects are merged key by key, anything else takes the
 // place of what was there. A door's own keys and its number stay its own.
-func Over(base, top []byte) ([]byte, error) {
+func Overlay(base, top []byte) ([]byte, error) {
 	var under, over map[string]any
 	if err := json.Unmarshal(base, &under); err != nil {
 		return nil, decodeFault("", err)
--- a/coordinator/calendar.go
+++ b/coordinator/calendar.go
@@ -39,7 +39,7 @@
 }
 
 func (c *Coordinator) voice(part string) *voice {
-	return &voice{caller: permits.Caller(part+"-"+c.cfg.Name, rand.Uint64())}
+	return &voice{caller: permits.CallerName(part+"-"+c.cfg.Name, rand.Uint64())}
 }
 
 func (v *voice) command(do any) permits.Command {
@@ -125,7 +125,7 @@
 	for range startsMost {
 		var id uint64
 		var any bool
-		c.fsm.read(func(s *permits.State) { id, any = s.StartsNext() })
+		c.fsm.read(func(s *permits.State) { id, any = s.NextStart() })
 		if !any {
 			break
 		}
@@ -183,7 +183,7 @@
 			return
 		}
 		if q.ID != 0 {
-			a.InTheWay.Err = s.WhyNot(q.ID)
+			a.InTheWay.Err = s.StartObstacle(q.ID)
 		}
 		if q.Change != nil {
 			whole := *s.Calendar
--- a/coordinator/client/client.go
+++ b/coordinator/client/client.go
@@ -69,7 +69,7 @@
 
 // Unit is a door or backend as coordinators know it.
 type Unit struct {
-	permits.Known
+	permits.UnitState
 	Out   bool    `json:"out"` // counts as out
 	AgeMs float64 `json:"age_ms"`
 }
@@ -95,9 +95,9 @@
 	Budgets []permits.Budget `json:"budgets"`
 	Halts   []permits.Halt   `json:"halts"`
 
-	Releases []*release.Release      `json:"releases"`
-	Runs     map[string]release.Runs `json:"runs"` // by door
-	Seen     map[string]string       `json:"seen"` // process of each backend
+	Releases []*release.Release          `json:"releases"`
+	Runs     map[string]release.Versions `json:"runs"` // by door
+	Seen     map[string]string           `json:"seen"` // process of each backend
 }
 
 // CalendarQuestion asks for the calendar, and about an entry or a change.
@@ -262,13 +262,13 @@
 }
 
 // Word says a door's word.
-func (c *Client) Word(ctx context.Context, w *permits.Word) (r permits.Reply, err error) {
+func (c *Client) Word(ctx context.Context, w *permits.DoorReport) (r permits.Reply, err error) {
 	err = c.Ask(ctx, WordPath, w, &r)
 	return r, err
 }
 
 // Hold says a holder's word.
-func (c *Client) Hold(ctx context.Context, h *permits.Hold) (g permits.Given, err error) {
+func (c *Client) Hold(ctx context.Context, h *permits.HolderReport) (g permits.Assignment, err error) {
 	err = c.Ask(ctx, HoldPath, h, &g)
 	return g, err
 }
--- a/coordinator/client/errors.go
+++ b/coordinator/client/errors.go
@@ -16,7 +16,7 @@
 }
 
 func (e *AskError) Error() string {
-	return remedy.Because(strings.TrimSuffix(fmt.Sprintf("coordinator %s at %s: %s", e.At.Name, e.At.Address, e.Says), ": "), e.Cause)
+	return remedy.WithCause(strings.TrimSuffix(fmt.Sprintf("coordinator %s at %s: %s", e.At.Name, e.At.Address, e.Says), ": "), e.Cause)
 }
 func (e *AskError) Unwrap() error     { return e.Cause }
 func (e *AskError) Kind() remedy.Kind { return remedy.Unreachable }
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -64,7 +64,7 @@
 
 // term is what a leader has while it leads.
 type term struct {
-	watch  *permits.Watch
+	watch  *permits.ReportCollector
 	base   float64 // of the agreed clock
 	began  time.Time
 	caller string
@@ -233,9 +233,9 @@
 	if err := c.raft.Barrier(applyFor).Error(); err != nil {
 		return
 	}
-	t := &term{watch: permits.NewWatch(), began: time.Now(), caller: permits.Caller("leader-"+c.cfg.Name, rand.Uint64())}
+	t := &term{watch: permits.NewReportCollector(), began: time.Now(), caller: permits.CallerName("leader-"+c.cfg.Name, rand.Uint64())}
 	c.fsm.read(func(s *permits.State) { t.base = s.NowMs })
-	if _, err := c.apply(t, permits.Lead{Name: c.cfg.Name, API: c.cfg.API, Epoch: rand.Uint64()>>1 | 1}); err != nil {
+	if _, err := c.apply(t, permits.Leadership{Name: c.cfg.Name, API: c.cfg.API, Epoch: rand.Uint64()>>1 | 1}); err != nil {
 		return
 	}
 	if c.anew && c.calendarInUse() && !c.fsm.told() {
@@ -254,9 +254,9 @@
 		return
 	}
 	c.mu.Lock()
-	all := t.watch.News(t.now())
+	all := t.watch.ChangedSightings(t.now())
 	c.mu.Unlock()
-	if _, err := c.apply(t, permits.Seen{Sightings: all}); err != nil {
+	if _, err := c.apply(t, permits.RecordSightings{Sightings: all}); err != nil {
 		c.log.WithError(err).Debug("sightings not told; they are when they change, or after a while")
 	}
 	c.judge(t)
@@ -299,22 +299,22 @@
 
 // Word takes a door's word in. What it calls for at once is agreed on before the answer; the rest goes with the next round.
 // A majority confirms that this one still leads: an answer by what was so before could undo what a door has done since.
-func (c *Coordinator) Word(w *permits.Word) (r permits.Reply, err error) {
+func (c *Coordinator) Word(w *permits.DoorReport) (r permits.Reply, err error) {
 	t := c.current()
 	if t == nil {
 		return r, c.elsewhere()
 	}
 	c.mu.Lock()
-	fresh := t.watch.Heard(t.now(), *w)
-	full := t.watch.Full(t.now(), w.Name)
+	fresh := t.watch.Record(t.now(), *w)
+	full := t.watch.WantsBackends(t.now(), w.Name)
 	c.mu.Unlock()
 	if fresh {
 		var needs []any
 		c.fsm.read(func(s *permits.State) { needs = s.Needs(w) })
 		for i, do := range needs {
 			cmd := permits.Command{Caller: w.Caller, Seq: w.Seq, Do: do}
-			if _, own := do.(permits.Here); !own {
-				cmd.Caller = permits.Caller(w.Caller+"/hand", uint64(i))
+			if _, own := do.(permits.SelfReport); !own {
+				cmd.Caller = permits.CallerName(w.Caller+"/hand", uint64(i))
 			}
 			if _, err := c.commit(t, cmd); err != nil {
 				return r, err
@@ -329,13 +329,13 @@
 }
 
 // Hold takes the word of a door's holder in, and tells what its door is to run.
-func (c *Coordinator) Hold(h *permits.Hold) (g permits.Given, err error) {
+func (c *Coordinator) Hold(h *permits.HolderReport) (g permits.Assignment, err error) {
 	t := c.current()
 	if t == nil {
 		return g, c.elsewhere()
 	}
 	var needs []any
-	c.fsm.read(func(s *permits.State) { needs = s.NeedsOf(h) })
+	c.fsm.read(func(s *permits.State) { needs = s.HolderCommands(h) })
 	for _, do := range needs {
 		if _, err := c.commit(t, permits.Command{Caller: h.Caller, Seq: h.Seq, Do: do}); err != nil {
 			return g, err
@@ -344,14 +344,14 @@
 	if err := c.raft.VerifyLeader().Error(); err != nil {
 		return g, c.elsewhere()
 	}
-	c.fsm.read(func(s *permits.State) { g = s.Given(h.Door) })
+	c.fsm.read(func(s *permits.State) { g = s.Assignment(h.Door) })
 	return g, nil
 }
 
 // errands does what releases of backends call for.
 func (c *Coordinator) errands(t *term) {
 	var todo []any
-	c.fsm.read(func(s *permits.State) { todo = s.Errands() })
+	c.fsm.read(func(s *permits.State) { todo = s.ReleaseCommands() })
 	for _, do := range todo {
 		if a, err := c.apply(t, do); err != nil || a.Err != nil {
 			c.log.WithError(errors.Join(err, a.Err)).Debug("a step of a release is not taken so far")
@@ -361,9 +361,9 @@
 
 // judge looks at the waves of releases that all their doors have taken, and has verdicts agreed on.
 func (c *Coordinator) judge(t *term) {
-	var verdicts []release.Judged
+	var verdicts []release.RecordVerdict
 	c.mu.Lock()
-	c.fsm.read(func(s *permits.State) { verdicts = t.watch.Judge(t.now(), s.Release) })
+	c.fsm.read(func(s *permits.State) { verdicts = t.watch.Verdicts(t.now(), s.Release) })
 	c.mu.Unlock()
 	for _, v := range verdicts {
 		if _, err := c.apply(t, v); err != nil {
@@ -419,7 +419,7 @@
 		}
 		for _, k := range slices.Sorted(maps.Keys(s.Units)) {
 			u := s.Units[k]
-			st.Units = append(st.Units, client.Unit{Known: *u, Out: s.Out(u), AgeMs: now - u.AtMs})
+			st.Units = append(st.Units, client.Unit{UnitState: *u, Out: s.Out(u), AgeMs: now - u.AtMs})
 		}
 		for _, n := range slices.Sorted(maps.Keys(s.Permits)) {
 			p := client.Place{Permit: *s.Permits[n]}
@@ -450,7 +450,7 @@
 }
 
 // Audit tells who did what.
-func (c *Coordinator) Audit() (all []permits.Line) {
+func (c *Coordinator) Audit() (all []permits.AuditEntry) {
 	c.fsm.read(func(s *permits.State) { all = slices.Clone(s.Audit) })
 	return all
 }
@@ -493,7 +493,7 @@
 	if ch.Add {
 		what = "coordinator added: "
 	}
-	_, err = c.commit(t, permits.Command{Caller: permits.Caller(ch.Who, rand.Uint64()), Seq: 1, Do: permits.Note{What: what + ch.Name, Who: ch.Who, Why: ch.Why}})
+	_, err = c.commit(t, permits.Command{Caller: permits.CallerName(ch.Who, rand.Uint64()), Seq: 1, Do: permits.Note{What: what + ch.Name, Who: ch.Who, Why: ch.Why}})
 	return err
 }
 
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -141,11 +141,11 @@
 	return a
 }
 
-var budgets = permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Backend, MostOut: 1}, {Kind: permits.Door, MostOut: 1}}}
+var budgets = permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Backend, MaxOut: 1}, {Kind: permits.Door, MaxOut: 1}}}
 
 // says has a door say that it is ready, and of two backends that they are.
 func says(t *testing.T, c *client.Client, door string, life, seq, did uint64) permits.Reply {
-	w := permits.Word{Caller: door + "/1", Seq: seq, Sighting: permits.Sighting{Unit: permits.Unit{Kind: permits.Door, Name: door}, Standing: permits.Ready, Life: life, Process: 1, Did: did}}
+	w := permits.DoorReport{Caller: door + "/1", Seq: seq, Sighting: permits.Sighting{Unit: permits.Unit{Kind: permits.Door, Name: door}, Standing: permits.Ready, Incarnation: life, Process: 1, Did: did}}
 	for _, b := range []string{"b-0", "b-1"} {
 		w.Backends = append(w.Backends, permits.Sighting{Unit: permits.Unit{Kind: permits.Backend, Name: b}, Standing: permits.Ready})
 	}
@@ -198,7 +198,7 @@
 	all := peers(t, 3)
 	leader(t, all)
 	c := asker(all)
-	give(t, c, "op", 1, permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, Zone: permits.EachZone, MostOut: 2, LeastHere: 1}}})
+	give(t, c, "op", 1, permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, Zone: permits.EachZone, MaxOut: 2, MinReady: 1}}})
 	for _, d := range []string{"d1", "d2"} {
 		life := give(t, c, d+"/1", 1, permits.Begin{Unit: permits.Unit{Kind: permits.Door, Name: d}, Process: 1}).Number
 		says(t, c, d, life, 2, 0)
@@ -338,11 +338,11 @@
 		p.start(t)
 		leader(t, []*peer{p})
 		c := asker([]*peer{p})
-		give(t, c, fmt.Sprint("op", round), 1, permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MostOut: round + 1}}})
+		give(t, c, fmt.Sprint("op", round), 1, permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MaxOut: round + 1}}})
 		require.NoError(t, p.raft.Snapshot().Error())
 		give(t, c, fmt.Sprint("op", round), 2, permits.Halt{Who: fmt.Sprint(round)})
 		st := status(t, c)
-		assert.Equal(t, round+1, st.Budgets[0].MostOut)
+		assert.Equal(t, round+1, st.Budgets[0].MaxOut)
 		assert.Len(t, st.Halts, round+1, "those of the lives before as well")
 		p.end()
 		require.NoError(t, p.store.Close())
--- a/coordinator/errors.go
+++ b/coordinator/errors.go
@@ -14,7 +14,7 @@
 	Cause error
 }
 
-func (e *StartError) Error() string     { return remedy.Because("coordinator "+e.Name, e.Cause) }
+func (e *StartError) Error() string     { return remedy.WithCause("coordinator "+e.Name, e.Cause) }
 func (e *StartError) Unwrap() error     { return e.Cause }
 func (e *StartError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -29,7 +29,7 @@
 	Cause        error
 }
 
-func (e *ListenError) Error() string     { return remedy.Because("listening at "+e.Address, e.Cause) }
+func (e *ListenError) Error() string     { return remedy.WithCause("listening at "+e.Address, e.Cause) }
 func (e *ListenError) Unwrap() error     { return e.Cause }
 func (e *ListenError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -45,7 +45,7 @@
 }
 
 func (e *LostError) Error() string {
-	return remedy.Because("coordinator "+e.Name+" can't say whether it happened", e.Cause)
+	return remedy.WithCause("coordinator "+e.Name+" can't say whether it happened", e.Cause)
 }
 func (e *LostError) Unwrap() error     { return e.Cause }
 func (e *LostError) Kind() remedy.Kind { return remedy.Unreachable }
@@ -107,7 +107,7 @@
 // CalendarError is a change of the coordinators that the calendar doesn't let through.
 type CalendarError struct{ Cause error }
 
-func (e *CalendarError) Error() string     { return remedy.Because("coordinators", e.Cause) }
+func (e *CalendarError) Error() string     { return remedy.WithCause("coordinators", e.Cause) }
 func (e *CalendarError) Unwrap() error     { return e.Cause }
 func (e *CalendarError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -126,7 +126,7 @@
 	Cause error
 }
 
-func (e *EventError) Error() string     { return remedy.Because(e.To, e.Cause) }
+func (e *EventError) Error() string     { return remedy.WithCause(e.To, e.Cause) }
 func (e *EventError) Unwrap() error     { return e.Cause }
 func (e *EventError) Kind() remedy.Kind { return remedy.Refused }
 
--- a/coordinator/run.go
+++ b/coordinator/run.go
@@ -61,15 +61,15 @@
 	if err := os.MkdirAll(cfg.Data, private); err != nil {
 		return &store.OpenError{Path: cfg.Data, Cause: err}
 	}
-	st, err := store.Open(filepath.Join(cfg.Data, fileName), store.Options{NoSync: o.NoSync, Before: o.Before,
-		Failed: func(err error) {
+	st, err := store.Open(filepath.Join(cfg.Data, fileName), store.Options{NoSync: o.NoSync, BeforeWrite: o.Before,
+		OnWriteError: func(err error) {
 			select {
 			case <-begun:
 				c.Failed(err)
 			default: // at the start, whose error it is
 			}
 		},
-		Wrote: func(d time.Duration) {
+		OnWrite: func(d time.Duration) {
 			select {
 			case <-begun:
 				c.Wrote(d)
@@ -129,12 +129,12 @@
 func (c *Coordinator) Handler() http.Handler {
 	mux := http.NewServeMux()
 	post(mux, client.CommandPath, func(cmd *permits.Command) (any, error) { return c.Command(*cmd) })
-	post(mux, client.WordPath, func(w *permits.Word) (any, error) { return c.Word(w) })
-	post(mux, client.HoldPath, func(h *permits.Hold) (any, error) { return c.Hold(h) })
+	post(mux, client.WordPath, func(w *permits.DoorReport) (any, error) { return c.Word(w) })
+	post(mux, client.HoldPath, func(h *permits.HolderReport) (any, error) { return c.Hold(h) })
 	post(mux, client.MembersPath, func(ch *client.Change) (any, error) { return struct{}{}, c.Members(*ch) })
 	post(mux, client.TryPath, func(a *client.Asked) (any, error) {
 		var t client.Tried
-		if !c.Read(func(s *permits.State, _ float64) { t.Would, t.Answer.Err = s.Try(a.Kind, a.Name) }) {
+		if !c.Read(func(s *permits.State, _ float64) { t.Would, t.Answer.Err = s.DryRun(a.Kind, a.Name) }) {
 			return nil, c.elsewhere()
 		}
 		return t, nil
--- a/coordinator/transport_test.go
+++ b/coordinator/transport_test.go
@@ -18,7 +18,7 @@
 }
 
 func TestContractOfTheLayerBeneathRaft(t *testing.T) {
-	transporttest.RunStreams(t, transporttest.StreamKit{Nobody: "127.0.0.1:1", Listen: func(t *testing.T) transporttest.Streams {
+	transporttest.RunStreams(t, transporttest.StreamConfig{UnusedAddress: "127.0.0.1:1", Listen: func(t *testing.T) transporttest.StreamLayer {
 		l, err := Layer("127.0.0.1:0")
 		require.NoError(t, err)
 		return streams{l}
--- a/fleet/errors.go
+++ b/fleet/errors.go
@@ -12,7 +12,7 @@
 	Cause   error
 }
 
-func (e *BindError) Error() string     { return remedy.Because("fleet at "+e.Address, e.Cause) }
+func (e *BindError) Error() string     { return remedy.WithCause("fleet at "+e.Address, e.Cause) }
 func (e *BindError) Unwrap() error     { return e.Cause }
 func (e *BindError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -27,7 +27,7 @@
 	Cause   error
 }
 
-func (e *PeerError) Error() string     { return remedy.Because("peer "+e.Address, e.Cause) }
+func (e *PeerError) Error() string     { return remedy.WithCause("peer "+e.Address, e.Cause) }
 func (e *PeerError) Unwrap() error     { return e.Cause }
 func (e *PeerError) Kind() remedy.Kind { return remedy.Unreachable }
 
@@ -71,7 +71,7 @@
 	Cause error
 }
 
-func (e *MessageError) Error() string     { return remedy.Because("an unreadable "+e.What, e.Cause) }
+func (e *MessageError) Error() string     { return remedy.WithCause("an unreadable "+e.What, e.Cause) }
 func (e *MessageError) Unwrap() error     { return e.Cause }
 func (e *MessageError) Kind() remedy.Kind { return remedy.Refused }
 
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -39,14 +39,14 @@
 
 // Identity is who a door is in its fleet.
 type Identity struct {
-	Fleet   string // only doors that name the same one are members
-	Name    string
-	Zone    string
-	Number  int // of the door; -1 for none
-	Release string
-	Peers   []string      // addresses to be asked for others; its own is passed over
-	Join    time.Duration // between tries to find any other door
-	Leave   time.Duration // at most, in which Leave says that the door goes
+	Fleet        string // only doors that name the same one are members
+	Name         string
+	Zone         string
+	Number       int // of the door; -1 for none
+	Release      string
+	Peers        []string      // addresses to be asked for others; its own is passed over
+	JoinInterval time.Duration // between tries to find any other door
+	LeaveTimeout time.Duration // at most, in which Leave says that the door goes
 }
 
 // meta rides on the library's own list.
@@ -195,16 +195,16 @@
 		if err != nil { // a datagram that can't be sent is one that is lost
 			d.log.WithError(err).WithField(fields.Member, a.To.Name).Debug("not sent")
 		}
-	case members.Meet:
+	case members.PushPull:
 		select {
 		case d.meets <- a.With:
 		default: // one exchange at a time
 		}
 	case members.Changed:
-		d.log.WithFields(logrus.Fields{fields.Member: a.Name, fields.From: a.From.String(), fields.To: a.To.String(), fields.Life: a.Life,
-			fields.Doubts: a.Doubts, fields.Why: a.Why, fields.Clock: Monotonic()}).Info(MemberChanged)
+		d.log.WithFields(logrus.Fields{fields.Member: a.Name, fields.From: a.From.String(), fields.To: a.To.String(), fields.Incarnation: a.Incarnation,
+			fields.Suspicions: a.Doubts, fields.Why: a.Reason, fields.Clock: Monotonic()}).Info(MemberChanged)
 		d.on(a)
-	case members.Refused:
+	case members.NameConflict:
 		d.taken.Store(a.Err)
 		if a.Err == nil {
 			d.log.Info("a member of the fleet again")
@@ -234,7 +234,7 @@
 		others := 0
 		if !d.ask(func(m *members.Member) {
 			for _, r := range m.Rows() {
-				if r.Name != d.id.Name && (r.State == members.Here || r.State == members.Doubted) {
+				if r.Name != d.id.Name && (r.State == members.Here || r.State == members.Suspect) {
 					others++
 					known[r.Address], known[r.Name] = true, true
 				}
@@ -261,7 +261,7 @@
 				d.log.WithField(fields.Member, p).Info("joined")
 			}
 		}
-		if rest = d.id.Join; others > 0 {
+		if rest = d.id.JoinInterval; others > 0 {
 			rest = joinRest
 		}
 	}
@@ -317,7 +317,7 @@
 		d.turnAway(&MessageError{"state", err})
 		return
 	}
-	d.post(members.Learnt{Records: all})
+	d.post(members.RemoteState{Records: all})
 }
 
 // NotifyAlive turns away who is of another fleet or version.
@@ -362,19 +362,19 @@
 
 // View is what a door holds of its fleet.
 type View struct {
-	Self    string
-	Fleet   string
-	Release string
-	Alone   float64 // ms since any other was heard
-	Stopped float64 // ms that this process was stopped in all
-	Taken   *members.NameTakenError
-	Rows    []members.Row
+	Self         string
+	Fleet        string
+	Release      string
+	SilentMs     float64 // ms since any other was heard
+	PausedMs     float64 // ms that this process was stopped in all
+	NameConflict *members.NameTakenError
+	Rows         []members.Row
 }
 
 // View tells what is held now.
 func (d *Driver) View() (v View) {
 	d.ask(func(m *members.Member) {
-		v = View{Self: d.id.Name, Fleet: d.id.Fleet, Release: d.id.Release, Alone: m.Alone(), Stopped: m.Stopped(), Taken: d.taken.Load(), Rows: m.Rows()}
+		v = View{Self: d.id.Name, Fleet: d.id.Fleet, Release: d.id.Release, SilentMs: m.Alone(), PausedMs: m.Stopped(), NameConflict: d.taken.Load(), Rows: m.Rows()}
 	})
 	return v
 }
@@ -386,7 +386,7 @@
 	case <-d.gone:
 	case <-d.done:
 	case <-ctx.Done():
-	case <-time.After(d.id.Leave):
+	case <-time.After(d.id.LeaveTimeout):
 	}
 }
 
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -56,12 +56,12 @@
 }
 
 func identity(i int) Identity {
-	return Identity{Fleet: "test", Name: name(i), Zone: fmt.Sprint("z", i%3), Number: i, Join: time.Second, Leave: 3 * time.Second, Peers: []string{at(0), at(1)}}
+	return Identity{Fleet: "test", Name: name(i), Zone: fmt.Sprint("z", i%3), Number: i, JoinInterval: time.Second, LeaveTimeout: 3 * time.Second, Peers: []string{at(0), at(1)}}
 }
 
-func crowded(t *testing.T, n int, way func(from, to string) Fate) *crowd {
+func crowded(t *testing.T, n int, way func(from, to string) Impairment) *crowd {
 	c := &crowd{t: t, net: NewNetwork()}
-	c.net.Way = way
+	c.net.Impair = way
 	for i := range n {
 		c.door(identity(i), at(i), uint64(i+1))
 	}
@@ -87,7 +87,7 @@
 func TestDoorsFindEachOtherAndLoseOneThatDies(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	synctest.Test(t, func(t *testing.T) {
-		c := crowded(t, 12, func(string, string) Fate { return Fate{Delay: time.Millisecond} })
+		c := crowded(t, 12, func(string, string) Impairment { return Impairment{Delay: time.Millisecond} })
 		time.Sleep(8 * time.Second)
 		for _, d := range c.all {
 			assert.Equal(t, map[members.State]int{members.Here: 12}, counts(d), d.id.Name)
@@ -161,10 +161,10 @@
 		time.Sleep(8 * time.Second)
 		late := c.door(identity(3), at(30), 99)
 		time.Sleep(8 * time.Second)
-		require.NotNil(t, late.View().Taken)
-		assert.Equal(t, at(3), late.View().Taken.Address)
+		require.NotNil(t, late.View().NameConflict)
+		assert.Equal(t, at(3), late.View().NameConflict.Address)
 		assert.Contains(t, c.logs[5].String(), "no member of the fleet")
-		assert.Nil(t, c.all[3].View().Taken)
+		assert.Nil(t, c.all[3].View().NameConflict)
 		for i := range 5 {
 			assert.Equal(t, map[members.State]int{members.Here: 5}, counts(c.all[i]), i)
 		}
@@ -176,10 +176,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		cut := false
-		c := crowded(t, 12, func(from, _ string) Fate {
+		c := crowded(t, 12, func(from, _ string) Impairment {
 			mu.Lock()
 			defer mu.Unlock()
-			return Fate{Delay: time.Millisecond, Lost: cut && from == at(4)}
+			return Impairment{Delay: time.Millisecond, Lost: cut && from == at(4)}
 		})
 		time.Sleep(8 * time.Second)
 		mu.Lock()
@@ -190,7 +190,7 @@
 			for _, r := range d.View().Rows {
 				switch {
 				case r.Name != name(4):
-					assert.Contains(t, []members.State{members.Here, members.Doubted}, r.State)
+					assert.Contains(t, []members.State{members.Here, members.Suspect}, r.State)
 				case i == 4:
 					assert.Equal(t, members.Joining, r.State, "it hears that it is away")
 				default:
@@ -229,10 +229,10 @@
 		time.Sleep(8 * time.Second)
 		late := c.door(identity(3), at(30), 99)
 		time.Sleep(4 * time.Second)
-		require.NotNil(t, late.View().Taken)
+		require.NotNil(t, late.View().NameConflict)
 		c.all[3].Close()
 		time.Sleep(30 * time.Second)
-		assert.Nil(t, late.View().Taken)
+		assert.Nil(t, late.View().NameConflict)
 		assert.Equal(t, map[members.State]int{members.Here: 5}, counts(c.all[0]))
 		assert.Equal(t, map[members.State]int{members.Here: 5}, counts(late))
 		c.end()
--- a/fleet/memory.go
+++ b/fleet/memory.go
@@ -10,18 +10,18 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Fate is what becomes of one datagram, or of a connection's packets, on its way.
-type Fate struct {
-	Lost  bool
-	Delay time.Duration
-	Twice bool
+// Impairment is what becomes of one datagram, or of a connection's packets, on its way.
+type Impairment struct {
+	Lost       bool
+	Delay      time.Duration
+	Duplicated bool
 }
 
 // Network is a network within this process, in the time that the process sees: under testing/synctest, in virtual time.
 type Network struct {
 	// Way tells the fate of what goes from one address to another; nil for a network that loses and delays nothing.
 	// A way that is lost one way is dead for connections, which need both.
-	Way func(from, to string) Fate
+	Impair func(from, to string) Impairment
 
 	mu   sync.Mutex
 	at   map[string]*Memory
@@ -41,11 +41,11 @@
 	return n.sent[address]
 }
 
-func (n *Network) fate(from, to string) Fate {
-	if n.Way == nil {
-		return Fate{}
+func (n *Network) fate(from, to string) Impairment {
+	if n.Impair == nil {
+		return Impairment{}
 	}
-	return n.Way(from, to)
+	return n.Impair(from, to)
 }
 
 const (
@@ -113,7 +113,7 @@
 		return now, nil
 	}
 	copies := 1
-	if f.Twice {
+	if f.Duplicated {
 		copies = 2
 	}
 	from, err := net.ResolveUDPAddr("udp", m.address)
--- a/fleet/transport.go
+++ b/fleet/transport.go
@@ -60,12 +60,12 @@
 // spoiled spoils what another transport sends.
 type spoiled struct {
 	memberlist.NodeAwareTransport
-	way func(to string) Fate
+	way func(to string) Impairment
 }
 
 // Spoiled puts faults before a transport: what goes out to an address meets the fate that way tells. A way that loses
 // datagrams lets no connection be made.
-func Spoiled(t memberlist.NodeAwareTransport, way func(to string) Fate) memberlist.NodeAwareTransport {
+func Spoiled(t memberlist.NodeAwareTransport, way func(to string) Impairment) memberlist.NodeAwareTransport {
 	return &spoiled{t, way}
 }
 
@@ -78,7 +78,7 @@
 	if f.Lost {
 		return time.Now(), nil
 	}
-	if f.Twice {
+	if f.Duplicated {
 		if at, err := s.NodeAwareTransport.WriteToAddress(b, a); err != nil {
 			return at, err
 		}
--- a/fleet/transport_test.go
+++ b/fleet/transport_test.go
@@ -21,9 +21,9 @@
 
 func bubble(t *testing.T, test func(t *testing.T)) { synctest.Test(t, test) }
 
-func onMemory(way func(from, to string) Fate) func(t *testing.T) memberlist.NodeAwareTransport {
+func onMemory(way func(from, to string) Impairment) func(t *testing.T) memberlist.NodeAwareTransport {
 	n := NewNetwork()
-	n.Way = way
+	n.Impair = way
 	var next atomic.Int64
 	return func(t *testing.T) memberlist.NodeAwareTransport {
 		m, err := n.Listen(fmt.Sprintf("10.0.0.%d:7946", next.Add(1)))
@@ -43,7 +43,7 @@
 }
 
 func TestMemoryThatDelaysKeepsTheContract(t *testing.T) {
-	transporttest.Run(t, transporttest.Kit{Listen: onMemory(func(string, string) Fate { return Fate{Delay: 3 * time.Millisecond} }),
+	transporttest.Run(t, transporttest.Kit{Listen: onMemory(func(string, string) Impairment { return Impairment{Delay: 3 * time.Millisecond} }),
 		Nobody: "10.9.9.9:1", Lossless: true, Run: bubble})
 }
 
@@ -61,10 +61,10 @@
 	memory := onMemory(nil)
 	var mu sync.Mutex
 	dice := rand.New(rand.NewPCG(1, 2))
-	for name, way := range map[string]func(string) Fate{
-		"loses":   func(string) Fate { mu.Lock(); defer mu.Unlock(); return Fate{Lost: dice.Float64() < 0.5} },
-		"repeats": func(string) Fate { return Fate{Twice: true} },
-		"delays":  func(string) Fate { return Fate{Delay: time.Millisecond} },
+	for name, way := range map[string]func(string) Impairment{
+		"loses":   func(string) Impairment { mu.Lock(); defer mu.Unlock(); return Impairment{Lost: dice.Float64() < 0.5} },
+		"repeats": func(string) Impairment { return Impairment{Duplicated: true} },
+		"delays":  func(string) Impairment { return Impairment{Delay: time.Millisecond} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			k := transporttest.Kit{Listen: func(t *testing.T) memberlist.NodeAwareTransport { return Spoiled(memory(t), way) },
@@ -80,7 +80,7 @@
 // lossy loses datagrams alone.
 type lossy struct {
 	memberlist.NodeAwareTransport
-	way func(string) Fate
+	way func(string) Impairment
 }
 
 func (l lossy) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
@@ -104,7 +104,7 @@
 func TestAWayLostOneWayTakesConnectionsAlongInBoth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var aAt string
-		listen := onMemory(func(from, _ string) Fate { return Fate{Lost: from == aAt} })
+		listen := onMemory(func(from, _ string) Impairment { return Impairment{Lost: from == aAt} })
 		a, b := listen(t), listen(t)
 		defer func() { _ = a.Shutdown(); _ = b.Shutdown() }()
 		address := func(m memberlist.NodeAwareTransport) string {
--- a/frontdoor/backend.go
+++ b/frontdoor/backend.go
@@ -80,7 +80,7 @@
 func (l *link) carry(f *attempt) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.dead || l.raw != nil && !sockio.Untouched(l.raw) {
+	if l.dead || l.raw != nil && !sockio.IsIdle(l.raw) {
 		return false
 	}
 	l.owes = f.stage.CompareAndSwap(waiting, writing)
@@ -158,7 +158,7 @@
 
 // endOfDial tells how a dial ended: that this machine has no socket to give is not held against the other.
 func endOfDial(err error) end {
-	if sockio.OwnShortage(err) {
+	if sockio.IsLocalShortage(err) {
 		return endNoSocket
 	}
 	return endNoConn
@@ -210,11 +210,11 @@
 	for {
 		*msg = http1.SetRemaining(*msg, f.until-l.c.clock.now())
 		n, err = sockio.Write(l.nc, *msg, time.Now().Add(remainingHolds))
-		if n > 0 || !sockio.Passing(err) || f.tooLate(l.c.clock.now()) {
+		if n > 0 || !sockio.IsTransient(err) || f.tooLate(l.c.clock.now()) {
 			break
 		}
 	}
-	if sockio.Passing(err) {
+	if sockio.IsTransient(err) {
 		var rest int
 		rest, err = sockio.Write(l.nc, (*msg)[n:], time.Now().Add(span(f.until-l.c.clock.now())))
 		n += rest
@@ -224,7 +224,7 @@
 
 // read passes answers on until the connection ends.
 func (l *link) read() end {
-	var in http1.Answers
+	var in http1.ResponseReader
 	defer in.Drop()
 	buf := pool.Get()[:pool.Size]
 	defer pool.Put(buf)
@@ -246,8 +246,8 @@
 		}
 		l.settled()
 		a := in.Take()
-		a.Last = a.Last || used < n // what is behind an answer belongs to none
-		last := a.Last
+		a.Close = a.Close || used < n // what is behind an answer belongs to none
+		last := a.Close
 		l.c.post(answered{l, a, at})
 		if last {
 			return endGarbled
@@ -256,7 +256,7 @@
 }
 
 // endOf tells how a whole answer ends its attempt.
-func endOf(a *http1.Answer) end {
+func endOf(a *http1.Response) end {
 	switch {
 	case a.Status == http.StatusOK:
 		return endWell
@@ -269,9 +269,9 @@
 // send starts an attempt, on an idle connection where there is one.
 func (c *core) send(a gate.Send) {
 	o := &c.ops[a.Op]
-	f := &attempt{op: a.Op, number: len(o.attempts), backend: a.Backend, at: c.now, until: o.until, by: a.By, client: o.client}
-	if a.Cap > 0 {
-		f.until = min(f.until, c.now+a.Cap)
+	f := &attempt{op: a.Op, number: len(o.attempts), backend: a.Backend, at: c.now, until: o.until, by: a.StartBy, client: o.client}
+	if a.Timeout > 0 {
+		f.until = min(f.until, c.now+a.Timeout)
 	}
 	allowed := c.mayStart(o, a.Backend)
 	o.attempts = append(o.attempts, f)
@@ -391,14 +391,14 @@
 	o.out--
 	c.closing = append(c.closing, f.op)
 	c.backends[f.backend].counts.transmitted(how.result(), at-f.at)
-	c.pending = append(c.pending, gate.Ended{Op: f.op, Attempt: f.number, Backend: f.backend,
-		Result: how.result(), Latency: at - f.at, Over: o.over, Use: use, Queue: queue})
+	c.pending = append(c.pending, gate.AttemptEnded{Op: f.op, Attempt: f.number, Backend: f.backend,
+		Result: how.result(), Latency: at - f.at, Answered: o.over, MeteredUse: use, Queue: queue})
 }
 
 // answered is a whole answer of a backend.
 type answered struct {
 	l  *link
-	a  http1.Answer
+	a  http1.Response
 	at float64
 }
 
@@ -415,12 +415,12 @@
 		c.answer(f.op, http.StatusOK, 0, n.a.Body, "")
 	}
 	queue := n.a.Queue
-	if !c.cfg.Deal.TellsQueue() {
+	if !c.cfg.Settings.ReportsQueue() {
 		queue = -1 // the settings say that answers hold no reports
 	}
 	c.finish(f, how, n.at, n.a.Use, queue)
 	// An answer may come before all of its attempt has left.
-	if b := &c.backends[l.backend]; n.a.Last || l.busy.Load() || !b.takes(l) {
+	if b := &c.backends[l.backend]; n.a.Close || l.busy.Load() || !b.takes(l) {
 		c.retire(l)
 	} else {
 		b.idle = append(b.idle, l)
--- a/frontdoor/client.go
+++ b/frontdoor/client.go
@@ -53,7 +53,7 @@
 }
 
 // gone tells whether the client has closed its connection, also where its reader has not come to notice it.
-func (cl *client) gone() bool { return cl != nil && cl.raw != nil && sockio.Gone(cl.raw) }
+func (cl *client) gone() bool { return cl != nil && cl.raw != nil && sockio.PeerClosed(cl.raw) }
 
 // wake has the reader look at what it waits for, in or before its next read. Its wish and the deadline that carries it are
 // one step beside limit, or a deadline that the reader sets just then would take the wish along.
@@ -84,7 +84,7 @@
 
 // reading is the state of a client connection's goroutine.
 type reading struct {
-	in      http1.Requests
+	in      http1.RequestReader
 	buf     []byte  // of one size
 	rest    []byte  // of it, what has come and is not fed yet
 	at      float64 // clock at which that came, ms
@@ -249,7 +249,7 @@
 			status = http.StatusServiceUnavailable
 		}
 		op.Free()
-		return cl.say(r, status, op.Last)
+		return cl.say(r, status, op.Close)
 	}
 	var ev gate.Request
 	if err == nil {
@@ -258,7 +258,7 @@
 		}
 	}
 	if err != nil {
-		return cl.fault(r, err, op.Last)
+		return cl.fault(r, err, op.Close)
 	}
 	r.owed = true
 	cl.c.post(arrived{cl, op, ev, r.first})
@@ -268,7 +268,7 @@
 // fault answers what is no request.
 func (cl *client) fault(r *reading, err error, last bool) bool {
 	status := http.StatusBadRequest
-	var f *http1.Fault
+	var f *http1.RequestError
 	if errors.As(err, &f) {
 		status = f.Status
 	}
@@ -278,7 +278,7 @@
 
 // say answers from the reader itself, and tells whether the connection goes on.
 func (cl *client) say(r *reading, status int, last bool) bool {
-	if !cl.write(http1.AppendAnswer(pool.Get(), status, 0, nil, last)) {
+	if !cl.write(http1.AppendResponse(pool.Get(), status, 0, nil, last)) {
 		r.why = closedUnwritten
 		return false
 	}
--- a/frontdoor/clock_test.go
+++ b/frontdoor/clock_test.go
@@ -55,7 +55,7 @@
 // What a watch says first, and a list that comes in pieces, don't bound the starts that the list tells of.
 func TestAListBoundsStartsByWhatWasHeardBeforeItBegan(t *testing.T) {
 	c, _ := owned(t)
-	c.cfg.Pace.FirstWord, c.cfg.Pace.Silence = 1e4, 1e4
+	c.cfg.Pace.FirstByte, c.cfg.Pace.Silence = 1e4, 1e4
 	far, near := net.Pipe()
 	type heardList struct {
 		list  registry.List
--- a/frontdoor/core.go
+++ b/frontdoor/core.go
@@ -125,32 +125,32 @@
 		zones: index.New[string](), cells: index.New[int64](),
 		ids: map[string]struct{}{}, clients: map[*client]struct{}{}, links: map[*link]struct{}{}}
 	c.traces, c.guard = tracing(log), guard{log, &c.tally}
-	c.dial, c.listen = systemDial(span(cfg.Deal.ConnectTimeout)), systemListen
+	c.dial, c.listen = systemDial(span(cfg.Settings.ConnectTimeout)), systemListen
 	return c
 }
 
 // word puts a request in the terms of the decisions, but for the indices that the owner hands out.
 func (c *core) word(o *http1.Request) (ev gate.Request, err error) {
-	d := &c.cfg.Deal
+	d := &c.cfg.Settings
 	class, known := d.Classes[o.Class]
 	if !known {
-		return ev, &http1.Fault{Status: http.StatusNotFound, Text: "profile"}
+		return ev, &http1.RequestError{Status: http.StatusNotFound, Text: "profile"}
 	}
 	plan, known := d.Plans[o.Plan]
 	switch {
 	case !known:
-		return ev, &http1.Fault{Status: http.StatusBadRequest, Text: "plan"}
+		return ev, &http1.RequestError{Status: http.StatusBadRequest, Text: "plan"}
 	case (o.Method == http.MethodGet) != (d.Terms.Classes[class].Semantics == gate.Idempotent):
-		return ev, &http1.Fault{Status: http.StatusMethodNotAllowed, Text: "method"}
+		return ev, &http1.RequestError{Status: http.StatusMethodNotAllowed, Text: "method"}
 	case o.Method == http.MethodGet && len(o.Body) > 0:
-		return ev, &http1.Fault{Status: http.StatusBadRequest, Text: "body"}
-	case d.Terms.Classes[class].Semantics == gate.Keyed && o.Mark == "":
-		return ev, &http1.Fault{Status: http.StatusBadRequest, Text: "no mark"}
-	case o.First >= d.Terms.Doors || o.Spread > d.Terms.Doors || d.MostUnits > 0 && o.Units > d.MostUnits:
-		return ev, &http1.Fault{Status: http.StatusBadRequest, Text: "weight"}
+		return ev, &http1.RequestError{Status: http.StatusBadRequest, Text: "body"}
+	case d.Terms.Classes[class].Semantics == gate.Keyed && o.IdempotencyKey == "":
+		return ev, &http1.RequestError{Status: http.StatusBadRequest, Text: "no mark"}
+	case o.First >= d.Terms.Doors || o.Spread > d.Terms.Doors || d.MaxUnits > 0 && o.Units > d.MaxUnits:
+		return ev, &http1.RequestError{Status: http.StatusBadRequest, Text: "weight"}
 	}
-	return gate.Request{Class: class, Plan: plan, TTL: min(o.TTL, d.LongestWait), Units: o.Units, Repeat: o.Repeat,
-		First: o.First, Spread: o.Spread, Phase: index.Phase(o.Customer)}, nil
+	return gate.Request{Class: class, Plan: plan, TTL: min(o.TTL, d.MaxWait), Units: o.Units, ClientRetry: o.Repeat,
+		FirstDoor: o.First, Spread: o.Spread, Phase: index.Phase(o.Customer)}, nil
 }
 
 // post hands a note to the owner while it is there.
@@ -189,7 +189,7 @@
 		c.due.fire(c)
 		if c.wakeAt > 0 && c.now >= c.wakeAt {
 			c.wakeAt = 0
-			c.pending = append(c.pending, gate.Woken{})
+			c.pending = append(c.pending, gate.TimerFired{})
 		}
 		for len(c.pending) > 0 {
 			c.decide()
@@ -246,22 +246,22 @@
 	case gate.Cancel:
 		c.abandon(c.ops[a.Op].attempts[a.Attempt], endLeftUnsent, endLeft)
 	case gate.Reject:
-		c.tally.rejected[min(a.Why, gate.Causes-1)]++
+		c.tally.rejected[min(a.Why, gate.CauseCount-1)]++
 		c.answer(a.Op, http.StatusTooManyRequests, a.RetryAfter, nil, a.Why.String())
 	case gate.Fail:
-		c.tally.failed[min(a.Why, gate.Causes-1)]++
+		c.tally.failed[min(a.Why, gate.CauseCount-1)]++
 		c.answer(a.Op, http.StatusBadGateway, 0, nil, a.Why.String())
-	case gate.Wake:
+	case gate.SetTimer:
 		c.wakeAt = a.At
 	case gate.Count:
 		c.count(a)
-	case gate.Forget:
+	case gate.FreeCustomer:
 		c.customers.Drop(a.Customer)
-	case gate.Delist:
+	case gate.FreeBackend:
 		c.delist(a.Backend)
 	case gate.Differs:
-		c.tally.differs[min(a.Kind, gate.Differences-1)]++
-	case gate.Track: // the watch runs from the start
+		c.tally.differs[min(a.Kind, gate.DifferenceCount-1)]++
+	case gate.SubscribeFleet: // the watch runs from the start
 	case gate.Log:
 		c.log.Info(a.Text)
 	default:
@@ -283,8 +283,8 @@
 	cl := o.client
 	cl.op, cl.idleSince = -1, c.now
 	// Clients are given only so many connections: those that ask once and stay must not take all of them.
-	last := o.msg.Last || c.leaving || c.aside || cl.shut.Load() || cl.spilt.Load() || c.budget.short(c.budget.kept) || c.known*keptPart > c.cfg.Sockets
-	go cl.answer(http1.AppendAnswer(pool.Get(), status, retryAfter, body, last), last)
+	last := o.msg.Close || c.leaving || c.aside || cl.shut.Load() || cl.spilt.Load() || c.budget.short(c.budget.kept) || c.known*keptPart > c.cfg.Sockets
+	go cl.answer(http1.AppendResponse(pool.Get(), status, retryAfter, body, last), last)
 }
 
 // arrived is a request whose last byte has come.
@@ -303,7 +303,7 @@
 	if _, open := c.ids[n.op.ID]; open { // a backend could not tell the two apart, nor the decisions their ends
 		n.cl.idleSince = c.clock.now()
 		n.op.Free()
-		go n.cl.answer(http1.AppendAnswer(pool.Get(), http.StatusConflict, 0, nil, n.op.Last), n.op.Last)
+		go n.cl.answer(http1.AppendResponse(pool.Get(), http.StatusConflict, 0, nil, n.op.Close), n.op.Close)
 		return
 	}
 	c.ids[n.op.ID] = struct{}{}
@@ -317,7 +317,7 @@
 	i := c.free[last]
 	c.free = c.free[:last]
 	o := &c.ops[i]
-	*o = request{client: n.cl, msg: n.op, class: n.ev.Class, came: n.at, until: c.shutdown.Load().Deadline(n.at + n.ev.TTL), contract: c.cfg.Deal.Terms.Classes[n.ev.Class].Contract, attempts: o.attempts[:0]}
+	*o = request{client: n.cl, msg: n.op, class: n.ev.Class, came: n.at, until: c.shutdown.Load().Deadline(n.at + n.ev.TTL), contract: c.cfg.Settings.Terms.Classes[n.ev.Class].Contract, attempts: o.attempts[:0]}
 	n.cl.op = i
 	n.ev.Op, n.ev.Customer = i, c.customers.Add(n.op.Customer)
 	n.ev.TTL = max(0, o.until-c.clock.now())
@@ -350,7 +350,7 @@
 		n.cl.op = -1
 		c.ops[op].over = true
 		c.closing = append(c.closing, op)
-		c.pending = append(c.pending, gate.Vanished{Op: op})
+		c.pending = append(c.pending, gate.ClientGone{Op: op})
 		c.holdBack(&c.ops[op])
 	}
 }
@@ -404,7 +404,7 @@
 	if shutdown != nil && c.now < shutdown.AnswerBy {
 		c.sweepAt = min(c.sweepAt, shutdown.AnswerBy)
 	}
-	if shutdown.Past(c.now) {
+	if shutdown.AnswersOverdue(c.now) {
 		c.endAll()
 	}
 	if c.listener != nil && !shutdown.Accepting(c.now) && !c.listenerEnding {
@@ -425,7 +425,7 @@
 // leave begins the way out: what still arrives is served, each connection's answer is its last, and all that is taken has its
 // answer by one absolute end.
 func (c *core) leave() {
-	shutdown := lifecycle.NewShutdown(c.clock.now(), c.cfg.Deal.LongestWait, c.cfg.Pace.Linger)
+	shutdown := lifecycle.NewShutdown(c.clock.now(), c.cfg.Settings.MaxWait, c.cfg.Pace.Linger)
 	c.shutdown.Store(shutdown)
 	c.leaving, c.sweepAt = true, 0
 	for i := range c.ops {
@@ -433,10 +433,10 @@
 			c.bound(o, shutdown)
 		}
 	}
-	c.pending = append(c.pending, gate.Closing{By: shutdown.AnswerBy})
+	c.pending = append(c.pending, gate.ShuttingDown{Deadline: shutdown.AnswerBy})
 	c.setReady()
 	c.log.WithFields(logrus.Fields{fields.Requests: len(c.ops) - len(c.free), fields.Connections: len(c.clients),
-		fields.AnswerMs: shutdown.AnswerBy - shutdown.Began, fields.KillMs: shutdown.KillAt - shutdown.Began}).Info("leaving")
+		fields.AnswerMs: shutdown.AnswerBy - shutdown.NoticedAt, fields.KillMs: shutdown.KillAt - shutdown.NoticedAt}).Info("leaving")
 }
 
 // bound has a request and its attempts end by the door's own end.
@@ -452,7 +452,7 @@
 
 // gone tells whether all that was taken is answered and nothing more can come.
 func (c *core) gone() bool {
-	return c.leaving && (!c.accepting && len(c.clients) == 0 || c.shutdown.Load().Over(c.now))
+	return c.leaving && (!c.accepting && len(c.clients) == 0 || c.shutdown.Load().KillDue(c.now))
 }
 
 // quit ends what goroutines are left.
--- a/frontdoor/core_test.go
+++ b/frontdoor/core_test.go
@@ -32,10 +32,10 @@
 // settled is a configuration with one idempotent and one keyed class and one plan.
 func settled() config.Door {
 	return config.Door{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Sockets: 100,
-		Deal: config.Deal{Terms: gate.Terms{Doors: 3, Classes: []gate.Class{{}, {Semantics: gate.Keyed}},
+		Settings: config.Settings{Terms: gate.Terms{Doors: 3, Classes: []gate.Class{{}, {Semantics: gate.Keyed}},
 			Plans: make([]gate.Plan, 1)}, Classes: map[string]int{"look": 0, "book": 1}, Plans: map[string]int{"team": 0},
-			ConnectTimeout: 250, CounterTimeout: 80, LongestWait: 2000, MostUnits: 8},
-		Pace: config.Pace{SlowInput: 2000, IdleClient: 2000, IdleBackend: 5000, Silence: 3000, FirstWord: 1000, DeadCounter: 800, Redial: 20, Linger: 500}}
+			ConnectTimeout: 250, CounterTimeout: 80, MaxWait: 2000, MaxUnits: 8},
+		Pace: config.Pace{SlowInput: 2000, IdleClient: 2000, IdleBackend: 5000, Silence: 3000, FirstByte: 1000, CounterStall: 800, Redial: 20, Linger: 500}}
 }
 
 // owned is a core that no goroutine runs, with one backend and one open request from a connected client.
@@ -86,12 +86,12 @@
 }
 
 // heard reads one answer.
-func heard(t *testing.T, nc net.Conn) http1.Answer { return heardEach(t, nc, 1)[0] }
+func heard(t *testing.T, nc net.Conn) http1.Response { return heardEach(t, nc, 1)[0] }
 
 // heardEach reads n answers, which may come in one read: what one read brings beyond an answer is the next's.
-func heardEach(t *testing.T, nc net.Conn, n int) []http1.Answer {
-	var in http1.Answers
-	var got []http1.Answer
+func heardEach(t *testing.T, nc net.Conn, n int) []http1.Response {
+	var in http1.ResponseReader
+	var got []http1.Response
 	buf, rest := make([]byte, 4096), []byte(nil)
 	nc.SetReadDeadline(time.Now().Add(10 * time.Second))
 	for len(got) < n {
@@ -112,7 +112,7 @@
 func TestEveryEndHasItsResult(t *testing.T) {
 	for e, want := range map[end]gate.Result{endWell: gate.Finished, endIll: gate.Errored, endTurnedAway: gate.Full,
 		endNoSocket: gate.Skipped, endNoConn: gate.Unreachable, endCutUnsent: gate.Unreachable, endCut: gate.Reset,
-		endGarbled: gate.Spoilt, endLateUnsent: gate.Skipped, endLate: gate.TimedOut, endLeftUnsent: gate.Skipped,
+		endGarbled: gate.Malformed, endLateUnsent: gate.Skipped, endLate: gate.TimedOut, endLeftUnsent: gate.Skipped,
 		endLeft: gate.Cancelled} {
 		assert.Equal(t, want, e.result(), e)
 	}
@@ -136,7 +136,7 @@
 }
 
 func TestOnlyAMarkedAnswerIsTurnedAway(t *testing.T) {
-	for a, want := range map[*http1.Answer]end{{Status: 200}: endWell, {Status: 500}: endIll, {Status: 503}: endIll,
+	for a, want := range map[*http1.Response]end{{Status: 200}: endWell, {Status: 500}: endIll, {Status: 503}: endIll,
 		{Status: 503, TurnedAway: true}: endTurnedAway, {Status: 504, TurnedAway: true}: endTurnedAway,
 		{Status: 500, TurnedAway: true}: endIll, {Status: 201}: endIll} {
 		assert.Equal(t, want, endOf(a))
@@ -145,14 +145,14 @@
 
 func TestWhatTheTermsDoNotKnowIsAFault(t *testing.T) {
 	c, _ := owned(t)
-	good := http1.Request{Method: "POST", Class: "book", Mark: "m", Plan: "team", Units: 2, Spread: 3, First: 2, TTL: 1e12}
+	good := http1.Request{Method: "POST", Class: "book", IdempotencyKey: "m", Plan: "team", Units: 2, Spread: 3, First: 2, TTL: 1e12}
 	ev, err := c.word(&good)
 	require.NoError(t, err)
-	assert.Equal(t, gate.Request{Class: 1, TTL: 2000, Units: 2, Spread: 3, First: 2}, ev, "no client waits longer")
+	assert.Equal(t, gate.Request{Class: 1, TTL: 2000, Units: 2, Spread: 3, FirstDoor: 2}, ev, "no client waits longer")
 	for name, change := range map[string]func(*http1.Request){
 		"profile": func(o *http1.Request) { o.Class = "odd" }, "plan": func(o *http1.Request) { o.Plan = "odd" },
 		"method": func(o *http1.Request) { o.Method = "GET" },
-		"mark":   func(o *http1.Request) { o.Mark = "" }, "first": func(o *http1.Request) { o.First = 3 },
+		"mark":   func(o *http1.Request) { o.IdempotencyKey = "" }, "first": func(o *http1.Request) { o.First = 3 },
 		"spread": func(o *http1.Request) { o.Spread = 4 }, "units": func(o *http1.Request) { o.Units = 9 },
 	} {
 		bad := good
@@ -175,10 +175,10 @@
 	c, client := owned(t)
 	f, far := linked(t, c)
 	written(t, f, far)
-	answered{f.link, http1.Answer{Status: 200, Use: 0.5, Body: []byte("hi")}, f.at + 30}.take(c)
-	assert.Equal(t, gate.Ended{Result: gate.Finished, Latency: 30, Over: true, Use: 0.5, Queue: -1}, c.pending[0])
+	answered{f.link, http1.Response{Status: 200, Use: 0.5, Body: []byte("hi")}, f.at + 30}.take(c)
+	assert.Equal(t, gate.AttemptEnded{Result: gate.Finished, Latency: 30, Answered: true, MeteredUse: 0.5, Queue: -1}, c.pending[0])
 	c.answer(0, http.StatusBadGateway, 0, nil, "") // a second answer
-	assert.Equal(t, http1.Answer{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}, heard(t, client))
+	assert.Equal(t, http1.Response{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}, heard(t, client))
 	assert.Len(t, c.backends[0].idle, 1, "the connection is used again")
 	c.decide()
 	assert.Equal(t, []int{0}, c.free)
@@ -190,9 +190,9 @@
 func TestOnlyWhatABackendAnsweredWellIsRelayed(t *testing.T) {
 	c, _ := owned(t)
 	f, _ := linked(t, c)
-	answered{f.link, http1.Answer{Status: 500, Use: -1, Body: []byte("secret")}, f.at}.take(c)
+	answered{f.link, http1.Response{Status: 500, Use: -1, Body: []byte("secret")}, f.at}.take(c)
 	assert.False(t, c.ops[0].over, "the decisions say what becomes of it")
-	assert.Equal(t, gate.Errored, c.pending[0].(gate.Ended).Result)
+	assert.Equal(t, gate.Errored, c.pending[0].(gate.AttemptEnded).Result)
 }
 
 func TestAWriterThatComesAfterGivingUpWritesNothing(t *testing.T) {
@@ -202,7 +202,7 @@
 	c.ops[0].attempts = append(c.ops[0].attempts, other)
 	c.ops[0].out++
 	c.abandon(other, endLeftUnsent, endLeft)
-	assert.Equal(t, gate.Skipped, c.pending[0].(gate.Ended).Result)
+	assert.Equal(t, gate.Skipped, c.pending[0].(gate.AttemptEnded).Result)
 	go f.link.write(other, []byte("late"))
 	got, _ := io.ReadAll(far)
 	assert.NotContains(t, string(got), "late")
@@ -214,7 +214,7 @@
 	_, err := far.Read(make([]byte, 1)) // the writer has begun
 	require.NoError(t, err)
 	c.abandon(f, endLeftUnsent, endLeft)
-	assert.Equal(t, gate.Cancelled, c.pending[0].(gate.Ended).Result)
+	assert.Equal(t, gate.Cancelled, c.pending[0].(gate.AttemptEnded).Result)
 	assert.Empty(t, c.links, "its connection is closed")
 	_, err = io.ReadAll(far)
 	assert.NoError(t, err)
@@ -232,7 +232,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	cut{f.link, endCut}.take(c)
-	assert.Equal(t, gate.Unreachable, c.pending[0].(gate.Ended).Result)
+	assert.Equal(t, gate.Unreachable, c.pending[0].(gate.AttemptEnded).Result)
 }
 
 func TestAnAnswerBeforeItsAttemptHasLeftEndsTheConnection(t *testing.T) {
@@ -240,7 +240,7 @@
 	f, far := linked(t, c)
 	_, err := far.Read(make([]byte, 1)) // the rest is stuck
 	require.NoError(t, err)
-	answered{f.link, http1.Answer{Status: 503, TurnedAway: true}, c.now}.take(c)
+	answered{f.link, http1.Response{Status: 503, TurnedAway: true}, c.now}.take(c)
 	assert.Empty(t, c.backends[0].idle)
 }
 
@@ -255,7 +255,7 @@
 	c, _ := owned(t)
 	f, far := linked(t, c)
 	written(t, f, far)
-	answered{f.link, http1.Answer{Status: 500}, c.now}.take(c)
+	answered{f.link, http1.Response{Status: 500}, c.now}.take(c)
 	require.Len(t, c.backends[0].idle, 1)
 	listed{list: registry.List{Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready", Started: 5}}}}.take(c)
 	assert.Empty(t, c.backends[0].idle)
@@ -266,7 +266,7 @@
 	c, _ := owned(t)
 	f, far := linked(t, c)
 	written(t, f, far)
-	answered{f.link, http1.Answer{Status: 500}, c.now}.take(c)
+	answered{f.link, http1.Response{Status: 500}, c.now}.take(c)
 	c.now += c.cfg.Pace.IdleBackend + 1
 	c.sweep()
 	assert.Empty(t, c.links)
@@ -277,7 +277,7 @@
 	for c.budget.take(0) {
 	}
 	c.send(gate.Send{})
-	assert.Equal(t, gate.Skipped, c.pending[0].(gate.Ended).Result)
+	assert.Equal(t, gate.Skipped, c.pending[0].(gate.AttemptEnded).Result)
 	assert.Zero(t, c.ops[0].out)
 }
 
@@ -285,7 +285,7 @@
 	c, _ := owned(t)
 	f, far := linked(t, c)
 	written(t, f, far)
-	answered{f.link, http1.Answer{Status: 500}, c.now}.take(c)
+	answered{f.link, http1.Response{Status: 500}, c.now}.take(c)
 	for c.budget.take(0) {
 	}
 	assert.True(t, c.spare())
@@ -314,7 +314,7 @@
 func TestNothingIsTakenBehindAConnectionsLastAnswer(t *testing.T) {
 	c, _ := owned(t)
 	cl := newClient(c, dialled(t, loopbacktest.Serve(t, keep)))
-	cl.answer(http1.AppendAnswer(nil, http.StatusOK, 0, nil, true), true)
+	cl.answer(http1.AppendResponse(nil, http.StatusOK, 0, nil, true), true)
 	r := bringing(look)
 	r.owed = true
 	assert.False(t, cl.step(r))
@@ -326,7 +326,7 @@
 	for c.budget.take(c.budget.kept) {
 	}
 	c.answer(0, http.StatusTooManyRequests, 250, nil, "")
-	assert.True(t, heard(t, client).Last)
+	assert.True(t, heard(t, client).Close)
 }
 
 // Clients hold so many connections at most. Where each asks once and stays, all were taken within two seconds, and the
@@ -335,7 +335,7 @@
 	c, client := owned(t)
 	c.known = c.cfg.Sockets/keptPart + 1
 	c.answer(0, http.StatusOK, 0, []byte("hi"), "")
-	assert.True(t, heard(t, client).Last)
+	assert.True(t, heard(t, client).Close)
 	known := c.known
 	left{c.ops[0].client, closedByClient}.take(c)
 	assert.Equal(t, known-1, c.known)
@@ -345,7 +345,7 @@
 	c, _ := owned(t)
 	cl := c.ops[0].client
 	left{cl, closedByClient}.take(c)
-	assert.Equal(t, []gate.Event{gate.Vanished{Op: 0}}, c.pending)
+	assert.Equal(t, []gate.Event{gate.ClientGone{Op: 0}}, c.pending)
 	c.answer(0, http.StatusOK, 0, []byte("hi"), "")
 	c.decide()
 	assert.Equal(t, []int{0}, c.free)
@@ -361,8 +361,8 @@
 	c.now = c.ops[0].until
 	c.due.fire(c)
 	assert.True(t, f.ended)
-	assert.Equal(t, gate.TimedOut, c.pending[0].(gate.Ended).Result)
-	assert.False(t, c.pending[0].(gate.Ended).Over)
+	assert.Equal(t, gate.TimedOut, c.pending[0].(gate.AttemptEnded).Result)
+	assert.False(t, c.pending[0].(gate.AttemptEnded).Answered)
 }
 
 func TestReadyOnlyWhenItCanServe(t *testing.T) {
@@ -381,10 +381,10 @@
 	c, _ := owned(t)
 	conn := newCounterConn(c, "")
 	c.counters = []*counterConn{conn}
-	c.count(gate.Count{Customer: 0, Epoch: 7, Add: 2, Keep: 4000})
+	c.count(gate.Count{Customer: 0, Epoch: 7, Add: 2, TTL: 4000})
 	k := conn.queue[0]
 	assert.Equal(t, "0/7", countName(k))
-	c.now += c.cfg.Deal.CounterTimeout
+	c.now += c.cfg.Settings.CounterTimeout
 	c.due.fire(c)
 	called{k, endWell, 5}.take(c)
 	assert.Equal(t, []gate.Event{gate.Counted{Epoch: 7, Result: gate.TimedOut}}, c.pending)
@@ -433,7 +433,7 @@
 	far, near := net.Pipe()
 	conn := newCounterConn(c, "")
 	conn.nc = near
-	k := &call{conn: conn, at: c.now - c.cfg.Pace.DeadCounter}
+	k := &call{conn: conn, at: c.now - c.cfg.Pace.CounterStall}
 	k.expire(c)
 	_, err := far.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
@@ -449,7 +449,7 @@
 	assert.Equal(t, endGarbled, (&link{c: c, nc: near, owes: true}).read())
 	n := (<-c.notes).(answered)
 	assert.Equal(t, "hi", string(n.a.Body), "the answer stands")
-	assert.True(t, n.a.Last)
+	assert.True(t, n.a.Close)
 	assert.Empty(t, c.notes, "the copy is nobody's")
 }
 
@@ -468,7 +468,7 @@
 		l := &link{c: c, addr: c.backends[0].addr, nc: near, raw: raw, cancel: func() {}, used: true}
 		c.links[l], c.backends[0].idle = struct{}{}, []*link{l}
 		spoil(<-far)
-		for sockio.Untouched(raw) {
+		for sockio.IsIdle(raw) {
 			time.Sleep(time.Millisecond)
 		}
 		c.send(gate.Send{})
@@ -507,7 +507,7 @@
 	f.link.cur = f
 	c.ops[0].attempts, c.ops[0].out = append(c.ops[0].attempts, f), 1
 	cut{f.link, endCut}.take(c)
-	assert.Equal(t, gate.Unreachable, c.pending[0].(gate.Ended).Result, "it never ran")
+	assert.Equal(t, gate.Unreachable, c.pending[0].(gate.AttemptEnded).Result, "it never ran")
 }
 
 // The id of another's open request: backends and decisions could not tell the two apart.
@@ -569,7 +569,7 @@
 // and calls of the old counter come to their own end.
 func TestAReloadGoesOverToTheNewAddresses(t *testing.T) {
 	c, _ := owned(t)
-	c.background, c.cfg.Deal.Terms.Counter = t.Context(), true
+	c.background, c.cfg.Settings.Terms.Counter = t.Context(), true
 	c.countOn("127.0.0.1:1")
 	old := c.counters[0]
 	old.calls = 1
@@ -599,8 +599,8 @@
 	c, _ := owned(t)
 	f, far := linked(t, c)
 	written(t, f, far)
-	answered{f.link, http1.Answer{Status: 500}, c.now}.take(c)
-	c.act(gate.Delist{Backend: 0})
+	answered{f.link, http1.Response{Status: 500}, c.now}.take(c)
+	c.act(gate.FreeBackend{Backend: 0})
 	assert.Empty(t, c.links)
 	listed{list: registry.List{Backends: []registry.Entry{{ID: "new", Addr: "127.0.0.1:1", Zone: "b", Cell: 9, State: "Ready"}}}}.take(c)
 	require.Len(t, c.backends, 1)
@@ -611,13 +611,13 @@
 func TestALoadReportIsTakenWhereTheSettingsNameIt(t *testing.T) {
 	for _, names := range [][]string{nil, {"recent_ms", "backlog"}} {
 		c, _ := owned(t)
-		c.cfg.Deal.Reports = names
+		c.cfg.Settings.ReportNames = names
 		f, _ := linked(t, c)
-		answered{f.link, http1.Answer{Status: 200, Use: -1, Queue: 4, Body: []byte("hi")}, f.at + 30}.take(c)
+		answered{f.link, http1.Response{Status: 200, Use: -1, Queue: 4, Body: []byte("hi")}, f.at + 30}.take(c)
 		want := -1.0
 		if names != nil {
 			want = 4
 		}
-		assert.Equal(t, want, c.pending[0].(gate.Ended).Queue)
+		assert.Equal(t, want, c.pending[0].(gate.AttemptEnded).Queue)
 	}
 }
--- a/frontdoor/counter.go
+++ b/frontdoor/counter.go
@@ -29,7 +29,7 @@
 // expire first ends the wait for a call, then a connection that owes its answer for too long: what comes over
 // one that is cut off would never be noticed otherwise.
 func (k *call) expire(c *core) {
-	switch dead := k.at + c.cfg.Pace.DeadCounter; {
+	switch dead := k.at + c.cfg.Pace.CounterStall; {
 	case k.over:
 	case c.now < dead:
 		c.tell(k, endLate, 0)
@@ -53,14 +53,14 @@
 
 // count makes a call over the connection that owes least.
 func (c *core) count(a gate.Count) {
-	k := &call{customer: c.customers.ID(a.Customer), epoch: a.Epoch, add: a.Add, keep: a.Keep, at: c.now}
+	k := &call{customer: c.customers.ID(a.Customer), epoch: a.Epoch, add: a.Add, keep: a.TTL, at: c.now}
 	for _, conn := range c.counters {
 		if k.conn == nil || conn.calls < k.conn.calls {
 			k.conn = conn
 		}
 	}
 	k.conn.calls++
-	c.due.add(k.at+c.cfg.Deal.CounterTimeout, k)
+	c.due.add(k.at+c.cfg.Settings.CounterTimeout, k)
 	k.conn.put(k)
 }
 
@@ -161,7 +161,7 @@
 		for _, a := range calls {
 			msg = resp.AppendTally(msg, countName(a), a.add, a.keep)
 		}
-		if _, err := sockio.Write(nc, msg, time.Now().Add(span(k.c.cfg.Deal.CounterTimeout))); err != nil {
+		if _, err := sockio.Write(nc, msg, time.Now().Add(span(k.c.cfg.Settings.CounterTimeout))); err != nil {
 			nc.Close() // its reader ends the calls
 		}
 		pool.Put(msg)
@@ -173,7 +173,7 @@
 // looked up has ended its calls already: those loaded after would have no end, and the next connection's replies would
 // be taken for theirs, one customer's total for another's.
 func (k *counterConn) load(nc net.Conn) (calls, late []*call, up bool) {
-	oldest := k.c.clock.now() - k.c.cfg.Deal.CounterTimeout
+	oldest := k.c.clock.now() - k.c.cfg.Settings.CounterTimeout
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	up = nc != nil && k.nc == nc
@@ -263,7 +263,7 @@
 	k.flying = k.flying[1:]
 	k.mu.Unlock()
 	how := endWell
-	if r.Busy || r.Fault != "" {
+	if r.Busy || r.ErrorText != "" {
 		how = endTurnedAway
 	}
 	k.c.post(called{a, how, r.Total})
--- a/frontdoor/crossing_test.go
+++ b/frontdoor/crossing_test.go
@@ -109,7 +109,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	g.door = New(g.cfg, g.decider, log)
-	g.door.Over(g.network)
+	g.door.UseNetwork(g.network)
 	ctx, cancel := context.WithCancel(t.Context())
 	g.stop, g.ended = cancel, make(chan error, 1)
 	go func() { g.ended <- g.door.Serve(ctx) }()
@@ -212,7 +212,7 @@
 	assert.NoError(t, err, "an orderly end, no reset")
 	assert.True(t, strings.HasSuffix(got, "hi"+big), "the whole answer: %d bytes", len(got))
 	nc.Close()
-	until[gate.Ended](t, events)
+	until[gate.AttemptEnded](t, events)
 	for len(events) > 0 {
 		assert.IsNotType(t, gate.Request{}, <-events, "what is read after the shutdown is not sent on")
 	}
@@ -363,7 +363,7 @@
 				nc.Close()
 			}
 			for range ncs {
-				until[gate.Vanished](t, events)
+				until[gate.ClientGone](t, events)
 			}
 		})
 	}
@@ -379,7 +379,7 @@
 		got, _ := io.ReadAll(nc)
 		come <- string(got)
 	}, sends(events))
-	g.cfg.Deal.LongestWait = 3600e3 // its time does not run out meanwhile
+	g.cfg.Settings.MaxWait = 3600e3 // its time does not run out meanwhile
 	registry := g.cfg.Discovery
 	g.network.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		nc, err := (&net.Dialer{}).DialContext(context.WithoutCancel(ctx), "tcp", addr)
@@ -396,8 +396,8 @@
 	require.NoError(t, err)
 	await(t, dialling, "the dial")
 	nc.Close()
-	until[gate.Vanished](t, events)
-	assert.Equal(t, gate.Skipped, until[gate.Ended](t, events).Result, "it never ran")
+	until[gate.ClientGone](t, events)
+	assert.Equal(t, gate.Skipped, until[gate.AttemptEnded](t, events).Result, "it never ran")
 	close(let)
 	assert.Empty(t, await(t, come, "the connection's end"))
 }
@@ -412,9 +412,9 @@
 	}, scripted(func(now float64, es []gate.Event) (out []gate.Action) {
 		for _, e := range es {
 			if e, is := e.(gate.Request); is {
-				out = append(out, gate.Send{Op: e.Op, By: now - 1}) // as if the dial had taken longer
+				out = append(out, gate.Send{Op: e.Op, StartBy: now - 1}) // as if the dial had taken longer
 			}
-			if e, is := e.(gate.Ended); is && !e.Over {
+			if e, is := e.(gate.AttemptEnded); is && !e.Answered {
 				out = append(out, gate.Fail{Op: e.Op})
 			}
 			events <- e
@@ -425,7 +425,7 @@
 	g.ready(t)
 	status, _ := say(t, dialled(t, g.addr), look)
 	assert.Equal(t, http.StatusBadGateway, status)
-	assert.Equal(t, gate.Skipped, until[gate.Ended](t, events).Result, "it never ran")
+	assert.Equal(t, gate.Skipped, until[gate.AttemptEnded](t, events).Result, "it never ran")
 	assert.Empty(t, await(t, come, "the connection's end"))
 }
 
@@ -495,7 +495,7 @@
 // A watch that is taken and never answered is dialled again long before one that was answered and falls silent.
 func TestAWatchThatIsNeverAnsweredIsDialledAgain(t *testing.T) {
 	c, _ := owned(t)
-	c.cfg.Pace.FirstWord, c.cfg.Pace.Silence = 20, 3600e3
+	c.cfg.Pace.FirstByte, c.cfg.Pace.Silence = 20, 3600e3
 	asks := make(chan string, 99)
 	c.cfg.Discovery = loopbacktest.Serve(t, func(nc net.Conn) {
 		if req, err := http.ReadRequest(bufio.NewReader(nc)); err == nil {
@@ -515,7 +515,7 @@
 	g := rigged(t, backendOf(hung), sends(events))
 	backend := loopbacktest.Serve(t, backendOf(hung))
 	g.cfg.Discovery = loopbacktest.Serve(t, registryOf(backend, asks, func(nc net.Conn) { down <- nc }))
-	g.cfg.Sockets, g.cfg.Deal.LongestWait = 100, 3600e3
+	g.cfg.Sockets, g.cfg.Settings.MaxWait = 100, 3600e3
 	g.cfg.Pace.IdleClient, g.cfg.Pace.Linger = 3600e3, 3600e3 // none of them gives way
 	g.serve(t)
 	g.ready(t)
@@ -553,7 +553,7 @@
 	const flood = 256 << 20
 	may, events := make(chan struct{}), make(chan gate.Event, 99)
 	g := rigged(t, backendOf(may), sends(events))
-	g.cfg.Deal.LongestWait = 3600e3
+	g.cfg.Settings.MaxWait = 3600e3
 	g.serve(t)
 	g.ready(t)
 	nc := dialled(t, g.addr)
--- a/frontdoor/discovery_test.go
+++ b/frontdoor/discovery_test.go
@@ -46,7 +46,7 @@
 	whole, err := config.Read([]byte(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"fleet_size":1,"profiles":[{"name":"look","aim":1,
 		"give_up":2,"semantics":"idempotent"}],"tariffs":[{"name":"team"}],"limits":{"max_attempts":1,"connect_timeout":0.25}}}`), func(string) string { return "" })
 	require.NoError(t, err)
-	cfg.Pace, cfg.Deal.ConnectTimeout = whole.Pace, whole.Deal.ConnectTimeout // as in service
+	cfg.Pace, cfg.Settings.ConnectTimeout = whole.Pace, whole.Settings.ConnectTimeout // as in service
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
 		since := func() time.Duration { return time.Since(begun) }
--- a/frontdoor/end.go
+++ b/frontdoor/end.go
@@ -31,7 +31,7 @@
 var results = [...]gate.Result{
 	endWell: gate.Finished, endIll: gate.Errored, endTurnedAway: gate.Full,
 	endNoSocket: gate.Skipped, endNoConn: gate.Unreachable,
-	endCutUnsent: gate.Unreachable, endCut: gate.Reset, endGarbled: gate.Spoilt,
+	endCutUnsent: gate.Unreachable, endCut: gate.Reset, endGarbled: gate.Malformed,
 	endLateUnsent: gate.Skipped, endLate: gate.TimedOut,
 	endLeftUnsent: gate.Skipped, endLeft: gate.Cancelled,
 }
--- a/frontdoor/errors.go
+++ b/frontdoor/errors.go
@@ -25,7 +25,7 @@
 	Cause   error
 }
 
-func (e *ListenError) Error() string     { return remedy.Because("listening", e.Cause) }
+func (e *ListenError) Error() string     { return remedy.WithCause("listening", e.Cause) }
 func (e *ListenError) Unwrap() error     { return e.Cause }
 func (e *ListenError) Kind() remedy.Kind { return remedy.Refused }
 
--- a/frontdoor/fleet.go
+++ b/frontdoor/fleet.go
@@ -26,7 +26,7 @@
 	if n.watch != c.watches { // that watch has been replaced
 		return
 	}
-	ev := gate.Fleet{Complete: n.list.Whole}
+	ev := gate.FleetUpdate{Complete: n.list.Whole}
 	if n.list.Whole {
 		for i := range c.backends {
 			c.backends[i].up, c.backends[i].status = false, gate.Gone
@@ -74,11 +74,11 @@
 		status = gate.Draining
 	}
 	b.up = status == gate.Up
-	return gate.Entry{Backend: i, Zone: b.zone, Cell: b.cell, Status: status, Since: b.since, Size: b.size, Mark: index.Mark(b.id)}
+	return gate.Entry{Backend: i, Zone: b.zone, Cell: b.cell, Status: status, StartedAt: b.since, Weight: b.size, RingPosition: index.NamePhase(b.id)}
 }
 
 // news passes changes of the list on to the decisions.
-func (c *core) news(ev gate.Fleet) {
+func (c *core) news(ev gate.FleetUpdate) {
 	for l := range c.links { // nothing new goes over these
 		if !c.backends[l.backend].takes(l) {
 			c.withdraw(l)
@@ -158,7 +158,7 @@
 // dialled again and goes on from the version that came last; config.Pace bounds what that may take, whatever came before. What discovery holds it tells at once: a door that has waited as
 // long as a connection may take serves by what it knew.
 func (c *core) follow(ctx context.Context, addr string, version int64, number int) {
-	defer time.AfterFunc(span(c.cfg.Deal.ConnectTimeout), func() { c.post(asked{}) }).Stop()
+	defer time.AfterFunc(span(c.cfg.Settings.ConnectTimeout), func() { c.post(asked{}) }).Stop()
 	well, dice := true, rand.New(rand.NewPCG(c.cfg.Seed, uint64(number)))
 	pause := c.cfg.Pace.Redial
 	for ctx.Err() == nil {
@@ -176,7 +176,7 @@
 			c.log.WithError(err).Warn("fleet watch ended")
 		}
 		rest(ctx, sooner(pause, redialJitter, dice))
-		pause = min(2*pause, config.RedialGrows*c.cfg.Pace.Redial)
+		pause = min(2*pause, config.MaxRedialFactor*c.cfg.Pace.Redial)
 	}
 }
 
@@ -214,7 +214,7 @@
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
 	buf := pool.Get()
 	defer pool.Put(buf)
-	patience := span(sooner(c.cfg.Pace.FirstWord, redialJitter, dice))
+	patience := span(sooner(c.cfg.Pace.FirstByte, redialJitter, dice))
 	first := time.Now().Add(patience)
 	if _, err := sockio.Write(nc, registry.AppendWatch(buf, addr, version), first); err != nil {
 		return err
@@ -237,7 +237,7 @@
 			told = true
 			heard(l, after)
 		})
-		if told && n > 0 && w.Between() {
+		if told && n > 0 && w.AtBoundary() {
 			c.listHeard.Store(math.Float64bits(c.clock.now()))
 		}
 		switch {
--- a/frontdoor/frontdoor.go
+++ b/frontdoor/frontdoor.go
@@ -28,9 +28,9 @@
 	return &Door{core: newCore(cfg, decider, log)}
 }
 
-// On has the door serve clients of a listener that another process listens at as well, in place of listening itself: one door
+// UseListener has the door serve clients of a listener that another process listens at as well, in place of listening itself: one door
 // can follow another with no connection refused. It is called before Serve, which closes the listener.
-func (d *Door) On(ln *net.TCPListener) {
+func (d *Door) UseListener(ln *net.TCPListener) {
 	d.core.listen = func(context.Context, string) (net.Listener, error) { return ln, nil }
 }
 
@@ -55,7 +55,7 @@
 	defer cancel()
 	c.background = background
 	listed{list: c.cfg.Known}.take(c)
-	if c.cfg.Deal.Terms.Counter {
+	if c.cfg.Settings.Terms.Counter {
 		c.countOn(c.cfg.Counter)
 	}
 	c.watchOn(c.cfg.Discovery, c.cfg.Known.Version)
@@ -70,13 +70,13 @@
 // is under way goes on, and so does the fleet list until the new discovery has told its own.
 func (d *Door) Reload(cfg config.Door) { d.core.post(reloaded{cfg.Discovery, cfg.Counter}) }
 
-// Members tells the door which doors of its fleet are here, as far as is known. It may be called at any time, or never: no
+// SetMembers tells the door which doors of its fleet are here, as far as is known. It may be called at any time, or never: no
 // request waits for it.
-func (d *Door) Members(e gate.Doors) { d.core.post(present(e)) }
+func (d *Door) SetMembers(e gate.DoorsUpdate) { d.core.post(present(e)) }
 
-type present gate.Doors
+type present gate.DoorsUpdate
 
-func (n present) take(c *core) { c.pending = append(c.pending, gate.Doors(n)) }
+func (n present) take(c *core) { c.pending = append(c.pending, gate.DoorsUpdate(n)) }
 
 type reloaded struct{ discovery, counter string }
 
@@ -85,7 +85,7 @@
 		c.cfg.Discovery = n.discovery
 		c.watchOn(n.discovery, 0)
 	}
-	if n.counter != c.cfg.Counter && c.cfg.Deal.Terms.Counter {
+	if n.counter != c.cfg.Counter && c.cfg.Settings.Terms.Counter {
 		c.cfg.Counter = n.counter
 		c.countOn(n.counter)
 	}
--- a/frontdoor/guard.go
+++ b/frontdoor/guard.go
@@ -68,13 +68,13 @@
 
 // repeatBreaks tells whether an attempt would repeat what must not be repeated there.
 func (c *core) repeatBreaks(o *request, b *backend) (invariant, bool) {
-	class := &c.cfg.Deal.Terms.Classes[o.class]
+	class := &c.cfg.Settings.Terms.Classes[o.class]
 	for _, before := range o.attempts {
 		switch {
 		case before.ended && before.how.result().NeverRan(), class.Semantics == gate.Idempotent:
 		case class.Semantics == gate.NonIdempotent:
 			return repeatUnsafe, true
-		case c.now >= before.at+class.Window, !c.sameGroup(class.Scope, b, &c.backends[before.backend]):
+		case c.now >= before.at+class.DedupWindow, !c.sameGroup(class.Scope, b, &c.backends[before.backend]):
 			return repeatForgotten, true
 		}
 	}
--- a/frontdoor/guard_test.go
+++ b/frontdoor/guard_test.go
@@ -31,15 +31,15 @@
 		"its time is over":    {startTooLate, func(c *core) { c.ops[0].until = c.now }},
 		"the backend drains":  {startAtUnlisted, func(c *core) { c.backends[0].up = false }},
 		"unsafe, may have run": {repeatUnsafe, func(c *core) {
-			c.cfg.Deal.Terms.Classes[semantics] = gate.Class{Semantics: gate.NonIdempotent}
+			c.cfg.Settings.Terms.Classes[semantics] = gate.Class{Semantics: gate.NonIdempotent}
 			ran(c, endCut)
 		}},
 		"keyed, past its window": {repeatForgotten, func(c *core) {
-			c.cfg.Deal.Terms.Classes[semantics] = gate.Class{Semantics: gate.Keyed, Window: 0}
+			c.cfg.Settings.Terms.Classes[semantics] = gate.Class{Semantics: gate.Keyed, DedupWindow: 0}
 			ran(c, endLate)
 		}},
 		"keyed, in another zone": {repeatForgotten, func(c *core) {
-			c.cfg.Deal.Terms.Classes[semantics] = gate.Class{Semantics: gate.Keyed, Window: 1e3, Scope: gate.ScopeZone}
+			c.cfg.Settings.Terms.Classes[semantics] = gate.Class{Semantics: gate.Keyed, DedupWindow: 1e3, Scope: gate.ScopeZone}
 			ran(c, endLate)
 			c.backends = append(c.backends, backend{zone: 7})
 			c.ops[0].attempts[0].backend = 1
@@ -47,14 +47,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, _ := owned(t)
-			c.cfg.Deal.Terms.Classes = append([]gate.Class{}, c.cfg.Deal.Terms.Classes...)
+			c.cfg.Settings.Terms.Classes = append([]gate.Class{}, c.cfg.Settings.Terms.Classes...)
 			c.ops[0].class = semantics
 			k.plant(c)
 			c.pending = nil
 			c.send(gate.Send{})
 			assert.Equal(t, 1, c.tally.broken[k.which])
 			require.Len(t, c.pending, 1)
-			assert.Equal(t, gate.Skipped, c.pending[0].(gate.Ended).Result)
+			assert.Equal(t, gate.Skipped, c.pending[0].(gate.AttemptEnded).Result)
 			assert.Empty(t, c.links, "nothing is dialled")
 		})
 	}
@@ -64,17 +64,17 @@
 	for name, plant := range map[string]func(*core){
 		"a first attempt": func(*core) {},
 		"unsafe, never ran": func(c *core) {
-			c.cfg.Deal.Terms.Classes[1] = gate.Class{Semantics: gate.NonIdempotent}
+			c.cfg.Settings.Terms.Classes[1] = gate.Class{Semantics: gate.NonIdempotent}
 			c.ops[0].attempts = append(c.ops[0].attempts, &attempt{ended: true, how: endTurnedAway})
 		},
 		"keyed, within its window": func(c *core) {
-			c.cfg.Deal.Terms.Classes[1] = gate.Class{Semantics: gate.Keyed, Window: 1e3}
+			c.cfg.Settings.Terms.Classes[1] = gate.Class{Semantics: gate.Keyed, DedupWindow: 1e3}
 			c.ops[0].attempts = append(c.ops[0].attempts, &attempt{at: c.now, ended: true, how: endCut})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, _ := owned(t)
-			c.cfg.Deal.Terms.Classes = append([]gate.Class{}, c.cfg.Deal.Terms.Classes...)
+			c.cfg.Settings.Terms.Classes = append([]gate.Class{}, c.cfg.Settings.Terms.Classes...)
 			c.ops[0].class = 1
 			plant(c)
 			linked(t, c)
@@ -125,7 +125,7 @@
 			_, err = io.WriteString(far, behind)
 			require.NoError(t, err)
 			require.NoError(t, far.Close())
-			for !sockio.Gone(cl.raw) {
+			for !sockio.PeerClosed(cl.raw) {
 				time.Sleep(time.Millisecond)
 			}
 			f, backend := linked(t, c)
@@ -134,7 +134,7 @@
 			assert.Zero(t, n)
 			left{cl, closedByClient}.take(c)
 			assert.Equal(t, dropped, f.stage.Load())
-			assert.Equal(t, gate.Skipped, c.pending[len(c.pending)-1].(gate.Ended).Result)
+			assert.Equal(t, gate.Skipped, c.pending[len(c.pending)-1].(gate.AttemptEnded).Result)
 		})
 	}
 }
@@ -157,7 +157,7 @@
 		}
 		return dial(context.WithoutCancel(ctx), addr)
 	}
-	g.cfg.Deal.LongestWait = 3600e3 // its time does not run out meanwhile
+	g.cfg.Settings.MaxWait = 3600e3 // its time does not run out meanwhile
 	g.serve(t)
 	g.ready(t)
 	_, err := io.WriteString(dialled(t, g.addr), strings.Replace(look, "1500m", "60000m", 1))
@@ -166,7 +166,7 @@
 	told := make(chan struct{})
 	g.door.Withhold([]string{"s"}, func() { close(told) })
 	await(t, told, "the decisions")
-	assert.Equal(t, gate.Skipped, until[gate.Ended](t, events).Result)
+	assert.Equal(t, gate.Skipped, until[gate.AttemptEnded](t, events).Result)
 	close(goesOn)
 	g.endNow()
 	assert.Empty(t, reached)
--- a/frontdoor/network.go
+++ b/frontdoor/network.go
@@ -13,8 +13,8 @@
 	Listen func(ctx context.Context, addr string) (net.Listener, error)
 }
 
-// Over has the door use a network in place of the system's. It is called before Serve.
-func (d *Door) Over(n Network) {
+// UseNetwork has the door use a network in place of the system's. It is called before Serve.
+func (d *Door) UseNetwork(n Network) {
 	if n.Dial != nil {
 		d.core.dial = n.Dial
 	}
--- a/frontdoor/plan.go
+++ b/frontdoor/plan.go
@@ -28,7 +28,7 @@
 	before := c.withheld
 	c.withheld = n.names
 	if !maps.Equal(before, n.names) {
-		ev := gate.Fleet{}
+		ev := gate.FleetUpdate{}
 		for i := range c.backends {
 			if b := &c.backends[i]; b.listed && before[b.id] != n.names[b.id] {
 				ev.Entries = append(ev.Entries, c.entry(i))
@@ -41,10 +41,10 @@
 	c.told = append(c.told, n.done)
 }
 
-// Aside takes the door out by plan, or brings it back. Out, it isn't ready, each answer is its connection's last, and what
+// SetOutOfService takes the door out by plan, or brings it back. Out, it isn't ready, each answer is its connection's last, and what
 // still comes is served. It goes out only until a time: a process that was stopped on the way to the step doesn't take it.
 // done hears at the step whether it was taken, and must not block.
-func (d *Door) Aside(out bool, until time.Time, done func(taken bool)) {
+func (d *Door) SetOutOfService(out bool, until time.Time, done func(taken bool)) {
 	d.core.post(aside{out, until, done})
 }
 
@@ -69,8 +69,8 @@
 // Ready tells whether the door says that it can serve.
 func (d *Door) Ready() bool { return d.core.ready.Load() }
 
-// Listed is one backend as the door's list has it.
-type Listed struct {
+// BackendSnapshot is one backend as the door's list has it.
+type BackendSnapshot struct {
 	ID, Zone string
 	Size     float64
 	Up       bool // by the list
@@ -79,32 +79,32 @@
 	Counts   Counts // of this door's attempts to it
 }
 
-// Told is what a door tells of itself.
-type Told struct {
-	Backends []Listed
+// Snapshot is what a door tells of itself.
+type Snapshot struct {
+	Backends []BackendSnapshot
 	Counts   Counts
 }
 
-// Tell tells the door's list of backends and what it has done; nothing where the door has left.
-func (d *Door) Tell() Told {
-	got := make(chan Told, 1)
+// Snapshot tells the door's list of backends and what it has done; nothing where the door has left.
+func (d *Door) Snapshot() Snapshot {
+	got := make(chan Snapshot, 1)
 	d.core.post(asking(got))
 	select {
 	case t := <-got:
 		return t
 	case <-d.core.done:
-		return Told{}
+		return Snapshot{}
 	}
 }
 
-type asking chan<- Told
+type asking chan<- Snapshot
 
 func (n asking) take(c *core) {
-	t := Told{Backends: []Listed{}, Counts: c.total}
+	t := Snapshot{Backends: []BackendSnapshot{}, Counts: c.total}
 	now := c.clock.now()
 	for i := range c.backends {
 		if b := &c.backends[i]; b.listed {
-			t.Backends = append(t.Backends, Listed{b.id, c.zones.ID(b.zone), b.size, b.status == gate.Up, now-b.since >= c.cfg.Deal.Terms.ColdFor, float64(b.process), b.counts})
+			t.Backends = append(t.Backends, BackendSnapshot{b.id, c.zones.ID(b.zone), b.size, b.status == gate.Up, now-b.since >= c.cfg.Settings.Terms.WarmupTime, float64(b.process), b.counts})
 		}
 	}
 	n <- t
--- a/frontdoor/plan_test.go
+++ b/frontdoor/plan_test.go
@@ -16,22 +16,22 @@
 	c.pending = nil
 	told := 0
 	withheld{map[string]bool{"s": true}, func() { told++ }}.take(c)
-	assert.Equal(t, gate.Draining, c.pending[0].(gate.Fleet).Entries[0].Status)
-	assert.False(t, c.pending[0].(gate.Fleet).Complete)
+	assert.Equal(t, gate.Draining, c.pending[0].(gate.FleetUpdate).Entries[0].Status)
+	assert.False(t, c.pending[0].(gate.FleetUpdate).Complete)
 	assert.False(t, c.backends[0].up)
 	assert.False(t, c.ready.Load(), "it was the only one")
 	assert.Len(t, c.told, 1)
 	assert.Zero(t, told, "not before the decisions know")
 	c.pending = nil
 	listed{list: registry.List{Whole: true, Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready"}, {ID: "t", Addr: "127.0.0.1:2", State: "Ready"}}}}.take(c)
-	e := c.pending[0].(gate.Fleet).Entries
+	e := c.pending[0].(gate.FleetUpdate).Entries
 	assert.Equal(t, []gate.Status{gate.Draining, gate.Up}, []gate.Status{e[0].Status, e[1].Status})
-	got := make(chan Told, 1)
+	got := make(chan Snapshot, 1)
 	asking(got).take(c)
 	assert.True(t, (<-got).Backends[0].Up, "by the list")
 	c.pending = nil
 	withheld{map[string]bool{}, func() {}}.take(c)
-	assert.Equal(t, gate.Up, c.pending[0].(gate.Fleet).Entries[0].Status)
+	assert.Equal(t, gate.Up, c.pending[0].(gate.FleetUpdate).Entries[0].Status)
 	assert.True(t, c.backends[0].up)
 	c.pending = nil
 	withheld{map[string]bool{"unheard-of": true}, func() {}}.take(c)
--- a/frontdoor/serve_test.go
+++ b/frontdoor/serve_test.go
@@ -61,8 +61,8 @@
 			switch e := e.(type) {
 			case gate.Request:
 				out = append(out, gate.Send{Op: e.Op})
-			case gate.Ended:
-				if !e.Over {
+			case gate.AttemptEnded:
+				if !e.Answered {
 					out = append(out, gate.Fail{Op: e.Op})
 				}
 			}
@@ -92,7 +92,7 @@
 	t.Cleanup(cancel)
 	end := make(chan error, 1)
 	door := New(cfg, d, log)
-	door.On(ln.(*net.TCPListener))
+	door.UseListener(ln.(*net.TCPListener))
 	go func() { end <- door.Serve(ctx) }()
 	for range 500 {
 		if nc, err := net.Dial("tcp", cfg.Listen); err == nil {
@@ -197,7 +197,7 @@
 	for _, isRequest := (<-events).(gate.Request); !isRequest; _, isRequest = (<-events).(gate.Request) {
 	}
 	nc.Close()
-	assert.Equal(t, gate.Vanished{Op: 0}, <-events)
+	assert.Equal(t, gate.ClientGone{Op: 0}, <-events)
 }
 
 func TestADoorThatLeavesAnswersWhatItHasAndWhatStillComes(t *testing.T) {
@@ -217,7 +217,7 @@
 	for name, nc := range map[string]net.Conn{"held": held, "late": late} {
 		a := heard(t, nc)
 		assert.Equal(t, 200, a.Status, name)
-		assert.True(t, a.Last, name)
+		assert.True(t, a.Close, name)
 	}
 	for name, nc := range map[string]net.Conn{"idle": idle, "fresh": fresh} {
 		nc.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -258,7 +258,7 @@
 	go conn.run(t.Context())
 	for range 2 {
 		c.now = c.clock.now()
-		c.count(gate.Count{Add: 2.5, Keep: 1000})
+		c.count(gate.Count{Add: 2.5, TTL: 1000})
 		n := (<-c.notes).(called)
 		assert.Equal(t, called{n.k, endWell, 2.5}, n)
 		for conn.up() != nil {
@@ -271,14 +271,14 @@
 // another answer.
 func TestADoorWatchingAnotherShapeDecidesAsBeforeAndCounts(t *testing.T) {
 	cfg := settled()
-	terms := &cfg.Deal.Terms
+	terms := &cfg.Settings.Terms
 	terms.MaxAttempts = 1
 	terms.Classes = []gate.Class{{Contract: 1000}, {Contract: 1000, Semantics: gate.Keyed}}
 	terms.Plans = []gate.Plan{{Rate: 1e-6, Depth: 3}} // nothing fills up while the test runs
 	other := *terms
-	other.Plans = []gate.Plan{{Rate: 1e-6, Depth: 3, Beyond: 0.3}}
+	other.Plans = []gate.Plan{{Rate: 1e-6, Depth: 3, OverQuotaGain: 0.3}}
 	decider := policy.New(*terms, 1)
-	decider.Watch(&other)
+	decider.CompareWith(&other)
 	log, hook := test.NewNullLogger()
 	addr, _, _ := servingBy(t, cfg, open(), decider, log)
 	nc := dialled(t, addr)
@@ -295,5 +295,5 @@
 			}
 		}
 		return false
-	}, 3*AccountEvery*time.Millisecond, 50*time.Millisecond)
+	}, 3*AccountIntervalMs*time.Millisecond, 50*time.Millisecond)
 }
--- a/frontdoor/tally.go
+++ b/frontdoor/tally.go
@@ -11,15 +11,15 @@
 
 // AccountEvery is the clock between two accounts in the log, ms: a day of the fleet's is some tens of seconds, and a
 // line a door every 5 s keeps a log of hundreds of doors readable.
-const AccountEvery = 5e3
+const AccountIntervalMs = 5e3
 
 // tally counts what a door did since its last account, so that the logs of a whole fleet can be added up; the log
 // still never tells single requests.
 type tally struct {
 	at               float64 // clock of the next account, ms; 0 before the first
 	arrived, sent    int
-	rejected, failed [gate.Causes]int
-	differs          [gate.Differences]int
+	rejected, failed [gate.CauseCount]int
+	differs          [gate.DifferenceCount]int
 	retried          int
 	ended            [endKinds]int
 	closed           [closings]int
@@ -29,7 +29,7 @@
 // fields is the account as log fields: counts that are 0 are left out.
 func (t *tally) fields() logrus.Fields {
 	f := logrus.Fields{fields.Arrived: t.arrived, fields.Sent: t.sent}
-	for why := range gate.Causes {
+	for why := range gate.CauseCount {
 		if n := t.rejected[why]; n > 0 {
 			f[fields.Rejected+why.String()] = n
 		}
@@ -37,7 +37,7 @@
 			f[fields.Failed+why.String()] = n
 		}
 	}
-	for kind := range gate.Differences {
+	for kind := range gate.DifferenceCount {
 		if n := t.differs[kind]; n > 0 {
 			f[fields.Differs+kind.String()] = n
 		}
@@ -66,11 +66,11 @@
 // due writes the account when its time has come and begins the next one.
 func (t *tally) due(now float64, log logrus.FieldLogger) {
 	if t.at == 0 {
-		t.at = now + AccountEvery
+		t.at = now + AccountIntervalMs
 	}
 	if now >= t.at {
 		t.write(log)
-		*t = tally{at: now + AccountEvery}
+		*t = tally{at: now + AccountIntervalMs}
 	}
 }
 
--- a/frontdoor/tally_test.go
+++ b/frontdoor/tally_test.go
@@ -14,7 +14,7 @@
 func TestTallyWritesItsAccountWhenDueAndBeginsAnew(t *testing.T) {
 	log, hook := test.NewNullLogger()
 	tl := tally{at: 5e3, arrived: 7, sent: 5}
-	tl.rejected[gate.OverPart] = 2
+	tl.rejected[gate.OverQuotaShare] = 2
 
 	tl.due(5e3, log)
 
--- a/frontdoor/terms_test.go
+++ b/frontdoor/terms_test.go
@@ -120,14 +120,14 @@
 // decided is a door with the real decisions and two backends.
 func decided(t *testing.T, backends ...func(net.Conn)) *rig {
 	g := &rig{cfg: settled()}
-	g.cfg.Sockets, g.cfg.Deal.LongestWait, g.cfg.Pace.Linger = 1000, 5000, 100
-	terms := &g.cfg.Deal.Terms
-	terms.Classes = []gate.Class{{Contract: 1000, Gain: 1}, {Contract: 1000, Gain: 1, Semantics: gate.Keyed, Window: 60e3},
-		{Contract: 1000, Gain: 1, Semantics: gate.NonIdempotent}, {Contract: 1000, Gain: 1, Semantics: gate.Keyed, Window: 300}}
+	g.cfg.Sockets, g.cfg.Settings.MaxWait, g.cfg.Pace.Linger = 1000, 5000, 100
+	terms := &g.cfg.Settings.Terms
+	terms.Classes = []gate.Class{{Contract: 1000, Gain: 1}, {Contract: 1000, Gain: 1, Semantics: gate.Keyed, DedupWindow: 60e3},
+		{Contract: 1000, Gain: 1, Semantics: gate.NonIdempotent}, {Contract: 1000, Gain: 1, Semantics: gate.Keyed, DedupWindow: 300}}
 	terms.Plans = []gate.Plan{{Price: 1}}
 	terms.MaxAttempts, terms.Hedging, terms.MayCancel = 4, true, true
 	terms.Doors = 1
-	g.cfg.Deal.Classes = map[string]int{"look": 0, "book": 1, "buy": 2, "brief": 3}
+	g.cfg.Settings.Classes = map[string]int{"look": 0, "book": 1, "buy": 2, "brief": 3}
 	list := ""
 	for i, b := range backends {
 		list += fmt.Sprintf(`,{"instanceId":"s%d","hostPort":%q,"lifecycle":"Ready","weight":1}`, i, loopbacktest.Serve(t, b))
@@ -294,16 +294,16 @@
 	good := func() func(net.Conn) { return (&ledger{came: 1}).serve(wrong{}) }
 	one, other := decided(t, good()), decided(t, good())
 	for _, g := range []*rig{one, other} {
-		terms := &g.cfg.Deal.Terms
+		terms := &g.cfg.Settings.Terms
 		terms.Plans = []gate.Plan{{Price: 1, Rate: 1e-9, Depth: 2}} // two units for ever
 		terms.Classes = terms.Classes[:1]
 	}
-	other.cfg.Deal.Classes, other.cfg.Deal.Plans, other.cfg.Deal.MostUnits = map[string]int{"see": 0}, map[string]int{"house": 0}, 2
-	one.cfg.Deal.Classes = map[string]int{"look": 0}
+	other.cfg.Settings.Classes, other.cfg.Settings.Plans, other.cfg.Settings.MaxUnits = map[string]int{"see": 0}, map[string]int{"house": 0}, 2
+	one.cfg.Settings.Classes = map[string]int{"look": 0}
 	asks := map[*rig]string{one: look, other: strings.NewReplacer("/look", "/see", "team", "house").Replace(look)}
 	conns := map[*rig]net.Conn{}
 	for _, g := range []*rig{one, other} {
-		g.decider = policy.New(g.cfg.Deal.Terms, 1)
+		g.decider = policy.New(g.cfg.Settings.Terms, 1)
 		g.serve(t)
 		g.ready(t)
 		conns[g] = dialled(t, g.addr)
@@ -375,8 +375,8 @@
 	})
 	g.cfg.Counter, g.cfg.Sockets = loopbacktest.Serve(t, counter), sockets
 	g.cfg.Pace.IdleClient = 3600e3
-	g.cfg.Deal.LongestWait = 3600e3
-	terms := &g.cfg.Deal.Terms
+	g.cfg.Settings.MaxWait = 3600e3
+	terms := &g.cfg.Settings.Terms
 	terms.Counter, terms.Hedging, terms.Plans = true, false, []gate.Plan{{Price: 1, Rate: 1, Depth: 1000}}
 	g.decider = policy.New(*terms, 1)
 	g.serve(t)
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -40,7 +40,7 @@
 	Reset                     // connection broken; may have run
 	Cancelled                 // cancelled; may have run
 	Skipped                   // never sent
-	Spoilt                    // answered with what cannot be read; may have run
+	Malformed                 // answered with what cannot be read; may have run
 )
 
 // NeverRan reports whether the result proves that the request did not run.
@@ -48,42 +48,42 @@
 
 // Class is a kind of request.
 type Class struct {
-	Contract  float64 // answers within this time earn the full gain, ms
-	Semantics Semantics
-	Scope     Scope
-	Window    float64 // how long a keyed repeat is remembered, ms
-	LateValue float64 // fraction of the gain earned after the contract time
-	Gain      float64
+	Contract    float64 // answers within this time earn the full gain, ms
+	Semantics   Semantics
+	Scope       Scope
+	DedupWindow float64 // how long a keyed repeat is remembered, ms
+	LateValue   float64 // fraction of the gain earned after the contract time
+	Gain        float64
 }
 
 // Plan is what a customer has bought; quotas hold over all doors together.
 type Plan struct {
-	Rate         float64 // units per ms; 0 means no such quota
-	Depth        float64 // most units the quota's store holds
-	AtOnce       int     // most attempts out at once; 0 means no such quota
-	CeilingRate  float64 // units per ms; 0 means no ceiling
-	CeilingDepth float64 // most units the ceiling's store holds
-	Price        float64 // multiplies the gain
-	Beyond       float64 // share of its gain that a request earns where it is sent beyond the quota
-	OverCost     float64 // share of its gain that sending it beyond the quota costs
+	Rate          float64 // units per ms; 0 means no such quota
+	Depth         float64 // most units the quota's store holds
+	MaxConcurrent int     // most attempts out at once; 0 means no such quota
+	CeilingRate   float64 // units per ms; 0 means no ceiling
+	CeilingDepth  float64 // most units the ceiling's store holds
+	Price         float64 // multiplies the gain
+	OverQuotaGain float64 // share of its gain that a request earns where it is sent beyond the quota
+	OverQuotaCost float64 // share of its gain that sending it beyond the quota costs
 }
 
 // Terms are what a door is told at its start.
 type Terms struct {
-	Doors, Number int
-	Classes       []Class
-	Plans         []Plan
-	MaxAttempts   int
-	Hedging       bool    // two attempts of one request may be out together
-	MayCancel     bool    // Cancel is allowed
-	MaxRetryAfter float64 // longest advice a client follows, ms; 0 where none may be given
-	MeterPeriod   float64 // period over which the meter totals use, ms; 0 means no meter
-	Counter       bool    // a shared counter may be called
-	MustAsk       bool    // changes of the fleet list come only after Track
-	ColdFrom      float64 // a backend starts with this share of its capacity or more
-	ColdFor       float64 // and is warm no later than this, ms
-	FallMultiple  float64 // sent more than this multiple of its present capacity
-	FallWindow    float64 // for this long, a cold backend falls over, ms
+	Doors, DoorNumber int
+	Classes           []Class
+	Plans             []Plan
+	MaxAttempts       int
+	Hedging           bool    // two attempts of one request may be out together
+	MayCancel         bool    // Cancel is allowed
+	MaxRetryAfter     float64 // longest advice a client follows, ms; 0 where none may be given
+	MeterPeriod       float64 // period over which the meter totals use, ms; 0 means no meter
+	Counter           bool    // a shared counter may be called
+	MustSubscribe     bool    // changes of the fleet list come only after Track
+	ColdCapacity      float64 // a backend starts with this share of its capacity or more
+	WarmupTime        float64 // and is warm no later than this, ms
+	OverloadMultiple  float64 // sent more than this multiple of its present capacity
+	OverloadWindow    float64 // for this long, a cold backend falls over, ms
 }
 
 // Event is one of the event types below.
@@ -94,33 +94,33 @@
 	Op, Class, Plan, Customer int
 	TTL                       float64 // ms
 	Units                     float64 // drawn from the customer's quota
-	Repeat                    bool    // a client's repeat, where clients mark it
-	First, Spread             int     // doors through which the customer's requests come: Spread from First on
+	ClientRetry               bool    // a client's repeat, where clients mark it
+	FirstDoor, Spread         int     // doors through which the customer's requests come: Spread from First on
 	Phase                     float64 // of the customer's own, from 0 to 1, the same at every door
 }
 
-// Ended reports how one attempt ended.
-type Ended struct {
+// AttemptEnded reports how one attempt ended.
+type AttemptEnded struct {
 	Op, Attempt, Backend int
 	Result               Result
 	Latency              float64 // ms
-	Over                 bool    // the request has its final answer
-	Use                  float64 // metered use as a share of the rate; negative when not told
-	Units                float64 // true units, where the request's were a guess; 0 when not told
+	Answered             bool    // the request has its final answer
+	MeteredUse           float64 // metered use as a share of the rate; negative when not told
+	ActualUnits          float64 // true units, where the request's were a guess; 0 when not told
 	Queue                float64 // requests waiting, as the backend reported; negative when not told
 }
 
 // Streaming reports that the answer has begun and belongs to the client from here on.
 type Streaming struct{ Op, Attempt int }
 
-// Vanished reports that the client left; nothing is owed any more.
-type Vanished struct{ Op int }
+// ClientGone reports that the client left; nothing is owed any more.
+type ClientGone struct{ Op int }
 
-// Closing tells that the door ends: every request gets its final answer by a clock, however long its client would wait.
-type Closing struct{ By float64 }
+// ShuttingDown tells that the door ends: every request gets its final answer by a clock, however long its client would wait.
+type ShuttingDown struct{ Deadline float64 }
 
-// Woken reports a due Wake.
-type Woken struct{}
+// TimerFired reports a due Wake.
+type TimerFired struct{}
 
 // Status of a backend on the list.
 type Status uint8
@@ -135,23 +135,23 @@
 type Entry struct {
 	Backend, Zone, Cell int
 	Status              Status
-	Since               float64 // clock of the latest start, ms; 0 means long ago
-	Size                float64 // figure for comparison with other backends; 1 where nothing is known
-	Mark                float64 // of the backend's own, from 0 to 1, the same at every door
+	StartedAt           float64 // clock of the latest start, ms; 0 means long ago
+	Weight              float64 // figure for comparison with other backends; 1 where nothing is known
+	RingPosition        float64 // of the backend's own, from 0 to 1, the same at every door
 }
 
-// Fleet is news of the list; a complete one replaces all that was known.
-type Fleet struct {
+// FleetUpdate is news of the list; a complete one replaces all that was known.
+type FleetUpdate struct {
 	Complete, Failed bool
 	Entries          []Entry
 }
 
-// Doors tells which doors of the fleet are here, as far as is known: Here by their numbers, this one's among them. It is a
+// DoorsUpdate tells which doors of the fleet are here, as far as is known: Here by their numbers, this one's among them. It is a
 // belief, held by each door for itself, and may be wrong: parts of quotas may follow it, ceilings never. Without it all
 // doors that the terms tell of count as here.
-type Doors struct {
-	Here  []bool // by number; one beyond its end counts as here
-	Count int    // all that are here, those without a number among them
+type DoorsUpdate struct {
+	Present      []bool // by number; one beyond its end counts as here
+	PresentCount int    // all that are here, those without a number among them
 }
 
 // Probed and Counted answer Probe and Count.
@@ -174,8 +174,8 @@
 // Send starts an attempt; they are numbered from 0 for each request.
 type Send struct {
 	Op, Backend int
-	Cap         float64 // time-out, ms; 0 means until the client gives up
-	By          float64 // clock after which it must not begin any more, ms; 0 means whenever. What then has not is Skipped
+	Timeout     float64 // time-out, ms; 0 means until the client gives up
+	StartBy     float64 // clock after which it must not begin any more, ms; 0 means whenever. What then has not is Skipped
 }
 
 // Cancel stops waiting for one attempt.
@@ -185,16 +185,16 @@
 type Cause uint8
 
 const (
-	Unsaid    Cause = iota
-	OverPart        // this door's part of the customer's quota does not hold it
-	OverQuota       // nor does what the customer's doors share, as this door last heard
-	AtCeiling       // its slice of the plan's ceiling does not hold it
-	Pressed         // its hold would eat the time left
-	Nowhere         // no backend on the list may have it
-	TimeUp          // its client's wait is nearly over
-	Late            // it can no longer come in its contract time, on a pressed fleet
-	Failed          // its attempts failed, and it may have no more
-	Causes          // how many there are
+	Unspecified    Cause = iota
+	OverQuotaShare       // this door's part of the customer's quota does not hold it
+	OverQuota            // nor does what the customer's doors share, as this door last heard
+	AtCeiling            // its slice of the plan's ceiling does not hold it
+	Overloaded           // its hold would eat the time left
+	NoBackend            // no backend on the list may have it
+	DeadlineNear         // its client's wait is nearly over
+	PastContract         // it can no longer come in its contract time, on a pressed fleet
+	AttemptsFailed       // its attempts failed, and it may have no more
+	CauseCount           // how many there are
 )
 
 // String names the cause as accounts and logs do.
@@ -215,8 +215,8 @@
 	Why Cause
 }
 
-// Wake asks for a Woken at the given clock.
-type Wake struct{ At float64 }
+// SetTimer asks for a Woken at the given clock.
+type SetTimer struct{ At float64 }
 
 // Probe tests a backend; Count adds to the customer's shared number.
 type Probe struct{ Backend int }
@@ -225,28 +225,28 @@
 	Customer int
 	Epoch    int64   // a number of its own for each epoch; the same customer's is shared by all doors
 	Add      float64 // units
-	Keep     float64 // forgotten after this time, ms
+	TTL      float64 // forgotten after this time, ms
 }
 
-// Track subscribes to changes of the fleet list.
-type Track struct{}
+// SubscribeFleet subscribes to changes of the fleet list.
+type SubscribeFleet struct{}
 
-// Forget tells the carrier that a customer's index is free again.
-type Forget struct{ Customer int }
+// FreeCustomer tells the carrier that a customer's index is free again.
+type FreeCustomer struct{ Customer int }
 
-// Delist tells the carrier that the index of a backend that is gone is free again.
-type Delist struct{ Backend int }
+// FreeBackend tells the carrier that the index of a backend that is gone is free again.
+type FreeBackend struct{ Backend int }
 
 // Difference is a kind of decision that the terms under watch would have taken otherwise.
 type Difference uint8
 
 const (
-	SentBeyond  Difference = iota // rejected beyond its quota; it would have been sent
-	NotCounted                    // the counter was called; it would not have been
-	OtherAdvice                   // rejected with a time to come back; it would have had another, or none
-	NoCopy                        // a hedge went out; none would have
-	NoFurther                     // held to be sent once more; it would have been given up
-	Differences                   // how many there are
+	SentOverQuota   Difference = iota // rejected beyond its quota; it would have been sent
+	NotCounted                        // the counter was called; it would not have been
+	OtherRetryAfter                   // rejected with a time to come back; it would have had another, or none
+	NoHedge                           // a hedge went out; none would have
+	NoRetry                           // held to be sent once more; it would have been given up
+	DifferenceCount                   // how many there are
 )
 
 // String names the kind as accounts and logs do.
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -25,8 +25,8 @@
 // Main runs a command and returns its exit code. What cobra refuses before the command itself begins is a UsageError.
 func Main(ctx context.Context, cmd *cobra.Command, errs io.Writer) int {
 	err := Execute(ctx, cmd)
-	remedy.Tell(errs, err)
-	return remedy.Exit(err)
+	remedy.Print(errs, err)
+	return remedy.ExitCode(err)
 }
 
 // Execute runs a command and returns its error, typed.
--- a/internal/doorfleet/doorfleet.go
+++ b/internal/doorfleet/doorfleet.go
@@ -36,13 +36,13 @@
 
 const tellAtMost = 100 * time.Millisecond // between two words to the decisions: changes come in crowds
 
-// Beside runs a door's membership until ctx ends, and says that the door leaves. The door serves whatever becomes of it.
-func Beside(ctx context.Context, cfg config.Door, door *frontdoor.Door, l logrus.FieldLogger) error {
+// Run runs a door's membership until ctx ends, and says that the door leaves. The door serves whatever becomes of it.
+func Run(ctx context.Context, cfg config.Door, door *frontdoor.Door, l logrus.FieldLogger) error {
 	f := cfg.Fleet
 	if f == nil {
 		return nil
 	}
-	if wrong := serving.WallWrong(); wrong != 0 {
+	if wrong := serving.WallClockOffset(); wrong != 0 {
 		if logger, ok := l.(*logrus.Logger); ok {
 			logger.AddHook(wrongClock(wrong))
 		}
@@ -56,8 +56,8 @@
 		return err
 	}
 	changed := make(chan struct{}, 1)
-	d, err := fleet.Start(fleet.Identity{Fleet: f.Name, Name: cfg.Name, Zone: f.Zone, Number: cfg.Deal.Terms.Number, Release: serving.Release(),
-		Peers: f.Peers, Join: ms(f.JoinMs, config.JoinAgain), Leave: ms(f.LeaveMs, config.LeaveMost)},
+	d, err := fleet.Start(fleet.Identity{Fleet: f.Name, Name: cfg.Name, Zone: f.Zone, Number: cfg.Settings.Terms.DoorNumber, Release: serving.Release(),
+		Peers: f.Peers, JoinInterval: ms(f.JoinRetryMs, config.DefaultJoinRetryMs), LeaveTimeout: ms(f.LeaveMs, config.DefaultLeaveMs)},
 		fleet.Routed(t, f.Routes), rand.Uint64()>>1, l, func(members.Changed) {
 			select {
 			case changed <- struct{}{}:
@@ -85,10 +85,10 @@
 	for {
 		select {
 		case <-ctx.Done():
-			said, stop := context.WithTimeout(context.WithoutCancel(ctx), ms(f.LeaveMs, config.LeaveMost))
+			said, stop := context.WithTimeout(context.WithoutCancel(ctx), ms(f.LeaveMs, config.DefaultLeaveMs))
 			defer stop()
 			if agreed != nil {
-				agreed.post(permits.Leave{})
+				agreed.post(permits.Terminating{})
 			}
 			d.Leave(said)
 			if agreed != nil {
@@ -100,7 +100,7 @@
 				l.WithError(err).Error("no status is told")
 			}
 		case <-changed:
-			door.Members(Word(d.View().Rows, cfg.Deal.Terms.Doors))
+			door.SetMembers(Word(d.View().Rows, cfg.Settings.Terms.Doors))
 			select {
 			case <-time.After(tellAtMost):
 			case <-ctx.Done():
@@ -124,7 +124,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, nil
-		case <-time.After(ms(f.JoinMs, config.JoinAgain)):
+		case <-time.After(ms(f.JoinRetryMs, config.DefaultJoinRetryMs)):
 		}
 	}
 }
@@ -138,22 +138,22 @@
 
 // Word words what is held of the fleet for the decisions. Only of one who was a member is it known that it has gone: the
 // doors that were never heard of count as here, as they do without membership.
-func Word(rows []members.Row, doors int) gate.Doors {
-	e := gate.Doors{Here: make([]bool, doors)}
-	for i := range e.Here {
-		e.Here[i] = true
+func Word(rows []members.Row, doors int) gate.DoorsUpdate {
+	e := gate.DoorsUpdate{Present: make([]bool, doors)}
+	for i := range e.Present {
+		e.Present[i] = true
 	}
 	numbered := func(r *members.Row) bool { return r.Number >= 0 && r.Number < doors }
 	for i := range rows {
 		if r := &rows[i]; numbered(r) && (r.State == members.Away || r.State == members.Left) {
-			e.Here[r.Number] = false
+			e.Present[r.Number] = false
 		}
 	}
 	for i := range rows {
-		if r := &rows[i]; r.State == members.Here || r.State == members.Doubted || r.State == members.Leaving {
-			e.Count++
+		if r := &rows[i]; r.State == members.Here || r.State == members.Suspect || r.State == members.Leaving {
+			e.PresentCount++
 			if numbered(r) { // one that follows another of its number stands in for it
-				e.Here[r.Number] = true
+				e.Present[r.Number] = true
 			}
 		}
 	}
--- a/internal/doorfleet/plans.go
+++ b/internal/doorfleet/plans.go
@@ -49,7 +49,7 @@
 	parted  chan struct{} // closed once coordinators have heard that the door has ended
 
 	mu     sync.Mutex
-	k      *permits.Keeper
+	k      *permits.DoorAgent
 	heard  time.Time // a coordinator answered
 	silent bool
 }
@@ -58,8 +58,8 @@
 // coordinators don't know of would send to backends that they say are drained. Where none of them answers it serves.
 func hold(door *frontdoor.Door) (told func()) {
 	var once sync.Once
-	door.Aside(true, time.Now().Add(holdFor), func(bool) {})
-	told = func() { once.Do(func() { go door.Aside(false, time.Time{}, func(bool) {}) }) }
+	door.SetOutOfService(true, time.Now().Add(holdFor), func(bool) {})
+	told = func() { once.Do(func() { go door.SetOutOfService(false, time.Time{}, func(bool) {}) }) }
 	time.AfterFunc(holdFor, told)
 	return told
 }
@@ -68,13 +68,13 @@
 func keep(ctx context.Context, cfg config.Door, door *frontdoor.Door, view func() fleet.View, told func(), l logrus.FieldLogger) *plans {
 	var all []config.NamedAddress
 	for _, c := range cfg.Fleet.Coordinators {
-		if n, err := config.Named(c); err == nil {
+		if n, err := config.ParseNamedAddress(c); err == nil {
 			all = append(all, n)
 		}
 	}
 	p := &plans{door: door, client: client.New(all), view: view, log: l, began: time.Now(), heard: time.Now(), events: make(chan any, waiting), ctx: ctx,
 		process: rand.Uint64(), told: told, parted: make(chan struct{}),
-		k: permits.NewKeeper(permits.Unit{Kind: permits.Door, Name: cfg.Name, Zone: cfg.Fleet.Zone, Size: 1}, func() uint64 { return rand.Uint64()>>1 | 1 })}
+		k: permits.NewDoorAgent(permits.Unit{Kind: permits.Door, Name: cfg.Name, Zone: cfg.Fleet.Zone, Size: 1}, func() uint64 { return rand.Uint64()>>1 | 1 })}
 	go p.run()
 	go p.look()
 	return p
@@ -119,11 +119,11 @@
 		p.log.WithFields(logrus.Fields{fields.Names: a.Names, fields.Change: a.Change, fields.Clock: fleet.Monotonic()}).Info("withheld backends")
 		p.door.Withhold(a.Names, func() {
 			p.told()
-			go p.post(permits.Did{Change: a.Change})
+			go p.post(permits.WithholdApplied{Change: a.Change})
 		})
-	case permits.Aside:
+	case permits.SetOut:
 		at := p.began.Add(time.Duration(a.UntilMs * float64(time.Millisecond)))
-		p.door.Aside(a.Out, at, func(taken bool) {
+		p.door.SetOutOfService(a.Out, at, func(taken bool) {
 			if taken {
 				says := CameBack
 				if a.Out {
@@ -132,7 +132,7 @@
 				p.log.WithFields(logrus.Fields{fields.Number: a.Number, fields.Why: a.Why, fields.Clock: fleet.Monotonic()}).Info(says)
 			}
 			if a.Out {
-				go p.post(permits.Stepped{Done: taken})
+				go p.post(permits.SetOutDone{Done: taken})
 			}
 		})
 	}
@@ -144,9 +144,9 @@
 	defer stop()
 	var e any
 	var err error
-	if q.Word != nil {
+	if q.Report != nil {
 		var r permits.Reply
-		if r, err = p.client.Word(ctx, q.Word); err == nil && len(r.Withheld) == 0 {
+		if r, err = p.client.Word(ctx, q.Report); err == nil && len(r.Withheld) == 0 {
 			p.told()
 		}
 		e = permits.Replied{Seq: q.Seq, Reply: r}
@@ -160,7 +160,7 @@
 	}
 	p.note(err)
 	p.post(e)
-	if err == nil && q.Word != nil && q.Word.Standing == permits.Ended {
+	if err == nil && q.Report != nil && q.Report.Standing == permits.Ended {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		select {
@@ -197,13 +197,13 @@
 	t := time.NewTicker(lookEvery)
 	defer t.Stop()
 	for {
-		s := permits.Stands{Ready: p.door.Ready()}
+		s := permits.DoorStatus{Ready: p.door.Ready()}
 		for _, r := range p.view().Rows {
 			if r.State == members.Away {
 				s.Away = append(s.Away, r.Name)
 			}
 		}
-		told := p.door.Tell()
+		told := p.door.Snapshot()
 		n := told.Counts
 		s.Counts, s.ByBackend = &release.Counts{}, map[string]release.Counts{}
 		*s.Counts = counted(n)
@@ -249,7 +249,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	of.Number, of.Out = p.k.Out()
-	of.Withheld = append([]string{}, p.k.Held()...)
+	of.Withheld = append([]string{}, p.k.Withheld()...)
 	if o := p.k.Order(); o != nil {
 		of.Number, of.Who, of.Why = o.Number, o.Who, o.Why
 	}
@@ -260,13 +260,13 @@
 // Back ends by hand what the door was ordered to do.
 func (p *plans) Back() {
 	p.log.Warn("ended by hand, at the door itself")
-	p.post(permits.ByHand{})
+	p.post(permits.EndByHand{})
 }
 
 // part says, once the door has served all it took, that it has ended.
 func (p *plans) part() {
 	<-p.door.Done()
-	p.post(permits.Left{})
+	p.post(permits.Terminated{})
 	select {
 	case <-p.parted:
 	case <-time.After(partFor):
--- a/internal/fields/fields.go
+++ b/internal/fields/fields.go
@@ -44,14 +44,14 @@
 
 // Fields of what a door holds of its fleet.
 const (
-	Member = "member"   // name of another door, or its address
-	From   = "from"     // state before
-	To     = "to"       // state from here on
-	Life   = "life"     // of the member
-	Doubts = "doubts"   // observers that doubt it
-	Why    = "why"      // in words
-	Clock  = "clock_ms" // the machine's monotonic clock
-	Remedy = "remedy"   // what an operator can do about the error
+	Member      = "member"   // name of another door, or its address
+	From        = "from"     // state before
+	To          = "to"       // state from here on
+	Incarnation = "life"     // of the member
+	Suspicions  = "doubts"   // observers that doubt it
+	Why         = "why"      // in words
+	Clock       = "clock_ms" // the machine's monotonic clock
+	Remedy      = "remedy"   // what an operator can do about the error
 )
 
 // Fields of what goes out by plan.
--- a/internal/holding/crossing_test.go
+++ b/internal/holding/crossing_test.go
@@ -151,9 +151,11 @@
 	return p
 }
 
-func (h *holder) takes(t *testing.T, what release.Runs) {
+func (h *holder) takes(t *testing.T, what release.Versions) {
 	for kind, digest := range what {
-		h.steps.Go(func() { h.take(permits.Take{Given: permits.Given{Changes: kind, Digest: digest}, UntilMs: 1e12}) })
+		h.steps.Go(func() {
+			h.take(permits.ApplyRelease{Assignment: permits.Assignment{Changes: kind, Digest: digest}, UntilMs: 1e12})
+		})
 	}
 }
 
@@ -162,7 +164,7 @@
 func TestAProcessThatIsBeingStartedLeavesInItsOwnTime(t *testing.T) {
 	h, stop, processes := crossed(t)
 	first := serves(t, h, processes)
-	h.takes(t, release.Runs{release.Configuration: h.give(t, `{}`)})
+	h.takes(t, release.Versions{release.Configuration: h.give(t, `{}`)})
 	second := next(t, processes)
 	stop()
 	second.told(t, "terminated")
@@ -183,7 +185,7 @@
 func TestAProcessThatGetsReadyAsTheHolderEndsLeavesToo(t *testing.T) {
 	h, _, processes := crossed(t)
 	first := serves(t, h, processes)
-	h.takes(t, release.Runs{release.Configuration: h.give(t, `{}`)})
+	h.takes(t, release.Versions{release.Configuration: h.give(t, `{}`)})
 	second := next(t, processes)
 	ended := make(chan struct{})
 	go func() { h.end(); close(ended) }()
@@ -201,7 +203,7 @@
 	h, _, processes := crossed(t)
 	first := serves(t, h, processes)
 	digest := h.give(t, `{}`)
-	h.takes(t, release.Runs{release.Configuration: digest})
+	h.takes(t, release.Versions{release.Configuration: digest})
 	second := next(t, processes)
 	first.ends(t)
 	third := next(t, processes) // in the first one's place
@@ -232,7 +234,7 @@
 	h, _, processes := crossed(t)
 	first := serves(t, h, processes)
 	digest := h.give(t, `{"pace":{"linger_ms":900}}`)
-	h.takes(t, release.Runs{release.Configuration: digest})
+	h.takes(t, release.Versions{release.Configuration: digest})
 	second := next(t, processes)
 	raw, err := os.ReadFile(h.base)
 	require.NoError(t, err)
@@ -283,7 +285,7 @@
 		}
 		return writeWhole(path, raw)
 	}
-	h.takes(t, release.Runs{release.Configuration: digest})
+	h.takes(t, release.Versions{release.Configuration: digest})
 	second := next(t, processes)
 	second.does("ready")
 	<-asked
@@ -299,7 +301,7 @@
 
 func TestAProcessStartsAgainWhileTheFolderCannotBeWritten(t *testing.T) {
 	h := held(t)
-	runs := release.Runs{release.Configuration: h.give(t, `{"pace":{"linger_ms":900}}`)}
+	runs := release.Versions{release.Configuration: h.give(t, `{"pace":{"linger_ms":900}}`)}
 	_, file, err := h.prepare(runs)
 	require.NoError(t, err)
 	h.write = func(string, []byte) error { return syscall.ENOSPC }
@@ -311,7 +313,7 @@
 
 func TestAStartIsNotRefusedForAFolderThatFailsForAMoment(t *testing.T) {
 	h, _, processes := crossed(t)
-	h.runs = release.Runs{release.Configuration: h.give(t, `{}`)}
+	h.runs = release.Versions{release.Configuration: h.give(t, `{}`)}
 	fails := 2
 	h.write = func(path string, raw []byte) error {
 		if fails--; fails >= 0 {
--- a/internal/holding/errors.go
+++ b/internal/holding/errors.go
@@ -12,7 +12,7 @@
 	Cause error
 }
 
-func (e *FolderError) Error() string     { return remedy.Because("releases in "+e.Path, e.Cause) }
+func (e *FolderError) Error() string     { return remedy.WithCause("releases in "+e.Path, e.Cause) }
 func (e *FolderError) Unwrap() error     { return e.Cause }
 func (e *FolderError) Kind() remedy.Kind { return remedy.Configuration }
 
@@ -31,7 +31,7 @@
 	if e.Is != "" {
 		return fmt.Sprintf("%s has the digest %s", e.Path, e.Is)
 	}
-	return remedy.Because("reading "+e.Path, e.Cause)
+	return remedy.WithCause("reading "+e.Path, e.Cause)
 }
 func (e *DigestError) Unwrap() error     { return e.Cause }
 func (e *DigestError) Kind() remedy.Kind { return remedy.Configuration }
@@ -47,7 +47,7 @@
 	Cause         error // nil where it was started and then could not serve
 }
 
-func (e *StartError) Error() string     { return remedy.Because(e.Program+": "+e.Says, e.Cause) }
+func (e *StartError) Error() string     { return remedy.WithCause(e.Program+": "+e.Says, e.Cause) }
 func (e *StartError) Unwrap() error     { return e.Cause }
 func (e *StartError) Kind() remedy.Kind { return remedy.Refused }
 
--- a/internal/holding/holding.go
+++ b/internal/holding/holding.go
@@ -74,8 +74,8 @@
 	ctx    context.Context
 
 	mu      sync.Mutex
-	runs    release.Runs // of the process that serves, or is to
-	before  release.Runs // of the one before it
+	runs    release.Versions // of the process that serves, or is to
+	before  release.Versions // of the one before it
 	changed time.Time
 	failed  map[string]string // digests that were not taken, why
 	cur     *worker
@@ -164,7 +164,7 @@
 }
 
 // open makes the folder where there is none, and reads what the door ran last.
-func (h *holder) open() (release.Runs, error) {
+func (h *holder) open() (release.Versions, error) {
 	if err := os.MkdirAll(h.folder, runnable); err != nil {
 		return nil, &FolderError{h.folder, err}
 	}
@@ -172,12 +172,12 @@
 }
 
 // load reads what the door ran last.
-func (h *holder) load() (release.Runs, error) {
+func (h *holder) load() (release.Versions, error) {
 	raw, err := os.ReadFile(filepath.Join(h.folder, stateName))
 	if errors.Is(err, os.ErrNotExist) {
-		return release.Runs{}, nil
+		return release.Versions{}, nil
 	}
-	runs := release.Runs{}
+	runs := release.Versions{}
 	if err == nil {
 		err = json.Unmarshal(raw, &runs)
 	}
@@ -188,7 +188,7 @@
 }
 
 // save writes down what the door runs, whole or not at all.
-func (h *holder) save(runs release.Runs) {
+func (h *holder) save(runs release.Versions) {
 	raw, err := json.Marshal(runs)
 	if err == nil {
 		err = h.write(filepath.Join(h.folder, stateName), raw)
@@ -205,7 +205,7 @@
 	if err != nil && len(h.runs) > 0 {
 		h.log.WithError(err).Error("the door can't run what it ran last; it runs its own")
 		h.note(h.runs, err)
-		h.runs = release.Runs{}
+		h.runs = release.Versions{}
 		w, err = h.startWithin(h.runs)
 	}
 	if err != nil {
@@ -219,7 +219,7 @@
 }
 
 // note remembers why something was not taken.
-func (h *holder) note(runs release.Runs, err error) {
+func (h *holder) note(runs release.Versions, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, digest := range runs {
@@ -248,7 +248,7 @@
 }
 
 // prepare checks what is to run, without running it: the program, and the configuration with what is laid over the door's own.
-func (h *holder) prepare(runs release.Runs) (program, file string, err error) {
+func (h *holder) prepare(runs release.Versions) (program, file string, err error) {
 	file = h.base
 	if program, err = os.Executable(); err != nil {
 		return "", "", &StartError{"this program", "finding it", err}
@@ -273,7 +273,7 @@
 		if err != nil {
 			return "", "", &DigestError{over, "", err}
 		}
-		if raw, err = config.Over(raw, top); err != nil {
+		if raw, err = config.Overlay(raw, top); err != nil {
 			return "", "", err
 		}
 		if _, err := config.Read(raw, os.Getenv); err != nil {
@@ -297,13 +297,13 @@
 }
 
 // startWithin starts a process, again where a call or the folder failed for a moment: neither is the fault of what is to run.
-func (h *holder) startWithin(runs release.Runs) (*worker, error) {
+func (h *holder) startWithin(runs release.Versions) (*worker, error) {
 	return retry.Within(h.ctx, startMost, func() (*worker, error) { return h.start(runs) })
 }
 
 // start starts a process and waits until it can serve. It takes clients from its first instant, as it has the listener that
 // the one before it has: one that does not get ready, or is not wanted any more, is told to leave as any other.
-func (h *holder) start(runs release.Runs) (*worker, error) {
+func (h *holder) start(runs release.Versions) (*worker, error) {
 	h.mu.Lock()
 	hups := h.hups
 	h.mu.Unlock()
@@ -404,7 +404,7 @@
 }
 
 // again has one process read its file again; where that is the door's own with something laid over it, it is made anew.
-func (h *holder) again(w *worker, runs release.Runs) {
+func (h *holder) again(w *worker, runs release.Versions) {
 	if _, _, err := h.prepare(runs); err != nil {
 		h.log.WithError(err).Error("configuration left as it was")
 		return
@@ -467,7 +467,7 @@
 // tell has the changer know what runs.
 func (h *holder) tell() {
 	h.mu.Lock()
-	e := permits.Runs{Runs: maps.Clone(h.runs), Failed: maps.Clone(h.failed)}
+	e := permits.VersionsChanged{Runs: maps.Clone(h.runs), Failed: maps.Clone(h.failed)}
 	h.mu.Unlock()
 	h.post(e)
 }
@@ -485,14 +485,14 @@
 func (h *holder) change() {
 	var all []config.NamedAddress
 	for _, c := range h.cfg.Fleet.Coordinators {
-		if n, err := config.Named(c); err == nil {
+		if n, err := config.ParseNamedAddress(c); err == nil {
 			all = append(all, n)
 		}
 	}
 	h.client = client.New(all)
 	defer h.client.Close()
 	h.mu.Lock()
-	c := permits.NewChanger(h.cfg.Name, rand.Uint64(), maps.Clone(h.runs), maps.Clone(h.failed))
+	c := permits.NewReleaseAgent(h.cfg.Name, rand.Uint64(), maps.Clone(h.runs), maps.Clone(h.failed))
 	h.mu.Unlock()
 	tick := time.NewTicker(permits.TickEvery * time.Millisecond)
 	defer tick.Stop()
@@ -508,7 +508,7 @@
 			switch a := a.(type) {
 			case permits.Post:
 				go h.ask(a)
-			case permits.Take:
+			case permits.ApplyRelease:
 				h.steps.Go(func() { h.take(a) })
 			}
 		}
@@ -521,10 +521,10 @@
 	defer stop()
 	var e any
 	var err error
-	if q.Hold != nil {
-		var g permits.Given
-		g, err = h.client.Hold(ctx, q.Hold)
-		e = permits.Gave{Seq: q.Seq, Given: g}
+	if q.HolderReport != nil {
+		var g permits.Assignment
+		g, err = h.client.Hold(ctx, q.HolderReport)
+		e = permits.AssignmentReceived{Seq: q.Seq, Assignment: g}
 	} else {
 		var a permits.Answer
 		a, err = h.client.Command(ctx, permits.Command{Caller: q.Caller, Seq: q.Seq, Do: q.Do})
@@ -538,13 +538,13 @@
 
 // take has the door run something else: the new process beside the old one, then the old one leaves. The step is the start of
 // the new one; a holder that was stopped before it does not take it.
-func (h *holder) take(t permits.Take) {
+func (h *holder) take(t permits.ApplyRelease) {
 	defer h.tell()
 	h.mu.Lock()
 	before := h.runs
 	runs := maps.Clone(before)
 	if runs == nil {
-		runs = release.Runs{}
+		runs = release.Versions{}
 	}
 	runs[t.Changes] = t.Digest
 	h.mu.Unlock()
@@ -557,7 +557,7 @@
 	if err != nil {
 		if h.ctx.Err() == nil {
 			if !t.Back {
-				h.note(release.Runs{t.Changes: t.Digest}, err)
+				h.note(release.Versions{t.Changes: t.Digest}, err)
 			}
 			entry.WithError(err).Error(Refused)
 		}
--- a/internal/holding/holding_test.go
+++ b/internal/holding/holding_test.go
@@ -37,13 +37,13 @@
 
 func TestWhatIsToRunIsCheckedBeforeItRuns(t *testing.T) {
 	h := held(t)
-	program, file, err := h.prepare(release.Runs{})
+	program, file, err := h.prepare(release.Versions{})
 	require.NoError(t, err)
 	assert.Equal(t, h.base, file)
 	assert.NotEmpty(t, program)
 
 	digest := h.give(t, `{"pace":{"linger_ms":900}}`)
-	_, file, err = h.prepare(release.Runs{release.Configuration: digest})
+	_, file, err = h.prepare(release.Versions{release.Configuration: digest})
 	require.NoError(t, err)
 	raw, err := os.ReadFile(file)
 	require.NoError(t, err)
@@ -52,18 +52,18 @@
 	assert.Equal(t, 900.0, door.Pace.Linger)
 
 	var key *config.KeyError
-	_, _, err = h.prepare(release.Runs{release.Configuration: h.give(t, `{"settings":{"profiles":[]}}`)})
+	_, _, err = h.prepare(release.Versions{release.Configuration: h.give(t, `{"settings":{"profiles":[]}}`)})
 	require.ErrorAs(t, err, &key)
 	assert.Equal(t, "settings.profiles", key.Key)
-	_, _, err = h.prepare(release.Runs{release.Configuration: h.give(t, `{"name":"another"}`)})
+	_, _, err = h.prepare(release.Versions{release.Configuration: h.give(t, `{"name":"another"}`)})
 	require.ErrorAs(t, err, &key)
 
 	var wrong *DigestError
 	require.NoError(t, os.WriteFile(filepath.Join(h.folder, digest), []byte(`{}`), private))
-	_, _, err = h.prepare(release.Runs{release.Configuration: digest})
+	_, _, err = h.prepare(release.Versions{release.Configuration: digest})
 	require.ErrorAs(t, err, &wrong)
 	assert.NotEqual(t, digest, wrong.Is)
-	_, _, err = h.prepare(release.Runs{release.Program: "0123"})
+	_, _, err = h.prepare(release.Versions{release.Program: "0123"})
 	require.ErrorAs(t, err, &wrong)
 	assert.Contains(t, wrong.Remedy(), "0123")
 }
@@ -73,10 +73,10 @@
 	runs, err := h.load()
 	require.NoError(t, err)
 	assert.Empty(t, runs)
-	h.save(release.Runs{release.Program: "ab"})
+	h.save(release.Versions{release.Program: "ab"})
 	runs, err = h.load()
 	require.NoError(t, err)
-	assert.Equal(t, release.Runs{release.Program: "ab"}, runs)
+	assert.Equal(t, release.Versions{release.Program: "ab"}, runs)
 	require.NoError(t, os.WriteFile(filepath.Join(h.folder, stateName), []byte("{"), private))
 	var folder *FolderError
 	_, err = h.load()
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -14,32 +14,34 @@
 	mostQueue = 1e6 // requests; likewise
 )
 
-// Answer is what a backend says.
-type Answer struct {
+// Response is what a backend says.
+type Response struct {
 	Status     int
 	TurnedAway bool    // unseen
 	Use        float64 // the customer's metered use as a share of its rate; negative where not told
 	Queue      float64 // requests that wait at the backend, by its load report; negative where not told
 	Body       []byte
-	Last       bool // the connection is of no more use
+	Close      bool // the connection is of no more use
 }
 
 // Free gives the body's buffer back.
-func (a *Answer) Free() {
+func (a *Response) Free() {
 	pool.Put(a.Body)
 	a.Body = nil
 }
 
-// Answers reads what one backend connection brings.
-type Answers struct {
+// ResponseReader reads what one backend connection brings.
+type ResponseReader struct {
 	msg message
 	res *http.Response
 }
 
 // Feed takes bytes up to the end of one answer, and tells whether Take has it.
-func (r *Answers) Feed(p []byte) (used int, whole bool, err error) { return r.msg.feed(p, r.begin) }
+func (r *ResponseReader) Feed(p []byte) (used int, whole bool, err error) {
+	return r.msg.feed(p, r.begin)
+}
 
-func (r *Answers) begin(raw []byte) (length int64, isChunked bool, err error) {
+func (r *ResponseReader) begin(raw []byte) (length int64, isChunked bool, err error) {
 	if r.res, err = readResponse(raw); err != nil {
 		return 0, false, err
 	}
@@ -56,12 +58,12 @@
 }
 
 // Drop gives back what an unfinished answer holds.
-func (r *Answers) Drop() { r.msg.drop() }
+func (r *ResponseReader) Drop() { r.msg.drop() }
 
 // Take returns the answer that Feed or End found whole.
-func (r *Answers) Take() Answer {
+func (r *ResponseReader) Take() Response {
 	h := r.res.Header
-	a := Answer{Status: r.res.StatusCode, Use: -1, Queue: queueOf(h["X-Pressure"]), Last: r.res.Close,
+	a := Response{Status: r.res.StatusCode, Use: -1, Queue: queueOf(h["X-Pressure"]), Close: r.res.Close,
 		TurnedAway: h.Get("X-Turned-Away") == "1"}
 	if told := h["X-Allowance-Used"]; len(told) == 1 {
 		if v, err := strconv.ParseFloat(told[0], 64); err == nil && v >= 0 && v <= mostUse {
@@ -117,8 +119,8 @@
 	dst = append(append(append(dst, o.Method...), ' '), o.Target...)
 	dst = append(append(dst, " HTTP/1.1\r\nHost: "...), host...)
 	dst = append(append(dst, "\r\nX-Txn: "...), o.ID...)
-	if o.Mark != "" {
-		dst = append(append(dst, "\r\nIdempotency-Key: "...), o.Mark...)
+	if o.IdempotencyKey != "" {
+		dst = append(append(dst, "\r\nIdempotency-Key: "...), o.IdempotencyKey...)
 	}
 	dst = append(appendLeft(append(dst, remaining...), left), 'm')
 	if o.Method != http.MethodGet || len(o.Body) > 0 {
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -42,7 +42,7 @@
 	f.Add([]byte(asked))
 	f.Add([]byte("GET /look?key=1 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nhe\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, p []byte) {
-		var whole, bytewise Requests
+		var whole, bytewise RequestReader
 		defer whole.Drop()
 		defer bytewise.Drop()
 		if !fedAlike(t, &whole, &bytewise, p) {
@@ -65,7 +65,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nX-Allowance-Used: 31.5\r\nContent-Length: 2\r\n\r\nhi"))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, p []byte) {
-		var whole, bytewise Answers
+		var whole, bytewise ResponseReader
 		defer whole.Drop()
 		defer bytewise.Drop()
 		if fedAlike(t, &whole, &bytewise, p) {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -17,10 +17,10 @@
 
 func TestARequestIsReadHoweverItsBytesCome(t *testing.T) {
 	want := Request{Method: "POST", Target: "/checkout/now?key=00000000b4d65521", ID: "9b1f03aa5c7e2d41",
-		Mark: "5c0f6e1a", Path: "/checkout/now", Class: "checkout", Plan: "team", Customer: 0xb4d65521, TTL: 480,
+		IdempotencyKey: "5c0f6e1a", Path: "/checkout/now", Class: "checkout", Plan: "team", Customer: 0xb4d65521, TTL: 480,
 		Units: 2, Spread: 3, First: 1, Repeat: true, Body: []byte("hello")}
 	for _, step := range []int{1, 7, len(asked)} {
-		var r Requests
+		var r RequestReader
 		for p := asked; p != ""; {
 			n := min(step, len(p))
 			used, whole, err := r.Feed([]byte(p[:n]))
@@ -36,7 +36,7 @@
 }
 
 func TestWhatFollowsARequestIsLeft(t *testing.T) {
-	var r Requests
+	var r RequestReader
 	used, whole, err := r.Feed([]byte("\r\n" + asked + asked))
 	require.NoError(t, err)
 	assert.True(t, whole)
@@ -44,7 +44,7 @@
 }
 
 func TestChunkedBodiesAreJoined(t *testing.T) {
-	var r Requests
+	var r RequestReader
 	head := strings.Replace(asked[:strings.Index(asked, "hello")], "Content-Length: 5", "Transfer-Encoding: chunked", 1)
 	for i, c := range []byte(head + "2;x=y\r\nhe\r\n3\r\nllo\r\n0\r\nA: b\r\n\r\n") {
 		_, whole, err := r.Feed([]byte{c})
@@ -96,13 +96,13 @@
 		"other target":  {swap("/checkout", "http://x/checkout"), 400},
 		"units":         {swap("units=2", "units=-2"), 400},
 	} {
-		var r Requests
+		var r RequestReader
 		_, whole, err := r.Feed([]byte(c.input))
 		if err == nil {
 			require.True(t, whole, name)
 			_, err = r.Take()
 		}
-		var f *Fault
+		var f *RequestError
 		require.True(t, errors.As(err, &f), name)
 		assert.Equal(t, c.want, f.Status, name)
 	}
@@ -115,7 +115,7 @@
 }
 
 func TestAnAttemptPassesWhatTheClientSent(t *testing.T) {
-	o := Request{Method: "POST", Target: "/checkout?key=1", ID: "abc", Mark: "m", Body: []byte("hello")}
+	o := Request{Method: "POST", Target: "/checkout?key=1", ID: "abc", IdempotencyKey: "m", Body: []byte("hello")}
 	assert.Equal(t, "POST /checkout?key=1 HTTP/1.1\r\nHost: b:1\r\nX-Txn: abc\r\nIdempotency-Key: m\r\nX-Remaining: 120m\r\n"+
 		"Content-Length: 5\r\n\r\nhello", string(AppendAttempt(nil, &o, "b:1", 120.9)))
 	o = Request{Method: "GET", Target: "/look?key=1", ID: "abc"}
@@ -126,22 +126,22 @@
 func TestAnswersOfAllFramingsAreRead(t *testing.T) {
 	for name, c := range map[string]struct {
 		input string
-		want  Answer
+		want  Response
 	}{
 		"counted": {"HTTP/1.1 200 OK\r\nX-Allowance-Used: 50\r\nContent-Length: 2\r\n\r\nhi",
-			Answer{Status: 200, Use: 0.5, Queue: -1, Body: []byte("hi")}},
+			Response{Status: 200, Use: 0.5, Queue: -1, Body: []byte("hi")}},
 		"chunked": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
-			Answer{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}},
+			Response{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}},
 		"turned away": {"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
-			Answer{Status: 503, Use: -1, Queue: -1, TurnedAway: true, Body: []byte{}}},
+			Response{Status: 503, Use: -1, Queue: -1, TurnedAway: true, Body: []byte{}}},
 		"last": {"HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
-			Answer{Status: 500, Use: -1, Queue: -1, Last: true, Body: []byte{}}},
+			Response{Status: 500, Use: -1, Queue: -1, Close: true, Body: []byte{}}},
 		"announced": {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-			Answer{Status: 200, Use: -1, Queue: -1, Body: []byte{}}},
+			Response{Status: 200, Use: -1, Queue: -1, Body: []byte{}}},
 		"large": {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", MaxBody),
-			Answer{Status: 200, Use: -1, Queue: -1, Body: []byte(strings.Repeat("x", MaxBody))}},
+			Response{Status: 200, Use: -1, Queue: -1, Body: []byte(strings.Repeat("x", MaxBody))}},
 	} {
-		var r Answers
+		var r ResponseReader
 		used, whole, err := r.Feed([]byte(c.input))
 		require.NoError(t, err, name)
 		require.True(t, whole, name)
@@ -166,33 +166,33 @@
 		"two hosts":      "Host: other\r\nContent-Length: 5\r\n",
 	} {
 		head := strings.Replace(asked, "Content-Length: 5\r\n", extra, 1)
-		_, whole, err := new(Requests).Feed([]byte(head + asked))
-		var f *Fault
+		_, whole, err := new(RequestReader).Feed([]byte(head + asked))
+		var f *RequestError
 		require.True(t, errors.As(err, &f), name)
 		assert.False(t, whole, name)
 		assert.Equal(t, 400, f.Status, name)
-		_, _, err = new(Answers).Feed([]byte("HTTP/1.1 200 OK\r\nHost: h\r\n" + extra + "\r\nhello"))
+		_, _, err = new(ResponseReader).Feed([]byte("HTTP/1.1 200 OK\r\nHost: h\r\n" + extra + "\r\nhello"))
 		assert.Error(t, err, name)
 	}
 	old := strings.Replace(strings.Replace(asked, "Content-Length: 5", "Transfer-Encoding: chunked", 1), "HTTP/1.1", "HTTP/1.0", 1)
-	_, _, err := new(Requests).Feed([]byte(old))
+	_, _, err := new(RequestReader).Feed([]byte(old))
 	assert.Error(t, err, "net/http passes over a coding of HTTP/1.0")
 }
 
 // A figure that poisons an average does so for good.
 func TestAUseFigureThatCannotBeReadIsNotTold(t *testing.T) {
 	for _, figure := range []string{"Inf", "+infinity", "NaN", "-5", "1e300", "x", "5\r\nX-Allowance-Used: 6"} {
-		var r Answers
+		var r ResponseReader
 		_, whole, err := r.Feed([]byte("HTTP/1.1 200 OK\r\nX-Allowance-Used: " + figure + "\r\nContent-Length: 2\r\n\r\nhi"))
 		require.NoError(t, err, figure)
 		require.True(t, whole, figure)
-		assert.Equal(t, Answer{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}, r.Take(), "the answer stands: "+figure)
+		assert.Equal(t, Response{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}, r.Take(), "the answer stands: "+figure)
 	}
 }
 
 // A length alone takes no room: hundreds of clients that announce a body and bring none would fill a small door.
 func TestRoomGrowsWithWhatComes(t *testing.T) {
-	var r Requests
+	var r RequestReader
 	head, _, _ := strings.Cut(strings.Replace(asked, "Length: 5", "Length: 65536", 1), "hello")
 	_, _, err := r.Feed([]byte(head + "x"))
 	require.NoError(t, err)
@@ -202,7 +202,7 @@
 func TestBrokenAnswersAreNone(t *testing.T) {
 	for _, input := range []string{"hello\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n",
 		"HTTP/1.1 200 OK\r\n\r\nhi", "HTTP/1.1 101 Other\r\n\r\n", strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 9)} {
-		var r Answers
+		var r ResponseReader
 		_, _, err := r.Feed([]byte(input))
 		assert.Error(t, err)
 	}
@@ -210,9 +210,9 @@
 
 func TestAnAnswerTellsWhenToComeBack(t *testing.T) {
 	assert.Equal(t, "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 0.250\r\nContent-Length: 0\r\n\r\n",
-		string(AppendAnswer(nil, http.StatusTooManyRequests, 250, nil, false)))
+		string(AppendResponse(nil, http.StatusTooManyRequests, 250, nil, false)))
 	assert.Equal(t, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi",
-		string(AppendAnswer(nil, http.StatusOK, 0, []byte("hi"), true)))
+		string(AppendResponse(nil, http.StatusOK, 0, []byte("hi"), true)))
 }
 
 func TestAStreamHandsOutItsBodyAsItComes(t *testing.T) {
@@ -246,7 +246,7 @@
 }
 
 func TestTheTimeLeftIsSetAnewInPlace(t *testing.T) {
-	o := Request{Method: "POST", Target: "/book?key=1", ID: "x", Mark: "m", Body: []byte("X-Remaining: 7m")}
+	o := Request{Method: "POST", Target: "/book?key=1", ID: "x", IdempotencyKey: "m", Body: []byte("X-Remaining: 7m")}
 	msg := AppendAttempt(nil, &o, "b:1", 1200)
 	for _, left := range []float64{1199.9, 900, 12, 0, -5} {
 		msg = SetRemaining(msg, left)
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -21,18 +21,18 @@
 
 // Request is what a client asks, as it came.
 type Request struct {
-	Method, Target string
-	ID, Mark       string // the client's id, and the mark by which repeats are discarded
-	Path           string // without the query
-	Class          string // first part of the path
-	Plan           string
-	Customer       uint64
-	TTL            float64 // ms from the client's sending
-	Units          float64
-	First, Spread  int
-	Repeat         bool
-	Body           []byte
-	Last           bool // nothing more comes on this connection
+	Method, Target     string
+	ID, IdempotencyKey string // the client's id, and the mark by which repeats are discarded
+	Path               string // without the query
+	Class              string // first part of the path
+	Plan               string
+	Customer           uint64
+	TTL                float64 // ms from the client's sending
+	Units              float64
+	First, Spread      int
+	Repeat             bool
+	Body               []byte
+	Close              bool // nothing more comes on this connection
 }
 
 // Free gives the body's buffer back.
@@ -41,32 +41,32 @@
 	o.Body = nil
 }
 
-// Fault is input that cannot be taken as a request; Status is the answer.
-type Fault struct {
+// RequestError is input that cannot be taken as a request; Status is the answer.
+type RequestError struct {
 	Status int
 	Text   string
 }
 
-func (f *Fault) Error() string     { return f.Text }
-func (f *Fault) Kind() remedy.Kind { return remedy.Refused }
+func (f *RequestError) Error() string     { return f.Text }
+func (f *RequestError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy names the answer that the client was given.
-func (f *Fault) Remedy() string {
+func (f *RequestError) Remedy() string {
 	return fmt.Sprintf("Have the client mend what it was answered %d for; the door itself needs nothing.", f.Status)
 }
 
-func fault(status int, text string) *Fault { return &Fault{status, text} }
+func fault(status int, text string) *RequestError { return &RequestError{status, text} }
 
-// Requests reads what one client connection brings. After a Fault from Feed the connection is of no more use.
-type Requests struct {
+// RequestReader reads what one client connection brings. After a Fault from Feed the connection is of no more use.
+type RequestReader struct {
 	msg message
 	req *http.Request
 }
 
 // Feed takes bytes up to the end of one request, and tells whether Take has it.
-func (r *Requests) Feed(p []byte) (used int, whole bool, err error) {
+func (r *RequestReader) Feed(p []byte) (used int, whole bool, err error) {
 	used, whole, err = r.msg.feed(p, r.begin)
-	var known *Fault
+	var known *RequestError
 	switch {
 	case err == nil || errors.As(err, &known):
 	case errors.Is(err, errHeadSize):
@@ -79,7 +79,7 @@
 	return used, whole, err
 }
 
-func (r *Requests) begin(raw []byte) (length int64, isChunked bool, err error) {
+func (r *RequestReader) begin(raw []byte) (length int64, isChunked bool, err error) {
 	if r.req, err = readRequest(raw); err != nil {
 		return 0, false, err
 	}
@@ -95,16 +95,16 @@
 }
 
 // Begun tells whether part of a request has come.
-func (r *Requests) Begun() bool { return r.msg.begun() }
+func (r *RequestReader) Begun() bool { return r.msg.begun() }
 
 // Drop gives back what an unfinished request holds.
-func (r *Requests) Drop() { r.msg.drop() }
+func (r *RequestReader) Drop() { r.msg.drop() }
 
 // Take returns the request that Feed found whole. One that the protocol does not word so comes with a Fault,
 // after which the connection may go on.
-func (r *Requests) Take() (*Request, error) {
+func (r *RequestReader) Take() (*Request, error) {
 	req := r.req
-	o := &Request{Method: req.Method, Target: req.RequestURI, Path: req.URL.Path, Last: req.Close,
+	o := &Request{Method: req.Method, Target: req.RequestURI, Path: req.URL.Path, Close: req.Close,
 		Body: r.msg.take()}
 	if o.Path == ReadyPath || o.Path == LivePath {
 		return o, nil
@@ -126,7 +126,7 @@
 			return fault(http.StatusBadRequest, name+" twice")
 		}
 	}
-	o.ID, o.Mark, o.Plan = h.Get("X-Txn"), h.Get("Idempotency-Key"), h.Get("X-Tariff")
+	o.ID, o.IdempotencyKey, o.Plan = h.Get("X-Txn"), h.Get("Idempotency-Key"), h.Get("X-Tariff")
 	o.Repeat = h.Get("X-Resent") == "1"
 	o.Class, _, _ = strings.Cut(strings.TrimPrefix(o.Path, "/"), "/")
 	if !plain(o.Target) || !strings.HasPrefix(o.Target, "/"+o.Class) {
@@ -135,7 +135,7 @@
 	if !plain(o.ID) || o.ID == "" {
 		return fault(http.StatusBadRequest, "X-Txn")
 	}
-	if !plain(o.Mark) {
+	if !plain(o.IdempotencyKey) {
 		return fault(http.StatusBadRequest, "Idempotency-Key")
 	}
 	query, err := url.ParseQuery(req.URL.RawQuery)
@@ -213,8 +213,8 @@
 	return nil
 }
 
-// AppendAnswer appends an answer; retryAfter, in ms, is told where it is above 0.
-func AppendAnswer(dst []byte, status int, retryAfter float64, body []byte, last bool) []byte {
+// AppendResponse appends an answer; retryAfter, in ms, is told where it is above 0.
+func AppendResponse(dst []byte, status int, retryAfter float64, body []byte, last bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(append(dst, ' '), http.StatusText(status)...)
--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -53,8 +53,8 @@
 	return h.Sum64()
 }
 
-// Mark spreads names evenly from 0 to 1, the same in every process.
-func Mark(name string) float64 { return Phase(Hash(name)) }
+// NamePhase spreads names evenly from 0 to 1, the same in every process.
+func NamePhase(name string) float64 { return Phase(Hash(name)) }
 
 // Phase spreads ids evenly from 0 to 1, the same in every process.
 func Phase(id uint64) float64 { return float64(id*0x9E3779B97F4A7C15>>11) / (1 << 53) }
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -17,7 +17,7 @@
 	if e.Entry >= 0 {
 		return fmt.Sprintf("fleet list: entry %d %s", e.Entry, e.Says)
 	}
-	return "fleet list: " + remedy.Because(e.Says, e.Cause)
+	return "fleet list: " + remedy.WithCause(e.Says, e.Cause)
 }
 func (e *ListError) Unwrap() error     { return e.Cause }
 func (e *ListError) Kind() remedy.Kind { return remedy.Configuration }
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -24,8 +24,8 @@
 	return http1.AppendWatch(dst, target, host)
 }
 
-// Between tells whether no object has begun that has not been called out.
-func (w *Watch) Between() bool { return len(bytes.TrimSpace(w.line)) == 0 }
+// AtBoundary tells whether no object has begun that has not been called out.
+func (w *Watch) AtBoundary() bool { return len(bytes.TrimSpace(w.line)) == 0 }
 
 // Feed takes bytes and calls out with each object. It tells whether the watch has ended.
 func (w *Watch) Feed(p []byte, out func(List)) (done bool, err error) {
--- a/internal/remedy/remedy.go
+++ b/internal/remedy/remedy.go
@@ -30,8 +30,8 @@
 // exits are the codes that a command ends with.
 var exits = [...]int{Internal: 1, Usage: 2, Configuration: 3, Refused: 4, Unreachable: 5}
 
-// Exit is the code that a command ends with for an error; 0 for none.
-func Exit(err error) int {
+// ExitCode is the code that a command ends with for an error; 0 for none.
+func ExitCode(err error) int {
 	if err == nil {
 		return 0
 	}
@@ -80,8 +80,8 @@
 	return all
 }
 
-// Because joins what is wrong with its cause, where there is one.
-func Because(says string, cause error) string {
+// WithCause joins what is wrong with its cause, where there is one.
+func WithCause(says string, cause error) string {
 	switch {
 	case cause == nil:
 		return says
@@ -91,8 +91,8 @@
 	return says + ": " + cause.Error()
 }
 
-// Tell prints what is wrong, then what to do.
-func Tell(out io.Writer, err error) {
+// Print prints what is wrong, then what to do.
+func Print(out io.Writer, err error) {
 	if err == nil {
 		return
 	}
--- a/internal/remedy/remedy_test.go
+++ b/internal/remedy/remedy_test.go
@@ -25,12 +25,12 @@
 	key := &typed{"key", Configuration, nil}
 	err := fmt.Errorf("starting: %w", &typed{"outside", Refused, errors.Join(key, fmt.Errorf("at: %w", port), key)})
 	assert.Equal(t, []string{"mend key", "mend port"}, Of(err))
-	assert.Equal(t, 3, Exit(err))
-	assert.Equal(t, 5, Exit(port))
-	assert.Equal(t, 1, Exit(errors.New("bare")))
-	assert.Equal(t, 0, Exit(nil))
+	assert.Equal(t, 3, ExitCode(err))
+	assert.Equal(t, 5, ExitCode(port))
+	assert.Equal(t, 1, ExitCode(errors.New("bare")))
+	assert.Equal(t, 0, ExitCode(nil))
 	var out bytes.Buffer
-	Tell(&out, port)
+	Print(&out, port)
 	assert.Equal(t, "error: port\nto do: mend port\n", out.String())
-	assert.Equal(t, "a: b", Because("a", errors.New("b")))
+	assert.Equal(t, "a: b", WithCause("a", errors.New("b")))
 }
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -27,9 +27,9 @@
 
 // Reply answers one call.
 type Reply struct {
-	Total float64
-	Busy  bool   // turned away, nothing added
-	Fault string // no such call, nothing added
+	Total     float64
+	Busy      bool   // turned away, nothing added
+	ErrorText string // no such call, nothing added
 }
 
 // Replies reads what one connection brings.
@@ -85,7 +85,7 @@
 	case strings.HasPrefix(line, "-BUSY"):
 		return out(Reply{Busy: true})
 	case strings.HasPrefix(line, "-"):
-		return out(Reply{Fault: line[1:]})
+		return out(Reply{ErrorText: line[1:]})
 	case strings.HasPrefix(line, "$"):
 		n, err := strconv.Atoi(line[1:])
 		if err != nil || n < 0 || n+2 > longestLine {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -17,7 +17,7 @@
 
 func TestRepliesComeInOrderHoweverTheirBytesDo(t *testing.T) {
 	const input = "$4\r\n12.5\r\n-BUSY later\r\n-ERR no such call\r\n$1\r\n3\r\n"
-	want := []Reply{{Total: 12.5}, {Busy: true}, {Fault: "ERR no such call"}, {Total: 3}}
+	want := []Reply{{Total: 12.5}, {Busy: true}, {ErrorText: "ERR no such call"}, {Total: 3}}
 	for _, step := range []int{1, 3, len(input)} {
 		var r Replies
 		var got []Reply
--- a/internal/serving/handed.go
+++ b/internal/serving/handed.go
@@ -31,7 +31,7 @@
 		if err != nil || !ok {
 			return &HandedError{ListenerVariable, err}
 		}
-		door.On(tcp)
+		door.UseListener(tcp)
 	}
 	f, err := descriptor(ReadyVariable)
 	if err != nil || f == nil {
@@ -70,7 +70,7 @@
 	Cause    error
 }
 
-func (e *HandedError) Error() string     { return remedy.Because("what "+e.Variable+" names", e.Cause) }
+func (e *HandedError) Error() string     { return remedy.WithCause("what "+e.Variable+" names", e.Cause) }
 func (e *HandedError) Unwrap() error     { return e.Cause }
 func (e *HandedError) Kind() remedy.Kind { return remedy.Usage }
 
--- a/internal/serving/log.go
+++ b/internal/serving/log.go
@@ -31,11 +31,11 @@
 	return log, sink.Close
 }
 
-// Log is what the flags say of the log; empty where they say nothing.
-type Log struct{ Level, Format string }
+// LogFlags is what the flags say of the log; empty where they say nothing.
+type LogFlags struct{ Level, Format string }
 
 // over puts the flags over the file's keys.
-func (l Log) over(of config.Log) (config.Log, error) {
+func (l LogFlags) over(of config.Log) (config.Log, error) {
 	if l.Level != "" {
 		of.Level = l.Level
 	}
@@ -46,7 +46,7 @@
 }
 
 // Apply has a logger do as the file's keys say, and the flags over them, and returns what it did.
-func (l Log) Apply(log *logrus.Logger, of config.Log) (config.Log, error) {
+func (l LogFlags) Apply(log *logrus.Logger, of config.Log) (config.Log, error) {
 	of, err := l.over(of)
 	if err == nil {
 		apply(log, of)
--- a/internal/serving/process_test.go
+++ b/internal/serving/process_test.go
@@ -35,7 +35,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(processVariable) != "" {
-		if err := Door(Log{}, nil, nil); err != nil {
+		if err := Door(LogFlags{}, nil, nil); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -37,7 +37,7 @@
 
 // Door is one front door from its start to its end. before sees the configuration first, and may go over into another
 // program; what runs beside the door is started with it. Both may be nil. The door serves whatever becomes of the latter.
-func Door(l Log, before func(config.Door) error, beside Beside) error {
+func Door(l LogFlags, before func(config.Door) error, beside Beside) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	log, flush := NewLog()
@@ -56,15 +56,15 @@
 			return err
 		}
 	}
-	for _, odd := range cfg.Odd {
+	for _, odd := range cfg.Warnings {
 		log.Warn(odd)
 	}
 	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
 	if cfg.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4) // the rest is for sockets, stacks and code
 	}
-	decider := policy.New(cfg.Deal.Terms, cfg.Seed)
-	decider.Watch(cfg.Watch)
+	decider := policy.New(cfg.Settings.Terms, cfg.Seed)
+	decider.CompareWith(cfg.Watch)
 	door := frontdoor.New(cfg, decider, log)
 	if err := handedOver(ctx, door); err != nil {
 		return err
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestFlagsWinOverTheFilesLog(t *testing.T) {
-	of, err := Log{Format: "json"}.over(config.Log{Level: "warn", Format: "text"})
+	of, err := LogFlags{Format: "json"}.over(config.Log{Level: "warn", Format: "text"})
 	require.NoError(t, err)
 	log := logrus.New()
 	var out bytes.Buffer
--- a/internal/serving/wall.go
+++ b/internal/serving/wall.go
@@ -8,11 +8,11 @@
 
 // WallOffset names a variable by which a rig has this process's wall clock be wrong, by so many seconds. Doors use the wall
 // clock for the times in the log alone; coordinators for those of the audit, and for when a drain ends by itself.
-const WallOffset = "SWIFTHALL_WALL_OFFSET_S"
+const WallOffsetVariable = "SWIFTHALL_WALL_OFFSET_S"
 
-// WallWrong is by how much the wall clock is to be wrong; 0 where no rig says so.
-func WallWrong() time.Duration {
-	s, err := strconv.ParseFloat(os.Getenv(WallOffset), 64)
+// WallClockOffset is by how much the wall clock is to be wrong; 0 where no rig says so.
+func WallClockOffset() time.Duration {
+	s, err := strconv.ParseFloat(os.Getenv(WallOffsetVariable), 64)
 	if err != nil {
 		return 0
 	}
--- a/internal/sockio/sockio.go
+++ b/internal/sockio/sockio.go
@@ -24,13 +24,13 @@
 	pauseMost  = 20 * time.Millisecond
 )
 
-// Passing tells whether a read or write failed for a moment only, and can be made again on the same connection.
-func Passing(err error) bool {
+// IsTransient tells whether a read or write failed for a moment only, and can be made again on the same connection.
+func IsTransient(err error) bool {
 	return errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
 
-// OwnShortage tells whether a connection could not be made because this machine is short of something.
-func OwnShortage(err error) bool {
+// IsLocalShortage tells whether a connection could not be made because this machine is short of something.
+func IsLocalShortage(err error) bool {
 	for _, own := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR} {
 		if errors.Is(err, own) {
 			return true
@@ -45,7 +45,7 @@
 		var more int
 		more, err = nc.Write(p[n:])
 		n += more
-		if err == nil || !Passing(err) || time.Now().Add(pause).After(until) {
+		if err == nil || !IsTransient(err) || time.Now().Add(pause).After(until) {
 			return n, err
 		}
 		time.Sleep(pause)
@@ -56,7 +56,7 @@
 func Read(nc net.Conn, p []byte) (n int, err error) {
 	for pause := pauseLeast; ; pause = min(2*pause, pauseMost) {
 		n, err = nc.Read(p)
-		if n > 0 || err == nil || !Passing(err) {
+		if n > 0 || err == nil || !IsTransient(err) {
 			return n, err
 		}
 		time.Sleep(pause)
@@ -72,7 +72,7 @@
 // ReadFD reads a descriptor that does not block. EAGAIN says that nothing is there.
 func ReadFD(fd uintptr, p []byte) (n int, err error) {
 	for pause := pauseLeast; ; pause = min(2*pause, pauseMost) {
-		if n, err = syscall.Read(int(fd), p); !Passing(err) {
+		if n, err = syscall.Read(int(fd), p); !IsTransient(err) {
 			return n, err
 		}
 		if err != syscall.EINTR {
@@ -92,12 +92,12 @@
 	return ago
 }
 
-// Gone tells whether the peer of a connection has closed or reset it, also behind what it sent and nobody has read yet.
-func Gone(raw syscall.RawConn) (is bool) {
+// PeerClosed tells whether the peer of a connection has closed or reset it, also behind what it sent and nobody has read yet.
+func PeerClosed(raw syscall.RawConn) (is bool) {
 	err := raw.Control(func(fd uintptr) {
 		n, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
-		case Passing(err), err == syscall.EAGAIN:
+		case IsTransient(err), err == syscall.EAGAIN:
 		case err != nil, n == 0:
 			is = true
 		default:
@@ -108,11 +108,11 @@
 	return is || err != nil
 }
 
-// Untouched tells whether a connection is up with nothing to read.
-func Untouched(raw syscall.RawConn) (is bool) {
+// IsIdle tells whether a connection is up with nothing to read.
+func IsIdle(raw syscall.RawConn) (is bool) {
 	_ = raw.Control(func(fd uintptr) {
 		err := error(syscall.EINTR)
-		for Passing(err) {
+		for IsTransient(err) {
 			_, _, err = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		}
 		is = err == syscall.EAGAIN
--- a/internal/sockio/sockio_test.go
+++ b/internal/sockio/sockio_test.go
@@ -86,9 +86,9 @@
 func TestAShortageOfThisMachineIsToldFromAPeersFault(t *testing.T) {
 	for errno, own := range map[syscall.Errno]bool{syscall.EMFILE: true, syscall.ENFILE: true, syscall.EADDRNOTAVAIL: true, syscall.ENOBUFS: true,
 		syscall.ENOMEM: true, syscall.ECONNREFUSED: false, syscall.ETIMEDOUT: false, syscall.EHOSTUNREACH: false, syscall.ENETUNREACH: false} {
-		assert.Equal(t, own, OwnShortage(wrapped(errno)), errno)
+		assert.Equal(t, own, IsLocalShortage(wrapped(errno)), errno)
 	}
-	assert.False(t, OwnShortage(errors.New("other")))
+	assert.False(t, IsLocalShortage(errors.New("other")))
 }
 
 func TestAConnectionIsLookedAtWithoutWaiting(t *testing.T) {
@@ -102,16 +102,16 @@
 	require.NoError(t, err)
 	raw, err := near.(syscall.Conn).SyscallConn()
 	require.NoError(t, err)
-	assert.True(t, Untouched(raw))
+	assert.True(t, IsIdle(raw))
 	assert.Zero(t, ReadNow(raw, make([]byte, 9)))
 	_, err = io.WriteString(far, "hi")
 	require.NoError(t, err)
-	for Untouched(raw) {
+	for IsIdle(raw) {
 		time.Sleep(time.Millisecond)
 	}
 	assert.Equal(t, 2, ReadNow(raw, make([]byte, 9)))
 	far.Close()
-	for Untouched(raw) {
+	for IsIdle(raw) {
 		time.Sleep(time.Millisecond)
 	}
 	assert.Zero(t, ReadNow(raw, make([]byte, 9)))
--- a/internal/wire/door.go
+++ b/internal/wire/door.go
@@ -13,7 +13,7 @@
 type door struct {
 	decider                                gate.Decider
 	pending                                []gate.Event
-	deal                                   config.Deal
+	deal                                   config.Settings
 	ops, backends, customers, zones, cells index.Table[string]
 	out                                    []int  // attempts outstanding, by request
 	over                                   []bool // final answer known, by request
@@ -21,7 +21,7 @@
 	closing                                []int // requests that may be droppable at the end of the batch
 }
 
-func newDoor(deal config.Deal) *door {
+func newDoor(deal config.Settings) *door {
 	return &door{deal: deal, ops: index.New[string](), backends: index.New[string](),
 		customers: index.New[string](), zones: index.New[string](), cells: index.New[string](),
 		counts: map[uint64]*counting{}}
@@ -58,7 +58,7 @@
 	"DONE":       (*door).done,
 	"FIRST_BYTE": (*door).streaming,
 	"VANISHED":   (*door).vanished,
-	"BELL":       func(*door, *fields) gate.Event { return gate.Woken{} },
+	"BELL":       func(*door, *fields) gate.Event { return gate.TimerFired{} },
 	"PROBE_DONE": func(d *door, f *fields) gate.Event {
 		return gate.Probed{Backend: d.backend(f), Result: choice(f, "outcome", results),
 			Latency: maybe[float64](f, "latency") * msPerSecond}
@@ -83,25 +83,25 @@
 }
 
 func (d *door) fleet(f *fields) gate.Event {
-	ev := gate.Fleet{}
+	ev := gate.FleetUpdate{}
 	switch how := need[string](f, "how"); how {
 	case "Partial":
 	case "Complete", "Persisted":
 		ev.Complete = true
 	case "Error":
-		return gate.Fleet{Failed: true}
+		return gate.FleetUpdate{Failed: true}
 	default:
 		f.fail("how", "unknown word %q", how)
 	}
 	for _, raw := range maybe[[]map[string]json.RawMessage](f, "nodes_list") {
 		ef := fields{m: raw}
 		name := need[string](&ef, "backend")
-		e := gate.Entry{Backend: d.backends.Add(name), Mark: index.Mark(name),
-			Zone:   d.zones.Add(maybe[string](&ef, "dc")),
-			Cell:   d.cells.Add(fmt.Sprint(maybe[int64](&ef, "stripe"))),
-			Status: choice(&ef, "status", statuses),
-			Since:  maybe[float64](&ef, "online_since") * msPerSecond,
-			Size:   maybe[float64](&ef, "units")}
+		e := gate.Entry{Backend: d.backends.Add(name), RingPosition: index.NamePhase(name),
+			Zone:      d.zones.Add(maybe[string](&ef, "dc")),
+			Cell:      d.cells.Add(fmt.Sprint(maybe[int64](&ef, "stripe"))),
+			Status:    choice(&ef, "status", statuses),
+			StartedAt: maybe[float64](&ef, "online_since") * msPerSecond,
+			Weight:    maybe[float64](&ef, "units")}
 		if ef.fault != nil && f.fault == nil {
 			f.fault = at(ef.fault, "nodes_list")
 		}
@@ -115,7 +115,7 @@
 func (d *door) submit(f *fields) gate.Event {
 	id := need[string](f, "op_id")
 	ev := gate.Request{TTL: need[float64](f, "ttl") * msPerSecond, Units: need[float64](f, "cost_units"),
-		Repeat: maybe[int](f, "marks")&markRepeat != 0, First: maybe[int](f, "first_door"), Spread: need[int](f, "spread"),
+		ClientRetry: maybe[int](f, "marks")&markRepeat != 0, FirstDoor: maybe[int](f, "first_door"), Spread: need[int](f, "spread"),
 		Class: choice(f, "kind", d.deal.Classes), Plan: choice(f, "tier", d.deal.Plans)}
 	customer := need[string](f, "customer")
 	if f.fault != nil {
@@ -132,10 +132,10 @@
 
 func (d *door) done(f *fields) gate.Event {
 	op, known := d.op(f)
-	ev := gate.Ended{Op: op, Attempt: need[int](f, "send_no"), Backend: d.backend(f),
+	ev := gate.AttemptEnded{Op: op, Attempt: need[int](f, "send_no"), Backend: d.backend(f),
 		Result: choice(f, "outcome", results), Latency: need[float64](f, "latency") * msPerSecond,
-		Over: maybe[bool](f, "over"), Use: (maybe[float64](f, "fleet_use") - 1) / 100,
-		Units: maybe[float64](f, "final_units")}
+		Answered: maybe[bool](f, "over"), MeteredUse: (maybe[float64](f, "fleet_use") - 1) / 100,
+		ActualUnits: maybe[float64](f, "final_units")}
 	var err error
 	if ev.Queue, err = d.deal.Queue(maybe[[]float64](f, "telemetry")); err != nil {
 		f.fail("telemetry", "%v", err)
@@ -147,7 +147,7 @@
 		return nil
 	}
 	d.out[op]--
-	if ev.Over {
+	if ev.Answered {
 		d.over[op] = true
 	}
 	d.closing = append(d.closing, op)
@@ -192,7 +192,7 @@
 		d.counts[name] = &counting{customer: id, epoch: a.Epoch}
 	}
 	d.counts[name].calls++
-	return map[string]any{"INCR": map[string]any{"cname": name, "qty": a.Add, "keep_for": a.Keep / msPerSecond}}
+	return map[string]any{"INCR": map[string]any{"cname": name, "qty": a.Add, "keep_for": a.TTL / msPerSecond}}
 }
 
 func (d *door) streaming(f *fields) gate.Event {
@@ -210,7 +210,7 @@
 		return nil
 	}
 	d.end(op)
-	return gate.Vanished{Op: op}
+	return gate.ClientGone{Op: op}
 }
 
 // action words one action for the wire; nil where it concerns only the indices kept here.
@@ -219,8 +219,8 @@
 	case gate.Send:
 		d.out[a.Op]++
 		body := map[string]any{"op_id": d.ops.ID(a.Op), "backend": d.backends.ID(a.Backend)}
-		if a.Cap > 0 {
-			body["cap"] = a.Cap / msPerSecond
+		if a.Timeout > 0 {
+			body["cap"] = a.Timeout / msPerSecond
 		}
 		return map[string]any{"SUBMIT_TO": body}
 	case gate.Cancel:
@@ -235,18 +235,18 @@
 	case gate.Fail:
 		d.end(a.Op)
 		return map[string]any{"LOSE": map[string]any{"op_id": d.ops.ID(a.Op)}}
-	case gate.Wake:
+	case gate.SetTimer:
 		return map[string]any{"SCHEDULE": map[string]any{"when": a.At / msPerSecond, "cookie": 0}}
 	case gate.Probe:
 		return map[string]any{"SOUND_OUT": map[string]any{"backend": d.backends.ID(a.Backend)}}
 	case gate.Count:
 		return d.count(a)
-	case gate.Track:
+	case gate.SubscribeFleet:
 		return map[string]any{"TRACK": map[string]any{"enable": true}}
-	case gate.Forget:
+	case gate.FreeCustomer:
 		d.customers.Drop(a.Customer)
 		return nil
-	case gate.Delist:
+	case gate.FreeBackend:
 		d.backends.Drop(a.Backend)
 		return nil
 	case gate.Differs: // nothing on the wire words it
