--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -12,7 +12,7 @@
 	Cause error
 }
 
-func (e *PlaceError) Error() string     { return remedy.Because(e.At, e.Cause) }
+func (e *PlaceError) Error() string     { return remedy.WithCause(e.At, e.Cause) }
 func (e *PlaceError) Unwrap() error     { return e.Cause }
 func (e *PlaceError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -33,7 +33,7 @@
 }
 
 func (e *FieldError) Error() string {
-	says := remedy.Because(e.Says, e.Cause)
+	says := remedy.WithCause(e.Says, e.Cause)
 	switch {
 	case e.Field == "":
 		return says
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -95,7 +95,7 @@
 			if m.fault != nil {
 				return nil, at(m.fault, "event BORN")
 			}
-			deal, err := config.ReadDeal(settings)
+			deal, err := config.ReadSettings(settings)
 			if err != nil {
 				return nil, at(err, "event BORN")
 			}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -44,7 +44,7 @@
 	out, _, err := serve(func(now float64, events []gate.Event) []gate.Action {
 		assert.Equal(t, 8500.0, now)
 		got = append(got, events...)
-		return []gate.Action{gate.Send{Cap: 80}, gate.Wake{At: 9000}, gate.Reject{RetryAfter: 250}}
+		return []gate.Action{gate.Send{Timeout: 80}, gate.SetTimer{At: 9000}, gate.Reject{RetryAfter: 250}}
 	}, batch(born, listed, submit))
 	require.NoError(t, err)
 	require.Len(t, got, 2)
@@ -79,7 +79,7 @@
 		return nil
 	}, batch(born, listed, submit)+batch(done)+batch(vanished, `{"BELL":{"cookie":0}}`))
 	require.NoError(t, err)
-	assert.Equal(t, []gate.Event{gate.Woken{}}, got, "an id already dropped is passed over")
+	assert.Equal(t, []gate.Event{gate.TimerFired{}}, got, "an id already dropped is passed over")
 }
 
 func TestBadInputIsNamed(t *testing.T) {
@@ -130,9 +130,9 @@
 		return scripted(decide)
 	})
 	require.NoError(t, h.Serve(strings.NewReader(batch(born, listed, submit)+batch(done("[12.5,0.4,3]"))), &bytes.Buffer{}))
-	assert.Equal(t, gate.Plan{Rate: 0.002, Depth: 8, Beyond: 0.3, OverCost: 1.2}, plan)
-	assert.Equal(t, 5.0, got.(gate.Ended).Units)
-	assert.Equal(t, 3.0, got.(gate.Ended).Queue)
+	assert.Equal(t, gate.Plan{Rate: 0.002, Depth: 8, OverQuotaGain: 0.3, OverQuotaCost: 1.2}, plan)
+	assert.Equal(t, 5.0, got.(gate.AttemptEnded).ActualUnits)
+	assert.Equal(t, 3.0, got.(gate.AttemptEnded).Queue)
 
 	_, _, err := serve(decide, batch(born, listed, submit)+batch(done("[1,2,3,4]")))
 	assert.ErrorContains(t, err, `event DONE: field "telemetry": 4 values where the settings name 3`)
--- a/lab/account/account_test.go
+++ b/lab/account/account_test.go
@@ -23,7 +23,7 @@
 		end()
 	}
 	one(0, 0, func() { // rejected though the quota is whole
-		take(trace.Event{Kind: trace.Answered, At: 5, Try: 0, Answer: trace.Rejected, Why: gate.OverPart})
+		take(trace.Event{Kind: trace.Answered, At: 5, Try: 0, Answer: trace.Rejected, Why: gate.OverQuotaShare})
 		take(trace.Event{Kind: trace.GaveUp, At: 5, Want: 0})
 	})
 	one(10, 2, func() { // late
--- a/lab/cold/cold_test.go
+++ b/lab/cold/cold_test.go
@@ -105,7 +105,7 @@
 		s := plays(func(seed uint64) Day { return day(doors, 30, seed) }, func(d *Day) func(int, uint64) gate.Decider {
 			return func(number int, seed uint64) gate.Decider {
 				terms := d.Terms(number)
-				terms.ColdFrom, terms.FallMultiple = 1, 20
+				terms.ColdCapacity, terms.OverloadMultiple = 1, 20
 				return policy.New(terms, seed)
 			}
 		})
--- a/lab/cold/fleet.go
+++ b/lab/cold/fleet.go
@@ -65,9 +65,9 @@
 
 // Terms are what a door of the day is told.
 func (d *Day) Terms(number int) gate.Terms {
-	return gate.Terms{Doors: d.Told, Number: number % max(1, d.Told),
+	return gate.Terms{Doors: d.Told, DoorNumber: number % max(1, d.Told),
 		Classes: []gate.Class{{Contract: 10 * d.LatencyMs, Gain: 1}}, Plans: []gate.Plan{{Price: 1}},
-		MaxAttempts: 3, MayCancel: true, ColdFrom: d.ColdFrom, ColdFor: d.ColdForMs, FallMultiple: d.Multiple, FallWindow: d.Window}
+		MaxAttempts: 3, MayCancel: true, ColdCapacity: d.ColdFrom, WarmupTime: d.ColdForMs, OverloadMultiple: d.Multiple, OverloadWindow: d.Window}
 }
 
 // Play plays the day with doors that decide as New says, and has the checker count.
@@ -82,8 +82,8 @@
 	for b := range d.Starting {
 		c.Since[b] = d.StartMs
 	}
-	list := func(at float64, i int) gate.Fleet {
-		e := gate.Fleet{Complete: true}
+	list := func(at float64, i int) gate.FleetUpdate {
+		e := gate.FleetUpdate{Complete: true}
 		for b := range d.Backends {
 			since := 0.0
 			if b < d.Starting && at >= doors[i].knows {
@@ -93,8 +93,8 @@
 			if b < d.Starting && at >= d.StartMs-5e3 && at < doors[i].knows {
 				status = gate.Gone
 			}
-			e.Entries = append(e.Entries, gate.Entry{Backend: b, Zone: b % 3, Cell: b, Status: status, Since: since, Size: 1,
-				Mark: float64(b) / float64(d.Backends)})
+			e.Entries = append(e.Entries, gate.Entry{Backend: b, Zone: b % 3, Cell: b, Status: status, StartedAt: since, Weight: 1,
+				RingPosition: float64(b) / float64(d.Backends)})
 		}
 		return e
 	}
@@ -103,7 +103,7 @@
 		doors[i].decider, doors[i].ops, doors[i].sends = decider(i, dice.Uint64()), 0, doors[i].sends[:0]
 		heap.Push(&all, due{at, i, doors[i].life, list(at, i)})
 		if d.Members {
-			heap.Push(&all, due{at, i, doors[i].life, gate.Doors{Count: d.Doors}})
+			heap.Push(&all, due{at, i, doors[i].life, gate.DoorsUpdate{PresentCount: d.Doors}})
 		}
 	}
 	for i := range doors {
@@ -130,18 +130,18 @@
 			continue
 		case comes:
 			for many := 1 + int(exp(d.Burst-1+1e-9)); many > 0; many-- {
-				events = append(events, gate.Request{Op: o.ops, Customer: 0, TTL: 20 * d.LatencyMs, Units: 1, Spread: 1, First: n.door})
+				events = append(events, gate.Request{Op: o.ops, Customer: 0, TTL: 20 * d.LatencyMs, Units: 1, Spread: 1, FirstDoor: n.door})
 				o.ops++
 				o.sends = append(o.sends, 0)
 			}
 			heap.Push(&all, due{n.at + exp(d.Burst*float64(d.Doors)/d.PerMs), n.door, 0, comes{}})
 		case woken:
-			events = append(events, gate.Woken{})
+			events = append(events, gate.TimerFired{})
 		case arrives:
 			c.Takes(Start{n.at, e.backend})
 			latency := d.LatencyMs * (0.5 + dice.Float64())
-			heap.Push(&all, due{n.at + latency, n.door, n.life, gate.Ended{Op: e.op, Attempt: e.number, Backend: e.backend, Result: gate.Finished,
-				Latency: latency, Over: true, Use: -1, Queue: -1}})
+			heap.Push(&all, due{n.at + latency, n.door, n.life, gate.AttemptEnded{Op: e.op, Attempt: e.number, Backend: e.backend, Result: gate.Finished,
+				Latency: latency, Answered: true, MeteredUse: -1, Queue: -1}})
 			continue
 		default:
 			events = append(events, e)
@@ -151,7 +151,7 @@
 			case gate.Send:
 				heap.Push(&all, due{n.at, n.door, o.life, arrives{a.Op, a.Backend, o.sends[a.Op]}})
 				o.sends[a.Op]++
-			case gate.Wake:
+			case gate.SetTimer:
 				heap.Push(&all, due{a.At, n.door, o.life, woken{}})
 			}
 		}
--- a/lab/command/errors.go
+++ b/lab/command/errors.go
@@ -34,7 +34,7 @@
 	Cause error
 }
 
-func (e *FlagError) Error() string     { return e.Flag + ": " + remedy.Because(e.Says, e.Cause) }
+func (e *FlagError) Error() string     { return e.Flag + ": " + remedy.WithCause(e.Says, e.Cause) }
 func (e *FlagError) Unwrap() error     { return e.Cause }
 func (e *FlagError) Kind() remedy.Kind { return remedy.Usage }
 
@@ -52,9 +52,9 @@
 
 func (e *FileError) Error() string {
 	if e.Says != "" {
-		return remedy.Because(e.Path+": "+e.Says, e.Cause)
+		return remedy.WithCause(e.Path+": "+e.Says, e.Cause)
 	}
-	return remedy.Because(e.Path, e.Cause)
+	return remedy.WithCause(e.Path, e.Cause)
 }
 func (e *FileError) Unwrap() error     { return e.Cause }
 func (e *FileError) Kind() remedy.Kind { return remedy.Configuration }
--- a/lab/command/tally.go
+++ b/lab/command/tally.go
@@ -27,7 +27,7 @@
 					return err
 				}
 			}
-			f.Print(cmd.OutOrStdout(), frontdoor.AccountEvery)
+			f.Print(cmd.OutOrStdout(), frontdoor.AccountIntervalMs)
 			return nil
 		}}
 }
--- a/lab/judge/rules.go
+++ b/lab/judge/rules.go
@@ -265,7 +265,7 @@
 			r.breach(NoneTwice, e, "single-use try %d sent again, though transmission %d may have run", e.Try, i)
 		case p.Scope == gate.ScopeZone && s.zone != e.Zone, p.Scope == gate.ScopeCell && s.cell != e.Cell:
 			r.breach(NoneTwice, e, "tokened try %d sent outside the group of transmission %d", e.Try, i)
-		case e.At > s.at+p.Window+r.deal.Slack:
+		case e.At > s.at+p.DedupWindow+r.deal.Slack:
 			r.breach(NoneTwice, e, "tokened try %d sent again %.1f ms after transmission %d", e.Try, e.At-s.at, i)
 		default:
 			continue
--- a/lab/judge/rules_test.go
+++ b/lab/judge/rules_test.go
@@ -53,14 +53,14 @@
 	up, all []int
 	since   []float64
 	choose  func(c *careless, op int) int
-	ended   func(c *careless, e gate.Ended) []gate.Action
+	ended   func(c *careless, e gate.AttemptEnded) []gate.Action
 	arrived func(c *careless, e gate.Request) []gate.Action
 }
 
 func (c *careless) Decide(_ float64, events []gate.Event) (out []gate.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
-		case gate.Fleet:
+		case gate.FleetUpdate:
 			if e.Complete {
 				c.up = nil
 			}
@@ -68,7 +68,7 @@
 				for len(c.since) <= n.Backend {
 					c.since = append(c.since, 0)
 				}
-				c.since[n.Backend] = n.Since
+				c.since[n.Backend] = n.StartedAt
 				var keep []int
 				for _, b := range c.up {
 					if b != n.Backend {
@@ -83,10 +83,10 @@
 			if c.arrived != nil {
 				out = append(out, c.arrived(c, e)...)
 			} else {
-				out = append(out, gate.Send{Op: e.Op, Backend: c.choose(c, e.Op), Cap: 700})
+				out = append(out, gate.Send{Op: e.Op, Backend: c.choose(c, e.Op), Timeout: 700})
 			}
-		case gate.Ended:
-			if !e.Over {
+		case gate.AttemptEnded:
+			if !e.Answered {
 				if c.ended != nil {
 					out = append(out, c.ended(c, e)...)
 				} else {
@@ -117,7 +117,7 @@
 	if e.Op%7 > 0 || len(c.up) == 0 {
 		return []gate.Action{gate.Reject{Op: e.Op, RetryAfter: 400}}
 	}
-	return []gate.Action{gate.Send{Op: e.Op, Backend: inTurn(c, e.Op), Cap: 700}}
+	return []gate.Action{gate.Send{Op: e.Op, Backend: inTurn(c, e.Op), Timeout: 700}}
 }
 
 func TestACarefulDeciderBreaksNothing(t *testing.T) {
@@ -127,11 +127,11 @@
 }
 
 func TestEachRuleIsFoundBroken(t *testing.T) {
-	again := func(c *careless, e gate.Ended) []gate.Action {
+	again := func(c *careless, e gate.AttemptEnded) []gate.Action {
 		if e.Attempt > 0 {
 			return []gate.Action{gate.Fail{Op: e.Op}}
 		}
-		return []gate.Action{gate.Send{Op: e.Op, Backend: c.all[(e.Backend+1)%len(c.all)], Cap: 500}}
+		return []gate.Action{gate.Send{Op: e.Op, Backend: c.all[(e.Backend+1)%len(c.all)], Timeout: 500}}
 	}
 	for name, k := range map[string]struct {
 		more string
@@ -146,10 +146,10 @@
 		"sends again elsewhere": {ample, judge.NoneTwice, "sent again", careless{arrived: moderate, ended: again}},
 		"leaves the group":      {ample, judge.NoneTwice, "outside the group", careless{arrived: moderate, ended: again}},
 		"rejects what may have run": {ample, judge.NoneTwice, "rejected, though", careless{arrived: moderate,
-			ended: func(_ *careless, e gate.Ended) []gate.Action { return []gate.Action{gate.Reject{Op: e.Op}} }}},
+			ended: func(_ *careless, e gate.AttemptEnded) []gate.Action { return []gate.Action{gate.Reject{Op: e.Op}} }}},
 		"sends two at once": {"\n[allow]\nsecond_copies = false", judge.NoneTwice, "two transmissions", careless{
 			arrived: func(c *careless, e gate.Request) []gate.Action {
-				s := gate.Send{Op: e.Op, Backend: inTurn(c, e.Op), Cap: 700}
+				s := gate.Send{Op: e.Op, Backend: inTurn(c, e.Op), Timeout: 700}
 				return []gate.Action{s, s}
 			}}},
 		"knows no drain": {"\n[[fault]]\nkind = \"replace\"\nat_s = 1.0\nfor_s = 1.0\nshare = 0.9\nmuch = 3.0", judge.DrainsKept, "told of",
--- a/lab/judge/service.go
+++ b/lab/judge/service.go
@@ -258,7 +258,7 @@
 	q := s.quotaOf(t.customer, t.plan, e.At)
 	if !t.sent {
 		t.sent = true
-		t.inside = (p.Rate == 0 || q.Fill(e.At, p.Rate, p.Depth) >= t.units-1e-9) && (p.AtOnce == 0 || q.out < p.AtOnce)
+		t.inside = (p.Rate == 0 || q.Fill(e.At, p.Rate, p.Depth) >= t.units-1e-9) && (p.MaxConcurrent == 0 || q.out < p.MaxConcurrent)
 		s.Costs.SentUnits += t.units
 		if t.inside {
 			q.Level -= t.units
--- a/lab/load/errors.go
+++ b/lab/load/errors.go
@@ -13,7 +13,9 @@
 	Cause error
 }
 
-func (e *RunError) Error() string     { return "load: " + e.What + ": " + remedy.Because(e.Says, e.Cause) }
+func (e *RunError) Error() string {
+	return "load: " + e.What + ": " + remedy.WithCause(e.Says, e.Cause)
+}
 func (e *RunError) Unwrap() error     { return e.Cause }
 func (e *RunError) Kind() remedy.Kind { return remedy.Usage }
 
@@ -25,7 +27,7 @@
 // StoppedError is a run that was ended before its time.
 type StoppedError struct{ Cause error }
 
-func (e *StoppedError) Error() string     { return remedy.Because("load", e.Cause) }
+func (e *StoppedError) Error() string     { return remedy.WithCause("load", e.Cause) }
 func (e *StoppedError) Unwrap() error     { return e.Cause }
 func (e *StoppedError) Kind() remedy.Kind { return remedy.Refused }
 
--- a/lab/model/backend.go
+++ b/lab/model/backend.go
@@ -247,7 +247,7 @@
 	case b.chance("resets", t.Class):
 		w.back(b, j, gate.Reset)
 	case b.chance("spoilt", t.Class):
-		w.back(b, j, gate.Spoilt)
+		w.back(b, j, gate.Malformed)
 	default:
 		w.back(b, j, gate.Finished)
 	}
--- a/lab/model/clients.go
+++ b/lab/model/clients.go
@@ -473,5 +473,5 @@
 func (t *Try) word(w *World, op, customer int) gate.Request {
 	k := &w.clients.customers[t.want.customer]
 	return gate.Request{Op: op, Class: t.Class, Plan: k.plan, Customer: customer, TTL: max(0, t.until-w.now), Units: t.want.units,
-		Repeat: t.retry && w.s.Clients.Marks, First: k.first, Spread: k.spread, Phase: phase(t.want.customer)}
+		ClientRetry: t.retry && w.s.Clients.Marks, FirstDoor: k.first, Spread: k.spread, Phase: phase(t.want.customer)}
 }
--- a/lab/model/deal.go
+++ b/lab/model/deal.go
@@ -14,19 +14,19 @@
 
 // Terms are what a door of the scenario is told.
 func Terms(s *scenario.Scenario, number int) gate.Terms {
-	t := gate.Terms{Doors: s.Fleet.Doors, Number: number, MaxAttempts: s.Allow.MaxAttempts, Hedging: s.Allow.Hedging,
+	t := gate.Terms{Doors: s.Fleet.Doors, DoorNumber: number, MaxAttempts: s.Allow.MaxAttempts, Hedging: s.Allow.Hedging,
 		MayCancel: s.Allow.Cancel, MeterPeriod: s.Meter.PeriodMs, Counter: s.Counter.On,
-		MustAsk: s.Discovery.Ask, ColdFrom: s.Rules.ColdFrom, ColdFor: s.Rules.ColdS * 1000, FallMultiple: s.Rules.FallMultiple,
-		FallWindow: s.Rules.FallMs}
+		MustSubscribe: s.Discovery.Ask, ColdCapacity: s.Rules.ColdFrom, WarmupTime: s.Rules.ColdS * 1000, OverloadMultiple: s.Rules.FallMultiple,
+		OverloadWindow: s.Rules.FallMs}
 	if s.Allow.RetryAfter {
 		t.MaxRetryAfter = s.Clients.MaxRetryAfterMs
 	}
 	for _, p := range s.Classes {
 		t.Classes = append(t.Classes, gate.Class{Contract: p.ContractMs, Semantics: semantics[p.Semantics], Scope: scopes[p.Scope],
-			Window: p.WindowMs, LateValue: p.LateValue, Gain: p.Gain})
+			DedupWindow: p.WindowMs, LateValue: p.LateValue, Gain: p.Gain})
 	}
 	for _, p := range s.Plans {
-		t.Plans = append(t.Plans, gate.Plan{Rate: p.PerS / 1000, Depth: p.Depth, AtOnce: p.AtOnce, CeilingRate: p.CeilingPerS / 1000,
+		t.Plans = append(t.Plans, gate.Plan{Rate: p.PerS / 1000, Depth: p.Depth, MaxConcurrent: p.AtOnce, CeilingRate: p.CeilingPerS / 1000,
 			CeilingDepth: p.CeilingDepth, Price: p.Price})
 	}
 	return t
--- a/lab/model/discovery.go
+++ b/lab/model/discovery.go
@@ -89,9 +89,9 @@
 }
 
 // hear words one piece of news for the decisions.
-func (d *door) hear(w *World, n news) gate.Fleet {
+func (d *door) hear(w *World, n news) gate.FleetUpdate {
 	d.note(w, n)
-	f := gate.Fleet{Complete: n.whole}
+	f := gate.FleetUpdate{Complete: n.whole}
 	for _, l := range n.entries {
 		b := w.backends[l.backend]
 		since := 0.0
@@ -99,7 +99,7 @@
 			since = l.since + epoch
 		}
 		f.Entries = append(f.Entries, gate.Entry{Backend: d.names.Add(l.backend), Zone: b.zone, Cell: b.cell, Status: l.status,
-			Since: since, Size: 1, Mark: index.Phase(uint64(l.backend) + 1)})
+			StartedAt: since, Weight: 1, RingPosition: index.Phase(uint64(l.backend) + 1)})
 	}
 	return f
 }
--- a/lab/model/door.go
+++ b/lab/model/door.go
@@ -231,7 +231,7 @@
 	}
 	d.ops[t.slot].over = true
 	d.closing = append(d.closing, t.slot)
-	d.inbox = append(d.inbox, gate.Vanished{Op: t.slot})
+	d.inbox = append(d.inbox, gate.ClientGone{Op: t.slot})
 	d.wake(w, w.now)
 }
 
@@ -309,12 +309,12 @@
 		o.out--
 		d.closing = append(d.closing, t.slot)
 		if e.result == gate.Finished && !o.over {
-			d.answer(w, t.slot, trace.Finished, 0, gate.Unsaid)
+			d.answer(w, t.slot, trace.Finished, 0, gate.Unspecified)
 		}
 		w.tell(trace.Event{Kind: trace.Closed, Try: t.ID, Door: d.id, Number: e.job.Number, Backend: e.job.Backend, Result: e.result})
 		b, _ := d.names.Find(e.job.Backend)
-		d.events = append(d.events, gate.Ended{Op: t.slot, Attempt: e.job.Number, Backend: b, Result: e.result, Latency: e.took,
-			Over: o.over, Use: e.use, Queue: -1})
+		d.events = append(d.events, gate.AttemptEnded{Op: t.slot, Attempt: e.job.Number, Backend: b, Result: e.result, Latency: e.took,
+			Answered: o.over, MeteredUse: e.use, Queue: -1})
 	}
 	clear(d.back)
 	d.back = d.back[:0]
@@ -333,7 +333,7 @@
 	d.came = d.came[:0]
 	if d.wakeAt > 0 && w.now >= d.wakeAt {
 		d.wakeAt = 0
-		d.events = append(d.events, gate.Woken{})
+		d.events = append(d.events, gate.TimerFired{})
 	}
 }
 
@@ -354,21 +354,21 @@
 			d.answer(w, a.Op, trace.Rejected, a.RetryAfter, a.Why)
 		case gate.Fail:
 			d.answer(w, a.Op, trace.Failed, 0, a.Why)
-		case gate.Wake:
+		case gate.SetTimer:
 			d.wakeAt = max(a.At-epoch, w.now+w.s.Day.TickMs) // a tick is the shortest rest
 			d.wake(w, d.wakeAt)
 		case gate.Count:
 			w.call(d, a)
 		case gate.Probe:
 			d.probe(w, a)
-		case gate.Track:
+		case gate.SubscribeFleet:
 			if !d.tracking {
 				d.tracking = true
 				w.pass(d, w.whole())
 			}
-		case gate.Forget:
+		case gate.FreeCustomer:
 			d.customers.Drop(a.Customer)
-		case gate.Delist:
+		case gate.FreeBackend:
 			d.names.Drop(a.Backend)
 		case gate.Log, gate.Differs:
 		default:
@@ -410,7 +410,7 @@
 	}
 	t := o.try
 	b := w.backends[d.names.ID(a.Backend)]
-	j := &Job{Try: t, Number: len(o.jobs), Backend: b.id, at: w.now, by: a.By, life: b.life, caller: d}
+	j := &Job{Try: t, Number: len(o.jobs), Backend: b.id, at: w.now, by: a.StartBy, life: b.life, caller: d}
 	w.tell(trace.Event{Kind: trace.Sent, Try: t.ID, Door: d.id, Number: j.Number, Backend: b.id, Zone: b.zone, Cell: b.cell, Crosses: b.zone != d.zone})
 	if j.Number == 0 {
 		w.meter.add(w, t.want.customer, t.want.units)
@@ -419,8 +419,8 @@
 	o.out++
 	b.owed++
 	until := t.until
-	if a.Cap > 0 {
-		until = min(until, w.now+a.Cap)
+	if a.Timeout > 0 {
+		until = min(until, w.now+a.Timeout)
 	}
 	w.at(max(w.now, until), due{kind: dueExpire, j: j})
 	if idle := &d.idle[b.id]; idle.n > 0 && idle.life == b.life {
--- a/lab/model/errors.go
+++ b/lab/model/errors.go
@@ -13,7 +13,7 @@
 }
 
 func (e *StoppedError) Error() string {
-	return remedy.Because(fmt.Sprintf("day stopped at %.1f s", e.AtS), e.Cause)
+	return remedy.WithCause(fmt.Sprintf("day stopped at %.1f s", e.AtS), e.Cause)
 }
 func (e *StoppedError) Unwrap() error     { return e.Cause }
 func (e *StoppedError) Kind() remedy.Kind { return remedy.Refused }
@@ -30,7 +30,7 @@
 	if e.Cause == nil {
 		return "waiting for the doors: not all are ready"
 	}
-	return remedy.Because("waiting for the doors", e.Cause)
+	return remedy.WithCause("waiting for the doors", e.Cause)
 }
 func (e *WaitError) Unwrap() error     { return e.Cause }
 func (e *WaitError) Kind() remedy.Kind { return remedy.Unreachable }
--- a/lab/model/members.go
+++ b/lab/model/members.go
@@ -35,11 +35,11 @@
 }
 
 // present words who is believed to be here.
-func (w *World) present() gate.Doors {
-	e := gate.Doors{Here: slices.Clone(w.here), Count: len(w.doors)}
-	for _, here := range e.Here {
+func (w *World) present() gate.DoorsUpdate {
+	e := gate.DoorsUpdate{Present: slices.Clone(w.here), PresentCount: len(w.doors)}
+	for _, here := range e.Present {
 		if !here {
-			e.Count--
+			e.PresentCount--
 		}
 	}
 	return e
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -134,10 +134,10 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case gate.Request:
-			out = append(out, gate.Send{Op: e.Op, Backend: 0, Cap: d.limit})
-		case gate.Ended:
+			out = append(out, gate.Send{Op: e.Op, Backend: 0, Timeout: d.limit})
+		case gate.AttemptEnded:
 			d.ends[e.Result]++
-			if !e.Over {
+			if !e.Answered {
 				out = append(out, gate.Fail{Op: e.Op})
 			}
 		}
@@ -187,13 +187,13 @@
 		switch e := e.(type) {
 		case gate.Request:
 			out = append(out, gate.Reject{Op: e.Op})
-		case gate.Woken:
+		case gate.TimerFired:
 			*d.woken = now - epoch
 		}
 	}
 	if !d.asked {
 		d.asked = true
-		out = append(out, gate.Wake{At: now + 20})
+		out = append(out, gate.SetTimer{At: now + 20})
 	}
 	return out
 }
@@ -230,7 +230,7 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case gate.Request:
-			out = append(out, gate.Count{Customer: e.Customer, Epoch: 1, Add: 1, Keep: 1e4}, gate.Reject{Op: e.Op})
+			out = append(out, gate.Count{Customer: e.Customer, Epoch: 1, Add: 1, TTL: 1e4}, gate.Reject{Op: e.Op})
 		case gate.Counted:
 			*d.heard++
 		}
--- a/lab/outs/fleet.go
+++ b/lab/outs/fleet.go
@@ -52,7 +52,7 @@
 	process uint64
 	changed float64 // when up or ready changed last
 	paused  float64 // until then
-	holder  permits.Holder
+	holder  permits.PermitHolder
 	busy    bool // it means to go out
 	open    int  // place in gone of the time in which it is out now; nobody for none
 }
@@ -74,7 +74,7 @@
 	w := &world{Fleet: f, m: f.Make(), agenda: agenda{dice: rand.New(rand.NewPCG(f.Seed, 5))}, seq: map[string]uint64{}}
 	most, zone := 1+w.dice.IntN(max(1, f.Doors/10)), 1+w.dice.IntN(max(1, f.Doors/20))
 	bounds := []Bound{{false, most}, {true, zone}}
-	w.command("operator", permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MostOut: most}, {Kind: permits.Door, Zone: permits.EachZone, MostOut: zone}}}, nil)
+	w.command("operator", permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MaxOut: most}, {Kind: permits.Door, Zone: permits.EachZone, MaxOut: zone}}}, nil)
 	for i := range f.Doors {
 		d := &door{zone: i % 3, up: true, ready: true, life: 1, process: uint64(i)<<20 + 1, changed: -60e3, open: nobody}
 		w.doors, w.zones = append(w.doors, d), append(w.zones, d.zone)
@@ -155,8 +155,8 @@
 		return
 	}
 	d.busy = true
-	seq := d.holder.Asked(w.now, holdMs)
-	w.ask(i, d.process, seq, permits.Ask{Unit: name(i), Kind: permits.Door, Who: "plan", Why: "drawn", HoldMs: holdMs}, retries)
+	seq := d.holder.RequestSent(w.now, holdMs)
+	w.ask(i, d.process, seq, permits.RequestPermit{Unit: name(i), Kind: permits.Door, Who: "plan", Why: "drawn", HoldMs: holdMs}, retries)
 }
 
 // ask sends a command until its answer comes, and gives up after some tries.
@@ -183,7 +183,7 @@
 	})
 	w.at(w.now+retryMs, func() {
 		w.awake(i, process, func() {
-			if !done && d.busy && d.holder.Waiting() == seq {
+			if !done && d.busy && d.holder.PendingSeq() == seq {
 				w.ask(i, process, seq, do, left-1)
 			}
 		})
@@ -210,10 +210,10 @@
 		return
 	}
 	confirm := func() {
-		seq := d.holder.Looking(w.now)
-		w.ask(i, process, seq, permits.Confirm{Number: d.holder.Number, Life: d.life, Process: d.process}, retries)
+		seq := d.holder.ConfirmSent(w.now)
+		w.ask(i, process, seq, permits.Confirm{Number: d.holder.Number, Incarnation: d.life, Process: d.process}, retries)
 	}
-	if _, granted := do.(permits.Ask); granted {
+	if _, granted := do.(permits.RequestPermit); granted {
 		w.at(w.now+w.between(0, 3000), func() { w.awake(i, process, confirm) })
 		return
 	}
@@ -244,9 +244,9 @@
 	if !d.up || left == 0 || d.busy {
 		return
 	}
-	process, seq := d.process, d.holder.Next()
+	process, seq := d.process, d.holder.NextSeq()
 	heard := false
-	w.send(w.caller(i), seq, permits.Here{Sighting: w.sighting(i, w.now)}, func(permits.Answer) { heard = true })
+	w.send(w.caller(i), seq, permits.SelfReport{Sighting: w.sighting(i, w.now)}, func(permits.Answer) { heard = true })
 	w.at(w.now+retryMs, func() {
 		w.awake(i, process, func() {
 			if !heard {
@@ -259,7 +259,7 @@
 // sighting is how a door stands as one sees it who learns of failures late.
 func (w *world) sighting(i int, since float64) permits.Sighting {
 	d := w.doors[i]
-	s := permits.Sighting{Unit: w.unit(i), Life: d.life, Process: d.process}
+	s := permits.Sighting{Unit: w.unit(i), Incarnation: d.life, Process: d.process}
 	switch {
 	case !d.up && since-d.changed < knownMs:
 		s.Standing = permits.Ready // nobody knows yet
@@ -280,7 +280,7 @@
 		all = append(all, w.sighting(i, w.now))
 	}
 	who := fmt.Sprint("watch-", n)
-	w.at(w.now+w.between(5, 100)+w.between(0, 1500)*float64(w.dice.IntN(4)/3), func() { w.command(who, permits.Seen{Sightings: all}, nil) })
+	w.at(w.now+w.between(5, 100)+w.between(0, 1500)*float64(w.dice.IntN(4)/3), func() { w.command(who, permits.RecordSightings{Sightings: all}, nil) })
 	w.at(w.now+seenEvery, func() { w.watch(n) })
 }
 
@@ -303,7 +303,7 @@
 		d.up, d.changed = true, w.now
 		d.life++
 		d.process++
-		d.holder = permits.Holder{}
+		d.holder = permits.PermitHolder{}
 		d.paused = 0
 		w.say(i, retries)
 		process := d.process
--- a/lab/outs/orders.go
+++ b/lab/outs/orders.go
@@ -26,8 +26,8 @@
 	Machine
 	Withheld() (names []string, change uint64)
 	Waiting(p *permits.Permit) []string
-	Needs(w *permits.Word) []any
-	Reply(w *permits.Word, full bool) permits.Reply
+	Needs(w *permits.DoorReport) []any
+	Reply(w *permits.DoorReport, full bool) permits.Reply
 	Places() map[uint64]*permits.Permit
 }
 
@@ -57,7 +57,7 @@
 type keeper struct {
 	number   int
 	zone     int
-	k        *permits.Keeper
+	k        *permits.DoorAgent
 	life     int // of the process, as it truly is
 	up       bool
 	readyAt  float64 // of this process
@@ -74,7 +74,7 @@
 	Orders
 	agenda
 	m       Agreed
-	watch   *permits.Watch
+	watch   *permits.ReportCollector
 	leads   bool
 	caller  string
 	seq     uint64
@@ -93,8 +93,8 @@
 	w := &ordered{Orders: o, agenda: agenda{dice: rand.New(rand.NewPCG(o.Seed, 6))}, m: o.Make(), outAt: map[string]float64{}}
 	most, zone := 1+w.dice.IntN(max(1, o.Doors/10)), 1+w.dice.IntN(max(1, o.Doors/20))
 	w.lead()
-	w.command(permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MostOut: most}, {Kind: permits.Door, Zone: permits.EachZone, MostOut: zone},
-		{Kind: permits.Backend, MostOut: backendsOut}}})
+	w.command(permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MaxOut: most}, {Kind: permits.Door, Zone: permits.EachZone, MaxOut: zone},
+		{Kind: permits.Backend, MaxOut: backendsOut}}})
 	for i := range o.Doors {
 		d := &keeper{number: i, zone: i % 3, open: nobody, failed: nobody}
 		w.doors, w.zones = append(w.doors, d), append(w.zones, d.zone)
@@ -146,8 +146,8 @@
 // lead is a new leader: it knows what is agreed on, and no door.
 func (w *ordered) lead() {
 	w.callers++
-	w.watch, w.leads, w.caller, w.seq = permits.NewWatch(), true, fmt.Sprint("leader-", w.callers), 0
-	w.tell(permits.Lead{Name: w.caller, Epoch: 1})
+	w.watch, w.leads, w.caller, w.seq = permits.NewReportCollector(), true, fmt.Sprint("leader-", w.callers), 0
+	w.tell(permits.Leadership{Name: w.caller, Epoch: 1})
 }
 
 func (w *ordered) tell(do any) {
@@ -168,7 +168,7 @@
 
 func (w *ordered) see() {
 	if w.leads {
-		w.tell(permits.Seen{Sightings: w.watch.News(w.now)})
+		w.tell(permits.RecordSightings{Sightings: w.watch.ChangedSightings(w.now)})
 	}
 	for _, p := range w.m.Places() {
 		if p.Unit.Kind != permits.Backend || !p.Order || p.Over || len(w.m.Waiting(p)) > 0 {
@@ -189,7 +189,7 @@
 	d.life++
 	d.up, d.aside, d.told, d.paused, d.withheld = true, false, false, 0, map[string]bool{}
 	d.readyAt = w.now + w.between(200, 1500)
-	d.k = permits.NewKeeper(permits.Unit{Kind: permits.Door, Name: name(d.number), Zone: fmt.Sprint("z", d.zone), Size: 1}, func() uint64 { w.fresh++; return w.fresh })
+	d.k = permits.NewDoorAgent(permits.Unit{Kind: permits.Door, Name: name(d.number), Zone: fmt.Sprint("z", d.zone), Size: 1}, func() uint64 { w.fresh++; return w.fresh })
 	life := d.life
 	w.at(d.readyAt, func() {
 		if d.up && d.life == life {
@@ -200,7 +200,7 @@
 	tick = func() {
 		if d.up && d.life == life {
 			if w.now >= d.paused {
-				w.step(d, permits.Stands{Ready: w.now >= d.readyAt && !d.aside, Away: w.away(d), Backends: w.list()})
+				w.step(d, permits.DoorStatus{Ready: w.now >= d.readyAt && !d.aside, Away: w.away(d), Backends: w.list()})
 			}
 			w.at(w.now+w.between(40, 60), tick)
 		}
@@ -263,16 +263,16 @@
 					for _, n := range a.Names {
 						d.withheld[n] = true
 					}
-					w.step(d, permits.Did{Change: a.Change})
+					w.step(d, permits.WithholdApplied{Change: a.Change})
 				})
 			})
-		case permits.Aside: // the way to the step takes a moment, in which the door may be stopped
+		case permits.SetOut: // the way to the step takes a moment, in which the door may be stopped
 			w.at(w.now+w.between(0, stepFor), func() { w.awake(d, func() { w.aside(d, a) }) })
 		}
 	}
 }
 
-func (w *ordered) aside(d *keeper, a permits.Aside) {
+func (w *ordered) aside(d *keeper, a permits.SetOut) {
 	if !a.Out {
 		d.aside = false
 		w.r.Back++
@@ -288,7 +288,7 @@
 			w.gone = append(w.gone, Gone{d.number, w.now, math.Inf(1), true})
 		}
 	}
-	w.step(d, permits.Stepped{Done: taken})
+	w.step(d, permits.SetOutDone{Done: taken})
 }
 
 // post has a question go over the network: it may be lost, come twice or late, and so may its answer.
@@ -315,19 +315,19 @@
 
 // answer is what the one that leads does with a question.
 func (w *ordered) answer(q permits.Post) (e any, ok bool) {
-	if q.Word == nil {
+	if q.Report == nil {
 		return permits.Answered{Seq: q.Seq, Answer: w.apply(q.Caller, q.Seq, q.Do)}, true
 	}
-	if w.watch.Heard(w.now, *q.Word) {
-		for i, do := range w.m.Needs(q.Word) {
+	if w.watch.Record(w.now, *q.Report) {
+		for i, do := range w.m.Needs(q.Report) {
 			caller := q.Caller
-			if _, own := do.(permits.Here); !own {
+			if _, own := do.(permits.SelfReport); !own {
 				caller = fmt.Sprint(caller, "/hand/", i)
 			}
 			w.apply(caller, q.Seq, do)
 		}
 	}
-	return permits.Replied{Seq: q.Seq, Reply: w.m.Reply(q.Word, w.watch.Full(w.now, q.Word.Name))}, true
+	return permits.Replied{Seq: q.Seq, Reply: w.m.Reply(q.Report, w.watch.WantsBackends(w.now, q.Report.Name))}, true
 }
 
 // end kills a door, or tells it to end.
@@ -337,7 +337,7 @@
 	}
 	last := 0.0
 	if told {
-		w.awake(d, func() { w.step(d, permits.Leave{}) })
+		w.awake(d, func() { w.step(d, permits.Terminating{}) })
 		last = w.between(200, 900)
 	}
 	life := d.life
@@ -349,7 +349,7 @@
 			return
 		}
 		if told && w.now >= d.paused {
-			w.step(d, permits.Left{}) // it has said all it will before it is gone
+			w.step(d, permits.Terminated{}) // it has said all it will before it is gone
 		}
 		d.up, d.diedAt = false, w.now
 		w.at(w.now+w.between(300, bounceMost), func() { w.start(d) })
--- a/lab/outs/orders_test.go
+++ b/lab/outs/orders_test.go
@@ -114,7 +114,7 @@
 	a := m.State.Apply(c)
 	if d, is := c.Do.(permits.Confirm); is && a.Err != nil && m.Permits[d.Number] != nil {
 		p := m.Permits[d.Number]
-		p.Stage, p.Life, p.Process = permits.Out, d.Life, d.Process
+		p.Stage, p.Incarnation, p.Process = permits.Out, d.Incarnation, d.Process
 		return permits.Answer{Number: d.Number}
 	}
 	return a
--- a/lab/outs/outs_test.go
+++ b/lab/outs/outs_test.go
@@ -88,7 +88,7 @@
 		m.log = m.log[1:]
 	}
 	switch c.Do.(type) {
-	case permits.Ask, permits.Confirm:
+	case permits.RequestPermit, permits.Confirm:
 		if c.Caller[len("door-00")]%2 == 0 {
 			c.AtMs, c.Seq = m.old.NowMs, c.Seq+1<<32
 			return m.old.Apply(c)
@@ -103,7 +103,7 @@
 func (m lax) Apply(c permits.Command) permits.Answer {
 	if d, is := c.Do.(permits.Confirm); is {
 		if p := m.Permits[d.Number]; p != nil {
-			p.Stage, p.Life, p.Process = permits.Out, d.Life, d.Process
+			p.Stage, p.Incarnation, p.Process = permits.Out, d.Incarnation, d.Process
 			return permits.Answer{Number: d.Number}
 		}
 	}
@@ -140,7 +140,7 @@
 type blind struct{ *permits.State }
 
 func (m blind) Apply(c permits.Command) permits.Answer {
-	if d, is := c.Do.(permits.Seen); is {
+	if d, is := c.Do.(permits.RecordSightings); is {
 		for i := range d.Sightings {
 			if d.Sightings[i].Standing == permits.Failed {
 				d.Sightings[i].Standing = permits.Ready
--- a/lab/outs/verdicts.go
+++ b/lab/outs/verdicts.go
@@ -28,9 +28,9 @@
 
 // Rule judges the waves of one release: Heard at every second for every door, then Look.
 type Rule interface {
-	Heard(now float64, door string, changed bool, n release.Counts)
-	Failed(door, why string)
-	Look(now float64) release.Verdict
+	Record(now float64, door string, changed bool, n release.Counts)
+	RecordFailure(door, why string)
+	Evaluate(now float64) release.Verdict
 }
 
 // Threshold is the plain rule: too many requests of the changed doors not in time, or failed, over the last while.
@@ -57,8 +57,8 @@
 	return &Threshold{WatchMs: watchMs, Late: late, began: now, last: map[string]release.Counts{}}
 }
 
-// Heard takes a door's counts in.
-func (t *Threshold) Heard(_ float64, door string, changed bool, n release.Counts) {
+// Record takes a door's counts in.
+func (t *Threshold) Record(_ float64, door string, changed bool, n release.Counts) {
 	if !changed {
 		return
 	}
@@ -70,11 +70,11 @@
 	t.last[door] = n
 }
 
-// Failed notes a process that ended.
-func (t *Threshold) Failed(door, why string) { t.failed = door + ": " + why }
+// RecordFailure notes a process that ended.
+func (t *Threshold) RecordFailure(door, why string) { t.failed = door + ": " + why }
 
-// Look judges the last half minute.
-func (t *Threshold) Look(now float64) release.Verdict {
+// Evaluate judges the last half minute.
+func (t *Threshold) Evaluate(now float64) release.Verdict {
 	t.recent = append(t.recent, t.sum)
 	t.sum = release.Counts{}
 	if len(t.recent) > plainSpan {
@@ -86,13 +86,13 @@
 	}
 	switch late, fails := 1-float64(n.InTime)/math.Max(1, float64(n.Arrived)), float64(n.Failed)/math.Max(1, float64(n.Arrived)); {
 	case t.failed != "":
-		return release.Verdict{Says: release.GoBck, Why: t.failed}
+		return release.Verdict{Outcome: release.GoBack, Why: t.failed}
 	case n.Arrived >= plainLeast && (late > t.Late || fails > mostFails):
-		return release.Verdict{Says: release.GoBck, Why: fmt.Sprintf("%.3f late, %.3f scrapped", late, fails)}
+		return release.Verdict{Outcome: release.GoBack, Why: fmt.Sprintf("%.3f late, %.3f scrapped", late, fails)}
 	case now-t.began >= t.WatchMs:
-		return release.Verdict{Says: release.GoOn}
+		return release.Verdict{Outcome: release.GoOn}
 	}
-	return release.Verdict{Says: release.Wait}
+	return release.Verdict{Outcome: release.Wait}
 }
 
 // made is one door of a made-up fleet.
@@ -150,7 +150,7 @@
 						}
 					}
 					if v.Harm == "crash" && now-d.changed > much {
-						r.Failed(fmt.Sprint("d", i), "its process ended by itself")
+						r.RecordFailure(fmt.Sprint("d", i), "its process ended by itself")
 					}
 				}
 				came := poisson(dice, d.rate*math.Exp(load))
@@ -168,13 +168,13 @@
 					}
 				}
 				d.n.MemoryMB = memory
-				r.Heard(now*1e3, fmt.Sprint("d", i), on, d.n)
+				r.Record(now*1e3, fmt.Sprint("d", i), on, d.n)
 			}
-			verdict := r.Look(now * 1e3)
-			if verdict.Says == release.GoBck || verdict.Says == release.Stop {
+			verdict := r.Evaluate(now * 1e3)
+			if verdict.Outcome == release.GoBack || verdict.Outcome == release.Stop {
 				return Judged{true, now - first, verdict.Why, float64(next) / float64(len(doors))}
 			}
-			if verdict.Says == release.GoOn {
+			if verdict.Outcome == release.GoOn {
 				break
 			}
 		}
--- a/lab/procs/coordinators.go
+++ b/lab/procs/coordinators.go
@@ -85,7 +85,7 @@
 	give := func(ctx context.Context, c *client.Client, caller string, seq uint64, do any) (permits.Answer, error) {
 		return c.Command(ctx, permits.Command{Caller: caller, Seq: seq, Do: do})
 	}
-	if _, err := give(starting, c, "budgets", 1, permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MostOut: 2 * p.Callers}}}); err != nil {
+	if _, err := give(starting, c, "budgets", 1, permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MaxOut: 2 * p.Callers}}}); err != nil {
 		return err
 	}
 	var group sync.WaitGroup
@@ -99,7 +99,7 @@
 		group.Go(func() {
 			own := client.New(all)
 			defer own.Close()
-			caller, seq := permits.Caller(Door(i), uint64(i+1)), uint64(0)
+			caller, seq := permits.CallerName(Door(i), uint64(i+1)), uint64(0)
 			unit := permits.Unit{Kind: permits.Door, Name: Door(i), Size: 1}
 			next := func() uint64 { seq++; return seq }
 			life, err := give(over, own, caller, next(), permits.Begin{Unit: unit, Process: 1})
@@ -107,12 +107,12 @@
 			for err == nil {
 				if time.Since(said) > paceAgain {
 					said = time.Now()
-					_, err = own.Word(over, &permits.Word{Caller: caller, Seq: next(), Sighting: permits.Sighting{Unit: unit, Standing: permits.Ready, Life: life.Number, Process: 1}})
+					_, err = own.Word(over, &permits.DoorReport{Caller: caller, Seq: next(), Sighting: permits.Sighting{Unit: unit, Standing: permits.Ready, Incarnation: life.Number, Process: 1}})
 					continue
 				}
 				began := time.Now()
 				var a permits.Answer
-				if a, err = give(over, own, caller, next(), permits.Ask{Unit: unit.Name, Kind: unit.Kind, Who: "rig", Why: "pace", HoldMs: 1e4}); err != nil || a.Err != nil {
+				if a, err = give(over, own, caller, next(), permits.RequestPermit{Unit: unit.Name, Kind: unit.Kind, Who: "rig", Why: "pace", HoldMs: 1e4}); err != nil || a.Err != nil {
 					continue // not seen so far
 				}
 				took := time.Since(began).Microseconds()
--- a/lab/procs/drill.go
+++ b/lab/procs/drill.go
@@ -222,7 +222,7 @@
 	}
 	if d.ahead != "" {
 		c := d.coords[len(d.coords)-1]
-		c.env = append(c.env, serving.WallOffset+"="+d.ahead) // the last of a name counts
+		c.env = append(c.env, serving.WallOffsetVariable+"="+d.ahead) // the last of a name counts
 	}
 	fleetAt := make([]string, d.Doors)
 	var seedsAt []string
@@ -276,7 +276,7 @@
 
 // wrongWall has a process's wall clock be wrong: they are up to 5 s apart.
 func wrongWall(dice *rand.Rand) string {
-	return fmt.Sprintf("%s=%g", serving.WallOffset, 5*dice.Float64()-2.5)
+	return fmt.Sprintf("%s=%g", serving.WallOffsetVariable, 5*dice.Float64()-2.5)
 }
 
 func faultOf(file string) string { return coordinator.DiskFault + "=" + file }
--- a/lab/procs/errors.go
+++ b/lab/procs/errors.go
@@ -27,7 +27,7 @@
 }
 
 func (e *StoppedError) Error() string {
-	return remedy.Because(fmt.Sprintf("play stopped at %.1f s", e.AtS), e.Cause)
+	return remedy.WithCause(fmt.Sprintf("play stopped at %.1f s", e.AtS), e.Cause)
 }
 func (e *StoppedError) Unwrap() error     { return e.Cause }
 func (e *StoppedError) Kind() remedy.Kind { return remedy.Refused }
@@ -41,7 +41,7 @@
 	Cause error
 }
 
-func (e *RigError) Error() string     { return remedy.Because("rig: "+e.What, e.Cause) }
+func (e *RigError) Error() string     { return remedy.WithCause("rig: "+e.What, e.Cause) }
 func (e *RigError) Unwrap() error     { return e.Cause }
 func (e *RigError) Kind() remedy.Kind { return remedy.Unreachable }
 
--- a/lab/procs/real.go
+++ b/lab/procs/real.go
@@ -209,7 +209,7 @@
 		return &RigError{"a configuration", err}
 	}
 	cmd := exec.Command(r.Binary)
-	cmd.Env = append(os.Environ(), "GW_CONFIG="+file, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", fmt.Sprintf("%s=%g", serving.WallOffset, r.Plan.Wall[p.door]))
+	cmd.Env = append(os.Environ(), "GW_CONFIG="+file, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", fmt.Sprintf("%s=%g", serving.WallOffsetVariable, r.Plan.Wall[p.door]))
 	if p.ours() {
 		r.take(check.Event{At: clock(), Door: p.door, About: p.door, From: "born"})
 	}
--- a/lab/procs/rivals.go
+++ b/lab/procs/rivals.go
@@ -45,7 +45,7 @@
 	}
 	turn := func(i int, to members.State) {
 		if h.state[i] != to {
-			out = append(out, members.Changed{Peer: h.others[i], From: h.state[i], To: to, Life: 1})
+			out = append(out, members.Changed{Peer: h.others[i], From: h.state[i], To: to, Incarnation: 1})
 			h.state[i] = to
 		}
 	}
@@ -64,7 +64,7 @@
 			}
 			for ; h.beat <= now; h.beat += beatEvery {
 				for i := range h.others {
-					out = append(out, members.Send{To: h.others[i], Message: &members.Message{Kind: members.Tell, From: h.self, Life: 1, State: members.Here}})
+					out = append(out, members.Send{To: h.others[i], Message: &members.Message{Kind: members.Gossip, From: h.self, Incarnation: 1, State: members.Here}})
 				}
 			}
 		}
--- a/lab/procs/stack_test.go
+++ b/lab/procs/stack_test.go
@@ -50,19 +50,19 @@
 
 func (s *stack) ms() float64 { return float64(time.Since(s.began)) / 1e6 }
 
-func (s *stack) way(from, to string) fleet.Fate {
+func (s *stack) way(from, to string) fleet.Impairment {
 	at := s.ms()
 	way := s.index[from]*s.Fleet.Doors + s.index[to]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := fleet.Fate{Delay: time.Duration((s.Net.DelayMs.At(s.dice.Float64()) + in(s.Delay, way, at)*s.dice.Float64()) * 1e6)}
+	f := fleet.Impairment{Delay: time.Duration((s.Net.DelayMs.At(s.dice.Float64()) + in(s.Delay, way, at)*s.dice.Float64()) * 1e6)}
 	for i := range s.Truth.Cuts {
 		if c := &s.Truth.Cuts[i]; c.Way[way] && at >= c.From && at < c.To {
 			f.Lost = true
 		}
 	}
 	f.Lost = f.Lost || s.dice.Float64() < max(s.Net.Loss, in(s.Loss, way, at))
-	f.Twice = s.dice.Float64() < in(s.Twice, way, at)
+	f.Duplicated = s.dice.Float64() < in(s.Twice, way, at)
 	if s.dice.Float64() < in(s.Late, way, at) {
 		f.Delay += time.Duration(lateBy * 1e6)
 	}
@@ -77,7 +77,7 @@
 		s.index[s.address(i)], names[Door(i)] = i, i
 	}
 	s.began = time.Now().Add(time.Duration(warmup * 1e6))
-	s.net.Way = s.way
+	s.net.Impair = s.way
 	type what struct {
 		at float64
 		do func()
@@ -164,7 +164,7 @@
 	}
 	l := logrus.New()
 	l.SetOutput(io.Discard)
-	id := fleet.Identity{Fleet: "x", Name: Door(i), Zone: fmt.Sprint("z", s.Truth.Zones[i]), Number: i, Join: time.Second, Leave: 3 * time.Second, Peers: []string{s.address(0), s.address(1), s.address(2)}}
+	id := fleet.Identity{Fleet: "x", Name: Door(i), Zone: fmt.Sprint("z", s.Truth.Zones[i]), Number: i, JoinInterval: time.Second, LeaveTimeout: 3 * time.Second, Peers: []string{s.address(0), s.address(1), s.address(2)}}
 	d, err := fleet.Start(id, t, uint64(i*1000+nth), l, func(c members.Changed) { on(c.Name, c.From.String(), c.To.String()) })
 	if err != nil {
 		panic(err)
--- a/lab/procs/virtual.go
+++ b/lab/procs/virtual.go
@@ -324,13 +324,13 @@
 			return
 		}
 		theirs := w.doors[j].det.All()
-		w.step(j, members.Learnt{Records: mine})
+		w.step(j, members.RemoteState{Records: mine})
 		w.at(w.now+w.delay(j, i), func() {
 			if m := w.doors[i]; m.up && !m.paused && m.life == life {
 				if done != nil {
 					done()
 				}
-				w.step(i, members.Learnt{Records: theirs})
+				w.step(i, members.RemoteState{Records: theirs})
 			}
 		})
 	})
@@ -365,13 +365,13 @@
 		switch a := a.(type) {
 		case members.Send:
 			w.send(i, a)
-		case members.Meet:
+		case members.PushPull:
 			if j, ok := w.index[a.With.Address]; ok {
 				w.meet(i, j, nil)
 			}
 		case members.Changed:
-			w.note(check.Event{Door: i, About: w.index[a.Address], From: a.From.String(), To: a.To.String(), Life: a.Life, Why: a.Why})
-		case members.Refused:
+			w.note(check.Event{Door: i, About: w.index[a.Address], From: a.From.String(), To: a.To.String(), Life: a.Incarnation, Why: a.Reason})
+		case members.NameConflict:
 			if a.Err != nil {
 				w.refused++
 			}
--- a/lab/rehearse/errors.go
+++ b/lab/rehearse/errors.go
@@ -24,7 +24,7 @@
 }
 
 func (e *ActionError) Error() string {
-	return remedy.Because(fmt.Sprintf("step %d, key \"do\"", e.Step), e.Cause)
+	return remedy.WithCause(fmt.Sprintf("step %d, key \"do\"", e.Step), e.Cause)
 }
 func (e *ActionError) Unwrap() error     { return e.Cause }
 func (e *ActionError) Kind() remedy.Kind { return remedy.Configuration }
@@ -37,7 +37,9 @@
 // DayError is a scenario whose day has no room for what is rehearsed.
 type DayError struct{ Cause error }
 
-func (e *DayError) Error() string     { return remedy.Because("the steps on the scenario's day", e.Cause) }
+func (e *DayError) Error() string {
+	return remedy.WithCause("the steps on the scenario's day", e.Cause)
+}
 func (e *DayError) Unwrap() error     { return e.Cause }
 func (e *DayError) Kind() remedy.Kind { return remedy.Configuration }
 
--- a/lab/report/errors.go
+++ b/lab/report/errors.go
@@ -12,7 +12,7 @@
 	Cause error
 }
 
-func (e *WriteError) Error() string     { return remedy.Because("report: "+e.What, e.Cause) }
+func (e *WriteError) Error() string     { return remedy.WithCause("report: "+e.What, e.Cause) }
 func (e *WriteError) Unwrap() error     { return e.Cause }
 func (e *WriteError) Kind() remedy.Kind { return remedy.Refused }
 
--- a/lab/rival/rival.go
+++ b/lab/rival/rival.go
@@ -77,23 +77,23 @@
 
 func (b *base) begin() {
 	b.actions = b.actions[:0]
-	if b.terms.MustAsk && !b.asked {
+	if b.terms.MustSubscribe && !b.asked {
 		b.asked = true
-		b.actions = append(b.actions, gate.Track{})
+		b.actions = append(b.actions, gate.SubscribeFleet{})
 	}
 }
 
 // hear takes in what every rival takes alike.
 func (b *base) hear(e gate.Event) {
 	switch e := e.(type) {
-	case gate.Fleet:
+	case gate.FleetUpdate:
 		b.list(e)
-	case gate.Vanished:
+	case gate.ClientGone:
 		b.ops[e.Op].open = false
 	}
 }
 
-func (b *base) list(e gate.Fleet) {
+func (b *base) list(e gate.FleetUpdate) {
 	if e.Failed {
 		return
 	}
@@ -125,16 +125,16 @@
 func (b *base) send(now float64, op, backend int, limit float64) {
 	b.ops[op].sends = append(b.ops[op].sends, sending{backend: backend, at: now, out: true})
 	b.out[backend]++
-	b.actions = append(b.actions, gate.Send{Op: op, Backend: backend, Cap: limit})
+	b.actions = append(b.actions, gate.Send{Op: op, Backend: backend, Timeout: limit})
 }
 
 // ended books an attempt's end, and tells whether the request still waits for something.
-func (b *base) ended(e gate.Ended) (open bool) {
+func (b *base) ended(e gate.AttemptEnded) (open bool) {
 	o := &b.ops[e.Op]
 	s := &o.sends[e.Attempt]
 	s.out, s.never = false, e.Result.NeverRan()
 	b.out[s.backend]--
-	if e.Over {
+	if e.Answered {
 		o.open = false
 	}
 	return o.open
@@ -171,7 +171,7 @@
 		case p.Semantics == gate.NonIdempotent,
 			p.Scope == gate.ScopeZone && b.zone[s.backend] != b.zone[backend],
 			p.Scope == gate.ScopeCell && b.cell[s.backend] != b.cell[backend],
-			now > s.at+p.Window:
+			now > s.at+p.DedupWindow:
 			return false
 		}
 	}
@@ -193,7 +193,7 @@
 				continue
 			}
 			f.send(now, e.Op, f.listed[f.dice.IntN(len(f.listed))], 0)
-		case gate.Ended:
+		case gate.AttemptEnded:
 			if f.ended(e) {
 				f.end(e.Op, 0)
 			}
@@ -236,7 +236,7 @@
 			} else {
 				t.first(now, e.Op)
 			}
-		case gate.Ended:
+		case gate.AttemptEnded:
 			if t.ended(e) && !t.again(now, e.Op) {
 				t.end(e.Op, 0)
 			}
@@ -363,7 +363,7 @@
 			} else {
 				o.send(now, e.Op, b, 0)
 			}
-		case gate.Ended:
+		case gate.AttemptEnded:
 			if !o.ended(e) {
 				continue
 			}
--- a/lab/run/errors.go
+++ b/lab/run/errors.go
@@ -29,7 +29,7 @@
 	Cause    error
 }
 
-func (e *DayError) Error() string     { return remedy.Because("playing "+e.Scenario, e.Cause) }
+func (e *DayError) Error() string     { return remedy.WithCause("playing "+e.Scenario, e.Cause) }
 func (e *DayError) Unwrap() error     { return e.Cause }
 func (e *DayError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -52,9 +52,9 @@
 		doing += " " + e.Dir
 	}
 	if doing == "" {
-		return remedy.Because(e.Says, e.Cause)
+		return remedy.WithCause(e.Says, e.Cause)
 	}
-	return doing + ": " + remedy.Because(e.Says, e.Cause)
+	return doing + ": " + remedy.WithCause(e.Says, e.Cause)
 }
 func (e *ResultsError) Unwrap() error     { return e.Cause }
 func (e *ResultsError) Kind() remedy.Kind { return remedy.Configuration }
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -104,7 +104,7 @@
 
 func (d *sulky) Decide(now float64, events []gate.Event) []gate.Action {
 	for _, e := range events {
-		if end, is := e.(gate.Ended); is && end.Result == gate.Errored {
+		if end, is := e.(gate.AttemptEnded); is && end.Result == gate.Errored {
 			d.hurt = true
 		}
 	}
--- a/lab/scenario/errors.go
+++ b/lab/scenario/errors.go
@@ -15,7 +15,7 @@
 }
 
 func (e *KeyError) Error() string {
-	text := remedy.Because(e.Says, e.Cause)
+	text := remedy.WithCause(e.Says, e.Cause)
 	switch {
 	case e.Key != "" && e.Line > 0:
 		return fmt.Sprintf("key %q: %s (line %d)", e.Key, text, e.Line)
@@ -66,9 +66,9 @@
 
 func (e *FileError) Error() string {
 	if e.Path == "" {
-		return remedy.Because("scenario", e.Cause)
+		return remedy.WithCause("scenario", e.Cause)
 	}
-	return remedy.Because("scenario "+e.Path, e.Cause)
+	return remedy.WithCause("scenario "+e.Path, e.Cause)
 }
 func (e *FileError) Unwrap() error     { return e.Cause }
 func (e *FileError) Kind() remedy.Kind { return remedy.Configuration }
--- a/lab/soak/errors.go
+++ b/lab/soak/errors.go
@@ -23,7 +23,7 @@
 	Cause error
 }
 
-func (e *RigError) Error() string     { return remedy.Because("setting up "+e.Part, e.Cause) }
+func (e *RigError) Error() string     { return remedy.WithCause("setting up "+e.Part, e.Cause) }
 func (e *RigError) Unwrap() error     { return e.Cause }
 func (e *RigError) Kind() remedy.Kind { return remedy.Unreachable }
 
--- a/lab/stand/backend.go
+++ b/lab/stand/backend.go
@@ -207,7 +207,7 @@
 		_, err = fmt.Fprintf(nc, "HTTP/1.1 500 Internal Server Error\r\n%sContent-Length: 0\r\n\r\n", head)
 	case gate.Full:
 		_, err = fmt.Fprintf(nc, "HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\n%sContent-Length: 0\r\n\r\n", head)
-	case gate.Spoilt:
+	case gate.Malformed:
 		_, err = io.WriteString(nc, "HTTP/9 nonsense "+strings.Repeat("~", 9)+"\r\n\r\n")
 		return false
 	default:
--- a/lab/stand/door.go
+++ b/lab/stand/door.go
@@ -132,7 +132,7 @@
 	log.SetOutput(io.Discard)
 	ctx, stop := context.WithCancel(d.f.ctx)
 	d.stop = stop
-	decider := rival.Makers[d.f.play.Policy].New(cfg.Deal.Terms, cfg.Seed, nil)
+	decider := rival.Makers[d.f.play.Policy].New(cfg.Settings.Terms, cfg.Seed, nil)
 	d.f.later(func() {
 		if err := frontdoor.New(cfg, decider, log).Serve(ctx); err != nil {
 			d.fail(err)
--- a/lab/stand/errors.go
+++ b/lab/stand/errors.go
@@ -33,7 +33,7 @@
 	Cause error
 }
 
-func (e *PartyError) Error() string     { return e.Who + ": " + remedy.Because(e.Says, e.Cause) }
+func (e *PartyError) Error() string     { return e.Who + ": " + remedy.WithCause(e.Says, e.Cause) }
 func (e *PartyError) Unwrap() error     { return e.Cause }
 func (e *PartyError) Kind() remedy.Kind { return remedy.Unreachable }
 
--- a/lab/sysfaults/errors.go
+++ b/lab/sysfaults/errors.go
@@ -13,7 +13,7 @@
 }
 
 func (e *BuildError) Error() string {
-	return remedy.Because(fmt.Sprintf("building %s with failing system calls: %s", e.Command, e.Output), e.Cause)
+	return remedy.WithCause(fmt.Sprintf("building %s with failing system calls: %s", e.Command, e.Output), e.Cause)
 }
 func (e *BuildError) Unwrap() error     { return e.Cause }
 func (e *BuildError) Kind() remedy.Kind { return remedy.Refused }
--- a/lab/tally/errors.go
+++ b/lab/tally/errors.go
@@ -22,7 +22,7 @@
 	if e.Key != "" {
 		return fmt.Sprintf("%s: key %q: %q is no count", at, e.Key, e.Value)
 	}
-	return remedy.Because(at, e.Cause)
+	return remedy.WithCause(at, e.Cause)
 }
 func (e *LineError) Unwrap() error     { return e.Cause }
 func (e *LineError) Kind() remedy.Kind { return remedy.Configuration }
--- a/lifecycle/shutdown.go
+++ b/lifecycle/shutdown.go
@@ -18,7 +18,7 @@
 
 // Shutdown is the one end that everything in a process has, fixed when it is told to end.
 type Shutdown struct {
-	Began       float64 // clock at which the process noticed that it was told
+	NoticedAt   float64 // clock at which the process noticed that it was told
 	AcceptUntil float64 // from here on no connection is waited for; what stands in the listener's queue is taken
 	AnswerBy    float64 // every request has its final answer by then
 	KillAt      float64 // the process may be killed from here on
@@ -27,7 +27,7 @@
 // NewShutdown fixes the end of a process that is told to end now, whose deployment has a longest deadline and which takes
 // new connections for a while, linger, if there is time for it.
 func NewShutdown(now, longestDeadline, linger float64) *Shutdown {
-	s := &Shutdown{Began: now, KillAt: now + min(longestDeadline, longestCounted) + killAfter}
+	s := &Shutdown{NoticedAt: now, KillAt: now + min(longestDeadline, longestCounted) + killAfter}
 	s.AnswerBy = s.KillAt - noticeMost - writeMost - retryMost
 	s.AcceptUntil = min(now+linger, s.AnswerBy-firstLook)
 	return s
@@ -47,8 +47,8 @@
 // Answering tells whether requests may still wait for an answer.
 func (s *Shutdown) Answering(now float64) bool { return s == nil || now < s.AnswerBy }
 
-// Past tells whether every request should have had its answer by now, also where the process was held up.
-func (s *Shutdown) Past(now float64) bool { return s != nil && now >= s.AnswerBy+writeMost }
+// AnswersOverdue tells whether every request should have had its answer by now, also where the process was held up.
+func (s *Shutdown) AnswersOverdue(now float64) bool { return s != nil && now >= s.AnswerBy+writeMost }
 
-// Over tells whether nothing that is left can be of use any more.
-func (s *Shutdown) Over(now float64) bool { return s != nil && now >= s.KillAt }
+// KillDue tells whether nothing that is left can be of use any more.
+func (s *Shutdown) KillDue(now float64) bool { return s != nil && now >= s.KillAt }
--- a/lifecycle/shutdown_test.go
+++ b/lifecycle/shutdown_test.go
@@ -28,5 +28,5 @@
 	assert.Equal(t, 7.0, s.Deadline(7))
 	assert.True(t, s.Accepting(1e15))
 	assert.True(t, s.Answering(1e15))
-	assert.False(t, s.Over(1e15))
+	assert.False(t, s.KillDue(1e15))
 }
--- a/members/fuzz_test.go
+++ b/members/fuzz_test.go
@@ -8,10 +8,10 @@
 // Whatever comes to a door's fleet address, the door goes on, and never holds itself to be away.
 func FuzzAnyMessage(f *testing.F) {
 	for _, m := range []Message{
-		{Kind: Look, From: peer(3), Life: 1, State: Here, No: 7, Reached: 1},
-		{Kind: Tell, From: peer(2), Life: 2, State: Joining, Records: []Record{{Peer: peer(0), Life: 9, State: Away}, {Peer: peer(5), Life: 1, State: Left, Age: 700e3}}},
-		{Kind: Taken, From: peer(2), Life: 1, About: "10.0.0.9:1"},
-		{Kind: Ask, From: peer(4), Life: 1, State: Here, About: "d05"},
+		{Kind: Look, From: peer(3), Incarnation: 1, State: Here, No: 7, Reached: 1},
+		{Kind: Gossip, From: peer(2), Incarnation: 2, State: Joining, Records: []Record{{Peer: peer(0), Incarnation: 9, State: Away}, {Peer: peer(5), Incarnation: 1, State: Left, Age: 700e3}}},
+		{Kind: Taken, From: peer(2), Incarnation: 1, About: "10.0.0.9:1"},
+		{Kind: Ask, From: peer(4), Incarnation: 1, State: Here, About: "d05"},
 	} {
 		raw, err := json.Marshal(m)
 		if err != nil {
@@ -26,7 +26,7 @@
 		}
 		m, now := of(6)
 		for range 2 {
-			m.Step(*now, Received{&in}, Learnt{in.Records})
+			m.Step(*now, Received{&in}, RemoteState{in.Records})
 			*now += float64(wait)
 			m.Step(*now, Tick{})
 			*now += TickEvery
--- a/members/members.go
+++ b/members/members.go
@@ -154,7 +154,7 @@
 func New(self Peer, seed uint64) *Member {
 	m := &Member{index: map[string]int{}, dice: rand.New(rand.NewPCG(seed, xxhash.Sum64String(self.Name))), leaving: math.Inf(1),
 		raised: math.Inf(-1), met: math.Inf(-1), ringOld: true, tickets: map[int]ticket{}, takenAt: math.Inf(-1)}
-	m.self = m.add(Record{Peer: self, Life: 1, State: Joining})
+	m.self = m.add(Record{Peer: self, Incarnation: 1, State: Joining})
 	m.touch(m.self)
 	return m
 }
@@ -178,7 +178,7 @@
 		switch e := e.(type) {
 		case Received:
 			m.receive(e.Message)
-		case Learnt:
+		case RemoteState:
 			for i := range e.Records {
 				m.merge(&e.Records[i], false)
 			}
@@ -233,7 +233,7 @@
 		return Away // for all that this door knows; it says so to nobody
 	case k.State == Joining && k.kept && m.own-k.at < keepFor, k.State == Here:
 		if d := m.doubts(i); d >= 2 || d > 0 && m.own-k.doubted > showAfter {
-			return Doubted
+			return Suspect
 		}
 		return Here
 	}
@@ -247,7 +247,7 @@
 	if now == k.shown {
 		return
 	}
-	m.do(Changed{Peer: k.Peer, From: k.shown, To: now, Life: k.Life, Doubts: m.doubts(i), Why: why})
+	m.do(Changed{Peer: k.Peer, From: k.shown, To: now, Incarnation: k.Incarnation, Doubts: m.doubts(i), Reason: why})
 	k.shown = now
 }
 
@@ -307,9 +307,9 @@
 // begin puts a member's later life, or another process, in the place of what was known.
 func (m *Member) begin(i int, r *Record) {
 	k := &m.all[i]
-	kept := (k.shown == Here || k.shown == Doubted) && !m.plain(i) && k.Nonce == r.Nonce && r.State == Joining
+	kept := (k.shown == Here || k.shown == Suspect) && !m.plain(i) && k.Nonce == r.Nonce && r.State == Joining
 	m.moves(i, r.State)
-	k.Peer, k.Life = r.Peer, r.Life
+	k.Peer, k.Incarnation = r.Peer, r.Incarnation
 	k.kept, k.foreign, k.at = kept, false, m.own-r.Age
 	k.votes, k.doubted, k.votedAt = k.votes[:0], math.Inf(1), math.Inf(-1)
 	k.since, k.looked, k.elsewhere, k.waiting = m.own, math.Inf(-1), math.Inf(-1), false
@@ -327,7 +327,7 @@
 func (m *Member) receive(in *Message) {
 	if in.From.Name == m.all[m.self].Name {
 		if in.From.Nonce != m.all[m.self].Nonce {
-			m.namesake(&Record{Peer: in.From, Life: in.Life, State: in.State})
+			m.namesake(&Record{Peer: in.From, Incarnation: in.Incarnation, State: in.State})
 		}
 		return
 	}
@@ -336,7 +336,7 @@
 		m.nameTaken(in.About)
 		return
 	}
-	m.merge(&Record{Peer: in.From, Life: in.Life, State: in.State}, true)
+	m.merge(&Record{Peer: in.From, Incarnation: in.Incarnation, State: in.State}, true)
 	from, known := m.index[in.From.Name]
 	m.outdated = false
 	for i := range in.Records {
@@ -357,7 +357,7 @@
 		if k.State.standing() && k.Address != in.From.Address {
 			m.send(in.From, &Message{Kind: Taken, About: k.Address})
 		} else { // the process before it under this name: it must begin a later life
-			m.send(in.From, &Message{Kind: Tell, Records: []Record{m.record(from)}})
+			m.send(in.From, &Message{Kind: Gossip, Records: []Record{m.record(from)}})
 		}
 		return
 	}
@@ -380,9 +380,9 @@
 		if i, ok := m.index[in.About]; ok {
 			m.all[i].elsewhere = m.own
 		}
-	case Tell:
-		if !k.State.standing() || k.Life != in.Life || outdated { // looks are answered anyway
-			m.reply(from, &Message{Kind: Tell})
+	case Gossip:
+		if !k.State.standing() || k.Incarnation != in.Incarnation || outdated { // looks are answered anyway
+			m.reply(from, &Message{Kind: Gossip})
 		}
 	}
 }
@@ -408,7 +408,7 @@
 	}
 	if rest := m.own - m.met; rest > meetAnyway || rest > meetRest && m.own-m.news > calmFor {
 		m.met = m.own + meetRest*m.dice.Float64()
-		m.do(Meet{m.all[from].Peer})
+		m.do(PushPull{m.all[from].Peer})
 	}
 }
 
@@ -418,7 +418,7 @@
 		m.sumOld, m.sum = false, 0
 		for i := range m.all {
 			k := &m.all[i]
-			h := k.point ^ k.Nonce*0x9e3779b97f4a7c15 ^ (uint64(k.Life)<<8|uint64(k.State))*0xff51afd7ed558ccd
+			h := k.point ^ k.Nonce*0x9e3779b97f4a7c15 ^ (uint64(k.Incarnation)<<8|uint64(k.State))*0xff51afd7ed558ccd
 			h ^= h >> 31
 			m.sum += h * 0xc4ceb9fe1a85ec53
 		}
@@ -434,7 +434,7 @@
 		out.Records = append(out.Records, r)
 		if m.own-m.met >= meetRest && k.State == Away { // two parts of a fleet meet again
 			m.met = m.own
-			m.do(Meet{k.Peer})
+			m.do(PushPull{k.Peer})
 		}
 	}
 	m.send(m.all[to].Peer, out)
@@ -460,9 +460,9 @@
 		k.trip += (trip - k.trip) / 8
 	}
 	k.waiting = false
-	fresh := k.inLife != k.Life
-	k.answered, k.inLife = m.own, in.Life
-	if fresh && k.State == Joining && k.subject && k.inLife == k.Life {
+	fresh := k.inLife != k.Incarnation
+	k.answered, k.inLife = m.own, in.Incarnation
+	if fresh && k.State == Joining && k.subject && k.inLife == k.Incarnation {
 		m.look(from) // it enters once it hears that it was reached
 	}
 }
@@ -473,7 +473,7 @@
 		m.ofMe(r)
 		return
 	}
-	if r.State >= Doubted || r.State == Unknown || r.Life == 0 || r.Name == "" {
+	if r.State >= Suspect || r.State == Unknown || r.Incarnation == 0 || r.Name == "" {
 		return
 	}
 	i, ok := m.index[r.Name]
@@ -491,14 +491,14 @@
 	if k.Nonce != r.Nonce {
 		// Another process has the name. One that follows begins a later life; one elsewhere, while the one known is here, is
 		// told that the name is taken, and heard of through others only where a part of the fleet has taken it in.
-		if elsewhere := k.State.standing() && k.Address != r.Address; r.Life > k.Life && !(direct && elsewhere) {
+		if elsewhere := k.State.standing() && k.Address != r.Address; r.Incarnation > k.Incarnation && !(direct && elsewhere) {
 			m.begin(i, r)
 			m.mergeVotes(i, r)
 		}
 		return
 	}
 	switch {
-	case r.Life > k.Life:
+	case r.Incarnation > k.Incarnation:
 		if r.State == Away && k.State.standing() { // its word on that life may be on its way
 			before := *r
 			before.State = Joining
@@ -506,11 +506,11 @@
 		} else {
 			m.begin(i, r)
 		}
-	case r.Life < k.Life:
+	case r.Incarnation < k.Incarnation:
 		return
 	}
 	m.mergeVotes(i, r)
-	if k = &m.all[i]; r.Life != k.Life || r.State <= k.State {
+	if k = &m.all[i]; r.Incarnation != k.Incarnation || r.State <= k.State {
 		return
 	}
 	// What others have judged is taken over with their votes. Where the votes known here don't bear it out, the member
@@ -559,7 +559,7 @@
 		m.opened(i)
 		r := m.record(i)
 		r.State = Away
-		m.send(k.Peer, &Message{Kind: Tell, Records: []Record{r}})
+		m.send(k.Peer, &Message{Kind: Gossip, Records: []Record{r}})
 	}
 }
 
@@ -570,13 +570,13 @@
 		m.namesake(r)
 		return
 	}
-	if r.Life < k.Life {
+	if r.Incarnation < k.Incarnation {
 		m.outdated = true
 		return
 	}
 	m.mergeVotes(m.self, r)
-	if r.Life > k.Life || r.State == Away && k.State.standing() {
-		m.raise(r.Life, "others held it to be away")
+	if r.Incarnation > k.Incarnation || r.State == Away && k.State.standing() {
+		m.raise(r.Incarnation, "others held it to be away")
 	}
 }
 
@@ -584,13 +584,13 @@
 func (m *Member) namesake(r *Record) {
 	k := &m.all[m.self]
 	if r.Address != k.Address && r.State.standing() {
-		if r.Life > k.Life || r.Life == k.Life && k.State == Joining && r.State != Joining {
+		if r.Incarnation > k.Incarnation || r.Incarnation == k.Incarnation && k.State == Joining && r.State != Joining {
 			m.nameTaken(r.Address)
 		}
 		return
 	}
-	if r.Life >= k.Life {
-		m.raise(r.Life, "an earlier process had its name")
+	if r.Incarnation >= k.Incarnation {
+		m.raise(r.Incarnation, "an earlier process had its name")
 	}
 }
 
@@ -603,26 +603,26 @@
 	m.takenAt = m.own
 	if m.taken == nil || m.taken.Address != address {
 		m.taken = &NameTakenError{k.Name, address}
-		m.do(Refused{m.taken})
+		m.do(NameConflict{m.taken})
 	}
 }
 
 // raise begins a life of this door later than one that others know.
 func (m *Member) raise(over uint32, why string) {
 	k := &m.all[m.self]
-	if !math.IsInf(m.leaving, 1) || over == k.Life && m.own-m.raised < raiseRest && k.Life > 1 {
+	if !math.IsInf(m.leaving, 1) || over == k.Incarnation && m.own-m.raised < raiseRest && k.Incarnation > 1 {
 		return
 	}
 	m.raised = m.own
 	k.kept = k.State == Here || k.State == Joining && k.kept
 	m.moves(m.self, Joining)
-	k.Life, k.at = over+1, m.own
+	k.Incarnation, k.at = over+1, m.own
 	k.votes, k.doubted = k.votes[:0], math.Inf(1)
 	clear(m.tickets)
 	m.touch(m.self)
 	m.tellChange(m.self, why)
 	for _, i := range m.subjects { // they learn of it first, and their looks bring it back
-		m.send(m.all[i].Peer, &Message{Kind: Tell})
+		m.send(m.all[i].Peer, &Message{Kind: Gossip})
 	}
 }
 
@@ -630,7 +630,7 @@
 
 func (m *Member) mergeVotes(i int, r *Record) {
 	k := &m.all[i]
-	if r.Life != k.Life || !k.State.standing() {
+	if r.Incarnation != k.Incarnation || !k.State.standing() {
 		return
 	}
 	news := false
@@ -639,7 +639,7 @@
 		if !ok || by == i || v.Age > voteFor {
 			continue
 		}
-		if s := m.shows(by); s != Here && s != Doubted && s != Leaving {
+		if s := m.shows(by); s != Here && s != Suspect && s != Leaving {
 			continue
 		}
 		news = m.count(i, vote{by, v.Seq, v.Says, m.own - v.Age}) || news
@@ -695,7 +695,7 @@
 	k := &m.all[i]
 	m.voteNo++
 	k.myVote, k.votedAt = says, m.own
-	m.count(i, vote{m.self, m.all[m.self].Life<<12 + m.voteNo, says, m.own})
+	m.count(i, vote{m.self, m.all[m.self].Incarnation<<12 + m.voteNo, says, m.own})
 	m.touch(i)
 	m.tellChange(i, "this door says so")
 }
@@ -815,7 +815,7 @@
 	k := &m.all[i]
 	open := !math.IsInf(k.doubted, 1)
 	gap := lookEvery
-	if k.waiting || open || k.State == Joining && k.inLife != k.Life {
+	if k.waiting || open || k.State == Joining && k.inLife != k.Incarnation {
 		gap = lookAgain
 	}
 	if m.own-k.looked >= gap {
@@ -839,7 +839,7 @@
 			says = Unreached
 		}
 	case open:
-		say = m.own-k.answered < freshReach && k.inLife == k.Life && m.wanted(i)
+		say = m.own-k.answered < freshReach && k.inLife == k.Incarnation && m.wanted(i)
 	}
 	if say && (math.IsInf(k.votedAt, -1) || k.myVote != says || m.own-k.votedAt > voteAgain) {
 		m.cast(i, says)
@@ -868,8 +868,8 @@
 	m.no++
 	k.looked, k.waiting, k.lookNo, k.lookClock = m.own, true, m.no, m.clock
 	out := &Message{Kind: Look, No: m.no}
-	if k.inLife == k.Life && m.own-k.answered < freshReach {
-		out.Reached = k.Life
+	if k.inLife == k.Incarnation && m.own-k.answered < freshReach {
+		out.Reached = k.Incarnation
 	}
 	m.send(k.Peer, out)
 }
@@ -908,7 +908,7 @@
 	for z := range m.zones {
 		m.before(&m.zones[z], m.self, func(j int) bool {
 			n++
-			if t, ok := m.tickets[j]; ok && t.life == m.all[m.self].Life && m.own-t.at < ticketFor {
+			if t, ok := m.tickets[j]; ok && t.life == m.all[m.self].Incarnation && m.own-t.at < ticketFor {
 				reached++
 			}
 			return false
@@ -924,7 +924,7 @@
 	}
 	if m.taken != nil && m.observersOf(m.self) > 0 { // the name has come free
 		m.taken = nil
-		m.do(Refused{})
+		m.do(NameConflict{})
 	}
 	m.advance(m.self, Here, "its observers reach it")
 }
@@ -954,7 +954,7 @@
 
 // forget lets a member's place go: the last one takes it.
 func (m *Member) forget(i int) {
-	m.do(Changed{Peer: m.all[i].Peer, From: m.all[i].shown, To: Unknown, Life: m.all[i].Life, Why: "gone for long"})
+	m.do(Changed{Peer: m.all[i].Peer, From: m.all[i].shown, To: Unknown, Incarnation: m.all[i].Incarnation, Reason: "gone for long"})
 	last := len(m.all) - 1
 	delete(m.index, m.all[i].Name)
 	m.drop(i)
@@ -1126,7 +1126,7 @@
 // send fills in who sends, and lets news ride along.
 func (m *Member) send(to Peer, out *Message) {
 	me := &m.all[m.self]
-	out.From, out.Life, out.State, out.Sum = me.Peer, me.Life, me.State, m.digest()
+	out.From, out.Incarnation, out.State, out.Sum = me.Peer, me.Incarnation, me.State, m.digest()
 	if out.Kind == Look || out.Kind == Ack {
 		m.ride(out)
 	}
@@ -1165,7 +1165,7 @@
 	var records []Record
 	flush := func() {
 		for _, j := range to {
-			m.send(m.all[j].Peer, &Message{Kind: Tell, Records: records})
+			m.send(m.all[j].Peer, &Message{Kind: Gossip, Records: records})
 		}
 		records, size = nil, 0
 	}
@@ -1191,14 +1191,14 @@
 // Row is what this door holds of one member.
 type Row struct {
 	Peer
-	State   State
-	Life    uint32
-	Since   float64 // ms in that state
-	Doubts  int     // observers that doubt it
-	Looks   int     // observers that a member has
-	Observe bool    // this door looks at it,
-	Reach   bool    // and it answers
-	Trip    float64 // round trip, ms; 0 where not known
+	State       State
+	Incarnation uint32
+	Since       float64 // ms in that state
+	Suspicions  int     // observers that doubt it
+	Observers   int     // observers that a member has
+	Observed    bool    // this door looks at it,
+	Reached     bool    // and it answers
+	RTT         float64 // round trip, ms; 0 where not known
 }
 
 // Rows returns what is held of all members, this door among them, by name.
@@ -1206,8 +1206,8 @@
 	rows := make([]Row, 0, len(m.all))
 	for i := range m.all {
 		k := &m.all[i]
-		rows = append(rows, Row{Peer: k.Peer, State: m.shows(i), Life: k.Life, Since: m.own - k.at, Doubts: m.doubts(i), Looks: m.observersOf(i), Observe: k.subject,
-			Reach: i == m.self || k.subject && m.own-k.answered < 2*lookEvery+freshReach, Trip: k.trip})
+		rows = append(rows, Row{Peer: k.Peer, State: m.shows(i), Incarnation: k.Incarnation, Since: m.own - k.at, Suspicions: m.doubts(i), Observers: m.observersOf(i), Observed: k.subject,
+			Reached: i == m.self || k.subject && m.own-k.answered < 2*lookEvery+freshReach, RTT: k.trip})
 	}
 	slices.SortFunc(rows, func(a, b Row) int { return cmp.Compare(a.Name, b.Name) })
 	return rows
@@ -1216,7 +1216,7 @@
 // Self returns what this door holds of itself.
 func (m *Member) Self() (Peer, State, uint32) {
 	k := &m.all[m.self]
-	return k.Peer, m.shows(m.self), k.Life
+	return k.Peer, m.shows(m.self), k.Incarnation
 }
 
 // Alone tells for how long nobody was heard, ms of own time.
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -17,14 +17,14 @@
 }
 
 // here is a record of a door that is here.
-func here(i int) Record { return Record{Peer: peer(i), Life: 1, State: Here} }
+func here(i int) Record { return Record{Peer: peer(i), Incarnation: 1, State: Here} }
 
 // of returns door 0's view of n doors that are all here, itself included, and its clock.
 func of(n int) (*Member, *float64) {
 	m, now := New(peer(0), 1), new(float64)
 	m.Step(0)
 	for i := 1; i < n; i++ {
-		m.Step(0, Learnt{[]Record{here(i)}})
+		m.Step(0, RemoteState{[]Record{here(i)}})
 	}
 	m.advance(m.self, Here, "test")
 	m.rank()
@@ -41,7 +41,7 @@
 			if s, ok := a.(Send); ok && s.Message.Kind == Look {
 				for i := range 64 {
 					if peer(i).Name == s.To.Name && answering(i) {
-						acks = append(acks, Received{&Message{Kind: Ack, From: peer(i), Life: 1, State: Here, No: s.Message.No}})
+						acks = append(acks, Received{&Message{Kind: Ack, From: peer(i), Incarnation: 1, State: Here, No: s.Message.No}})
 					}
 				}
 			}
@@ -68,7 +68,7 @@
 	for _, b := range by {
 		r.Votes = append(r.Votes, Vote{By: peer(b).Name, Seq: 1 << 20, Says: says})
 	}
-	return Received{&Message{Kind: Tell, From: peer(by[0]), Life: 1, State: Here, Records: []Record{r}}}
+	return Received{&Message{Kind: Gossip, From: peer(by[0]), Incarnation: 1, State: Here, Records: []Record{r}}}
 }
 
 func TestAllThatAnswerStayHere(t *testing.T) {
@@ -98,9 +98,9 @@
 	}
 	m.Step(*now, votes(about, Reached, others...))
 	run(m, now, 4000, silent)
-	assert.Equal(t, Doubted, state(m, about), "it goes on being doubted here")
+	assert.Equal(t, Suspect, state(m, about), "it goes on being doubted here")
 	m.Step(*now, votes(about, Silent, others...))
-	assert.Equal(t, Doubted, state(m, about))
+	assert.Equal(t, Suspect, state(m, about))
 }
 
 func TestMostObserversMakeAVerdictThatIsTold(t *testing.T) {
@@ -110,7 +110,7 @@
 	assert.Equal(t, Away, state(m, 7))
 	told := false
 	for _, a := range out {
-		if s, ok := a.(Send); ok && s.Message.Kind == Tell {
+		if s, ok := a.(Send); ok && s.Message.Kind == Gossip {
 			for _, r := range s.Message.Records {
 				told = told || r.Name == peer(7).Name && r.State == Away
 			}
@@ -153,7 +153,7 @@
 	run(m, now, 3000, everyone)
 	for range 60 { // it hears one of them all the time
 		run(m, now, 100, func(int) bool { return false })
-		m.Step(*now, Received{&Message{Kind: Tell, From: peer(5), Life: 1, State: Here}})
+		m.Step(*now, Received{&Message{Kind: Gossip, From: peer(5), Incarnation: 1, State: Here}})
 	}
 	for i := range 12 {
 		assert.Equal(t, Here, state(m, i), "it casts no doubt on door %d", i)
@@ -170,14 +170,14 @@
 func TestOneHeldToBeAwayBeginsALaterLife(t *testing.T) {
 	m, now := of(12)
 	run(m, now, 1000, everyone)
-	r := Record{Peer: peer(0), Life: 1, State: Away}
-	m.Step(*now, Received{&Message{Kind: Ack, From: peer(3), Life: 1, State: Here, Records: []Record{r}}})
+	r := Record{Peer: peer(0), Incarnation: 1, State: Away}
+	m.Step(*now, Received{&Message{Kind: Ack, From: peer(3), Incarnation: 1, State: Here, Records: []Record{r}}})
 	_, s, life := m.Self()
 	assert.Equal(t, Joining, s)
 	assert.Equal(t, uint32(2), life)
 	var from []Event
 	for _, i := range m.subjects { // all of them are its observers too, where the fleet is small
-		from = append(from, Received{&Message{Kind: Look, From: m.all[i].Peer, Life: 1, State: Here, No: 1, Reached: 2}})
+		from = append(from, Received{&Message{Kind: Look, From: m.all[i].Peer, Incarnation: 1, State: Here, No: 1, Reached: 2}})
 	}
 	m.Step(*now, from...)
 	run(m, now, 100, everyone)
@@ -190,11 +190,11 @@
 	m.Step(*now, votes(7, Silent, 1, 2, 3, 4, 5, 6))
 	run(m, now, 1000, everyone)
 	require.Equal(t, Away, state(m, 7))
-	m.Step(*now, Learnt{[]Record{here(7)}}, Received{&Message{Kind: Tell, From: peer(2), Life: 1, State: Here, Records: []Record{here(7)}}})
+	m.Step(*now, RemoteState{[]Record{here(7)}}, Received{&Message{Kind: Gossip, From: peer(2), Incarnation: 1, State: Here, Records: []Record{here(7)}}})
 	assert.Equal(t, Away, state(m, 7), "what was said of the same life before doesn't count")
 	next := here(7)
-	next.Life, next.State = 2, Joining
-	m.Step(*now, Learnt{[]Record{next}})
+	next.Incarnation, next.State = 2, Joining
+	m.Step(*now, RemoteState{[]Record{next}})
 	assert.Equal(t, Joining, state(m, 7))
 }
 
@@ -203,14 +203,14 @@
 	run(m, now, 1000, everyone)
 	gone := here(7)
 	gone.State, gone.Age = Away, 30e3
-	m.Step(*now, Learnt{[]Record{gone}})
+	m.Step(*now, RemoteState{[]Record{gone}})
 	assert.Equal(t, Here, state(m, 7))
 	again := here(7)
-	again.Life, again.State = 2, Joining
-	m.Step(*now, Learnt{[]Record{again}})
+	again.Incarnation, again.State = 2, Joining
+	m.Step(*now, RemoteState{[]Record{again}})
 	run(m, now, 2000, everyone)
 	assert.Equal(t, Here, state(m, 7), "it gainsaid, and was here before")
-	m.Step(*now, Learnt{[]Record{func() Record { r := here(8); r.State = Away; return r }()}})
+	m.Step(*now, RemoteState{[]Record{func() Record { r := here(8); r.State = Away; return r }()}})
 	run(m, now, contest+100, everyone)
 	assert.Equal(t, Away, state(m, 8), "it did not")
 }
@@ -219,17 +219,17 @@
 	m, now := of(12)
 	other := peer(4)
 	other.Address, other.Nonce = "10.0.0.99:7946", 99
-	out := m.Step(*now, Received{&Message{Kind: Look, From: other, Life: 1, State: Joining, No: 1}})
+	out := m.Step(*now, Received{&Message{Kind: Look, From: other, Incarnation: 1, State: Joining, No: 1}})
 	require.Len(t, out, 1)
 	assert.Equal(t, Taken, out[0].(Send).Message.Kind)
 	assert.Equal(t, peer(4).Address, out[0].(Send).Message.About)
 
 	late := New(other, 1)
 	late.Step(0)
-	out = late.Step(10, Received{&Message{Kind: Taken, From: peer(0), Life: 1, State: Here, About: peer(4).Address}})
+	out = late.Step(10, Received{&Message{Kind: Taken, From: peer(0), Incarnation: 1, State: Here, About: peer(4).Address}})
 	require.Len(t, out, 1)
 	var taken *NameTakenError
-	require.True(t, errors.As(out[0].(Refused).Err, &taken))
+	require.True(t, errors.As(out[0].(NameConflict).Err, &taken))
 	assert.Equal(t, remedy.Refused, taken.Kind())
 	assert.Contains(t, taken.Remedy(), "GW_NAME")
 }
@@ -238,18 +238,18 @@
 	m, now := of(12)
 	again := peer(4)
 	again.Nonce = 77
-	out := m.Step(*now, Received{&Message{Kind: Look, From: again, Life: 1, State: Joining, No: 1}})
+	out := m.Step(*now, Received{&Message{Kind: Look, From: again, Incarnation: 1, State: Joining, No: 1}})
 	require.NotEmpty(t, out)
 	told := out[0].(Send).Message
-	assert.Equal(t, Tell, told.Kind)
+	assert.Equal(t, Gossip, told.Kind)
 	fresh := New(again, 1)
 	fresh.Step(0)
 	fresh.Step(10, Received{told})
 	_, _, life := fresh.Self()
 	assert.Equal(t, uint32(2), life)
-	m.Step(*now, Received{&Message{Kind: Look, From: again, Life: life, State: Joining, No: 2}})
+	m.Step(*now, Received{&Message{Kind: Look, From: again, Incarnation: life, State: Joining, No: 2}})
 	assert.NotEqual(t, Here, state(m, 4))
-	assert.Equal(t, uint32(2), m.all[m.index[again.Name]].Life)
+	assert.Equal(t, uint32(2), m.all[m.index[again.Name]].Incarnation)
 }
 
 func TestLeavingIsSaidAndEnds(t *testing.T) {
@@ -288,8 +288,8 @@
 func TestOneThatIsGoneForLongIsForgotten(t *testing.T) {
 	m, now := of(5)
 	gone := here(2)
-	gone.State, gone.Life = Left, 1
-	m.Step(*now, Learnt{[]Record{gone}})
+	gone.State, gone.Incarnation = Left, 1
+	m.Step(*now, RemoteState{[]Record{gone}})
 	require.Equal(t, Left, state(m, 2))
 	for range 70 {
 		run(m, now, 10e3, everyone)
@@ -312,7 +312,7 @@
 func TestAVoteIsReadAsItWasWorded(t *testing.T) {
 	p := peer(3)
 	p.Number, p.Release = 7, "abc" // no field may hide another under its letter
-	r := Record{Peer: p, Life: 2, State: Here, Votes: []Vote{{By: "d01", Seq: 1<<32 - 1, Says: Silent, Age: 12.5}, {By: "d02"}}}
+	r := Record{Peer: p, Incarnation: 2, State: Here, Votes: []Vote{{By: "d01", Seq: 1<<32 - 1, Says: Silent, Age: 12.5}, {By: "d02"}}}
 	raw, err := json.Marshal(r)
 	require.NoError(t, err)
 	assert.Contains(t, string(raw), `["d01",4294967295,2,12.5]`)
@@ -327,10 +327,10 @@
 func TestOneWhoTellsOfAnEarlierLifeIsToldOfThePresent(t *testing.T) {
 	m, now := of(12)
 	run(m, now, 1000, everyone)
-	claim := Received{&Message{Kind: Tell, From: peer(3), Life: 1, State: Here, Records: []Record{{Peer: peer(0), Life: 1, State: Away}}}}
+	claim := Received{&Message{Kind: Gossip, From: peer(3), Incarnation: 1, State: Here, Records: []Record{{Peer: peer(0), Incarnation: 1, State: Away}}}}
 	m.Step(*now, claim)
 	out := m.Step(*now, claim)
 	require.Len(t, out, 1)
 	assert.Equal(t, peer(3).Name, out[0].(Send).To.Name)
-	assert.Equal(t, uint32(2), out[0].(Send).Message.Life)
+	assert.Equal(t, uint32(2), out[0].(Send).Message.Incarnation)
 }
--- a/members/transporttest/transporttest.go
+++ b/members/transporttest/transporttest.go
@@ -60,36 +60,36 @@
 			})
 		})
 	}
-	streams(t, StreamKit{Listen: func(t *testing.T) Streams { return packets{k.Listen(t)} }, Nobody: k.Nobody, Run: run})
+	streams(t, StreamConfig{Listen: func(t *testing.T) StreamLayer { return packets{k.Listen(t)} }, UnusedAddress: k.Nobody, Run: run})
 }
 
-// Streams is what makes and takes connections: the part of a transport that whatever agrees or gossips stands on.
-type Streams interface {
+// StreamLayer is what makes and takes connections: the part of a transport that whatever agrees or gossips stands on.
+type StreamLayer interface {
 	Accept() (net.Conn, error)
 	Dial(address string, timeout time.Duration) (net.Conn, error)
 	Addr() net.Addr
 	Close() error
 }
 
-// StreamKit is what the part of the suite about connections is run on.
-type StreamKit struct {
-	Listen func(t *testing.T) Streams // takes an address nobody has; the suite closes what it gets
-	Nobody string                     // an address at which nobody listens
-	Run    func(t *testing.T, test func(t *testing.T))
+// StreamConfig is what the part of the suite about connections is run on.
+type StreamConfig struct {
+	Listen        func(t *testing.T) StreamLayer // takes an address nobody has; the suite closes what it gets
+	UnusedAddress string                         // an address at which nobody listens
+	Run           func(t *testing.T, test func(t *testing.T))
 }
 
 // RunStreams holds a transport of connections alone against the contract.
-func RunStreams(t *testing.T, k StreamKit) {
+func RunStreams(t *testing.T, k StreamConfig) {
 	if k.Run == nil {
 		k.Run = func(t *testing.T, test func(t *testing.T)) { test(t) }
 	}
 	streams(t, k)
 }
 
-func streams(t *testing.T, k StreamKit) {
+func streams(t *testing.T, k StreamConfig) {
 	for _, c := range []struct {
 		name string
-		test func(t *testing.T, k StreamKit)
+		test func(t *testing.T, k StreamConfig)
 	}{
 		{"nobody takes a connection", nobodyThere},
 		{"connections carry both ways", connections},
@@ -268,17 +268,17 @@
 	assert.Error(t, err, "no datagram is so long")
 }
 
-func nobodyThere(t *testing.T, k StreamKit) {
+func nobodyThere(t *testing.T, k StreamConfig) {
 	a := k.Listen(t)
 	defer func() { assert.NoError(t, a.Close()) }()
 	began := time.Now()
-	_, err := a.Dial(k.Nobody, 300*time.Millisecond)
+	_, err := a.Dial(k.UnusedAddress, 300*time.Millisecond)
 	assert.Error(t, err)
 	assert.Less(t, time.Since(began), patience)
 }
 
 // connected makes a connection.
-func connected(t *testing.T, k StreamKit) (mine, theirs net.Conn, end func()) {
+func connected(t *testing.T, k StreamConfig) (mine, theirs net.Conn, end func()) {
 	a, b := k.Listen(t), k.Listen(t)
 	got := make(chan net.Conn, 1)
 	go func() {
@@ -300,7 +300,7 @@
 	}
 }
 
-func closed(t *testing.T, k StreamKit) {
+func closed(t *testing.T, k StreamConfig) {
 	a, b := k.Listen(t), k.Listen(t)
 	at := b.Addr().String()
 	ended := make(chan error, 1)
@@ -320,7 +320,7 @@
 	assert.NoError(t, a.Close())
 }
 
-func connections(t *testing.T, k StreamKit) {
+func connections(t *testing.T, k StreamConfig) {
 	mine, theirs, end := connected(t, k)
 	defer end()
 	sent := bytes.Repeat([]byte("state "), 1<<17)
@@ -343,7 +343,7 @@
 	require.NoError(t, <-echoed)
 }
 
-func neverReads(t *testing.T, k StreamKit) {
+func neverReads(t *testing.T, k StreamConfig) {
 	mine, _, end := connected(t, k)
 	defer end()
 	require.NoError(t, mine.SetWriteDeadline(time.Now().Add(200*time.Millisecond)))
@@ -359,7 +359,7 @@
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "nor does it say anything")
 }
 
-func closing(t *testing.T, k StreamKit) {
+func closing(t *testing.T, k StreamConfig) {
 	mine, theirs, end := connected(t, k)
 	defer end()
 	ended := make(chan error, 1)
@@ -383,7 +383,7 @@
 	mine.Close()
 }
 
-func deadlines(t *testing.T, k StreamKit) {
+func deadlines(t *testing.T, k StreamConfig) {
 	mine, theirs, end := connected(t, k)
 	defer end()
 	for range 5000 {
--- a/members/words.go
+++ b/members/words.go
@@ -18,7 +18,7 @@
 	Leaving       // said that it goes
 	Away          // enough of its observers could not reach it
 	Left          // said that it has gone
-	Doubted       // here, but some observers can't reach it
+	Suspect       // here, but some observers can't reach it
 )
 
 var stateNames = [...]string{"unknown", "joining", "here", "leaving", "away", "left", "doubted"}
@@ -72,10 +72,10 @@
 // Record is what is said of one member. Of the same life the later state wins; a later life wins over all states.
 type Record struct {
 	Peer
-	Life  uint32  `json:"l"` // raised by the member alone
-	State State   `json:"s"`
-	Age   float64 `json:"t"` // ms since the state was reached
-	Votes []Vote  `json:"v,omitempty"`
+	Incarnation uint32  `json:"l"` // raised by the member alone
+	State       State   `json:"s"`
+	Age         float64 `json:"t"` // ms since the state was reached
+	Votes       []Vote  `json:"v,omitempty"`
 }
 
 // Kind of a message.
@@ -83,25 +83,25 @@
 
 // Kinds of messages.
 const (
-	Look  Kind = iota // are you there?
-	Ack               // I am; No is the look's
-	Ask               // look at About for me
-	Found             // About answered the look that you asked for
-	Tell              // records alone
-	Taken             // your name is another door's: About is its address
+	Look   Kind = iota // are you there?
+	Ack                // I am; No is the look's
+	Ask                // look at About for me
+	Found              // About answered the look that you asked for
+	Gossip             // records alone
+	Taken              // your name is another door's: About is its address
 )
 
 // Message goes from one member to another.
 type Message struct {
-	Kind    Kind     `json:"k"`
-	From    Peer     `json:"f"`
-	Life    uint32   `json:"l"` // of the sender
-	State   State    `json:"s"` // of the sender, as it holds itself
-	No      uint32   `json:"q,omitempty"`
-	About   string   `json:"x,omitempty"`
-	Reached uint32   `json:"o,omitempty"` // in a look: the life in which the one looked at answered the sender lately
-	Sum     uint64   `json:"h"`           // over all that the sender holds: two whose sums differ for long exchange their whole states
-	Records []Record `json:"r,omitempty"`
+	Kind        Kind     `json:"k"`
+	From        Peer     `json:"f"`
+	Incarnation uint32   `json:"l"` // of the sender
+	State       State    `json:"s"` // of the sender, as it holds itself
+	No          uint32   `json:"q,omitempty"`
+	About       string   `json:"x,omitempty"`
+	Reached     uint32   `json:"o,omitempty"` // in a look: the life in which the one looked at answered the sender lately
+	Sum         uint64   `json:"h"`           // over all that the sender holds: two whose sums differ for long exchange their whole states
+	Records     []Record `json:"r,omitempty"`
 }
 
 // Event is one of the event types below.
@@ -113,8 +113,8 @@
 // Received is a message that has come.
 type Received struct{ Message *Message }
 
-// Learnt is a whole state that another door gave, in answer to Meet or as it started.
-type Learnt struct{ Records []Record }
+// RemoteState is a whole state that another door gave, in answer to Meet or as it started.
+type RemoteState struct{ Records []Record }
 
 // Leave says that this door goes by plan.
 type Leave struct{}
@@ -128,20 +128,20 @@
 	Message *Message
 }
 
-// Meet asks for an exchange of whole states with a member, over a connection.
-type Meet struct{ With Peer }
+// PushPull asks for an exchange of whole states with a member, over a connection.
+type PushPull struct{ With Peer }
 
 // Changed tells that a member is held to be in another state than before.
 type Changed struct {
 	Peer
-	From, To State
-	Life     uint32
-	Doubts   int    // observers that doubt it, as far as is known here
-	Why      string // in words, for logs
+	From, To    State
+	Incarnation uint32
+	Doubts      int    // observers that doubt it, as far as is known here
+	Reason      string // in words, for logs
 }
 
-// Refused tells that this door can't take part, as another one has its name; with no error, that it can again.
-type Refused struct{ Err *NameTakenError }
+// NameConflict tells that this door can't take part, as another one has its name; with no error, that it can again.
+type NameConflict struct{ Err *NameTakenError }
 
 // Departed tells that Leave has been said often enough to end.
 type Departed struct{}
--- a/permits/calendar.go
+++ b/permits/calendar.go
@@ -305,19 +305,19 @@
 	return Answer{Number: number}
 }
 
-// StartsNext is the entry that the coordinator that leads is to begin now: the first that is due with nothing in the way, of
+// NextStart is the entry that the coordinator that leads is to begin now: the first that is due with nothing in the way, of
 // budgets either, so that one that can't go out holds up no other.
-func (s *State) StartsNext() (id uint64, any bool) {
+func (s *State) NextStart() (id uint64, any bool) {
 	for _, id := range s.Calendar.Startable() {
-		if s.WhyNot(id) == nil {
+		if s.StartObstacle(id) == nil {
 			return id, true
 		}
 	}
 	return 0, false
 }
 
-// WhyNot is the first thing in the way of an entry's start, in the calendar and beyond; nil for nothing.
-func (s *State) WhyNot(id uint64) error {
+// StartObstacle is the first thing in the way of an entry's start, in the calendar and beyond; nil for nothing.
+func (s *State) StartObstacle(id uint64) error {
 	e := s.Calendar.Entries[id]
 	if e == nil {
 		return &calendar.UnknownError{What: "entry", ID: id}
@@ -330,7 +330,7 @@
 	case err != nil:
 		return &calendar.FormError{Key: "do", Says: err.Error()}
 	case do.Drain != nil:
-		_, err = s.Try(do.Drain.Kind, do.Drain.Name)
+		_, err = s.DryRun(do.Drain.Kind, do.Drain.Name)
 	case do.Release != nil:
 		if old := s.Release.Find(do.Release.Name); old != nil && (old.Live() || old.Stage == release.Waiting) {
 			return &release.NameError{Name: do.Release.Name, Stage: old.Stage}
@@ -444,12 +444,12 @@
 		switch {
 		case gone:
 			return s.tell(calendar.Halt{ID: e.ID, Who: "release", Why: "it was replaced by another"})
-		case r.Stage == release.Back || r.Stage == release.Returned:
-			return s.tell(calendar.RollBack{ID: e.ID, Who: "release " + r.Name, Why: r.Says})
+		case r.Stage == release.Back || r.Stage == release.RolledBack:
+			return s.tell(calendar.RollBack{ID: e.ID, Who: "release " + r.Name, Why: r.Reason})
 		case r.Stage == release.Halted && was == calendar.Halted:
 			return steer(release.ToResume)
 		case r.Stage == release.Halted:
-			return s.tell(calendar.Halt{ID: e.ID, Who: "release " + r.Name, Why: r.Says})
+			return s.tell(calendar.Halt{ID: e.ID, Who: "release " + r.Name, Why: r.Reason})
 		case e.Wave < r.Wave || r.Stage == release.Done && e.Wave < e.Waves:
 			return s.tell(calendar.WaveDone{ID: e.ID, Wave: e.Wave + 1})
 		}
@@ -460,7 +460,7 @@
 	case calendar.RollingBack:
 		switch {
 		case gone: // nobody here can take it back: people do, and say so
-		case r.Stage == release.Returned:
+		case r.Stage == release.RolledBack:
 			return s.tell(calendar.RolledBack{ID: e.ID})
 		case r.Stage != release.Back:
 			if !steer(release.ToBack) {
--- a/permits/calendar_test.go
+++ b/permits/calendar_test.go
@@ -61,7 +61,7 @@
 // begun has the leader begin whatever may.
 func (s *site) begun(t *testing.T) (ids []uint64) {
 	for {
-		id, any := s.StartsNext()
+		id, any := s.NextStart()
 		if !any {
 			return ids
 		}
@@ -75,7 +75,7 @@
 // take has doors run what the release gives, or what they ran before.
 func (s *site) take(doors ...int) {
 	for _, i := range doors {
-		runs := release.Runs{}
+		runs := release.Versions{}
 		if _, digest, is := s.Release.Wanted(unit(i).Name); is {
 			runs[release.Configuration] = digest
 		} else {
@@ -85,8 +85,8 @@
 	}
 }
 
-func (s *site) judge(wave int, says release.Says) error {
-	return s.do("leader", release.Judged{Number: 1, Wave: wave, Verdict: release.Verdict{Says: says, Why: "seen"}}).Err
+func (s *site) judge(wave int, says release.Outcome) error {
+	return s.do("leader", release.RecordVerdict{Number: 1, Wave: wave, Verdict: release.Verdict{Outcome: says, Why: "seen"}}).Err
 }
 
 func TestAnEntryGoesOutWithItsDrainAndComesBack(t *testing.T) {
@@ -97,7 +97,7 @@
 	assert.Equal(t, calendar.Running, s.stage(id))
 	assert.Equal(t, calendar.Due, s.stage(blocked))
 	var denied *DeniedError
-	require.ErrorAs(t, s.WhyNot(blocked), &denied)
+	require.ErrorAs(t, s.StartObstacle(blocked), &denied)
 	assert.ErrorAs(t, s.do("leader", calendar.Start{ID: blocked}).Err, &denied, "the start itself looks as well")
 	assert.Equal(t, calendar.Due, s.stage(blocked))
 	held, change := s.Withheld()
@@ -207,7 +207,7 @@
 	r := s.Release.Find("r")
 	assert.Equal(t, release.Back, r.Stage)
 	s.take(0)
-	assert.Equal(t, release.Returned, r.Stage)
+	assert.Equal(t, release.RolledBack, r.Stage)
 	assert.Equal(t, calendar.Withdrawn, s.stage(id))
 	assert.Empty(t, s.Runs)
 }
@@ -217,18 +217,18 @@
 	id := s.planned(t, releaseOf("r"))
 	s.begun(t)
 	s.take(0)
-	require.NoError(t, s.judge(0, release.GoBck))
+	require.NoError(t, s.judge(0, release.GoBack))
 	assert.Equal(t, calendar.RollingBack, s.stage(id))
 	s.take(0)
 	assert.Equal(t, calendar.Withdrawn, s.stage(id))
 	id = s.planned(t, releaseOf("r2"))
 	s.begun(t)
-	require.NoError(t, s.do("leader", release.Judged{Number: 2, Wave: 0, Verdict: release.Verdict{Says: release.Stop, Why: "odd"}}).Err)
+	require.NoError(t, s.do("leader", release.RecordVerdict{Number: 2, Wave: 0, Verdict: release.Verdict{Outcome: release.Stop, Why: "odd"}}).Err)
 	assert.Equal(t, calendar.Halted, s.stage(id))
 	assert.Equal(t, "odd", s.Calendar.Entries[id].Says)
 	require.NoError(t, s.do("op", release.Steer{Name: "r2", To: release.ToBack, Who: "cai", Why: "enough"}).Err)
 	assert.Equal(t, calendar.Withdrawn, s.stage(id), "no door had it")
-	assert.Equal(t, release.Returned, s.Release.Find("r2").Stage)
+	assert.Equal(t, release.RolledBack, s.Release.Find("r2").Stage)
 }
 
 func TestOperatorsOwnChangesPassTheCalendar(t *testing.T) {
@@ -263,7 +263,7 @@
 	require.NoError(t, s.do("bea", calendar.Thaw{ID: a.Number, Revision: 1, Who: "bea"}).Err)
 	id := s.planned(t, drainOf(Zone, "z1", hour))
 	s.begun(t)
-	require.Equal(t, calendar.Running, s.stage(id), s.WhyNot(id))
+	require.Equal(t, calendar.Running, s.stage(id), s.StartObstacle(id))
 	var busy *calendar.BusyError
 	require.ErrorAs(t, drain("b1"), &busy, "its zone is the entry's")
 	assert.Equal(t, id, busy.Other)
@@ -275,7 +275,7 @@
 
 func TestAMigrationOfDrainsEndsWhereItBegan(t *testing.T) {
 	s := withBackends(3)
-	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2}, {Kind: Backend, MostOut: 3}}})
+	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MaxOut: 2}, {Kind: Backend, MaxOut: 3}}})
 	hand := calendar.Change{Name: "cable", Kind: calendar.MigrationStep, Subject: drained(Backend, "b0"), Window: window(0, hour), Waves: 1,
 		Do: json.RawMessage(`{"manual":"move the cable"}`), Rollback: json.RawMessage(`{"manual":"move it back"}`)}
 	a := s.do("ana", calendar.Migrate{Name: "move", Steps: []calendar.Change{drainOf(Backend, "b0", 0), hand, drainOf(Backend, "b1", 0)}, Who: "ana"})
@@ -343,8 +343,8 @@
 func TestALeaderLostAboutAStartLeavesNothingTwice(t *testing.T) {
 	s := newSite(4)
 	id := s.planned(t, releaseOf("r"))
-	s.do("c1", Lead{Name: "c1", Epoch: 1})
-	_, any := s.StartsNext()
+	s.do("c1", Leadership{Name: "c1", Epoch: 1})
+	_, any := s.NextStart()
 	assert.False(t, any, "what clocks showed before counts no more")
 	for i := range 4 {
 		s.seen(i, Ready, 1)
@@ -353,7 +353,7 @@
 	start := Command{Caller: "leader c1", Seq: 1, AtMs: s.now, Do: calendar.Start{ID: id}}
 	require.NoError(t, s.Apply(start).Err)
 	require.NoError(t, s.Apply(start).Err, "its answer was lost")
-	s.do("c2", Lead{Name: "c2", Epoch: 1})
+	s.do("c2", Leadership{Name: "c2", Epoch: 1})
 	s.onTime()
 	var stage *calendar.StageError
 	assert.ErrorAs(t, s.do("leader c2", calendar.Start{ID: id}).Err, &stage)
@@ -376,7 +376,7 @@
 func TestAStartThatComesLateLeavesNothingOut(t *testing.T) {
 	s := withBackends(3)
 	id := s.planned(t, drainOf(Backend, "b0", 0))
-	_, any := s.StartsNext()
+	_, any := s.NextStart()
 	require.True(t, any)
 	s.now += hour - 10e3 // the command was long on its way; clocks still count for 30 s from what was told last
 	for i := range 3 {
@@ -397,17 +397,17 @@
 	require.ErrorAs(t, s.do("ana", calendar.Plan{Change: c, Who: "ana"}).Err, &form, "nobody knows that the zone has it")
 	id := s.planned(t, drainOf(Backend, "b9", 0))
 	var unknown *UnknownError
-	require.ErrorAs(t, s.WhyNot(id), &unknown)
+	require.ErrorAs(t, s.StartObstacle(id), &unknown)
 	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "z1", Subject: calendar.Subject{Scope: calendar.Zone, Names: []string{"z1"}}, Spans: []calendar.Span{window(0, hour)},
 		Sends: calendar.FinishesWave, Who: "bea", Why: "x"}}).Err)
 	var frozen *calendar.FrozenError
-	require.ErrorAs(t, s.WhyNot(id), &frozen)
+	require.ErrorAs(t, s.StartObstacle(id), &frozen)
 	b1 := s.planned(t, drainOf(Backend, "b1", 0))
-	require.ErrorAs(t, s.WhyNot(b1), &frozen)
+	require.ErrorAs(t, s.StartObstacle(b1), &frozen)
 	b0 := s.planned(t, drainOf(Backend, "b0", 0))
-	assert.NoError(t, s.WhyNot(b0), "it is known to stand elsewhere")
+	assert.NoError(t, s.StartObstacle(b0), "it is known to stand elsewhere")
 	s.do("op", Forget{Kind: Backend, Name: "b0", Who: "op", Why: "gone"})
-	require.ErrorAs(t, s.WhyNot(b0), &frozen, "it has left the fleet")
+	require.ErrorAs(t, s.StartObstacle(b0), &frozen, "it has left the fleet")
 }
 
 func TestAReleaseReplacedUnderItsEntryHaltsIt(t *testing.T) {
@@ -507,7 +507,7 @@
 	s.do("op", release.Steer{Name: "r", To: release.ToHalt, Who: "op", Why: "x"})
 	s.do("op", release.Steer{Name: "r", To: release.ToBack, Who: "op", Why: "x"})
 	s.now += 20e3
-	s.do("c", Lead{Name: "c", Epoch: 1})
+	s.do("c", Leadership{Name: "c", Epoch: 1})
 	s.later(2 * hour)
 	s.do("op", Drain{Kind: Door, Name: "d1", Who: "op", Why: "x"})
 	var told []string
@@ -606,7 +606,7 @@
 func TestEntriesAndWhatTheyHaveOutGoTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := withBackends(4)
-		s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2}, {Kind: Backend, MostOut: 2}, {Kind: Zone, MostOut: 1}}})
+		s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MaxOut: 2}, {Kind: Backend, MaxOut: 2}, {Kind: Zone, MaxOut: 1}}})
 		releases := 0
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			id := rapid.Uint64Range(1, s.Calendar.NextID).Draw(t, "id")
@@ -650,20 +650,20 @@
 			case 10:
 				if n := len(s.Release.All); n > 0 {
 					r := s.Release.All[n-1]
-					s.do("leader", release.Judged{Number: r.Number, Wave: r.Wave, Verdict: release.Verdict{Says: rapid.SampledFrom([]release.Says{release.GoOn, release.GoOn, release.Stop, release.GoBck}).Draw(t, "says")}})
+					s.do("leader", release.RecordVerdict{Number: r.Number, Wave: r.Wave, Verdict: release.Verdict{Outcome: rapid.SampledFrom([]release.Outcome{release.GoOn, release.GoOn, release.Stop, release.GoBack}).Draw(t, "says")}})
 				}
 			case 11:
 				s.do("op", Drain{Kind: Backend, Name: b, Who: "op", Why: "x"})
 			case 12:
 				s.do("op", Undrain{Backend, b, "op", "x"})
 			case 13:
-				s.do("c", Lead{Name: "c", Epoch: 1})
+				s.do("c", Leadership{Name: "c", Epoch: 1})
 				for i := range 4 {
 					s.seen(i, Ready, 1)
 				}
 			}
 			s.later(rapid.Float64Range(0, 90e3).Draw(t, "later"))
-			if next, any := s.StartsNext(); any {
+			if next, any := s.NextStart(); any {
 				require.NoError(t, s.do("leader", calendar.Start{ID: next}).Err, "what is said to have nothing in the way begins")
 			}
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
--- a/permits/changer.go
+++ b/permits/changer.go
@@ -6,17 +6,17 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-// Hold is what the process that holds a door's listener says: what the door runs, and what it could not take.
-type Hold struct {
+// HolderReport is what the process that holds a door's listener says: what the door runs, and what it could not take.
+type HolderReport struct {
 	Caller string            `json:"caller"`
 	Seq    uint64            `json:"seq"`
 	Door   string            `json:"door"`
-	Runs   release.Runs      `json:"runs"`
+	Runs   release.Versions  `json:"runs"`
 	Failed map[string]string `json:"failed,omitempty"`
 }
 
-// Given answers it: what the door is to run, by which release; nothing where it is to stay as it is.
-type Given struct {
+// Assignment answers it: what the door is to run, by which release; nothing where it is to stay as it is.
+type Assignment struct {
 	Release uint64 `json:"release,omitempty"`
 	Name    string `json:"name,omitempty"`
 	Changes string `json:"changes,omitempty"`
@@ -29,11 +29,11 @@
 type Changer struct {
 	door   string
 	caller string
-	h      Holder
+	h      PermitHolder
 	asking
-	runs   release.Runs
+	runs   release.Versions
 	failed map[string]string
-	want   *Given
+	want   *Assignment
 	taking bool
 	saidMs float64
 	dirty  bool
@@ -44,43 +44,43 @@
 // Events of a changer, besides Answered, Unanswered and Tick.
 type (
 	// Gave brings the answer to a Hold.
-	Gave struct {
-		Seq   uint64
-		Given Given
+	AssignmentReceived struct {
+		Seq        uint64
+		Assignment Assignment
 	}
 	// Runs tells what the door runs, and what it could not take: after a Take, or when a process ended by itself.
-	Runs struct {
-		Runs   release.Runs
+	VersionsChanged struct {
+		Runs   release.Versions
 		Failed map[string]string
 	}
 )
 
-// Take has the door run something else, if that can begin before UntilMs. A Runs follows.
-type Take struct {
-	Given
+// ApplyRelease has the door run something else, if that can begin before UntilMs. A Runs follows.
+type ApplyRelease struct {
+	Assignment
 	UntilMs float64
 }
 
-// NewChanger returns the changer of a door that runs this, and could not take that.
-func NewChanger(door string, process uint64, runs release.Runs, failed map[string]string) *Changer {
-	return &Changer{door: door, caller: Caller(door+"/holder", process), runs: runs, failed: failed, dirty: true}
+// NewReleaseAgent returns the changer of a door that runs this, and could not take that.
+func NewReleaseAgent(door string, process uint64, runs release.Versions, failed map[string]string) *Changer {
+	return &Changer{door: door, caller: CallerName(door+"/holder", process), runs: runs, failed: failed, dirty: true}
 }
 
 // Step takes an event in.
 func (c *Changer) Step(now float64, e any) []any {
 	switch e := e.(type) {
-	case Gave:
-		if w := c.over(e.Seq); w != nil && w.Hold != nil {
+	case AssignmentReceived:
+		if w := c.over(e.Seq); w != nil && w.HolderReport != nil {
 			c.want = nil
-			if e.Given.Release != 0 && c.runs[e.Given.Changes] != e.Given.Digest {
-				c.want = &e.Given
+			if e.Assignment.Release != 0 && c.runs[e.Assignment.Changes] != e.Assignment.Digest {
+				c.want = &e.Assignment
 			}
 		}
 	case Answered:
 		if w := c.over(e.Seq); w != nil {
 			c.answered(now, w, e)
 		}
-	case Runs:
+	case VersionsChanged:
 		if c.taking && (c.want == nil || e.Runs[c.want.Changes] != c.want.Digest) {
 			c.spent = c.h.Number // the process before serves on: its place is free
 		}
@@ -122,13 +122,13 @@
 		return []any{*again}
 	case busy, c.taking:
 		return nil
-	case lost != nil && lost.Hold == nil:
+	case lost != nil && lost.HolderReport == nil:
 		c.giveUp(now)
 	}
 	post := func(seq uint64, do any) []any { return []any{c.ask(now, Post{Seq: seq, Caller: c.caller, Do: do})} }
 	switch {
 	case c.spent != 0:
-		return post(c.h.Next(), Withdraw{c.spent})
+		return post(c.h.NextSeq(), Withdraw{c.spent})
 	case c.want == nil && c.h.Number != 0: // it isn't to go any more
 		c.giveUp(now)
 	case c.want != nil && now >= c.denied:
@@ -138,24 +138,24 @@
 		}
 		switch {
 		case c.h.Number == 0:
-			return post(c.h.Asked(now, holdFor), Ask{Unit: c.door, Kind: Door, Who: "release " + c.want.Name, Why: c.want.Changes, HoldMs: holdFor, Release: c.want.Release})
+			return post(c.h.RequestSent(now, holdFor), RequestPermit{Unit: c.door, Kind: Door, Who: "release " + c.want.Name, Why: c.want.Changes, HoldMs: holdFor, Release: c.want.Release})
 		case c.h.MayGo(now):
 			c.taking = true
-			return []any{Take{*c.want, c.h.Until()}}
+			return []any{ApplyRelease{*c.want, c.h.Until()}}
 		default:
-			return post(c.h.Looking(now), Confirm{Number: c.h.Number})
+			return post(c.h.ConfirmSent(now), Confirm{Number: c.h.Number})
 		}
 	}
 	if since := now - c.saidMs; since >= sayEvery || c.dirty && since >= sayLeast {
 		c.saidMs, c.dirty = now, false
-		seq := c.h.Next()
-		return []any{c.ask(now, Post{Seq: seq, Caller: c.caller, Hold: &Hold{c.caller, seq, c.door, maps.Clone(c.runs), maps.Clone(c.failed)}})}
+		seq := c.h.NextSeq()
+		return []any{c.ask(now, Post{Seq: seq, Caller: c.caller, HolderReport: &HolderReport{c.caller, seq, c.door, maps.Clone(c.runs), maps.Clone(c.failed)}})}
 	}
 	return nil
 }
 
-// NeedsOf lists the command that a holder's word calls for: what its door runs has changed.
-func (s *State) NeedsOf(h *Hold) (do []any) {
+// HolderCommands lists the command that a holder's word calls for: what its door runs has changed.
+func (s *State) HolderCommands(h *HolderReport) (do []any) {
 	known := s.Release.Runs[h.Door]
 	news := known == nil
 	for _, what := range []string{release.Configuration, release.Program} {
@@ -172,10 +172,10 @@
 	return do
 }
 
-// Given tells a door's holder what it is to run.
-func (s *State) Given(door string) (g Given) {
+// Assignment tells a door's holder what it is to run.
+func (s *State) Assignment(door string) (g Assignment) {
 	if r, digest, is := s.Release.Wanted(door); is {
-		g = Given{r.Number, r.Name, r.Changes, digest, r.Stage == release.Back}
+		g = Assignment{r.Number, r.Name, r.Changes, digest, r.Stage == release.Back}
 	}
 	return g
 }
--- a/permits/changer_test.go
+++ b/permits/changer_test.go
@@ -17,31 +17,31 @@
 	*Changer
 	s    *site
 	now  float64
-	took []Take
+	took []ApplyRelease
 	bad  string
 	i    int
 	life uint64
 }
 
 func change(s *site, i int) *changing {
-	return &changing{Changer: NewChanger(unit(i).Name, uint64(i), release.Runs{}, nil), s: s, i: i, life: 1}
+	return &changing{Changer: NewReleaseAgent(unit(i).Name, uint64(i), release.Versions{}, nil), s: s, i: i, life: 1}
 }
 
 func (c *changing) step(e any) {
 	for todo := c.Step(c.now, e); len(todo) > 0; todo = todo[1:] {
 		switch a := todo[0].(type) {
 		case Post:
-			if a.Hold == nil {
+			if a.HolderReport == nil {
 				todo = append(todo, c.Step(c.now, Answered{a.Seq, c.s.Apply(Command{Caller: a.Caller, Seq: a.Seq, AtMs: c.now, Do: a.Do})})...)
 				continue
 			}
-			for _, do := range c.s.NeedsOf(a.Hold) {
+			for _, do := range c.s.HolderCommands(a.HolderReport) {
 				c.s.Apply(Command{Caller: a.Caller, Seq: a.Seq, AtMs: c.now, Do: do})
 			}
-			todo = append(todo, c.Step(c.now, Gave{a.Seq, c.s.Given(c.door)})...)
-		case Take:
+			todo = append(todo, c.Step(c.now, AssignmentReceived{a.Seq, c.s.Assignment(c.door)})...)
+		case ApplyRelease:
 			c.took = append(c.took, a)
-			runs, failed := release.Runs{}, map[string]string{}
+			runs, failed := release.Versions{}, map[string]string{}
 			if c.bad != "" {
 				failed[a.Digest] = c.bad
 			}
@@ -50,7 +50,7 @@
 				c.life++
 				c.s.seen(c.i, Ready, c.life) // its next process
 			}
-			todo = append(todo, c.Step(c.now, Runs{runs, failed})...)
+			todo = append(todo, c.Step(c.now, VersionsChanged{runs, failed})...)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 	require.NoError(t, s.do("op", release.Steer{Name: "r1", To: release.ToBack, Who: "ana"}).Err)
 	c.run(3000)
 	require.Len(t, c.took, 2)
-	assert.Equal(t, release.Returned, s.Release.Find("r1").Stage)
+	assert.Equal(t, release.RolledBack, s.Release.Find("r1").Stage)
 }
 
 func TestWhatADoorCantTakeGivesItsPlaceBack(t *testing.T) {
@@ -91,7 +91,7 @@
 	require.Len(t, c.took, 1, "once")
 	assert.Empty(t, s.Permits)
 	r := s.Release.Find("r1")
-	assert.Equal(t, release.Returned, r.Stage)
+	assert.Equal(t, release.RolledBack, r.Stage)
 	assert.Equal(t, c.bad, r.Failed["d0"])
 }
 
@@ -99,7 +99,7 @@
 	s := newSite(8)
 	started(s, "d0")
 	n := s.Release.Find("r1").Number
-	ask := Ask{Unit: "d0", Kind: Door, HoldMs: 1e4, Release: n}
+	ask := RequestPermit{Unit: "d0", Kind: Door, HoldMs: 1e4, Release: n}
 	p := s.do("h", ask)
 	require.NoError(t, p.Err)
 	s.do("op", release.Steer{Name: "r1", To: release.ToHalt, Who: "ana"})
@@ -118,17 +118,17 @@
 	started(s, "d0", "d1", "d2", "d3")
 	n := s.Release.Find("r1").Number
 	for _, d := range []string{"d0", "d1", "d2", "d3"} {
-		s.do(d+"/h", release.Took{Door: d, Runs: release.Runs{release.Configuration: newDigest}})
+		s.do(d+"/h", release.Took{Door: d, Runs: release.Versions{release.Configuration: newDigest}})
 	}
 	s.Release.Find("r1").Wave = 1
 	for i := range 4 {
 		s.seen(i, Failed, 1)
 	}
 	s.do("op", release.Steer{Name: "r1", To: release.ToBack, Who: "ana"})
-	p := s.do("d1/h", Ask{Unit: "d1", Kind: Door, HoldMs: 1e4, Release: n})
+	p := s.do("d1/h", RequestPermit{Unit: "d1", Kind: Door, HoldMs: 1e4, Release: n})
 	require.NoError(t, p.Err, "the budget is full of those that it is to bring back")
 	require.NoError(t, s.do("d1/h", Confirm{Number: p.Number}).Err)
-	assert.Equal(t, uint64(1), s.Permits[p.Number].Life, "the life that is known")
+	assert.Equal(t, uint64(1), s.Permits[p.Number].Incarnation, "the life that is known")
 }
 
 // A new leader has seen nobody so far, and whoever asks then is not known to be out: on the way back, too, budgets hold until it has
@@ -137,13 +137,13 @@
 	s := newSite(6)
 	number := started(s)
 	for i := range 6 {
-		s.do(unit(i).Name+"/h", release.Took{Door: unit(i).Name, Runs: release.Runs{release.Configuration: newDigest}})
+		s.do(unit(i).Name+"/h", release.Took{Door: unit(i).Name, Runs: release.Versions{release.Configuration: newDigest}})
 	}
 	require.NoError(t, s.do("op", release.Steer{Name: s.Release.All[0].Name, To: release.ToBack, Who: "op", Why: "x"}).Err)
-	s.do("c2", Lead{Name: "c2", Epoch: 1})
+	s.do("c2", Leadership{Name: "c2", Epoch: 1})
 	asks := func() (granted int) {
 		for i := range 6 {
-			if a := s.do(unit(i).Name+"/h", Ask{Unit: unit(i).Name, Kind: Door, Who: "release", HoldMs: 10e3, Release: number}); a.Err == nil {
+			if a := s.do(unit(i).Name+"/h", RequestPermit{Unit: unit(i).Name, Kind: Door, Who: "release", HoldMs: 10e3, Release: number}); a.Err == nil {
 				granted++
 			}
 		}
--- a/permits/encode.go
+++ b/permits/encode.go
@@ -15,10 +15,10 @@
 
 // names are the words of commands and errors where they are written down. A name is never given to another type.
 var names = map[string]reflect.Type{
-	"set_budgets": reflect.TypeFor[SetBudgets](), "seen": reflect.TypeFor[Seen](), "here": reflect.TypeFor[Here](), "ask": reflect.TypeFor[Ask](),
+	"set_budgets": reflect.TypeFor[SetBudgets](), "seen": reflect.TypeFor[RecordSightings](), "here": reflect.TypeFor[SelfReport](), "ask": reflect.TypeFor[RequestPermit](),
 	"confirm": reflect.TypeFor[Confirm](), "withdraw": reflect.TypeFor[Withdraw](), "write_off": reflect.TypeFor[WriteOff](),
-	"begin": reflect.TypeFor[Begin](), "drain": reflect.TypeFor[Drain](), "undrain": reflect.TypeFor[Undrain](), "lead": reflect.TypeFor[Lead](),
-	"start_release": reflect.TypeFor[release.Start](), "took": reflect.TypeFor[release.Took](), "judged": reflect.TypeFor[release.Judged](),
+	"begin": reflect.TypeFor[Begin](), "drain": reflect.TypeFor[Drain](), "undrain": reflect.TypeFor[Undrain](), "lead": reflect.TypeFor[Leadership](),
+	"start_release": reflect.TypeFor[release.Start](), "took": reflect.TypeFor[release.Took](), "judged": reflect.TypeFor[release.RecordVerdict](),
 	"steer": reflect.TypeFor[release.Steer](), "plan": reflect.TypeFor[release.PlanError](), "name_taken": reflect.TypeFor[release.NameError](),
 	"unknown_release": reflect.TypeFor[release.UnknownError](), "stage": reflect.TypeFor[release.StageError](),
 	"note": reflect.TypeFor[Note](), "forget": reflect.TypeFor[Forget](), "halt": reflect.TypeFor[Halt](), "resume": reflect.TypeFor[Resume](),
@@ -212,7 +212,7 @@
 	}
 	for i, b := range all {
 		known := b.Kind == Door || b.Kind == Backend || b.Kind == Zone && b.Zone == ""
-		if !known || b.MostOut < 0 || b.LeastHere < 0 || b.LeastSize < 0 || b.RestMs < 0 {
+		if !known || b.MaxOut < 0 || b.MinReady < 0 || b.LeastSize < 0 || b.RestMs < 0 {
 			return nil, &FormError{What: fmt.Sprintf("budget %d (%s)", i+1, worded([]Budget{b}))}
 		}
 	}
--- a/permits/encode_test.go
+++ b/permits/encode_test.go
@@ -23,13 +23,13 @@
 	how := Standing(rapid.IntRange(0, 3).Draw(t, "standing"))
 	life := rapid.Uint64Range(1, 3).Draw(t, "life")
 	do := rapid.SampledFrom([]any{
-		SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2}, {Kind: Door, Zone: EachZone, MostOut: 1, RestMs: 10}, {Kind: Zone, MostOut: 1}}},
+		SetBudgets{Budgets: []Budget{{Kind: Door, MaxOut: 2}, {Kind: Door, Zone: EachZone, MaxOut: 1, RestMs: 10}, {Kind: Zone, MaxOut: 1}}},
 		Begin{unit(i), life}, Drain{Door, unit(i).Name, "op", "why", float64(n), 0}, Undrain{Door, unit(i).Name, "op", "why"}, Drain{Zone, "z1", "op", "why", 0, 0}, Undrain{Zone, "z1", "op", ""},
-		Lead{"c1", "a", 7}, release.Took{Door: unit(i).Name, Runs: release.Runs{release.Program: "x"}},
+		Leadership{"c1", "a", 7}, release.Took{Door: unit(i).Name, Runs: release.Versions{release.Program: "x"}},
 		release.Start{Plan: release.Plan{Name: "r", Changes: release.Program, Digest: strings.Repeat("0", 64), Waves: []release.Wave{{Rest: true}}}, Who: "op"},
-		release.Judged{Number: 1, Verdict: release.Verdict{Says: release.GoOn}}, release.Steer{Name: "r", To: release.ToBack, Who: "op"}, Forget{Door, unit(i).Name, "op", "gone"},
-		Seen{[]Sighting{sight(i, how, life)}}, Seen{[]Sighting{sight(0, Ready, 1), sight(1, Ready, 1), sight(2, Ready, 1), sight(3, Ready, 1)}},
-		Here{sight(i, how, life), number}, Ask{unit(i).Name, Door, "op", "why", 50, uint64(i % 2)}, Confirm{number, life, life * 100}, Withdraw{number},
+		release.RecordVerdict{Number: 1, Verdict: release.Verdict{Outcome: release.GoOn}}, release.Steer{Name: "r", To: release.ToBack, Who: "op"}, Forget{Door, unit(i).Name, "op", "gone"},
+		RecordSightings{[]Sighting{sight(i, how, life)}}, RecordSightings{[]Sighting{sight(0, Ready, 1), sight(1, Ready, 1), sight(2, Ready, 1), sight(3, Ready, 1)}},
+		SelfReport{sight(i, how, life), number}, RequestPermit{unit(i).Name, Door, "op", "why", 50, uint64(i % 2)}, Confirm{number, life, life * 100}, Withdraw{number},
 		calendar.Clock{Name: fmt.Sprint("c", i%3), WallMs: wallAt + float64(n), Size: 3}, calendar.Plan{Change: drainOf(Door, unit(i).Name, float64(i%2)*5), Who: "ana"},
 		calendar.Plan{Change: releaseOf("r"), Who: "ana"}, calendar.Start{ID: number}, calendar.Halt{ID: number, Who: "op", Why: "x"}, calendar.Resume{ID: number, Who: "op"},
 		calendar.RollBack{ID: number, Who: "op", Why: "x"}, calendar.Withdraw{ID: number, Revision: 1, Who: "op"}, calendar.SetRules{Rules: []calendar.Rule{{Subject: calendar.Subject{Scope: calendar.Doors}, Count: 1}}, Who: "bea"},
--- a/permits/errors.go
+++ b/permits/errors.go
@@ -103,7 +103,7 @@
 	Cause error
 }
 
-func (e *FormError) Error() string     { return remedy.Because(e.What+" can't be read", e.Cause) }
+func (e *FormError) Error() string     { return remedy.WithCause(e.What+" can't be read", e.Cause) }
 func (e *FormError) Unwrap() error     { return e.Cause }
 func (e *FormError) Kind() remedy.Kind { return remedy.Refused }
 
--- a/permits/keeper.go
+++ b/permits/keeper.go
@@ -6,15 +6,15 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-// Keeper is a door's side of what the fleet agrees on: it says words, withholds what is to be withheld, and goes out and comes
+// DoorAgent is a door's side of what the fleet agrees on: it says words, withholds what is to be withheld, and goes out and comes
 // back by order. It has one question out at a time, and acts on no answer to an earlier one. With coordinators gone it keeps
 // to what it was told last; what is out may come back by hand.
-type Keeper struct {
+type DoorAgent struct {
 	unit    Unit
 	fresh   func() uint64 // a number for a process; each way back begins another
 	process uint64
 	life    uint64 // 0 until it is given
-	h       Holder
+	h       PermitHolder
 	ready   bool
 	away    []string
 	list    []Sighting // of backends
@@ -58,7 +58,7 @@
 	}
 	Unanswered struct{ Seq uint64 }
 	// Stands tells how the door stands and what it knows.
-	Stands struct {
+	DoorStatus struct {
 		Ready    bool
 		Away     []string
 		Backends []Sighting
@@ -67,14 +67,14 @@
 		ByBackend map[string]release.Counts
 	}
 	// Did says that the decisions know a Withhold.
-	Did struct{ Change uint64 }
+	WithholdApplied struct{ Change uint64 }
 	// Stepped says what became of an Aside: whether it was taken in time.
-	Stepped struct{ Done bool }
+	SetOutDone struct{ Done bool }
 	// ByHand ends by hand what the door was ordered, whoever can't be reached.
-	ByHand struct{}
+	EndByHand struct{}
 	// Leave says that the process is to end, Left that it has served all it took.
-	Leave struct{}
-	Left  struct{}
+	Terminating struct{}
+	Terminated  struct{}
 	// Tick lets time act.
 	Tick struct{}
 )
@@ -83,11 +83,11 @@
 type (
 	// Post asks the coordinators: with a word or a command. The same Seq may be posted again.
 	Post struct {
-		Seq    uint64
-		Caller string
-		Word   *Word
-		Hold   *Hold
-		Do     any
+		Seq          uint64
+		Caller       string
+		Report       *DoorReport
+		HolderReport *HolderReport
+		Do           any
 	}
 	// Withhold has the decisions withhold these backends and no others.
 	Withhold struct {
@@ -95,7 +95,7 @@
 		Change uint64
 	}
 	// Aside takes the door out, if it can before UntilMs of its clock, or brings it back.
-	Aside struct {
+	SetOut struct {
 		Out     bool
 		UntilMs float64
 		Number  uint64
@@ -112,50 +112,50 @@
 	TickEvery = 50
 )
 
-// NewKeeper returns the keeper of a door that starts. fresh draws numbers that no other process has.
-func NewKeeper(unit Unit, fresh func() uint64) *Keeper {
-	return &Keeper{unit: unit, fresh: fresh, process: fresh()}
+// NewDoorAgent returns the keeper of a door that starts. fresh draws numbers that no other process has.
+func NewDoorAgent(unit Unit, fresh func() uint64) *DoorAgent {
+	return &DoorAgent{unit: unit, fresh: fresh, process: fresh()}
 }
 
 // Out tells whether the door is aside by order, and which.
-func (k *Keeper) Out() (number uint64, is bool) { return k.h.Number, k.stage == out }
+func (k *DoorAgent) Out() (number uint64, is bool) { return k.h.Number, k.stage == out }
 
-// Held lists the backends that the door was told to withhold.
-func (k *Keeper) Held() []string { return k.held }
+// Withheld lists the backends that the door was told to withhold.
+func (k *DoorAgent) Withheld() []string { return k.held }
 
 // Order is what the door was told to do; nil for nothing.
-func (k *Keeper) Order() *Order { return k.order }
+func (k *DoorAgent) Order() *Order { return k.order }
 
-func (k *Keeper) caller() string { return Caller(k.unit.Name, k.process) }
+func (k *DoorAgent) caller() string { return CallerName(k.unit.Name, k.process) }
 
 // Step takes an event in.
-func (k *Keeper) Step(now float64, e any) (do []any) {
+func (k *DoorAgent) Step(now float64, e any) (do []any) {
 	switch e := e.(type) {
 	case Replied:
-		if w := k.over(e.Seq); w != nil && w.Word != nil {
-			do = append(do, k.heard(w.Word, &e.Reply)...)
+		if w := k.over(e.Seq); w != nil && w.Report != nil {
+			do = append(do, k.heard(w.Report, &e.Reply)...)
 		}
 	case Answered:
 		if w := k.over(e.Seq); w != nil {
 			k.answered(now, w, e)
 		}
 	case Unanswered: // asked again when its time comes
-	case Stands:
+	case DoorStatus:
 		if k.ready != e.Ready || !slices.Equal(k.away, e.Away) {
 			k.dirty = true
 		}
 		k.ready, k.away, k.list, k.counts, k.sent = e.Ready, e.Away, e.Backends, e.Counts, e.ByBackend
-	case Did:
+	case WithholdApplied:
 		if e.Change > k.did {
 			k.did, k.dirty = e.Change, true
 		}
-	case Stepped:
+	case SetOutDone:
 		if k.stage == stepping {
 			if k.stage = serving; e.Done {
 				k.stage, k.dirty = out, true
 			}
 		}
-	case ByHand:
+	case EndByHand:
 		if k.order != nil {
 			k.undone = append(k.undone, k.order.Number)
 		}
@@ -164,18 +164,18 @@
 			k.held = nil
 			do = append(do, Withhold{nil, 0})
 		}
-	case Leave:
+	case Terminating:
 		if k.stage != ended {
 			k.stage, k.dirty, k.saidMs = leaving, true, 0
 		}
-	case Left:
+	case Terminated:
 		k.stage, k.dirty, k.saidMs = ended, true, 0
 	}
 	return append(do, k.act(now)...)
 }
 
-func (k *Keeper) heard(told *Word, r *Reply) (do []any) {
-	if r.Life != k.life { // another process of the name has begun, or the coordinators have forgotten
+func (k *DoorAgent) heard(told *DoorReport, r *Reply) (do []any) {
+	if r.Incarnation != k.life { // another process of the name has begun, or the coordinators have forgotten
 		k.life = 0
 		return nil
 	}
@@ -196,7 +196,7 @@
 	return do
 }
 
-func (k *Keeper) answered(now float64, asked *Post, e Answered) {
+func (k *DoorAgent) answered(now float64, asked *Post, e Answered) {
 	if _, began := asked.Do.(Begin); began {
 		if e.Answer.Err == nil {
 			k.life = e.Answer.Number
@@ -212,12 +212,12 @@
 }
 
 // act has the door do what its state calls for: one question at a time.
-func (k *Keeper) act(now float64) (do []any) {
+func (k *DoorAgent) act(now float64) (do []any) {
 	if k.stage == out && k.order == nil { // the way back needs nobody's leave, and waits for no answer
 		k.stage, k.dirty = serving, true
 		k.h.Drop()
 		k.process, k.life = k.fresh(), 0
-		return []any{Aside{Out: false}, k.post(now, k.h.Next(), nil, Begin{k.unit, k.process})}
+		return []any{SetOut{Out: false}, k.post(now, k.h.NextSeq(), nil, Begin{k.unit, k.process})}
 	}
 	again, lost, busy := k.due(now)
 	switch {
@@ -226,14 +226,14 @@
 	case busy:
 		return nil
 	case lost != nil:
-		if _, command := lost.Do.(Begin); !command && lost.Word == nil {
+		if _, command := lost.Do.(Begin); !command && lost.Report == nil {
 			k.h.Drop()
 			k.denied = now + denyRest
 		}
 		k.dirty = true
 	}
 	if k.life == 0 && k.stage < leaving {
-		return []any{k.post(now, k.h.Next(), nil, Begin{k.unit, k.process})}
+		return []any{k.post(now, k.h.NextSeq(), nil, Begin{k.unit, k.process})}
 	}
 	switch {
 	case k.stage == serving && k.h.Number != 0 && k.order == nil: // ended before the door went
@@ -245,30 +245,30 @@
 		}
 		switch {
 		case k.h.Number == 0:
-			return []any{k.post(now, k.h.Asked(now, holdFor), nil, Ask{Unit: k.unit.Name, Kind: k.unit.Kind, Who: k.order.Who, Why: k.order.Why, HoldMs: holdFor})}
+			return []any{k.post(now, k.h.RequestSent(now, holdFor), nil, RequestPermit{Unit: k.unit.Name, Kind: k.unit.Kind, Who: k.order.Who, Why: k.order.Why, HoldMs: holdFor})}
 		case k.h.MayGo(now):
 			k.stage = stepping
-			return []any{Aside{true, k.h.Until(), k.h.Number, k.order.Why}}
+			return []any{SetOut{true, k.h.Until(), k.h.Number, k.order.Why}}
 		default:
-			return []any{k.post(now, k.h.Looking(now), nil, Confirm{k.h.Number, k.life, k.process})}
+			return []any{k.post(now, k.h.ConfirmSent(now), nil, Confirm{k.h.Number, k.life, k.process})}
 		}
 	}
 	if since := now - k.saidMs; k.life != 0 && (since >= sayEvery || k.dirty && since >= sayLeast) {
 		k.saidMs, k.dirty = now, false
-		return []any{k.post(now, k.h.Next(), k.word(), nil)}
+		return []any{k.post(now, k.h.NextSeq(), k.word(), nil)}
 	}
 	return nil
 }
 
-func (k *Keeper) post(now float64, seq uint64, w *Word, command any) Post {
+func (k *DoorAgent) post(now float64, seq uint64, w *DoorReport, command any) Post {
 	if w != nil {
 		w.Seq = seq
 	}
-	return k.ask(now, Post{Seq: seq, Caller: k.caller(), Word: w, Do: command})
+	return k.ask(now, Post{Seq: seq, Caller: k.caller(), Report: w, Do: command})
 }
 
-func (k *Keeper) word() *Word {
-	s := Sighting{Unit: k.unit, Life: k.life, Process: k.process, Did: k.did, Standing: Starting}
+func (k *DoorAgent) word() *DoorReport {
+	s := Sighting{Unit: k.unit, Incarnation: k.life, Process: k.process, Did: k.did, Standing: Starting}
 	switch {
 	case k.stage == ended:
 		s.Standing = Ended
@@ -277,7 +277,7 @@
 	case k.stage == serving && k.ready:
 		s.Standing = Ready
 	}
-	w := &Word{Caller: k.caller(), Sighting: s, Holds: k.h.Number, Away: k.away, Undone: slices.Clone(k.undone), Counts: k.counts}
+	w := &DoorReport{Caller: k.caller(), Sighting: s, Holds: k.h.Number, Away: k.away, Undone: slices.Clone(k.undone), Counts: k.counts}
 	if k.full {
 		w.Backends, w.Sent = k.list, k.sent
 	}
--- a/permits/orders.go
+++ b/permits/orders.go
@@ -30,12 +30,12 @@
 	k := key(d.Unit.Kind, d.Unit.Name)
 	u := s.Units[k]
 	if u == nil {
-		u = &Known{}
+		u = &UnitState{}
 		s.Units[k] = u
 	}
 	u.Unit, u.Standing, u.AtMs, u.Process, u.Did = d.Unit, Starting, s.NowMs, d.Process, 0
-	u.Life++
-	return Answer{Number: u.Life}
+	u.Incarnation++
+	return Answer{Number: u.Incarnation}
 }
 
 func (s *State) drain(c *Command, d Drain) Answer {
@@ -71,7 +71,7 @@
 
 // drainZone orders all of a zone out, or nothing of it. Those that are out on their own account stay as they are.
 func (s *State) drainZone(c *Command, d Drain) Answer {
-	var units []*Known
+	var units []*UnitState
 	for _, k := range slices.Sorted(maps.Keys(s.Units)) {
 		if u := s.Units[k]; u.Zone == d.Name {
 			if p := s.of(u.Kind, u.Name); p != nil && p.Of == d.Name && !p.Over {
@@ -108,8 +108,8 @@
 		switch {
 		case b.Kind == Zone:
 			bound = true
-			if out := s.zonesOut(zone); len(out)+1 > b.MostOut {
-				return &DeniedError{zone, b, "", fmt.Sprintf("%d of %d zones are out already", len(out), b.MostOut), orNone(out)}
+			if out := s.zonesOut(zone); len(out)+1 > b.MaxOut {
+				return &DeniedError{zone, b, "", fmt.Sprintf("%d of %d zones are out already", len(out), b.MaxOut), orNone(out)}
 			}
 		case b.Zone == "":
 			here, size := 0, 0.0
@@ -124,8 +124,8 @@
 					here, size = here+1, size+u.Size
 				}
 			}
-			if here < b.LeastHere {
-				return &DeniedError{zone, b, "", fmt.Sprintf("%d %ss would be here, at least %d must be", here, b.Kind, b.LeastHere), orNone(out)}
+			if here < b.MinReady {
+				return &DeniedError{zone, b, "", fmt.Sprintf("%d %ss would be here, at least %d must be", here, b.Kind, b.MinReady), orNone(out)}
 			}
 			if size < b.LeastSize {
 				return &DeniedError{zone, b, "", fmt.Sprintf("a size of %g would be here, at least %g must be", size, b.LeastSize), orNone(out)}
@@ -257,9 +257,9 @@
 	return doors
 }
 
-// Try tells what a drain would come to, without doing anything: the units that would go, and what stands in the way.
-func (s *State) Try(k Kind, name string) (would []string, inTheWay error) {
-	var of []*Known
+// DryRun tells what a drain would come to, without doing anything: the units that would go, and what stands in the way.
+func (s *State) DryRun(k Kind, name string) (would []string, inTheWay error) {
+	var of []*UnitState
 	for _, id := range slices.Sorted(maps.Keys(s.Units)) {
 		if u := s.Units[id]; k == Zone && u.Zone == name && s.of(u.Kind, u.Name) == nil || u.Kind == k && u.Name == name {
 			of = append(of, u)
@@ -287,9 +287,9 @@
 // Places lists the permits that take a place, by their numbers.
 func (s *State) Places() map[uint64]*Permit { return s.Permits }
 
-// Errands lists what is to be done for releases of backends, by the coordinator that leads: those of the present wave are drained
+// ReleaseCommands lists what is to be done for releases of backends, by the coordinator that leads: those of the present wave are drained
 // as budgets allow, and come back once they are seen as other processes; those of a release that is over come back as they are.
-func (s *State) Errands() (do []any) {
+func (s *State) ReleaseCommands() (do []any) {
 	for _, r := range s.Release.All {
 		if r.Changes != release.Backends {
 			continue
--- a/permits/orders_test.go
+++ b/permits/orders_test.go
@@ -14,7 +14,7 @@
 // withBackends is a site of doors and three backends, one of which may be out.
 func withBackends(doors int) *site {
 	s := newSite(doors)
-	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2}, {Kind: Backend, MostOut: 1, LeastHere: 2}, {Kind: Zone, MostOut: 1}}})
+	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MaxOut: 2}, {Kind: Backend, MaxOut: 1, MinReady: 2}, {Kind: Zone, MaxOut: 1}}})
 	for _, n := range []string{"b0", "b1", "b2"} {
 		s.backend(n, Ready)
 	}
@@ -22,13 +22,13 @@
 }
 
 func (s *site) backend(name string, how Standing) {
-	s.do("watch", Seen{[]Sighting{{Unit: backendOf(name, "z"+name[1:]), Standing: how, Process: 5}}})
+	s.do("watch", RecordSightings{[]Sighting{{Unit: backendOf(name, "z"+name[1:]), Standing: how, Process: 5}}})
 }
 
 func (s *site) did(i int, change uint64) {
 	g := sight(i, Ready, 1)
 	g.Did = change
-	s.do("watch", Seen{[]Sighting{g}})
+	s.do("watch", RecordSightings{[]Sighting{g}})
 }
 
 func TestABackendIsOutFromTheOrderUntilEveryDoorHasLetGoOfIt(t *testing.T) {
@@ -71,10 +71,10 @@
 	assert.Error(t, s.ask(2).Err, "its place is taken")
 	assert.Equal(t, n, s.ask(0).Number, "the place that it was ordered to take")
 	require.NoError(t, s.confirm(0, n).Err)
-	s.do("d0", Here{sight(0, Starting, 1), n})
+	s.do("d0", SelfReport{sight(0, Starting, 1), n})
 	s.seen(0, Ready, 2)
 	assert.Len(t, s.Permits, 1, "a process that starts anew under the order doesn't end it")
-	s.do("d0", Here{sight(0, Ready, 2), 0})
+	s.do("d0", SelfReport{sight(0, Ready, 2), 0})
 	assert.Equal(t, Granted, s.Permits[n].Stage, "it says that it isn't going by it; the order stands")
 	require.NoError(t, s.ask(0).Err)
 	require.NoError(t, s.do("d0", Confirm{n, 2, 200}).Err)
@@ -96,11 +96,11 @@
 	n := s.do("op", Drain{Kind: Door, Name: "d0", UntilMs: 5000}).Number
 	require.NoError(t, s.ask(0).Err)
 	require.NoError(t, s.confirm(0, n).Err)
-	s.Apply(Command{Caller: "x", Seq: 1, WallMs: 4999, Do: Seen{}})
+	s.Apply(Command{Caller: "x", Seq: 1, WallMs: 4999, Do: RecordSightings{}})
 	assert.False(t, s.Permits[n].Over)
-	s.Apply(Command{Caller: "x", Seq: 2, WallMs: 5000, Do: Seen{}})
+	s.Apply(Command{Caller: "x", Seq: 2, WallMs: 5000, Do: RecordSightings{}})
 	assert.True(t, s.Permits[n].Over)
-	assert.Nil(t, s.Reply(&Word{Sighting: sight(0, Starting, 1)}, false).Order)
+	assert.Nil(t, s.Reply(&DoorReport{Sighting: sight(0, Starting, 1)}, false).Order)
 }
 
 func TestWhatWasGrantedAndNeverLookedAtIsFreeAfterItsHoldAndCantBeUsed(t *testing.T) {
@@ -121,7 +121,7 @@
 
 func TestAZoneGoesWholeOrNotAtAll(t *testing.T) {
 	s := withBackends(4) // d0, d2 and b0 in z0; d1, d3 and b1 in z1; b2 in z2
-	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Zone, MostOut: 1}, {Kind: Door, MostOut: 2}, {Kind: Backend, MostOut: 1}}})
+	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Zone, MaxOut: 1}, {Kind: Door, MaxOut: 2}, {Kind: Backend, MaxOut: 1}}})
 	first := s.do("op", Drain{Kind: Zone, Name: "z0", Who: "ana"})
 	require.NoError(t, first.Err)
 	assert.Len(t, s.Permits, 3)
@@ -140,26 +140,26 @@
 	for i := range 4 {
 		g := sight(i, Ready, 2)
 		g.Did = s.Change
-		s.do("watch", Seen{[]Sighting{g}})
+		s.do("watch", RecordSightings{[]Sighting{g}})
 	}
 	s.backend("b0", Ready)
 	assert.Empty(t, s.Permits)
-	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Zone, MostOut: 1}, {Kind: Backend, LeastHere: 3}}})
+	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Zone, MaxOut: 1}, {Kind: Backend, MinReady: 3}}})
 	assert.ErrorContains(t, s.do("op", Drain{Kind: Zone, Name: "z0"}).Err, "at least 3")
-	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 9}}})
+	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MaxOut: 9}}})
 	assert.ErrorContains(t, s.do("op", Drain{Kind: Zone, Name: "z0"}).Err, "no budget for zones")
 }
 
 func TestANewLeaderKnowsNobodyUntilTold(t *testing.T) {
 	s := newSite(8)
-	s.do("c2", Lead{"c2", "", 9})
+	s.do("c2", Leadership{"c2", "", 9})
 	assert.EqualValues(t, 9, s.Epoch)
 	assert.Error(t, s.ask(1).Err)
 	for i := range 8 {
 		s.seen(i, Ready, 1)
 	}
 	require.NoError(t, s.ask(1).Err)
-	s.do("c3", Lead{"c3", "", 10})
+	s.do("c3", Leadership{"c3", "", 10})
 	assert.EqualValues(t, 9, s.Epoch)
 }
 
@@ -177,21 +177,21 @@
 
 func TestTryTellsAndDoesNothing(t *testing.T) {
 	s := withBackends(4)
-	would, err := s.Try(Backend, "b0")
+	would, err := s.DryRun(Backend, "b0")
 	require.NoError(t, err)
 	assert.Equal(t, []string{"backend/b0"}, would)
 	s.do("op", Halt{Who: "ana", Why: "errors"})
-	_, err = s.Try(Backend, "b0")
+	_, err = s.DryRun(Backend, "b0")
 	var halted *HaltedError
 	assert.ErrorAs(t, err, &halted)
 	assert.Empty(t, s.Permits)
-	_, err = s.Try(Door, "nobody")
+	_, err = s.DryRun(Door, "nobody")
 	var unknown *UnknownError
 	assert.ErrorAs(t, err, &unknown)
 }
 
-func word(i int, seq uint64, away ...string) Word {
-	return Word{Caller: unit(i).Name, Seq: seq, Sighting: sight(i, Ready, 1), Away: away}
+func word(i int, seq uint64, away ...string) DoorReport {
+	return DoorReport{Caller: unit(i).Name, Seq: seq, Sighting: sight(i, Ready, 1), Away: away}
 }
 
 func standings(all []Sighting) map[string]Standing {
@@ -203,57 +203,57 @@
 }
 
 func TestADoorIsWhatItSaysUnlessMostHoldItToBeAway(t *testing.T) {
-	w := NewWatch()
+	w := NewReportCollector()
 	for i := range 5 {
-		assert.True(t, w.Heard(0, word(i, 1)))
+		assert.True(t, w.Record(0, word(i, 1)))
 	}
-	assert.False(t, w.Heard(0, word(0, 1)), "a repeat")
+	assert.False(t, w.Record(0, word(0, 1)), "a repeat")
 	assert.Equal(t, Ready, standings(w.Sightings(100))["d0"])
-	w.Heard(100, word(1, 2, "d0"))
-	w.Heard(100, word(2, 2, "d0"))
+	w.Record(100, word(1, 2, "d0"))
+	w.Record(100, word(2, 2, "d0"))
 	assert.Equal(t, Ready, standings(w.Sightings(200))["d0"], "two of four")
-	w.Heard(100, word(3, 2, "d0"))
+	w.Record(100, word(3, 2, "d0"))
 	assert.Equal(t, Failed, standings(w.Sightings(200))["d0"])
 	for i := 1; i < 5; i++ {
-		w.Heard(6000, word(i, 3))
+		w.Record(6000, word(i, 3))
 	}
 	_, told := standings(w.Sightings(6000))["d0"]
 	assert.False(t, told, "silent, and nobody knows")
 }
 
 func TestWhatHasNotChangedIsToldNowAndThen(t *testing.T) {
-	w := NewWatch()
-	w.Heard(0, word(0, 1))
-	w.Heard(0, word(1, 1))
-	assert.Len(t, w.News(0), 2)
-	assert.Empty(t, w.News(500))
+	w := NewReportCollector()
+	w.Record(0, word(0, 1))
+	w.Record(0, word(1, 1))
+	assert.Len(t, w.ChangedSightings(0), 2)
+	assert.Empty(t, w.ChangedSightings(500))
 	next := word(0, 2)
 	next.Did = 3
-	w.Heard(600, next)
-	assert.Equal(t, Ready, standings(w.News(700))["d0"])
-	w.Heard(3000, word(1, 2))
-	assert.Len(t, w.News(toldFor), 1)
+	w.Record(600, next)
+	assert.Equal(t, Ready, standings(w.ChangedSightings(700))["d0"])
+	w.Record(3000, word(1, 2))
+	assert.Len(t, w.ChangedSightings(toldFor), 1)
 }
 
 func TestABackendStandsAsMostListsHaveIt(t *testing.T) {
-	w := NewWatch()
+	w := NewReportCollector()
 	of := func(how Standing) []Sighting { return []Sighting{{Unit: backendOf("b0", "z"), Standing: how}} }
 	for i, how := range []Standing{Failed, Ready, Ready, Failed, Failed} {
 		x := word(i, 1)
 		x.Backends = of(how)
-		w.Heard(0, x)
+		w.Record(0, x)
 	}
-	assert.True(t, w.Full(0, "d2"))
-	assert.False(t, w.Full(0, "d3"))
+	assert.True(t, w.WantsBackends(0, "d2"))
+	assert.False(t, w.WantsBackends(0, "d3"))
 	assert.Equal(t, Ready, standings(w.Sightings(0))["b0"])
 }
 
 // A keeper in the test's hands: its posts go to a state at once.
 type kept struct {
-	*Keeper
+	*DoorAgent
 	s    *site
 	now  float64
-	gone []Aside
+	gone []SetOut
 	held [][]string
 	cut  bool
 	n    uint64
@@ -261,8 +261,8 @@
 
 func keep(s *site, i int) *kept {
 	k := &kept{s: s}
-	k.Keeper = NewKeeper(unit(i), func() uint64 { k.n++; return uint64(i)*1000 + k.n })
-	k.step(Stands{Ready: true})
+	k.DoorAgent = NewDoorAgent(unit(i), func() uint64 { k.n++; return uint64(i)*1000 + k.n })
+	k.step(DoorStatus{Ready: true})
 	return k
 }
 
@@ -273,21 +273,21 @@
 			if k.cut {
 				continue
 			}
-			if a.Word == nil {
+			if a.Report == nil {
 				todo = append(todo, k.Step(k.now, Answered{a.Seq, k.s.Apply(Command{Caller: a.Caller, Seq: a.Seq, AtMs: k.now, Do: a.Do})})...)
 				continue
 			}
-			for _, do := range k.s.Needs(a.Word) {
+			for _, do := range k.s.Needs(a.Report) {
 				k.s.Apply(Command{Caller: a.Caller, Seq: a.Seq, AtMs: k.now, Do: do})
 			}
-			todo = append(todo, k.Step(k.now, Replied{a.Seq, k.s.Reply(a.Word, true)})...)
+			todo = append(todo, k.Step(k.now, Replied{a.Seq, k.s.Reply(a.Report, true)})...)
 		case Withhold:
 			k.held = append(k.held, a.Names)
-			todo = append(todo, k.Step(k.now, Did{a.Change})...)
-		case Aside:
+			todo = append(todo, k.Step(k.now, WithholdApplied{a.Change})...)
+		case SetOut:
 			k.gone = append(k.gone, a)
 			if a.Out {
-				todo = append(todo, k.Step(k.now, Stepped{k.now <= a.UntilMs})...)
+				todo = append(todo, k.Step(k.now, SetOutDone{k.now <= a.UntilMs})...)
 			}
 		}
 	}
@@ -328,7 +328,7 @@
 	k.cut = true
 	k.run(20e3)
 	assert.Len(t, k.gone, 1, "it keeps to what it was told")
-	k.step(ByHand{})
+	k.step(EndByHand{})
 	k.run(500)
 	require.Len(t, k.gone, 2)
 	assert.Empty(t, k.held[len(k.held)-1])
@@ -358,10 +358,10 @@
 	s := newSite(8)
 	k := keep(s, 0)
 	k.run(1500)
-	k.step(Leave{})
+	k.step(Terminating{})
 	k.run(200)
 	assert.Equal(t, Failed, s.Units["door/d0"].Standing)
-	k.step(Left{})
+	k.step(Terminated{})
 	k.run(200)
 	assert.Equal(t, Ended, s.Units["door/d0"].Standing)
 }
@@ -369,24 +369,24 @@
 func TestAReleaseDrainsBackendsAsBudgetsAllowAndBringsThemBackReplaced(t *testing.T) {
 	s := withBackends(2)
 	s.do("op", release.Start{Plan: release.Plan{Name: "kernel", Changes: release.Backends, Waves: []release.Wave{{Count: 1}, {Rest: true}}}, Who: "ana"})
-	drains := s.Errands()
+	drains := s.ReleaseCommands()
 	require.Equal(t, []any{Drain{Kind: Backend, Name: "b0", Who: "release kernel", Why: "to be replaced", Release: 1}}, drains)
 	require.NoError(t, s.do("c", drains[0]).Err)
-	assert.Empty(t, s.Errands(), "it isn't replaced so far")
-	s.do("watch", Seen{[]Sighting{{Unit: backendOf("b0", "z0"), Standing: Starting, Process: 6}}})
-	assert.Empty(t, s.Errands(), "nor warm")
-	s.do("watch", Seen{[]Sighting{{Unit: backendOf("b0", "z0"), Standing: Ready, Process: 6}}})
-	back := s.Errands()
+	assert.Empty(t, s.ReleaseCommands(), "it isn't replaced so far")
+	s.do("watch", RecordSightings{[]Sighting{{Unit: backendOf("b0", "z0"), Standing: Starting, Process: 6}}})
+	assert.Empty(t, s.ReleaseCommands(), "nor warm")
+	s.do("watch", RecordSightings{[]Sighting{{Unit: backendOf("b0", "z0"), Standing: Ready, Process: 6}}})
+	back := s.ReleaseCommands()
 	require.Len(t, back, 1)
 	require.NoError(t, s.do("c", back[0]).Err)
 	s.did(0, s.Change)
 	s.did(1, s.Change)
-	s.do("watch", Seen{[]Sighting{{Unit: backendOf("b0", "z0"), Standing: Ready, Process: 6}}})
+	s.do("watch", RecordSightings{[]Sighting{{Unit: backendOf("b0", "z0"), Standing: Ready, Process: 6}}})
 	assert.Empty(t, s.Permits)
-	s.do("c", release.Judged{Number: 1, Wave: 0, Verdict: release.Verdict{Says: release.GoOn}})
-	drains = s.Errands()
+	s.do("c", release.RecordVerdict{Number: 1, Wave: 0, Verdict: release.Verdict{Outcome: release.GoOn}})
+	drains = s.ReleaseCommands()
 	require.Len(t, drains, 1, "one may be out")
 	require.NoError(t, s.do("c", drains[0]).Err)
 	s.do("op", release.Steer{Name: "kernel", To: release.ToBack, Who: "ana"})
-	require.Equal(t, []any{Undrain{Backend, "b1", "release kernel", "the release is over"}}, s.Errands())
+	require.Equal(t, []any{Undrain{Backend, "b1", "release kernel", "the release is over"}}, s.ReleaseCommands())
 }
--- a/permits/permits.go
+++ b/permits/permits.go
@@ -19,17 +19,17 @@
 // State is what coordinators agree on.
 type State struct {
 	NowMs   float64
-	WallMs  float64 // latest wall clock of any coordinator that led
-	Change  uint64  // grows with each order that is given or ends
-	Epoch   uint64  // drawn by the first leader: tells this state from another one's
-	Leader  Lead    // the latest
-	Next    uint64  // number of the next permit; numbers only grow
+	WallMs  float64    // latest wall clock of any coordinator that led
+	Change  uint64     // grows with each order that is given or ends
+	Epoch   uint64     // drawn by the first leader: tells this state from another one's
+	Leader  Leadership // the latest
+	Next    uint64     // number of the next permit; numbers only grow
 	Budgets []Budget
-	Units   map[string]*Known // by kind and name
+	Units   map[string]*UnitState // by kind and name
 	Permits map[uint64]*Permit
 	Halts   []Halt
 	Callers map[string]*Latest
-	Audit   []Line
+	Audit   []AuditEntry
 	Release *release.State
 	LastMs  map[string]float64 // when a permit was given or a unit came back, by kind and zone
 
@@ -37,14 +37,14 @@
 	Runs     map[uint64]*Run // what entries of the calendar have under way
 }
 
-// Known is what is known of a unit.
-type Known struct {
+// UnitState is what is known of a unit.
+type UnitState struct {
 	Unit
-	Standing Standing
-	AtMs     float64 // of the sighting
-	Life     uint64  // latest that it spoke with, or that was seen
-	Process  uint64
-	Did      uint64 // change up to which a door withholds what is to be withheld
+	Standing    Standing
+	AtMs        float64 // of the sighting
+	Incarnation uint64  // latest that it spoke with, or that was seen
+	Process     uint64
+	Did         uint64 // change up to which a door withholds what is to be withheld
 }
 
 // Latest is a caller's latest command.
@@ -54,8 +54,8 @@
 	Answer Answer
 }
 
-// Line is one line of the audit.
-type Line struct {
+// AuditEntry is one line of the audit.
+type AuditEntry struct {
 	AtMs   float64
 	WallMs float64
 	Number uint64
@@ -66,7 +66,7 @@
 
 // New returns the state before the first command: without budgets nothing goes out.
 func New() *State {
-	s := &State{Next: 1, Units: map[string]*Known{}, Permits: map[uint64]*Permit{}, Callers: map[string]*Latest{}, LastMs: map[string]float64{}, Release: release.New(),
+	s := &State{Next: 1, Units: map[string]*UnitState{}, Permits: map[uint64]*Permit{}, Callers: map[string]*Latest{}, LastMs: map[string]float64{}, Release: release.New(),
 		Calendar: calendar.New(), Runs: map[uint64]*Run{}}
 	s.Calendar.See(s)
 	return s
@@ -96,12 +96,12 @@
 		before, after := worded(s.Budgets), worded(d.Budgets)
 		s.Budgets = slices.Clone(d.Budgets)
 		s.note(0, "budgets "+before+" -> "+after, cmp.Or(d.Who, c.Caller), d.Why)
-	case Seen:
+	case RecordSightings:
 		for i := range d.Sightings {
 			s.see(&d.Sightings[i])
 		}
 		s.forget()
-	case Here:
+	case SelfReport:
 		s.see(&d.Sighting)
 		if p := s.of(d.Kind, d.Name); p != nil && p.Number != d.Holds && p.Caller == c.Caller {
 			s.unused(p) // it says itself, after all it has asked, that it isn't going by it
@@ -117,7 +117,7 @@
 		return s.drain(c, d)
 	case Undrain:
 		return s.undrain(d)
-	case Lead:
+	case Leadership:
 		s.Leader = d
 		if s.Epoch == 0 {
 			s.Epoch = d.Epoch
@@ -131,7 +131,7 @@
 		calendar.SetRules, calendar.Clock, calendar.Start, calendar.WaveDone, calendar.Observe, calendar.Migrate, calendar.Replace, calendar.Revert, calendar.Halt, calendar.Resume,
 		calendar.RollBack, calendar.RolledBack, calendar.Acknowledge, calendar.Restored:
 		return s.schedule(c)
-	case release.Start, release.Took, release.Judged, release.Steer:
+	case release.Start, release.Took, release.RecordVerdict, release.Steer:
 		if own, err := s.ofCalendar(d); own || err != nil {
 			return Answer{Err: err}
 		}
@@ -146,7 +146,7 @@
 				who, why = d.Who, d.Why
 			case release.Steer:
 				who, why = d.Who, d.Why
-			case release.Judged:
+			case release.RecordVerdict:
 				why = d.Verdict.Why
 			}
 			s.note(0, note, who, why)
@@ -166,7 +166,7 @@
 			s.Release.Saw(d.Name, "gone for good")
 		}
 		s.note(0, "forgotten: "+d.Name, d.Who, d.Why)
-	case Ask:
+	case RequestPermit:
 		return s.ask(c, d)
 	case Confirm:
 		return s.confirm(c, d)
@@ -196,7 +196,7 @@
 }
 
 func (s *State) note(number uint64, what, who, why string) {
-	s.Audit = append(s.Audit, Line{s.NowMs, s.WallMs, number, what, who, why})
+	s.Audit = append(s.Audit, AuditEntry{s.NowMs, s.WallMs, number, what, who, why})
 	if n := len(s.Audit); n > auditMost {
 		s.Audit = slices.Delete(s.Audit, 0, n-auditMost)
 	}
@@ -208,13 +208,13 @@
 	k := key(g.Kind, g.Name)
 	u := s.Units[k]
 	if u == nil {
-		u = &Known{}
+		u = &UnitState{}
 		s.Units[k] = u
 	}
-	if g.Life < u.Life { // a word of a process before, late on its way
+	if g.Incarnation < u.Incarnation { // a word of a process before, late on its way
 		return
 	}
-	u.Unit, u.Standing, u.AtMs, u.Life, u.Process, u.Did = g.Unit, g.Standing, s.NowMs, g.Life, g.Process, max(u.Did, g.Did)
+	u.Unit, u.Standing, u.AtMs, u.Incarnation, u.Process, u.Did = g.Unit, g.Standing, s.NowMs, g.Incarnation, g.Process, max(u.Did, g.Did)
 	if g.Kind == Backend && g.Standing != Failed {
 		s.Release.Saw(g.Name, fmt.Sprint(g.Process))
 	}
@@ -230,7 +230,7 @@
 	case p == nil || p.Stage != Out || p.Order && !p.Over:
 	case p.Unit.Kind == Backend:
 		s.backAgain(p)
-	case g.Standing == Ready && g.Process != p.Process && g.Life > p.Life:
+	case g.Standing == Ready && g.Process != p.Process && g.Incarnation > p.Incarnation:
 		s.free(p, "back")
 	}
 }
@@ -257,7 +257,7 @@
 	maps.DeleteFunc(s.Callers, func(_ string, l *Latest) bool { return s.NowMs-l.AtMs > callerFor })
 }
 
-func (s *State) ask(c *Command, d Ask) Answer {
+func (s *State) ask(c *Command, d RequestPermit) Answer {
 	u := s.Units[key(d.Kind, d.Unit)]
 	if u == nil {
 		return Answer{Err: &UnknownError{fmt.Sprintf("%s %s", d.Kind, d.Unit)}}
@@ -303,10 +303,10 @@
 	if err != nil {
 		return Answer{Err: err}
 	}
-	if d.Life == 0 && u != nil {
-		d.Life, d.Process = u.Life, u.Process
+	if d.Incarnation == 0 && u != nil {
+		d.Incarnation, d.Process = u.Incarnation, u.Process
 	}
-	p.Stage, p.Life, p.Process = Out, d.Life, d.Process
+	p.Stage, p.Incarnation, p.Process = Out, d.Incarnation, d.Process
 	s.note(p.Number, "out: "+p.Unit.Name, p.Who, p.Why)
 	return Answer{Number: p.Number}
 }
@@ -325,7 +325,7 @@
 // failed is out already: on its way back to what it ran before, no budget is in its way, or failures could use all of it up
 // and nothing could come back. One that a new leader has only not seen so far may well serve: three once went back at once in
 // the half second before the first sightings, where two may be out.
-func (s *State) mayChange(u *Known, number uint64, fresh bool) error {
+func (s *State) mayChange(u *UnitState, number uint64, fresh bool) error {
 	if number != 0 {
 		back, err := s.Release.MayTake(number, u.Name)
 		if err != nil {
@@ -339,10 +339,10 @@
 }
 
 // Out tells whether a unit counts as out.
-func (s *State) Out(u *Known) bool { return s.out(u) }
+func (s *State) Out(u *UnitState) bool { return s.out(u) }
 
 // out tells whether a unit counts as out: by plan, by failure, or as nobody has seen it lately.
-func (s *State) out(u *Known) bool {
+func (s *State) out(u *UnitState) bool {
 	return u.Standing != Ready || s.NowMs-u.AtMs > sightFor || s.of(u.Kind, u.Name) != nil
 }
 
@@ -401,10 +401,10 @@
 		return &DeniedError{g.Name, *b, zone, fmt.Sprintf(format, args...), orNone(out)}
 	}
 	switch {
-	case len(out)+1 > b.MostOut:
-		return denied("%d of %d are out already", len(out), b.MostOut)
-	case here < b.LeastHere:
-		return denied("%d would be here, at least %d must be", here, b.LeastHere)
+	case len(out)+1 > b.MaxOut:
+		return denied("%d of %d are out already", len(out), b.MaxOut)
+	case here < b.MinReady:
+		return denied("%d would be here, at least %d must be", here, b.MinReady)
 	case size < b.LeastSize:
 		return denied("a size of %g would be here, at least %g must be", size, b.LeastSize)
 	case fresh && last >= 0 && s.NowMs-last < b.RestMs:
--- a/permits/permits_test.go
+++ b/permits/permits_test.go
@@ -17,7 +17,7 @@
 
 func newSite(doors int) *site {
 	s := &site{New(), 0, map[string]uint64{}}
-	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 2, LeastHere: 2, RestMs: 0}, {Kind: Door, Zone: EachZone, MostOut: 1}}})
+	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MaxOut: 2, MinReady: 2, RestMs: 0}, {Kind: Door, Zone: EachZone, MaxOut: 1}}})
 	for i := range doors {
 		s.seen(i, Ready, 1)
 	}
@@ -34,15 +34,15 @@
 }
 
 func sight(i int, how Standing, life uint64) Sighting {
-	return Sighting{Unit: unit(i), Standing: how, Life: life, Process: life * 100}
+	return Sighting{Unit: unit(i), Standing: how, Incarnation: life, Process: life * 100}
 }
 
 func (s *site) seen(i int, how Standing, life uint64) {
-	s.do("watch", Seen{[]Sighting{sight(i, how, life)}})
+	s.do("watch", RecordSightings{[]Sighting{sight(i, how, life)}})
 }
 
 func (s *site) ask(i int) Answer {
-	return s.do(unit(i).Name, Ask{Unit: unit(i).Name, Kind: Door, Who: "op", Why: "release", HoldMs: 10e3})
+	return s.do(unit(i).Name, RequestPermit{Unit: unit(i).Name, Kind: Door, Who: "op", Why: "release", HoldMs: 10e3})
 }
 
 func (s *site) confirm(i int, n uint64) Answer {
@@ -80,7 +80,7 @@
 
 func TestARepeatChangesNothingAndAnOlderCommandIsRefused(t *testing.T) {
 	s := newSite(8)
-	c := Command{Caller: "d0", Seq: 5, Do: Ask{Unit: "d0", Kind: Door, HoldMs: 1e4}}
+	c := Command{Caller: "d0", Seq: 5, Do: RequestPermit{Unit: "d0", Kind: Door, HoldMs: 1e4}}
 	a := s.Apply(c)
 	require.NoError(t, a.Err)
 	assert.Equal(t, a, s.Apply(c))
@@ -122,11 +122,11 @@
 func TestOnesOwnWordGivesBackWhatIsNotUsed(t *testing.T) {
 	s := newSite(8)
 	n := s.ask(0).Number
-	s.do("d0", Here{sight(0, Ready, 1), n})
+	s.do("d0", SelfReport{sight(0, Ready, 1), n})
 	assert.Len(t, s.Permits, 1, "it means to use it")
-	s.do("another", Here{sight(0, Ready, 1), 0})
+	s.do("another", SelfReport{sight(0, Ready, 1), 0})
 	assert.Len(t, s.Permits, 1, "said by another")
-	s.do("d0", Here{sight(0, Ready, 1), 0})
+	s.do("d0", SelfReport{sight(0, Ready, 1), 0})
 	assert.Empty(t, s.Permits)
 	n = s.ask(0).Number
 	require.NoError(t, s.do("op", WriteOff{n, "ana", "its machine is gone"}).Err)
@@ -134,23 +134,23 @@
 	assert.Equal(t, "its machine is gone", s.Audit[len(s.Audit)-1].Why)
 	var unknown *UnknownError
 	assert.ErrorAs(t, s.do("op", WriteOff{n, "ana", "again"}).Err, &unknown)
-	assert.ErrorAs(t, s.do("x", Ask{Unit: "nobody", Kind: Door}).Err, &unknown)
+	assert.ErrorAs(t, s.do("x", RequestPermit{Unit: "nobody", Kind: Door}).Err, &unknown)
 }
 
 func TestWithoutABudgetNothingGoesOut(t *testing.T) {
 	s := newSite(4)
-	s.do("watch", Seen{[]Sighting{{Unit: Unit{Kind: Backend, Name: "b", Size: 2}, Standing: Ready, Life: 1}}})
-	assert.ErrorContains(t, s.do("x", Ask{Unit: "b", Kind: Backend}).Err, "no budget")
+	s.do("watch", RecordSightings{[]Sighting{{Unit: Unit{Kind: Backend, Name: "b", Size: 2}, Standing: Ready, Incarnation: 1}}})
+	assert.ErrorContains(t, s.do("x", RequestPermit{Unit: "b", Kind: Backend}).Err, "no budget")
 }
 
 func TestLeastHereSizeAndRest(t *testing.T) {
 	s := newSite(8)
-	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 8, LeastHere: 7}}})
+	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MaxOut: 8, MinReady: 7}}})
 	require.NoError(t, s.ask(0).Err)
 	assert.ErrorContains(t, s.ask(1).Err, "at least 7")
-	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 8, LeastSize: 6.5}}})
+	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MaxOut: 8, LeastSize: 6.5}}})
 	assert.ErrorContains(t, s.ask(1).Err, "at least 6.5")
-	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MostOut: 8, RestMs: 5000}}})
+	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MaxOut: 8, RestMs: 5000}}})
 	assert.ErrorContains(t, s.ask(1).Err, "must pass")
 	s.now = 5000
 	for i := range 8 {
@@ -171,23 +171,23 @@
 }
 
 func TestAHolderThatWasStoppedLooksAgain(t *testing.T) {
-	var h Holder
-	ask := h.Asked(0, 10e3)
+	var h PermitHolder
+	ask := h.RequestSent(0, 10e3)
 	assert.False(t, h.Answered(ask+1, Answer{Number: 3}), "no answer to that is waited for")
 	require.True(t, h.Answered(ask, Answer{Number: 3}))
 	assert.False(t, h.MayGo(100), "not without the last look")
-	look := h.Looking(200)
+	look := h.ConfirmSent(200)
 	require.True(t, h.Answered(look, Answer{Number: 3}))
 	assert.True(t, h.MayGo(900))
 	assert.False(t, h.MayGo(1300), "it was stopped since")
-	again := h.Looking(1300)
+	again := h.ConfirmSent(1300)
 	assert.False(t, h.Answered(look, Answer{Number: 3}), "an answer to an earlier look doesn't count")
 	require.True(t, h.Answered(again, Answer{Number: 3}))
 	assert.True(t, h.MayGo(1350))
-	late := h.Looking(8500)
+	late := h.ConfirmSent(8500)
 	h.Answered(late, Answer{Number: 3})
 	assert.False(t, h.MayGo(8600), "its own clock says that the hold is nearly over")
 	h.Drop()
 	assert.Zero(t, h.Number)
-	assert.Greater(t, h.Next(), late)
+	assert.Greater(t, h.NextSeq(), late)
 }
--- a/permits/planfile/errors.go
+++ b/permits/planfile/errors.go
@@ -13,7 +13,7 @@
 }
 
 func (e *ZoneError) Error() string {
-	return remedy.Because(fmt.Sprintf("time zone %q", e.Name), e.Cause)
+	return remedy.WithCause(fmt.Sprintf("time zone %q", e.Name), e.Cause)
 }
 func (e *ZoneError) Unwrap() error     { return e.Cause }
 func (e *ZoneError) Kind() remedy.Kind { return remedy.Usage }
@@ -27,7 +27,7 @@
 	Cause error
 }
 
-func (e *FileError) Error() string     { return remedy.Because(e.Path, e.Cause) }
+func (e *FileError) Error() string     { return remedy.WithCause(e.Path, e.Cause) }
 func (e *FileError) Unwrap() error     { return e.Cause }
 func (e *FileError) Kind() remedy.Kind { return remedy.Configuration }
 
--- a/permits/watch.go
+++ b/permits/watch.go
@@ -7,9 +7,9 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-// Word is what a door says to coordinators every second or so: how it stands, what it has carried out, and whom it holds to
+// DoorReport is what a door says to coordinators every second or so: how it stands, what it has carried out, and whom it holds to
 // be away. It is a belief, but for what it says of itself.
-type Word struct {
+type DoorReport struct {
 	Caller string `json:"caller"` // name and process
 	Seq    uint64 `json:"seq"`
 	Sighting
@@ -23,12 +23,12 @@
 
 // Reply answers a word.
 type Reply struct {
-	Epoch    uint64   `json:"epoch"`
-	Life     uint64   `json:"life"` // that the unit is known by; another than the word's has the door begin again
-	Change   uint64   `json:"change"`
-	Withheld []string `json:"withheld,omitempty"`
-	Order    *Order   `json:"order,omitempty"` // for this door
-	Full     bool     `json:"full,omitempty"`  // its list of backends is wanted with the next
+	Epoch       uint64   `json:"epoch"`
+	Incarnation uint64   `json:"life"` // that the unit is known by; another than the word's has the door begin again
+	Change      uint64   `json:"change"`
+	Withheld    []string `json:"withheld,omitempty"`
+	Order       *Order   `json:"order,omitempty"` // for this door
+	Full        bool     `json:"full,omitempty"`  // its list of backends is wanted with the next
 }
 
 // Order is what a door is told of its own.
@@ -44,9 +44,9 @@
 	reporters = 3    // doors that are asked for their lists of backends: one may be behind, or wrong
 )
 
-// Watch gathers the words of doors at the coordinator that leads, and makes sightings of them. What it knows ends with the
+// ReportCollector gathers the words of doors at the coordinator that leads, and makes sightings of them. What it knows ends with the
 // leadership: a new leader hears all doors within a second or two.
-type Watch struct {
+type ReportCollector struct {
 	words map[string]*heard // by door
 	names []string          // of those doors, sorted
 	waves map[uint64]*judged
@@ -67,20 +67,20 @@
 }
 
 type heard struct {
-	Word
+	DoorReport
 	at float64
 }
 
-// NewWatch returns one that has heard nobody.
-func NewWatch() *Watch {
-	return &Watch{words: map[string]*heard{}, waves: map[uint64]*judged{}, told: map[string]told{}}
+// NewReportCollector returns one that has heard nobody.
+func NewReportCollector() *ReportCollector {
+	return &ReportCollector{words: map[string]*heard{}, waves: map[uint64]*judged{}, told: map[string]told{}}
 }
 
-// Heard takes a word in. One that comes after a later one of the same process, or of a process before, is passed over. The
+// Record takes a word in. One that comes after a later one of the same process, or of a process before, is passed over. The
 // list of backends stays until the door tells another.
-func (w *Watch) Heard(now float64, word Word) bool {
+func (w *ReportCollector) Record(now float64, word DoorReport) bool {
 	if old := w.words[word.Name]; old != nil {
-		if word.Life < old.Life || word.Process == old.Process && word.Seq <= old.Seq {
+		if word.Incarnation < old.Incarnation || word.Process == old.Process && word.Seq <= old.Seq {
 			return false
 		}
 		if word.Counts == nil && word.Process == old.Process {
@@ -99,7 +99,7 @@
 }
 
 // fresh lists the doors that have said something lately, up to so many.
-func (w *Watch) fresh(now float64, most int) (names []string) {
+func (w *ReportCollector) fresh(now float64, most int) (names []string) {
 	for _, n := range w.names {
 		if h := w.words[n]; len(names) < most && now-h.at <= wordFor && h.Standing != Ended {
 			names = append(names, n)
@@ -108,14 +108,14 @@
 	return names
 }
 
-// Full tells whether a door is to tell its list of backends.
-func (w *Watch) Full(now float64, name string) bool {
+// WantsBackends tells whether a door is to tell its list of backends.
+func (w *ReportCollector) WantsBackends(now float64, name string) bool {
 	return slices.Contains(w.fresh(now, reporters), name)
 }
 
 // Sightings tells how all units stand by what was heard lately. A door is what it says itself, unless most of the others hold
 // it to be away; one that says nothing any more is told of only where they do. A backend stands as most lists have it.
-func (w *Watch) Sightings(now float64) (all []Sighting) {
+func (w *ReportCollector) Sightings(now float64) (all []Sighting) {
 	fresh := w.fresh(now, len(w.names))
 	away := map[string]int{}
 	lists := map[string][]Sighting{}
@@ -164,9 +164,9 @@
 	return all
 }
 
-// News lists the sightings that are to be agreed on: what has changed, and now and then what hasn't. All of them twice a second
+// ChangedSightings lists the sightings that are to be agreed on: what has changed, and now and then what hasn't. All of them twice a second
 // would be most of what coordinators write.
-func (w *Watch) News(now float64) (news []Sighting) {
+func (w *ReportCollector) ChangedSightings(now float64) (news []Sighting) {
 	for _, s := range w.Sightings(now) {
 		k := key(s.Kind, s.Name)
 		if t, known := w.told[k]; known && t.Sighting == s && now-t.at < toldFor {
@@ -180,9 +180,9 @@
 
 // Needs lists the commands that a word calls for at once, in place of the next round of sightings: a permit that its door does
 // not mean to use, orders that were ended at the door, a standing that has changed.
-func (s *State) Needs(w *Word) (do []any) {
+func (s *State) Needs(w *DoorReport) (do []any) {
 	u := s.Units[key(w.Kind, w.Name)]
-	if u == nil || w.Life != u.Life {
+	if u == nil || w.Incarnation != u.Incarnation {
 		return nil // it is told to begin, or speaks of a life before
 	}
 	for _, n := range w.Undone {
@@ -195,16 +195,16 @@
 	}
 	p := s.of(w.Kind, w.Name)
 	if p != nil && p.Caller == w.Caller && p.Number != w.Holds || u.Standing != w.Standing || u.Did < w.Did && s.Change == w.Did {
-		do = append(do, Here{w.Sighting, w.Holds})
+		do = append(do, SelfReport{w.Sighting, w.Holds})
 	}
 	return do
 }
 
 // Reply words what a door is told.
-func (s *State) Reply(w *Word, full bool) Reply {
+func (s *State) Reply(w *DoorReport, full bool) Reply {
 	r := Reply{Full: full, Epoch: s.Epoch}
 	if u := s.Units[key(w.Kind, w.Name)]; u != nil {
-		r.Life = u.Life
+		r.Incarnation = u.Incarnation
 	}
 	r.Withheld, r.Change = s.Withheld()
 	if p := s.of(w.Kind, w.Name); p != nil && p.Order && !p.Over {
@@ -213,9 +213,9 @@
 	return r
 }
 
-// Judge compares, for each release that runs, the doors that it has changed with the others, once all of the present wave have
+// Verdicts compares, for each release that runs, the doors that it has changed with the others, once all of the present wave have
 // taken it, and lists the verdicts that end a wave. What was heard of each door before the comparison counts from there on.
-func (w *Watch) Judge(now float64, s *release.State) (verdicts []release.Judged) {
+func (w *ReportCollector) Verdicts(now float64, s *release.State) (verdicts []release.RecordVerdict) {
 	for n := range w.waves {
 		if !slices.ContainsFunc(s.All, func(r *release.Release) bool { return r.Number == n && r.Stage == release.Running }) {
 			delete(w.waves, n)
@@ -234,28 +234,28 @@
 		if r.Changes == release.Backends { // each pair of a door that reports and a backend is one to compare
 			for _, name := range w.fresh(now, reporters) {
 				for _, b := range slices.Sorted(maps.Keys(w.words[name].Sent)) {
-					j.of.Heard(now, b+" as "+name+" sees it", s.Changed(r, b), w.words[name].Sent[b])
+					j.of.Record(now, b+" as "+name+" sees it", s.Changed(r, b), w.words[name].Sent[b])
 				}
 			}
-			if v := j.of.Look(now); v.Says != release.Wait {
-				verdicts = append(verdicts, release.Judged{Number: r.Number, Wave: r.Wave, Verdict: v})
+			if v := j.of.Evaluate(now); v.Outcome != release.Wait {
+				verdicts = append(verdicts, release.RecordVerdict{Number: r.Number, Wave: r.Wave, Verdict: v})
 			}
 			continue
 		}
 		for _, name := range w.fresh(now, len(w.names)) {
 			if h := w.words[name]; h.Counts != nil {
-				j.of.Heard(now, name, s.Changed(r, name), *h.Counts)
+				j.of.Record(now, name, s.Changed(r, name), *h.Counts)
 			}
 		}
-		for _, part := range r.Parts[:r.Wave+1] {
+		for _, part := range r.UnitsByWave[:r.Wave+1] {
 			for _, name := range part {
 				if h := w.words[name]; now-j.began > lostFor && (h == nil || now-h.at > lostFor) {
-					j.of.Failed(name, "it isn't heard of any more")
+					j.of.RecordFailure(name, "it isn't heard of any more")
 				}
 			}
 		}
-		if v := j.of.Look(now); v.Says != release.Wait {
-			verdicts = append(verdicts, release.Judged{Number: r.Number, Wave: r.Wave, Verdict: v})
+		if v := j.of.Evaluate(now); v.Outcome != release.Wait {
+			verdicts = append(verdicts, release.RecordVerdict{Number: r.Number, Wave: r.Wave, Verdict: v})
 		}
 	}
 	return verdicts
--- a/permits/words.go
+++ b/permits/words.go
@@ -39,8 +39,8 @@
 type Budget struct {
 	Kind      Kind    `json:"kind"`
 	Zone      string  `json:"zone"`       // of one zone by name, EachZone, or empty for the whole fleet
-	MostOut   int     `json:"most_out"`   // by plan and by failure together
-	LeastHere int     `json:"least_here"` // ready
+	MaxOut    int     `json:"most_out"`   // by plan and by failure together
+	MinReady  int     `json:"least_here"` // ready
 	LeastSize float64 `json:"least_size"` // sizes of those ready, added up
 	RestMs    float64 `json:"rest_ms"`    // between two permits, and after one has come back; not looked at for zones
 }
@@ -64,16 +64,16 @@
 	Who, Why string `json:",omitempty"`
 }
 
-// Seen tells how units stand, by the members' verdicts and the fleet list.
-type Seen struct{ Sightings []Sighting }
+// RecordSightings tells how units stand, by the members' verdicts and the fleet list.
+type RecordSightings struct{ Sightings []Sighting }
 
 // Sighting is how one unit stands. Life grows with each of its processes, and may within one; Process tells them apart.
 type Sighting struct {
 	Unit
-	Standing Standing
-	Life     uint64
-	Process  uint64
-	Did      uint64 `json:",omitempty"` // of a door: the change up to which it withholds what is to be withheld
+	Standing    Standing
+	Incarnation uint64
+	Process     uint64
+	Did         uint64 `json:",omitempty"` // of a door: the change up to which it withholds what is to be withheld
 }
 
 // Begin has a unit's process known before it says anything else. Its answer's number is the life that it speaks with.
@@ -99,9 +99,9 @@
 	Who, Why string
 }
 
-// Lead is a new leader's first word: whatever was seen before it came counts as not seen, as it can't know for how long
+// Leadership is a new leader's first word: whatever was seen before it came counts as not seen, as it can't know for how long
 // nobody has looked.
-type Lead struct {
+type Leadership struct {
 	Name, API string
 	Epoch     uint64 // of the state, where it has none so far
 }
@@ -116,15 +116,15 @@
 	Who, Why string
 }
 
-// Here is a unit's own word: how it stands, and which permit it means to use; 0 for none. Said after an ask whose answer
+// SelfReport is a unit's own word: how it stands, and which permit it means to use; 0 for none. Said after an ask whose answer
 // never came, it gives that permit back: a unit acts on no answer to an earlier command than its latest.
-type Here struct {
+type SelfReport struct {
 	Sighting
 	Holds uint64
 }
 
-// Ask is for a permit to go out. HoldMs is for how long it may be used, from the ask on, by the asker's own clock.
-type Ask struct {
+// RequestPermit is for a permit to go out. HoldMs is for how long it may be used, from the ask on, by the asker's own clock.
+type RequestPermit struct {
 	Unit     string
 	Kind     Kind
 	Who, Why string
@@ -135,9 +135,9 @@
 // Confirm is the last look before the step that can't be taken back, by the process that will take it. Without a life it
 // is by another process than the unit's own, and speaks of the one that is known.
 type Confirm struct {
-	Number  uint64
-	Life    uint64
-	Process uint64
+	Number      uint64
+	Incarnation uint64
+	Process     uint64
 }
 
 // Withdraw gives a permit back that was not used.
@@ -174,16 +174,16 @@
 
 // Permit is one that takes a place.
 type Permit struct {
-	Number  uint64
-	Unit    Unit
-	Caller  string
-	Who     string
-	Why     string
-	AtMs    float64
-	HoldMs  float64
-	Stage   Stage
-	Life    uint64 // of the process that confirmed it: one that comes later, and is ready, is back
-	Process uint64
+	Number      uint64
+	Unit        Unit
+	Caller      string
+	Who         string
+	Why         string
+	AtMs        float64
+	HoldMs      float64
+	Stage       Stage
+	Incarnation uint64 // of the process that confirmed it: one that comes later, and is ready, is back
+	Process     uint64
 
 	Release uint64  `json:",omitempty"` // by which its unit changes
 	Order   bool    `json:",omitempty"` // an operator's: it stands until it is ended, whoever starts anew meanwhile
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -20,16 +20,16 @@
 		Doors: 3,
 		Classes: []gate.Class{
 			{Contract: 1000},
-			{Contract: 1000, Semantics: gate.Keyed, Scope: gate.ScopeZone, Window: 4000},
-			{Contract: 1000, Semantics: gate.Keyed, Window: 4000},
+			{Contract: 1000, Semantics: gate.Keyed, Scope: gate.ScopeZone, DedupWindow: 4000},
+			{Contract: 1000, Semantics: gate.Keyed, DedupWindow: 4000},
 			{Contract: 1000, Semantics: gate.NonIdempotent},
 		},
 		Plans: []gate.Plan{
 			{Rate: 0.002, Depth: 12},
-			{Rate: 0.002, Depth: 12, AtOnce: 3, CeilingRate: 0.003, CeilingDepth: 30},
+			{Rate: 0.002, Depth: 12, MaxConcurrent: 3, CeilingRate: 0.003, CeilingDepth: 30},
 		},
 		MaxAttempts: 4, Hedging: true, MayCancel: true, MaxRetryAfter: 500, MeterPeriod: 1000,
-		ColdFrom: 0.2, ColdFor: 10e3, FallMultiple: 2, FallWindow: 2000,
+		ColdCapacity: 0.2, WarmupTime: 10e3, OverloadMultiple: 2, OverloadWindow: 2000,
 	}
 }
 
@@ -37,9 +37,9 @@
 func door(n int) *Door {
 	d := New(terms(), 1)
 	d.now, d.born, d.ticked = 100e3, 0, 100e3
-	var e gate.Fleet
+	var e gate.FleetUpdate
 	for b := range n {
-		e.Entries = append(e.Entries, gate.Entry{Backend: b, Zone: b % 2, Cell: b, Size: 1})
+		e.Entries = append(e.Entries, gate.Entry{Backend: b, Zone: b % 2, Cell: b, Weight: 1})
 	}
 	d.list(e)
 	d.buckets = make([]bucket, 1)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -86,7 +86,7 @@
 
 // New returns the decisions of a door that has just started and knows nothing.
 func New(t gate.Terms, seed uint64) *Door {
-	return &Door{terms: t, dice: newDice(seed), ask: t.MustAsk, lat: make([]latency, len(t.Classes)),
+	return &Door{terms: t, dice: newDice(seed), ask: t.MustSubscribe, lat: make([]latency, len(t.Classes)),
 		out: make([]int, len(t.Classes)), born: -1,
 		calling: 1, before: 1, cutAt: math.Inf(-1), crowdedAt: math.Inf(-1),
 		fleet: fleet{cases: make([][]suspicion, len(t.Classes)+1)}}
@@ -100,23 +100,23 @@
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case gate.Fleet:
+		case gate.FleetUpdate:
 			d.list(e)
-		case gate.Doors:
-			d.here, d.doors = append(d.here[:0], e.Here...), e.Count
+		case gate.DoorsUpdate:
+			d.here, d.doors = append(d.here[:0], e.Present...), e.PresentCount
 		case gate.Request:
 			d.arrive(e)
-		case gate.Ended:
+		case gate.AttemptEnded:
 			d.ended(e)
 		case gate.Streaming:
 			d.ops[e.Op].streaming = true
 		case gate.Counted:
 			d.counted(e)
-		case gate.Closing:
-			d.endBy(e.By)
-		case gate.Woken:
+		case gate.ShuttingDown:
+			d.endBy(e.Deadline)
+		case gate.TimerFired:
 			d.bell = false // not judged by the clock: a carrier may round the time asked for
-		case gate.Vanished:
+		case gate.ClientGone:
 			d.ops[e.Op].want, d.ops[e.Op].given = answered, answered
 			d.buckets[d.ops[e.Op].customer].unpromise(&d.ops[e.Op])
 			d.touch(e.Op)
@@ -130,10 +130,10 @@
 // ---- The fleet list ----
 
 // list keeps up with the fleet. A backend that drains, is gone or is missing gets nothing new at once.
-func (d *Door) list(e gate.Fleet) {
+func (d *Door) list(e gate.FleetUpdate) {
 	f := &d.fleet
 	if e.Failed {
-		d.ask, d.askAt = d.terms.MustAsk, d.now+askRest // a list service that fails is not helped by haste
+		d.ask, d.askAt = d.terms.MustSubscribe, d.now+askRest // a list service that fails is not helped by haste
 		return
 	}
 	if e.Complete {
@@ -143,16 +143,16 @@
 	for _, n := range e.Entries {
 		f.grow(n.Backend+1, len(d.terms.Plans))
 		b := n.Backend
-		f.mark[b] = n.Mark
+		f.mark[b] = n.RingPosition
 		f.up[b], f.zone[b], f.cell[b] = n.Status == gate.Up, n.Zone, n.Cell
 		f.gone[b] = n.Status == gate.Gone
-		if !f.known[b] || n.Since != f.since[b] { // a new process: nothing held against the old one counts
-			f.renew(b, n.Since)
+		if !f.known[b] || n.StartedAt != f.since[b] { // a new process: nothing held against the old one counts
+			f.renew(b, n.StartedAt)
 		}
-		f.size[b] = cmp.Or(n.Size, f.size[b])
+		f.size[b] = cmp.Or(n.Weight, f.size[b])
 	}
 	// The doors begin at places of their own on one common ring, spread as evenly as numbers can be.
-	_, place := math.Modf(float64(d.terms.Number) * math.Phi)
+	_, place := math.Modf(float64(d.terms.DoorNumber) * math.Phi)
 	f.rank(place)
 }
 
@@ -162,10 +162,10 @@
 	d.ops = grown(d.ops, e.Op)
 	o := &d.ops[e.Op]
 	*o = request{class: e.Class, plan: e.Plan, customer: e.Customer, units: e.Units,
-		came: d.now, until: d.bounded(d.now + e.TTL), repeat: e.Repeat, sends: o.sends[:0]}
+		came: d.now, until: d.bounded(d.now + e.TTL), repeat: e.ClientRetry, sends: o.sends[:0]}
 	d.live = append(d.live, e.Op)
 	d.taken++
-	k := d.fill(e.Customer, e.Plan, e.First, e.Spread)
+	k := d.fill(e.Customer, e.Plan, e.FirstDoor, e.Spread)
 	k.demand += o.units / demandSpan
 	k.phase = e.Phase
 	k.open++
@@ -192,7 +192,7 @@
 		d.promise(k, o, charged)
 	}
 	if d.tooLong(o, hold) {
-		d.reject(e.Op, d.drain(o.class), gate.Pressed)
+		d.reject(e.Op, d.drain(o.class), gate.Overloaded)
 	} else {
 		o.held = true
 	}
@@ -221,7 +221,7 @@
 func (d *Door) ofSet(k *bucket) float64 {
 	n := k.spread
 	for i := k.first; len(d.here) > 0 && i < k.first+k.spread; i++ {
-		if at := i % max(1, d.terms.Doors); at < len(d.here) && !d.here[at] && at != d.terms.Number {
+		if at := i % max(1, d.terms.Doors); at < len(d.here) && !d.here[at] && at != d.terms.DoorNumber {
 			n--
 		}
 	}
@@ -247,7 +247,7 @@
 	if ceiling > quota {
 		return ceiling, gate.AtCeiling
 	}
-	return quota, gate.OverPart
+	return quota, gate.OverQuotaShare
 }
 
 func (d *Door) quotaWait(k *bucket, units float64) float64 {
@@ -311,7 +311,7 @@
 		}
 	}
 	wait, why := d.shortfall(k, o.units)
-	metered := wait > 0 && why == gate.OverPart && d.ceilingWait(k, o.units) == 0 && d.metered(k, o.units)
+	metered := wait > 0 && why == gate.OverQuotaShare && d.ceilingWait(k, o.units) == 0 && d.metered(k, o.units)
 	if metered {
 		wait = 0
 	}
@@ -332,12 +332,12 @@
 // pays tells whether what is sent beyond a plan's quota earns more than it costs, on a fleet not pressed.
 func (d *Door) pays(t *gate.Terms, plan int) bool {
 	p := &t.Plans[plan]
-	return p.Beyond > p.OverCost && d.pressed < openUnder
+	return p.OverQuotaGain > p.OverQuotaCost && d.pressed < openUnder
 }
 
-// Watch has the door tell where it would have decided otherwise under other terms, of the same classes and
+// CompareWith has the door tell where it would have decided otherwise under other terms, of the same classes and
 // plans. It decides by its own as before.
-func (d *Door) Watch(t *gate.Terms) { d.watch = t }
+func (d *Door) CompareWith(t *gate.Terms) { d.watch = t }
 
 // differs compares one decision with what the terms under watch would make of it.
 func (d *Door) differs(kind gate.Difference, otherwise func(w *gate.Terms) bool) {
@@ -411,7 +411,7 @@
 		lump := min(1, countLump/d.calling) * c.room / float64(k.spread)
 		c.asked = max(o.units, min(lump, k.demand*left))
 		d.calls = append(d.calls, gate.Count{Customer: o.customer, Epoch: n, Add: c.asked + c.owed - c.back,
-			Keep: left + askFor})
+			TTL: left + askFor})
 		c.owed = 0
 	}
 	return wait
@@ -440,7 +440,7 @@
 	}
 	c.calling = false
 	if e.Result != gate.Finished {
-		if d.now >= d.cutAt+askFor && e.Result != gate.Spoilt { // what was called together is one crowd
+		if d.now >= d.cutAt+askFor && e.Result != gate.Malformed { // what was called together is one crowd
 			if d.calling, d.cutAt = max(countLeast, countCut*d.calling), d.now; d.calling < countAll {
 				d.crowdedAt = d.now
 			}
@@ -577,13 +577,13 @@
 func (d *Door) release(i int) {
 	o := &d.ops[i]
 	if d.now >= o.until-lastLook {
-		d.giveUp(i, 0, gate.TimeUp)
+		d.giveUp(i, 0, gate.DeadlineNear)
 		return
 	}
 	// Fixed at arrival, holds given in a quiet moment would all end in the same later one, in a wave.
 	if len(o.sends) == 0 && !o.granted {
 		if rest := o.came + d.hold(o) - d.now; d.tooLong(o, rest) {
-			d.giveUp(i, d.drain(o.class), gate.Pressed)
+			d.giveUp(i, d.drain(o.class), gate.Overloaded)
 			return
 		} else if rest > 0 {
 			return
@@ -598,14 +598,14 @@
 	if b, any := d.pick(o); b >= 0 {
 		d.send(i, b)
 	} else if len(o.sends) > 0 && !any { // nothing listed may have it
-		d.giveUp(i, d.drain(o.class), gate.Nowhere)
+		d.giveUp(i, d.drain(o.class), gate.NoBackend)
 	}
 }
 
 // crowded holds a request whose customer has this door's part of the attempts allowed at once out.
 func (d *Door) crowded(o *request) bool {
 	p, k := &d.terms.Plans[o.plan], &d.buckets[o.customer]
-	return p.AtOnce > 0 && k.out >= max(1, int(math.Round(float64(p.AtOnce)*d.part(k))))
+	return p.MaxConcurrent > 0 && k.out >= max(1, int(math.Round(float64(p.MaxConcurrent)*d.part(k))))
 }
 
 // members is how many backends this door keeps to: so many that it comes to each often enough to keep a
@@ -679,7 +679,7 @@
 		case p.Semantics == gate.NonIdempotent:
 			return false
 		case p.Semantics == gate.Idempotent:
-		case d.now >= s.at+p.Window-repeatGap:
+		case d.now >= s.at+p.DedupWindow-repeatGap:
 			return false
 		case p.Scope == gate.ScopeZone && f.zone[b] != f.zone[s.backend]:
 			return false
@@ -696,7 +696,7 @@
 	p := &d.terms.Classes[o.class]
 	for j := range attempt {
 		if s := &o.sends[j]; p.Semantics == gate.Keyed && !s.proven {
-			by = cmp.Or(min(by, s.at+p.Window-repeatGap), s.at+p.Window-repeatGap)
+			by = cmp.Or(min(by, s.at+p.DedupWindow-repeatGap), s.at+p.DedupWindow-repeatGap)
 		}
 	}
 	return by
@@ -711,11 +711,11 @@
 // warmth is the share of its capacity that a backend has at least.
 func (d *Door) warmth(b int) float64 {
 	since := d.fleet.since[b]
-	if since == 0 || d.terms.ColdFor == 0 {
+	if since == 0 || d.terms.WarmupTime == 0 {
 		return 1
 	}
-	age := max(0, d.now-since) / d.terms.ColdFor
-	return min(1, d.terms.ColdFrom+(1-d.terms.ColdFrom)*age)
+	age := max(0, d.now-since) / d.terms.WarmupTime
+	return min(1, d.terms.ColdCapacity+(1-d.terms.ColdCapacity)*age)
 }
 
 // coldRoom keeps what is sent to a cold backend under this door's share of what would push it over, window
@@ -728,13 +728,13 @@
 	}
 	f := &d.fleet
 	if d.now >= f.coldUntil[b] {
-		share := coldShare * d.terms.FallMultiple * warm * d.warmRate(b) * d.terms.FallWindow / d.low(o.class)
+		share := coldShare * d.terms.OverloadMultiple * warm * d.warmRate(b) * d.terms.OverloadWindow / d.low(o.class)
 		if share == 0 { // no warm backend is known to compare with
 			share = coldBlind / float64(cmp.Or(d.doors, d.terms.Doors))
 		}
-		f.coldLeft[b], f.coldUntil[b] = int(share+d.dice.roll()), d.now+d.terms.FallWindow
+		f.coldLeft[b], f.coldUntil[b] = int(share+d.dice.roll()), d.now+d.terms.OverloadWindow
 	}
-	return f.coldLeft[b] > 0 && d.now > d.born+d.terms.FallWindow
+	return f.coldLeft[b] > 0 && d.now > d.born+d.terms.OverloadWindow
 }
 
 // warmRate is the work that warm backends take from this door, for a backend of b's size; where none is warm, what they took
@@ -778,7 +778,7 @@
 
 // ---- Outcomes ----
 
-func (d *Door) ended(e gate.Ended) {
+func (d *Door) ended(e gate.AttemptEnded) {
 	o, f := &d.ops[e.Op], &d.fleet
 	s := &o.sends[e.Attempt]
 	k := &d.buckets[o.customer]
@@ -788,12 +788,12 @@
 	f.out[s.backend]--
 	d.out[o.class]--
 	d.refill(o.customer)
-	if e.Units > 0 {
-		k.repay(o, e.Units)
+	if e.ActualUnits > 0 {
+		k.repay(o, e.ActualUnits)
 	}
-	d.hear(k, e.Use)
+	d.hear(k, e.MeteredUse)
 	d.judge(o, s, e)
-	if e.Over {
+	if e.Answered {
 		o.want, o.given = answered, answered
 	}
 	d.touch(e.Op)
@@ -801,10 +801,10 @@
 		return
 	}
 	if o.held = len(o.sends) < d.terms.MaxAttempts; !o.held {
-		d.giveUp(e.Op, d.drain(o.class), gate.Failed)
+		d.giveUp(e.Op, d.drain(o.class), gate.AttemptsFailed)
 		return
 	}
-	d.differs(gate.NoFurther, func(w *gate.Terms) bool { return len(o.sends) >= w.MaxAttempts })
+	d.differs(gate.NoRetry, func(w *gate.Terms) bool { return len(o.sends) >= w.MaxAttempts })
 }
 
 // giveUp ends a request at once: a rejection where trying again is harmless, else a failure.
@@ -825,18 +825,18 @@
 	o := &d.ops[i]
 	d.buckets[o.customer].unpromise(o)
 	o.want, o.held, o.retryAfter, o.why = rejected, false, min(retryAfter, d.terms.MaxRetryAfter), why
-	d.differs(gate.OtherAdvice, func(w *gate.Terms) bool {
+	d.differs(gate.OtherRetryAfter, func(w *gate.Terms) bool {
 		return min(retryAfter, w.MaxRetryAfter) != o.retryAfter
 	})
-	d.differs(gate.SentBeyond, func(w *gate.Terms) bool {
-		return (why == gate.OverPart || why == gate.OverQuota) && d.welcome(w, o)
+	d.differs(gate.SentOverQuota, func(w *gate.Terms) bool {
+		return (why == gate.OverQuotaShare || why == gate.OverQuota) && d.welcome(w, o)
 	})
 	d.touch(i)
 }
 
 // judge is the sequential test. A backend that works answers at the expected rate; a broken one fails, or
 // answers at a small share of it. Answers take evidence away, failures and silence (in tick) add it.
-func (d *Door) judge(o *request, s *attempt, e gate.Ended) {
+func (d *Door) judge(o *request, s *attempt, e gate.AttemptEnded) {
 	f, b := &d.fleet, s.backend
 	switch e.Result {
 	case gate.Finished:
@@ -864,7 +864,7 @@
 		if l := &d.lat[o.class]; e.Latency > l.recent && (!f.shunned(b, o.class) || d.mute(o.class)) {
 			l.recent += smoothing * (min(e.Latency, d.terms.Classes[o.class].Contract) - l.recent)
 		}
-	case gate.Errored, gate.Unreachable, gate.Reset, gate.Spoilt:
+	case gate.Errored, gate.Unreachable, gate.Reset, gate.Malformed:
 		d.doubt(b, o.class, failNats)
 	}
 }
@@ -986,7 +986,7 @@
 	// What can no longer come in time must not keep a pressed fleet from what can: without this a fleet that has
 	// fallen behind goes on working on what is late, for as long as clients wait.
 	if d.now > o.came+p.Contract && p.LateValue < lateLeast && !o.streaming && d.hold(o) > 0 {
-		d.giveUp(i, d.drain(o.class), gate.Late)
+		d.giveUp(i, d.drain(o.class), gate.PastContract)
 		return
 	}
 	if o.streaming || o.out != 1 || len(o.sends) >= d.terms.MaxAttempts || !d.terms.Hedging {
@@ -996,7 +996,7 @@
 	if s.out() && d.fleet.shunned(s.backend, o.class) && d.now-s.at > rescueAt*d.recent(o.class) {
 		if b, _ := d.pick(o); b >= 0 && b != s.backend {
 			d.send(i, b)
-			d.differs(gate.NoCopy, func(w *gate.Terms) bool { return !w.Hedging })
+			d.differs(gate.NoHedge, func(w *gate.Terms) bool { return !w.Hedging })
 		}
 	}
 }
@@ -1007,7 +1007,7 @@
 func (d *Door) settle() {
 	if d.ask && d.now >= d.askAt {
 		d.ask = false
-		d.actions = append(d.actions, gate.Track{})
+		d.actions = append(d.actions, gate.SubscribeFleet{})
 	}
 	for _, i := range d.changed {
 		o := &d.ops[i]
@@ -1017,7 +1017,7 @@
 			s.wanted = s.wanted && o.want == undecided
 			if s.wanted && !s.sent {
 				s.sent = true
-				d.actions = append(d.actions, gate.Send{Op: i, Backend: s.backend, By: d.by(o, j)})
+				d.actions = append(d.actions, gate.Send{Op: i, Backend: s.backend, StartBy: d.by(o, j)})
 			}
 			if !s.wanted && s.out() && !s.dropped && d.terms.MayCancel {
 				s.dropped = true
@@ -1039,6 +1039,6 @@
 	d.forgets = d.forgets[:0]
 	if (len(d.live) > 0 || d.ask) && !d.bell {
 		d.bell = true
-		d.actions = append(d.actions, gate.Wake{At: d.now + tickEvery})
+		d.actions = append(d.actions, gate.SetTimer{At: d.now + tickEvery})
 	}
 }
