--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -111,7 +111,7 @@
 	assert.Empty(t, d.forgets, "it would start full")
 	d.buckets[0].level = 12
 	d.forget()
-	assert.Equal(t, []gate.Action{gate.Forget{Customer: 0}}, d.forgets)
+	assert.Equal(t, []gate.Action{gate.FreeCustomer{Customer: 0}}, d.forgets)
 }
 
 // The index of a customer that was forgotten goes to another, who finds nothing of the first.
@@ -126,7 +126,7 @@
 	d.forget()
 	d.forgets = nil
 	d.now += 1
-	d.arrive(gate.Request{Op: 1, Class: idempotent, Plan: plain, TTL: 3000, Units: 1, Spread: 2, First: 1})
+	d.arrive(gate.Request{Op: 1, Class: idempotent, Plan: plain, TTL: 3000, Units: 1, Spread: 2, FirstDoor: 1})
 	fresh := bucket{known: true, plan: plain, first: 1, spread: 2, level: 12, filled: d.now, store: 12, trim: 1, heard: math.Inf(-1), set: 2,
 		phase: 0, open: 1, demand: 1 / demandSpan, promised: d.buckets[0].promised, promisedUnits: 1}
 	assert.Equal(t, fresh, d.buckets[0])
@@ -176,14 +176,14 @@
 
 func TestNonIdempotentThatMayHaveRunIsFailed(t *testing.T) {
 	d := sentOnce(nonIdempotent, 0)
-	d.ended(gate.Ended{Result: gate.Reset, Use: -1})
+	d.ended(gate.AttemptEnded{Result: gate.Reset, MeteredUse: -1})
 	d.tick()
 	assert.Equal(t, failed, d.ops[0].want)
 }
 
 func TestNonIdempotentThatNeverRanIsSentAgain(t *testing.T) {
 	d := sentOnce(nonIdempotent, 0)
-	d.ended(gate.Ended{Result: gate.Full, Use: -1})
+	d.ended(gate.AttemptEnded{Result: gate.Full, MeteredUse: -1})
 	assert.True(t, d.ops[0].held)
 }
 
@@ -203,19 +203,19 @@
 		d := sentOnce(class, 0)
 		assert.Zero(t, d.by(&d.ops[0], 0), "the first may begin whenever")
 		d.now += 1000
-		d.ended(gate.Ended{Result: gate.Reset, Use: -1})
+		d.ended(gate.AttemptEnded{Result: gate.Reset, MeteredUse: -1})
 		d.send(0, 2)
 		d.settle()
-		assert.Contains(t, d.actions, gate.Send{Op: 0, Backend: 2, By: want})
+		assert.Contains(t, d.actions, gate.Send{Op: 0, Backend: 2, StartBy: want})
 		d.now += 1000
-		d.ended(gate.Ended{Attempt: 1, Result: gate.Skipped, Use: -1})
+		d.ended(gate.AttemptEnded{Attempt: 1, Result: gate.Skipped, MeteredUse: -1})
 		d.send(0, 2)
 		assert.Equal(t, want, d.by(&d.ops[0], 2), "one that never ran moves nothing")
-		d.ended(gate.Ended{Attempt: 2, Result: gate.Reset, Use: -1})
+		d.ended(gate.AttemptEnded{Attempt: 2, Result: gate.Reset, MeteredUse: -1})
 		assert.Equal(t, want, d.by(&d.ops[0], 3), "of two that may have run, the earlier one's group forgets first")
 	}
 	d := sentOnce(keyedAnywhere, 0)
-	d.ended(gate.Ended{Result: gate.Unreachable, Use: -1})
+	d.ended(gate.AttemptEnded{Result: gate.Unreachable, MeteredUse: -1})
 	d.now += 3000
 	d.send(0, 2)
 	d.settle()
@@ -225,14 +225,14 @@
 func TestKeyedOfOneZoneIsNotRejectedOnceItMayHaveRun(t *testing.T) {
 	d := sentOnce(keyedInZone, 0)
 	d.fleet.up = make([]bool, 4)
-	d.ended(gate.Ended{Result: gate.Reset, Use: -1})
+	d.ended(gate.AttemptEnded{Result: gate.Reset, MeteredUse: -1})
 	d.tick()
 	assert.Equal(t, failed, d.ops[0].want)
 }
 
 func TestDrainingBackendGetsNothingNew(t *testing.T) {
 	d := door(2)
-	d.list(gate.Fleet{Entries: []gate.Entry{{Backend: 0, Status: gate.Draining}}})
+	d.list(gate.FleetUpdate{Entries: []gate.Entry{{Backend: 0, Status: gate.Draining}}})
 	for range 20 {
 		b, _ := d.pick(&request{class: idempotent})
 		assert.Equal(t, 1, b)
@@ -246,14 +246,14 @@
 	d.fleet.work, d.fleet.workAt = 200, 50e3 // 0.02 ms of work a ms: a thin door, 0.1 requests a window
 	sent := 0
 	for range 400 {
-		d.now += d.terms.FallWindow
+		d.now += d.terms.OverloadWindow
 		d.fleet.since[0], d.fleet.workAt = d.now, d.now // as cold as on its first day
 		for d.coldRoom(&d.ops[0], 0) {
 			d.fleet.coldLeft[0]--
 			sent++
 		}
 	}
-	budget := 400 * d.terms.FallMultiple * d.terms.ColdFrom * 0.02 * d.terms.FallWindow / 100
+	budget := 400 * d.terms.OverloadMultiple * d.terms.ColdCapacity * 0.02 * d.terms.OverloadWindow / 100
 	assert.Less(t, float64(sent), budget)
 	assert.Greater(t, float64(sent), budget/2)
 }
@@ -266,8 +266,8 @@
 	}
 	assert.True(t, d.fleet.shunned(0, idempotent))
 	o := &d.ops[0]
-	d.judge(o, &o.sends[0], gate.Ended{Result: gate.Finished, Latency: 100})
-	d.judge(o, &o.sends[0], gate.Ended{Result: gate.Finished, Latency: 100})
+	d.judge(o, &o.sends[0], gate.AttemptEnded{Result: gate.Finished, Latency: 100})
+	d.judge(o, &o.sends[0], gate.AttemptEnded{Result: gate.Finished, Latency: 100})
 	assert.False(t, d.fleet.shunned(0, idempotent))
 }
 
@@ -285,7 +285,7 @@
 	for range 10 {
 		d.now += 200
 		d.tick()
-		d.judge(&request{class: nonIdempotent}, &attempt{}, gate.Ended{Result: gate.Finished, Latency: 100})
+		d.judge(&request{class: nonIdempotent}, &attempt{}, gate.AttemptEnded{Result: gate.Finished, Latency: 100})
 	}
 	assert.True(t, d.fleet.shunned(0, idempotent))
 	assert.False(t, d.fleet.shunned(0, nonIdempotent))
@@ -303,8 +303,8 @@
 	d := door(0)
 	d.arrive(arriving(0, idempotent, plain))
 	d.Decide(d.now, nil)
-	acts := d.Decide(d.now+tickEvery-0.0001, []gate.Event{gate.Woken{}})
-	assert.Contains(t, acts, gate.Wake{At: d.now + tickEvery})
+	acts := d.Decide(d.now+tickEvery-0.0001, []gate.Event{gate.TimerFired{}})
+	assert.Contains(t, acts, gate.SetTimer{At: d.now + tickEvery})
 }
 
 func TestAtOnceQuotaHolds(t *testing.T) {
@@ -422,7 +422,7 @@
 func TestCallsThatFailTogetherAreOneCrowd(t *testing.T) {
 	d := counting2()
 	epoch := d.calls[0].(gate.Count).Epoch
-	d.counted(gate.Counted{Epoch: epoch, Result: gate.Spoilt})
+	d.counted(gate.Counted{Epoch: epoch, Result: gate.Malformed})
 	assert.Equal(t, 1.0, d.calling)
 	for range 5 {
 		d.counted(gate.Counted{Epoch: epoch, Result: gate.TimedOut})
@@ -501,10 +501,10 @@
 
 func TestFailedListIsAskedForAgainButNotAtOnce(t *testing.T) {
 	d := door(1)
-	d.terms.MustAsk = true
-	assert.NotContains(t, d.Decide(d.now, []gate.Event{gate.Fleet{Failed: true}}), gate.Track{})
-	assert.Contains(t, d.Decide(d.now+askRest, nil), gate.Track{})
-	assert.NotContains(t, d.Decide(d.now+1, nil), gate.Track{})
+	d.terms.MustSubscribe = true
+	assert.NotContains(t, d.Decide(d.now, []gate.Event{gate.FleetUpdate{Failed: true}}), gate.SubscribeFleet{})
+	assert.Contains(t, d.Decide(d.now+askRest, nil), gate.SubscribeFleet{})
+	assert.NotContains(t, d.Decide(d.now+1, nil), gate.SubscribeFleet{})
 }
 
 func TestLostAnswersAreNoBacklog(t *testing.T) {
@@ -532,7 +532,7 @@
 func TestALatencyAtAJudgedBackendCountsOnceAllAreMute(t *testing.T) {
 	d := sentOnce(idempotent, 2)
 	d.fleet.cases[idempotent][2].judged = true
-	gone := gate.Ended{Result: gate.TimedOut, Latency: 900, Use: -1}
+	gone := gate.AttemptEnded{Result: gate.TimedOut, Latency: 900, MeteredUse: -1}
 	d.answeredAt = d.now
 	d.judge(&d.ops[0], &d.ops[0].sends[0], gone)
 	assert.Equal(t, 100.0, d.lat[idempotent].recent, "one silent backend is no pressed fleet")
@@ -554,7 +554,7 @@
 	d := counting2()
 	d.calling = 0
 	e := arriving(1, idempotent, plain)
-	e.Customer, e.Repeat, e.Units = 1, true, 5 // more than its part holds
+	e.Customer, e.ClientRetry, e.Units = 1, true, 5 // more than its part holds
 	d.arrive(e)
 	d.tick()
 	assert.Equal(t, rejected, d.ops[1].want)
@@ -582,7 +582,7 @@
 
 func TestGivenUpIsALatencyOfItsAge(t *testing.T) {
 	d := sentOnce(idempotent, 0)
-	d.ended(gate.Ended{Result: gate.TimedOut, Latency: 3000, Use: -1})
+	d.ended(gate.AttemptEnded{Result: gate.TimedOut, Latency: 3000, MeteredUse: -1})
 	assert.InDelta(t, 100+smoothing*900, d.lat[idempotent].recent, 1)
 }
 
@@ -607,20 +607,20 @@
 func TestAGoneBackendsIndexIsFreedOnce(t *testing.T) {
 	d := sentOnce(idempotent, 1)
 	d.fleet.cases[0][1].judged = true
-	d.list(gate.Fleet{Entries: []gate.Entry{{Backend: 1, Status: gate.Gone}}})
+	d.list(gate.FleetUpdate{Entries: []gate.Entry{{Backend: 1, Status: gate.Gone}}})
 	d.delist()
 	assert.Empty(t, d.forgets, "an operation is out there")
-	d.ended(gate.Ended{Backend: 1, Result: gate.Reset, Use: -1})
+	d.ended(gate.AttemptEnded{Backend: 1, Result: gate.Reset, MeteredUse: -1})
 	d.ops[0].want = rejected
 	d.tick()
 	d.delist()
-	assert.Equal(t, []gate.Action{gate.Delist{Backend: 1}}, d.forgets)
+	assert.Equal(t, []gate.Action{gate.FreeBackend{Backend: 1}}, d.forgets)
 	d.delist()
 	assert.Len(t, d.forgets, 1)
-	d.list(gate.Fleet{Entries: []gate.Entry{{Backend: 1}}})
+	d.list(gate.FleetUpdate{Entries: []gate.Entry{{Backend: 1}}})
 	assert.False(t, d.fleet.shunned(1, idempotent))
 	assert.Equal(t, 1.0, d.fleet.size[1])
-	d.list(gate.Fleet{Complete: true, Entries: []gate.Entry{{Backend: 0}}})
+	d.list(gate.FleetUpdate{Complete: true, Entries: []gate.Entry{{Backend: 0}}})
 	d.delist()
 	assert.Len(t, d.forgets, 4, "what a whole list leaves out is gone")
 }
@@ -663,7 +663,7 @@
 		b, _ := d.pick(&o)
 		assert.NotContains(t, first, b)
 	}
-	d.list(gate.Fleet{Entries: []gate.Entry{{Backend: f.order[memberMin], Status: gate.Draining}}})
+	d.list(gate.FleetUpdate{Entries: []gate.Entry{{Backend: f.order[memberMin], Status: gate.Draining}}})
 	assert.Len(t, f.order, 29)
 	for range 100 {
 		b, _ := d.pick(&o)
@@ -678,10 +678,10 @@
 	at := make([]int, backends)
 	for n := range doors {
 		d := New(terms(), uint64(n))
-		d.terms.Number = n
-		var e gate.Fleet
+		d.terms.DoorNumber = n
+		var e gate.FleetUpdate
 		for b := range backends { // every door has its own indices
-			e.Entries = append(e.Entries, gate.Entry{Backend: (b + n) % backends, Mark: float64(b*37%backends) / backends})
+			e.Entries = append(e.Entries, gate.Entry{Backend: (b + n) % backends, RingPosition: float64(b*37%backends) / backends})
 		}
 		d.list(e)
 		for _, b := range d.fleet.order[:memberMin] {
@@ -695,10 +695,10 @@
 
 func TestALostBackendMovesADoorsStretchByOneAtMost(t *testing.T) {
 	d := door(30)
-	d.terms.Number = 7
-	d.list(gate.Fleet{Entries: []gate.Entry{{Backend: 0}}})
+	d.terms.DoorNumber = 7
+	d.list(gate.FleetUpdate{Entries: []gate.Entry{{Backend: 0}}})
 	before := append([]int(nil), d.fleet.order[:memberMin]...)
-	d.list(gate.Fleet{Entries: []gate.Entry{{Backend: 29, Status: gate.Gone}}})
+	d.list(gate.FleetUpdate{Entries: []gate.Entry{{Backend: 29, Status: gate.Gone}}})
 	kept := 0
 	for _, b := range d.fleet.order[:memberMin] {
 		if slices.Contains(before, b) {
@@ -734,7 +734,7 @@
 	d := meteredDoor(2 * wordFresh * 1000)
 	assert.False(t, d.secure(0))
 	assert.Equal(t, rejected, d.ops[0].want)
-	assert.Equal(t, gate.OverPart, d.ops[0].why)
+	assert.Equal(t, gate.OverQuotaShare, d.ops[0].why)
 }
 
 func TestAMeterWordIsNotSpentTwice(t *testing.T) {
@@ -773,7 +773,7 @@
 // payingBeyond is a door whose plain plan earns 0.3 of the gain beyond its quota at no cost, with the quota used up.
 func payingBeyond() *Door {
 	d := door(4)
-	d.terms.Plans[plain].Beyond = 0.3
+	d.terms.Plans[plain].OverQuotaGain = 0.3
 	d.arrive(arriving(0, idempotent, plain))
 	d.buckets[0].level = 0
 	return d
@@ -785,7 +785,7 @@
 	assert.Equal(t, undecided, d.ops[1].want)
 	assert.Zero(t, d.ops[1].charge, "it takes nothing from the quota")
 
-	d.terms.Plans[plain].OverCost = 0.3 // no more than it costs
+	d.terms.Plans[plain].OverQuotaCost = 0.3 // no more than it costs
 	d.arrive(arriving(2, idempotent, plain))
 	assert.Equal(t, rejected, d.ops[2].want)
 }
@@ -800,7 +800,7 @@
 
 func TestACeilingHoldsForWhatPaysBeyondItsQuota(t *testing.T) {
 	d := door(4)
-	d.terms.Plans[capped].Beyond = 0.3
+	d.terms.Plans[capped].OverQuotaGain = 0.3
 	d.arrive(arriving(0, idempotent, capped))
 	d.buckets[0].level, d.buckets[0].ceiling = 0, 0
 	d.arrive(arriving(1, idempotent, capped))
@@ -829,12 +829,12 @@
 func TestABackendThatTurnsAPlanAwayAgainIsLeftAloneForLonger(t *testing.T) {
 	d := sentOnce(idempotent, 2)
 	rest := func() float64 { return d.fleet.fullUntil[2][plain] - d.now }
-	d.judge(&d.ops[0], &d.ops[0].sends[0], gate.Ended{Result: gate.Full, Use: -1})
+	d.judge(&d.ops[0], &d.ops[0].sends[0], gate.AttemptEnded{Result: gate.Full, MeteredUse: -1})
 	first := rest()
-	d.judge(&d.ops[0], &d.ops[0].sends[0], gate.Ended{Result: gate.Full, Use: -1})
+	d.judge(&d.ops[0], &d.ops[0].sends[0], gate.AttemptEnded{Result: gate.Full, MeteredUse: -1})
 	assert.Equal(t, 2*first, rest())
 	for range 10 {
-		d.judge(&d.ops[0], &d.ops[0].sends[0], gate.Ended{Result: gate.Full, Use: -1})
+		d.judge(&d.ops[0], &d.ops[0].sends[0], gate.AttemptEnded{Result: gate.Full, MeteredUse: -1})
 	}
 	assert.Equal(t, trialMost, rest())
 	assert.Zero(t, d.fleet.fullUntil[2][capped], "another plan's work is not")
@@ -856,7 +856,7 @@
 func TestTrueUnitsTakeThePlaceOfTheGuess(t *testing.T) {
 	d := sentOnce(idempotent, 0)
 	level, charge := d.buckets[0].level, d.ops[0].charge
-	d.ended(gate.Ended{Op: 0, Result: gate.Finished, Latency: 100, Over: true, Use: -1, Units: 3})
+	d.ended(gate.AttemptEnded{Op: 0, Result: gate.Finished, Latency: 100, Answered: true, MeteredUse: -1, ActualUnits: 3})
 	assert.InDelta(t, level-2*charge, d.buckets[0].level, 1e-9, "a guess of 1, and the door's part was charged")
 	assert.Equal(t, 2.0, d.buckets[0].count.owed)
 }
@@ -883,9 +883,9 @@
 // watching is a door that compares its decisions with terms of another shape, and the kinds that it told since.
 func watching(d *Door) func() []gate.Difference {
 	w := d.terms
-	w.Plans = []gate.Plan{{Rate: 0.002, Depth: 12, Beyond: 0.3}, d.terms.Plans[capped]}
+	w.Plans = []gate.Plan{{Rate: 0.002, Depth: 12, OverQuotaGain: 0.3}, d.terms.Plans[capped]}
 	w.MaxRetryAfter, w.Hedging, w.MaxAttempts = 0, false, 1
-	d.Watch(&w)
+	d.CompareWith(&w)
 	return func() (kinds []gate.Difference) {
 		for _, a := range d.actions {
 			if a, ok := a.(gate.Differs); ok {
@@ -905,10 +905,10 @@
 	d.buckets[0].level = 0
 	d.arrive(arriving(1, idempotent, plain))
 	assert.Equal(t, rejected, d.ops[1].want)
-	assert.Equal(t, []gate.Difference{gate.OtherAdvice, gate.SentBeyond}, told())
+	assert.Equal(t, []gate.Difference{gate.OtherRetryAfter, gate.SentOverQuota}, told())
 	d.pressed = 2 * openUnder
 	d.arrive(arriving(2, idempotent, plain))
-	assert.Equal(t, []gate.Difference{gate.OtherAdvice}, told(), "a pressed fleet sends nothing beyond a quota")
+	assert.Equal(t, []gate.Difference{gate.OtherRetryAfter}, told(), "a pressed fleet sends nothing beyond a quota")
 }
 
 func TestWatchingTellsOfCallsCopiesAndFurtherAttempts(t *testing.T) {
@@ -926,20 +926,20 @@
 	d.ops[0].came = d.now
 	d.rescue(0)
 	assert.Len(t, d.ops[0].sends, 2, "copied as before")
-	assert.Equal(t, []gate.Difference{gate.NoCopy}, told())
+	assert.Equal(t, []gate.Difference{gate.NoHedge}, told())
 
 	d = sentOnce(idempotent, 2)
 	told = watching(d)
-	d.ended(gate.Ended{Op: 0, Result: gate.Errored, Latency: 100, Use: -1})
+	d.ended(gate.AttemptEnded{Op: 0, Result: gate.Errored, Latency: 100, MeteredUse: -1})
 	assert.True(t, d.ops[0].held, "held to be sent again as before")
-	assert.Equal(t, []gate.Difference{gate.NoFurther}, told())
+	assert.Equal(t, []gate.Difference{gate.NoRetry}, told())
 }
 
 func TestSlicesOfACeilingAddUp(t *testing.T) {
 	sum := 0.0
 	for n := range 3 {
 		d := door(1)
-		d.terms.Number = n
+		d.terms.DoorNumber = n
 		d.arrive(arriving(0, idempotent, capped))
 		d.now += 1e6
 		sum += d.refill(0).ceiling
@@ -961,9 +961,9 @@
 	d := sentOnce(idempotent, 2)
 	o := request{class: idempotent, plan: plain}
 	before := d.room(2, &o)
-	d.judge(&d.ops[0], &d.ops[0].sends[0], gate.Ended{Result: gate.Finished, Latency: 100, Queue: -1})
+	d.judge(&d.ops[0], &d.ops[0].sends[0], gate.AttemptEnded{Result: gate.Finished, Latency: 100, Queue: -1})
 	assert.InEpsilon(t, before, d.room(2, &o), 0.1, "nothing told")
-	d.judge(&d.ops[0], &d.ops[0].sends[0], gate.Ended{Result: gate.Finished, Latency: 100, Queue: 6})
+	d.judge(&d.ops[0], &d.ops[0].sends[0], gate.AttemptEnded{Result: gate.Finished, Latency: 100, Queue: 6})
 	assert.Less(t, d.room(2, &o), before/2)
 }
 
@@ -979,9 +979,9 @@
 // What waited at a process that is gone waits no longer: its successor would be shunned for a queue it never had.
 func TestASuccessorInheritsNoQueue(t *testing.T) {
 	d := sentOnce(idempotent, 2)
-	d.judge(&d.ops[0], &d.ops[0].sends[0], gate.Ended{Result: gate.Finished, Latency: 100, Queue: 6})
+	d.judge(&d.ops[0], &d.ops[0].sends[0], gate.AttemptEnded{Result: gate.Finished, Latency: 100, Queue: 6})
 	assert.Positive(t, d.fleet.queue[2])
-	d.list(gate.Fleet{Entries: []gate.Entry{{Backend: 2, Since: 5}}})
+	d.list(gate.FleetUpdate{Entries: []gate.Entry{{Backend: 2, StartedAt: 5}}})
 	assert.Zero(t, d.fleet.queue[2])
 }
 
@@ -990,7 +990,7 @@
 	clock := d.now
 	even := func() float64 { k := d.fill(0, 0, 0, 3); return d.part(k) }
 	before := even()
-	d.Decide(clock, []gate.Event{gate.Doors{Here: []bool{true, false, false}, Count: 1}})
+	d.Decide(clock, []gate.Event{gate.DoorsUpdate{Present: []bool{true, false, false}, PresentCount: 1}})
 	assert.InDelta(t, before, even(), 1e-9, "no jump")
 	last := before
 	for range 40 {
@@ -1002,7 +1002,7 @@
 		last = now
 	}
 	assert.InDelta(t, 1, last, 0.02, "it is alone with this customer")
-	d.Decide(clock, []gate.Event{gate.Doors{Here: []bool{true, true, true}, Count: 3}})
+	d.Decide(clock, []gate.Event{gate.DoorsUpdate{Present: []bool{true, true, true}, PresentCount: 3}})
 	for range 40 {
 		clock += 500
 		d.now = clock
@@ -1015,7 +1015,7 @@
 	d := door(4)
 	clock := d.now
 	apart := door(4)
-	d.Decide(clock, []gate.Event{gate.Doors{Here: []bool{true, false, false}, Count: 1}})
+	d.Decide(clock, []gate.Event{gate.DoorsUpdate{Present: []bool{true, false, false}, PresentCount: 1}})
 	for range 200 {
 		clock += 100
 		d.now, apart.now = clock, clock
@@ -1038,15 +1038,15 @@
 		}
 		return n
 	}
-	d.Decide(clock, []gate.Event{gate.Fleet{Complete: true, Entries: []gate.Entry{{Backend: 0, Since: clock, Size: 1}}}})
+	d.Decide(clock, []gate.Event{gate.FleetUpdate{Complete: true, Entries: []gate.Entry{{Backend: 0, StartedAt: clock, Weight: 1}}}})
 	told := share()
-	d.Decide(clock, []gate.Event{gate.Doors{Here: []bool{true, true, true}, Count: 6}})
+	d.Decide(clock, []gate.Event{gate.DoorsUpdate{Present: []bool{true, true, true}, PresentCount: 6}})
 	assert.InEpsilon(t, float64(told)/2, float64(share()), 0.15, "the fleet has doubled")
 }
 
 func TestWordThatAllDoorsAreHereChangesNoDecision(t *testing.T) {
 	alone, told := door(6), door(6)
-	told.Decide(told.now, []gate.Event{gate.Doors{Here: []bool{true, true, true}, Count: 3}})
+	told.Decide(told.now, []gate.Event{gate.DoorsUpdate{Present: []bool{true, true, true}, PresentCount: 3}})
 	alone.Decide(alone.now, nil)
 	sent := 0
 	for n := range 400 {
@@ -1059,7 +1059,7 @@
 					if i%7 == 0 {
 						how = gate.Errored
 					}
-					events = append(events, gate.Ended{Op: i, Attempt: s, Backend: tr.backend, Result: how, Latency: now - tr.at, Over: how == gate.Finished, Use: 0.1, Queue: -1})
+					events = append(events, gate.AttemptEnded{Op: i, Attempt: s, Backend: tr.backend, Result: how, Latency: now - tr.at, Answered: how == gate.Finished, MeteredUse: 0.1, Queue: -1})
 				}
 			}
 		}
@@ -1079,19 +1079,19 @@
 // afterwards, nor one whose attempt stays out. Each would have got one had it stayed.
 func TestNothingBeginsForAClientThatHasGone(t *testing.T) {
 	const step = 10.
-	backends := gate.Fleet{}
+	backends := gate.FleetUpdate{}
 	for b := range 4 {
-		backends.Entries = append(backends.Entries, gate.Entry{Backend: b, Zone: b % 2, Cell: b, Size: 1})
+		backends.Entries = append(backends.Entries, gate.Entry{Backend: b, Zone: b % 2, Cell: b, Weight: 1})
 	}
 	for name, c := range map[string]struct {
 		backends int
 		then     func(sent int) gate.Event // after its client has gone
 	}{
 		"held":           {0, func(int) gate.Event { return backends }},
-		"reset":          {4, func(int) gate.Event { return gate.Ended{Result: gate.Reset, Use: -1} }},
-		"unreachable":    {4, func(int) gate.Event { return gate.Ended{Result: gate.Unreachable, Use: -1} }},
-		"full":           {4, func(int) gate.Event { return gate.Ended{Result: gate.Full, Use: -1} }},
-		"without a word": {4, func(int) gate.Event { return gate.Woken{} }},
+		"reset":          {4, func(int) gate.Event { return gate.AttemptEnded{Result: gate.Reset, MeteredUse: -1} }},
+		"unreachable":    {4, func(int) gate.Event { return gate.AttemptEnded{Result: gate.Unreachable, MeteredUse: -1} }},
+		"full":           {4, func(int) gate.Event { return gate.AttemptEnded{Result: gate.Full, MeteredUse: -1} }},
+		"without a word": {4, func(int) gate.Event { return gate.TimerFired{} }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, gone := range []bool{true, false} {
@@ -1108,7 +1108,7 @@
 				before := sends
 				require.Equal(t, min(1, c.backends), before)
 				if gone {
-					decide(gate.Vanished{Op: 0})
+					decide(gate.ClientGone{Op: 0})
 				}
 				decide(c.then(before))
 				for range 250 {
@@ -1143,14 +1143,14 @@
 	d := door(1)
 	end := d.now + 100
 	d.Decide(d.now, []gate.Event{arriving(0, idempotent, plain)})
-	d.Decide(d.now, []gate.Event{gate.Closing{By: end}, arriving(1, idempotent, plain)})
+	d.Decide(d.now, []gate.Event{gate.ShuttingDown{Deadline: end}, arriving(1, idempotent, plain)})
 	given := map[int]bool{}
 	for now := end - 50; now <= end; now += tickEvery {
 		var ended []gate.Event
 		if now >= end-tickEvery { // the carrier stops waiting for what is out
 			for i := range 2 {
 				if o := &d.ops[i]; o.out > 0 {
-					ended = append(ended, gate.Ended{Op: i, Attempt: len(o.sends) - 1, Result: gate.TimedOut})
+					ended = append(ended, gate.AttemptEnded{Op: i, Attempt: len(o.sends) - 1, Result: gate.TimedOut})
 				}
 			}
 		}
--- a/policy/state.go
+++ b/policy/state.go
@@ -314,7 +314,7 @@
 		if p := &d.terms.Plans[k.plan]; k.known && k.open == 0 && (idle > idleDrop || idle > idleFull &&
 			k.level+p.Rate*idle >= p.Depth && p.CeilingRate*idle >= p.CeilingDepth) {
 			*k = bucket{}
-			d.forgets = append(d.forgets, gate.Forget{Customer: c})
+			d.forgets = append(d.forgets, gate.FreeCustomer{Customer: c})
 		}
 	}
 }
@@ -335,7 +335,7 @@
 	for b, gone := range f.gone {
 		if gone && !needed[b] && f.out[b] == 0 {
 			f.known[b], f.gone[b] = false, false
-			d.forgets = append(d.forgets, gate.Delist{Backend: b})
+			d.forgets = append(d.forgets, gate.FreeBackend{Backend: b})
 		}
 	}
 }
--- a/release/errors.go
+++ b/release/errors.go
@@ -14,9 +14,9 @@
 
 func (e *PlanError) Error() string {
 	if e.Key == "" {
-		return remedy.Because("release: "+e.Says, e.Cause)
+		return remedy.WithCause("release: "+e.Says, e.Cause)
 	}
-	return remedy.Because(fmt.Sprintf("release: key %q: %s", e.Key, e.Says), e.Cause)
+	return remedy.WithCause(fmt.Sprintf("release: key %q: %s", e.Key, e.Says), e.Cause)
 }
 func (e *PlanError) Unwrap() error     { return e.Cause }
 func (e *PlanError) Kind() remedy.Kind { return remedy.Configuration }
--- a/release/release.go
+++ b/release/release.go
@@ -106,27 +106,27 @@
 
 // Stages.
 const (
-	Waiting  Stage = "waiting" // for another that has some of its doors
-	Running  Stage = "running"
-	Halted   Stage = "halted"
-	Back     Stage = "going back"
-	Done     Stage = "done"
-	Returned Stage = "back" // all is as it was
-	Replaced Stage = "replaced"
+	Waiting    Stage = "waiting" // for another that has some of its doors
+	Running    Stage = "running"
+	Halted     Stage = "halted"
+	Back       Stage = "going back"
+	Done       Stage = "done"
+	RolledBack Stage = "back" // all is as it was
+	Replaced   Stage = "replaced"
 )
 
 // Release is one, under way or over.
 type Release struct {
 	Plan
-	Number uint64            `json:"number"`
-	Who    string            `json:"who"`
-	Why    string            `json:"why"`
-	Stage  Stage             `json:"stage"`
-	Says   string            `json:"says,omitempty"` // why it stands as it does
-	Wave   int               `json:"wave"`
-	Parts  [][]string        `json:"parts"`            // doors by wave
-	From   map[string]string `json:"from"`             // digest that each ran before
-	Failed map[string]string `json:"failed,omitempty"` // doors that could not take it, with their words
+	Number      uint64            `json:"number"`
+	Who         string            `json:"who"`
+	Why         string            `json:"why"`
+	Stage       Stage             `json:"stage"`
+	Reason      string            `json:"says,omitempty"` // why it stands as it does
+	Wave        int               `json:"wave"`
+	UnitsByWave [][]string        `json:"parts"`            // doors by wave
+	Previous    map[string]string `json:"from"`             // digest that each ran before
+	Failed      map[string]string `json:"failed,omitempty"` // doors that could not take it, with their words
 }
 
 // Door is a door as far as releases see it.
@@ -135,19 +135,19 @@
 	Zone string
 }
 
-// Runs is what a door runs, by what may change; an empty digest for its own file or program.
-type Runs map[string]string
+// Versions is what a door runs, by what may change; an empty digest for its own file or program.
+type Versions map[string]string
 
 // State is all releases, and what the doors run.
 type State struct {
 	Next uint64
 	All  []*Release
-	Runs map[string]Runs   // by door
-	Seen map[string]string // process that each backend was last seen as
+	Runs map[string]Versions // by door
+	Seen map[string]string   // process that each backend was last seen as
 }
 
 // New returns a state without releases.
-func New() *State { return &State{Next: 1, Runs: map[string]Runs{}, Seen: map[string]string{}} }
+func New() *State { return &State{Next: 1, Runs: map[string]Versions{}, Seen: map[string]string{}} }
 
 // Commands.
 type (
@@ -159,11 +159,11 @@
 	// Took is a door's word on what it runs, and what it could not take.
 	Took struct {
 		Door   string
-		Runs   Runs
+		Runs   Versions
 		Failed map[string]string `json:",omitempty"` // by digest, why
 	}
 	// Judged is a verdict on a wave, by the coordinator that leads.
-	Judged struct {
+	RecordVerdict struct {
 		Number  uint64
 		Wave    int
 		Verdict Verdict
@@ -187,7 +187,7 @@
 func (r *Release) Live() bool { return r.Stage == Running || r.Stage == Halted || r.Stage == Back }
 
 func (r *Release) doors() (all []string) {
-	for _, part := range r.Parts {
+	for _, part := range r.UnitsByWave {
 		all = append(all, part...)
 	}
 	return all
@@ -226,7 +226,7 @@
 		note = "release " + c.Plan.Name + " of " + c.Plan.Changes + " " + c.Plan.Digest
 	case Took:
 		s.took(c)
-	case Judged:
+	case RecordVerdict:
 		note, err = s.judged(c)
 	case Steer:
 		note, err = s.steer(c)
@@ -256,7 +256,7 @@
 			return 0, &PlanError{Key: "over", Says: fmt.Sprintf("%q is not under way", c.Plan.Over)}
 		}
 	}
-	r := &Release{Plan: c.Plan, Number: s.Next, Who: c.Who, Why: c.Why, Stage: Waiting, From: map[string]string{}, Failed: map[string]string{}}
+	r := &Release{Plan: c.Plan, Number: s.Next, Who: c.Who, Why: c.Why, Stage: Waiting, Previous: map[string]string{}, Failed: map[string]string{}}
 	s.Next++
 	s.All = append(s.All, r)
 	over := len(s.All) - kept // the oldest that are at their end go first
@@ -274,10 +274,10 @@
 func (s *State) settle(of map[bool][]Door) {
 	for _, r := range s.All {
 		if r.Stage == Back && r.Changes == Backends { // what was replaced has no way back here: drains end, and no more are
-			r.Stage = Returned
+			r.Stage = RolledBack
 		}
-		if r.Stage == Back && !slices.ContainsFunc(r.doors(), func(d string) bool { return s.runs(d, r.Changes) != r.From[d] }) {
-			r.Stage = Returned
+		if r.Stage == Back && !slices.ContainsFunc(r.doors(), func(d string) bool { return s.runs(d, r.Changes) != r.Previous[d] }) {
+			r.Stage = RolledBack
 		}
 	}
 	for _, r := range s.All {
@@ -304,16 +304,16 @@
 			continue
 		}
 		if old != nil && (old.Live() || old.Stage == Waiting) {
-			old.Stage, old.Says = Replaced, "by "+r.Name
+			old.Stage, old.Reason = Replaced, "by "+r.Name
 		}
-		r.Stage, r.Parts = Running, parts(r.Waves, mine)
+		r.Stage, r.UnitsByWave = Running, parts(r.Waves, mine)
 		for _, d := range mine {
-			r.From[d.Name] = s.runs(d.Name, r.Changes)
+			r.Previous[d.Name] = s.runs(d.Name, r.Changes)
 			if r.Changes == Backends {
 				continue
 			}
 			if old != nil && old.Changes == r.Changes && slices.Contains(old.doors(), d.Name) {
-				r.From[d.Name] = old.From[d.Name] // the way back leads behind what never was judged well
+				r.Previous[d.Name] = old.Previous[d.Name] // the way back leads behind what never was judged well
 			}
 		}
 	}
@@ -369,7 +369,7 @@
 
 func (s *State) took(c Took) {
 	if s.Runs[c.Door] == nil {
-		s.Runs[c.Door] = Runs{}
+		s.Runs[c.Door] = Versions{}
 	}
 	for _, what := range []string{Configuration, Program} {
 		s.Runs[c.Door][what] = c.Runs[what]
@@ -381,7 +381,7 @@
 		}
 		// What one door can't take the next ones aren't given, and those that have it give it back.
 		r.Failed[c.Door] = why
-		r.Stage, r.Says = Back, c.Door+": "+why
+		r.Stage, r.Reason = Back, c.Door+": "+why
 	}
 }
 
@@ -395,29 +395,29 @@
 	return nil
 }
 
-func (s *State) judged(c Judged) (string, error) {
+func (s *State) judged(c RecordVerdict) (string, error) {
 	r := s.Number(c.Number)
 	if r == nil || r.Stage != Running || r.Wave != c.Wave {
-		return "", &StageError{Name: fmt.Sprint("release ", c.Number), To: string(c.Verdict.Says)}
+		return "", &StageError{Name: fmt.Sprint("release ", c.Number), To: string(c.Verdict.Outcome)}
 	}
-	r.Says = c.Verdict.Why
-	switch c.Verdict.Says {
+	r.Reason = c.Verdict.Why
+	switch c.Verdict.Outcome {
 	case GoOn:
 		if !s.Whole(r) {
 			return "", &StageError{Name: r.Name, Stage: r.Stage, To: string(GoOn)}
 		}
-		if r.Wave++; r.Wave == len(r.Parts) {
+		if r.Wave++; r.Wave == len(r.UnitsByWave) {
 			r.Wave--
 			r.Stage = Done
 		}
 	case Stop:
 		r.Stage = Halted
-	case GoBck:
+	case GoBack:
 		r.Stage = Back
 	default:
 		return "", nil
 	}
-	return fmt.Sprintf("release %s, wave %d: %s", r.Name, c.Wave+1, c.Verdict.Says), nil
+	return fmt.Sprintf("release %s, wave %d: %s", r.Name, c.Wave+1, c.Verdict.Outcome), nil
 }
 
 func (s *State) steer(c Steer) (string, error) {
@@ -436,7 +436,7 @@
 		r.Stage = Running
 	case ToBack:
 		if r.Stage == Waiting {
-			r.Stage = Returned
+			r.Stage = RolledBack
 			break
 		}
 		if r.Stage == Done && slices.ContainsFunc(r.doors(), func(d string) bool { return s.Has(d, r.Changes) != nil }) {
@@ -444,13 +444,13 @@
 		}
 		r.Stage = Back
 	}
-	r.Says = fmt.Sprintf("%s by %s: %s", c.To, c.Who, c.Why)
+	r.Reason = fmt.Sprintf("%s by %s: %s", c.To, c.Who, c.Why)
 	return fmt.Sprintf("release %s: %s", r.Name, c.To), nil
 }
 
 // Whole tells whether all doors of a release's present wave, and of those before, run it.
 func (s *State) Whole(r *Release) bool {
-	for i, part := range r.Parts {
+	for i, part := range r.UnitsByWave {
 		for _, d := range part {
 			if i <= r.Wave && !s.Changed(r, d) {
 				return false
@@ -463,7 +463,7 @@
 // Changed tells whether a door runs what a release gives, or a backend has been replaced since it began.
 func (s *State) Changed(r *Release, unit string) bool {
 	if r.Changes == Backends {
-		return s.Seen[unit] != r.From[unit]
+		return s.Seen[unit] != r.Previous[unit]
 	}
 	return s.runs(unit, r.Changes) == r.Digest
 }
@@ -473,7 +473,7 @@
 	if r.Stage != Running || r.Changes != Backends {
 		return nil
 	}
-	for i, part := range r.Parts {
+	for i, part := range r.UnitsByWave {
 		for _, b := range part {
 			if i <= r.Wave && !s.Changed(r, b) {
 				backends = append(backends, b)
@@ -490,7 +490,7 @@
 		if !r.Live() || r.Stage == Halted || r.Changes == Backends {
 			continue
 		}
-		for i, part := range r.Parts {
+		for i, part := range r.UnitsByWave {
 			if !slices.Contains(part, door) {
 				continue
 			}
@@ -498,13 +498,13 @@
 			switch {
 			case r.Stage == Running && i <= r.Wave && runs != r.Digest && r.Failed[door] == "":
 				return r, r.Digest, true
-			case r.Stage == Back && runs != r.From[door]:
-				for _, later := range r.Parts[i+1:] {
-					if slices.ContainsFunc(later, func(d string) bool { return s.runs(d, r.Changes) != r.From[d] }) {
+			case r.Stage == Back && runs != r.Previous[door]:
+				for _, later := range r.UnitsByWave[i+1:] {
+					if slices.ContainsFunc(later, func(d string) bool { return s.runs(d, r.Changes) != r.Previous[d] }) {
 						return nil, "", false
 					}
 				}
-				return r, r.From[door], true
+				return r, r.Previous[door], true
 			}
 		}
 	}
--- a/release/release_test.go
+++ b/release/release_test.go
@@ -34,7 +34,7 @@
 
 func take(t *testing.T, s *State, digest string, doors ...string) {
 	for _, d := range doors {
-		do(t, s, Took{Door: d, Runs: Runs{Configuration: digest}})
+		do(t, s, Took{Door: d, Runs: Versions{Configuration: digest}})
 	}
 }
 
@@ -51,14 +51,14 @@
 	s := New()
 	n := do(t, s, Start{Plan: plan("r1"), Who: "ana"})
 	r := s.Find("r1")
-	assert.Equal(t, [][]string{{"d0"}, {"d3", "d1", "d2"}, {"d6", "d4"}, {"d7", "d5", "d8"}}, r.Parts)
+	assert.Equal(t, [][]string{{"d0"}, {"d3", "d1", "d2"}, {"d6", "d4"}, {"d7", "d5", "d8"}}, r.UnitsByWave)
 	assert.Equal(t, []string{"d0"}, wanted(s))
-	_, _, err := s.Do(Judged{n, 0, Verdict{GoOn, ""}}, nine(), nil)
+	_, _, err := s.Do(RecordVerdict{n, 0, Verdict{GoOn, ""}}, nine(), nil)
 	var stage *StageError
 	require.ErrorAs(t, err, &stage, "not all of the wave has taken it")
 	take(t, s, digest, "d0")
 	assert.Empty(t, wanted(s), "it is watched")
-	do(t, s, Judged{n, 0, Verdict{GoOn, "well"}})
+	do(t, s, RecordVerdict{n, 0, Verdict{GoOn, "well"}})
 	assert.Equal(t, []string{"d1", "d2", "d3"}, wanted(s))
 	back, err := s.MayTake(n, "d1")
 	require.NoError(t, err)
@@ -78,7 +78,7 @@
 	take(t, s, "", "d1", "d2")
 	assert.Equal(t, []string{"d0"}, wanted(s))
 	take(t, s, "", "d0")
-	assert.Equal(t, Returned, r.Stage)
+	assert.Equal(t, RolledBack, r.Stage)
 	_, _, err = s.Do(Steer{"r1", ToResume, "bea", ""}, nine(), nil)
 	require.ErrorAs(t, err, &stage)
 }
@@ -87,15 +87,15 @@
 	s := New()
 	n := do(t, s, Start{Plan: plan("r1")})
 	take(t, s, digest, "d0")
-	do(t, s, Judged{n, 0, Verdict{GoOn, ""}})
+	do(t, s, RecordVerdict{n, 0, Verdict{GoOn, ""}})
 	take(t, s, digest, "d3")
-	do(t, s, Took{Door: "d1", Runs: Runs{}, Failed: map[string]string{digest: "key settings: missing"}})
+	do(t, s, Took{Door: "d1", Runs: Versions{}, Failed: map[string]string{digest: "key settings: missing"}})
 	r := s.Find("r1")
 	assert.Equal(t, Back, r.Stage)
-	assert.Contains(t, r.Says, "d1: key settings")
+	assert.Contains(t, r.Reason, "d1: key settings")
 	assert.Equal(t, []string{"d3"}, wanted(s))
 	take(t, s, "", "d3", "d0")
-	assert.Equal(t, Returned, r.Stage)
+	assert.Equal(t, RolledBack, r.Stage)
 }
 
 func TestOneReleaseForEachPartOfTheFleet(t *testing.T) {
@@ -113,11 +113,11 @@
 	assert.Equal(t, Replaced, s.Find("r1").Stage)
 	r := s.Find("r3")
 	assert.Equal(t, Running, r.Stage)
-	assert.Equal(t, "", r.From["d0"], "the way back leads behind what was never judged well")
+	assert.Equal(t, "", r.Previous["d0"], "the way back leads behind what was never judged well")
 	assert.Equal(t, Waiting, s.Find("r2").Stage)
 	do(t, s, Steer{"r3", ToBack, "ana", ""})
 	take(t, s, "", "d0")
-	assert.Equal(t, Returned, r.Stage)
+	assert.Equal(t, RolledBack, r.Stage)
 	assert.Equal(t, Running, s.Find("r2").Stage, "its turn has come")
 	var name *NameError
 	_, _, err := s.Do(Start{Plan: second}, nine(), nil)
@@ -158,7 +158,7 @@
 		name := fmt.Sprint("r", i)
 		do(t, s, Start{Plan: plan(name)})
 		do(t, s, Steer{name, ToBack, "ana", ""})
-		assert.Equal(t, Returned, s.Find(name).Stage)
+		assert.Equal(t, RolledBack, s.Find(name).Stage)
 	}
 	assert.Len(t, s.All, kept)
 }
@@ -180,13 +180,13 @@
 	assert.Equal(t, []string{"d1"}, s.Due(r))
 	s.Saw("d1", "201")
 	assert.True(t, s.Whole(r))
-	_, _, err = s.Do(Judged{n, 0, Verdict{GoOn, ""}}, nil, nine())
+	_, _, err = s.Do(RecordVerdict{n, 0, Verdict{GoOn, ""}}, nil, nine())
 	require.NoError(t, err)
 	assert.Len(t, s.Due(r), 7)
 	_, _, err = s.Do(Steer{"kernel", ToBack, "ana", ""}, nil, nine())
 	require.NoError(t, err)
 	assert.Empty(t, s.Due(r))
-	assert.Equal(t, Returned, r.Stage)
+	assert.Equal(t, RolledBack, r.Stage)
 	p.Digest = digest
 	var bad *PlanError
 	require.ErrorAs(t, p.Check(), &bad)
--- a/release/verdict.go
+++ b/release/verdict.go
@@ -22,21 +22,21 @@
 	MemoryMB  float64 `json:"memory_mb"`  // resident now
 }
 
-// Says is a verdict.
-type Says string
+// Outcome is a verdict.
+type Outcome string
 
 // Verdicts.
 const (
-	Wait  Says = "wait"
-	GoOn  Says = "go on"
-	Stop  Says = "halt" // an operator is to look: too little is known, or something is near to harm
-	GoBck Says = "go back"
+	Wait   Outcome = "wait"
+	GoOn   Outcome = "go on"
+	Stop   Outcome = "halt" // an operator is to look: too little is known, or something is near to harm
+	GoBack Outcome = "go back"
 )
 
 // Verdict is what a comparison comes to.
 type Verdict struct {
-	Says Says   `json:"says"`
-	Why  string `json:"why"`
+	Outcome Outcome `json:"says"`
+	Why     string  `json:"why"`
 }
 
 const (
@@ -90,8 +90,8 @@
 	return c
 }
 
-// Heard takes a door's counts in.
-func (c *Comparison) Heard(now float64, door string, changed bool, n Counts) {
+// Record takes a door's counts in.
+func (c *Comparison) Record(now float64, door string, changed bool, n Counts) {
 	d := c.doors[door]
 	if d == nil || d.changed != changed { // it has been changed, or brought back, amid the comparison: it counts from here on
 		c.doors[door] = &compared{changed: changed, base: n, last: n, at: now}
@@ -107,8 +107,8 @@
 	d.last, d.at = n, now
 }
 
-// Failed notes that a changed door's process ended by itself, or could not start.
-func (c *Comparison) Failed(door, why string) {
+// RecordFailure notes that a changed door's process ended by itself, or could not start.
+func (c *Comparison) RecordFailure(door, why string) {
 	c.bad = fmt.Sprintf("%s: %s", door, why)
 }
 
@@ -151,15 +151,15 @@
 	text     string
 }
 
-// Look tells the verdict now. Called at any time, it tests every lookMs; the more often it has tested, the surer it must be, so
+// Evaluate tells the verdict now. Called at any time, it tests every lookMs; the more often it has tested, the surer it must be, so
 // that all looks together are wrong no more often than alpha says.
-func (c *Comparison) Look(now float64) Verdict {
+func (c *Comparison) Evaluate(now float64) Verdict {
 	if c.bad != "" {
-		return Verdict{GoBck, c.bad}
+		return Verdict{GoBack, c.bad}
 	}
 	for name, d := range c.doors {
 		if d.crashed > 0 {
-			return Verdict{GoBck, name + ": its process ended and began anew"}
+			return Verdict{GoBack, name + ": its process ended and began anew"}
 		}
 	}
 	if c.began < 0 {
@@ -190,7 +190,7 @@
 	for _, f := range c.figures(changed, others) {
 		p := 1 - tail(f)
 		if p < level {
-			return Verdict{GoBck, f.text}
+			return Verdict{GoBack, f.text}
 		}
 		if p < concern {
 			near = f.text
--- a/release/verdict_test.go
+++ b/release/verdict_test.go
@@ -15,9 +15,9 @@
 			n := of(i)
 			grown := Counts{Process: uint64(i + 1), Arrived: uint64(s * float64(n.Arrived)), InTime: uint64(s * float64(n.InTime)), Finished: uint64(s * float64(n.Finished)),
 				Rejected: uint64(s * float64(n.Rejected)), Failed: uint64(s * float64(n.Failed)), LatencyMs: s * n.LatencyMs, MemoryMB: n.MemoryMB}
-			c.Heard(now, fmt.Sprintf("d%02d", i), i < changed, grown)
+			c.Record(now, fmt.Sprintf("d%02d", i), i < changed, grown)
 		}
-		if v = c.Look(now); v.Says != Wait {
+		if v = c.Evaluate(now); v.Outcome != Wait {
 			return v
 		}
 	}
@@ -29,7 +29,7 @@
 func TestAWaveLikeTheOthersGoesOnWhenItsTimeIsOver(t *testing.T) {
 	c := NewComparison(0, 30e3)
 	v := fed(c, 0, 200e3, 10, 1, func(i int) Counts { n := well; n.InTime -= uint64(i % 3); return n })
-	assert.Equal(t, GoOn, v.Says, v.Why)
+	assert.Equal(t, GoOn, v.Outcome, v.Why)
 	assert.GreaterOrEqual(t, c.lookAt, 40e3)
 }
 
@@ -50,24 +50,24 @@
 			}
 			return n
 		})
-		assert.Equal(t, GoBck, v.Says, name+": "+v.Why)
+		assert.Equal(t, GoBack, v.Outcome, name+": "+v.Why)
 		assert.Contains(t, v.Why, name)
 	}
 }
 
 func TestTroubleOfAllDoorsIsNoFaultOfTheRelease(t *testing.T) {
 	v := fed(NewComparison(0, 30e3), 0, 200e3, 10, 2, func(i int) Counts { n := well; n.InTime, n.Rejected = 40, 50; n.InTime -= uint64(i % 4); return n })
-	assert.Equal(t, GoOn, v.Says, v.Why)
+	assert.Equal(t, GoOn, v.Outcome, v.Why)
 }
 
 func TestAProcessThatBeginsAnewGoesBackAtOnce(t *testing.T) {
 	c := NewComparison(0, 30e3)
-	c.Heard(0, "d1", true, Counts{Process: 1, Arrived: 50})
-	c.Heard(1000, "d1", true, Counts{Process: 2})
-	assert.Equal(t, GoBck, c.Look(1000).Says)
+	c.Record(0, "d1", true, Counts{Process: 1, Arrived: 50})
+	c.Record(1000, "d1", true, Counts{Process: 2})
+	assert.Equal(t, GoBack, c.Evaluate(1000).Outcome)
 	c = NewComparison(0, 30e3)
-	c.Failed("d1", "could not start")
-	assert.Equal(t, Verdict{GoBck, "d1: could not start"}, c.Look(0))
+	c.RecordFailure("d1", "could not start")
+	assert.Equal(t, Verdict{GoBack, "d1: could not start"}, c.Evaluate(0))
 }
 
 func TestTooLittleToTellIsHaltedInTheEnd(t *testing.T) {
@@ -77,13 +77,13 @@
 		}
 		return well
 	})
-	assert.Equal(t, Stop, v.Says)
+	assert.Equal(t, Stop, v.Outcome)
 	assert.Contains(t, v.Why, "operations at the changed")
 }
 
 func TestWithNobodyLeftToCompareWithFailuresAloneCount(t *testing.T) {
 	v := fed(NewComparison(0, 10e3), 0, 200e3, 4, 4, func(int) Counts { return well })
-	assert.Equal(t, GoOn, v.Says)
+	assert.Equal(t, GoOn, v.Outcome)
 	assert.Contains(t, v.Why, "nobody is left")
 }
 
@@ -97,7 +97,7 @@
 		return n
 	}
 	v := fed(NewComparison(0, 30e3), 0, 200e3, 12, 3, worse)
-	assert.Equal(t, GoBck, v.Says)
+	assert.Equal(t, GoBack, v.Outcome)
 	v = fed(NewComparison(0, 30e3).Ending(Ends{Requests: 0.3}), 0, 200e3, 12, 3, worse)
-	assert.Equal(t, GoOn, v.Says, v.Why)
+	assert.Equal(t, GoOn, v.Outcome, v.Why)
 }
--- a/store/errors.go
+++ b/store/errors.go
@@ -12,7 +12,7 @@
 	Cause error
 }
 
-func (e *OpenError) Error() string     { return remedy.Because("opening "+e.Path, e.Cause) }
+func (e *OpenError) Error() string     { return remedy.WithCause("opening "+e.Path, e.Cause) }
 func (e *OpenError) Unwrap() error     { return e.Cause }
 func (e *OpenError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -27,7 +27,7 @@
 	Cause error
 }
 
-func (e *WriteError) Error() string     { return remedy.Because("writing "+e.Path, e.Cause) }
+func (e *WriteError) Error() string     { return remedy.WithCause("writing "+e.Path, e.Cause) }
 func (e *WriteError) Unwrap() error     { return e.Cause }
 func (e *WriteError) Kind() remedy.Kind { return remedy.Unreachable }
 
--- a/store/store.go
+++ b/store/store.go
@@ -44,10 +44,10 @@
 
 // Options of a file.
 type Options struct {
-	NoSync bool                // leave it to the system when bytes reach the disk: a machine that stops loses what it said
-	Before func() error        // called before each write; its error is the write's. For rigs that spoil disks
-	Wrote  func(time.Duration) // hears how long each write took
-	Failed func(error)         // hears of a write that failed before raft does, and need not return
+	NoSync       bool                // leave it to the system when bytes reach the disk: a machine that stops loses what it said
+	BeforeWrite  func() error        // called before each write; its error is the write's. For rigs that spoil disks
+	OnWrite      func(time.Duration) // hears how long each write took
+	OnWriteError func(error)         // hears of a write that failed before raft does, and need not return
 }
 
 // Bolt is a store in one file.
@@ -85,19 +85,19 @@
 func (b *Bolt) write(do func(tx *bbolt.Tx) error) error {
 	began := time.Now()
 	var err error
-	if b.o.Before != nil {
-		err = b.o.Before()
+	if b.o.BeforeWrite != nil {
+		err = b.o.BeforeWrite()
 	}
 	if err == nil {
 		err = b.db.Update(do)
 	}
-	if b.o.Wrote != nil {
-		b.o.Wrote(time.Since(began))
+	if b.o.OnWrite != nil {
+		b.o.OnWrite(time.Since(began))
 	}
 	if err != nil {
 		err = &WriteError{b.path, err}
-		if b.o.Failed != nil {
-			b.o.Failed(err)
+		if b.o.OnWriteError != nil {
+			b.o.OnWriteError(err)
 		}
 	}
 	return err
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -41,15 +41,15 @@
 
 func TestContractOfASlowDisk(t *testing.T) {
 	slow := func() error { time.Sleep(time.Millisecond); return nil }
-	storetest.Run(t, storetest.Kit{Open: onDisk(store.Options{Before: slow}), Durable: true})
+	storetest.Run(t, storetest.Kit{Open: onDisk(store.Options{BeforeWrite: slow}), Durable: true})
 }
 
 func TestAWriteThatFailsIsToldFirstAndChangesNothing(t *testing.T) {
 	var broken error
 	var told error
 	var took []time.Duration
-	s, err := store.Open(filepath.Join(t.TempDir(), file), store.Options{Before: func() error { return broken }, Failed: func(err error) { told = err },
-		Wrote: func(d time.Duration) { took = append(took, d) }})
+	s, err := store.Open(filepath.Join(t.TempDir(), file), store.Options{BeforeWrite: func() error { return broken }, OnWriteError: func(err error) { told = err },
+		OnWrite: func(d time.Duration) { took = append(took, d) }})
 	require.NoError(t, err)
 	defer s.Close()
 	require.NoError(t, s.SetUint64([]byte("term"), 1))
