--- a/calendar/migration.go
+++ b/calendar/migration.go
@@ -5,35 +5,39 @@
 	"slices"
 )
 
-// Migration is steps in their order, each an entry of its own that waits for the one before. A step that is halted,
-// missed or taken out halts it; what is done stays done, and goes back from there, the newest first.
+// Migration is a sequence of steps, each an entry of its own that waits for the one before. A step that is halted, missed, withdrawn or
+// rolling back halts the migration. The steps done so far stay done until the migration is reverted, which rolls them back, the newest
+// first.
 type Migration struct {
 	ID       uint64   `json:"id"`
 	Revision uint64   `json:"revision"`
 	Name     string   `json:"name"`
 	Who      string   `json:"who"`
-	Stage    Stage    `json:"stage"` // running, halted, going back, done or withdrawn
-	Says     string   `json:"says,omitempty"`
-	Steps    []uint64 `json:"steps"` // entries
+	Stage    Stage    `json:"stage"`          // Running, Halted, RollingBack, Done or Withdrawn
+	Says     string   `json:"says,omitempty"` // why it is in its stage
+	Steps    []uint64 `json:"steps"`          // IDs of the entries, in their order
 }
 
-func (m *Migration) live() bool { return m != nil && m.Stage != Done && m.Stage != Withdrawn }
+// active reports whether the migration is neither done nor withdrawn. A nil migration is not active.
+func (m *Migration) active() bool { return m != nil && m.Stage != Done && m.Stage != Withdrawn }
 
-func (s *State) live(id uint64) bool { return s.Migrations[id].live() }
+// migrationActive reports whether there is an active migration with the given ID.
+func (s *State) migrationActive(id uint64) bool { return s.Migrations[id].active() }
 
-// untilMs is when its last step is over, as planned.
-func (m *Migration) untilMs(s *State) (ms float64) {
+// lastDeadlineMs is the latest deadline of its steps, and at least 1 ms after the agreed time.
+func (m *Migration) lastDeadlineMs(s *State) (ms float64) {
 	for _, id := range m.Steps {
 		if e := s.Entries[id]; e != nil {
-			ms = max(ms, e.deadline())
+			ms = max(ms, e.deadlineMs())
 		}
 	}
 	return max(ms, s.WallMs+1)
 }
 
+// migrate adds a migration and the entries of its steps.
 func (s *State) migrate(c Migrate) (uint64, error) {
-	if c.Name == "" || len(c.Name) > nameMost {
-		return 0, &FormError{"name", fmt.Sprintf("1 to %d bytes are wanted", nameMost)}
+	if c.Name == "" || len(c.Name) > maxNameBytes {
+		return 0, &FormError{"name", fmt.Sprintf("1 to %d bytes are wanted", maxNameBytes)}
 	}
 	if err := s.checkSteps(c.Steps, c.Who); err != nil {
 		return 0, err
@@ -41,31 +45,32 @@
 	m := &Migration{ID: s.NextID, Revision: 1, Name: c.Name, Who: c.Who, Stage: Running}
 	s.NextID++
 	s.Migrations[m.ID] = m
-	s.note(m.ID, "migration: "+m.Name, c.Who, "")
-	s.append(m, c.Steps, c.Who)
+	s.recordEvent(m.ID, "migration: "+m.Name, c.Who, "")
+	s.appendSteps(m, c.Steps, c.Who)
 	return m.ID, nil
 }
 
+// checkSteps validates the steps of a migration, as entered.
 func (s *State) checkSteps(steps []Change, who string) error {
-	if len(steps) == 0 || len(steps) > stepsMost {
-		return &FormError{"steps", fmt.Sprintf("1 to %d are wanted", stepsMost)}
+	if len(steps) == 0 || len(steps) > maxMigrationSteps {
+		return &FormError{"steps", fmt.Sprintf("1 to %d are wanted", maxMigrationSteps)}
 	}
 	for i := range steps {
 		c := &steps[i]
-		under := fmt.Sprintf("steps[%d].", i)
-		if err := s.check(c, who, 0); err != nil {
+		prefix := fmt.Sprintf("steps[%d].", i)
+		if err := s.checkChange(c, who, 0); err != nil {
 			if form, is := err.(*FormError); is {
-				return &FormError{under + form.Key, form.Says}
+				return &FormError{prefix + form.Key, form.Says}
 			}
 			return err
 		}
 		switch {
 		case len(c.Rollback) == 0:
-			return &FormError{under + "rollback", "each step of a migration has a way back"}
+			return &FormError{prefix + "rollback", "each step of a migration has a way back"}
 		case len(c.After) > 0:
-			return &FormError{under + "after", "a step waits for the one before it"}
-		case i > 0 && c.deadline() < steps[i-1].Window.FromMs+steps[i-1].Needs()+c.Needs():
-			return &FormError{under + "window", "it would be over before the step before it is done"}
+			return &FormError{prefix + "after", "a step waits for the one before it"}
+		case i > 0 && c.deadlineMs() < steps[i-1].Window.FromMs+steps[i-1].Needs()+c.Needs():
+			return &FormError{prefix + "window", "it would be over before the step before it is done"}
 		}
 	}
 	if last := steps[len(steps)-1]; last.Window.ToMs <= s.WallMs {
@@ -74,10 +79,10 @@
 	return nil
 }
 
-// append enters steps behind those that a migration has.
-func (s *State) append(m *Migration, steps []Change, who string) {
+// appendSteps adds entries for steps after those that a migration already has.
+func (s *State) appendSteps(m *Migration, steps []Change, who string) {
 	for _, c := range steps {
-		s.make()
+		s.evictOldest()
 		e := &Entry{Change: c, ID: s.NextID, Revision: 1, Author: who, Stage: Drafted, Migration: m.ID}
 		if n := len(m.Steps); n > 0 {
 			e.After = []uint64{m.Steps[n-1]}
@@ -85,53 +90,54 @@
 		s.NextID++
 		s.Entries[e.ID] = e
 		m.Steps = append(m.Steps, e.ID)
-		s.note(e.ID, "planned: "+e.Name, who, "")
-		s.move(e, Waiting, who, "")
+		s.recordEvent(e.ID, "planned: "+e.Name, who, "")
+		s.setStage(e, Waiting, who, "")
 	}
 }
 
-// replace takes a file in whose first steps are those that have begun, and puts its others in the place of what has not.
+// replace replaces the steps that have not started. The new list must begin with the steps that have started, unchanged.
 func (s *State) replace(c Replace) (uint64, error) {
 	m := s.Migrations[c.ID]
 	switch {
 	case m == nil:
 		return 0, &UnknownError{"migration", c.ID}
 	case m.Revision != c.Revision:
-		return 0, &ChangedError{"migration", m.ID, c.Revision, m.Revision, s.last(m.ID)}
+		return 0, &ChangedError{"migration", m.ID, c.Revision, m.Revision, s.lastAction(m.ID)}
 	case m.Stage != Running && m.Stage != Halted:
 		return 0, &StageError{m.ID, m.Stage, "replaced"}
 	}
-	begun := 0
-	for begun < len(m.Steps) && s.Entries[m.Steps[begun]].Starts > 0 && s.Entries[m.Steps[begun]].Stage != Withdrawn { // taken back by a freeze
-		begun++
+	numStarted := 0
+	for numStarted < len(m.Steps) && s.Entries[m.Steps[numStarted]].Starts > 0 && s.Entries[m.Steps[numStarted]].Stage != Withdrawn { // a step that a freeze rolled back counts as not started
+		numStarted++
 	}
 	if len(c.Steps) == 0 {
 		return 0, &FormError{"steps", "none"}
 	}
-	for i, id := range m.Steps[:begun] {
-		was := s.Entries[id].Change
-		was.After = nil
-		if i >= len(c.Steps) || c.Steps[i].Digest() != was.Digest() {
+	for i, id := range m.Steps[:numStarted] {
+		started := s.Entries[id].Change
+		started.After = nil // set by appendSteps, not by the author
+		if i >= len(c.Steps) || c.Steps[i].Digest() != started.Digest() {
 			return 0, &BegunError{m.ID, i}
 		}
 	}
-	if len(c.Steps) > begun {
+	if len(c.Steps) > numStarted {
 		if err := s.checkSteps(c.Steps, c.Who); err != nil {
 			return 0, err
 		}
 	}
-	for _, id := range m.Steps[begun:] {
-		if e := s.Entries[id]; e.Stage.planned() {
-			s.move(e, Withdrawn, c.Who, "its migration has other steps")
+	for _, id := range m.Steps[numStarted:] {
+		if e := s.Entries[id]; e.Stage.notStarted() {
+			s.setStage(e, Withdrawn, c.Who, "its migration has other steps")
 		}
 	}
-	m.Steps, m.Revision = m.Steps[:begun:begun], m.Revision+1
-	s.note(m.ID, "migration replaced: "+m.Name, c.Who, "")
-	s.append(m, c.Steps[begun:], c.Who)
+	m.Steps, m.Revision = m.Steps[:numStarted:numStarted], m.Revision+1
+	s.recordEvent(m.ID, "migration replaced: "+m.Name, c.Who, "")
+	s.appendSteps(m, c.Steps[numStarted:], c.Who)
 	return m.ID, nil
 }
 
-// revert takes a migration back. What has not begun is withdrawn; what has goes back one after the other.
+// revert starts to roll a migration back: steps that have not started are withdrawn, and advanceMigration rolls back the others, one
+// after the other.
 func (s *State) revert(c Revert) error {
 	m := s.Migrations[c.ID]
 	switch {
@@ -143,54 +149,56 @@
 		return &FormError{"why", "a way back needs a name and a reason"}
 	}
 	for _, id := range m.Steps {
-		if e := s.Entries[id]; e.Stage.planned() {
-			s.move(e, Withdrawn, c.Who, "its migration goes back")
+		if e := s.Entries[id]; e.Stage.notStarted() {
+			s.setStage(e, Withdrawn, c.Who, "its migration goes back")
 		}
 	}
-	s.moveMigration(m, RollingBack, c.Who, c.Why)
+	s.setMigrationStage(m, RollingBack, c.Who, c.Why)
 	return nil
 }
 
-func (s *State) moveMigration(m *Migration, to Stage, who, why string) {
-	s.note(m.ID, fmt.Sprintf("migration %s -> %s", m.Stage, to), who, why)
+// setMigrationStage changes the stage of a migration and records the event.
+func (s *State) setMigrationStage(m *Migration, to Stage, who, why string) {
+	s.recordEvent(m.ID, fmt.Sprintf("migration %s -> %s", m.Stage, to), who, why)
 	m.Stage, m.Says = to, why
 }
 
-// passMigration has a migration go where its steps take it.
-func (s *State) passMigration(m *Migration) {
+// advanceMigration makes the transition of a migration that follows from the stages of its steps, and starts the rollback of the next
+// step of one that is rolling back.
+func (s *State) advanceMigration(m *Migration) {
 	switch m.Stage {
 	case Running, Halted:
-		done, says := 0, ""
+		done, reason := 0, ""
 		for i, id := range m.Steps {
 			switch e := s.Entries[id]; e.Stage {
 			case Done:
 				done++
 			case Halted, Missed, Withdrawn, RollingBack:
-				says = fmt.Sprintf("step %d, entry %d, is %s: %s", i+1, id, e.Stage, e.Says)
+				reason = fmt.Sprintf("step %d, entry %d, is %s: %s", i+1, id, e.Stage, e.Says)
 			}
-			if says != "" {
+			if reason != "" {
 				break
 			}
 		}
 		switch {
 		case done == len(m.Steps):
-			s.moveMigration(m, Done, "", "")
-		case says != "" && (m.Stage == Running || m.Says != says):
-			s.moveMigration(m, Halted, "", says)
-		case says == "" && m.Stage == Halted:
-			s.moveMigration(m, Running, "", "")
+			s.setMigrationStage(m, Done, "", "")
+		case reason != "" && (m.Stage == Running || m.Says != reason):
+			s.setMigrationStage(m, Halted, "", reason)
+		case reason == "" && m.Stage == Halted:
+			s.setMigrationStage(m, Running, "", "")
 		}
 	case RollingBack:
 		for _, id := range slices.Backward(m.Steps) {
 			e := s.Entries[id]
 			switch {
 			case e.Stage == RollingBack || e.Stage == Halted && e.WasRollingBack:
-				return // one after the other
+				return // the next step waits until this one is rolled back
 			case e.Stage == Running || e.Stage == Halted || e.Stage == Done:
-				s.move(e, RollingBack, "", "its migration goes back")
+				s.setStage(e, RollingBack, "", "its migration goes back")
 				return
 			}
 		}
-		s.moveMigration(m, Withdrawn, "", takenBack)
+		s.setMigrationStage(m, Withdrawn, "", rolledBackReason)
 	}
 }
--- a/calendar/model_test.go
+++ b/calendar/model_test.go
@@ -14,67 +14,73 @@
 	"pgregory.net/rapid"
 )
 
-// witness is a plain model of the calendar, apart from its code: it hears the same commands, knows the true time, and says what
-// may not have begun and what should have. It holds words of people and spans, and no stage of the calendar's.
-type witness struct {
-	trueMs  float64
-	entries map[uint64]*seen
-	freezes map[uint64]frozenTime
-	moves   map[uint64]bool     // migrations, and whether they are over
-	stacks  map[string][]uint64 // what was done to each unit and could be taken back, newest last
-	needed  map[Kind]int        // approvals, by kind
-	most    map[Kind]int        // under way at once, by kind
+// model is a simple reference model that shares no code with the calendar. It receives the same commands, knows the true time, and decides
+// which entries must not have started and which must be startable. It records what people did and when, and none of the calendar's
+// stages.
+type model struct {
+	trueMs          float64
+	entries         map[uint64]*modelEntry
+	freezes         map[uint64]modelFreeze
+	migrationOver   map[uint64]bool     // by ID of the migration
+	undoStacks      map[string][]uint64 // entries by unit that can still be rolled back, newest last
+	approvalsNeeded map[Kind]int        // by kind
+	budgets         map[Kind]int        // entries in progress at once, by kind; 0 for no limit
 }
 
-type seen struct {
-	kind     Kind
-	parts    map[string]bool // what it is about, unit by unit
-	from, to float64
-	takes    float64
-	author   string
-	yes      map[string]bool // who approves it as it is now
-	after    []uint64
-	draft    bool
-	urgent   bool
-	began    int
-	waves    int
-	did      int // waves
-	wavedMs  float64
-	soakMs   float64
-	wants    []string
-	shows    []string
-	sights   map[string]sight
-	over     bool // done, withdrawn or missed
-	move     uint64
-	halted   bool
-	under    bool
+// modelEntry is the model's record of an entry. Times are in ms of the true time.
+type modelEntry struct {
+	kind           Kind
+	units          map[string]bool // units of its subject
+	from, to       float64         // window, with the allowed lateness
+	durationMs     float64         // of its waves and its soak
+	author         string
+	approvers      map[string]bool // of its current change
+	after          []uint64
+	draft          bool
+	emergency      bool
+	starts         int
+	waves          int
+	wavesDone      int
+	lastWaveMs     float64
+	soakMs         float64
+	preconditions  []string
+	postconditions []string
+	observations   map[string]modelObservation
+	finished       bool // done, withdrawn or missed
+	migration      uint64
+	halted         bool
+	inProgress     bool
 }
 
-type sight struct {
-	well bool
-	at   float64
+// modelObservation is the model's record of an observation.
+type modelObservation struct {
+	passed bool
+	atMs   float64
 }
 
-// done tells whether its waves and its watch are over, and all was seen that it must show; by a margin, early or late.
-func (e *seen) done(at, margin float64) bool {
-	for _, n := range e.shows {
-		if !e.sights[n].well {
+// complete reports whether its waves and its soak are over and its postconditions were observed to pass. The soak must be over for at
+// least margin ms; a negative margin accepts it that much early.
+func (e *modelEntry) complete(at, margin float64) bool {
+	for _, n := range e.postconditions {
+		if !e.observations[n].passed {
 			return false
 		}
 	}
-	return e.did == e.waves && at >= e.wavedMs+e.soakMs+margin
+	return e.wavesDone == e.waves && at >= e.lastWaveMs+e.soakMs+margin
 }
 
-type frozenTime struct {
+// modelFreeze is the model's record of a freeze.
+type modelFreeze struct {
 	kinds []Kind
-	parts map[string]bool
+	units map[string]bool
 	spans [][2]float64
 }
 
-const slackMs = 6000 // that the agreed time may differ from the true one: what clocks may differ by, and one that errs by as much as it may
+// toleranceMs is the largest difference between the agreed and the true time, in ms: maxClockSpreadMs plus the error of a correct clock.
+const toleranceMs = 6000
 
-// parts lists what a subject is about.
-func parts(b Subject) map[string]bool {
+// unitsOf returns the units of the fleet and the plans that a subject covers.
+func unitsOf(b Subject) map[string]bool {
 	all := map[string]bool{}
 	for _, u := range []string{"d0", "d1", "d2", "d3", "b0", "b1", "b2", "b3", "plan basic", "plan gold"} {
 		zone := map[byte]string{'0': "z0", '1': "z0", '2': "z1", '3': "z1"}[u[1]]
@@ -98,7 +104,8 @@
 	return all
 }
 
-func common(a, b map[string]bool) bool {
+// overlap reports whether two sets of units have one in common.
+func overlap(a, b map[string]bool) bool {
 	for u := range a {
 		if a[u] && b[u] {
 			return true
@@ -107,138 +114,140 @@
 	return false
 }
 
-// frozen tells whether an entry must not begin at a time; surely, or perhaps.
-func (w *witness) frozen(e *seen, at float64) (surely, perhaps bool) {
-	for _, f := range w.freezes {
-		of := len(f.kinds) == 0
+// frozen reports whether a freeze applies to an entry at a time: surely, if for every agreed time within the tolerance; perhaps, if for
+// any.
+func (m *model) frozen(e *modelEntry, at float64) (surely, perhaps bool) {
+	for _, f := range m.freezes {
+		ofKind := len(f.kinds) == 0
 		for _, k := range f.kinds {
-			of = of || k == e.kind
+			ofKind = ofKind || k == e.kind
 		}
-		if !of || !common(f.parts, e.parts) || e.urgent {
+		if !ofKind || !overlap(f.units, e.units) || e.emergency {
 			continue
 		}
 		for _, s := range f.spans {
-			surely = surely || s[0]+slackMs <= at && at < s[1]-slackMs
-			perhaps = perhaps || s[0]-slackMs <= at && at < s[1]+slackMs
+			surely = surely || s[0]+toleranceMs <= at && at < s[1]-toleranceMs
+			perhaps = perhaps || s[0]-toleranceMs <= at && at < s[1]+toleranceMs
 		}
 	}
 	return surely, perhaps
 }
 
-// wrong says why an entry may not have begun; empty where it may have.
-func (w *witness) wrong(id uint64) string {
-	e := w.entries[id]
+// startViolation returns why an entry must not start now, whatever the agreed time within the tolerance; empty if it may.
+func (m *model) startViolation(id uint64) string {
+	e := m.entries[id]
 	others := 0
-	for other, o := range w.entries {
+	for other, o := range m.entries {
 		if other == id {
 			continue
 		}
-		if o.move != 0 && o.move != e.move && o.began > 0 && !w.moves[o.move] && !(o.over && o.did < o.waves) && common(o.parts, e.parts) {
-			return fmt.Sprintf("%d has part of it until its migration is over", other)
+		if o.migration != 0 && o.migration != e.migration && o.starts > 0 && !m.migrationOver[o.migration] && !(o.finished && o.wavesDone < o.waves) && overlap(o.units, e.units) {
+			return fmt.Sprintf("entry %d holds part of its subject until its migration is over", other)
 		}
-		if o.under {
-			if common(o.parts, e.parts) {
-				return fmt.Sprintf("%d has part of it", other)
+		if o.inProgress {
+			if overlap(o.units, e.units) {
+				return fmt.Sprintf("entry %d holds part of its subject", other)
 			}
 			if o.kind == e.kind {
 				others++
 			}
 		}
 	}
-	surely, _ := w.frozen(e, w.trueMs)
+	surely, _ := m.frozen(e, m.trueMs)
 	switch {
-	case e.began > 0:
-		return "it has begun before"
-	case e.move != 0 && w.moves[e.move]:
+	case e.starts > 0:
+		return "it has started before"
+	case e.migration != 0 && m.migrationOver[e.migration]:
 		return "its migration is over"
-	case e.over || e.draft:
-		return "it is over, or a draft"
-	case len(e.yes) < w.needed[e.kind]:
-		return "not approved as it is"
+	case e.finished || e.draft:
+		return "it is finished or a draft"
+	case len(e.approvers) < m.approvalsNeeded[e.kind]:
+		return "its current change lacks approvals"
 	case surely:
 		return "frozen"
-	case w.trueMs < e.from-slackMs:
-		return "early"
-	case w.trueMs+e.takes > e.to+slackMs:
-		return "no time left"
-	case w.most[e.kind] > 0 && others >= w.most[e.kind]:
-		return "beyond its budget"
+	case m.trueMs < e.from-toleranceMs:
+		return "its window has not begun"
+	case m.trueMs+e.durationMs > e.to+toleranceMs:
+		return "too little time is left"
+	case m.budgets[e.kind] > 0 && others >= m.budgets[e.kind]:
+		return "its budget is used up"
 	}
-	for _, n := range e.wants {
-		if v := e.sights[n]; !v.well || w.trueMs-v.at > sightFor+slackMs {
-			return "nobody has looked"
+	for _, n := range e.preconditions {
+		if v := e.observations[n]; !v.passed || m.trueMs-v.atMs > observationTTLMs+toleranceMs {
+			return "a precondition was not observed"
 		}
 	}
 	for _, a := range e.after {
-		if o := w.entries[a]; !o.done(w.trueMs, -slackMs) {
-			return "before what it waits for"
+		if o := m.entries[a]; !o.complete(m.trueMs, -toleranceMs) {
+			return "an entry it waits for is not done"
 		}
 	}
 	return ""
 }
 
-// should tells whether an entry must be startable now, by a margin.
-func (w *witness) should(id uint64) bool {
-	e := w.entries[id]
-	_, perhaps := w.frozen(e, w.trueMs)
+// mustBeStartable reports whether an entry must be startable now, whatever the agreed time within the tolerance.
+func (m *model) mustBeStartable(id uint64) bool {
+	e := m.entries[id]
+	_, blocked := m.frozen(e, m.trueMs)
 	for _, a := range e.after {
-		perhaps = perhaps || w.entries[a].halted || !w.entries[a].done(w.trueMs, slackMs)
+		blocked = blocked || m.entries[a].halted || !m.entries[a].complete(m.trueMs, toleranceMs)
 	}
-	for _, n := range e.wants {
-		perhaps = perhaps || w.trueMs-e.sights[n].at > sightFor-slackMs
+	for _, n := range e.preconditions {
+		blocked = blocked || m.trueMs-e.observations[n].atMs > observationTTLMs-toleranceMs
 	}
-	if e.move != 0 && !w.goesOn(e.move) {
+	if e.migration != 0 && !m.migrationProceeds(e.migration) {
 		return false
 	}
-	return !e.over && !e.under && !perhaps && w.wrong(id) == "" && w.trueMs > e.from+slackMs && w.trueMs+e.takes < e.to-slackMs
+	return !e.finished && !e.inProgress && !blocked && m.startViolation(id) == "" && m.trueMs > e.from+toleranceMs && m.trueMs+e.durationMs < e.to-toleranceMs
 }
 
-// goesOn tells whether a migration has no step that halts it.
-func (w *witness) goesOn(move uint64) bool {
-	for _, e := range w.entries {
-		if e.move == move && (e.over && !e.done(w.trueMs, -slackMs) || e.halted) {
+// migrationProceeds reports whether a migration is not over and has no step that halts it.
+func (m *model) migrationProceeds(id uint64) bool {
+	for _, e := range m.entries {
+		if e.migration == id && (e.finished && !e.complete(m.trueMs, -toleranceMs) || e.halted) {
 			return false
 		}
 	}
-	return !w.moves[move]
+	return !m.migrationOver[id]
 }
 
-// world is a calendar and its witness, before random commands.
-type world struct {
-	t       *rapid.T
-	s       *State
-	w       *witness
-	agreed  float64 // the leader's clock, which stands still while nobody leads
-	wrongMs float64 // by which one clock errs
-	spoil   string  // fault that is planted
-	found   string  // what the witness found
+// simulation applies the same random commands to a calendar and to its model.
+type simulation struct {
+	t            *rapid.T
+	state        *State
+	model        *model
+	agreedMs     float64 // the agreed clock, which stands still without a leader
+	clockErrorMs float64 // error of the clock of coordinator c1
+	defect       string  // planted defect, one of those that TestModelFindsPlantedDefects names; empty for none
+	violation    string  // first contradiction between calendar and model; empty for none
 }
 
-func begun(t *rapid.T, spoil string) *world {
-	v := &world{t: t, s: New(), spoil: spoil, agreed: 5000,
-		w: &witness{trueMs: noon, entries: map[uint64]*seen{}, freezes: map[uint64]frozenTime{}, moves: map[uint64]bool{}, stacks: map[string][]uint64{}, needed: map[Kind]int{}, most: map[Kind]int{}}}
-	v.s.See(units{})
-	v.clocks()
-	return v
+func newSimulation(t *rapid.T, defect string) *simulation {
+	s := &simulation{t: t, state: New(), defect: defect, agreedMs: 5000,
+		model: &model{trueMs: noon, entries: map[uint64]*modelEntry{}, freezes: map[uint64]modelFreeze{}, migrationOver: map[uint64]bool{}, undoStacks: map[string][]uint64{}, approvalsNeeded: map[Kind]int{}, budgets: map[Kind]int{}}}
+	s.state.See(testZones{})
+	s.reportClocks()
+	return s
 }
 
-func (v *world) do(c any) (uint64, error) { return v.s.Do(v.agreed, c) }
+func (s *simulation) apply(c any) (uint64, error) { return s.state.Do(s.agreedMs, c) }
 
-func (v *world) hold(bad string, args ...any) {
-	if v.found == "" {
-		v.found = fmt.Sprintf(bad, args...)
+// fail records a violation.
+func (s *simulation) fail(format string, args ...any) {
+	if s.violation == "" {
+		s.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// clocks has coordinators tell their clocks; one of the three errs by any amount.
-func (v *world) clocks() {
+// reportClocks reports the clocks of the three coordinators. Two are correct within 1000 ms, c1 is off by clockErrorMs as well.
+func (s *simulation) reportClocks() {
 	for i := range 3 {
-		at := v.w.trueMs + float64(rapid.IntRange(-1000, 1000).Draw(v.t, "error"))
+		at := s.model.trueMs + float64(rapid.IntRange(-1000, 1000).Draw(s.t, "error"))
 		if i == 1 {
-			at += v.wrongMs
+			at += s.clockErrorMs
 		}
-		if _, err := v.do(Clock{fmt.Sprint("c", i), max(0, at), 3}); err != nil {
-			v.t.Fatal(err)
+		if _, err := s.apply(Clock{fmt.Sprint("c", i), max(0, at), 3}); err != nil {
+			s.t.Fatal(err)
 		}
 	}
 }
@@ -248,387 +257,393 @@
 	subjects = []Subject{{Scope: Fleet}, {Scope: Zone, Names: []string{"z0"}}, {Scope: Zone, Names: []string{"z1"}}, {Scope: Zone}, {Scope: Doors},
 		{Scope: Doors, Names: []string{"d0"}}, {Scope: Doors, Names: []string{"d1", "d2"}}, {Scope: Doors, Names: []string{"d3"}},
 		{Scope: Backends, Names: []string{"b0"}}, {Scope: Backends, Names: []string{"b2", "b3"}}, {Scope: Plans, Names: []string{"basic"}}, {Scope: Plans}}
-	some = []Kind{Drain, Release, Terms}
+	testKinds = []Kind{Drain, Release, Terms}
 )
 
-func (v *world) change() Change {
-	from := v.w.trueMs + float64(rapid.IntRange(-30, 90).Draw(v.t, "from"))*min1
-	c := Change{Name: "x", Kind: rapid.SampledFrom(some).Draw(v.t, "kind"), Subject: rapid.SampledFrom(subjects).Draw(v.t, "subject"),
-		Window: Span{from, from + float64(rapid.IntRange(1, 120).Draw(v.t, "minutes"))*min1}, LateMs: float64(rapid.SampledFrom([]int{0, 0, 30, 120}).Draw(v.t, "late")) * min1,
-		Waves: rapid.IntRange(1, 3).Draw(v.t, "waves"), WaveMs: float64(rapid.IntRange(0, 20).Draw(v.t, "wave")) * min1, Do: json.RawMessage(`1`),
-		SoakMs: float64(rapid.SampledFrom([]int{0, 0, 0, 5}).Draw(v.t, "soak")) * min1}
-	switch rapid.IntRange(0, 9).Draw(v.t, "sights") {
+// randomChange returns a change, mostly a valid one.
+func (s *simulation) randomChange() Change {
+	from := s.model.trueMs + float64(rapid.IntRange(-30, 90).Draw(s.t, "from"))*minute
+	c := Change{Name: "x", Kind: rapid.SampledFrom(testKinds).Draw(s.t, "kind"), Subject: rapid.SampledFrom(subjects).Draw(s.t, "subject"),
+		Window: Span{from, from + float64(rapid.IntRange(1, 120).Draw(s.t, "minutes"))*minute}, LateMs: float64(rapid.SampledFrom([]int{0, 0, 30, 120}).Draw(s.t, "late")) * minute,
+		Waves: rapid.IntRange(1, 3).Draw(s.t, "waves"), WaveMs: float64(rapid.IntRange(0, 20).Draw(s.t, "wave")) * minute, Do: json.RawMessage(`1`),
+		SoakMs: float64(rapid.SampledFrom([]int{0, 0, 0, 5}).Draw(s.t, "soak")) * minute}
+	switch rapid.IntRange(0, 9).Draw(s.t, "conditions") {
 	case 0:
 		c.Preconditions = []string{"calm"}
 	case 1:
 		c.Postconditions = []string{"well"}
 	}
-	if rapid.Bool().Draw(v.t, "back") {
+	if rapid.Bool().Draw(s.t, "back") {
 		c.Rollback = json.RawMessage(`2`)
 	}
-	for id := range v.s.NextID {
-		if v.w.entries[id] != nil && rapid.IntRange(0, 7).Draw(v.t, "after") == 0 {
+	for id := range s.state.NextID {
+		if s.model.entries[id] != nil && rapid.IntRange(0, 7).Draw(s.t, "after") == 0 {
 			c.After = append(c.After, id)
 		}
 	}
 	return c
 }
 
-// changeOf is another change in an entry's place.
-func (v *world) changeOf(id uint64) Change {
-	c := v.change()
-	if e := v.s.Entries[id]; e.Migration != 0 {
+// replacementFor returns a random change that can replace the one of an entry.
+func (s *simulation) replacementFor(id uint64) Change {
+	c := s.randomChange()
+	if e := s.state.Entries[id]; e.Migration != 0 {
 		c.After, c.Rollback = e.After, json.RawMessage(`2`)
 	}
 	return c
 }
 
-// migration enters one of some steps, whose windows follow each other.
-func (v *world) migration() {
+// planMigration adds a migration of random steps. Invalid ones, such as those with windows out of order, are rejected and ignored.
+func (s *simulation) planMigration() {
 	var steps []Change
-	for range rapid.IntRange(1, 3).Draw(v.t, "steps") {
-		c := v.change()
-		c.After, c.Rollback, c.LateMs = nil, json.RawMessage(`2`), 300*min1
+	for range rapid.IntRange(1, 3).Draw(s.t, "steps") {
+		c := s.randomChange()
+		c.After, c.Rollback, c.LateMs = nil, json.RawMessage(`2`), 300*minute
 		steps = append(steps, c)
 	}
-	id, err := v.do(Migrate{"m", steps, "ana"})
+	id, err := s.apply(Migrate{"m", steps, "ana"})
 	if err != nil {
 		return
 	}
-	v.w.moves[id] = false
-	for i, step := range v.s.Migrations[id].Steps {
+	s.model.migrationOver[id] = false
+	for i, step := range s.state.Migrations[id].Steps {
 		c := steps[i]
-		c.After = v.s.Entries[step].After
-		v.saw(step, c, "ana", false)
+		c.After = s.state.Entries[step].After
+		s.recordEntry(step, c, "ana", false)
 	}
 }
 
-func (v *world) revert(id uint64) error {
-	_, err := v.do(Revert{id, "ana", "enough"})
-	if err == nil && v.spoil == "the way back is in the wrong order" {
-		slices.Reverse(v.s.Migrations[id].Steps)
+// revert reverts a migration.
+func (s *simulation) revert(id uint64) error {
+	_, err := s.apply(Revert{id, "ana", "enough"})
+	if err == nil && s.defect == "steps are rolled back in the wrong order" {
+		slices.Reverse(s.state.Migrations[id].Steps)
 	}
 	return err
 }
 
-// undone takes an entry off what it was done to; it must be the newest there.
-func (v *world) undone(id uint64) {
-	for u, stack := range v.w.stacks {
+// recordRollback removes an entry from the undo stacks of its units. On each it must be the newest.
+func (s *simulation) recordRollback(id uint64) {
+	for u, stack := range s.model.undoStacks {
 		switch at := slices.Index(stack, id); {
 		case at < 0:
 		case at < len(stack)-1:
-			v.hold("%d was taken back under %v", id, stack[at+1:])
+			s.fail("entry %d was rolled back before the newer %v", id, stack[at+1:])
 		default:
-			v.w.stacks[u] = stack[:at]
+			s.model.undoStacks[u] = stack[:at]
 		}
 	}
 }
 
-// settled says that what an entry did stays.
-func (v *world) settled(id uint64) {
-	for u, stack := range v.w.stacks {
-		v.w.stacks[u] = slices.DeleteFunc(slices.Clone(stack), func(i uint64) bool { return i == id })
+// dropFromUndoStacks removes an entry that can no longer be rolled back.
+func (s *simulation) dropFromUndoStacks(id uint64) {
+	for u, stack := range s.model.undoStacks {
+		s.model.undoStacks[u] = slices.DeleteFunc(slices.Clone(stack), func(i uint64) bool { return i == id })
 	}
 }
 
-func (v *world) saw(id uint64, c Change, who string, draft bool) {
-	v.w.entries[id] = &seen{kind: c.Kind, parts: parts(c.Subject), from: c.Window.FromMs, to: c.Window.ToMs + c.LateMs, takes: float64(c.Waves)*c.WaveMs + c.SoakMs,
-		soakMs: c.SoakMs, wants: c.Preconditions, shows: c.Postconditions, sights: map[string]sight{}, move: v.s.Entries[id].Migration,
-		author: who, yes: map[string]bool{}, after: c.After, draft: draft, waves: c.Waves}
+// recordEntry adds an entry to the model or replaces its change.
+func (s *simulation) recordEntry(id uint64, c Change, who string, draft bool) {
+	s.model.entries[id] = &modelEntry{kind: c.Kind, units: unitsOf(c.Subject), from: c.Window.FromMs, to: c.Window.ToMs + c.LateMs, durationMs: float64(c.Waves)*c.WaveMs + c.SoakMs,
+		soakMs: c.SoakMs, preconditions: c.Preconditions, postconditions: c.Postconditions, observations: map[string]modelObservation{}, migration: s.state.Entries[id].Migration,
+		author: who, approvers: map[string]bool{}, after: c.After, draft: draft, waves: c.Waves}
 }
 
-func (v *world) pick() (uint64, *seen) {
-	id := uint64(rapid.IntRange(1, int(v.s.NextID)).Draw(v.t, "id"))
-	return id, v.w.entries[id]
+// randomEntry returns the ID of an entry, and nil if there is none with that ID.
+func (s *simulation) randomEntry() (uint64, *modelEntry) {
+	id := uint64(rapid.IntRange(1, int(s.state.NextID)).Draw(s.t, "id"))
+	return id, s.model.entries[id]
 }
 
-// step is one random command.
-func (v *world) step() {
-	switch rapid.IntRange(0, 22).Draw(v.t, "step") {
+// step applies one random command.
+func (s *simulation) step() {
+	switch rapid.IntRange(0, 22).Draw(s.t, "step") {
 	case 18:
-		v.migration()
+		s.planMigration()
 	case 19:
-		for _, id := range slices.Sorted(maps.Keys(v.w.moves)) {
-			if rapid.IntRange(0, 2).Draw(v.t, "revert") == 0 {
-				v.revert(id)
+		for _, id := range slices.Sorted(maps.Keys(s.model.migrationOver)) {
+			if rapid.IntRange(0, 2).Draw(s.t, "revert") == 0 {
+				s.revert(id)
 			}
 		}
 	case 20, 21:
-		for _, id := range slices.Sorted(maps.Keys(v.w.entries)) {
-			e := v.w.entries[id]
-			for _, n := range slices.Concat(e.wants, e.shows) {
-				well := rapid.IntRange(0, 3).Draw(v.t, "well") > 0
-				if _, err := v.do(Observe{ID: id, What: n, Well: well, Says: ""}); err == nil {
-					e.sights[n] = sight{well, v.w.trueMs}
+		for _, id := range slices.Sorted(maps.Keys(s.model.entries)) {
+			e := s.model.entries[id]
+			for _, n := range slices.Concat(e.preconditions, e.postconditions) {
+				well := rapid.IntRange(0, 3).Draw(s.t, "well") > 0
+				if _, err := s.apply(Observe{ID: id, What: n, Well: well, Says: ""}); err == nil {
+					e.observations[n] = modelObservation{well, s.model.trueMs}
 				}
 			}
 		}
 	case 22:
-		id, e := v.pick()
+		id, e := s.randomEntry()
 		if e != nil {
-			v.do(Halt{id, "ana", "wait"})
+			s.apply(Halt{id, "ana", "wait"})
 		}
 	case 0, 1, 2:
-		c, who, draft := v.change(), rapid.SampledFrom(people).Draw(v.t, "who"), rapid.IntRange(0, 5).Draw(v.t, "draft") == 0
-		if id, err := v.do(Plan{c, who, draft}); err == nil {
-			v.saw(id, c, who, draft)
+		c, who, draft := s.randomChange(), rapid.SampledFrom(people).Draw(s.t, "who"), rapid.IntRange(0, 5).Draw(s.t, "draft") == 0
+		if id, err := s.apply(Plan{c, who, draft}); err == nil {
+			s.recordEntry(id, c, who, draft)
 		}
 	case 3, 16:
-		id, e := v.pick()
+		id, e := s.randomEntry()
 		if e == nil {
 			return
 		}
-		c, who, rev := v.changeOf(id), rapid.SampledFrom(people).Draw(v.t, "who"), v.s.Entries[id].Revision+uint64(rapid.IntRange(0, 1).Draw(v.t, "stale"))
-		if _, err := v.do(Edit{id, rev, c, who, false}); err == nil {
-			urgent := e.urgent
-			if v.spoil == "approvals outlive edits" {
-				for who := range e.yes {
-					v.s.Entries[id].Approvals = append(v.s.Entries[id].Approvals, Approval{who, "", v.s.Entries[id].Digest(), v.s.WallMs})
+		c, who, rev := s.replacementFor(id), rapid.SampledFrom(people).Draw(s.t, "who"), s.state.Entries[id].Revision+uint64(rapid.IntRange(0, 1).Draw(s.t, "stale"))
+		if _, err := s.apply(Edit{id, rev, c, who, false}); err == nil {
+			urgent := e.emergency
+			if s.defect == "approvals outlive edits" {
+				for who := range e.approvers {
+					s.state.Entries[id].Approvals = append(s.state.Entries[id].Approvals, Approval{who, "", s.state.Entries[id].Digest(), s.state.WallMs})
 				}
 			}
-			v.saw(id, c, who, false)
-			v.w.entries[id].urgent = urgent
+			s.recordEntry(id, c, who, false)
+			s.model.entries[id].emergency = urgent
 		}
 	case 4, 5, 6, 17:
-		id, e := v.pick()
+		id, e := s.randomEntry()
 		if e == nil {
 			return
 		}
-		who := rapid.SampledFrom(people).Draw(v.t, "who")
-		if _, err := v.do(Approve{id, v.s.Entries[id].Digest(), who, ""}); err == nil {
+		who := rapid.SampledFrom(people).Draw(s.t, "who")
+		if _, err := s.apply(Approve{id, s.state.Entries[id].Digest(), who, ""}); err == nil {
 			if who == e.author {
-				v.hold("%s approved their own %d", who, id)
+				s.fail("%s approved their own entry %d", who, id)
 			}
-			e.yes[who] = true
+			e.approvers[who] = true
 		}
 	case 7:
-		id, e := v.pick()
+		id, e := s.randomEntry()
 		if e == nil {
 			return
 		}
-		if _, err := v.do(Refuse{id, v.s.Entries[id].Digest(), "dan", "no"}); err == nil {
-			e.yes, e.draft = map[string]bool{}, true
+		if _, err := s.apply(Refuse{id, s.state.Entries[id].Digest(), "dan", "no"}); err == nil {
+			e.approvers, e.draft = map[string]bool{}, true
 		}
 	case 8:
-		id, e := v.pick()
+		id, e := s.randomEntry()
 		if e == nil {
 			return
 		}
-		if _, err := v.do(DeclareEmergency{id, Emergency{"ana", "bea", "fire"}}); err == nil {
-			e.urgent = true
+		if _, err := s.apply(DeclareEmergency{id, Emergency{"ana", "bea", "fire"}}); err == nil {
+			e.emergency = true
 		}
 	case 9:
-		f := Freeze{Name: "f", Subject: rapid.SampledFrom(subjects).Draw(v.t, "subject"), Sends: rapid.SampledFrom([]string{FinishesWave, SendsBack}).Draw(v.t, "sends"), Who: "ana", Why: "y"}
-		if rapid.Bool().Draw(v.t, "one kind") {
-			f.Kinds = []Kind{rapid.SampledFrom(some).Draw(v.t, "kind")}
-		}
-		at := v.w.trueMs
-		known := frozenTime{f.Kinds, parts(f.Subject), nil}
-		for range rapid.IntRange(1, 3).Draw(v.t, "spans") {
-			at += float64(rapid.IntRange(0, 40).Draw(v.t, "gap")) * min1
-			end := at + float64(rapid.IntRange(1, 60).Draw(v.t, "lasts"))*min1
-			f.Spans, known.spans = append(f.Spans, Span{at, end}), append(known.spans, [2]float64{at, end})
+		f := Freeze{Name: "f", Subject: rapid.SampledFrom(subjects).Draw(s.t, "subject"), Sends: rapid.SampledFrom([]string{FinishesWave, SendsBack}).Draw(s.t, "sends"), Who: "ana", Why: "y"}
+		if rapid.Bool().Draw(s.t, "one kind") {
+			f.Kinds = []Kind{rapid.SampledFrom(testKinds).Draw(s.t, "kind")}
+		}
+		at := s.model.trueMs
+		modeled := modelFreeze{f.Kinds, unitsOf(f.Subject), nil}
+		for range rapid.IntRange(1, 3).Draw(s.t, "spans") {
+			at += float64(rapid.IntRange(0, 40).Draw(s.t, "gap")) * minute
+			end := at + float64(rapid.IntRange(1, 60).Draw(s.t, "lasts"))*minute
+			f.Spans, modeled.spans = append(f.Spans, Span{at, end}), append(modeled.spans, [2]float64{at, end})
 			at = end
 		}
-		if id, err := v.do(SetFreeze{0, 0, f}); err == nil {
-			v.w.freezes[id] = known
-			if v.spoil == "a freeze is lost" {
-				delete(v.s.Freezes, id)
+		if id, err := s.apply(SetFreeze{0, 0, f}); err == nil {
+			s.model.freezes[id] = modeled
+			if s.defect == "a freeze is lost" {
+				delete(s.state.Freezes, id)
 			}
 		} else {
-			v.t.Fatal(err)
+			s.t.Fatal(err)
 		}
 	case 10:
-		id, _ := v.pick()
-		if v.w.freezes[id].spans != nil {
-			if _, err := v.do(Thaw{id, 1, "ana", ""}); err == nil {
-				delete(v.w.freezes, id)
+		id, _ := s.randomEntry()
+		if s.model.freezes[id].spans != nil {
+			if _, err := s.apply(Thaw{id, 1, "ana", ""}); err == nil {
+				delete(s.model.freezes, id)
 			}
 		}
 	case 11:
-		v.rules()
+		s.setRules()
 	case 12:
-		v.wrongMs = float64(rapid.SampledFrom([]int{0, 0, 4, 600, -600, 7200, -7200}).Draw(v.t, "wrong")) * sec
-	case 13: // nobody leads for a while
-		v.w.trueMs += float64(rapid.IntRange(1, 120).Draw(v.t, "down")) * min1
-		if v.spoil != "clocks of before count" {
-			v.do(LeaderChanged{})
+		s.clockErrorMs = float64(rapid.SampledFrom([]int{0, 0, 4, 600, -600, 7200, -7200}).Draw(s.t, "wrong")) * sec
+	case 13: // there is no leader for a while
+		s.model.trueMs += float64(rapid.IntRange(1, 120).Draw(s.t, "down")) * minute
+		if s.defect != "clock readings survive a leader change" {
+			s.apply(LeaderChanged{})
 		} else {
-			v.settle()
+			s.settle()
 		}
-		v.clocks()
+		s.reportClocks()
 	default:
-		ms := float64(rapid.IntRange(0, 60).Draw(v.t, "passes")) * min1 / float64(rapid.SampledFrom([]int{1, 60}).Draw(v.t, "slow"))
-		v.w.trueMs, v.agreed = v.w.trueMs+ms, v.agreed+ms
-		v.clocks()
+		ms := float64(rapid.IntRange(0, 60).Draw(s.t, "passes")) * minute / float64(rapid.SampledFrom([]int{1, 60}).Draw(s.t, "slow"))
+		s.model.trueMs, s.agreedMs = s.model.trueMs+ms, s.agreedMs+ms
+		s.reportClocks()
 	}
 }
 
-// rules sets how many must approve a release, and how many drains may be under way.
-func (v *world) rules() {
-	v.w.needed[Release], v.w.most[Drain] = rapid.IntRange(0, 2).Draw(v.t, "count"), rapid.IntRange(0, 2).Draw(v.t, "most")
+// setRules sets the number of approvals that a release requires and the budget of drains.
+func (s *simulation) setRules() {
+	s.model.approvalsNeeded[Release], s.model.budgets[Drain] = rapid.IntRange(0, 2).Draw(s.t, "count"), rapid.IntRange(0, 2).Draw(s.t, "most")
 	var c SetRules
-	if n := v.w.needed[Release]; n > 0 {
+	if n := s.model.approvalsNeeded[Release]; n > 0 {
 		c.Rules = []Rule{{Kinds: []Kind{Release}, Subject: Subject{Scope: Fleet}, Count: n}}
 	}
-	if n := v.w.most[Drain]; n > 0 && v.spoil != "a budget is lost" {
+	if n := s.model.budgets[Drain]; n > 0 && s.defect != "a budget is lost" {
 		c.Budgets = []Budget{{Drain, n}}
 	}
-	if _, err := v.do(c); err != nil {
-		v.t.Fatal(err)
+	if _, err := s.apply(c); err != nil {
+		s.t.Fatal(err)
 	}
 }
 
-// settle has whoever leads start what can be, and carries some of it on; the witness looks at each.
-func (v *world) settle() {
-	if v.spoil == "it runs twice" {
-		for _, e := range v.s.Entries {
+// settle starts every startable entry, as the leader does, and advances some of the running ones. It compares each step with the model.
+func (s *simulation) settle() {
+	if s.defect == "an entry runs twice" {
+		for _, e := range s.state.Entries {
 			if e.Stage == Done {
 				e.Stage = Due
 			}
 		}
 	}
-	ids := slices.Sorted(maps.Keys(v.w.entries))
-	for _, id := range ids { // what ended by itself
-		e := v.w.entries[id]
-		e.halted = v.s.Entries[id].Stage == Halted || v.s.Entries[id].Stage == RollingBack
-		switch at := v.s.Entries[id].Stage; at {
+	ids := slices.Sorted(maps.Keys(s.model.entries))
+	for _, id := range ids { // follow transitions that no command asked for
+		e := s.model.entries[id]
+		e.halted = s.state.Entries[id].Stage == Halted || s.state.Entries[id].Stage == RollingBack
+		switch at := s.state.Entries[id].Stage; at {
 		case Missed:
-			if !e.over && !e.under && v.w.should(id) {
-				v.hold("%d was missed though it could begin", id)
+			if !e.finished && !e.inProgress && s.model.mustBeStartable(id) {
+				s.fail("entry %d was missed although it could start", id)
 			}
-			e.over = true
+			e.finished = true
 		case Done:
-			if e.under && !e.done(v.w.trueMs, -slackMs) {
-				v.hold("%d is done, and its waves, its watch or what it shows are not", id)
+			if e.inProgress && !e.complete(s.model.trueMs, -toleranceMs) {
+				s.fail("entry %d is done, but its waves, its soak or its postconditions are not", id)
 			}
-			if e.under && e.move == 0 {
-				v.settled(id)
+			if e.inProgress && e.migration == 0 {
+				s.dropFromUndoStacks(id)
 			}
-			e.under, e.over = false, true
+			e.inProgress, e.finished = false, true
 		case Withdrawn:
-			e.under, e.over = false, true
-		case RollingBack: // also one that was done
-			e.under, e.over, e.did = true, false, 0
+			e.inProgress, e.finished = false, true
+		case RollingBack: // also an entry that was done, as a step of a migration
+			e.inProgress, e.finished, e.wavesDone = true, false, 0
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(v.w.moves)) {
-		m := v.s.Migrations[id]
-		if m.Stage != Done && m.Stage != Withdrawn || v.w.moves[id] {
+	for _, id := range slices.Sorted(maps.Keys(s.model.migrationOver)) {
+		m := s.state.Migrations[id]
+		if m.Stage != Done && m.Stage != Withdrawn || s.model.migrationOver[id] {
 			continue
 		}
-		v.w.moves[id] = true
+		s.model.migrationOver[id] = true
 		for _, step := range m.Steps {
-			if e := v.w.entries[step]; m.Stage == Done && (e.did < e.waves || e.began == 0) {
-				v.hold("migration %d is done, and its step %d is not", id, step)
+			if e := s.model.entries[step]; m.Stage == Done && (e.wavesDone < e.waves || e.starts == 0) {
+				s.fail("migration %d is done, but its step %d is not", id, step)
 			}
-			for u, stack := range v.w.stacks {
+			for u, stack := range s.model.undoStacks {
 				if m.Stage == Withdrawn && slices.Contains(stack, step) {
-					v.hold("migration %d was taken back, and step %d is still done at %s", id, step, u)
+					s.fail("migration %d was rolled back, but step %d was not at %s", id, step, u)
 				}
 			}
-			v.settled(step)
+			s.dropFromUndoStacks(step)
 		}
 	}
-	for ids := v.s.Startable(); len(ids) > 0; ids = v.s.Startable() {
+	for ids := s.state.Startable(); len(ids) > 0; ids = s.state.Startable() {
 		id := ids[0]
-		if says := v.w.wrong(id); says != "" {
-			v.hold("%d began: %s", id, says)
+		if reason := s.model.startViolation(id); reason != "" {
+			s.fail("entry %d started: %s", id, reason)
 			return
 		}
-		if _, err := v.do(Start{id}); err != nil {
-			v.t.Fatal(err)
+		if _, err := s.apply(Start{id}); err != nil {
+			s.t.Fatal(err)
 		}
-		e := v.w.entries[id]
-		e.began++
-		e.under = true
-		for u, is := range e.parts {
+		e := s.model.entries[id]
+		e.starts++
+		e.inProgress = true
+		for u, is := range e.units {
 			if is {
-				v.w.stacks[u] = append(v.w.stacks[u], id)
+				s.model.undoStacks[u] = append(s.model.undoStacks[u], id)
 			}
 		}
 	}
 	for _, id := range ids {
-		if v.w.should(id) {
-			v.hold("%d could begin and doesn't: %v", id, v.s.InTheWay(v.s.Entries[id]))
+		if s.model.mustBeStartable(id) {
+			s.fail("entry %d could start but is not startable: %v", id, s.state.InTheWay(s.state.Entries[id]))
 		}
 	}
-	for _, id := range ids { // one that runs goes on or back
-		e, at := v.w.entries[id], v.s.Entries[id]
-		if !e.under || rapid.IntRange(0, 2).Draw(v.t, "goes on") > 0 {
+	for _, id := range ids { // advance some of the running entries
+		e, at := s.model.entries[id], s.state.Entries[id]
+		if !e.inProgress || rapid.IntRange(0, 2).Draw(s.t, "advances") > 0 {
 			continue
 		}
 		switch at.Stage {
 		case Running:
-			if e.did == e.waves { // it is watched
+			if e.wavesDone == e.waves { // in its soak
 				break
 			}
-			e.did++
-			if e.wavedMs = v.w.trueMs; e.did == e.waves {
-				for _, n := range e.shows { // what was seen before its last wave is no word on it
-					delete(e.sights, n)
+			e.wavesDone++
+			if e.lastWaveMs = s.model.trueMs; e.wavesDone == e.waves {
+				for _, n := range e.postconditions { // only observations after the last wave count
+					delete(e.observations, n)
 				}
 			}
-			if _, err := v.do(WaveDone{ID: id, Wave: e.did}); err != nil {
-				v.hold("%d: wave %d: %v", id, e.did, err)
+			if _, err := s.apply(WaveDone{ID: id, Wave: e.wavesDone}); err != nil {
+				s.fail("entry %d: wave %d: %v", id, e.wavesDone, err)
 			}
 		case Halted:
 			var err error
 			switch {
 			case at.WasRollingBack:
-				_, err = v.do(Resume{id, "ana"})
-			case at.Migration != 0 && v.s.Migrations[at.Migration].Stage != RollingBack:
-				err = v.revert(at.Migration)
+				_, err = s.apply(Resume{id, "ana"})
+			case at.Migration != 0 && s.state.Migrations[at.Migration].Stage != RollingBack:
+				err = s.revert(at.Migration)
 			case at.Migration == 0 && len(at.Rollback) > 0:
-				_, err = v.do(RollBack{id, "ana", "enough"})
-			default: // nothing else ends it
-				v.do(Resume{id, "ana"})
+				_, err = s.apply(RollBack{id, "ana", "enough"})
+			default: // without a rollback it can only resume
+				s.apply(Resume{id, "ana"})
 			}
 			if err != nil {
-				v.hold("%d is halted without a way back: %v", id, err)
+				s.fail("entry %d is halted and can neither resume nor be rolled back: %v", id, err)
 			}
 		case RollingBack:
-			if _, err := v.do(RolledBack{ID: id}); err != nil {
-				v.hold("%d: %v", id, err)
+			if _, err := s.apply(RolledBack{ID: id}); err != nil {
+				s.fail("entry %d: %v", id, err)
 			}
-			v.undone(id)
-			e.under, e.over, e.did = false, true, 0
+			s.recordRollback(id)
+			e.inProgress, e.finished, e.wavesDone = false, true, 0
 		}
 		if at.Starts > 1 {
-			v.hold("%d started %d times", id, at.Starts)
+			s.fail("entry %d started %d times", id, at.Starts)
 		}
 	}
 }
 
-func (v *world) run() string {
-	v.rules()
-	for range rapid.IntRange(10, 60).Draw(v.t, "commands") {
-		v.step()
-		v.settle()
-		if v.found != "" {
-			return v.found
+// run applies random commands until the first violation, which it returns.
+func (s *simulation) run() string {
+	s.setRules()
+	for range rapid.IntRange(10, 60).Draw(s.t, "commands") {
+		s.step()
+		s.settle()
+		if s.violation != "" {
+			return s.violation
 		}
 	}
 	return ""
 }
 
+// The calendar must agree with the model for random commands, with clocks that are wrong and times without a leader.
 func TestModelRandomCommandsAndClocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if found := begun(t, "").run(); found != "" {
-			t.Fatal(found)
+		if violation := newSimulation(t, "").run(); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
 
-// The witness finds what is planted.
-func TestModelFindsPlantedFaults(t *testing.T) {
-	for _, spoil := range []string{"approvals outlive edits", "the way back is in the wrong order", "a freeze is lost", "a budget is lost", "it runs twice", "clocks of before count"} {
-		t.Run(spoil, func(t *testing.T) {
-			days := rapid.Custom(func(t *rapid.T) string { return begun(t, spoil).run() })
+// The model must find each planted defect; otherwise a pass of TestModelRandomCommandsAndClocks means little.
+func TestModelFindsPlantedDefects(t *testing.T) {
+	for _, defect := range []string{"approvals outlive edits", "steps are rolled back in the wrong order", "a freeze is lost", "a budget is lost", "an entry runs twice", "clock readings survive a leader change"} {
+		t.Run(defect, func(t *testing.T) {
+			runs := rapid.Custom(func(t *rapid.T) string { return newSimulation(t, defect).run() })
 			for seed := 1; ; seed++ {
 				require.Less(t, seed, 5000, "never found")
-				if says := days.Example(seed); says != "" {
-					t.Logf("found on run %d: %s", seed, says)
+				if violation := runs.Example(seed); violation != "" {
+					t.Logf("found on run %d: %s", seed, violation)
 					return
 				}
 			}
@@ -636,12 +651,12 @@
 	}
 }
 
-// Free time against a search of every hour.
-func TestNextAgainstAnExhaustiveSearch(t *testing.T) {
+// The free time that the calendar finds must equal that of a search of each hour.
+func TestFreeTimeAgainstExhaustiveSearch(t *testing.T) {
 	const hours = 48
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
-		s.See(units{})
+		s.See(testZones{})
 		s.Size, s.WallMs, s.Doubt = 1, noon, ""
 		s.Readings["c0"] = Reading{noon, 0}
 		span := func() Span {
@@ -654,32 +669,32 @@
 		}
 		for id := range uint64(rapid.IntRange(0, 6).Draw(t, "entries")) {
 			s.Entries[id+1] = &Entry{ID: id + 1, Stage: rapid.SampledFrom([]Stage{Drafted, Waiting, Approved, Due, Done, Missed}).Draw(t, "stage"),
-				Change: Change{Kind: rapid.SampledFrom(some).Draw(t, "kind"), Subject: rapid.SampledFrom(subjects).Draw(t, "subject"), Window: span(), Waves: 1}}
+				Change: Change{Kind: rapid.SampledFrom(testKinds).Draw(t, "kind"), Subject: rapid.SampledFrom(subjects).Draw(t, "subject"), Window: span(), Waves: 1}}
 		}
 		for id := range uint64(rapid.IntRange(0, 3).Draw(t, "freezes")) {
 			s.Freezes[id+100] = &Freeze{ID: id + 100, Subject: rapid.SampledFrom(subjects).Draw(t, "subject"), Spans: []Span{span()}}
 		}
 		takes := rapid.IntRange(1, 5).Draw(t, "takes")
-		c := &Change{Kind: rapid.SampledFrom(some).Draw(t, "kind"), Subject: rapid.SampledFrom(subjects).Draw(t, "subject"), Waves: takes, WaveMs: hour}
-		free := func(h int) bool { // by each thing apart, at the middle of the hour
-			at, of := noon+(float64(h)+0.5)*hour, 0
+		c := &Change{Kind: rapid.SampledFrom(testKinds).Draw(t, "kind"), Subject: rapid.SampledFrom(subjects).Draw(t, "subject"), Waves: takes, WaveMs: hour}
+		free := func(h int) bool { // checks every entry, freeze and budget at the middle of the hour
+			at, inUse := noon+(float64(h)+0.5)*hour, 0
 			in := func(p Span) bool { return p.FromMs <= at && at < p.ToMs }
 			for _, e := range s.Entries {
 				if e.Stage == Waiting || e.Stage == Approved || e.Stage == Due {
-					if in(e.Window) && common(parts(e.Subject), parts(c.Subject)) {
+					if in(e.Window) && overlap(unitsOf(e.Subject), unitsOf(c.Subject)) {
 						return false
 					}
 					if in(e.Window) && e.Kind == c.Kind && c.Kind == Drain {
-						of++
+						inUse++
 					}
 				}
 			}
 			for _, f := range s.Freezes {
-				if in(f.Spans[0]) && common(parts(f.Subject), parts(c.Subject)) {
+				if in(f.Spans[0]) && overlap(unitsOf(f.Subject), unitsOf(c.Subject)) {
 					return false
 				}
 			}
-			return most == 0 || of < most
+			return most == 0 || inUse < most
 		}
 		var want []Span
 		for h := 0; h < hours; h++ {
@@ -688,30 +703,30 @@
 				end++
 			}
 			if end == hours {
-				want = append(want, Span{noon + float64(h)*hour, noon + longestFor})
+				want = append(want, Span{noon + float64(h)*hour, noon + horizonMs})
 			} else if end-h >= takes {
 				want = append(want, Span{noon + float64(h)*hour, noon + float64(end)*hour})
 			}
 			h = end
 		}
-		if len(want) == 0 || want[len(want)-1].ToMs < noon+longestFor { // all is free past what is searched
-			want = append(want, Span{noon + hours*hour, noon + longestFor})
+		if len(want) == 0 || want[len(want)-1].ToMs < noon+horizonMs { // everything is free past the hours searched
+			want = append(want, Span{noon + hours*hour, noon + horizonMs})
 		}
 		got := s.Next(c, 0, math.MaxInt)
 		if fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Fatalf("%v, by search %v", got, want)
+			t.Fatalf("got %v, the search found %v", got, want)
 		}
 	})
 }
 
-// Ten thousand entries, a hundred of which are under way or due: what a command and a question take.
+// BenchmarkTenThousandEntries measures commands and queries with ten thousand entries, a hundred of which are in progress or due.
 func BenchmarkTenThousandEntries(b *testing.B) {
 	s := New()
-	s.See(units{})
+	s.See(testZones{})
 	s.Do(0, SetRules{Who: "boss", Rules: []Rule{{Subject: Subject{Scope: Fleet}, Count: 1}}, Budgets: []Budget{{Drain, 3}}})
 	s.Do(0, Clock{"c0", noon, 1})
 	for i := range 10000 {
-		c := change(float64(i)*2*hour*0.9, float64(i)*2*hour*0.9+hour)
+		c := testChange(float64(i)*2*hour*0.9, float64(i)*2*hour*0.9+hour)
 		c.Subject = subjects[i%len(subjects)]
 		c.Window = Span{noon + float64(i%4000)*hour, noon + float64(i%4000)*hour + hour}
 		id, err := s.Do(0, Plan{Change: c, Who: "ana"})
@@ -722,13 +737,13 @@
 		}
 	}
 	for i := range 20 {
-		f := freeze(0, hour, SendsBack)
+		f := testFreeze(0, hour, SendsBack)
 		f.When = Recurrence{Begin: fmt.Sprintf("2024-10-%02dT02:00", i+1), Minutes: 60, Every: "FREQ=WEEKLY", In: "UTC"}
 		f.Subject = subjects[i%len(subjects)]
 		require.NoError(b, f.Ahead(time.UTC, noon))
 		s.Do(0, SetFreeze{0, 0, f})
 	}
-	c := change(0, hour)
+	c := testChange(0, hour)
 	now := 0.0
 	b.Run("command", func(b *testing.B) {
 		for b.Loop() {
