--- a/calendar/calendar.go
+++ b/calendar/calendar.go
@@ -97,7 +97,7 @@
 }
 
 // DurationMs is the time the change takes, including its soak, in ms.
-func (c *Change) Needs() float64 { return float64(c.Waves)*c.WaveMs + c.SoakMs }
+func (c *Change) DurationMs() float64 { return float64(c.Waves)*c.WaveMs + c.SoakMs }
 
 // deadlineMs is when the change must be over: the end of its window plus its allowed lateness.
 func (c *Change) deadlineMs() float64 { return c.Window.ToMs + c.LateMs }
@@ -113,16 +113,16 @@
 // Entry is a change in the calendar.
 type Entry struct {
 	Change
-	ID        uint64     `json:"id"`
-	Revision  uint64     `json:"revision"` // incremented by each edit by a person; commands compare and set it
-	Author    string     `json:"author"`
-	Stage     Stage      `json:"stage"`
-	Says      string     `json:"says,omitempty"` // why the entry is in its stage
-	Approvals []Approval `json:"approvals,omitempty"`
-	Emergency *Emergency `json:"emergency,omitempty"`
-	Wave      int        `json:"wave"`              // number of waves done
-	Starts    int        `json:"starts"`            // 0 or 1
-	HeldBy    uint64     `json:"held_by,omitempty"` // freeze that halted the entry; it resumes when that is over
+	ID             uint64     `json:"id"`
+	Revision       uint64     `json:"revision"` // incremented by each edit by a person; commands compare and set it
+	Author         string     `json:"author"`
+	Stage          Stage      `json:"stage"`
+	Reason         string     `json:"says,omitempty"` // why the entry is in its stage
+	Approvals      []Approval `json:"approvals,omitempty"`
+	Emergency      *Emergency `json:"emergency,omitempty"`
+	WavesDone      int        `json:"wave"`              // number of waves done
+	Starts         int        `json:"starts"`            // 0 or 1
+	HaltedByFreeze uint64     `json:"held_by,omitempty"` // freeze that halted the entry; it resumes when that is over
 
 	Migration      uint64                 `json:"migration,omitempty"`        // migration of which the entry is a step; 0 for none
 	WasRollingBack bool                   `json:"was_rolling_back,omitempty"` // whether it was halted during its rollback
@@ -142,19 +142,19 @@
 
 // Observation is the last reported result of checking a precondition or a postcondition.
 type Observation struct {
-	Well bool    `json:"well"`
-	Says string  `json:"says,omitempty"`
-	AtMs float64 `json:"at_ms"`
+	Passed bool    `json:"well"`
+	Detail string  `json:"says,omitempty"`
+	AtMs   float64 `json:"at_ms"`
 }
 
 // remainingMs is the time the entry takes from where it is, including its soak, in ms.
-func (e *Entry) remainingMs() float64 { return float64(e.Waves-e.Wave)*e.WaveMs + e.SoakMs }
+func (e *Entry) remainingMs() float64 { return float64(e.Waves-e.WavesDone)*e.WaveMs + e.SoakMs }
 
 // missingObservation returns the first of names that has not been observed to pass since sinceMs, with its last observation. The name
 // is empty if all have.
 func (e *Entry) missingObservation(names []string, sinceMs float64) (name string, seen Observation) {
 	for _, n := range names {
-		if v := e.Observations[n]; !v.Well || v.AtMs < sinceMs {
+		if v := e.Observations[n]; !v.Passed || v.AtMs < sinceMs {
 			return n, v
 		}
 	}
@@ -178,17 +178,17 @@
 
 // Rule requires approvals. An entry must satisfy every rule that applies to its kind and overlaps its subject.
 type Rule struct {
-	Kinds   []Kind   `json:"kinds,omitempty"` // empty for all
-	Subject Subject  `json:"subject"`
-	Count   int      `json:"count"`            // approvals required, of different people
-	Roles   []string `json:"roles,omitempty"`  // roles whose approvals count; empty for any
-	ForMs   float64  `json:"for_ms,omitempty"` // ms after which an approval lapses; 0 for defaultApprovalTTLMs
+	Kinds         []Kind   `json:"kinds,omitempty"` // empty for all
+	Subject       Subject  `json:"subject"`
+	Count         int      `json:"count"`            // approvals required, of different people
+	Roles         []string `json:"roles,omitempty"`  // roles whose approvals count; empty for any
+	ApprovalTTLMs float64  `json:"for_ms,omitempty"` // ms after which an approval lapses; 0 for defaultApprovalTTLMs
 }
 
 // Budget limits how many entries of a kind may be in progress at once.
 type Budget struct {
 	Kind Kind `json:"kind"`
-	Most int  `json:"most"`
+	Max  int  `json:"most"`
 }
 
 // Event records a command or a change of stage. Numbers increase by one, so that a receiver can drop duplicates.
@@ -211,7 +211,7 @@
 type State struct {
 	NowMs        float64               `json:"now_ms"`  // agreed clock, ms; never decreases, and stands still while there is no leader
 	WallMs       float64               `json:"wall_ms"` // agreed time, ms since 1970: what a majority's wall clocks show; never decreases
-	Doubt        string                `json:"doubt"`   // why the agreed time stands still; empty if it advances, and encoded even then
+	ClockProblem string                `json:"doubt"`   // why the agreed time stands still; empty if it advances, and encoded even then
 	Size         int                   `json:"size"`    // number of coordinators
 	Readings     map[string]Reading    `json:"readings,omitempty"`
 	NextID       uint64                `json:"next_id"`
@@ -222,7 +222,7 @@
 	Budgets      []Budget              `json:"budgets,omitempty"`
 	Events       []Event               `json:"events,omitempty"`
 	Acknowledged uint64                `json:"acknowledged"` // number of the last event that its receiver has acknowledged
-	Number       uint64                `json:"number"`       // number of the last event
+	LastEvent    uint64                `json:"number"`       // number of the last event
 
 	zones Zones
 }
@@ -235,15 +235,15 @@
 
 // New returns an empty calendar, which has no rules, freezes or budgets and so blocks nothing.
 func New() *State {
-	return &State{NextID: 1, Size: 1, Readings: map[string]Reading{}, Entries: map[uint64]*Entry{}, Freezes: map[uint64]*Freeze{}, Migrations: map[uint64]*Migration{}, Doubt: noClockMajority}
+	return &State{NextID: 1, Size: 1, Readings: map[string]Reading{}, Entries: map[uint64]*Entry{}, Freezes: map[uint64]*Freeze{}, Migrations: map[uint64]*Migration{}, ClockProblem: noClockMajority}
 }
 
 // InUse reports whether the calendar has ever been used.
-func (s *State) InUse() bool { return s.Number > 0 }
+func (s *State) InUse() bool { return s.LastEvent > 0 }
 
 // SetZones sets where the calendar looks up the zones of units. The lookup is not part of the encoded state, so whoever applies
 // commands must pass one that reads agreed state.
-func (s *State) See(z Zones) { s.zones = z }
+func (s *State) SetZones(z Zones) { s.zones = z }
 
 // The commands. Apply accepts them; their encoded form is part of the raft log.
 type (
@@ -290,7 +290,7 @@
 		Freeze
 	}
 	// ExtendFreeze replaces the expanded spans of a recurring freeze with ones that reach further ahead.
-	Extend struct {
+	ExtendFreeze struct {
 		ID, Revision uint64
 		Spans        []Span
 		ThroughMs    float64
@@ -307,7 +307,7 @@
 		Who     string
 	}
 	// ReportClock reports a coordinator's wall clock and the number of coordinators.
-	Clock struct {
+	ReportClock struct {
 		Name   string
 		WallMs float64
 		Size   int
@@ -325,11 +325,11 @@
 	}
 	// Observe reports the result of checking a precondition or a postcondition of an entry.
 	Observe struct {
-		ID   uint64
-		What string // name of the condition
-		Well bool   `json:"Well"`
-		Says string `json:"Says"`
-		Who  string `json:",omitempty"` // set if a person checked it
+		ID     uint64
+		What   string // name of the condition
+		Passed bool   `json:"Well"`
+		Detail string `json:"Says"`
+		Who    string `json:",omitempty"` // set if a person checked it
 	}
 	// Migrate adds a migration, whose steps run one after the other.
 	Migrate struct {
@@ -338,13 +338,13 @@
 		Who   string
 	}
 	// ReplaceSteps replaces the steps of a migration that have not started.
-	Replace struct {
+	ReplaceSteps struct {
 		ID, Revision uint64
 		Steps        []Change
 		Who          string
 	}
 	// RevertMigration rolls a migration back from where it is, the newest step first.
-	Revert struct {
+	RevertMigration struct {
 		ID       uint64
 		Who, Why string
 	}
@@ -377,15 +377,15 @@
 
 // Apply applies a command at nowMs of the agreed clock. The number is the ID of the entry, freeze or migration, or the next wave to
 // run. A command that returns an error changes nothing beyond what the passing of time changes.
-func (s *State) Do(nowMs float64, c any) (number uint64, err error) {
-	s.Pass(nowMs)
+func (s *State) Apply(nowMs float64, c any) (number uint64, err error) {
+	s.AdvanceTo(nowMs)
 	number, err = s.dispatch(c)
 	s.advance()
 	return number, err
 }
 
 // AdvanceTo advances the calendar to nowMs of the agreed clock.
-func (s *State) Pass(nowMs float64) {
+func (s *State) AdvanceTo(nowMs float64) {
 	s.NowMs = max(s.NowMs, nowMs)
 	s.updateAgreedTime()
 	s.advance()
@@ -416,7 +416,7 @@
 		return s.declareEmergency(c)
 	case SetFreeze:
 		return s.setFreeze(c)
-	case Extend:
+	case ExtendFreeze:
 		return s.extend(c)
 	case Thaw:
 		f, err := s.freezeAtRevision(c.ID, c.Revision)
@@ -432,13 +432,13 @@
 			}
 		}
 		for i, b := range c.Budgets {
-			if !slices.Contains(allKinds, b.Kind) || b.Most < 1 {
+			if !slices.Contains(allKinds, b.Kind) || b.Max < 1 {
 				return 0, &FormError{fmt.Sprintf("budgets[%d]", i), "a kind and at least 1 are wanted"}
 			}
 		}
 		s.Rules, s.Budgets = slices.Clone(c.Rules), slices.Clone(c.Budgets)
 		s.recordEvent(0, "rules and budgets set", c.Who, "")
-	case Clock:
+	case ReportClock:
 		return 0, s.recordClock(c)
 	case LeaderChanged:
 		clear(s.Readings)
@@ -451,9 +451,9 @@
 		return 0, s.observe(c)
 	case Migrate:
 		return s.migrate(c)
-	case Replace:
+	case ReplaceSteps:
 		return s.replace(c)
-	case Revert:
+	case RevertMigration:
 		return 0, s.revert(c)
 	case Halt:
 		wasRollingBack := s.Entries[c.ID] != nil && s.Entries[c.ID].Stage == RollingBack
@@ -486,7 +486,7 @@
 	case RolledBack:
 		return 0, s.transition(c.ID, []Stage{RollingBack}, Withdrawn, c.Who, rolledBackReason)
 	case Acknowledge:
-		s.Acknowledged = min(max(s.Acknowledged, c.Number), s.Number)
+		s.Acknowledged = min(max(s.Acknowledged, c.Number), s.LastEvent)
 	case Restored:
 		s.restored(c.Who)
 	default:
@@ -522,8 +522,8 @@
 
 // recordEvent appends an event and drops the oldest beyond maxEvents.
 func (s *State) recordEvent(id uint64, what, who, why string) {
-	s.Number++
-	s.Events = append(s.Events, Event{s.Number, s.WallMs, id, what, who, why})
+	s.LastEvent++
+	s.Events = append(s.Events, Event{s.LastEvent, s.WallMs, id, what, who, why})
 	if n := len(s.Events); n > maxEvents {
 		s.Events = slices.Delete(s.Events, 0, n-maxEvents)
 	}
@@ -532,9 +532,9 @@
 // setStage changes the stage of an entry and records the event. who is empty where time or the state caused it.
 func (s *State) setStage(e *Entry, to Stage, who, why string) {
 	s.recordEvent(e.ID, fmt.Sprintf("%s -> %s", e.Stage, to), who, why)
-	e.Stage, e.Says = to, why
+	e.Stage, e.Reason = to, why
 	if to != Halted {
-		e.HeldBy, e.WasRollingBack = 0, false
+		e.HaltedByFreeze, e.WasRollingBack = 0, false
 	}
 }
 
@@ -669,7 +669,7 @@
 			return &FormError{prefix + "kinds", fmt.Sprintf("%q is none", k)}
 		}
 	}
-	if r.Count < 1 || !(r.ForMs >= 0) {
+	if r.Count < 1 || !(r.ApprovalTTLMs >= 0) {
 		return &FormError{prefix + "count", "at least 1, for a time from 0 on, is wanted"}
 	}
 	return r.Subject.check(prefix + "subject")
@@ -698,7 +698,7 @@
 	case c.Who == "":
 		return 0, &FormError{"who", "missing"}
 	case c.Who == e.Author:
-		return 0, &OwnError{e.ID, c.Who}
+		return 0, &SelfApprovalError{e.ID, c.Who}
 	}
 	e.Approvals = slices.DeleteFunc(e.Approvals, func(a Approval) bool { return a.Who == c.Who })
 	e.Approvals = append(e.Approvals, Approval{c.Who, c.Role, c.Digest, s.WallMs})
@@ -748,7 +748,7 @@
 		if !s.ruleApplies(r, &e.Change) {
 			continue
 		}
-		ttlMs := r.ForMs
+		ttlMs := r.ApprovalTTLMs
 		if ttlMs == 0 {
 			ttlMs = defaultApprovalTTLMs
 		}
@@ -790,7 +790,7 @@
 	if e.Stage == Approved && s.WallMs >= e.Window.FromMs {
 		s.setStage(e, Due, "", "")
 	}
-	if e.Stage != Running && e.HeldBy == 0 {
+	if e.Stage != Running && e.HaltedByFreeze == 0 {
 		return
 	}
 	if e.Stage == Running && e.WavesDoneMs > 0 { // during its soak it changes nothing, so freezes do not apply
@@ -799,7 +799,7 @@
 	}
 	f := s.activeFreeze(e, s.WallMs)
 	switch {
-	case e.Stage == Running && f != nil && f.Sends == SendsBack && len(e.Rollback) > 0:
+	case e.Stage == Running && f != nil && f.RunningPolicy == RollBackAtOnce && len(e.Rollback) > 0:
 		s.setStage(e, RollingBack, "", "freeze "+f.Name)
 	case e.Stage == Halted && f == nil && e.deadlineMs()-s.WallMs >= e.remainingMs():
 		s.setStage(e, Running, "", "the freeze is over")
@@ -812,7 +812,7 @@
 	if e == nil {
 		return 0, &UnknownError{"entry", id}
 	}
-	if err := s.InTheWay(e); err != nil {
+	if err := s.CheckStart(e); err != nil {
 		return 0, err
 	}
 	e.Starts++
@@ -824,7 +824,7 @@
 // others.
 func (s *State) Startable() (ids []uint64) {
 	for _, id := range slices.Sorted(maps.Keys(s.Entries)) {
-		if e := s.Entries[id]; e.Stage == Due && s.InTheWay(e) == nil {
+		if e := s.Entries[id]; e.Stage == Due && s.CheckStart(e) == nil {
 			ids = append(ids, id)
 		}
 	}
@@ -837,24 +837,24 @@
 	switch {
 	case e == nil:
 		return 0, &UnknownError{"entry", c.ID}
-	case e.Stage.inProgress() && c.Wave == e.Wave || e.Stage == Done && c.Wave == e.Waves: // duplicate report
-	case e.Stage != Running && e.Stage != Halted, c.Wave != e.Wave+1:
+	case e.Stage.inProgress() && c.Wave == e.WavesDone || e.Stage == Done && c.Wave == e.Waves: // duplicate report
+	case e.Stage != Running && e.Stage != Halted, c.Wave != e.WavesDone+1:
 		return 0, &StageError{e.ID, e.Stage, fmt.Sprintf("done with wave %d", c.Wave)}
 	default:
-		e.Wave = c.Wave
-		s.recordEvent(e.ID, fmt.Sprintf("wave %d of %d done", e.Wave, e.Waves), c.Who, "")
+		e.WavesDone = c.Wave
+		s.recordEvent(e.ID, fmt.Sprintf("wave %d of %d done", e.WavesDone, e.Waves), c.Who, "")
 	}
-	if f := s.activeFreeze(e, s.WallMs); e.Stage == Running && e.Wave < e.Waves && f != nil {
+	if f := s.activeFreeze(e, s.WallMs); e.Stage == Running && e.WavesDone < e.Waves && f != nil {
 		s.setStage(e, Halted, "", "freeze "+f.Name)
-		e.HeldBy = f.ID
+		e.HaltedByFreeze = f.ID
 	}
 	switch {
-	case e.Wave == e.Waves && e.Stage.inProgress() && e.WavesDoneMs == 0:
+	case e.WavesDone == e.Waves && e.Stage.inProgress() && e.WavesDoneMs == 0:
 		e.WavesDoneMs = max(1, s.WallMs)
 		maps.DeleteFunc(e.Observations, func(n string, _ Observation) bool { return slices.Contains(e.Postconditions, n) }) // only observations after the last wave count
 		s.completeIfSoaked(e)
-	case e.Stage == Running && e.Wave < e.Waves:
-		return uint64(e.Wave + 1), nil
+	case e.Stage == Running && e.WavesDone < e.Waves:
+		return uint64(e.WavesDone + 1), nil
 	}
 	return 0, nil
 }
@@ -884,12 +884,12 @@
 	if e.Observations == nil {
 		e.Observations = map[string]Observation{}
 	}
-	e.Observations[c.What] = Observation{c.Well, c.Says, s.WallMs}
+	e.Observations[c.What] = Observation{c.Passed, c.Detail, s.WallMs}
 	if c.Who != "" { // observations by programs recur and would fill the events
-		s.recordEvent(e.ID, fmt.Sprintf("seen %s: %t", c.What, c.Well), c.Who, c.Says)
+		s.recordEvent(e.ID, fmt.Sprintf("seen %s: %t", c.What, c.Passed), c.Who, c.Detail)
 	}
-	if e.Stage == Running && e.WavesDoneMs > 0 && !c.Well && slices.Contains(e.Postconditions, c.What) {
-		s.setStage(e, Halted, "", fmt.Sprintf("%s is not seen: %s", c.What, c.Says))
+	if e.Stage == Running && e.WavesDoneMs > 0 && !c.Passed && slices.Contains(e.Postconditions, c.What) {
+		s.setStage(e, Halted, "", fmt.Sprintf("%s is not seen: %s", c.What, c.Detail))
 	}
 	return nil
 }
--- a/calendar/calendar_test.go
+++ b/calendar/calendar_test.go
@@ -40,7 +40,7 @@
 
 func newFixture(t *testing.T) *fixture {
 	d := &fixture{New(), t, noon}
-	d.See(testZones{})
+	d.SetZones(testZones{})
 	d.reportClocks()
 	return d
 }
@@ -48,7 +48,7 @@
 // reportClocks reports the correct time from all three coordinators.
 func (d *fixture) reportClocks() {
 	for i := range 3 {
-		_, err := d.Do(d.nowMs, Clock{fmt.Sprint("c", i), d.nowMs, 3})
+		_, err := d.Apply(d.nowMs, ReportClock{fmt.Sprint("c", i), d.nowMs, 3})
 		require.NoError(d.t, err)
 	}
 }
@@ -61,7 +61,7 @@
 
 // mustApply applies a command that must succeed.
 func (d *fixture) mustApply(c any) uint64 {
-	n, err := d.Do(d.nowMs, c)
+	n, err := d.Apply(d.nowMs, c)
 	require.NoError(d.t, err, "%#v", c)
 	return n
 }
@@ -70,7 +70,7 @@
 func (d *fixture) mustRefuse(c any, target any) {
 	before, err := json.Marshal(d.State)
 	require.NoError(d.t, err)
-	_, err = d.Do(d.nowMs, c)
+	_, err = d.Apply(d.nowMs, c)
 	require.ErrorAs(d.t, err, target, "%#v", c)
 	after, _ := json.Marshal(d.State)
 	assert.JSONEq(d.t, string(before), string(after), "a command that fails changes nothing")
@@ -93,14 +93,14 @@
 
 // testFreeze returns a freeze of the whole fleet with a span relative to noon.
 func testFreeze(from, to float64, policy string) Freeze {
-	return Freeze{Name: "feast", Subject: Subject{Scope: Fleet}, Spans: []Span{{noon + from, noon + to}}, Sends: policy, Who: "bea", Why: "a feast"}
+	return Freeze{Name: "feast", Subject: Subject{Scope: Fleet}, Spans: []Span{{noon + from, noon + to}}, RunningPolicy: policy, Who: "bea", Why: "a feast"}
 }
 
 func TestChangeNeedsNoApprovalWhereNoRuleApplies(t *testing.T) {
 	d := newFixture(t)
 	id := d.plan(testChange(hour, 2*hour))
 	assert.Equal(t, Approved, d.stage(id))
-	var early *EarlyError
+	var early *BeforeWindowError
 	d.mustRefuse(Start{id}, &early)
 	d.elapse(hour)
 	assert.Equal(t, Due, d.stage(id))
@@ -121,21 +121,21 @@
 
 func TestApprovalsComeFromOthersAndAreBoundToTheDigest(t *testing.T) {
 	d := newFixture(t)
-	d.mustApply(SetRules{Who: "boss", Rules: []Rule{{Kinds: []Kind{Drain}, Subject: Subject{Scope: Zone, Names: []string{"z0"}}, Count: 2, Roles: []string{"sre", "lead"}, ForMs: day}}})
+	d.mustApply(SetRules{Who: "boss", Rules: []Rule{{Kinds: []Kind{Drain}, Subject: Subject{Scope: Zone, Names: []string{"z0"}}, Count: 2, Roles: []string{"sre", "lead"}, ApprovalTTLMs: day}}})
 	exempt := d.plan(Change{Name: "b", Kind: Drain, Subject: Subject{Scope: Doors, Names: []string{"d2"}}, Window: Span{noon, noon + hour}, Waves: 1, Do: json.RawMessage(`1`)})
 	assert.Equal(t, Due, d.stage(exempt), "no rule applies to it")
 	c := testChange(hour, 2*hour)
 	id := d.plan(c)
 	assert.Equal(t, Waiting, d.stage(id))
 	digest := c.Digest()
-	var selfApproval *OwnError
+	var selfApproval *SelfApprovalError
 	d.mustRefuse(Approve{id, digest, "ana", "sre"}, &selfApproval)
 	d.mustApply(Approve{id, digest, "bea", "sre"})
 	d.mustApply(Approve{id, digest, "bea", "lead"})
 	assert.Equal(t, Waiting, d.stage(id), "a person counts once")
 	d.mustApply(Approve{id, digest, "cem", "intern"})
 	var missing *ApprovalError
-	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &missing)
+	require.ErrorAs(t, d.CheckStart(d.Entries[id]), &missing)
 	assert.Equal(t, ApprovalError{id, "ana", 2, 1, []string{"sre", "lead"}}, *missing)
 	d.mustApply(Approve{id, digest, "dan", "sre"})
 	assert.Equal(t, Approved, d.stage(id))
@@ -174,35 +174,35 @@
 	assert.Equal(t, Approved, d.stage(id))
 	d.elapse(day)
 	assert.Equal(t, Waiting, d.stage(id), "approvals lapse")
-	assert.Contains(t, d.Entries[id].Says, "lapsed")
+	assert.Contains(t, d.Entries[id].Reason, "lapsed")
 }
 
 // A calendar is first used a second or two before there is an agreed time. Approvals and observations of that time must be dated with the
 // first agreed time, or they would be dated 1970 and have expired.
 func TestTimesBeforeTheFirstAgreedTimeAreBackfilled(t *testing.T) {
 	s := New()
-	s.See(testZones{})
+	s.SetZones(testZones{})
 	do := func(c any) {
-		_, err := s.Do(10, c)
+		_, err := s.Apply(10, c)
 		require.NoError(t, err)
 	}
 	do(SetRules{Rules: []Rule{{Subject: Subject{Scope: Fleet}, Count: 1}}, Who: "ana"})
 	do(Plan{Change: Change{Name: "x", Kind: Terms, Subject: Subject{Scope: Plans}, Window: Span{noon, noon + hour}, Waves: 1, Do: json.RawMessage(`{}`), Preconditions: []string{"quiet"}}, Who: "ana"})
 	e := s.Entries[1]
 	do(Approve{ID: 1, Digest: e.Digest(), Who: "bea"})
-	do(Observe{ID: 1, What: "quiet", Well: true})
+	do(Observe{ID: 1, What: "quiet", Passed: true})
 	for i := range 3 {
-		do(Clock{fmt.Sprint("c", i), noon, 3})
+		do(ReportClock{fmt.Sprint("c", i), noon, 3})
 	}
 	assert.Equal(t, Due, e.Stage, "the approval has not lapsed")
-	assert.NoError(t, s.InTheWay(e), "the observation has not expired")
+	assert.NoError(t, s.CheckStart(e), "the observation has not expired")
 	for _, ev := range s.Events {
 		assert.Equal(t, float64(noon), ev.AtMs, ev.What)
 	}
 }
 
 func TestFreezeBlocksStartsAndHaltsOrRollsBackRunningEntries(t *testing.T) {
-	for policy, after := range map[string]Stage{FinishesWave: Running, SendsBack: RollingBack} {
+	for policy, after := range map[string]Stage{HaltAfterWave: Running, RollBackAtOnce: RollingBack} {
 		d := newFixture(t)
 		id := d.plan(testChange(0, 3*hour))
 		other := d.plan(Change{Name: "b", Kind: Drain, Subject: Subject{Scope: Doors, Names: []string{"d2"}}, Window: Span{noon, noon + 3*hour}, Waves: 1, Do: json.RawMessage(`1`)})
@@ -213,7 +213,7 @@
 		var frozen *FrozenError
 		d.mustRefuse(Start{other}, &frozen)
 		assert.Equal(t, noon+hour, frozen.UntilMs)
-		if policy == FinishesWave {
+		if policy == HaltAfterWave {
 			assert.EqualValues(t, 0, d.mustApply(WaveDone{ID: id, Wave: 1}))
 			assert.Equal(t, Halted, d.stage(id))
 			d.mustRefuse(Resume{id, "ana"}, &frozen)
@@ -234,14 +234,14 @@
 	d := newFixture(t)
 	id := d.plan(testChange(0, hour))
 	d.mustApply(Start{id})
-	d.mustApply(SetFreeze{0, 0, testFreeze(5*minute, 55*minute, FinishesWave)})
+	d.mustApply(SetFreeze{0, 0, testFreeze(5*minute, 55*minute, HaltAfterWave)})
 	d.elapse(10 * minute)
 	d.mustApply(WaveDone{ID: id, Wave: 1})
 	d.elapse(45 * minute)
 	assert.Equal(t, Halted, d.stage(id), "five minutes are left, and its wave takes ten")
 	d.mustApply(RollBack{id, "ana", "too late"})
 	assert.Equal(t, RollingBack, d.stage(id), "a rollback can start at any time")
-	d.mustApply(SetFreeze{0, 0, testFreeze(0, day, SendsBack)})
+	d.mustApply(SetFreeze{0, 0, testFreeze(0, day, RollBackAtOnce)})
 	d.elapse(minute)
 	assert.Equal(t, RollingBack, d.stage(id), "and no freeze applies to it")
 	d.mustApply(RolledBack{ID: id})
@@ -253,7 +253,7 @@
 	c.Rollback = nil
 	id := d.plan(c)
 	d.mustApply(Start{id})
-	d.mustApply(SetFreeze{0, 0, testFreeze(minute, hour, SendsBack)})
+	d.mustApply(SetFreeze{0, 0, testFreeze(minute, hour, RollBackAtOnce)})
 	d.elapse(minute)
 	assert.Equal(t, Running, d.stage(id))
 	d.mustApply(WaveDone{ID: id, Wave: 1})
@@ -266,8 +266,8 @@
 	d := newFixture(t)
 	id := d.plan(testChange(0, 3*hour))
 	d.mustApply(Start{id})
-	d.mustApply(SetFreeze{0, 0, testFreeze(minute, hour, FinishesWave)})
-	d.mustApply(SetFreeze{0, 0, testFreeze(minute, hour, SendsBack)})
+	d.mustApply(SetFreeze{0, 0, testFreeze(minute, hour, HaltAfterWave)})
+	d.mustApply(SetFreeze{0, 0, testFreeze(minute, hour, RollBackAtOnce)})
 	d.elapse(minute)
 	assert.Equal(t, RollingBack, d.stage(id))
 }
@@ -278,12 +278,12 @@
 	d.mustApply(Start{id})
 	d.elapse(2 * hour)
 	c := testChange(2*hour, 3*hour)
-	assert.Equal(t, noon+2*hour+20*minute, d.Next(&c, 0, 1)[0].FromMs, "at least as long as its remaining waves take")
+	assert.Equal(t, noon+2*hour+20*minute, d.FindFree(&c, 0, 1)[0].FromMs, "at least as long as its remaining waves take")
 }
 
 func TestEmergencyNeedsTwoNamesAndBypassesFreezes(t *testing.T) {
 	d := newFixture(t)
-	d.mustApply(SetFreeze{0, 0, testFreeze(0, day, SendsBack)})
+	d.mustApply(SetFreeze{0, 0, testFreeze(0, day, RollBackAtOnce)})
 	id := d.plan(testChange(0, hour))
 	var form *FormError
 	d.mustRefuse(DeclareEmergency{id, Emergency{"ana", "ana", "fire"}}, &form)
@@ -315,7 +315,7 @@
 	assert.Equal(t, zone, busy.Other)
 	d.mustRefuse(Start{unknownZone}, &busy) // its zone is unknown, so it may be in z0
 	d.mustApply(Start{apart})
-	var full *FullError
+	var full *BudgetError
 	d.mustRefuse(Start{third}, &full)
 	d.mustApply(WaveDone{ID: zone, Wave: 1})
 	d.mustApply(WaveDone{ID: zone, Wave: 2})
@@ -324,7 +324,7 @@
 	c := testChange(0, 3*hour)
 	c.Kind, c.After, c.Subject = Configuration, []uint64{inIt}, Subject{Plans, []string{"basic"}}
 	then := d.plan(c)
-	var after *AfterError
+	var after *DependencyError
 	d.mustRefuse(Start{then}, &after)
 	again := d.Entries[inIt].Change
 	again.After = []uint64{then}
@@ -343,11 +343,11 @@
 		c.LateMs = late
 		id := d.plan(c)
 		d.nowMs += 3 * hour
-		d.Do(noon+1, LeaderChanged{}) // the agreed clock stood still without a leader
+		d.Apply(noon+1, LeaderChanged{}) // the agreed clock stood still without a leader
 		assert.Equal(t, Approved, d.stage(id))
-		assert.NotEmpty(t, d.Doubt)
+		assert.NotEmpty(t, d.ClockProblem)
 		for i := range 2 {
-			_, err := d.Do(noon+2, Clock{fmt.Sprint("c", i), d.nowMs, 3})
+			_, err := d.Apply(noon+2, ReportClock{fmt.Sprint("c", i), d.nowMs, 3})
 			require.NoError(t, err)
 		}
 		assert.Equal(t, want, d.stage(id))
@@ -357,24 +357,24 @@
 func TestOneClockAheadStartsNothingEarly(t *testing.T) {
 	d := newFixture(t)
 	id := d.plan(testChange(10*minute, 2*hour))
-	d.Do(d.nowMs, LeaderChanged{})
-	d.Do(d.nowMs, Clock{"c0", d.nowMs + 10*minute, 3}) // the only reading, ten minutes ahead
+	d.Apply(d.nowMs, LeaderChanged{})
+	d.Apply(d.nowMs, ReportClock{"c0", d.nowMs + 10*minute, 3}) // the only reading, ten minutes ahead
 	var noTime *ClockError
-	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &noTime)
-	d.Do(d.nowMs, Clock{"c1", d.nowMs, 3})
-	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &noTime, "the two clocks differ")
-	d.Do(d.nowMs, Clock{"c2", d.nowMs + 1000, 3})
-	var early *EarlyError
-	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &early)
+	require.ErrorAs(t, d.CheckStart(d.Entries[id]), &noTime)
+	d.Apply(d.nowMs, ReportClock{"c1", d.nowMs, 3})
+	require.ErrorAs(t, d.CheckStart(d.Entries[id]), &noTime, "the two clocks differ")
+	d.Apply(d.nowMs, ReportClock{"c2", d.nowMs + 1000, 3})
+	var early *BeforeWindowError
+	require.ErrorAs(t, d.CheckStart(d.Entries[id]), &early)
 	assert.Equal(t, d.nowMs, d.WallMs)
-	d.Do(d.nowMs, LeaderChanged{})
+	d.Apply(d.nowMs, LeaderChanged{})
 	for i, ahead := range []float64{8 * sec, 4 * sec, 0} {
-		d.Do(d.nowMs, Clock{fmt.Sprint("c", i), d.nowMs + ahead, 3})
+		d.Apply(d.nowMs, ReportClock{fmt.Sprint("c", i), d.nowMs + ahead, 3})
 	}
 	d.nowMs += sec
-	d.Do(d.nowMs, Clock{"c2", d.nowMs, 3})
+	d.Apply(d.nowMs, ReportClock{"c2", d.nowMs, 3})
 	assert.Equal(t, d.nowMs+3*sec, d.WallMs, "two clocks agreed on that before; from then on the two earliest count")
-	assert.Empty(t, d.Doubt)
+	assert.Empty(t, d.ClockProblem)
 }
 
 func TestClocksSetBackRepeatNothing(t *testing.T) {
@@ -385,10 +385,10 @@
 	d.mustApply(WaveDone{ID: id, Wave: 2})
 	was := d.WallMs
 	for i := range 3 {
-		d.Do(d.nowMs+1, Clock{fmt.Sprint("c", i), noon - day, 3})
+		d.Apply(d.nowMs+1, ReportClock{fmt.Sprint("c", i), noon - day, 3})
 	}
 	assert.Equal(t, was+1, d.WallMs, "unchanged since the first of the wrong clocks was reported")
-	assert.Contains(t, d.Doubt, "behind")
+	assert.Contains(t, d.ClockProblem, "behind")
 	assert.Equal(t, Done, d.stage(id))
 	assert.Empty(t, d.Startable())
 }
@@ -432,19 +432,19 @@
 	d.mustRefuse(struct{}{}, &form)
 	d.mustRefuse(SetRules{Rules: []Rule{{Subject: Subject{Scope: Fleet}}}}, &form)
 	assert.Equal(t, "rules[0].count", form.Key)
-	for _, f := range []Freeze{{}, testFreeze(hour, 0, SendsBack), testFreeze(0, hour, "melt")} {
+	for _, f := range []Freeze{{}, testFreeze(hour, 0, RollBackAtOnce), testFreeze(0, hour, "melt")} {
 		d.mustRefuse(SetFreeze{0, 0, f}, &form)
 	}
 	var unknown *UnknownError
-	for _, c := range []any{Start{9}, Withdraw{ID: 9}, Approve{ID: 9}, Refuse{ID: 9}, Thaw{ID: 9}, Halt{ID: 9}, RollBack{ID: 9}, Edit{ID: 9}, WaveDone{ID: 9}, DeclareEmergency{ID: 9}, Extend{ID: 9}} {
+	for _, c := range []any{Start{9}, Withdraw{ID: 9}, Approve{ID: 9}, Refuse{ID: 9}, Thaw{ID: 9}, Halt{ID: 9}, RollBack{ID: 9}, Edit{ID: 9}, WaveDone{ID: 9}, DeclareEmergency{ID: 9}, ExtendFreeze{ID: 9}} {
 		d.mustRefuse(c, &unknown)
 	}
 }
 
 func TestFreezesAreChangedByCompareAndSet(t *testing.T) {
 	d := newFixture(t)
-	id := d.mustApply(SetFreeze{0, 0, testFreeze(0, hour, SendsBack)})
-	longer := testFreeze(0, 2*hour, SendsBack)
+	id := d.mustApply(SetFreeze{0, 0, testFreeze(0, hour, RollBackAtOnce)})
+	longer := testFreeze(0, 2*hour, RollBackAtOnce)
 	d.mustApply(SetFreeze{id, 1, longer})
 	var changed *ChangedError
 	d.mustRefuse(Thaw{id, 1, "cem", ""}, &changed)
@@ -464,7 +464,7 @@
 	d.mustApply(Acknowledge{1})
 	assert.EqualValues(t, 2, d.Acknowledged, "it never decreases")
 	d.mustApply(Acknowledge{999})
-	assert.EqualValues(t, d.Number, d.Acknowledged)
+	assert.EqualValues(t, d.LastEvent, d.Acknowledged)
 }
 
 // A follower that starts from a snapshot must make the same decisions as the coordinators that replayed the whole log.
@@ -472,16 +472,16 @@
 	d := newFixture(t)
 	d.mustApply(SetRules{Who: "boss", Rules: []Rule{{Subject: Subject{Scope: Fleet}, Count: 1}}})
 	id := d.plan(testChange(hour, 4*hour))
-	d.mustApply(SetFreeze{0, 0, testFreeze(2*hour, 3*hour, FinishesWave)})
+	d.mustApply(SetFreeze{0, 0, testFreeze(2*hour, 3*hour, HaltAfterWave)})
 	d.mustApply(Approve{id, d.Entries[id].Digest(), "bea", ""})
 	raw, err := json.Marshal(d.State)
 	require.NoError(t, err)
 	other := New()
 	require.NoError(t, json.Unmarshal(raw, other))
-	other.See(testZones{})
-	for _, c := range []any{Clock{"c0", noon + hour, 3}, Clock{"c1", noon + hour, 3}, Start{id}, WaveDone{ID: id, Wave: 1}, Clock{"c0", noon + 2*hour, 3}, Clock{"c1", noon + 2*hour, 3}, WaveDone{ID: id, Wave: 2}} {
-		n, err := d.Do(d.nowMs+1, c)
-		m, err2 := other.Do(d.nowMs+1, c)
+	other.SetZones(testZones{})
+	for _, c := range []any{ReportClock{"c0", noon + hour, 3}, ReportClock{"c1", noon + hour, 3}, Start{id}, WaveDone{ID: id, Wave: 1}, ReportClock{"c0", noon + 2*hour, 3}, ReportClock{"c1", noon + 2*hour, 3}, WaveDone{ID: id, Wave: 2}} {
+		n, err := d.Apply(d.nowMs+1, c)
+		m, err2 := other.Apply(d.nowMs+1, c)
 		assert.Equal(t, n, m)
 		assert.Equal(t, err, err2)
 	}
@@ -526,27 +526,27 @@
 	} {
 		in, err := time.LoadLocation(c.in)
 		require.NoError(t, err)
-		first, err := Instant(c.local, in, false)
+		first, err := ParseLocalTime(c.local, in, false)
 		require.NoError(t, err)
-		second, err := Instant(c.local, in, true)
+		second, err := ParseLocalTime(c.local, in, true)
 		require.NoError(t, err)
 		assert.Equal(t, utc(c.first), first, "%s %s", c.in, c.local)
 		assert.Equal(t, utc(c.second), second, "%s %s", c.in, c.local)
 	}
-	_, err := Instant("soon", time.UTC, false)
+	_, err := ParseLocalTime("soon", time.UTC, false)
 	assert.Error(t, err)
 
 	berlin, _ := time.LoadLocation("Europe/Berlin")
-	night := Recurrence{Begin: "2026-10-24T02:30", Minutes: 15, Every: "FREQ=DAILY;COUNT=3", In: "Europe/Berlin"}
+	night := Recurrence{Begin: "2026-10-24T02:30", Minutes: 15, RRule: "FREQ=DAILY;COUNT=3", TimeZone: "Europe/Berlin"}
 	spans, err := night.Spans(berlin, utc("2026-10-01T00:00:00Z"), utc("2026-12-01T00:00:00Z"))
 	require.NoError(t, err)
 	assert.Equal(t, []Span{{utc("2026-10-24T00:30:00Z"), utc("2026-10-24T00:45:00Z")},
 		{utc("2026-10-25T00:30:00Z"), utc("2026-10-25T01:45:00Z")}, // from the first occurrence to the second
 		{utc("2026-10-26T01:30:00Z"), utc("2026-10-26T01:45:00Z")}}, spans)
-	w, err := Window("2026-10-25T02:15", "2026-10-25T02:45", berlin)
+	w, err := ParseWindow("2026-10-25T02:15", "2026-10-25T02:45", berlin)
 	require.NoError(t, err)
 	assert.Greater(t, w.FromMs, w.ToMs, "the shortest reading is empty, and Plan rejects it")
-	skipped := Recurrence{Begin: "2026-03-28T02:15", Minutes: 30, Every: "FREQ=DAILY;COUNT=2"}
+	skipped := Recurrence{Begin: "2026-03-28T02:15", Minutes: 30, RRule: "FREQ=DAILY;COUNT=2"}
 	spans, err = skipped.Spans(berlin, utc("2026-03-01T00:00:00Z"), utc("2026-04-01T00:00:00Z"))
 	require.NoError(t, err)
 	assert.Len(t, spans, 1, "the occurrence within the skipped hour is dropped")
@@ -554,30 +554,30 @@
 
 func TestRecurringFreezeAppliesPastItsExpandedSpans(t *testing.T) {
 	d := newFixture(t)
-	f := testFreeze(0, 1, FinishesWave)
-	f.When = Recurrence{Begin: "2024-01-01T00:00", Minutes: 24 * 60, Every: "FREQ=DAILY", In: "UTC"}
-	require.NoError(t, f.Ahead(time.UTC, noon))
+	f := testFreeze(0, 1, HaltAfterWave)
+	f.When = Recurrence{Begin: "2024-01-01T00:00", Minutes: 24 * 60, RRule: "FREQ=DAILY", TimeZone: "UTC"}
+	require.NoError(t, f.ExpandSpans(time.UTC, noon))
 	require.Len(t, f.Spans, 1, "adjacent days are merged into one span")
 	id := d.mustApply(SetFreeze{0, 0, f})
 	c := testChange(hour, 2*hour)
-	assert.Empty(t, d.Next(&c, 0, 3), "no free hour within the horizon")
+	assert.Empty(t, d.FindFree(&c, 0, 3), "no free hour within the horizon")
 	conflicts, free := d.Conflicts(&c, 0, 3)
 	assert.Len(t, conflicts, 1)
 	assert.Empty(t, free)
-	assert.Empty(t, d.Short())
+	assert.Empty(t, d.FreezesToExtend())
 	d.nowMs += horizonMs/2 + day
-	d.Do(d.nowMs, LeaderChanged{})
+	d.Apply(d.nowMs, LeaderChanged{})
 	d.reportClocks()
-	assert.Equal(t, []uint64{id}, d.Short())
+	assert.Equal(t, []uint64{id}, d.FreezesToExtend())
 	d.nowMs += horizonMs
 	d.reportClocks()
 	e := &Entry{Change: c}
 	assert.NotNil(t, d.activeFreeze(e, d.nowMs), "past the end of its expansion")
-	require.NoError(t, f.Ahead(time.UTC, d.nowMs))
-	d.mustApply(Extend{id, 1, f.Spans, f.ThroughMs})
-	assert.Empty(t, d.Short())
-	for _, bad := range []Recurrence{{Begin: "x", Minutes: 1}, {Begin: "2026-01-01T00:00"}, {Begin: "2026-01-01T00:00", Minutes: 1, Every: "often"},
-		{Begin: "2026-01-01T00:00", Minutes: 1, Every: "FREQ=MINUTELY"}} {
+	require.NoError(t, f.ExpandSpans(time.UTC, d.nowMs))
+	d.mustApply(ExtendFreeze{id, 1, f.Spans, f.ThroughMs})
+	assert.Empty(t, d.FreezesToExtend())
+	for _, bad := range []Recurrence{{Begin: "x", Minutes: 1}, {Begin: "2026-01-01T00:00"}, {Begin: "2026-01-01T00:00", Minutes: 1, RRule: "often"},
+		{Begin: "2026-01-01T00:00", Minutes: 1, RRule: "FREQ=MINUTELY"}} {
 		_, err := bad.Spans(time.UTC, 0, 1)
 		var form *FormError
 		assert.ErrorAs(t, err, &form)
@@ -592,16 +592,16 @@
 	c.Subject = Subject{Scope: Zone, Names: []string{"z0"}}
 	conflicts, free := d.Conflicts(&c, 0, 2)
 	require.Len(t, conflicts, 2, "its subject, and the budget")
-	assert.Contains(t, conflicts[0].Says, "doors d0")
+	assert.Contains(t, conflicts[0].Detail, "doors d0")
 	assert.Equal(t, []Span{{noon, noon + hour}, {noon + 2*hour, noon + horizonMs}}, free)
 	c.Window.ToMs = c.Window.FromMs + 5*minute
 	conflicts, _ = d.Conflicts(&c, 0, 2)
-	assert.Contains(t, conflicts[0].Says, "5 min", "its waves take twenty")
-	d.mustApply(SetFreeze{0, 0, testFreeze(2*hour, 3*hour, SendsBack)})
+	assert.Contains(t, conflicts[0].Detail, "5 min", "its waves take twenty")
+	d.mustApply(SetFreeze{0, 0, testFreeze(2*hour, 3*hour, RollBackAtOnce)})
 	c.Window = Span{noon + 2*hour, noon + 3*hour + 10*minute}
 	conflicts, free = d.Conflicts(&c, 0, 2)
 	require.Len(t, conflicts, 1)
-	assert.Contains(t, conflicts[0].Says, "feast")
+	assert.Contains(t, conflicts[0].Detail, "feast")
 	assert.Equal(t, noon+3*hour, free[1].FromMs)
 	c.Window = Span{noon + 4*hour, noon + 5*hour}
 	conflicts, free = d.Conflicts(&c, 0, 2)
--- a/calendar/clock.go
+++ b/calendar/clock.go
@@ -13,7 +13,7 @@
 const noClockMajority = "no majority of the coordinators has told its clock"
 
 // recordClock records a coordinator's wall clock and updates the agreed time.
-func (s *State) recordClock(c Clock) error {
+func (s *State) recordClock(c ReportClock) error {
 	if c.Name == "" || c.Size < 1 || !(c.WallMs >= 0) {
 		return &FormError{"clock", "a name, a time and a number of coordinators are wanted"}
 	}
@@ -40,18 +40,18 @@
 		}
 		at := s.NowMs + offsets[i] // the earliest of the clocks that agree, so that nothing starts early
 		if behind := s.WallMs - at; behind > maxClockSpreadMs {
-			s.Doubt = fmt.Sprintf("the clocks are %.0f s behind what was agreed before", behind/1000)
+			s.ClockProblem = fmt.Sprintf("the clocks are %.0f s behind what was agreed before", behind/1000)
 			return
 		}
 		if s.WallMs == 0 {
 			s.backfillTimes(at)
 		}
-		s.WallMs, s.Doubt = max(s.WallMs, at), ""
+		s.WallMs, s.ClockProblem = max(s.WallMs, at), ""
 		return
 	}
-	s.Doubt = noClockMajority
+	s.ClockProblem = noClockMajority
 	if len(offsets) >= majority {
-		s.Doubt = fmt.Sprintf("the coordinators' clocks differ by %.0f s", (offsets[len(offsets)-1]-offsets[0])/1000)
+		s.ClockProblem = fmt.Sprintf("the coordinators' clocks differ by %.0f s", (offsets[len(offsets)-1]-offsets[0])/1000)
 	}
 }
 
--- a/calendar/errors.go
+++ b/calendar/errors.go
@@ -82,18 +82,18 @@
 }
 
 // SelfApprovalError is an approval by the author of the change.
-type OwnError struct {
+type SelfApprovalError struct {
 	ID  uint64
 	Who string
 }
 
-func (e *OwnError) Error() string {
+func (e *SelfApprovalError) Error() string {
 	return fmt.Sprintf("entry %d was authored by %s, who cannot approve it", e.ID, e.Who)
 }
-func (e *OwnError) Kind() remedy.Kind { return remedy.Refused }
+func (e *SelfApprovalError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says who can approve it.
-func (e *OwnError) Remedy() string { return "Have somebody else approve it." }
+func (e *SelfApprovalError) Remedy() string { return "Have somebody else approve it." }
 
 // ApprovalError is an entry without all the approvals that a rule requires.
 type ApprovalError struct {
@@ -123,10 +123,10 @@
 
 // ClockError is the lack of an agreed time among the coordinators.
 type ClockError struct {
-	Says string `json:"Says"` // State.ClockProblem
+	Reason string `json:"Says"` // State.ClockProblem
 }
 
-func (e *ClockError) Error() string     { return "there is no agreed time: " + e.Says }
+func (e *ClockError) Error() string     { return "there is no agreed time: " + e.Reason }
 func (e *ClockError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says how to restore the agreed time.
@@ -135,50 +135,50 @@
 }
 
 // BeforeWindowError is an entry whose window has not begun.
-type EarlyError struct {
+type BeforeWindowError struct {
 	ID     uint64
 	FromMs float64
 }
 
-func (e *EarlyError) Error() string {
+func (e *BeforeWindowError) Error() string {
 	return fmt.Sprintf("the window of entry %d begins at %s", e.ID, formatTime(e.FromMs))
 }
-func (e *EarlyError) Kind() remedy.Kind { return remedy.Refused }
+func (e *BeforeWindowError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says that the entry starts without further commands.
-func (e *EarlyError) Remedy() string {
+func (e *BeforeWindowError) Remedy() string {
 	return "Wait until it starts by itself, or have its author edit the window."
 }
 
 // WindowTooShortError is a window with too little time left for an entry's waves and soak.
-type ShortError struct {
+type WindowTooShortError struct {
 	ID           uint64
 	LeftMs, Want float64 // ms until its deadline; and ms that it takes
 }
 
-func (e *ShortError) Error() string {
+func (e *WindowTooShortError) Error() string {
 	return fmt.Sprintf("entry %d has %s left until its deadline and takes %s", e.ID, formatDuration(max(0, e.LeftMs)), formatDuration(e.Want))
 }
-func (e *ShortError) Kind() remedy.Kind { return remedy.Refused }
+func (e *WindowTooShortError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says who can change the window.
-func (e *ShortError) Remedy() string {
+func (e *WindowTooShortError) Remedy() string {
 	return "Have its author edit the window or plan it again; the command next lists free time."
 }
 
 // DependencyError is an entry that must start after another one, which is not done.
-type AfterError struct {
+type DependencyError struct {
 	ID, For uint64 // the entry; and the one it waits for
 	Stage   Stage  // of the one it waits for
 }
 
-func (e *AfterError) Error() string {
+func (e *DependencyError) Error() string {
 	return fmt.Sprintf("entry %d waits for entry %d, which is %s", e.ID, e.For, e.Stage)
 }
-func (e *AfterError) Kind() remedy.Kind { return remedy.Refused }
+func (e *DependencyError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy names the entry it waits for.
-func (e *AfterError) Remedy() string {
+func (e *DependencyError) Remedy() string {
 	return fmt.Sprintf("Complete entry %d, or edit this entry so that it does not wait for it.", e.For)
 }
 
@@ -221,18 +221,18 @@
 }
 
 // BudgetError is a budget that other entries use up.
-type FullError struct {
+type BudgetError struct {
 	Budget Budget
 	Under  int // entries in progress
 }
 
-func (e *FullError) Error() string {
-	return fmt.Sprintf("%d entries of kind %s are in progress, the budget allows %d", e.Under, e.Budget.Kind, e.Budget.Most)
+func (e *BudgetError) Error() string {
+	return fmt.Sprintf("%d entries of kind %s are in progress, the budget allows %d", e.Under, e.Budget.Kind, e.Budget.Max)
 }
-func (e *FullError) Kind() remedy.Kind { return remedy.Refused }
+func (e *BudgetError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says to wait or to raise the budget.
-func (e *FullError) Remedy() string {
+func (e *BudgetError) Remedy() string {
 	return "Wait until one of them is finished, or raise the calendar's budget."
 }
 
@@ -256,7 +256,7 @@
 	if e.Observation.AtMs == 0 {
 		return fmt.Sprintf("entry %d requires %q, which has not been observed", e.ID, e.What)
 	}
-	return fmt.Sprintf("entry %d requires %q; last observed at %s, passed: %t %s", e.ID, e.What, formatTime(e.Observation.AtMs), e.Observation.Well, e.Observation.Says)
+	return fmt.Sprintf("entry %d requires %q; last observed at %s, passed: %t %s", e.ID, e.What, formatTime(e.Observation.AtMs), e.Observation.Passed, e.Observation.Detail)
 }
 func (e *PreconditionError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -266,35 +266,35 @@
 }
 
 // StepStartedError is a replacement of migration steps that would change one that has started.
-type BegunError struct {
+type StepStartedError struct {
 	ID   uint64
 	Step int // index of the step, from 0 on
 }
 
-func (e *BegunError) Error() string {
+func (e *StepStartedError) Error() string {
 	return fmt.Sprintf("step %d of migration %d has started and cannot be changed or left out", e.Step+1, e.ID)
 }
-func (e *BegunError) Kind() remedy.Kind { return remedy.Refused }
+func (e *StepStartedError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says which steps can be replaced.
-func (e *BegunError) Remedy() string {
+func (e *StepStartedError) Remedy() string {
 	return fmt.Sprintf("Keep the steps that have started as the calendar lists them, or revert migration %d and plan a new one.", e.ID)
 }
 
 // ApprovalRequiredError is a change outside the calendar, for which a rule requires approvals.
-type UnplannedError struct {
+type ApprovalRequiredError struct {
 	Of      Kind
 	Subject string
 	Count   int      // approvals required
 	Roles   []string // roles whose approvals count; empty for any
 }
 
-func (e *UnplannedError) Error() string {
+func (e *ApprovalRequiredError) Error() string {
 	return fmt.Sprintf("a %s of %s requires %d approvals%s", e.Of, e.Subject, e.Count, roleSuffix(e.Roles))
 }
-func (e *UnplannedError) Kind() remedy.Kind { return remedy.Refused }
+func (e *ApprovalRequiredError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says how to get the approvals.
-func (e *UnplannedError) Remedy() string {
+func (e *ApprovalRequiredError) Remedy() string {
 	return "Plan it in the calendar with swifthall plan, and have it approved; it then starts by itself."
 }
--- a/calendar/find.go
+++ b/calendar/find.go
@@ -10,7 +10,7 @@
 
 // CheckStart returns the first reason why an entry cannot start now, nil if nothing blocks it. The error's remedy says who can resolve
 // it.
-func (s *State) InTheWay(e *Entry) error {
+func (s *State) CheckStart(e *Entry) error {
 	switch e.Stage {
 	case Drafted:
 		return &StageError{e.ID, e.Stage, "begun"}
@@ -22,18 +22,18 @@
 	default:
 		return &StageError{e.ID, e.Stage, "begun"}
 	}
-	if s.Doubt != "" {
-		return &ClockError{s.Doubt}
+	if s.ClockProblem != "" {
+		return &ClockError{s.ClockProblem}
 	}
 	if s.WallMs < e.Window.FromMs {
-		return &EarlyError{e.ID, e.Window.FromMs}
+		return &BeforeWindowError{e.ID, e.Window.FromMs}
 	}
-	if end := e.deadlineMs(); s.WallMs+e.Needs() > end || s.WallMs >= end {
-		return &ShortError{e.ID, end - s.WallMs, e.Needs()}
+	if end := e.deadlineMs(); s.WallMs+e.DurationMs() > end || s.WallMs >= end {
+		return &WindowTooShortError{e.ID, end - s.WallMs, e.DurationMs()}
 	}
 	for _, id := range e.After {
 		if a := s.Entries[id]; a != nil && a.Stage != Done {
-			return &AfterError{e.ID, id, a.Stage}
+			return &DependencyError{e.ID, id, a.Stage}
 		}
 	}
 	if f := s.activeFreeze(e, s.WallMs); f != nil {
@@ -47,15 +47,15 @@
 
 // CheckUnplanned returns the first reason why a change that is not in the calendar, such as an operator's drain, cannot start now: a
 // freeze, a rule that requires approvals, an entry that holds its subject, or a budget. An empty calendar blocks nothing.
-func (s *State) MayBegin(k Kind, b Subject) error {
+func (s *State) CheckUnplanned(k Kind, b Subject) error {
 	c := &Change{Kind: k, Subject: b}
 	for _, id := range slices.Sorted(maps.Keys(s.Freezes)) {
 		f := s.Freezes[id]
 		if !s.freezeApplies(f, c) {
 			continue
 		}
-		if s.Doubt != "" {
-			return &ClockError{s.Doubt}
+		if s.ClockProblem != "" {
+			return &ClockError{s.ClockProblem}
 		}
 		if _, active := f.spanAt(s.WallMs); active {
 			return &FrozenError{f.ID, f.Name, f.endMs(s.WallMs), f.Who}
@@ -63,7 +63,7 @@
 	}
 	for i := range s.Rules {
 		if r := &s.Rules[i]; s.ruleApplies(r, c) {
-			return &UnplannedError{k, b.String(), r.Count, r.Roles}
+			return &ApprovalRequiredError{k, b.String(), r.Count, r.Roles}
 		}
 	}
 	return s.checkSubjectAndBudget(0, 0, c)
@@ -86,8 +86,8 @@
 		}
 	}
 	for _, b := range s.Budgets {
-		if b.Kind == c.Kind && inProgress >= b.Most {
-			return &FullError{b, inProgress}
+		if b.Kind == c.Kind && inProgress >= b.Max {
+			return &BudgetError{b, inProgress}
 		}
 	}
 	return nil
@@ -101,15 +101,15 @@
 
 // Conflict is something that blocks a change during its window.
 type Conflict struct {
-	With uint64 // ID of an entry or a freeze; 0 for none
-	Says string `json:"Says"`
+	With   uint64 // ID of an entry or a freeze; 0 for none
+	Detail string `json:"Says"`
 }
 
 // Conflicts lists what would block a change during its window and, if anything does, up to most spans that are free instead. id is the
 // change's own entry, 0 for none.
 func (s *State) Conflicts(c *Change, id uint64, most int) (conflicts []Conflict, free []Span) {
-	if c.Needs() > c.Window.ToMs-c.Window.FromMs {
-		conflicts = append(conflicts, Conflict{0, fmt.Sprintf("the window is %s, the change takes %s", formatDuration(c.Window.ToMs-c.Window.FromMs), formatDuration(c.Needs()))})
+	if c.DurationMs() > c.Window.ToMs-c.Window.FromMs {
+		conflicts = append(conflicts, Conflict{0, fmt.Sprintf("the window is %s, the change takes %s", formatDuration(c.Window.ToMs-c.Window.FromMs), formatDuration(c.DurationMs()))})
 	}
 	for _, other := range slices.Sorted(maps.Keys(s.Entries)) {
 		o := s.Entries[other]
@@ -122,17 +122,17 @@
 		if !s.freezeApplies(f, c) {
 			continue
 		}
-		if spans := s.freezeSpansIn(f, c.Window); len(spans) > 0 && len(gaps(spans, c.Window, c.Needs())) == 0 {
-			conflicts = append(conflicts, Conflict{fid, fmt.Sprintf("freeze %q leaves no %s of the window free", f.Name, formatDuration(c.Needs()))})
+		if spans := s.freezeSpansIn(f, c.Window); len(spans) > 0 && len(gaps(spans, c.Window, c.DurationMs())) == 0 {
+			conflicts = append(conflicts, Conflict{fid, fmt.Sprintf("freeze %q leaves no %s of the window free", f.Name, formatDuration(c.DurationMs()))})
 		}
 	}
 	for _, b := range s.Budgets {
 		if b.Kind == c.Kind && slices.ContainsFunc(s.exhaustedSpans(b, id), c.Window.overlaps) {
-			conflicts = append(conflicts, Conflict{0, fmt.Sprintf("%d entries of kind %s are planned in part of the window, the budget allows %d", b.Most, b.Kind, b.Most)})
+			conflicts = append(conflicts, Conflict{0, fmt.Sprintf("%d entries of kind %s are planned in part of the window, the budget allows %d", b.Max, b.Kind, b.Max)})
 		}
 	}
 	if len(conflicts) > 0 {
-		free = s.Next(c, id, most)
+		free = s.FindFree(c, id, most)
 	}
 	return conflicts, free
 }
@@ -157,7 +157,7 @@
 			spans = append(spans, p)
 		}
 	}
-	if f.When.Every != "" && w.ToMs > f.ThroughMs {
+	if f.When.RRule != "" && w.ToMs > f.ThroughMs {
 		spans = append(spans, Span{f.ThroughMs, math.Inf(1)})
 	}
 	return spans
@@ -178,9 +178,9 @@
 	slices.SortFunc(edges, func(a, b edge) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.add, b.add)) })
 	n := 0
 	for _, e := range edges {
-		wasFull := n >= b.Most
+		wasFull := n >= b.Max
 		n += e.add
-		switch full := n >= b.Most; {
+		switch full := n >= b.Max; {
 		case full && !wasFull:
 			spans = append(spans, Span{e.at, math.Inf(1)})
 		case wasFull && !full:
@@ -192,7 +192,7 @@
 
 // FindFree lists up to most spans, from now on, in which a change could run: no freeze applies, no other entry holds its subject, its
 // budgets are not used up, and there is time for all of it. It returns none if there is none within the horizon.
-func (s *State) Next(c *Change, id uint64, most int) []Span {
+func (s *State) FindFree(c *Change, id uint64, most int) []Span {
 	ahead := Span{s.WallMs, s.WallMs + horizonMs}
 	var taken []Span
 	for other, o := range s.Entries {
@@ -210,7 +210,7 @@
 			taken = append(taken, s.exhaustedSpans(b, id)...)
 		}
 	}
-	free := gaps(taken, ahead, c.Needs())
+	free := gaps(taken, ahead, c.DurationMs())
 	return free[:min(most, len(free))]
 }
 
--- a/calendar/freeze.go
+++ b/calendar/freeze.go
@@ -13,32 +13,32 @@
 
 // Policies of a freeze for entries that are running when it begins.
 const (
-	FinishesWave = "finish wave" // the entry finishes its wave, then it is halted until the freeze is over
-	SendsBack    = "send back"   // the entry is rolled back at once; one without a rollback finishes its wave
+	HaltAfterWave  = "finish wave" // the entry finishes its wave, then it is halted until the freeze is over
+	RollBackAtOnce = "send back"   // the entry is rolled back at once; one without a rollback finishes its wave
 )
 
 // Freeze is a set of spans in which changes of some kinds on a subject must not start. The spans are part of the command that sets the
 // freeze, expanded by whoever issues it: coordinators whose time zone databases differ would otherwise disagree about them.
 type Freeze struct {
-	ID        uint64     `json:"id"`
-	Revision  uint64     `json:"revision"`
-	Name      string     `json:"name"`
-	Kinds     []Kind     `json:"kinds,omitempty"` // empty for all
-	Subject   Subject    `json:"subject"`
-	When      Recurrence `json:"when"`
-	Spans     []Span     `json:"spans"`      // sorted, without overlaps
-	ThroughMs float64    `json:"through_ms"` // end of the expansion; a recurring freeze is taken to last from there on
-	Sends     string     `json:"sends"`      // HaltAfterWave or RollBackAtOnce
-	Who       string     `json:"who"`
-	Why       string     `json:"why"`
+	ID            uint64     `json:"id"`
+	Revision      uint64     `json:"revision"`
+	Name          string     `json:"name"`
+	Kinds         []Kind     `json:"kinds,omitempty"` // empty for all
+	Subject       Subject    `json:"subject"`
+	When          Recurrence `json:"when"`
+	Spans         []Span     `json:"spans"`      // sorted, without overlaps
+	ThroughMs     float64    `json:"through_ms"` // end of the expansion; a recurring freeze is taken to last from there on
+	RunningPolicy string     `json:"sends"`      // HaltAfterWave or RollBackAtOnce
+	Who           string     `json:"who"`
+	Why           string     `json:"why"`
 }
 
 // Recurrence defines when a freeze begins and how long it lasts, in the local time of a time zone.
 type Recurrence struct {
-	Begin   string `json:"begin"`           // local time, as 2026-12-24T18:00
-	Minutes int    `json:"minutes"`         // in local time: 18:00 plus 720 ends at 06:00 even if the clocks change in between
-	Every   string `json:"every,omitempty"` // RFC 5545 RRULE, with UNTIL in local time; empty for a single occurrence
-	In      string `json:"in"`              // IANA time zone, as Europe/Lisbon
+	Begin    string `json:"begin"`           // local time, as 2026-12-24T18:00
+	Minutes  int    `json:"minutes"`         // in local time: 18:00 plus 720 ends at 06:00 even if the clocks change in between
+	RRule    string `json:"every,omitempty"` // RFC 5545 RRULE, with UNTIL in local time; empty for a single occurrence
+	TimeZone string `json:"in"`              // IANA time zone, as Europe/Lisbon
 }
 
 // localTimeLayout is the layout of local times, for package time.
@@ -46,7 +46,7 @@
 
 // ParseLocalTime converts a local time to ms since 1970 UTC. A local time that a clock change skips becomes the instant of the change.
 // If it occurs twice, second selects the second occurrence.
-func Instant(local string, in *time.Location, second bool) (ms float64, err error) {
+func ParseLocalTime(local string, in *time.Location, second bool) (ms float64, err error) {
 	wall, err := time.Parse(localTimeLayout, local)
 	if err != nil {
 		return 0, &FormError{"time", fmt.Sprintf("%q, one as %s is wanted", local, localTimeLayout)}
@@ -82,11 +82,11 @@
 
 // ParseWindow returns the span between two local times. Of its possible readings it is the shortest: a local time that occurs twice is
 // read as the second occurrence at the start and the first at the end.
-func Window(from, to string, in *time.Location) (w Span, err error) {
-	if w.FromMs, err = Instant(from, in, true); err != nil {
+func ParseWindow(from, to string, in *time.Location) (w Span, err error) {
+	if w.FromMs, err = ParseLocalTime(from, in, true); err != nil {
 		return w, err
 	}
-	w.ToMs, err = Instant(to, in, false)
+	w.ToMs, err = ParseLocalTime(to, in, false)
 	return w, err
 }
 
@@ -103,8 +103,8 @@
 	}
 	duration := time.Duration(r.Minutes) * time.Minute
 	begins := []time.Time{begin}
-	if r.Every != "" {
-		o, err := rrule.StrToROption(r.Every)
+	if r.RRule != "" {
+		o, err := rrule.StrToROption(r.RRule)
 		if err != nil {
 			return nil, &FormError{"when.every", err.Error()}
 		}
@@ -125,7 +125,7 @@
 			continue
 		} else if n > 0 && span.FromMs <= spans[n-1].ToMs {
 			spans[n-1].ToMs = max(spans[n-1].ToMs, span.ToMs)
-		} else if span.ToMs > fromMs && span.FromMs < throughMs || r.Every == "" {
+		} else if span.ToMs > fromMs && span.FromMs < throughMs || r.RRule == "" {
 			spans = append(spans, span)
 		}
 	}
@@ -136,7 +136,7 @@
 }
 
 // ExpandSpans expands a freeze's recurrence from nowMs up to the horizon.
-func (f *Freeze) Ahead(in *time.Location, nowMs float64) (err error) {
+func (f *Freeze) ExpandSpans(in *time.Location, nowMs float64) (err error) {
 	f.ThroughMs = nowMs + horizonMs
 	f.Spans, err = f.When.Spans(in, nowMs, f.ThroughMs)
 	return err
@@ -144,7 +144,7 @@
 
 // spanAt returns the span that contains an instant. A recurring freeze is taken to last from the end of its expansion on.
 func (f *Freeze) spanAt(ms float64) (Span, bool) {
-	if f.When.Every != "" && ms >= f.ThroughMs {
+	if f.When.RRule != "" && ms >= f.ThroughMs {
 		return Span{f.ThroughMs, math.Inf(1)}, true
 	}
 	i := sort.Search(len(f.Spans), func(i int) bool { return f.Spans[i].ToMs > ms })
@@ -173,7 +173,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.Freezes)) {
 		f := s.Freezes[id]
-		if _, active := f.spanAt(ms); active && s.freezeApplies(f, &e.Change) && (found == nil || f.Sends == SendsBack && found.Sends != SendsBack) {
+		if _, active := f.spanAt(ms); active && s.freezeApplies(f, &e.Change) && (found == nil || f.RunningPolicy == RollBackAtOnce && found.RunningPolicy != RollBackAtOnce) {
 			found = f
 		}
 	}
@@ -201,8 +201,8 @@
 		return 0, form("name", fmt.Sprintf("1 to %d bytes are wanted", maxNameBytes))
 	case f.Who == "" || f.Why == "":
 		return 0, form("why", "a freeze needs a name and a reason")
-	case f.Sends != FinishesWave && f.Sends != SendsBack:
-		return 0, form("sends", fmt.Sprintf("%q, %q or %q is wanted", f.Sends, FinishesWave, SendsBack))
+	case f.RunningPolicy != HaltAfterWave && f.RunningPolicy != RollBackAtOnce:
+		return 0, form("sends", fmt.Sprintf("%q, %q or %q is wanted", f.RunningPolicy, HaltAfterWave, RollBackAtOnce))
 	}
 	for _, k := range f.Kinds {
 		if !slices.Contains(allKinds, k) {
@@ -246,7 +246,7 @@
 }
 
 // extend replaces the expanded spans of a freeze.
-func (s *State) extend(c Extend) (uint64, error) {
+func (s *State) extend(c ExtendFreeze) (uint64, error) {
 	f, err := s.freezeAtRevision(c.ID, c.Revision)
 	if err != nil {
 		return 0, err
@@ -262,9 +262,9 @@
 }
 
 // FreezesToExtend lists the recurring freezes whose expansion ends within half the horizon, by ID.
-func (s *State) Short() (ids []uint64) {
+func (s *State) FreezesToExtend() (ids []uint64) {
 	for _, id := range slices.Sorted(maps.Keys(s.Freezes)) {
-		if f := s.Freezes[id]; f.When.Every != "" && f.ThroughMs-s.WallMs < horizonMs/2 {
+		if f := s.Freezes[id]; f.When.RRule != "" && f.ThroughMs-s.WallMs < horizonMs/2 {
 			ids = append(ids, id)
 		}
 	}
--- a/calendar/migration.go
+++ b/calendar/migration.go
@@ -14,7 +14,7 @@
 	Name     string   `json:"name"`
 	Who      string   `json:"who"`
 	Stage    Stage    `json:"stage"`          // Running, Halted, RollingBack, Done or Withdrawn
-	Says     string   `json:"says,omitempty"` // why it is in its stage
+	Reason   string   `json:"says,omitempty"` // why it is in its stage
 	Steps    []uint64 `json:"steps"`          // IDs of the entries, in their order
 }
 
@@ -69,7 +69,7 @@
 			return &FormError{prefix + "rollback", "each step of a migration has a way back"}
 		case len(c.After) > 0:
 			return &FormError{prefix + "after", "a step waits for the one before it"}
-		case i > 0 && c.deadlineMs() < steps[i-1].Window.FromMs+steps[i-1].Needs()+c.Needs():
+		case i > 0 && c.deadlineMs() < steps[i-1].Window.FromMs+steps[i-1].DurationMs()+c.DurationMs():
 			return &FormError{prefix + "window", "it would be over before the step before it is done"}
 		}
 	}
@@ -96,7 +96,7 @@
 }
 
 // replace replaces the steps that have not started. The new list must begin with the steps that have started, unchanged.
-func (s *State) replace(c Replace) (uint64, error) {
+func (s *State) replace(c ReplaceSteps) (uint64, error) {
 	m := s.Migrations[c.ID]
 	switch {
 	case m == nil:
@@ -117,7 +117,7 @@
 		started := s.Entries[id].Change
 		started.After = nil // set by appendSteps, not by the author
 		if i >= len(c.Steps) || c.Steps[i].Digest() != started.Digest() {
-			return 0, &BegunError{m.ID, i}
+			return 0, &StepStartedError{m.ID, i}
 		}
 	}
 	if len(c.Steps) > numStarted {
@@ -138,7 +138,7 @@
 
 // revert starts to roll a migration back: steps that have not started are withdrawn, and advanceMigration rolls back the others, one
 // after the other.
-func (s *State) revert(c Revert) error {
+func (s *State) revert(c RevertMigration) error {
 	m := s.Migrations[c.ID]
 	switch {
 	case m == nil:
@@ -160,7 +160,7 @@
 // setMigrationStage changes the stage of a migration and records the event.
 func (s *State) setMigrationStage(m *Migration, to Stage, who, why string) {
 	s.recordEvent(m.ID, fmt.Sprintf("migration %s -> %s", m.Stage, to), who, why)
-	m.Stage, m.Says = to, why
+	m.Stage, m.Reason = to, why
 }
 
 // advanceMigration makes the transition of a migration that follows from the stages of its steps, and starts the rollback of the next
@@ -174,7 +174,7 @@
 			case Done:
 				done++
 			case Halted, Missed, Withdrawn, RollingBack:
-				reason = fmt.Sprintf("step %d, entry %d, is %s: %s", i+1, id, e.Stage, e.Says)
+				reason = fmt.Sprintf("step %d, entry %d, is %s: %s", i+1, id, e.Stage, e.Reason)
 			}
 			if reason != "" {
 				break
@@ -183,7 +183,7 @@
 		switch {
 		case done == len(m.Steps):
 			s.setMigrationStage(m, Done, "", "")
-		case reason != "" && (m.Stage == Running || m.Says != reason):
+		case reason != "" && (m.Stage == Running || m.Reason != reason):
 			s.setMigrationStage(m, Halted, "", reason)
 		case reason == "" && m.Stage == Halted:
 			s.setMigrationStage(m, Running, "", "")
--- a/calendar/migration_test.go
+++ b/calendar/migration_test.go
@@ -44,9 +44,9 @@
 	d.mustRefuse(RollBack{steps[2], "ana", "by itself"}, &stage)
 	d.mustApply(Halt{steps[2], "bea", "it looks odd"})
 	assert.Equal(t, Halted, m.Stage)
-	assert.Contains(t, m.Says, "step 3")
-	d.mustApply(SetFreeze{0, 0, testFreeze(2*hour, day, SendsBack)}) // freezes do not apply to rollbacks
-	d.mustApply(Revert{id, "ana", "enough"})
+	assert.Contains(t, m.Reason, "step 3")
+	d.mustApply(SetFreeze{0, 0, testFreeze(2*hour, day, RollBackAtOnce)}) // freezes do not apply to rollbacks
+	d.mustApply(RevertMigration{id, "ana", "enough"})
 	for _, i := range []int{2, 1, 0} {
 		for j, s := range steps {
 			assert.Equal(t, j == i, d.stage(s) == RollingBack, "%d while %d rolls back", j, i)
@@ -60,13 +60,13 @@
 		d.mustApply(RolledBack{ID: steps[i]})
 	}
 	assert.Equal(t, Withdrawn, m.Stage)
-	d.mustRefuse(Revert{id, "ana", "again"}, &stage)
+	d.mustRefuse(RevertMigration{id, "ana", "again"}, &stage)
 }
 
 func TestUnstartedMigrationIsWithdrawnAtOnce(t *testing.T) {
 	d := newFixture(t)
 	id := d.mustApply(Migrate{"shape", threeSteps(), "ana"})
-	d.mustApply(Revert{id, "ana", "no"})
+	d.mustApply(RevertMigration{id, "ana", "no"})
 	assert.Equal(t, Withdrawn, d.Migrations[id].Stage)
 	assert.Equal(t, Withdrawn, d.stage(d.Migrations[id].Steps[0]))
 	assert.Empty(t, d.Startable())
@@ -84,17 +84,17 @@
 	assert.Empty(t, d.Startable(), "step 3 waits for step 2")
 
 	var changed *ChangedError
-	d.mustRefuse(Replace{id, 7, steps, "bea"}, &changed)
+	d.mustRefuse(ReplaceSteps{id, 7, steps, "bea"}, &changed)
 	later := threeSteps()
 	for i := range later[1:] {
 		later[i+1].Window = Span{noon + float64(i+3)*hour, noon + float64(i+4)*hour}
 	}
 	altered := append([]Change{}, later...)
 	altered[0].Do = json.RawMessage(`"other"`)
-	var started *BegunError
-	d.mustRefuse(Replace{id, m.Revision, altered, "bea"}, &started)
+	var started *StepStartedError
+	d.mustRefuse(ReplaceSteps{id, m.Revision, altered, "bea"}, &started)
 	assert.Equal(t, 0, started.Step)
-	d.mustApply(Replace{id, m.Revision, later, "bea"})
+	d.mustApply(ReplaceSteps{id, m.Revision, later, "bea"})
 	assert.Equal(t, Running, m.Stage)
 	assert.Len(t, m.Steps, 3)
 	d.elapse(hour)
@@ -112,14 +112,14 @@
 	d.elapse(hour)
 	frozen := m.Steps[1]
 	d.mustApply(Start{frozen})
-	freezeID := d.mustApply(SetFreeze{0, 0, testFreeze(hour+minute, 2*hour, SendsBack)})
+	freezeID := d.mustApply(SetFreeze{0, 0, testFreeze(hour+minute, 2*hour, RollBackAtOnce)})
 	d.elapse(minute)
 	assert.Equal(t, RollingBack, d.stage(frozen))
 	assert.Equal(t, Halted, m.Stage)
 	d.mustApply(RolledBack{ID: frozen})
 	assert.Equal(t, Halted, m.Stage)
 	d.mustApply(Thaw{freezeID, 1, "bea", "over"})
-	d.mustApply(Replace{id, m.Revision, threeSteps(), "ana"})
+	d.mustApply(ReplaceSteps{id, m.Revision, threeSteps(), "ana"})
 	assert.NotContains(t, m.Steps, frozen)
 	d.runStep(m.Steps[1])
 	d.elapse(hour)
@@ -136,28 +136,28 @@
 	first := m.Steps[0]
 	var missing *PreconditionError
 	d.mustRefuse(Start{first}, &missing)
-	d.mustApply(Observe{ID: first, What: "no fault", Well: true, Says: ""})
+	d.mustApply(Observe{ID: first, What: "no fault", Passed: true, Detail: ""})
 	d.elapse(observationTTLMs + sec)
 	d.mustRefuse(Start{first}, &missing)
-	d.mustApply(Observe{ID: first, What: "no fault", Well: false, Says: "a key"})
+	d.mustApply(Observe{ID: first, What: "no fault", Passed: false, Detail: "a key"})
 	d.mustRefuse(Start{first}, &missing)
 	assert.Contains(t, missing.Error(), "a key")
-	d.mustApply(Observe{ID: first, What: "no fault", Well: true, Says: ""})
-	d.mustApply(Observe{ID: first, What: "rejections as before", Well: true, Says: "too soon to tell"})
+	d.mustApply(Observe{ID: first, What: "no fault", Passed: true, Detail: ""})
+	d.mustApply(Observe{ID: first, What: "rejections as before", Passed: true, Detail: "too soon to tell"})
 	d.mustApply(Start{first})
 	d.mustApply(WaveDone{ID: first, Wave: 1})
 	d.elapse(10 * minute)
 	assert.Equal(t, Running, d.stage(first), "observations from before the last wave do not count")
-	d.mustApply(Observe{ID: first, What: "rejections as before", Well: false, Says: "0.3 against 0.1"})
+	d.mustApply(Observe{ID: first, What: "rejections as before", Passed: false, Detail: "0.3 against 0.1"})
 	assert.Equal(t, Halted, d.stage(first))
 	assert.Equal(t, Halted, m.Stage)
-	assert.Contains(t, m.Says, "0.3 against 0.1")
+	assert.Contains(t, m.Reason, "0.3 against 0.1")
 	d.mustApply(Resume{first, "ana"})
-	d.mustApply(Observe{ID: first, What: "rejections as before", Well: true, Says: ""})
+	d.mustApply(Observe{ID: first, What: "rejections as before", Passed: true, Detail: ""})
 	assert.Equal(t, Done, d.stage(first))
 	assert.Equal(t, Running, m.Stage)
 	var form *FormError
-	d.mustRefuse(Observe{ID: m.Steps[1], What: "the moon", Well: true, Says: ""}, &form)
+	d.mustRefuse(Observe{ID: m.Steps[1], What: "the moon", Passed: true, Detail: ""}, &form)
 }
 
 func TestInvalidStepsNameTheKey(t *testing.T) {
@@ -184,11 +184,11 @@
 	detached := d.Entries[m.Steps[1]].Change
 	detached.After = nil
 	d.mustRefuse(Edit{m.Steps[1], 1, detached, "ana", false}, &form)
-	d.mustRefuse(Replace{id, 1, nil, "ana"}, &form)
-	d.mustRefuse(Revert{id, "ana", ""}, &form)
+	d.mustRefuse(ReplaceSteps{id, 1, nil, "ana"}, &form)
+	d.mustRefuse(RevertMigration{id, "ana", ""}, &form)
 	var unknown *UnknownError
-	d.mustRefuse(Revert{99, "ana", "x"}, &unknown)
-	d.mustRefuse(Replace{99, 1, threeSteps(), "ana"}, &unknown)
+	d.mustRefuse(RevertMigration{99, "ana", "x"}, &unknown)
+	d.mustRefuse(ReplaceSteps{99, 1, threeSteps(), "ana"}, &unknown)
 }
 
 func TestEditDropsObservations(t *testing.T) {
@@ -196,12 +196,12 @@
 	c := testChange(0, hour)
 	c.Preconditions = []string{"no fault"}
 	id := d.plan(c)
-	d.mustApply(Observe{ID: id, What: "no fault", Well: true, Says: ""})
+	d.mustApply(Observe{ID: id, What: "no fault", Passed: true, Detail: ""})
 	c.Do = json.RawMessage(`"other"`)
 	d.mustApply(Edit{id, 1, c, "ana", false})
 	var precondition *PreconditionError
 	d.mustRefuse(Start{id}, &precondition)
-	d.mustApply(Observe{ID: id, What: "no fault", Well: true, Says: ""})
+	d.mustApply(Observe{ID: id, What: "no fault", Passed: true, Detail: ""})
 	d.mustApply(Start{id})
 }
 
@@ -215,7 +215,7 @@
 	d.mustApply(WaveDone{ID: id, Wave: 2})
 	d.mustApply(Halt{id, "ana", "look"})
 	d.elapse(20 * minute)
-	d.mustApply(Observe{ID: id, What: "well", Well: true, Says: ""})
+	d.mustApply(Observe{ID: id, What: "well", Passed: true, Detail: ""})
 	assert.Equal(t, Halted, d.stage(id))
 	d.mustApply(Resume{id, "ana"})
 	assert.Equal(t, Done, d.stage(id))
--- a/calendar/model_test.go
+++ b/calendar/model_test.go
@@ -225,12 +225,12 @@
 func newSimulation(t *rapid.T, defect string) *simulation {
 	s := &simulation{t: t, state: New(), defect: defect, agreedMs: 5000,
 		model: &model{trueMs: noon, entries: map[uint64]*modelEntry{}, freezes: map[uint64]modelFreeze{}, migrationOver: map[uint64]bool{}, undoStacks: map[string][]uint64{}, approvalsNeeded: map[Kind]int{}, budgets: map[Kind]int{}}}
-	s.state.See(testZones{})
+	s.state.SetZones(testZones{})
 	s.reportClocks()
 	return s
 }
 
-func (s *simulation) apply(c any) (uint64, error) { return s.state.Do(s.agreedMs, c) }
+func (s *simulation) apply(c any) (uint64, error) { return s.state.Apply(s.agreedMs, c) }
 
 // fail records a violation.
 func (s *simulation) fail(format string, args ...any) {
@@ -246,7 +246,7 @@
 		if i == 1 {
 			at += s.clockErrorMs
 		}
-		if _, err := s.apply(Clock{fmt.Sprint("c", i), max(0, at), 3}); err != nil {
+		if _, err := s.apply(ReportClock{fmt.Sprint("c", i), max(0, at), 3}); err != nil {
 			s.t.Fatal(err)
 		}
 	}
@@ -315,7 +315,7 @@
 
 // revert reverts a migration.
 func (s *simulation) revert(id uint64) error {
-	_, err := s.apply(Revert{id, "ana", "enough"})
+	_, err := s.apply(RevertMigration{id, "ana", "enough"})
 	if err == nil && s.defect == "steps are rolled back in the wrong order" {
 		slices.Reverse(s.state.Migrations[id].Steps)
 	}
@@ -371,7 +371,7 @@
 			e := s.model.entries[id]
 			for _, n := range slices.Concat(e.preconditions, e.postconditions) {
 				well := rapid.IntRange(0, 3).Draw(s.t, "well") > 0
-				if _, err := s.apply(Observe{ID: id, What: n, Well: well, Says: ""}); err == nil {
+				if _, err := s.apply(Observe{ID: id, What: n, Passed: well, Detail: ""}); err == nil {
 					e.observations[n] = modelObservation{well, s.model.trueMs}
 				}
 			}
@@ -431,7 +431,7 @@
 			e.emergency = true
 		}
 	case 9:
-		f := Freeze{Name: "f", Subject: rapid.SampledFrom(subjects).Draw(s.t, "subject"), Sends: rapid.SampledFrom([]string{FinishesWave, SendsBack}).Draw(s.t, "sends"), Who: "ana", Why: "y"}
+		f := Freeze{Name: "f", Subject: rapid.SampledFrom(subjects).Draw(s.t, "subject"), RunningPolicy: rapid.SampledFrom([]string{HaltAfterWave, RollBackAtOnce}).Draw(s.t, "sends"), Who: "ana", Why: "y"}
 		if rapid.Bool().Draw(s.t, "one kind") {
 			f.Kinds = []Kind{rapid.SampledFrom(testKinds).Draw(s.t, "kind")}
 		}
@@ -563,7 +563,7 @@
 	}
 	for _, id := range ids {
 		if s.model.mustBeStartable(id) {
-			s.fail("entry %d could start but is not startable: %v", id, s.state.InTheWay(s.state.Entries[id]))
+			s.fail("entry %d could start but is not startable: %v", id, s.state.CheckStart(s.state.Entries[id]))
 		}
 	}
 	for _, id := range ids { // advance some of the running entries
@@ -656,8 +656,8 @@
 	const hours = 48
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
-		s.See(testZones{})
-		s.Size, s.WallMs, s.Doubt = 1, noon, ""
+		s.SetZones(testZones{})
+		s.Size, s.WallMs, s.ClockProblem = 1, noon, ""
 		s.Readings["c0"] = Reading{noon, 0}
 		span := func() Span {
 			from := rapid.IntRange(-2, hours-1).Draw(t, "from")
@@ -712,7 +712,7 @@
 		if len(want) == 0 || want[len(want)-1].ToMs < noon+horizonMs { // everything is free past the hours searched
 			want = append(want, Span{noon + hours*hour, noon + horizonMs})
 		}
-		got := s.Next(c, 0, math.MaxInt)
+		got := s.FindFree(c, 0, math.MaxInt)
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Fatalf("got %v, the search found %v", got, want)
 		}
@@ -722,33 +722,33 @@
 // BenchmarkTenThousandEntries measures commands and queries with ten thousand entries, a hundred of which are in progress or due.
 func BenchmarkTenThousandEntries(b *testing.B) {
 	s := New()
-	s.See(testZones{})
-	s.Do(0, SetRules{Who: "boss", Rules: []Rule{{Subject: Subject{Scope: Fleet}, Count: 1}}, Budgets: []Budget{{Drain, 3}}})
-	s.Do(0, Clock{"c0", noon, 1})
+	s.SetZones(testZones{})
+	s.Apply(0, SetRules{Who: "boss", Rules: []Rule{{Subject: Subject{Scope: Fleet}, Count: 1}}, Budgets: []Budget{{Drain, 3}}})
+	s.Apply(0, ReportClock{"c0", noon, 1})
 	for i := range 10000 {
 		c := testChange(float64(i)*2*hour*0.9, float64(i)*2*hour*0.9+hour)
 		c.Subject = subjects[i%len(subjects)]
 		c.Window = Span{noon + float64(i%4000)*hour, noon + float64(i%4000)*hour + hour}
-		id, err := s.Do(0, Plan{Change: c, Who: "ana"})
+		id, err := s.Apply(0, Plan{Change: c, Who: "ana"})
 		require.NoError(b, err)
 		if i%2 == 0 {
-			_, err = s.Do(0, Approve{id, c.Digest(), "bea", ""})
+			_, err = s.Apply(0, Approve{id, c.Digest(), "bea", ""})
 			require.NoError(b, err)
 		}
 	}
 	for i := range 20 {
-		f := testFreeze(0, hour, SendsBack)
-		f.When = Recurrence{Begin: fmt.Sprintf("2024-10-%02dT02:00", i+1), Minutes: 60, Every: "FREQ=WEEKLY", In: "UTC"}
+		f := testFreeze(0, hour, RollBackAtOnce)
+		f.When = Recurrence{Begin: fmt.Sprintf("2024-10-%02dT02:00", i+1), Minutes: 60, RRule: "FREQ=WEEKLY", TimeZone: "UTC"}
 		f.Subject = subjects[i%len(subjects)]
-		require.NoError(b, f.Ahead(time.UTC, noon))
-		s.Do(0, SetFreeze{0, 0, f})
+		require.NoError(b, f.ExpandSpans(time.UTC, noon))
+		s.Apply(0, SetFreeze{0, 0, f})
 	}
 	c := testChange(0, hour)
 	now := 0.0
 	b.Run("command", func(b *testing.B) {
 		for b.Loop() {
 			now += 1
-			s.Do(now, Clock{"c0", noon + now, 1})
+			s.Apply(now, ReportClock{"c0", noon + now, 1})
 		}
 	})
 	b.Run("startable", func(b *testing.B) {
@@ -758,7 +758,7 @@
 	})
 	b.Run("next", func(b *testing.B) {
 		for b.Loop() {
-			s.Next(&c, 0, 5)
+			s.FindFree(&c, 0, 5)
 		}
 	})
 	b.Run("conflicts", func(b *testing.B) {
