--- a/frontdoor/core_test.go
+++ b/frontdoor/core_test.go
@@ -24,13 +24,13 @@
 	"github.com/swifthall/swifthall/internal/sockio"
 )
 
-// scripted answers every batch with what its function says.
-type scripted func(now float64, events []gate.Event) []gate.Action
+// deciderFunc answers every batch with what its function says.
+type deciderFunc func(now float64, events []gate.Event) []gate.Action
 
-func (s scripted) Decide(now float64, events []gate.Event) []gate.Action { return s(now, events) }
+func (s deciderFunc) Decide(now float64, events []gate.Event) []gate.Action { return s(now, events) }
 
-// settled is a configuration with one idempotent and one keyed class and one plan.
-func settled() config.Door {
+// testConfig is a configuration with one idempotent and one keyed class and one plan.
+func testConfig() config.Door {
 	return config.Door{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Sockets: 100,
 		Settings: config.Settings{Terms: gate.Terms{Doors: 3, Classes: []gate.Class{{}, {Semantics: gate.Keyed}},
 			Plans: make([]gate.Plan, 1)}, Classes: map[string]int{"look": 0, "book": 1}, Plans: map[string]int{"team": 0},
@@ -38,11 +38,11 @@
 		Pace: config.Pace{SlowInput: 2000, IdleClient: 2000, IdleBackend: 5000, Silence: 3000, FirstByte: 1000, CounterStall: 800, Redial: 20, Linger: 500}}
 }
 
-// owned is a core that no goroutine runs, with one backend and one open request from a connected client.
-func owned(t *testing.T) (c *core, client net.Conn) {
+// newTestCore is a core that no goroutine runs, with one backend and one open request from a connected client.
+func newTestCore(t *testing.T) (c *core, client net.Conn) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	c = newCore(settled(), scripted(func(float64, []gate.Event) []gate.Action { return nil }), log)
+	c = newCore(testConfig(), deciderFunc(func(float64, []gate.Event) []gate.Action { return nil }), log)
 	c.now = c.clock.now()
 	fleetUpdate{list: registry.List{Whole: true, Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready"}}}}.handle(c)
 	far, near := net.Pipe()
@@ -54,8 +54,8 @@
 	return c, far
 }
 
-// linked sends the open request over an idle connection to the backend, whose end is returned.
-func linked(t *testing.T, c *core) (*attempt, net.Conn) {
+// sendOverPipe sends the open request over an idle connection to the backend, whose end is returned.
+func sendOverPipe(t *testing.T, c *core) (*attempt, net.Conn) {
 	far, near := net.Pipe()
 	t.Cleanup(func() { far.Close(); near.Close() })
 	l := &backendConn{c: c, addr: "127.0.0.1:1", nc: near, cancel: func() {}}
@@ -65,8 +65,8 @@
 	return c.requests[0].attempts[0], far
 }
 
-// written takes all of an attempt at the backend's end.
-func written(t *testing.T, f *attempt, far net.Conn) {
+// receiveAttempt takes all of an attempt at the backend's end.
+func receiveAttempt(t *testing.T, f *attempt, far net.Conn) {
 	for got := []byte{}; !bytes.HasSuffix(got, []byte("\r\n\r\n")); {
 		buf := make([]byte, 4096)
 		n, err := far.Read(buf)
@@ -78,18 +78,18 @@
 	}
 }
 
-// bringing is a reader that holds bytes.
-func bringing(text string) *readState {
+// bufferedState is a reader that holds bytes.
+func bufferedState(text string) *readState {
 	r := &readState{buf: make([]byte, pool.Size)}
 	r.buffered = r.buf[:copy(r.buf, text)]
 	return r
 }
 
-// heard reads one answer.
-func heard(t *testing.T, nc net.Conn) http1.Response { return heardEach(t, nc, 1)[0] }
+// readResponse reads one answer.
+func readResponse(t *testing.T, nc net.Conn) http1.Response { return readResponses(t, nc, 1)[0] }
 
-// heardEach reads n answers, which may come in one read: what one read brings beyond an answer is the next's.
-func heardEach(t *testing.T, nc net.Conn, n int) []http1.Response {
+// readResponses reads n answers, which may come in one read: what one read brings beyond an answer is the next's.
+func readResponses(t *testing.T, nc net.Conn, n int) []http1.Response {
 	var in http1.ResponseReader
 	var got []http1.Response
 	buf, rest := make([]byte, 4096), []byte(nil)
@@ -109,7 +109,7 @@
 	return got
 }
 
-func TestEveryEndHasItsResult(t *testing.T) {
+func TestOutcomeResults(t *testing.T) {
 	for e, want := range map[outcome]gate.Result{outcomeOK: gate.Finished, outcomeError: gate.Errored, outcomeTurnedAway: gate.Full,
 		outcomeNoSocket: gate.Skipped, outcomeNoConnection: gate.Unreachable, outcomeBrokenUnsent: gate.Unreachable, outcomeBroken: gate.Reset,
 		outcomeMalformed: gate.Malformed, outcomeTimeoutUnsent: gate.Skipped, outcomeTimeout: gate.TimedOut, outcomeAbandonedUnsent: gate.Skipped,
@@ -124,18 +124,18 @@
 	}
 }
 
-func TestAMachineOutOfSocketsIsNotTheBackendsFault(t *testing.T) {
+func TestLocalSocketShortageIsNotABackendFailure(t *testing.T) {
 	assert.Equal(t, outcomeNoSocket, dialOutcome(&net.OpError{Err: os.NewSyscallError("socket", syscall.EMFILE)}))
 	assert.Equal(t, outcomeNoConnection, dialOutcome(&net.OpError{Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}))
 }
 
-func TestADoorWithoutSocketsSaysSo(t *testing.T) {
-	cfg := settled()
+func TestServeFailsWithoutSockets(t *testing.T) {
+	cfg := testConfig()
 	cfg.Sockets = 3
 	assert.ErrorContains(t, New(cfg, nil, logrus.New()).Serve(t.Context()), `"limits.sockets"`)
 }
 
-func TestOnlyAMarkedAnswerIsTurnedAway(t *testing.T) {
+func TestOnlyMarkedAnswersAreTurnedAway(t *testing.T) {
 	for a, want := range map[*http1.Response]outcome{{Status: 200}: outcomeOK, {Status: 500}: outcomeError, {Status: 503}: outcomeError,
 		{Status: 503, TurnedAway: true}: outcomeTurnedAway, {Status: 504, TurnedAway: true}: outcomeTurnedAway,
 		{Status: 500, TurnedAway: true}: outcomeError, {Status: 201}: outcomeError} {
@@ -143,8 +143,8 @@
 	}
 }
 
-func TestWhatTheTermsDoNotKnowIsAFault(t *testing.T) {
-	c, _ := owned(t)
+func TestGateRequestRejectsInvalidRequests(t *testing.T) {
+	c, _ := newTestCore(t)
 	good := http1.Request{Method: "POST", Class: "book", IdempotencyKey: "m", Plan: "team", Units: 2, Spread: 3, First: 2, TTL: 1e12}
 	ev, err := c.gateRequest(&good)
 	require.NoError(t, err)
@@ -162,8 +162,8 @@
 	}
 }
 
-func TestTimeLeftCountsFromTheFirstByte(t *testing.T) {
-	c, _ := owned(t)
+func TestRequestTTLCountsFromFirstByte(t *testing.T) {
+	c, _ := newTestCore(t)
 	cl := newClient(c, nil)
 	requestArrived{cl, &http1.Request{}, gate.Request{TTL: 500}, c.clock.now() - 200}.handle(c)
 	ev := c.pending[0].(gate.Request)
@@ -171,14 +171,14 @@
 	assert.Greater(t, ev.TTL, 0.0)
 }
 
-func TestAFinishedAnswerIsRelayedOnceAndFreesItsSlot(t *testing.T) {
-	c, client := owned(t)
-	f, far := linked(t, c)
-	written(t, f, far)
+func TestAnswerIsRelayedOnceAndFreesSlot(t *testing.T) {
+	c, client := newTestCore(t)
+	f, far := sendOverPipe(t, c)
+	receiveAttempt(t, f, far)
 	answerArrived{f.conn, http1.Response{Status: 200, Use: 0.5, Body: []byte("hi")}, f.startedAt + 30}.handle(c)
 	assert.Equal(t, gate.AttemptEnded{Result: gate.Finished, Latency: 30, Answered: true, MeteredUse: 0.5, Queue: -1}, c.pending[0])
 	c.answer(0, http.StatusBadGateway, 0, nil, "") // a second answer
-	assert.Equal(t, http1.Response{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}, heard(t, client))
+	assert.Equal(t, http1.Response{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}, readResponse(t, client))
 	assert.Len(t, c.backends[0].idle, 1, "the connection is used again")
 	c.decide()
 	assert.Equal(t, []int{0}, c.freeSlots)
@@ -187,17 +187,17 @@
 	assert.Zero(t, n)
 }
 
-func TestOnlyWhatABackendAnsweredWellIsRelayed(t *testing.T) {
-	c, _ := owned(t)
-	f, _ := linked(t, c)
+func TestErrorAnswerIsNotRelayed(t *testing.T) {
+	c, _ := newTestCore(t)
+	f, _ := sendOverPipe(t, c)
 	answerArrived{f.conn, http1.Response{Status: 500, Use: -1, Body: []byte("secret")}, f.startedAt}.handle(c)
 	assert.False(t, c.requests[0].done, "the decisions say what becomes of it")
 	assert.Equal(t, gate.Errored, c.pending[0].(gate.AttemptEnded).Result)
 }
 
-func TestAWriterThatComesAfterGivingUpWritesNothing(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
+func TestAbandonedAttemptIsNotWritten(t *testing.T) {
+	c, _ := newTestCore(t)
+	f, far := sendOverPipe(t, c)
 	other := &attempt{op: 0, conn: f.conn}
 	c.requests[0].attempts = append(c.requests[0].attempts, other)
 	c.requests[0].outstanding++
@@ -208,9 +208,9 @@
 	assert.NotContains(t, string(got), "late")
 }
 
-func TestGivingUpWhatMayHaveLeftMayHaveRun(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
+func TestAttemptAbandonedDuringWriteMayHaveRun(t *testing.T) {
+	c, _ := newTestCore(t)
+	f, far := sendOverPipe(t, c)
 	_, err := far.Read(make([]byte, 1)) // the writer has begun
 	require.NoError(t, err)
 	c.abandon(f, outcomeAbandonedUnsent, outcomeAbandoned)
@@ -222,9 +222,9 @@
 	assert.Len(t, c.pending, 1, "one end each")
 }
 
-func TestAnAttemptCutOffNeverRan(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
+func TestPartlyWrittenAttemptNeverRan(t *testing.T) {
+	c, _ := newTestCore(t)
+	f, far := sendOverPipe(t, c)
 	_, err := far.Read(make([]byte, 9))
 	require.NoError(t, err)
 	far.Close()
@@ -235,26 +235,26 @@
 	assert.Equal(t, gate.Unreachable, c.pending[0].(gate.AttemptEnded).Result)
 }
 
-func TestAnAnswerBeforeItsAttemptHasLeftEndsTheConnection(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
+func TestAnswerBeforeAttemptIsWrittenClosesConnection(t *testing.T) {
+	c, _ := newTestCore(t)
+	f, far := sendOverPipe(t, c)
 	_, err := far.Read(make([]byte, 1)) // the rest is stuck
 	require.NoError(t, err)
 	answerArrived{f.conn, http1.Response{Status: 503, TurnedAway: true}, c.now}.handle(c)
 	assert.Empty(t, c.backends[0].idle)
 }
 
-func TestAnAnswerNobodyAskedForEndsTheConnection(t *testing.T) {
-	c, _ := owned(t)
+func TestUnsolicitedAnswerEndsConnection(t *testing.T) {
+	c, _ := newTestCore(t)
 	far, near := net.Pipe()
 	go far.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 	assert.Equal(t, outcomeMalformed, (&backendConn{c: c, nc: near}).readAnswers())
 }
 
-func TestAnOldProcessGetsNothingNew(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
-	written(t, f, far)
+func TestConnectionToOldProcessIsNotReused(t *testing.T) {
+	c, _ := newTestCore(t)
+	f, far := sendOverPipe(t, c)
+	receiveAttempt(t, f, far)
 	answerArrived{f.conn, http1.Response{Status: 500}, c.now}.handle(c)
 	require.Len(t, c.backends[0].idle, 1)
 	fleetUpdate{list: registry.List{Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready", Started: 5}}}}.handle(c)
@@ -262,18 +262,18 @@
 	assert.Empty(t, c.backendConns)
 }
 
-func TestAnIdleConnectionIsRetiredInTime(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
-	written(t, f, far)
+func TestIdleBackendConnectionIsClosed(t *testing.T) {
+	c, _ := newTestCore(t)
+	f, far := sendOverPipe(t, c)
+	receiveAttempt(t, f, far)
 	answerArrived{f.conn, http1.Response{Status: 500}, c.now}.handle(c)
 	c.now += c.cfg.Pace.IdleBackend + 1
 	c.sweep()
 	assert.Empty(t, c.backendConns)
 }
 
-func TestASpentBudgetIsAResult(t *testing.T) {
-	c, _ := owned(t)
+func TestAttemptWithoutFreeSocketIsSkipped(t *testing.T) {
+	c, _ := newTestCore(t)
 	for c.budget.acquire(0) {
 	}
 	c.send(gate.Send{})
@@ -281,10 +281,10 @@
 	assert.Zero(t, c.requests[0].outstanding)
 }
 
-func TestAnIdleConnectionGivesWayToOneThatIsWanted(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
-	written(t, f, far)
+func TestEvictIdleClosesIdleConnection(t *testing.T) {
+	c, _ := newTestCore(t)
+	f, far := sendOverPipe(t, c)
+	receiveAttempt(t, f, far)
 	answerArrived{f.conn, http1.Response{Status: 500}, c.now}.handle(c)
 	for c.budget.acquire(0) {
 	}
@@ -293,8 +293,8 @@
 	assert.False(t, c.evictIdle())
 }
 
-func TestACrowdClosesTheLongestIdleClientButNoneJustCome(t *testing.T) {
-	c, _ := owned(t)
+func TestSocketNeededClosesLongestIdleClient(t *testing.T) {
+	c, _ := newTestCore(t)
 	far, near := net.Pipe()
 	defer far.Close()
 	fresh, old := newClient(c, near), newClient(c, near)
@@ -311,38 +311,38 @@
 
 // A client that sends its next request before the answer that closes its connection gets no answer for it: run,
 // it would have its effect unanswered, and a repeat of the client's would have it twice.
-func TestNothingIsTakenBehindAConnectionsLastAnswer(t *testing.T) {
-	c, _ := owned(t)
-	cl := newClient(c, dialled(t, loopbacktest.Serve(t, keep)))
+func TestNoRequestIsAcceptedAfterLastAnswer(t *testing.T) {
+	c, _ := newTestCore(t)
+	cl := newClient(c, connect(t, loopbacktest.Serve(t, keepOpen)))
 	cl.answer(http1.AppendResponse(nil, http.StatusOK, 0, nil, true), true)
-	r := bringing(look)
+	r := bufferedState(lookRequest)
 	r.answerPending = true
 	assert.False(t, cl.step(r))
 	assert.Empty(t, c.events, "nothing is passed on")
 }
 
-func TestWhenSocketsAreShortAnAnswerIsItsConnectionsLast(t *testing.T) {
-	c, client := owned(t)
+func TestConnectionClosesAfterAnswerWhenSocketsAreShort(t *testing.T) {
+	c, client := newTestCore(t)
 	for c.budget.acquire(c.budget.clientReserve) {
 	}
 	c.answer(0, http.StatusTooManyRequests, 250, nil, "")
-	assert.True(t, heard(t, client).Close)
+	assert.True(t, readResponse(t, client).Close)
 }
 
 // Clients hold so many connections at most. Where each asks once and stays, all were taken within two seconds, and the
 // next requests had none until idle ones were closed.
-func TestWithManyClientsAnAnswerIsItsConnectionsLast(t *testing.T) {
-	c, client := owned(t)
+func TestConnectionClosesAfterAnswerWithManyActiveClients(t *testing.T) {
+	c, client := newTestCore(t)
 	c.activeClients = c.cfg.Sockets/persistentDivisor + 1
 	c.answer(0, http.StatusOK, 0, []byte("hi"), "")
-	assert.True(t, heard(t, client).Close)
+	assert.True(t, readResponse(t, client).Close)
 	known := c.activeClients
 	clientClosed{c.requests[0].client, closedByClient}.handle(c)
 	assert.Equal(t, known-1, c.activeClients)
 }
 
-func TestAClientThatLeavesIsReportedOnce(t *testing.T) {
-	c, _ := owned(t)
+func TestClientGoneIsReportedOnce(t *testing.T) {
+	c, _ := newTestCore(t)
 	cl := c.requests[0].client
 	clientClosed{cl, closedByClient}.handle(c)
 	assert.Equal(t, []gate.Event{gate.ClientGone{Op: 0}}, c.pending)
@@ -353,9 +353,9 @@
 	assert.Empty(t, c.pending)
 }
 
-func TestTimeRunsOutForAnAttempt(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
+func TestAttemptTimesOut(t *testing.T) {
+	c, _ := newTestCore(t)
+	f, far := sendOverPipe(t, c)
 	_, err := far.Read(make([]byte, 1))
 	require.NoError(t, err)
 	c.now = c.requests[0].deadline
@@ -365,8 +365,8 @@
 	assert.False(t, c.pending[0].(gate.AttemptEnded).Answered)
 }
 
-func TestReadyOnlyWhenItCanServe(t *testing.T) {
-	c, _ := owned(t)
+func TestReadiness(t *testing.T) {
+	c, _ := newTestCore(t)
 	assert.False(t, c.ready.Load(), "discovery was not asked")
 	discoveryAttempted{}.handle(c)
 	assert.True(t, c.ready.Load())
@@ -377,8 +377,8 @@
 	assert.False(t, c.ready.Load())
 }
 
-func TestACallIsToldOnceAndItsCustomerMayBeForgotten(t *testing.T) {
-	c, _ := owned(t)
+func TestCounterCallIsReportedOnce(t *testing.T) {
+	c, _ := newTestCore(t)
 	conn := newCounterConn(c, "")
 	c.counterConns = []*counterConn{conn}
 	c.callCounter(gate.Count{Customer: 0, Epoch: 7, Add: 2, TTL: 4000})
@@ -395,8 +395,8 @@
 	assert.Len(t, c.pending, 1)
 }
 
-func TestCallsThatNobodyWaitsForAreNotMade(t *testing.T) {
-	c, _ := owned(t)
+func TestExpiredCounterCallsAreNotSent(t *testing.T) {
+	c, _ := newTestCore(t)
 	old, fresh := &counterCall{startedAt: c.clock.now() - 1000}, &counterCall{startedAt: c.clock.now() + 1000}
 	conn := newCounterConn(c, "")
 	conn.queue = []*counterCall{old, fresh}
@@ -410,8 +410,8 @@
 
 // A connection that ends between current and takeQueued has ended the calls awaiting a reply on it. A call registered on it
 // afterwards would never end, and would take the first reply on the next connection.
-func TestACallIsNotLoadedOntoAConnectionThatHasEnded(t *testing.T) {
-	c, _ := owned(t)
+func TestCounterCallIsNotRegisteredOnEndedConnection(t *testing.T) {
+	c, _ := newTestCore(t)
 	conn := newCounterConn(c, loopbacktest.Serve(t, func(nc net.Conn) { nc.Close() }))
 	nc, how := conn.connect(t.Context())
 	require.Equal(t, outcomeOK, how)
@@ -428,8 +428,8 @@
 	assert.True(t, how.asUnsent().result().NeverRan(), "and nothing was added")
 }
 
-func TestAConnectionThatOwesACallForTooLongIsClosed(t *testing.T) {
-	c, _ := owned(t)
+func TestStalledCounterConnectionIsClosed(t *testing.T) {
+	c, _ := newTestCore(t)
 	far, near := net.Pipe()
 	conn := newCounterConn(c, "")
 	conn.nc = near
@@ -440,8 +440,8 @@
 }
 
 // A hedge behind an answer must neither be taken for the next one nor cost the next request anything.
-func TestWhatIsBehindAnAnswerRetiresTheConnection(t *testing.T) {
-	c, _ := owned(t)
+func TestExtraBytesAfterAnswerEndConnection(t *testing.T) {
+	c, _ := newTestCore(t)
 	far, near := net.Pipe()
 	defer far.Close()
 	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
@@ -454,15 +454,15 @@
 }
 
 // Surplus that comes later, or the backend's close, is seen before the connection is used again.
-func TestAStaleConnectionIsLeftForAnother(t *testing.T) {
+func TestStaleConnectionIsReplaced(t *testing.T) {
 	for name, spoil := range map[string]func(net.Conn){
 		"surplus": func(nc net.Conn) { io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno") },
 		"closed":  func(nc net.Conn) { nc.Close() },
 	} {
-		c, _ := owned(t)
+		c, _ := newTestCore(t)
 		far := make(chan net.Conn, 2)
 		c.backends[0].addr = loopbacktest.Serve(t, func(nc net.Conn) { far <- nc })
-		near := dialled(t, c.backends[0].addr)
+		near := connect(t, c.backends[0].addr)
 		raw, err := near.(syscall.Conn).SyscallConn()
 		require.NoError(t, err)
 		l := &backendConn{c: c, addr: c.backends[0].addr, nc: near, raw: raw, cancel: func() {}, hasAnswered: true}
@@ -485,7 +485,7 @@
 }
 
 // What was read before a request was let out is no part of its answer, however late the reader looks at it.
-func TestOnlyWhatComesAfterAnAttemptIsItsAnswer(t *testing.T) {
+func TestBytesReadBeforeAttemptAreNotItsAnswer(t *testing.T) {
 	far, near := net.Pipe()
 	l := &backendConn{nc: near}
 	go io.WriteString(far, "x")
@@ -501,8 +501,8 @@
 	assert.True(t, owed)
 }
 
-func TestAFreshConnectionThatBreaksUnusedIsTheBackendsFault(t *testing.T) {
-	c, _ := owned(t)
+func TestFreshConnectionThatBreaksUnusedIsUnreachable(t *testing.T) {
+	c, _ := newTestCore(t)
 	f := &attempt{op: 0, conn: &backendConn{c: c, cancel: func() {}}}
 	f.conn.attempt = f
 	c.requests[0].attempts, c.requests[0].outstanding = append(c.requests[0].attempts, f), 1
@@ -511,15 +511,15 @@
 }
 
 // The id of another's open request: backends and decisions could not tell the two apart.
-func TestAnIdThatIsOpenElsewhereIsNotTaken(t *testing.T) {
-	c, _ := owned(t)
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
+	c, _ := newTestCore(t)
 	far, near := net.Pipe()
 	defer far.Close()
 	cl := newClient(c, near)
 	again := requestArrived{cl, &http1.Request{ID: "x"}, gate.Request{TTL: 500}, c.now}
 	again.handle(c)
 	assert.Empty(t, c.pending)
-	assert.Equal(t, http.StatusConflict, heard(t, far).Status)
+	assert.Equal(t, http.StatusConflict, readResponse(t, far).Status)
 	clientClosed{c.requests[0].client, closedByClient}.handle(c)
 	c.decide()
 	again.handle(c)
@@ -528,7 +528,7 @@
 
 // Clients that connect and say nothing, or ask once and keep their connection for good, would fill the door.
 func TestIdleClientsAreClosedAndBusyOnesAreNot(t *testing.T) {
-	c, _ := owned(t)
+	c, _ := newTestCore(t)
 	far, near := net.Pipe()
 	defer far.Close()
 	idle := newClient(c, near)
@@ -544,14 +544,14 @@
 
 // The time to bring a first request counts from the connection's beginning: one that is silent, then half-sent,
 // would else hold a socket twice as long.
-func TestAFirstRequestsTimeCountsFromItsConnection(t *testing.T) {
+func TestFirstRequestTimeLimitCountsFromConnectionOpen(t *testing.T) {
 	cl := &client{openedAt: 100}
 	assert.Equal(t, 100.0, (&readState{firstByteAt: 900}).inputStart(cl))
 	assert.Equal(t, 900.0, (&readState{firstByteAt: 900, hadRequest: true}).inputStart(cl))
 }
 
-func TestInACrowdSilentConnectionsGoFirst(t *testing.T) {
-	c, _ := owned(t)
+func TestSocketNeededClosesSilentClientsFirst(t *testing.T) {
+	c, _ := newTestCore(t)
 	far, near := net.Pipe()
 	defer far.Close()
 	silent, known := newClient(c, near), newClient(c, near)
@@ -567,8 +567,8 @@
 
 // A configuration read again moves discovery and counter; what the old ones still say of the fleet is passed over,
 // and calls of the old counter come to their own end.
-func TestAReloadGoesOverToTheNewAddresses(t *testing.T) {
-	c, _ := owned(t)
+func TestReloadSwitchesToNewAddresses(t *testing.T) {
+	c, _ := newTestCore(t)
 	c.background, c.cfg.Settings.Terms.Counter = t.Context(), true
 	c.useCounter("127.0.0.1:1")
 	old := c.counterConns[0]
@@ -576,7 +576,7 @@
 	stopped := false
 	old.stop = func() { stopped = true }
 	asks := make(chan string, 9)
-	next := loopbacktest.Serve(t, registryOf("127.0.0.1:7", asks, keep))
+	next := loopbacktest.Serve(t, discoveryServer("127.0.0.1:7", asks, keepOpen))
 	reloadRequest{next, "127.0.0.1:2"}.handle(c)
 	assert.Equal(t, "/registry/instances?stream=1", <-asks, "the whole list, at once")
 	assert.Equal(t, []string{"127.0.0.1:2", "127.0.0.1:2"}, []string{c.counterConns[0].addr, c.counterConns[1].addr})
@@ -595,10 +595,10 @@
 
 // Backends are replaced all day: an index that were never used again would grow every array, and one used too early
 // would hand over connections.
-func TestAGoneBackendsIndexComesBackClean(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
-	written(t, f, far)
+func TestFreedBackendIndexInheritsNothing(t *testing.T) {
+	c, _ := newTestCore(t)
+	f, far := sendOverPipe(t, c)
+	receiveAttempt(t, f, far)
 	answerArrived{f.conn, http1.Response{Status: 500}, c.now}.handle(c)
 	c.execute(gate.FreeBackend{Backend: 0})
 	assert.Empty(t, c.backendConns)
@@ -608,11 +608,11 @@
 	assert.Equal(t, [2]int{0, 0}, [2]int{c.backends[0].zone, c.backends[0].cell}, "zones and cells come back too")
 }
 
-func TestALoadReportIsTakenWhereTheSettingsNameIt(t *testing.T) {
+func TestQueueLengthIsReportedOnlyIfConfigured(t *testing.T) {
 	for _, names := range [][]string{nil, {"recent_ms", "backlog"}} {
-		c, _ := owned(t)
+		c, _ := newTestCore(t)
 		c.cfg.Settings.ReportNames = names
-		f, _ := linked(t, c)
+		f, _ := sendOverPipe(t, c)
 		answerArrived{f.conn, http1.Response{Status: 200, Use: -1, Queue: 4, Body: []byte("hi")}, f.startedAt + 30}.handle(c)
 		want := -1.0
 		if names != nil {
--- a/frontdoor/discovery_test.go
+++ b/frontdoor/discovery_test.go
@@ -25,24 +25,24 @@
 // calls come at once, whatever failed before.
 
 const (
-	fleetDoors = 300
-	goesBad    = 10 * time.Second // from the start
-	isBad      = 25 * time.Second
-	beat       = 2 * time.Second // of a watch with nothing to say
-	bucket     = 100 * time.Millisecond
+	fleetSize         = 300
+	outageStart       = 10 * time.Second // from the start
+	outageLength      = 25 * time.Second
+	heartbeatInterval = 2 * time.Second // of a watch with nothing to say
+	bucketWidth       = 100 * time.Millisecond
 )
 
-// trouble is what discovery does to calls while it is bad, and to watches that are open when that begins.
-type trouble struct {
-	dial  func(ctx context.Context) error // nil lets the call through
-	taken func(net.Conn)                  // of a call that is let through; nil leaves it unanswered
-	open  func(net.Conn)                  // nil leaves them silent
+// outage is what discovery does to calls while it is bad, and to watches that are open when that begins.
+type outage struct {
+	dial     func(ctx context.Context) error // nil lets the call through
+	accepted func(net.Conn)                  // of a call that is let through; nil leaves it unanswered
+	watch    func(net.Conn)                  // nil leaves them silent
 }
 
-// fleetOf plays the fleet, and returns when each door heard of the change that discovery has at its return, and the calls by
+// simulateFleet plays the fleet, and returns when each door heard of the change that discovery has at its return, and the calls by
 // bucket of time.
-func fleetOf(t *testing.T, bad trouble) (late []time.Duration, calls map[int]int) {
-	cfg := settled()
+func simulateFleet(t *testing.T, bad outage) (late []time.Duration, calls map[int]int) {
+	cfg := testConfig()
 	whole, err := config.Read([]byte(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"fleet_size":1,"profiles":[{"name":"look","aim":1,
 		"give_up":2,"semantics":"idempotent"}],"tariffs":[{"name":"team"}],"limits":{"max_attempts":1,"connect_timeout":0.25}}}`), func(string) string { return "" })
 	require.NoError(t, err)
@@ -64,8 +64,8 @@
 			open[nc] = true
 			mu.Unlock()
 			if isDown {
-				if bad.taken != nil {
-					bad.taken(nc)
+				if bad.accepted != nil {
+					bad.accepted(nc)
 				} else {
 					io.Copy(io.Discard, nc)
 				}
@@ -74,7 +74,7 @@
 			line := fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:3","lifecycle":"Ready"}]}`, v)
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(line)+1, line)
 			for { // until its door ends it, or it falls silent
-				time.Sleep(beat)
+				time.Sleep(heartbeatInterval)
 				mu.Lock()
 				silent := down || v != version
 				mu.Unlock()
@@ -88,18 +88,18 @@
 			}
 		}
 		ctx, stop := context.WithCancel(t.Context())
-		late = make([]time.Duration, fleetDoors)
+		late = make([]time.Duration, fleetSize)
 		var doors, served sync.WaitGroup
-		for i := range fleetDoors {
+		for i := range fleetSize {
 			log := logrus.New()
 			log.SetOutput(io.Discard)
 			mine := cfg
 			mine.Seed = uint64(i) // as each door has one of its own
-			c := newCore(mine, scripted(func(float64, []gate.Event) []gate.Action { return nil }), log)
+			c := newCore(mine, deciderFunc(func(float64, []gate.Event) []gate.Action { return nil }), log)
 			c.budget = newSocketBudget(100)
 			c.dial = func(ctx context.Context, _ string) (net.Conn, error) {
 				mu.Lock()
-				calls[int(since()/bucket)]++
+				calls[int(since()/bucketWidth)]++
 				isDown := down
 				mu.Unlock()
 				if isDown && bad.dial != nil {
@@ -115,7 +115,7 @@
 					select {
 					case n := <-c.events:
 						if n, is := n.(fleetUpdate); is && n.list.Version == 43 && late[i] == 0 {
-							late[i] = since() - goesBad - isBad
+							late[i] = since() - outageStart - outageLength
 						}
 					case <-ctx.Done():
 						return
@@ -123,16 +123,16 @@
 				}
 			})
 		}
-		time.Sleep(goesBad)
+		time.Sleep(outageStart)
 		mu.Lock()
 		down = true
-		if bad.open != nil {
+		if bad.watch != nil {
 			for nc := range open {
-				served.Go(func() { bad.open(nc) })
+				served.Go(func() { bad.watch(nc) })
 			}
 		}
 		mu.Unlock()
-		time.Sleep(isBad)
+		time.Sleep(outageLength)
 		mu.Lock()
 		down, version = false, 43
 		mu.Unlock()
@@ -147,46 +147,46 @@
 	return late, calls
 }
 
-func TestAFleetHearsOfDiscoverysReturnInTimeAndCallsEvenly(t *testing.T) {
+func TestFleetRecoversFromDiscoveryOutageWithoutCallBursts(t *testing.T) {
 	refused := func(context.Context) error { return os.ErrNotExist }
 	hangs := func(context.Context) error { // as the system's dialer does
 		time.Sleep(250 * time.Millisecond)
 		return os.ErrDeadlineExceeded
 	}
-	for name, bad := range map[string]trouble{
-		"refused dials":               {dial: refused, open: func(nc net.Conn) { nc.Close() }},
-		"dials that never come up":    {dial: hangs, open: func(nc net.Conn) { nc.Close() }},
+	for name, bad := range map[string]outage{
+		"refused dials":               {dial: refused, watch: func(nc net.Conn) { nc.Close() }},
+		"dials that never come up":    {dial: hangs, watch: func(nc net.Conn) { nc.Close() }},
 		"silent watches, refused":     {dial: refused},
-		"taken and never answered":    {open: func(nc net.Conn) { nc.Close() }},
+		"taken and never answered":    {watch: func(nc net.Conn) { nc.Close() }},
 		"silent, then never answered": {},
-		"reset amid a line": {taken: func(nc net.Conn) {
+		"reset amid a line": {accepted: func(nc net.Conn) {
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n40\r\n{\"generation\":42,\"res")
-		}, open: func(nc net.Conn) {
+		}, watch: func(nc net.Conn) {
 			io.WriteString(nc, "40\r\n{\"gener")
 			nc.Close()
 		}},
-		"answered with an error": {taken: func(nc net.Conn) { io.WriteString(nc, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n") }},
-		"answered, then silent": {taken: func(nc net.Conn) {
+		"answered with an error": {accepted: func(nc net.Conn) { io.WriteString(nc, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n") }},
+		"answered, then silent": {accepted: func(nc net.Conn) {
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			io.Copy(io.Discard, nc)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			late, calls := fleetOf(t, bad)
+			late, calls := simulateFleet(t, bad)
 			var worst time.Duration
 			for i, l := range late {
 				require.NotZero(t, l, "door %d never heard", i)
 				worst = max(worst, l)
 			}
 			sum, most, n := 0, 0, 0
-			for b := int((goesBad + isBad/2) / bucket); b < int((goesBad+isBad)/bucket); b++ { // once it has gone on for a while
+			for b := int((outageStart + outageLength/2) / bucketWidth); b < int((outageStart+outageLength)/bucketWidth); b++ { // once it has gone on for a while
 				sum, most, n = sum+calls[b], max(most, calls[b]), n+1
 			}
 			mean := float64(sum) / float64(n)
-			t.Logf("heard %v late at most; while bad %.1f calls in %v on the mean, %d at most", worst, mean, bucket, most)
+			t.Logf("heard %v late at most; while bad %.1f calls in %v on the mean, %d at most", worst, mean, bucketWidth, most)
 			assert.LessOrEqual(t, worst, 6*time.Second)
-			assert.LessOrEqual(t, float64(most), max(fleetDoors/4, 2*mean), "they do not come together")
-			assert.LessOrEqual(t, mean, fleetDoors/3., "nor all the time: some three calls of a door in a second")
+			assert.LessOrEqual(t, float64(most), max(fleetSize/4, 2*mean), "they do not come together")
+			assert.LessOrEqual(t, mean, fleetSize/3., "nor all the time: some three calls of a door in a second")
 		})
 	}
 }
--- a/frontdoor/guard_test.go
+++ b/frontdoor/guard_test.go
@@ -18,7 +18,7 @@
 )
 
 // What decisions with a fault ask for is counted, and not done.
-func TestTheGuardCountsAndRefusesWhatWouldBreakAnInvariant(t *testing.T) {
+func TestGuardPreventsAndCountsViolations(t *testing.T) {
 	const semantics = 1 // class that a case sets
 	ran := func(c *core, how outcome) {
 		c.requests[0].attempts = append(c.requests[0].attempts, &attempt{startedAt: c.now, ended: true, outcome: how})
@@ -46,7 +46,7 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, _ := owned(t)
+			c, _ := newTestCore(t)
 			c.cfg.Settings.Terms.Classes = append([]gate.Class{}, c.cfg.Settings.Terms.Classes...)
 			c.requests[0].class = semantics
 			k.plant(c)
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestTheGuardLetsThroughWhatIsAllowed(t *testing.T) {
+func TestGuardAllowsValidAttempts(t *testing.T) {
 	for name, plant := range map[string]func(*core){
 		"a first attempt": func(*core) {},
 		"unsafe, never ran": func(c *core) {
@@ -73,34 +73,34 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, _ := owned(t)
+			c, _ := newTestCore(t)
 			c.cfg.Settings.Terms.Classes = append([]gate.Class{}, c.cfg.Settings.Terms.Classes...)
 			c.requests[0].class = 1
 			plant(c)
-			linked(t, c)
+			sendOverPipe(t, c)
 			assert.Equal(t, [invariants]int{}, c.tally.violations)
 		})
 	}
 }
 
-func TestARequestPastTheDoorsEndIsAnsweredAndCounted(t *testing.T) {
-	c, client := owned(t)
+func TestRequestOpenPastShutdownIsAnsweredAndCounted(t *testing.T) {
+	c, client := newTestCore(t)
 	c.shutdown.Store(&lifecycle.Shutdown{AnswerBy: c.now - 1e3, KillAt: c.now + 1e3})
 	c.shuttingDown = true
 	c.sweep()
-	assert.Equal(t, http.StatusBadGateway, heard(t, client).Status)
+	assert.Equal(t, http.StatusBadGateway, readResponse(t, client).Status)
 	assert.Equal(t, 1, c.tally.violations[openPastShutdown])
 }
 
-func TestAConnectionThatTheDoorClosesWithARequestOnItIsCounted(t *testing.T) {
+func TestClosingConnectionWithOpenRequestIsCounted(t *testing.T) {
 	for why, counted := range map[closeReason]int{closedIdle: 1, closedForSocket: 1, closedShutdown: 1, closedByClient: 0, closedWriteFailed: 0} {
-		c, _ := owned(t)
+		c, _ := newTestCore(t)
 		clientClosed{c.requests[0].client, why}.handle(c)
 		assert.Equal(t, counted, c.tally.violations[closeUnanswered], why)
 	}
 }
 
-func TestEveryInvariantHasItsName(t *testing.T) {
+func TestInvariantNames(t *testing.T) {
 	for i := range invariants {
 		assert.NotEmpty(t, i.String())
 	}
@@ -108,10 +108,10 @@
 
 // A process that was held up comes to a client's request and to its close at once: the attempt must not leave before the close
 // is read.
-func TestNoAttemptBeginsForAClientWhoseCloseNobodyHasRead(t *testing.T) {
+func TestNoAttemptStartsForClientWithUnreadClose(t *testing.T) {
 	for name, behind := range map[string]string{"nothing behind its request": "", "bytes behind its request": "GET "} {
 		t.Run(name, func(t *testing.T) {
-			c, _ := owned(t)
+			c, _ := newTestCore(t)
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			defer ln.Close()
@@ -128,7 +128,7 @@
 			for !sockio.PeerClosed(cl.raw) {
 				time.Sleep(time.Millisecond)
 			}
-			f, backend := linked(t, c)
+			f, backend := sendOverPipe(t, c)
 			backend.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 			n, _ := backend.Read(make([]byte, 1))
 			assert.Zero(t, n)
@@ -139,16 +139,16 @@
 	}
 }
 
-func TestAnAttemptThatHasNotBegunIsTakenBackFromABackendThatDrains(t *testing.T) {
+func TestUnstartedAttemptIsWithdrawnFromDrainingBackend(t *testing.T) {
 	dials, goesOn := make(chan struct{}, 9), make(chan struct{})
 	reached := make(chan struct{}, 9)
 	events := make(chan gate.Event, 99)
-	g := rigged(t, func(nc net.Conn) {
+	g := newTestDoor(t, func(nc net.Conn) {
 		defer nc.Close()
 		if n, _ := nc.Read(make([]byte, 1)); n > 0 {
 			reached <- struct{}{}
 		}
-	}, sends(events))
+	}, sendOnce(events))
 	dial := systemDial(time.Second)
 	g.network.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		if addr != g.cfg.Discovery {
@@ -158,16 +158,16 @@
 		return dial(context.WithoutCancel(ctx), addr)
 	}
 	g.cfg.Settings.MaxWait = 3600e3 // its time does not run out meanwhile
-	g.serve(t)
-	g.ready(t)
-	_, err := io.WriteString(dialled(t, g.addr), strings.Replace(look, "1500m", "60000m", 1))
+	g.start(t)
+	g.waitReady(t)
+	_, err := io.WriteString(connect(t, g.addr), strings.Replace(lookRequest, "1500m", "60000m", 1))
 	require.NoError(t, err)
 	await(t, dials, "the dial")
 	told := make(chan struct{})
 	g.door.Withhold([]string{"s"}, func() { close(told) })
 	await(t, told, "the decisions")
-	assert.Equal(t, gate.Skipped, until[gate.AttemptEnded](t, events).Result)
+	assert.Equal(t, gate.Skipped, awaitEvent[gate.AttemptEnded](t, events).Result)
 	close(goesOn)
-	g.endNow()
+	g.shutDownNow()
 	assert.Empty(t, reached)
 }
--- a/frontdoor/maintenance_test.go
+++ b/frontdoor/maintenance_test.go
@@ -11,8 +11,8 @@
 	"github.com/swifthall/swifthall/internal/registry"
 )
 
-func TestAWithheldBackendDrainsWhateverTheListSays(t *testing.T) {
-	c, _ := owned(t)
+func TestWithheldBackendIsReportedAsDraining(t *testing.T) {
+	c, _ := newTestCore(t)
 	c.pending = nil
 	told := 0
 	withholdRequest{map[string]bool{"s": true}, func() { told++ }}.handle(c)
@@ -39,8 +39,8 @@
 	assert.Len(t, c.afterDecide, 3)
 }
 
-func TestADoorAsideIsNotReadyAndComesBack(t *testing.T) {
-	c, _ := owned(t)
+func TestOutOfServiceDoorIsNotReady(t *testing.T) {
+	c, _ := newTestCore(t)
 	discoveryAttempted{}.handle(c)
 	assert.True(t, c.ready.Load())
 	taken := []bool{}
@@ -61,8 +61,8 @@
 	assert.Equal(t, []bool{false, true, true, false}, taken)
 }
 
-func TestADoorCountsWhatBecameOfItsRequests(t *testing.T) {
-	c, _ := owned(t)
+func TestRequestCounts(t *testing.T) {
+	c, _ := newTestCore(t)
 	c.requests[0].firstByteAt, c.requests[0].contractTime = c.clock.now()-40, 100
 	c.answer(0, http.StatusOK, 0, nil, "")
 	c.answer(0, http.StatusOK, 0, nil, "")
@@ -75,7 +75,7 @@
 	assert.Equal(t, []uint64{2, 1, 1, 1}, []uint64{c.totals.Finished, c.totals.InTime, c.totals.Rejected, c.totals.Failed})
 }
 
-func TestADoorCountsAttemptsByBackend(t *testing.T) {
+func TestAttemptCounts(t *testing.T) {
 	var n Counts
 	for _, how := range []gate.Result{gate.Finished, gate.Errored, gate.TimedOut, gate.Full, gate.Skipped, gate.Cancelled} {
 		n.addAttempt(how, 30)
--- a/frontdoor/remaining_test.go
+++ b/frontdoor/remaining_test.go
@@ -18,37 +18,37 @@
 	"github.com/swifthall/swifthall/gate"
 )
 
-const toldTooMuch = 150 * time.Millisecond // that a backend may be told over what its client has left
+const maxRemainingExcess = 150 * time.Millisecond // that a backend may be told over what its client has left
 
-// told is what a backend was told of a request's time, and when.
-type told struct {
-	at   time.Time
-	left time.Duration
+// remainingReport is what a backend was remainingReport of a request's time, and when.
+type remainingReport struct {
+	receivedAt time.Time
+	remaining  time.Duration
 }
 
-// telling is a door with a backend that passes on what it is told.
-func telling(t *testing.T) (*rig, <-chan told) {
-	heard := make(chan told, 9)
-	return rigged(t, func(nc net.Conn) {
+// newReportingDoor is a door with a backend that passes on what it is told.
+func newReportingDoor(t *testing.T) (*testDoor, <-chan remainingReport) {
+	heard := make(chan remainingReport, 9)
+	return newTestDoor(t, func(nc net.Conn) {
 		defer nc.Close()
 		req, err := http.ReadRequest(bufio.NewReader(nc))
 		if err != nil {
 			return
 		}
 		ms, _ := strconv.Atoi(strings.TrimSuffix(req.Header.Get("X-Remaining"), "m"))
-		heard <- told{time.Now(), time.Duration(ms) * time.Millisecond}
+		heard <- remainingReport{time.Now(), time.Duration(ms) * time.Millisecond}
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
-	}, sends(make(chan gate.Event, 99))), heard
+	}, sendOnce(make(chan gate.Event, 99))), heard
 }
 
-func (g told) atMost(t *testing.T, sent time.Time) {
+func (g remainingReport) assertNotOverstated(t *testing.T, sent time.Time) {
 	t.Helper()
-	assert.LessOrEqual(t, g.left, 1500*time.Millisecond-g.at.Sub(sent)+toldTooMuch)
+	assert.LessOrEqual(t, g.remaining, 1500*time.Millisecond-g.receivedAt.Sub(sent)+maxRemainingExcess)
 }
 
-func TestABackendIsToldTheTimeThatIsLeftWhenItsConnectionIsUp(t *testing.T) {
+func TestRemainingTimeExcludesDialTime(t *testing.T) {
 	const dialTakes = 400 * time.Millisecond
-	g, heard := telling(t)
+	g, heard := newReportingDoor(t)
 	dial := systemDial(time.Second)
 	g.network.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		if addr != g.cfg.Discovery {
@@ -56,39 +56,39 @@
 		}
 		return dial(ctx, addr)
 	}
-	g.serve(t)
-	g.ready(t)
-	nc := dialled(t, g.addr)
+	g.start(t)
+	g.waitReady(t)
+	nc := connect(t, g.addr)
 	sent := time.Now()
-	status, _ := say(t, nc, look)
+	status, _ := roundTrip(t, nc, lookRequest)
 	require.Equal(t, http.StatusOK, status)
-	await(t, heard, "the request").atMost(t, sent)
+	await(t, heard, "the request").assertNotOverstated(t, sent)
 }
 
-// short is a listener for which the system is short of files until a time.
-type short struct {
+// exhaustedListener is a listener for which the system is exhaustedListener of files until a time.
+type exhaustedListener struct {
 	*net.TCPListener
-	until time.Time
+	exhaustedUntil time.Time
 }
 
-func (s *short) Accept() (net.Conn, error) {
-	if time.Now().Before(s.until) {
+func (s *exhaustedListener) Accept() (net.Conn, error) {
+	if time.Now().Before(s.exhaustedUntil) {
 		return nil, syscall.ENFILE
 	}
 	return s.TCPListener.Accept()
 }
 
-func TestABackendIsToldWhatIsLeftOfARequestThatWaitedToBeAccepted(t *testing.T) {
-	g, heard := telling(t)
+func TestRemainingTimeExcludesListenerQueueTime(t *testing.T) {
+	g, heard := newReportingDoor(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	g.network.Listen = func(context.Context, string) (net.Listener, error) {
-		return &short{ln.(*net.TCPListener), time.Now().Add(500 * time.Millisecond)}, nil
+		return &exhaustedListener{ln.(*net.TCPListener), time.Now().Add(500 * time.Millisecond)}, nil
 	}
-	g.serve(t)
-	nc := dialled(t, ln.Addr().String())
+	g.start(t)
+	nc := connect(t, ln.Addr().String())
 	sent := time.Now()
-	status, _ := say(t, nc, look)
+	status, _ := roundTrip(t, nc, lookRequest)
 	require.Equal(t, http.StatusOK, status)
-	await(t, heard, "the request").atMost(t, sent)
+	await(t, heard, "the request").assertNotOverstated(t, sent)
 }
--- a/frontdoor/serve_test.go
+++ b/frontdoor/serve_test.go
@@ -22,8 +22,8 @@
 	"github.com/swifthall/swifthall/policy"
 )
 
-// backendOf answers requests with their body, or "hi", once it may.
-func backendOf(may <-chan struct{}) func(net.Conn) {
+// echoBackend answers requests with their body, or "hi", once it may.
+func echoBackend(may <-chan struct{}) func(net.Conn) {
 	return func(nc net.Conn) {
 		defer nc.Close()
 		for r := bufio.NewReader(nc); ; {
@@ -38,8 +38,8 @@
 	}
 }
 
-// registryOf tells of one backend on every watch and passes on what it was asked.
-func registryOf(backend string, asked chan<- string, then func(net.Conn)) func(net.Conn) {
+// discoveryServer tells of one backend on every watch and passes on what it was asked.
+func discoveryServer(backend string, asked chan<- string, then func(net.Conn)) func(net.Conn) {
 	return func(nc net.Conn) {
 		req, err := http.ReadRequest(bufio.NewReader(nc))
 		if err != nil {
@@ -52,10 +52,10 @@
 	}
 }
 
-func keep(net.Conn) {}
+func keepOpen(net.Conn) {}
 
-// sends has every request sent to the first backend, once, and passes on what it hears.
-func sends(heard chan<- gate.Event) scripted {
+// sendOnce has every request sent to the first backend, once, and passes on what it hears.
+func sendOnce(heard chan<- gate.Event) deciderFunc {
 	return func(_ float64, events []gate.Event) (out []gate.Action) {
 		for _, e := range events {
 			switch e := e.(type) {
@@ -75,19 +75,19 @@
 	}
 }
 
-// serving starts a door and waits until it is ready.
-func serving(t *testing.T, may <-chan struct{}, d gate.Decider) (addr string, stop func(), ended <-chan error) {
+// startDoor starts a door and waits until it is ready.
+func startDoor(t *testing.T, may <-chan struct{}, d gate.Decider) (addr string, stop func(), ended <-chan error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return servingBy(t, settled(), may, d, log)
+	return startDoorWith(t, testConfig(), may, d, log)
 }
 
-func servingBy(t *testing.T, cfg config.Door, may <-chan struct{}, d gate.Decider,
+func startDoorWith(t *testing.T, cfg config.Door, may <-chan struct{}, d gate.Decider,
 	log *logrus.Logger) (addr string, stop func(), ended <-chan error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0") // the door's own from here on: nobody else can have its port meanwhile
 	require.NoError(t, err)
 	cfg.Listen, cfg.Sockets = ln.Addr().String(), 1000 // short of sockets only where a test means it
-	cfg.Discovery = loopbacktest.Serve(t, registryOf(loopbacktest.Serve(t, backendOf(may)), make(chan string, 9), keep))
+	cfg.Discovery = loopbacktest.Serve(t, discoveryServer(loopbacktest.Serve(t, echoBackend(may)), make(chan string, 9), keepOpen))
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	end := make(chan error, 1)
@@ -96,7 +96,7 @@
 	go func() { end <- door.Serve(ctx) }()
 	for range 500 {
 		if nc, err := net.Dial("tcp", cfg.Listen); err == nil {
-			status, _ := say(t, nc, "GET /health/ready HTTP/1.1\r\nHost: d\r\nConnection: close\r\n\r\n")
+			status, _ := roundTrip(t, nc, "GET /health/ready HTTP/1.1\r\nHost: d\r\nConnection: close\r\n\r\n")
 			if nc.Close(); status == http.StatusOK {
 				return cfg.Listen, cancel, end
 			}
@@ -107,57 +107,57 @@
 	return
 }
 
-func dialled(t *testing.T, addr string) net.Conn {
+func connect(t *testing.T, addr string) net.Conn {
 	nc, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	t.Cleanup(func() { nc.Close() })
 	return nc
 }
 
-// say sends a text and reads one answer.
-func say(t *testing.T, nc net.Conn, text string) (status int, body string) {
+// roundTrip sends a text and reads one answer.
+func roundTrip(t *testing.T, nc net.Conn, text string) (status int, body string) {
 	_, err := io.WriteString(nc, text)
 	require.NoError(t, err)
-	a := heard(t, nc)
+	a := readResponse(t, nc)
 	return a.Status, string(a.Body)
 }
 
-const look = "GET /look?key=0000000000000001 HTTP/1.1\r\nHost: d\r\nX-Txn: a1\r\nX-Tariff: team\r\nX-Remaining: 1500m\r\n" +
+const lookRequest = "GET /look?key=0000000000000001 HTTP/1.1\r\nHost: d\r\nX-Txn: a1\r\nX-Tariff: team\r\nX-Remaining: 1500m\r\n" +
 	"X-Weight: units=1,spread=1,first=0\r\n\r\n"
 
-func open() chan struct{} {
+func closedChan() chan struct{} {
 	may := make(chan struct{})
 	close(may)
 	return may
 }
 
-func TestRequestsGoThroughOneAfterTheOther(t *testing.T) {
-	addr, _, _ := serving(t, open(), sends(nil))
-	nc := dialled(t, addr)
-	_, err := io.WriteString(nc, look+strings.Replace(look, "a1", "a2", 1)) // pipelined
+func TestRequestsOnOneConnection(t *testing.T) {
+	addr, _, _ := startDoor(t, closedChan(), sendOnce(nil))
+	nc := connect(t, addr)
+	_, err := io.WriteString(nc, lookRequest+strings.Replace(lookRequest, "a1", "a2", 1)) // pipelined
 	require.NoError(t, err)
-	both := heardEach(t, nc, 2)
+	both := readResponses(t, nc, 2)
 	assert.Equal(t, "200 hi", fmt.Sprint(both[0].Status, " ", string(both[0].Body)))
 	assert.Equal(t, "hi", string(both[1].Body))
 	big := strings.Repeat("x", 65535)
-	status, body := say(t, nc, strings.Replace(strings.Replace(look, "GET /look", "POST /book", 1), "\r\n\r\n",
+	status, body := roundTrip(t, nc, strings.Replace(strings.Replace(lookRequest, "GET /look", "POST /book", 1), "\r\n\r\n",
 		fmt.Sprintf("\r\nIdempotency-Key: m\r\nContent-Length: %d\r\n\r\n", len(big)), 1)+big)
 	assert.Equal(t, http.StatusBadGateway, status, "an answer over the most that a body may hold is none")
 	assert.Empty(t, body)
-	status, _ = say(t, nc, strings.Replace(look, "/look", "/odd", 1))
+	status, _ = roundTrip(t, nc, strings.Replace(lookRequest, "/look", "/odd", 1))
 	assert.Equal(t, http.StatusNotFound, status)
-	status, body = say(t, nc, look)
+	status, body = roundTrip(t, nc, lookRequest)
 	assert.Equal(t, "200 hi", fmt.Sprint(status, " ", body), "the connection goes on")
-	status, _ = say(t, nc, "nonsense\r\n\r\n")
+	status, _ = roundTrip(t, nc, "nonsense\r\n\r\n")
 	assert.Equal(t, http.StatusBadRequest, status)
 	_, err = nc.Read(make([]byte, 1))
 	assert.Error(t, err, "and ends after noise")
 }
 
-func TestNothingIsGatheredAheadOfAnAnswer(t *testing.T) {
-	c, _ := owned(t)
-	cl := newClient(c, dialled(t, loopbacktest.Serve(t, keep)))
-	r := bringing("GET /health/live HTTP/1.1\r\n")
+func TestNothingIsParsedBeforePendingAnswer(t *testing.T) {
+	c, _ := newTestCore(t)
+	cl := newClient(c, connect(t, loopbacktest.Serve(t, keepOpen)))
+	r := bufferedState("GET /health/live HTTP/1.1\r\n")
 	r.answerPending = true
 	assert.True(t, cl.step(r))
 	assert.True(t, cl.holdsInput.Load(), "whoever answers is to wake the reader")
@@ -167,16 +167,16 @@
 	assert.True(t, r.parser.Begun())
 }
 
-func TestASlowRequestIsGivenUp(t *testing.T) {
-	addr, _, _ := serving(t, open(), sends(nil))
-	status, _ := say(t, dialled(t, addr), look[:20])
+func TestSlowRequestTimesOut(t *testing.T) {
+	addr, _, _ := startDoor(t, closedChan(), sendOnce(nil))
+	status, _ := roundTrip(t, connect(t, addr), lookRequest[:20])
 	assert.Equal(t, http.StatusRequestTimeout, status)
 }
 
-func TestAnIdleConnectionThatIsClosedIsReadOnceMore(t *testing.T) {
-	c, _ := owned(t)
+func TestIdleCloseServesArrivedRequest(t *testing.T) {
+	c, _ := newTestCore(t)
 	come := make(chan struct{})
-	nc := dialled(t, loopbacktest.Serve(t, func(nc net.Conn) {
+	nc := connect(t, loopbacktest.Serve(t, func(nc net.Conn) {
 		<-come
 		cl := newClient(c, nc)
 		cl.requestClose(closedIdle)
@@ -185,14 +185,14 @@
 	_, err := io.WriteString(nc, "GET /health/live HTTP/1.1\r\nHost: d\r\n\r\n")
 	require.NoError(t, err)
 	close(come)
-	assert.Equal(t, 200, heard(t, nc).Status)
+	assert.Equal(t, 200, readResponse(t, nc).Status)
 }
 
-func TestAClientThatLeavesVanishes(t *testing.T) {
+func TestClientCloseReportsClientGone(t *testing.T) {
 	events := make(chan gate.Event, 99)
-	addr, _, _ := serving(t, make(chan struct{}), sends(events))
-	nc := dialled(t, addr)
-	_, err := io.WriteString(nc, look)
+	addr, _, _ := startDoor(t, make(chan struct{}), sendOnce(events))
+	nc := connect(t, addr)
+	_, err := io.WriteString(nc, lookRequest)
 	require.NoError(t, err)
 	for _, isRequest := (<-events).(gate.Request); !isRequest; _, isRequest = (<-events).(gate.Request) {
 	}
@@ -200,22 +200,22 @@
 	assert.Equal(t, gate.ClientGone{Op: 0}, <-events)
 }
 
-func TestADoorThatLeavesAnswersWhatItHasAndWhatStillComes(t *testing.T) {
+func TestShutdownAnswersOpenAndLateRequests(t *testing.T) {
 	may, events := make(chan struct{}), make(chan gate.Event, 99)
-	addr, stop, ended := serving(t, may, sends(events))
-	idle, held, fresh := dialled(t, addr), dialled(t, addr), dialled(t, addr)
-	say(t, idle, "GET /health/live HTTP/1.1\r\nHost: d\r\n\r\n")
-	_, err := io.WriteString(held, look)
+	addr, stop, ended := startDoor(t, may, sendOnce(events))
+	idle, held, fresh := connect(t, addr), connect(t, addr), connect(t, addr)
+	roundTrip(t, idle, "GET /health/live HTTP/1.1\r\nHost: d\r\n\r\n")
+	_, err := io.WriteString(held, lookRequest)
 	require.NoError(t, err)
 	for _, isRequest := (<-events).(gate.Request); !isRequest; _, isRequest = (<-events).(gate.Request) {
 	}
 	stop()
-	late := dialled(t, addr)
-	_, err = io.WriteString(late, strings.Replace(look, "a1", "a2", 1))
+	late := connect(t, addr)
+	_, err = io.WriteString(late, strings.Replace(lookRequest, "a1", "a2", 1))
 	require.NoError(t, err)
 	close(may)
 	for name, nc := range map[string]net.Conn{"held": held, "late": late} {
-		a := heard(t, nc)
+		a := readResponse(t, nc)
 		assert.Equal(t, 200, a.Status, name)
 		assert.True(t, a.Close, name)
 	}
@@ -227,27 +227,27 @@
 	assert.NoError(t, <-ended)
 }
 
-func TestABrokenWatchGoesOnFromItsVersion(t *testing.T) {
-	c, _ := owned(t)
+func TestBrokenWatchResumesFromItsVersion(t *testing.T) {
+	c, _ := newTestCore(t)
 	asks := make(chan string, 9)
-	c.cfg.Discovery = loopbacktest.Serve(t, registryOf("127.0.0.1:1", asks, func(nc net.Conn) { nc.Close() }))
+	c.cfg.Discovery = loopbacktest.Serve(t, discoveryServer("127.0.0.1:1", asks, func(nc net.Conn) { nc.Close() }))
 	go c.runWatch(t.Context(), c.cfg.Discovery, 0, 0)
 	assert.Equal(t, "/registry/instances?stream=1", <-asks)
 	assert.Equal(t, "/registry/instances?stream=1&index=41", <-asks)
 }
 
-func TestASilentWatchIsDialledAgain(t *testing.T) {
-	c, _ := owned(t)
+func TestSilentWatchIsRedialled(t *testing.T) {
+	c, _ := newTestCore(t)
 	c.cfg.Pace.Silence = 20
 	asks := make(chan string, 9)
-	c.cfg.Discovery = loopbacktest.Serve(t, registryOf("127.0.0.1:1", asks, keep))
+	c.cfg.Discovery = loopbacktest.Serve(t, discoveryServer("127.0.0.1:1", asks, keepOpen))
 	go c.runWatch(t.Context(), c.cfg.Discovery, 0, 0)
 	<-asks
 	assert.Equal(t, "/registry/instances?stream=1&index=41", <-asks)
 }
 
-func TestTheCounterIsCalledInOrderAndDialledAgain(t *testing.T) {
-	c, _ := owned(t)
+func TestCounterIsRedialledAfterConnectionEnds(t *testing.T) {
+	c, _ := newTestCore(t)
 	c.cfg.Counter = loopbacktest.Serve(t, func(nc net.Conn) {
 		defer nc.Close() // after one reply
 		nc.Read(make([]byte, 4096))
@@ -269,8 +269,8 @@
 
 // A door that watches the settings of another shape answers by its own, and its account tells how many would have had
 // another answer.
-func TestADoorWatchingAnotherShapeDecidesAsBeforeAndCounts(t *testing.T) {
-	cfg := settled()
+func TestComparedSettingsAreCountedButNotApplied(t *testing.T) {
+	cfg := testConfig()
 	terms := &cfg.Settings.Terms
 	terms.MaxAttempts = 1
 	terms.Classes = []gate.Class{{Contract: 1000}, {Contract: 1000, Semantics: gate.Keyed}}
@@ -280,11 +280,11 @@
 	decider := policy.New(*terms, 1)
 	decider.CompareWith(&other)
 	log, hook := test.NewNullLogger()
-	addr, _, _ := servingBy(t, cfg, open(), decider, log)
-	nc := dialled(t, addr)
+	addr, _, _ := startDoorWith(t, cfg, closedChan(), decider, log)
+	nc := connect(t, addr)
 	var statuses []int
 	for i := range 5 {
-		status, _ := say(t, nc, strings.Replace(look, "a1", fmt.Sprint("w", i), 1))
+		status, _ := roundTrip(t, nc, strings.Replace(lookRequest, "a1", fmt.Sprint("w", i), 1))
 		statuses = append(statuses, status)
 	}
 	assert.Equal(t, []int{200, 200, 200, 429, 429}, statuses, "by its own settings")
--- a/frontdoor/tally_test.go
+++ b/frontdoor/tally_test.go
@@ -11,7 +11,7 @@
 	"github.com/swifthall/swifthall/gate"
 )
 
-func TestTallyWritesItsAccountWhenDueAndBeginsAnew(t *testing.T) {
+func TestTallyWritesSummaryWhenDueAndResets(t *testing.T) {
 	log, hook := test.NewNullLogger()
 	tl := tally{nextAt: 5e3, arrived: 7, sent: 5}
 	tl.rejected[gate.OverQuotaShare] = 2
--- a/frontdoor/trace_test.go
+++ b/frontdoor/trace_test.go
@@ -12,14 +12,14 @@
 	"github.com/swifthall/swifthall/internal/fields"
 )
 
-func TestTheLogTellsWhatBecameOfARequestAndWhyItsConnectionEnded(t *testing.T) {
+func TestDebugLogAndCloseReasons(t *testing.T) {
 	for level, told := range map[logrus.Level]bool{logrus.DebugLevel: true, logrus.InfoLevel: false} {
 		var out bytes.Buffer
 		log := logrus.New()
 		log.SetOutput(&out)
 		log.SetLevel(level)
-		addr, stop, ended := servingBy(t, settled(), open(), sends(make(chan gate.Event, 99)), log)
-		status, _ := say(t, dialled(t, addr), look)
+		addr, stop, ended := startDoorWith(t, testConfig(), closedChan(), sendOnce(make(chan gate.Event, 99)), log)
+		status, _ := roundTrip(t, connect(t, addr), lookRequest)
 		require.Equal(t, 200, status)
 		stop()
 		require.NoError(t, await(t, ended, "the end"))
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestEveryReasonAndEndHasItsName(t *testing.T) {
+func TestReasonAndOutcomeNames(t *testing.T) {
 	for w := range closeReasons {
 		assert.NotEmpty(t, w.String())
 	}
