--- a/frontdoor/core_test.go
+++ b/frontdoor/core_test.go
@@ -24,12 +24,12 @@
 	"github.com/swifthall/swifthall/internal/sockio"
 )
 
-// deciderFunc answers every batch with what its function says.
+// deciderFunc is a gate.Decider that calls a function for every batch of events.
 type deciderFunc func(now float64, events []gate.Event) []gate.Action
 
-func (s deciderFunc) Decide(now float64, events []gate.Event) []gate.Action { return s(now, events) }
+func (d deciderFunc) Decide(now float64, events []gate.Event) []gate.Action { return d(now, events) }
 
-// testConfig is a configuration with one idempotent and one keyed class and one plan.
+// testConfig returns a configuration with one idempotent class, one keyed class and one plan.
 func testConfig() config.Door {
 	return config.Door{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Sockets: 100,
 		Settings: config.Settings{Terms: gate.Terms{Doors: 3, Classes: []gate.Class{{}, {Semantics: gate.Keyed}},
@@ -38,7 +38,8 @@
 		Pace: config.Pace{SlowInput: 2000, IdleClient: 2000, IdleBackend: 5000, Silence: 3000, FirstByte: 1000, CounterStall: 800, Redial: 20, Linger: 500}}
 }
 
-// newTestCore is a core that no goroutine runs, with one backend and one open request from a connected client.
+// newTestCore returns a core without a running event loop, with one backend and one open request, and the client's end of the
+// request's connection.
 func newTestCore(t *testing.T) (c *core, client net.Conn) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -54,41 +55,42 @@
 	return c, far
 }
 
-// sendOverPipe sends the open request over an idle connection to the backend, whose end is returned.
+// sendOverPipe gives the backend an idle connection and sends the open request over it. It returns the attempt and the backend's
+// end of the connection.
 func sendOverPipe(t *testing.T, c *core) (*attempt, net.Conn) {
 	far, near := net.Pipe()
 	t.Cleanup(func() { far.Close(); near.Close() })
-	l := &backendConn{c: c, addr: "127.0.0.1:1", nc: near, cancel: func() {}}
-	c.backendConns[l] = struct{}{}
-	c.backends[0].idle = append(c.backends[0].idle, l)
+	conn := &backendConn{c: c, addr: "127.0.0.1:1", nc: near, cancel: func() {}}
+	c.backendConns[conn] = struct{}{}
+	c.backends[0].idle = append(c.backends[0].idle, conn)
 	c.send(gate.Send{})
 	return c.requests[0].attempts[0], far
 }
 
-// receiveAttempt takes all of an attempt at the backend's end.
-func receiveAttempt(t *testing.T, f *attempt, far net.Conn) {
+// receiveAttempt reads a whole attempt at the backend's end of the connection and waits until its writer has finished.
+func receiveAttempt(t *testing.T, att *attempt, far net.Conn) {
 	for got := []byte{}; !bytes.HasSuffix(got, []byte("\r\n\r\n")); {
 		buf := make([]byte, 4096)
 		n, err := far.Read(buf)
 		require.NoError(t, err)
 		got = append(got, buf[:n]...)
 	}
-	for f.conn.writeInProgress.Load() {
+	for att.conn.writeInProgress.Load() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// bufferedState is a reader that holds bytes.
+// bufferedState returns the state of a reader that has received text and not parsed it yet.
 func bufferedState(text string) *readState {
 	r := &readState{buf: make([]byte, pool.Size)}
 	r.buffered = r.buf[:copy(r.buf, text)]
 	return r
 }
 
-// readResponse reads one answer.
+// readResponse reads one answer from a connection.
 func readResponse(t *testing.T, nc net.Conn) http1.Response { return readResponses(t, nc, 1)[0] }
 
-// readResponses reads n answers, which may come in one read: what one read brings beyond an answer is the next's.
+// readResponses reads n answers. Several may arrive in one read: bytes after one answer belong to the next.
 func readResponses(t *testing.T, nc net.Conn, n int) []http1.Response {
 	var in http1.ResponseReader
 	var got []http1.Response
@@ -96,9 +98,9 @@
 	nc.SetReadDeadline(time.Now().Add(10 * time.Second))
 	for len(got) < n {
 		if len(rest) == 0 {
-			k, err := nc.Read(buf)
+			size, err := nc.Read(buf)
 			require.NoError(t, err)
-			rest = buf[:k]
+			rest = buf[:size]
 		}
 		used, whole, err := in.Feed(rest)
 		require.NoError(t, err)
@@ -148,12 +150,12 @@
 	good := http1.Request{Method: "POST", Class: "book", IdempotencyKey: "m", Plan: "team", Units: 2, Spread: 3, First: 2, TTL: 1e12}
 	ev, err := c.gateRequest(&good)
 	require.NoError(t, err)
-	assert.Equal(t, gate.Request{Class: 1, TTL: 2000, Units: 2, Spread: 3, FirstDoor: 2}, ev, "no client waits longer")
+	assert.Equal(t, gate.Request{Class: 1, TTL: 2000, Units: 2, Spread: 3, FirstDoor: 2}, ev, "the time to live is limited to MaxWait")
 	for name, change := range map[string]func(*http1.Request){
-		"profile": func(o *http1.Request) { o.Class = "odd" }, "plan": func(o *http1.Request) { o.Plan = "odd" },
-		"method": func(o *http1.Request) { o.Method = "GET" },
-		"mark":   func(o *http1.Request) { o.IdempotencyKey = "" }, "first": func(o *http1.Request) { o.First = 3 },
-		"spread": func(o *http1.Request) { o.Spread = 4 }, "units": func(o *http1.Request) { o.Units = 9 },
+		"class": func(msg *http1.Request) { msg.Class = "unknown" }, "plan": func(msg *http1.Request) { msg.Plan = "unknown" },
+		"method":          func(msg *http1.Request) { msg.Method = "GET" },
+		"idempotency key": func(msg *http1.Request) { msg.IdempotencyKey = "" }, "first door": func(msg *http1.Request) { msg.First = 3 },
+		"spread": func(msg *http1.Request) { msg.Spread = 4 }, "units": func(msg *http1.Request) { msg.Units = 9 },
 	} {
 		bad := good
 		change(&bad)
@@ -173,13 +175,13 @@
 
 func TestAnswerIsRelayedOnceAndFreesSlot(t *testing.T) {
 	c, client := newTestCore(t)
-	f, far := sendOverPipe(t, c)
-	receiveAttempt(t, f, far)
-	answerArrived{f.conn, http1.Response{Status: 200, Use: 0.5, Body: []byte("hi")}, f.startedAt + 30}.handle(c)
+	att, far := sendOverPipe(t, c)
+	receiveAttempt(t, att, far)
+	answerArrived{att.conn, http1.Response{Status: 200, Use: 0.5, Body: []byte("hi")}, att.startedAt + 30}.handle(c)
 	assert.Equal(t, gate.AttemptEnded{Result: gate.Finished, Latency: 30, Answered: true, MeteredUse: 0.5, Queue: -1}, c.pending[0])
-	c.answer(0, http.StatusBadGateway, 0, nil, "") // a second answer
+	c.answer(0, http.StatusBadGateway, 0, nil, "") // a second answer, which is dropped
 	assert.Equal(t, http1.Response{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}, readResponse(t, client))
-	assert.Len(t, c.backends[0].idle, 1, "the connection is used again")
+	assert.Len(t, c.backends[0].idle, 1, "the connection can be reused")
 	c.decide()
 	assert.Equal(t, []int{0}, c.freeSlots)
 	client.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
@@ -189,58 +191,58 @@
 
 func TestErrorAnswerIsNotRelayed(t *testing.T) {
 	c, _ := newTestCore(t)
-	f, _ := sendOverPipe(t, c)
-	answerArrived{f.conn, http1.Response{Status: 500, Use: -1, Body: []byte("secret")}, f.startedAt}.handle(c)
-	assert.False(t, c.requests[0].done, "the decisions say what becomes of it")
+	att, _ := sendOverPipe(t, c)
+	answerArrived{att.conn, http1.Response{Status: 500, Use: -1, Body: []byte("secret")}, att.startedAt}.handle(c)
+	assert.False(t, c.requests[0].done, "the decider decides what happens next")
 	assert.Equal(t, gate.Errored, c.pending[0].(gate.AttemptEnded).Result)
 }
 
 func TestAbandonedAttemptIsNotWritten(t *testing.T) {
 	c, _ := newTestCore(t)
-	f, far := sendOverPipe(t, c)
-	other := &attempt{op: 0, conn: f.conn}
+	att, far := sendOverPipe(t, c)
+	other := &attempt{op: 0, conn: att.conn}
 	c.requests[0].attempts = append(c.requests[0].attempts, other)
 	c.requests[0].outstanding++
 	c.abandon(other, outcomeAbandonedUnsent, outcomeAbandoned)
 	assert.Equal(t, gate.Skipped, c.pending[0].(gate.AttemptEnded).Result)
-	go f.conn.writeAttempt(other, []byte("late"))
+	go att.conn.writeAttempt(other, []byte("late"))
 	got, _ := io.ReadAll(far)
 	assert.NotContains(t, string(got), "late")
 }
 
 func TestAttemptAbandonedDuringWriteMayHaveRun(t *testing.T) {
 	c, _ := newTestCore(t)
-	f, far := sendOverPipe(t, c)
-	_, err := far.Read(make([]byte, 1)) // the writer has begun
+	att, far := sendOverPipe(t, c)
+	_, err := far.Read(make([]byte, 1)) // the writer has started
 	require.NoError(t, err)
-	c.abandon(f, outcomeAbandonedUnsent, outcomeAbandoned)
+	c.abandon(att, outcomeAbandonedUnsent, outcomeAbandoned)
 	assert.Equal(t, gate.Cancelled, c.pending[0].(gate.AttemptEnded).Result)
-	assert.Empty(t, c.backendConns, "its connection is closed")
+	assert.Empty(t, c.backendConns, "the connection is closed")
 	_, err = io.ReadAll(far)
 	assert.NoError(t, err)
-	c.abandon(f, outcomeAbandonedUnsent, outcomeAbandoned)
-	assert.Len(t, c.pending, 1, "one end each")
+	c.abandon(att, outcomeAbandonedUnsent, outcomeAbandoned)
+	assert.Len(t, c.pending, 1, "an attempt ends once")
 }
 
 func TestPartlyWrittenAttemptNeverRan(t *testing.T) {
 	c, _ := newTestCore(t)
-	f, far := sendOverPipe(t, c)
+	att, far := sendOverPipe(t, c)
 	_, err := far.Read(make([]byte, 9))
 	require.NoError(t, err)
 	far.Close()
-	for f.stage.Load() != stageBroken { // the writer finds out
+	for att.stage.Load() != stageBroken { // until the writer notices the broken connection
 		time.Sleep(time.Millisecond)
 	}
-	connClosed{f.conn, outcomeBroken}.handle(c)
+	connClosed{att.conn, outcomeBroken}.handle(c)
 	assert.Equal(t, gate.Unreachable, c.pending[0].(gate.AttemptEnded).Result)
 }
 
 func TestAnswerBeforeAttemptIsWrittenClosesConnection(t *testing.T) {
 	c, _ := newTestCore(t)
-	f, far := sendOverPipe(t, c)
-	_, err := far.Read(make([]byte, 1)) // the rest is stuck
+	att, far := sendOverPipe(t, c)
+	_, err := far.Read(make([]byte, 1)) // the rest is not read, so the write does not complete
 	require.NoError(t, err)
-	answerArrived{f.conn, http1.Response{Status: 503, TurnedAway: true}, c.now}.handle(c)
+	answerArrived{att.conn, http1.Response{Status: 503, TurnedAway: true}, c.now}.handle(c)
 	assert.Empty(t, c.backends[0].idle)
 }
 
@@ -253,9 +255,9 @@
 
 func TestConnectionToOldProcessIsNotReused(t *testing.T) {
 	c, _ := newTestCore(t)
-	f, far := sendOverPipe(t, c)
-	receiveAttempt(t, f, far)
-	answerArrived{f.conn, http1.Response{Status: 500}, c.now}.handle(c)
+	att, far := sendOverPipe(t, c)
+	receiveAttempt(t, att, far)
+	answerArrived{att.conn, http1.Response{Status: 500}, c.now}.handle(c)
 	require.Len(t, c.backends[0].idle, 1)
 	fleetUpdate{list: registry.List{Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready", Started: 5}}}}.handle(c)
 	assert.Empty(t, c.backends[0].idle)
@@ -264,9 +266,9 @@
 
 func TestIdleBackendConnectionIsClosed(t *testing.T) {
 	c, _ := newTestCore(t)
-	f, far := sendOverPipe(t, c)
-	receiveAttempt(t, f, far)
-	answerArrived{f.conn, http1.Response{Status: 500}, c.now}.handle(c)
+	att, far := sendOverPipe(t, c)
+	receiveAttempt(t, att, far)
+	answerArrived{att.conn, http1.Response{Status: 500}, c.now}.handle(c)
 	c.now += c.cfg.Pace.IdleBackend + 1
 	c.sweep()
 	assert.Empty(t, c.backendConns)
@@ -283,9 +285,9 @@
 
 func TestEvictIdleClosesIdleConnection(t *testing.T) {
 	c, _ := newTestCore(t)
-	f, far := sendOverPipe(t, c)
-	receiveAttempt(t, f, far)
-	answerArrived{f.conn, http1.Response{Status: 500}, c.now}.handle(c)
+	att, far := sendOverPipe(t, c)
+	receiveAttempt(t, att, far)
+	answerArrived{att.conn, http1.Response{Status: 500}, c.now}.handle(c)
 	for c.budget.acquire(0) {
 	}
 	assert.True(t, c.evictIdle())
@@ -301,16 +303,16 @@
 	old.idleSince -= c.cfg.Pace.Linger + 1
 	clientOpened{fresh}.handle(c)
 	socketNeeded{}.handle(c)
-	assert.False(t, fresh.closeRequested.Load(), "an operation may be on its way")
+	assert.False(t, fresh.closeRequested.Load(), "a request may be on its way")
 	clientOpened{old}.handle(c)
 	socketNeeded{}.handle(c)
 	assert.True(t, old.closeRequested.Load())
 	assert.False(t, fresh.closeRequested.Load())
-	assert.False(t, c.requests[0].client.closeRequested.Load(), "one that is owed an answer stays")
+	assert.False(t, c.requests[0].client.closeRequested.Load(), "a client with a pending answer stays")
 }
 
-// A client that sends its next request before the answer that closes its connection gets no answer for it: run,
-// it would have its effect unanswered, and a repeat of the client's would have it twice.
+// A request that a client sends before it receives the answer that closes its connection must not run: it could not be answered,
+// and the client's repeat would run it twice.
 func TestNoRequestIsAcceptedAfterLastAnswer(t *testing.T) {
 	c, _ := newTestCore(t)
 	cl := newClient(c, connect(t, loopbacktest.Serve(t, keepOpen)))
@@ -318,7 +320,7 @@
 	r := bufferedState(lookRequest)
 	r.answerPending = true
 	assert.False(t, cl.step(r))
-	assert.Empty(t, c.events, "nothing is passed on")
+	assert.Empty(t, c.events, "nothing is passed to the event loop")
 }
 
 func TestConnectionClosesAfterAnswerWhenSocketsAreShort(t *testing.T) {
@@ -329,16 +331,16 @@
 	assert.True(t, readResponse(t, client).Close)
 }
 
-// Clients hold so many connections at most. Where each asks once and stays, all were taken within two seconds, and the
-// next requests had none until idle ones were closed.
+// The number of persistent client connections is limited. Without the limit, clients that each sent one request and kept their
+// connection took all sockets within two seconds, and the next requests got none until idle connections were closed.
 func TestConnectionClosesAfterAnswerWithManyActiveClients(t *testing.T) {
 	c, client := newTestCore(t)
 	c.activeClients = c.cfg.Sockets/persistentDivisor + 1
 	c.answer(0, http.StatusOK, 0, []byte("hi"), "")
 	assert.True(t, readResponse(t, client).Close)
-	known := c.activeClients
+	active := c.activeClients
 	clientClosed{c.requests[0].client, closedByClient}.handle(c)
-	assert.Equal(t, known-1, c.activeClients)
+	assert.Equal(t, active-1, c.activeClients)
 }
 
 func TestClientGoneIsReportedOnce(t *testing.T) {
@@ -355,19 +357,19 @@
 
 func TestAttemptTimesOut(t *testing.T) {
 	c, _ := newTestCore(t)
-	f, far := sendOverPipe(t, c)
+	att, far := sendOverPipe(t, c)
 	_, err := far.Read(make([]byte, 1))
 	require.NoError(t, err)
 	c.now = c.requests[0].deadline
 	c.timeouts.expireDue(c)
-	assert.True(t, f.ended)
+	assert.True(t, att.ended)
 	assert.Equal(t, gate.TimedOut, c.pending[0].(gate.AttemptEnded).Result)
 	assert.False(t, c.pending[0].(gate.AttemptEnded).Answered)
 }
 
 func TestReadiness(t *testing.T) {
 	c, _ := newTestCore(t)
-	assert.False(t, c.ready.Load(), "discovery was not asked")
+	assert.False(t, c.ready.Load(), "discovery has not been asked")
 	discoveryAttempted{}.handle(c)
 	assert.True(t, c.ready.Load())
 	fleetUpdate{list: registry.List{Whole: true}}.handle(c)
@@ -382,11 +384,11 @@
 	conn := newCounterConn(c, "")
 	c.counterConns = []*counterConn{conn}
 	c.callCounter(gate.Count{Customer: 0, Epoch: 7, Add: 2, TTL: 4000})
-	k := conn.queue[0]
-	assert.Equal(t, "0/7", counterKey(k))
+	call := conn.queue[0]
+	assert.Equal(t, "0/7", counterKey(call))
 	c.now += c.cfg.Settings.CounterTimeout
 	c.timeouts.expireDue(c)
-	callEnded{k, outcomeOK, 5}.handle(c)
+	callEnded{call, outcomeOK, 5}.handle(c)
 	assert.Equal(t, []gate.Event{gate.Counted{Epoch: 7, Result: gate.TimedOut}}, c.pending)
 	assert.Zero(t, conn.outstanding)
 	c.callCounter(gate.Count{Customer: 0, Epoch: 8})
@@ -408,24 +410,24 @@
 	assert.Equal(t, calls, conn.awaitingReply)
 }
 
-// A connection that ends between current and takeQueued has ended the calls awaiting a reply on it. A call registered on it
-// afterwards would never end, and would take the first reply on the next connection.
+// A connection that ends between current and takeQueued has already ended the calls awaiting a reply on it. A call registered on
+// it afterwards would never end, and would be matched to the first reply on the next connection.
 func TestCounterCallIsNotRegisteredOnEndedConnection(t *testing.T) {
 	c, _ := newTestCore(t)
 	conn := newCounterConn(c, loopbacktest.Serve(t, func(nc net.Conn) { nc.Close() }))
 	nc, how := conn.connect(t.Context())
 	require.Equal(t, outcomeOK, how)
-	for conn.current() != nil { // its reader sees the end and is over
+	for conn.current() != nil { // until its reader has noticed the end and returned
 		runtime.Gosched()
 	}
-	k := &counterCall{conn: conn, startedAt: c.clock.now()}
-	conn.queue = []*counterCall{k}
+	call := &counterCall{conn: conn, startedAt: c.clock.now()}
+	conn.queue = []*counterCall{call}
 	calls, late, up := conn.takeQueued(nc)
 	assert.False(t, up)
-	assert.Equal(t, []*counterCall{k}, calls)
+	assert.Equal(t, []*counterCall{call}, calls)
 	assert.Empty(t, late)
-	assert.Empty(t, conn.awaitingReply, "nothing waits for a reply that can't come")
-	assert.True(t, how.asUnsent().result().NeverRan(), "and nothing was added")
+	assert.Empty(t, conn.awaitingReply, "no call waits for a reply that cannot come")
+	assert.True(t, how.asUnsent().result().NeverRan(), "the call never added its units")
 }
 
 func TestStalledCounterConnectionIsClosed(t *testing.T) {
@@ -433,13 +435,14 @@
 	far, near := net.Pipe()
 	conn := newCounterConn(c, "")
 	conn.nc = near
-	k := &counterCall{conn: conn, startedAt: c.now - c.cfg.Pace.CounterStall}
-	k.expire(c)
+	call := &counterCall{conn: conn, startedAt: c.now - c.cfg.Pace.CounterStall}
+	call.expire(c)
 	_, err := far.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// A hedge behind an answer must neither be taken for the next one nor cost the next request anything.
+// A second answer directly behind the first, such as one to a hedge, must not be taken for the answer to the next attempt, and
+// must not affect the next request.
 func TestExtraBytesAfterAnswerEndConnection(t *testing.T) {
 	c, _ := newTestCore(t)
 	far, near := net.Pipe()
@@ -448,16 +451,17 @@
 	go io.WriteString(far, answer+answer)
 	assert.Equal(t, outcomeMalformed, (&backendConn{c: c, nc: near, answerPending: true}).readAnswers())
 	n := (<-c.events).(answerArrived)
-	assert.Equal(t, "hi", string(n.answer.Body), "the answer stands")
+	assert.Equal(t, "hi", string(n.answer.Body), "the first answer is valid")
 	assert.True(t, n.answer.Close)
-	assert.Empty(t, c.events, "the copy is nobody's")
+	assert.Empty(t, c.events, "the second answer is discarded")
 }
 
-// Surplus that comes later, or the backend's close, is seen before the connection is used again.
+// Extra bytes that arrive on an idle connection, or the backend's close, are noticed before the connection is used again: the
+// attempt is launched on a new connection.
 func TestStaleConnectionIsReplaced(t *testing.T) {
-	for name, spoil := range map[string]func(net.Conn){
-		"surplus": func(nc net.Conn) { io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno") },
-		"closed":  func(nc net.Conn) { nc.Close() },
+	for name, breakConn := range map[string]func(net.Conn){
+		"extra bytes": func(nc net.Conn) { io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno") },
+		"closed":      func(nc net.Conn) { nc.Close() },
 	} {
 		c, _ := newTestCore(t)
 		far := make(chan net.Conn, 2)
@@ -465,15 +469,15 @@
 		near := connect(t, c.backends[0].addr)
 		raw, err := near.(syscall.Conn).SyscallConn()
 		require.NoError(t, err)
-		l := &backendConn{c: c, addr: c.backends[0].addr, nc: near, raw: raw, cancel: func() {}, hasAnswered: true}
-		c.backendConns[l], c.backends[0].idle = struct{}{}, []*backendConn{l}
-		spoil(<-far)
+		conn := &backendConn{c: c, addr: c.backends[0].addr, nc: near, raw: raw, cancel: func() {}, hasAnswered: true}
+		c.backendConns[conn], c.backends[0].idle = struct{}{}, []*backendConn{conn}
+		breakConn(<-far)
 		for sockio.IsIdle(raw) {
 			time.Sleep(time.Millisecond)
 		}
 		c.send(gate.Send{})
-		connClosed{l, l.readAnswers()}.handle(c)
-		assert.Empty(t, c.pending, name+": the decisions hear nothing of it")
+		connClosed{conn, conn.readAnswers()}.handle(c)
+		assert.Empty(t, c.pending, name+": not reported to the decider")
 		fresh := <-far
 		req := make([]byte, 4096)
 		n, err := fresh.Read(req)
@@ -484,49 +488,49 @@
 	}
 }
 
-// What was read before a request was let out is no part of its answer, however late the reader looks at it.
+// Bytes read before an attempt was started are no part of its answer, even if the reader handles them only afterwards.
 func TestBytesReadBeforeAttemptAreNotItsAnswer(t *testing.T) {
 	far, near := net.Pipe()
-	l := &backendConn{nc: near}
+	conn := &backendConn{nc: near}
 	go io.WriteString(far, "x")
-	_, owed, err := l.receive(make([]byte, 9))
+	_, answerPending, err := conn.receive(make([]byte, 9))
 	require.NoError(t, err)
-	assert.False(t, owed)
-	assert.False(t, l.begin(&attempt{}), "what the reader has taken is seen no more")
-	l = &backendConn{nc: near}
-	assert.True(t, l.begin(&attempt{}))
+	assert.False(t, answerPending)
+	assert.False(t, conn.begin(&attempt{}), "the socket no longer shows the bytes that the reader took")
+	conn = &backendConn{nc: near}
+	assert.True(t, conn.begin(&attempt{}))
 	go io.WriteString(far, "x")
-	_, owed, err = l.receive(make([]byte, 9))
+	_, answerPending, err = conn.receive(make([]byte, 9))
 	require.NoError(t, err)
-	assert.True(t, owed)
+	assert.True(t, answerPending)
 }
 
 func TestFreshConnectionThatBreaksUnusedIsUnreachable(t *testing.T) {
 	c, _ := newTestCore(t)
-	f := &attempt{op: 0, conn: &backendConn{c: c, cancel: func() {}}}
-	f.conn.attempt = f
-	c.requests[0].attempts, c.requests[0].outstanding = append(c.requests[0].attempts, f), 1
-	connClosed{f.conn, outcomeBroken}.handle(c)
+	att := &attempt{op: 0, conn: &backendConn{c: c, cancel: func() {}}}
+	att.conn.attempt = att
+	c.requests[0].attempts, c.requests[0].outstanding = append(c.requests[0].attempts, att), 1
+	connClosed{att.conn, outcomeBroken}.handle(c)
 	assert.Equal(t, gate.Unreachable, c.pending[0].(gate.AttemptEnded).Result, "it never ran")
 }
 
-// The id of another's open request: backends and decisions could not tell the two apart.
+// A request with the id of another open request is rejected: a backend and the decider could not tell the two apart.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	c, _ := newTestCore(t)
 	far, near := net.Pipe()
 	defer far.Close()
 	cl := newClient(c, near)
-	again := requestArrived{cl, &http1.Request{ID: "x"}, gate.Request{TTL: 500}, c.now}
-	again.handle(c)
+	duplicate := requestArrived{cl, &http1.Request{ID: "x"}, gate.Request{TTL: 500}, c.now}
+	duplicate.handle(c)
 	assert.Empty(t, c.pending)
 	assert.Equal(t, http.StatusConflict, readResponse(t, far).Status)
 	clientClosed{c.requests[0].client, closedByClient}.handle(c)
 	c.decide()
-	again.handle(c)
-	assert.Len(t, c.pending, 1, "free again once the other is over")
+	duplicate.handle(c)
+	assert.Len(t, c.pending, 1, "the id is free again once the other request has ended")
 }
 
-// Clients that connect and say nothing, or ask once and keep their connection for good, would fill the door.
+// Clients that connect and send nothing, or send one request and keep their connection, would use up all sockets of the door.
 func TestIdleClientsAreClosedAndBusyOnesAreNot(t *testing.T) {
 	c, _ := newTestCore(t)
 	far, near := net.Pipe()
@@ -539,11 +543,11 @@
 	c.now += c.cfg.Pace.IdleClient
 	c.sweep()
 	assert.True(t, idle.closeRequested.Load())
-	assert.False(t, c.requests[0].client.closeRequested.Load(), "one that is owed an answer stays")
+	assert.False(t, c.requests[0].client.closeRequested.Load(), "a client with a pending answer stays")
 }
 
-// The time to bring a first request counts from the connection's beginning: one that is silent, then half-sent,
-// would else hold a socket twice as long.
+// The time limit for receiving a first request counts from the opening of the connection. A client that is silent first and then
+// sends half a request would otherwise hold a socket twice as long.
 func TestFirstRequestTimeLimitCountsFromConnectionOpen(t *testing.T) {
 	cl := &client{openedAt: 100}
 	assert.Equal(t, 100.0, (&readState{firstByteAt: 900}).inputStart(cl))
@@ -554,19 +558,19 @@
 	c, _ := newTestCore(t)
 	far, near := net.Pipe()
 	defer far.Close()
-	silent, known := newClient(c, near), newClient(c, near)
-	known.hasRequested = true
+	silent, active := newClient(c, near), newClient(c, near)
+	active.hasRequested = true
 	silent.idleSince -= c.cfg.Pace.Linger / 2
-	known.idleSince -= c.cfg.Pace.Linger / 2
+	active.idleSince -= c.cfg.Pace.Linger / 2
 	clientOpened{silent}.handle(c)
-	clientOpened{known}.handle(c)
+	clientOpened{active}.handle(c)
 	socketNeeded{}.handle(c)
 	assert.True(t, silent.closeRequested.Load())
-	assert.False(t, known.closeRequested.Load(), "its next operation may be on its way")
+	assert.False(t, active.closeRequested.Load(), "its next request may be on its way")
 }
 
-// A configuration read again moves discovery and counter; what the old ones still say of the fleet is passed over,
-// and calls of the old counter come to their own end.
+// A reload switches to the new addresses of discovery and counter. Fleet updates that the old watch still sends are ignored, and
+// outstanding calls of the old counter finish on their own connections.
 func TestReloadSwitchesToNewAddresses(t *testing.T) {
 	c, _ := newTestCore(t)
 	c.background, c.cfg.Settings.Terms.Counter = t.Context(), true
@@ -575,45 +579,45 @@
 	old.outstanding = 1
 	stopped := false
 	old.stop = func() { stopped = true }
-	asks := make(chan string, 9)
-	next := loopbacktest.Serve(t, discoveryServer("127.0.0.1:7", asks, keepOpen))
+	requests := make(chan string, 9)
+	next := loopbacktest.Serve(t, discoveryServer("127.0.0.1:7", requests, keepOpen))
 	reloadRequest{next, "127.0.0.1:2"}.handle(c)
-	assert.Equal(t, "/registry/instances?stream=1", <-asks, "the whole list, at once")
+	assert.Equal(t, "/registry/instances?stream=1", <-requests, "requests the complete list at once")
 	assert.Equal(t, []string{"127.0.0.1:2", "127.0.0.1:2"}, []string{c.counterConns[0].addr, c.counterConns[1].addr})
-	assert.False(t, stopped, "it owes an answer")
+	assert.False(t, stopped, "it has an outstanding call")
 	callEnded{&counterCall{conn: old}, outcomeOK, 5}.handle(c)
 	assert.True(t, stopped)
 	fleetUpdate{list: registry.List{Whole: true}}.handle(c)
-	assert.True(t, c.backends[0].eligible, "word of the old discovery")
+	assert.True(t, c.backends[0].eligible, "an update from the old watch is ignored")
 	for c.backends[0].addr != "127.0.0.1:7" {
 		(<-c.events).handle(c)
 	}
 	watch := c.watchNumber
 	reloadRequest{next, "127.0.0.1:2"}.handle(c)
-	assert.Equal(t, watch, c.watchNumber, "nothing has moved")
+	assert.Equal(t, watch, c.watchNumber, "unchanged addresses start no new watch")
 }
 
-// Backends are replaced all day: an index that were never used again would grow every array, and one used too early
-// would hand over connections.
+// Backends are replaced continually. If their indices were never reused, every array would grow without limit; an index reused
+// before its state is cleared would pass connections to another backend.
 func TestFreedBackendIndexInheritsNothing(t *testing.T) {
 	c, _ := newTestCore(t)
-	f, far := sendOverPipe(t, c)
-	receiveAttempt(t, f, far)
-	answerArrived{f.conn, http1.Response{Status: 500}, c.now}.handle(c)
+	att, far := sendOverPipe(t, c)
+	receiveAttempt(t, att, far)
+	answerArrived{att.conn, http1.Response{Status: 500}, c.now}.handle(c)
 	c.execute(gate.FreeBackend{Backend: 0})
 	assert.Empty(t, c.backendConns)
 	fleetUpdate{list: registry.List{Backends: []registry.Entry{{ID: "new", Addr: "127.0.0.1:1", Zone: "b", Cell: 9, State: "Ready"}}}}.handle(c)
 	require.Len(t, c.backends, 1)
 	assert.Empty(t, c.backends[0].idle)
-	assert.Equal(t, [2]int{0, 0}, [2]int{c.backends[0].zone, c.backends[0].cell}, "zones and cells come back too")
+	assert.Equal(t, [2]int{0, 0}, [2]int{c.backends[0].zone, c.backends[0].cell}, "the indices of zones and cells are reused too")
 }
 
 func TestQueueLengthIsReportedOnlyIfConfigured(t *testing.T) {
 	for _, names := range [][]string{nil, {"recent_ms", "backlog"}} {
 		c, _ := newTestCore(t)
 		c.cfg.Settings.ReportNames = names
-		f, _ := sendOverPipe(t, c)
-		answerArrived{f.conn, http1.Response{Status: 200, Use: -1, Queue: 4, Body: []byte("hi")}, f.startedAt + 30}.handle(c)
+		att, _ := sendOverPipe(t, c)
+		answerArrived{att.conn, http1.Response{Status: 200, Use: -1, Queue: 4, Body: []byte("hi")}, att.startedAt + 30}.handle(c)
 		want := -1.0
 		if names != nil {
 			want = 4
--- a/frontdoor/discovery_test.go
+++ b/frontdoor/discovery_test.go
@@ -21,35 +21,35 @@
 	"github.com/swifthall/swifthall/gate"
 )
 
-// A fleet of doors' watches and one discovery, over pipes and in virtual time: how late a change is heard, and how many
-// calls come at once, whatever failed before.
+// These tests run the watches of a fleet of doors against one discovery server, over pipes and in virtual time. They check how long
+// after an outage of discovery each door receives a change, and how many calls arrive at the same time, for several kinds of outage.
 
 const (
 	fleetSize         = 300
-	outageStart       = 10 * time.Second // from the start
+	outageStart       = 10 * time.Second // from the start of the simulation
 	outageLength      = 25 * time.Second
-	heartbeatInterval = 2 * time.Second // of a watch with nothing to say
+	heartbeatInterval = 2 * time.Second // interval at which an open watch sends a blank line
 	bucketWidth       = 100 * time.Millisecond
 )
 
-// outage is what discovery does to calls while it is bad, and to watches that are open when that begins.
+// outage is what discovery does to calls during an outage, and to watches that are open when it begins.
 type outage struct {
-	dial     func(ctx context.Context) error // nil lets the call through
-	accepted func(net.Conn)                  // of a call that is let through; nil leaves it unanswered
-	watch    func(net.Conn)                  // nil leaves them silent
+	dial     func(ctx context.Context) error // nil lets the call be established
+	accepted func(net.Conn)                  // handles an established call; nil leaves it unanswered
+	watch    func(net.Conn)                  // handles a watch that is open; nil leaves it silent
 }
 
-// simulateFleet plays the fleet, and returns when each door heard of the change that discovery has at its return, and the calls by
-// bucket of time.
-func simulateFleet(t *testing.T, bad outage) (late []time.Duration, calls map[int]int) {
+// simulateFleet simulates the fleet during an outage. It returns how long after the outage each door received the change that was
+// made when it ended, and the number of calls in each bucket of time.
+func simulateFleet(t *testing.T, out outage) (delays []time.Duration, calls map[int]int) {
 	cfg := testConfig()
-	whole, err := config.Read([]byte(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"fleet_size":1,"profiles":[{"name":"look","aim":1,
+	complete, err := config.Read([]byte(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"fleet_size":1,"profiles":[{"name":"look","aim":1,
 		"give_up":2,"semantics":"idempotent"}],"tariffs":[{"name":"team"}],"limits":{"max_attempts":1,"connect_timeout":0.25}}}`), func(string) string { return "" })
 	require.NoError(t, err)
-	cfg.Pace, cfg.Settings.ConnectTimeout = whole.Pace, whole.Settings.ConnectTimeout // as in service
+	cfg.Pace, cfg.Settings.ConnectTimeout = complete.Pace, complete.Settings.ConnectTimeout // the defaults of a real configuration
 	synctest.Test(t, func(t *testing.T) {
-		begun := time.Now()
-		since := func() time.Duration { return time.Since(begun) }
+		start := time.Now()
+		elapsed := func() time.Duration { return time.Since(start) }
 		var mu sync.Mutex
 		calls = map[int]int{}
 		version, down := 41, false
@@ -60,12 +60,12 @@
 				return
 			}
 			mu.Lock()
-			isDown, v := down, version
+			isOut, v := down, version
 			open[nc] = true
 			mu.Unlock()
-			if isDown {
-				if bad.accepted != nil {
-					bad.accepted(nc)
+			if isOut {
+				if out.accepted != nil {
+					out.accepted(nc)
 				} else {
 					io.Copy(io.Discard, nc)
 				}
@@ -73,7 +73,7 @@
 			}
 			line := fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:3","lifecycle":"Ready"}]}`, v)
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(line)+1, line)
-			for { // until its door ends it, or it falls silent
+			for { // until the door closes the watch, or the watch falls silent
 				time.Sleep(heartbeatInterval)
 				mu.Lock()
 				silent := down || v != version
@@ -88,22 +88,22 @@
 			}
 		}
 		ctx, stop := context.WithCancel(t.Context())
-		late = make([]time.Duration, fleetSize)
+		delays = make([]time.Duration, fleetSize)
 		var doors, served sync.WaitGroup
 		for i := range fleetSize {
 			log := logrus.New()
 			log.SetOutput(io.Discard)
-			mine := cfg
-			mine.Seed = uint64(i) // as each door has one of its own
-			c := newCore(mine, deciderFunc(func(float64, []gate.Event) []gate.Action { return nil }), log)
+			doorCfg := cfg
+			doorCfg.Seed = uint64(i) // every door has its own seed
+			c := newCore(doorCfg, deciderFunc(func(float64, []gate.Event) []gate.Action { return nil }), log)
 			c.budget = newSocketBudget(100)
 			c.dial = func(ctx context.Context, _ string) (net.Conn, error) {
 				mu.Lock()
-				calls[int(since()/bucketWidth)]++
-				isDown := down
+				calls[int(elapsed()/bucketWidth)]++
+				isOut := down
 				mu.Unlock()
-				if isDown && bad.dial != nil {
-					return nil, bad.dial(ctx)
+				if isOut && out.dial != nil {
+					return nil, out.dial(ctx)
 				}
 				near, far := net.Pipe()
 				served.Go(func() { serve(far) })
@@ -114,8 +114,8 @@
 				for {
 					select {
 					case n := <-c.events:
-						if n, is := n.(fleetUpdate); is && n.list.Version == 43 && late[i] == 0 {
-							late[i] = since() - outageStart - outageLength
+						if n, is := n.(fleetUpdate); is && n.list.Version == 43 && delays[i] == 0 {
+							delays[i] = elapsed() - outageStart - outageLength
 						}
 					case <-ctx.Done():
 						return
@@ -126,9 +126,9 @@
 		time.Sleep(outageStart)
 		mu.Lock()
 		down = true
-		if bad.watch != nil {
+		if out.watch != nil {
 			for nc := range open {
-				served.Go(func() { bad.watch(nc) })
+				served.Go(func() { out.watch(nc) })
 			}
 		}
 		mu.Unlock()
@@ -144,22 +144,22 @@
 		}
 		served.Wait()
 	})
-	return late, calls
+	return delays, calls
 }
 
 func TestFleetRecoversFromDiscoveryOutageWithoutCallBursts(t *testing.T) {
 	refused := func(context.Context) error { return os.ErrNotExist }
-	hangs := func(context.Context) error { // as the system's dialer does
+	hangs := func(context.Context) error { // returns at the connect timeout, as the system's dialer does
 		time.Sleep(250 * time.Millisecond)
 		return os.ErrDeadlineExceeded
 	}
-	for name, bad := range map[string]outage{
-		"refused dials":               {dial: refused, watch: func(nc net.Conn) { nc.Close() }},
-		"dials that never come up":    {dial: hangs, watch: func(nc net.Conn) { nc.Close() }},
-		"silent watches, refused":     {dial: refused},
-		"taken and never answered":    {watch: func(nc net.Conn) { nc.Close() }},
-		"silent, then never answered": {},
-		"reset amid a line": {accepted: func(nc net.Conn) {
+	for name, out := range map[string]outage{
+		"refused dials":                  {dial: refused, watch: func(nc net.Conn) { nc.Close() }},
+		"dials that time out":            {dial: hangs, watch: func(nc net.Conn) { nc.Close() }},
+		"silent watches, refused dials":  {dial: refused},
+		"accepted, never answered":       {watch: func(nc net.Conn) { nc.Close() }},
+		"silent watches, never answered": {},
+		"closed within a line": {accepted: func(nc net.Conn) {
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n40\r\n{\"generation\":42,\"res")
 		}, watch: func(nc net.Conn) {
 			io.WriteString(nc, "40\r\n{\"gener")
@@ -172,21 +172,21 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			late, calls := simulateFleet(t, bad)
+			delays, calls := simulateFleet(t, out)
 			var worst time.Duration
-			for i, l := range late {
-				require.NotZero(t, l, "door %d never heard", i)
+			for i, l := range delays {
+				require.NotZero(t, l, "door %d never received the change", i)
 				worst = max(worst, l)
 			}
 			sum, most, n := 0, 0, 0
-			for b := int((outageStart + outageLength/2) / bucketWidth); b < int((outageStart+outageLength)/bucketWidth); b++ { // once it has gone on for a while
+			for b := int((outageStart + outageLength/2) / bucketWidth); b < int((outageStart+outageLength)/bucketWidth); b++ { // the second half of the outage
 				sum, most, n = sum+calls[b], max(most, calls[b]), n+1
 			}
 			mean := float64(sum) / float64(n)
-			t.Logf("heard %v late at most; while bad %.1f calls in %v on the mean, %d at most", worst, mean, bucketWidth, most)
+			t.Logf("longest delay %v; during the outage %.1f calls per %v on average, %d at most", worst, mean, bucketWidth, most)
 			assert.LessOrEqual(t, worst, 6*time.Second)
-			assert.LessOrEqual(t, float64(most), max(fleetSize/4, 2*mean), "they do not come together")
-			assert.LessOrEqual(t, mean, fleetSize/3., "nor all the time: some three calls of a door in a second")
+			assert.LessOrEqual(t, float64(most), max(fleetSize/4, 2*mean), "calls do not arrive in bursts")
+			assert.LessOrEqual(t, mean, fleetSize/3., "at most about three calls per door and second")
 		})
 	}
 }
