--- a/frontdoor/interleaving_test.go
+++ b/frontdoor/interleaving_test.go
@@ -26,13 +26,13 @@
 	"github.com/swifthall/swifthall/lifecycle"
 )
 
-// Crossings: a request, an answer, a signal or the end of a connection comes between two lines of the door. The door has
-// its connections from Network, and stops where a test wants it to.
+// These tests check interleavings: a request, an answer, a signal or the end of a connection arrives between two steps of the
+// door. The door gets its connections through Network, and a test pauses it at the step in question.
 
-// patience is how long a test waits for what must come; none passes by its running out.
+// waitTimeout is how long a test waits for something that must happen. No test passes by reaching it.
 const waitTimeout = 20 * time.Second
 
-// hookPoint is a point at which a connection stops.
+// hookPoint is a point at which a connection calls its hook, which may block.
 type hookPoint string
 
 const (
@@ -42,31 +42,31 @@
 	beforeClose     hookPoint = "before close"
 )
 
-// hookedConn is a connection that calls a function at its steps.
+// hookedConn is a connection that calls a function at its hook points.
 type hookedConn struct {
 	*net.TCPConn
 	hook func(hookPoint)
 }
 
-func (s *hookedConn) Write(p []byte) (int, error) {
-	s.hook(beforeWrite)
-	n, err := s.TCPConn.Write(p)
-	s.hook(afterWrite)
+func (c *hookedConn) Write(p []byte) (int, error) {
+	c.hook(beforeWrite)
+	n, err := c.TCPConn.Write(p)
+	c.hook(afterWrite)
 	return n, err
 }
 
-func (s *hookedConn) CloseWrite() error {
-	err := s.TCPConn.CloseWrite()
-	s.hook(afterCloseWrite)
+func (c *hookedConn) CloseWrite() error {
+	err := c.TCPConn.CloseWrite()
+	c.hook(afterCloseWrite)
 	return err
 }
 
-func (s *hookedConn) Close() error {
-	s.hook(beforeClose)
-	return s.TCPConn.Close()
+func (c *hookedConn) Close() error {
+	c.hook(beforeClose)
+	return c.TCPConn.Close()
 }
 
-// hookedListener hands the door connections that stop.
+// hookedListener accepts connections with a hook.
 type hookedListener struct {
 	*net.TCPListener
 	hook func(hookPoint)
@@ -80,12 +80,12 @@
 	return &hookedConn{nc.(*net.TCPConn), l.hook}, nil
 }
 
-// testDoor is a door on sockets, with its own port and stand-ins that the test sets up before.
+// testDoor is a door that serves on a port of its own. A test sets the configuration, network and decider before it calls start.
 type testDoor struct {
 	cfg      config.Door
 	network  Network
 	decider  gate.Decider
-	connHook func(hookPoint) // steps of client connections
+	connHook func(hookPoint) // hook of client connections; nil is none
 
 	door  *Door
 	addr  string
@@ -93,147 +93,148 @@
 	ended chan error
 }
 
-func (g *testDoor) start(t *testing.T) {
+// start starts the door. It is shut down at the end of the test.
+func (td *testDoor) start(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	g.addr = ln.Addr().String()
-	g.cfg.Listen = g.addr
-	if g.network.Listen == nil {
-		g.network.Listen = func(context.Context, string) (net.Listener, error) {
-			if g.connHook == nil {
+	td.addr = ln.Addr().String()
+	td.cfg.Listen = td.addr
+	if td.network.Listen == nil {
+		td.network.Listen = func(context.Context, string) (net.Listener, error) {
+			if td.connHook == nil {
 				return ln, nil
 			}
-			return &hookedListener{ln.(*net.TCPListener), g.connHook}, nil
+			return &hookedListener{ln.(*net.TCPListener), td.connHook}, nil
 		}
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	g.door = New(g.cfg, g.decider, log)
-	g.door.UseNetwork(g.network)
+	td.door = New(td.cfg, td.decider, log)
+	td.door.UseNetwork(td.network)
 	ctx, cancel := context.WithCancel(t.Context())
-	g.stop, g.ended = cancel, make(chan error, 1)
-	go func() { g.ended <- g.door.Serve(ctx) }()
+	td.stop, td.ended = cancel, make(chan error, 1)
+	go func() { td.ended <- td.door.Serve(ctx) }()
 	t.Cleanup(func() {
 		cancel()
-		<-g.door.Done()
+		<-td.door.Done()
 	})
 }
 
-// shutDownNow has the door leave without its time for lingering clients, where a test gave it a long one.
-func (g *testDoor) shutDownNow() {
-	g.stop()
-	for g.door.Ready() {
+// shutDownNow makes the door shut down without waiting for lingering clients, for tests that set a long Pace.Linger.
+func (td *testDoor) shutDownNow() {
+	td.stop()
+	for td.door.Ready() {
 		time.Sleep(time.Millisecond)
 	}
-	g.door.core.post(eventFunc(func(c *core) { c.shutdown.Store(&lifecycle.Shutdown{}); c.sweepAt = 0 }))
+	td.door.core.post(eventFunc(func(c *core) { c.shutdown.Store(&lifecycle.Shutdown{}); c.sweepAt = 0 }))
 }
 
-// waitReady waits until the door can serve.
-func (g *testDoor) waitReady(t *testing.T) {
-	for end := time.Now().Add(waitTimeout); !g.door.Ready(); time.Sleep(time.Millisecond) {
+// waitReady waits until the door is ready.
+func (td *testDoor) waitReady(t *testing.T) {
+	for end := time.Now().Add(waitTimeout); !td.door.Ready(); time.Sleep(time.Millisecond) {
 		require.True(t, time.Now().Before(end), "never ready")
 	}
 }
 
-// newTestDoor is a door with one backend, whose decisions are scripted.
+// newTestDoor returns a door with one backend and a decider. It has not been started.
 func newTestDoor(t *testing.T, backend func(net.Conn), d gate.Decider) *testDoor {
-	g := &testDoor{cfg: testConfig(), decider: d}
-	g.cfg.Sockets, g.cfg.Pace.Linger = 1000, 100
-	g.cfg.Discovery = loopbacktest.Serve(t, discoveryServer(loopbacktest.Serve(t, backend), make(chan string, 99), keepOpen))
-	return g
+	td := &testDoor{cfg: testConfig(), decider: d}
+	td.cfg.Sockets, td.cfg.Pace.Linger = 1000, 100
+	td.cfg.Discovery = loopbacktest.Serve(t, discoveryServer(loopbacktest.Serve(t, backend), make(chan string, 99), keepOpen))
+	return td
 }
 
-// awaitEvent waits for an event of a kind.
+// awaitEvent waits for an event of type E and skips all others.
 func awaitEvent[E any](t *testing.T, events <-chan gate.Event) E {
 	for {
 		select {
 		case e := <-events:
-			if e, is := e.(E); is {
+			if e, ok := e.(E); ok {
 				return e
 			}
 		case <-time.After(waitTimeout):
 			var e E
-			require.Fail(t, "never heard", "%T", e)
+			require.Fail(t, "event never arrived", "%T", e)
 		}
 	}
 }
 
-// await waits for something that happens in time.
+// await receives a value from a channel. what names it in the failure message.
 func await[T any](t *testing.T, c <-chan T, what string) (v T) {
 	select {
 	case v = <-c:
 	case <-time.After(waitTimeout):
-		require.Fail(t, "never came", what)
+		require.Fail(t, "never happened", what)
 	}
 	return v
 }
 
-// requestWithID is a request of its own id.
+// requestWithID returns lookRequest with another request id.
 func requestWithID(id string) string { return strings.Replace(lookRequest, "a1", id, 1) }
 
-// readToEnd reads to the end of a connection, and tells how it ended: nil is an orderly end.
+// readToEnd reads until a connection ends. The error is nil if it was closed in order, without a reset.
 func readToEnd(nc net.Conn) (string, error) {
 	nc.SetReadDeadline(time.Now().Add(waitTimeout))
 	got, err := io.ReadAll(nc)
 	return string(got), err
 }
 
-// A client that sends more than it is asked for may have bytes unread in the door's system when its last answer leaves, here
-// between the shutdown and the close. A close over them resets the connection, and what had not left yet is gone: here most
-// of a large answer, to a client that takes little at a time.
+// A client that sends more input may have unread bytes in the door's receive buffer when its last answer is sent, here between the
+// shutdown of the sending side and the close. Closing a socket with unread bytes resets the connection, and unsent data is lost: here
+// most of a large answer, as the client's receive buffer is small.
 func TestUnreadInputAtCloseDoesNotLoseAnswer(t *testing.T) {
-	shut, sent := make(chan struct{}), make(chan struct{})
+	writeClosed, sent := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	events := make(chan gate.Event, 99)
-	g := newTestDoor(t, echoBackend(closedChan()), sendOnce(events))
-	g.cfg.Pace.Linger = 10e3 // the client reads on at once, however busy the machine
-	g.connHook = func(s hookPoint) {
-		if s == afterCloseWrite {
-			once.Do(func() { close(shut); <-sent })
+	td := newTestDoor(t, echoBackend(closedChan()), sendOnce(events))
+	td.cfg.Pace.Linger = 10e3 // long enough for the client to read the rest, however busy the machine
+	td.connHook = func(p hookPoint) {
+		if p == afterCloseWrite {
+			once.Do(func() { close(writeClosed); <-sent })
 		}
 	}
-	g.start(t)
-	g.waitReady(t)
-	small := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
+	td.start(t)
+	td.waitReady(t)
+	dialer := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048) })
 	}}
-	nc, err := small.DialContext(t.Context(), "tcp", g.addr)
+	nc, err := dialer.DialContext(t.Context(), "tcp", td.addr)
 	require.NoError(t, err)
 	defer nc.Close()
 	big := strings.Repeat("x", 60_000)
 	_, err = io.WriteString(nc, strings.Replace(strings.Replace(lookRequest, "GET /look", "POST /book", 1), "\r\n\r\n",
 		fmt.Sprintf("\r\nConnection: close\r\nIdempotency-Key: m\r\nContent-Length: %d\r\n\r\n", len(big)), 1)+big)
 	require.NoError(t, err)
-	await(t, shut, "the shutdown")
+	await(t, writeClosed, "the shutdown of the sending side")
 	_, err = io.WriteString(nc, requestWithID("b2"))
 	require.NoError(t, err)
 	close(sent)
 	got, err := readToEnd(nc)
-	assert.NoError(t, err, "an orderly end, no reset")
-	assert.True(t, strings.HasSuffix(got, "hi"+big), "the whole answer: %d bytes", len(got))
+	assert.NoError(t, err, "the connection is closed without a reset")
+	assert.True(t, strings.HasSuffix(got, "hi"+big), "the complete answer; received %d bytes", len(got))
 	nc.Close()
 	awaitEvent[gate.AttemptEnded](t, events)
 	for len(events) > 0 {
-		assert.IsNotType(t, gate.Request{}, <-events, "what is read after the shutdown is not sent on")
+		assert.IsNotType(t, gate.Request{}, <-events, "input read after the shutdown is not forwarded")
 	}
-	g.shutDownNow()
+	td.shutDownNow()
 }
 
-// A request that comes in the instant of an idle close, behind the last look, is never sent on.
+// A request that arrives during an idle close, after the door has read for the last time, is not forwarded.
 func TestRequestDuringIdleCloseIsNotForwarded(t *testing.T) {
 	closing, sent := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	events := make(chan gate.Event, 99)
-	g := newTestDoor(t, echoBackend(closedChan()), sendOnce(events))
-	g.cfg.Pace.IdleClient = 50
-	g.connHook = func(s hookPoint) {
-		if s == beforeClose {
+	td := newTestDoor(t, echoBackend(closedChan()), sendOnce(events))
+	td.cfg.Pace.IdleClient = 50
+	td.connHook = func(p hookPoint) {
+		if p == beforeClose {
 			once.Do(func() { close(closing); <-sent })
 		}
 	}
-	g.start(t)
-	g.waitReady(t)
-	nc := connect(t, g.addr)
+	td.start(t)
+	td.waitReady(t)
+	nc := connect(t, td.addr)
 	status, _ := roundTrip(t, nc, lookRequest)
 	require.Equal(t, http.StatusOK, status)
 	await(t, closing, "the idle close")
@@ -242,26 +243,27 @@
 	close(sent)
 	got, _ := readToEnd(nc)
 	assert.Empty(t, got)
-	awaitEvent[gate.Request](t, events) // the first one
-	g.stop()
-	require.NoError(t, await(t, g.ended, "the end"))
+	awaitEvent[gate.Request](t, events) // the first request
+	td.stop()
+	require.NoError(t, await(t, td.ended, "the end of Serve"))
 	for len(events) > 0 {
 		assert.IsNotType(t, gate.Request{}, <-events)
 	}
 }
 
-// A request that comes with SIGTERM on a resting connection, before the door's last look at it, is answered whole.
+// A request that arrives together with SIGTERM on an idle connection, before the door reads from it for the last time, is answered
+// completely.
 func TestRequestDuringSIGTERMIsAnswered(t *testing.T) {
 	events := make(chan gate.Event, 99)
-	g := newTestDoor(t, echoBackend(closedChan()), sendOnce(events))
-	g.start(t)
-	g.waitReady(t)
-	nc := connect(t, g.addr)
+	td := newTestDoor(t, echoBackend(closedChan()), sendOnce(events))
+	td.start(t)
+	td.waitReady(t)
+	nc := connect(t, td.addr)
 	status, _ := roundTrip(t, nc, lookRequest)
 	require.Equal(t, http.StatusOK, status)
 	held := make(chan struct{})
-	g.door.core.post(eventFunc(func(*core) { <-held })) // the owner stands between two lines
-	g.stop()
+	td.door.core.post(eventFunc(func(*core) { <-held })) // pauses the event loop
+	td.stop()
 	_, err := io.WriteString(nc, requestWithID("b2"))
 	require.NoError(t, err)
 	close(held)
@@ -269,38 +271,38 @@
 	assert.NoError(t, err)
 	assert.Contains(t, got, "hi")
 	assert.Contains(t, got, "Connection: close")
-	require.NoError(t, await(t, g.ended, "the end"))
+	require.NoError(t, await(t, td.ended, "the end of Serve"))
 }
 
-// The system accepts connections for a door that has not yet: a listener that closes resets them with the requests that
-// their clients have written.
+// The kernel completes the handshake of connections that the door has not accepted yet. Closing the listener resets them, with the
+// requests that their clients have written, so the door must empty the queue first.
 func TestListenerQueueIsServedBeforeClose(t *testing.T) {
-	deaf, let := make(chan struct{}, 1), make(chan struct{})
+	deadlineSet, release := make(chan struct{}, 1), make(chan struct{})
 	events := make(chan gate.Event, 99)
-	g := newTestDoor(t, echoBackend(closedChan()), sendOnce(events))
-	g.cfg.Pace.Linger = 50
+	td := newTestDoor(t, echoBackend(closedChan()), sendOnce(events))
+	td.cfg.Pace.Linger = 50
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	q := &blockedListener{TCPListener: ln.(*net.TCPListener), deadlineSet: deaf, release: let}
-	g.network.Listen = func(context.Context, string) (net.Listener, error) { return q, nil }
-	g.start(t)
-	g.waitReady(t)
+	q := &blockedListener{TCPListener: ln.(*net.TCPListener), deadlineSet: deadlineSet, release: release}
+	td.network.Listen = func(context.Context, string) (net.Listener, error) { return q, nil }
+	td.start(t)
+	td.waitReady(t)
 	nc := connect(t, ln.Addr().String())
 	_, err = io.WriteString(nc, lookRequest)
 	require.NoError(t, err)
-	g.stop()
-	await(t, deaf, "the end of accepting")
-	close(let) // only now does the door get to accept
+	td.stop()
+	await(t, deadlineSet, "the listener's deadline")
+	close(release) // only now can the door accept
 	got, err := readToEnd(nc)
 	assert.NoError(t, err)
 	assert.Contains(t, got, "hi")
-	require.NoError(t, await(t, g.ended, "the end"))
+	require.NoError(t, await(t, td.ended, "the end of Serve"))
 }
 
-// blockedListener is a listener whose first Accept is held up until the test lets go.
+// blockedListener is a listener whose Accept blocks until release is closed.
 type blockedListener struct {
 	*net.TCPListener
-	deadlineSet chan<- struct{} // a deadline was set
+	deadlineSet chan<- struct{} // receives when a deadline has been set
 	release     <-chan struct{}
 }
 
@@ -318,38 +320,38 @@
 	return q.TCPListener.Accept()
 }
 
-// A client that has gone is noticed behind whatever it sent: a FIN, a reset, bytes ahead of its answer, more of them than
-// the door holds; also where many go at once.
+// The door notices that a client has closed its connection, by a FIN or a reset, also behind input that was sent before the answer,
+// even more of it than the door holds, and also if many clients close at once.
 func TestClosedClientIsNoticedBehindItsInput(t *testing.T) {
 	for name, c := range map[string]struct {
-		ahead string
-		reset bool
-		many  int
+		extra   string
+		reset   bool
+		clients int
 	}{
-		"FIN":                       {"", false, 1},
-		"reset":                     {"", true, 1},
-		"FIN behind a request":      {requestWithID("b2"), false, 1},
-		"reset behind a request":    {requestWithID("b2"), true, 1},
-		"FIN behind a full buffer":  {strings.Repeat("x", 64<<10), false, 1},
-		"reset behind a flood":      {strings.Repeat("x", 128<<10), true, 1},
-		"a burst":                   {"", false, 200},
-		"a burst that sends ahead":  {requestWithID("b2"), false, 200},
-		"a burst of resets and all": {requestWithID("b2"), true, 200},
+		"FIN":                            {"", false, 1},
+		"reset":                          {"", true, 1},
+		"FIN behind a request":           {requestWithID("b2"), false, 1},
+		"reset behind a request":         {requestWithID("b2"), true, 1},
+		"FIN behind a full buffer":       {strings.Repeat("x", 64<<10), false, 1},
+		"reset behind discarded input":   {strings.Repeat("x", 128<<10), true, 1},
+		"many clients":                   {"", false, 200},
+		"many clients, behind a request": {requestWithID("b2"), false, 200},
+		"many resets, behind a request":  {requestWithID("b2"), true, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			events := make(chan gate.Event, 9999)
-			g := newTestDoor(t, echoBackend(closedChan()), deciderFunc(func(_ float64, es []gate.Event) []gate.Action { // holds all
+			td := newTestDoor(t, echoBackend(closedChan()), deciderFunc(func(_ float64, es []gate.Event) []gate.Action { // leaves all requests open
 				for _, e := range es {
 					events <- e
 				}
 				return nil
 			}))
-			g.start(t)
-			g.waitReady(t)
+			td.start(t)
+			td.waitReady(t)
 			var ncs []net.Conn
-			for i := range c.many {
-				nc := connect(t, g.addr)
-				_, err := io.WriteString(nc, strings.ReplaceAll(requestWithID(fmt.Sprintf("w%d", i))+c.ahead, "b2", fmt.Sprintf("v%d", i)))
+			for i := range c.clients {
+				nc := connect(t, td.addr)
+				_, err := io.WriteString(nc, strings.ReplaceAll(requestWithID(fmt.Sprintf("w%d", i))+c.extra, "b2", fmt.Sprintf("v%d", i)))
 				require.NoError(t, err)
 				ncs = append(ncs, nc)
 			}
@@ -369,71 +371,72 @@
 	}
 }
 
-// An attempt that waits for its connection does not begin once its client has gone, whether or not the settings allow to
-// cancel what is out.
+// An attempt whose connection is still being dialled does not start once its client has gone. This does not depend on whether the
+// settings allow to cancel attempts.
 func TestDialledAttemptDoesNotStartForClosedClient(t *testing.T) {
-	dialling, let := make(chan struct{}), make(chan struct{})
-	come := make(chan string, 9)
+	dialStarted, release := make(chan struct{}), make(chan struct{})
+	received := make(chan string, 9)
 	events := make(chan gate.Event, 99)
-	g := newTestDoor(t, func(nc net.Conn) {
+	td := newTestDoor(t, func(nc net.Conn) {
 		got, _ := io.ReadAll(nc)
-		come <- string(got)
+		received <- string(got)
 	}, sendOnce(events))
-	g.cfg.Settings.MaxWait = 3600e3 // its time does not run out meanwhile
-	registry := g.cfg.Discovery
-	g.network.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
+	td.cfg.Settings.MaxWait = 3600e3 // so that the request does not time out
+	registry := td.cfg.Discovery
+	td.network.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		nc, err := (&net.Dialer{}).DialContext(context.WithoutCancel(ctx), "tcp", addr)
 		if addr != registry {
-			close(dialling)
-			<-let
+			close(dialStarted)
+			<-release
 		}
 		return nc, err
 	}
-	g.start(t)
-	g.waitReady(t)
-	nc := connect(t, g.addr)
+	td.start(t)
+	td.waitReady(t)
+	nc := connect(t, td.addr)
 	_, err := io.WriteString(nc, strings.Replace(lookRequest, "1500m", "3600000m", 1))
 	require.NoError(t, err)
-	await(t, dialling, "the dial")
+	await(t, dialStarted, "the dial")
 	nc.Close()
 	awaitEvent[gate.ClientGone](t, events)
-	assert.Equal(t, gate.Skipped, awaitEvent[gate.AttemptEnded](t, events).Result, "it never ran")
-	close(let)
-	assert.Empty(t, await(t, come, "the connection's end"))
+	assert.Equal(t, gate.Skipped, awaitEvent[gate.AttemptEnded](t, events).Result, "the attempt never ran")
+	close(release)
+	assert.Empty(t, await(t, received, "the end of the backend connection"))
 }
 
-// A repeat whose connection comes up only when the backend may have forgotten the request's key does not begin.
+// An attempt whose connection is established after StartBy does not start: the backend may have forgotten the idempotency key by
+// then, and a repeat would run the request twice.
 func TestAttemptDoesNotStartAfterStartBy(t *testing.T) {
-	come := make(chan string, 9)
+	received := make(chan string, 9)
 	events := make(chan gate.Event, 99)
-	g := newTestDoor(t, func(nc net.Conn) {
+	td := newTestDoor(t, func(nc net.Conn) {
 		got, _ := io.ReadAll(nc)
-		come <- string(got)
+		received <- string(got)
 	}, deciderFunc(func(now float64, es []gate.Event) (out []gate.Action) {
 		for _, e := range es {
-			if e, is := e.(gate.Request); is {
+			if e, ok := e.(gate.Request); ok {
 				out = append(out, gate.Send{Op: e.Op, StartBy: now - 1}) // as if the dial had taken longer
 			}
-			if e, is := e.(gate.AttemptEnded); is && !e.Answered {
+			if e, ok := e.(gate.AttemptEnded); ok && !e.Answered {
 				out = append(out, gate.Fail{Op: e.Op})
 			}
 			events <- e
 		}
 		return out
 	}))
-	g.start(t)
-	g.waitReady(t)
-	status, _ := roundTrip(t, connect(t, g.addr), lookRequest)
+	td.start(t)
+	td.waitReady(t)
+	status, _ := roundTrip(t, connect(t, td.addr), lookRequest)
 	assert.Equal(t, http.StatusBadGateway, status)
-	assert.Equal(t, gate.Skipped, awaitEvent[gate.AttemptEnded](t, events).Result, "it never ran")
-	assert.Empty(t, await(t, come, "the connection's end"))
+	assert.Equal(t, gate.Skipped, awaitEvent[gate.AttemptEnded](t, events).Result, "the attempt never ran")
+	assert.Empty(t, await(t, received, "the end of the backend connection"))
 }
 
-// A second answer comes behind the first, when the next request is under way already: on the same connection it would be
-// taken for that one's answer.
+// A backend sends a second answer to a request while the next request is already in progress. On the same connection it would be
+// taken for the answer to that request.
 func TestLateSecondAnswerIsDiscarded(t *testing.T) {
 	first, second := make(chan net.Conn, 1), make(chan struct{})
-	g := newTestDoor(t, func(nc net.Conn) {
+	td := newTestDoor(t, func(nc net.Conn) {
 		for r := bufio.NewReader(nc); ; {
 			req, err := http.ReadRequest(r)
 			if err != nil {
@@ -450,14 +453,14 @@
 			}
 		}
 	}, sendOnce(nil))
-	g.cfg.Pace.Settle = 60_000 // however busy the machine, the next request comes sooner
-	g.start(t)
-	g.waitReady(t)
-	nc := connect(t, g.addr)
+	td.cfg.Pace.Settle = 60_000 // longer than the pause between the two requests, however busy the machine
+	td.start(t)
+	td.waitReady(t)
+	nc := connect(t, td.addr)
 	_, body := roundTrip(t, nc, lookRequest)
 	assert.Equal(t, "one", body)
 	go func() {
-		for g.backendConnCount() > 1 { // the first connection ends by its second answer
+		for td.backendConnCount() > 1 { // until the second answer has ended the first connection
 			time.Sleep(time.Millisecond)
 		}
 		close(second)
@@ -466,62 +469,64 @@
 	assert.Equal(t, "two", body)
 }
 
-// backendConnCount is how many backend connections the door has.
-func (g *testDoor) backendConnCount() int {
+// backendConnCount returns the number of backend connections of the door.
+func (td *testDoor) backendConnCount() int {
 	n := make(chan int, 1)
-	g.door.core.post(eventFunc(func(c *core) { n <- len(c.backendConns) }))
+	td.door.core.post(eventFunc(func(c *core) { n <- len(c.backendConns) }))
 	return <-n
 }
 
-// eventFunc is an event that runs a function in the event loop.
+// eventFunc is an event that calls a function in the event loop.
 type eventFunc func(*core)
 
 func (n eventFunc) handle(c *core) { n(c) }
 
-// A wish that the reader look at its connection is not lost to a deadline that the reader sets just then.
+// A wake-up of the reader is not cancelled by a read deadline that the reader sets at the same moment.
 func TestWakeIsNotCancelledByReadDeadline(t *testing.T) {
 	c, _ := newTestCore(t)
 	cl := newClient(c, connect(t, loopbacktest.Serve(t, keepOpen)))
 	cl.wake()
-	cl.setReadDeadline(time.Time{}) // the line after, in the reader
+	cl.setReadDeadline(time.Time{}) // what the reader does next
 	ended := make(chan error, 1)
 	go func() {
 		_, err := cl.nc.Read(make([]byte, 1))
 		ended <- err
 	}()
-	assert.ErrorIs(t, await(t, ended, "the look"), os.ErrDeadlineExceeded)
+	assert.ErrorIs(t, await(t, ended, "the wake-up"), os.ErrDeadlineExceeded)
 }
 
-// A watch that is taken and never answered is dialled again long before one that was answered and falls silent.
+// A watch that is accepted and never answered is dialled again after Pace.FirstByte, long before one that was answered and falls
+// silent (Pace.Silence).
 func TestUnansweredWatchIsRedialled(t *testing.T) {
 	c, _ := newTestCore(t)
 	c.cfg.Pace.FirstByte, c.cfg.Pace.Silence = 20, 3600e3
-	asks := make(chan string, 99)
+	requests := make(chan string, 99)
 	c.cfg.Discovery = loopbacktest.Serve(t, func(nc net.Conn) {
 		if req, err := http.ReadRequest(bufio.NewReader(nc)); err == nil {
-			asks <- req.RequestURI
+			requests <- req.RequestURI
 		}
 	})
 	go c.runWatch(t.Context(), c.cfg.Discovery, 41, 0)
-	await(t, asks, "the first call")
-	assert.Equal(t, "/registry/instances?stream=1&index=41", await(t, asks, "the next"))
+	await(t, requests, "the first call")
+	assert.Equal(t, "/registry/instances?stream=1&index=41", await(t, requests, "the next call"))
 }
 
-// Idle clients and attempts that hang fill the sockets while discovery is down. Its return is heard all the same.
+// While discovery is down, idle clients and hanging attempts take all the sockets that they may have. The watch must still get a
+// socket when discovery is available again.
 func TestDiscoveryIsRedialledWithAllSocketsInUse(t *testing.T) {
-	hung, asks, down := make(chan struct{}), make(chan string, 99), make(chan net.Conn, 9)
-	t.Cleanup(func() { close(hung) })
+	proceed, requests, watches := make(chan struct{}), make(chan string, 99), make(chan net.Conn, 9)
+	t.Cleanup(func() { close(proceed) })
 	events := make(chan gate.Event, 9999)
-	g := newTestDoor(t, echoBackend(hung), sendOnce(events))
-	backend := loopbacktest.Serve(t, echoBackend(hung))
-	g.cfg.Discovery = loopbacktest.Serve(t, discoveryServer(backend, asks, func(nc net.Conn) { down <- nc }))
-	g.cfg.Sockets, g.cfg.Settings.MaxWait = 100, 3600e3
-	g.cfg.Pace.IdleClient, g.cfg.Pace.Linger = 3600e3, 3600e3 // none of them gives way
-	g.start(t)
-	g.waitReady(t)
-	await(t, asks, "the first watch")
-	for i := 0; !g.door.core.budget.low(g.door.core.budget.clientReserve); i++ {
-		nc := connect(t, g.addr)
+	td := newTestDoor(t, echoBackend(proceed), sendOnce(events))
+	backend := loopbacktest.Serve(t, echoBackend(proceed))
+	td.cfg.Discovery = loopbacktest.Serve(t, discoveryServer(backend, requests, func(nc net.Conn) { watches <- nc }))
+	td.cfg.Sockets, td.cfg.Settings.MaxWait = 100, 3600e3
+	td.cfg.Pace.IdleClient, td.cfg.Pace.Linger = 3600e3, 3600e3 // no idle connection is closed to free a socket
+	td.start(t)
+	td.waitReady(t)
+	await(t, requests, "the first watch")
+	for i := 0; !td.door.core.budget.low(td.door.core.budget.clientReserve); i++ {
+		nc := connect(t, td.addr)
 		status, _ := roundTrip(t, nc, "GET /health/live HTTP/1.1\r\nHost: d\r\n\r\n")
 		require.Equal(t, http.StatusOK, status)
 		if i == 0 {
@@ -530,71 +535,74 @@
 			awaitEvent[gate.Request](t, events)
 		}
 	}
-	for range g.cfg.Sockets { // its attempts take what they get
+	for range td.cfg.Sockets { // attempts of the open request take all sockets that they can get
 		done := make(chan struct{})
-		g.door.core.post(eventFunc(func(c *core) { c.send(gate.Send{}); close(done) }))
+		td.door.core.post(eventFunc(func(c *core) { c.send(gate.Send{}); close(done) }))
 		await(t, done, "an attempt")
 	}
-	more, stop := context.WithCancel(t.Context())
+	sending, stop := context.WithCancel(t.Context())
 	defer stop()
-	go func() { // and more of them want what the watch lets go of
-		for more.Err() == nil {
-			g.door.core.post(eventFunc(func(c *core) { c.send(gate.Send{}) }))
+	go func() { // further attempts compete for the socket that the watch releases
+		for sending.Err() == nil {
+			td.door.core.post(eventFunc(func(c *core) { c.send(gate.Send{}) }))
 		}
 	}()
-	(await(t, down, "the watch")).Close()
-	assert.Equal(t, "/registry/instances?stream=1&index=41", await(t, asks, "discovery's return"))
+	(await(t, watches, "the watch")).Close()
+	assert.Equal(t, "/registry/instances?stream=1&index=41", await(t, requests, "the watch after the outage"))
 	stop()
-	g.shutDownNow()
+	td.shutDownNow()
 }
 
-// A flood of a client's costs its own connection alone: the door passes over so much of it, and stops reading.
+// Input that a client sends without end while its answer is pending affects only its own connection: the door discards a limited
+// amount of it, and then stops reading.
 func TestInputFloodBeforeAnswerIsBounded(t *testing.T) {
 	const flood = 256 << 20
-	may, events := make(chan struct{}), make(chan gate.Event, 99)
-	g := newTestDoor(t, echoBackend(may), sendOnce(events))
-	g.cfg.Settings.MaxWait = 3600e3
-	g.start(t)
-	g.waitReady(t)
-	nc := connect(t, g.addr)
+	proceed, events := make(chan struct{}), make(chan gate.Event, 99)
+	td := newTestDoor(t, echoBackend(proceed), sendOnce(events))
+	td.cfg.Settings.MaxWait = 3600e3
+	td.start(t)
+	td.waitReady(t)
+	nc := connect(t, td.addr)
 	_, err := io.WriteString(nc, strings.Replace(lookRequest, "1500m", "3600000m", 1))
 	require.NoError(t, err)
 	awaitEvent[gate.Request](t, events)
-	nc.SetWriteDeadline(time.Now().Add(2 * time.Second)) // a door that reads all takes it in less
+	nc.SetWriteDeadline(time.Now().Add(2 * time.Second)) // a door that reads everything would need less time
 	n, err := io.Copy(nc, io.LimitReader(endlessReader{}, flood))
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	assert.Less(t, n, int64(flood))
-	close(may)
+	close(proceed)
 	nc.SetReadDeadline(time.Now().Add(waitTimeout))
 	res, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	require.NoError(t, err)
 	body, err := io.ReadAll(res.Body)
 	require.NoError(t, err)
 	assert.Equal(t, "hi", string(body))
-	status, _ := roundTrip(t, connect(t, g.addr), requestWithID("b2"))
-	assert.Equal(t, http.StatusOK, status, "others are served")
+	status, _ := roundTrip(t, connect(t, td.addr), requestWithID("b2"))
+	assert.Equal(t, http.StatusOK, status, "other clients are served")
 }
 
-// What was passed over leaves a gap: nothing behind it is read as a request.
+// Once input has been discarded, the rest must not be parsed as a request: the parser would start in the middle of a message.
 func TestNothingIsParsedAfterDiscardedInput(t *testing.T) {
 	c, _ := newTestCore(t)
 	cl := newClient(c, connect(t, loopbacktest.Serve(t, keepOpen)))
-	cl.overflowed.Store(true) // after its answer was worded, which does not say that it is the last
+	cl.overflowed.Store(true) // set after the answer was formatted, so the answer does not say that it is the last
 	assert.False(t, cl.step(bufferedState(lookRequest)))
 	assert.Empty(t, c.events)
 }
 
+// endlessReader is a reader whose input never ends.
 type endlessReader struct{}
 
 func (endlessReader) Read(p []byte) (int, error) {
 	return copy(p, bytes.Repeat([]byte("x"), len(p))), nil
 }
 
-// A client has its answer, and sends its next request, before the answer's writer says that it is written. What comes then is not
-// ahead of that answer: more of it than the door holds ended the connection, and its client got nothing.
+// A client may receive its answer and send its next request before the answer's writer has reported completion. That input follows
+// the answer. When it was treated as preceding it, more input than the door holds ended the connection, and the request got no
+// answer.
 func TestInputAfterAnswerIsNotDiscarded(t *testing.T) {
 	c, _ := newTestCore(t)
-	wrote, goOn := make(chan struct{}), make(chan struct{})
+	wrote, resume := make(chan struct{}), make(chan struct{})
 	far, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer far.Close()
@@ -602,58 +610,59 @@
 	near, err := far.Accept()
 	require.NoError(t, err)
 	defer near.Close()
-	cl := newClient(c, &hookedConn{near.(*net.TCPConn), func(s hookPoint) {
-		if s == afterWrite {
+	cl := newClient(c, &hookedConn{near.(*net.TCPConn), func(p hookPoint) {
+		if p == afterWrite {
 			close(wrote)
-			<-goOn
+			<-resume
 		}
 	}})
 	r := bufferedState(strings.Repeat("x", pool.Size))
 	r.answerPending = true
 	go cl.answer([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), false)
 	await(t, wrote, "the answer's write")
-	assert.Equal(t, http.StatusOK, readResponse(t, nc).Status, "its client has it")
-	on := make(chan bool)
-	go func() { on <- cl.read(r) }()
-	close(goOn)
-	assert.True(t, await(t, on, "the reader"))
+	assert.Equal(t, http.StatusOK, readResponse(t, nc).Status, "the client has received the answer")
+	continues := make(chan bool)
+	go func() { continues <- cl.read(r) }()
+	close(resume)
+	assert.True(t, await(t, continues, "the reader"))
 	assert.False(t, cl.overflowed.Load())
 	assert.False(t, r.answerPending)
-	assert.Len(t, r.buffered, pool.Size, "nothing of it is lost")
+	assert.Len(t, r.buffered, pool.Size, "no input is lost")
 }
 
-// The same from end to end: each answer is at its client before its writer goes on, and each next request is larger than what is
-// held ahead of an answer.
+// Like TestInputAfterAnswerIsNotDiscarded, with a complete door: each client has received its answer before the answer's writer
+// continues, and each next request is larger than the input that the door holds before an answer.
 func TestLargeRequestsDuringAnswerWriteAreServed(t *testing.T) {
 	const body, times = 20000, 20
-	g := newTestDoor(t, echoBackend(closedChan()), sendOnce(nil))
+	td := newTestDoor(t, echoBackend(closedChan()), sendOnce(nil))
 	held := make(chan chan struct{}, times)
-	g.connHook = func(s hookPoint) {
-		if s == afterWrite {
-			let := make(chan struct{})
-			held <- let
-			<-let
+	td.connHook = func(p hookPoint) {
+		if p == afterWrite {
+			release := make(chan struct{})
+			held <- release
+			<-release
 		}
 	}
-	g.start(t)
-	for !g.door.Ready() {
+	td.start(t)
+	for !td.door.Ready() {
 		time.Sleep(time.Millisecond)
 	}
-	nc := connect(t, g.addr)
+	nc := connect(t, td.addr)
 	for i := range times {
 		text := strings.Replace(strings.Replace(requestWithID(fmt.Sprint("n", i)), "GET /look", "POST /book", 1), "\r\n\r\n",
 			fmt.Sprintf("\r\nIdempotency-Key: k%d\r\nContent-Length: %d\r\n\r\n", i, body), 1) + strings.Repeat("x", body)
 		_, err := io.WriteString(nc, text)
 		require.NoError(t, err)
-		if i > 0 { // the next one has been sent; the writer of the answer before goes on
-			close(await(t, held, "the answer before"))
+		if i > 0 { // the next request has been sent; the writer of the previous answer continues
+			close(await(t, held, "the previous answer"))
 		}
 		require.Equal(t, http.StatusOK, readResponse(t, nc).Status, "request %d", i)
 	}
 	close(await(t, held, "the last answer"))
 }
 
-// suspendedListener is a queued listener whose process is held up, once, between setting a deadline and looking at the queue.
+// suspendedListener is a blockedListener that simulates a process that is suspended, once, between setting a deadline and checking
+// the queue.
 type suspendedListener struct {
 	blockedListener
 	once sync.Once
@@ -667,24 +676,26 @@
 	return err
 }
 
+// A poll of the listener's queue whose deadline has passed before it checked the queue proves nothing and is repeated. Otherwise the
+// connections in the queue would be reset.
 func TestDelayedListenerPollIsRepeated(t *testing.T) {
-	deaf, let := make(chan struct{}, 1), make(chan struct{})
-	g := newTestDoor(t, echoBackend(closedChan()), sendOnce(make(chan gate.Event, 99)))
-	g.cfg.Pace.Linger = 50
+	deadlineSet, release := make(chan struct{}, 1), make(chan struct{})
+	td := newTestDoor(t, echoBackend(closedChan()), sendOnce(make(chan gate.Event, 99)))
+	td.cfg.Pace.Linger = 50
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	held := &suspendedListener{blockedListener: blockedListener{TCPListener: ln.(*net.TCPListener), deadlineSet: deaf, release: let}}
-	g.network.Listen = func(context.Context, string) (net.Listener, error) { return held, nil }
-	g.start(t)
-	g.waitReady(t)
+	suspended := &suspendedListener{blockedListener: blockedListener{TCPListener: ln.(*net.TCPListener), deadlineSet: deadlineSet, release: release}}
+	td.network.Listen = func(context.Context, string) (net.Listener, error) { return suspended, nil }
+	td.start(t)
+	td.waitReady(t)
 	nc := connect(t, ln.Addr().String())
 	_, err = io.WriteString(nc, lookRequest)
 	require.NoError(t, err)
-	g.stop()
-	await(t, deaf, "the end of accepting")
-	close(let)
+	td.stop()
+	await(t, deadlineSet, "the listener's deadline")
+	close(release)
 	got, err := readToEnd(nc)
 	assert.NoError(t, err)
 	assert.Contains(t, got, "hi")
-	require.NoError(t, await(t, g.ended, "the end"))
+	require.NoError(t, await(t, td.ended, "the end of Serve"))
 }
