--- a/frontdoor/maintenance_test.go
+++ b/frontdoor/maintenance_test.go
@@ -14,27 +14,27 @@
 func TestWithheldBackendIsReportedAsDraining(t *testing.T) {
 	c, _ := newTestCore(t)
 	c.pending = nil
-	told := 0
-	withholdRequest{map[string]bool{"s": true}, func() { told++ }}.handle(c)
+	notified := 0
+	withholdRequest{map[string]bool{"s": true}, func() { notified++ }}.handle(c)
 	assert.Equal(t, gate.Draining, c.pending[0].(gate.FleetUpdate).Entries[0].Status)
 	assert.False(t, c.pending[0].(gate.FleetUpdate).Complete)
 	assert.False(t, c.backends[0].eligible)
 	assert.False(t, c.ready.Load(), "it was the only one")
 	assert.Len(t, c.afterDecide, 1)
-	assert.Zero(t, told, "not before the decisions know")
+	assert.Zero(t, notified, "not before the decider has been notified")
 	c.pending = nil
 	fleetUpdate{list: registry.List{Whole: true, Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready"}, {ID: "t", Addr: "127.0.0.1:2", State: "Ready"}}}}.handle(c)
 	e := c.pending[0].(gate.FleetUpdate).Entries
 	assert.Equal(t, []gate.Status{gate.Draining, gate.Up}, []gate.Status{e[0].Status, e[1].Status})
 	got := make(chan Snapshot, 1)
 	snapshotRequest(got).handle(c)
-	assert.True(t, (<-got).Backends[0].Up, "by the list")
+	assert.True(t, (<-got).Backends[0].Up, "the snapshot has the listed status")
 	c.pending = nil
 	withholdRequest{map[string]bool{}, func() {}}.handle(c)
 	assert.Equal(t, gate.Up, c.pending[0].(gate.FleetUpdate).Entries[0].Status)
 	assert.True(t, c.backends[0].eligible)
 	c.pending = nil
-	withholdRequest{map[string]bool{"unheard-of": true}, func() {}}.handle(c)
+	withholdRequest{map[string]bool{"unknown": true}, func() {}}.handle(c)
 	assert.Empty(t, c.pending, "nothing changes")
 	assert.Len(t, c.afterDecide, 3)
 }
@@ -44,20 +44,20 @@
 	discoveryAttempted{}.handle(c)
 	assert.True(t, c.ready.Load())
 	taken := []bool{}
-	step := func(out bool, until time.Time) {
-		outOfServiceRequest{out, until, func(is bool) { taken = append(taken, is) }}.handle(c)
+	setOutOfService := func(out bool, until time.Time) {
+		outOfServiceRequest{out, until, func(ok bool) { taken = append(taken, ok) }}.handle(c)
 	}
-	step(true, time.Now().Add(-time.Millisecond))
-	assert.True(t, c.ready.Load(), "it was stopped on the way")
-	step(true, time.Now().Add(time.Minute))
+	setOutOfService(true, time.Now().Add(-time.Millisecond))
+	assert.True(t, c.ready.Load(), "the request came too late")
+	setOutOfService(true, time.Now().Add(time.Minute))
 	assert.False(t, c.ready.Load())
 	assert.False(t, c.shuttingDown)
 	c.sweep()
-	assert.False(t, c.listenerClosing, "what still comes is served")
-	step(false, time.Time{})
+	assert.False(t, c.listenerClosing, "requests that still arrive are served")
+	setOutOfService(false, time.Time{})
 	assert.True(t, c.ready.Load())
 	c.beginShutdown()
-	step(true, time.Now().Add(time.Minute))
+	setOutOfService(true, time.Now().Add(time.Minute))
 	assert.Equal(t, []bool{false, true, true, false}, taken)
 }
 
@@ -66,7 +66,7 @@
 	c.requests[0].firstByteAt, c.requests[0].contractTime = c.clock.now()-40, 100
 	c.answer(0, http.StatusOK, 0, nil, "")
 	c.answer(0, http.StatusOK, 0, nil, "")
-	assert.EqualValues(t, 1, c.totals.Finished, "one final answer")
+	assert.EqualValues(t, 1, c.totals.Finished, "only the first answer counts")
 	assert.EqualValues(t, 1, c.totals.InTime)
 	assert.InDelta(t, 40, c.totals.LatencyMs, 20)
 	c.totals.addAnswer(http.StatusOK, 101, 100)
--- a/frontdoor/remaining_test.go
+++ b/frontdoor/remaining_test.go
@@ -18,17 +18,17 @@
 	"github.com/swifthall/swifthall/gate"
 )
 
-const maxRemainingExcess = 150 * time.Millisecond // that a backend may be told over what its client has left
+const maxRemainingExcess = 150 * time.Millisecond // by which the reported remaining time may exceed the client's
 
-// remainingReport is what a backend was remainingReport of a request's time, and when.
+// remainingReport is the remaining time that a backend received with a request, and when it received it.
 type remainingReport struct {
 	receivedAt time.Time
 	remaining  time.Duration
 }
 
-// newReportingDoor is a door with a backend that passes on what it is told.
+// newReportingDoor returns a door with a backend that reports the remaining time of every request it receives.
 func newReportingDoor(t *testing.T) (*testDoor, <-chan remainingReport) {
-	heard := make(chan remainingReport, 9)
+	reports := make(chan remainingReport, 9)
 	return newTestDoor(t, func(nc net.Conn) {
 		defer nc.Close()
 		req, err := http.ReadRequest(bufio.NewReader(nc))
@@ -36,59 +36,61 @@
 			return
 		}
 		ms, _ := strconv.Atoi(strings.TrimSuffix(req.Header.Get("X-Remaining"), "m"))
-		heard <- remainingReport{time.Now(), time.Duration(ms) * time.Millisecond}
+		reports <- remainingReport{time.Now(), time.Duration(ms) * time.Millisecond}
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
-	}, sendOnce(make(chan gate.Event, 99))), heard
+	}, sendOnce(make(chan gate.Event, 99))), reports
 }
 
-func (g remainingReport) assertNotOverstated(t *testing.T, sent time.Time) {
+// assertNotOverstated checks that the remaining time does not exceed what the client had left, for a request sent at a time with a
+// limit of 1500 ms.
+func (r remainingReport) assertNotOverstated(t *testing.T, sent time.Time) {
 	t.Helper()
-	assert.LessOrEqual(t, g.remaining, 1500*time.Millisecond-g.receivedAt.Sub(sent)+maxRemainingExcess)
+	assert.LessOrEqual(t, r.remaining, 1500*time.Millisecond-r.receivedAt.Sub(sent)+maxRemainingExcess)
 }
 
 func TestRemainingTimeExcludesDialTime(t *testing.T) {
-	const dialTakes = 400 * time.Millisecond
-	g, heard := newReportingDoor(t)
+	const dialTime = 400 * time.Millisecond
+	td, reports := newReportingDoor(t)
 	dial := systemDial(time.Second)
-	g.network.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
-		if addr != g.cfg.Discovery {
-			time.Sleep(dialTakes)
+	td.network.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
+		if addr != td.cfg.Discovery {
+			time.Sleep(dialTime)
 		}
 		return dial(ctx, addr)
 	}
-	g.start(t)
-	g.waitReady(t)
-	nc := connect(t, g.addr)
+	td.start(t)
+	td.waitReady(t)
+	nc := connect(t, td.addr)
 	sent := time.Now()
 	status, _ := roundTrip(t, nc, lookRequest)
 	require.Equal(t, http.StatusOK, status)
-	await(t, heard, "the request").assertNotOverstated(t, sent)
+	await(t, reports, "the request").assertNotOverstated(t, sent)
 }
 
-// exhaustedListener is a listener for which the system is exhaustedListener of files until a time.
+// exhaustedListener is a listener whose Accept fails until a time, as if the system had no free file descriptors.
 type exhaustedListener struct {
 	*net.TCPListener
 	exhaustedUntil time.Time
 }
 
-func (s *exhaustedListener) Accept() (net.Conn, error) {
-	if time.Now().Before(s.exhaustedUntil) {
+func (l *exhaustedListener) Accept() (net.Conn, error) {
+	if time.Now().Before(l.exhaustedUntil) {
 		return nil, syscall.ENFILE
 	}
-	return s.TCPListener.Accept()
+	return l.TCPListener.Accept()
 }
 
 func TestRemainingTimeExcludesListenerQueueTime(t *testing.T) {
-	g, heard := newReportingDoor(t)
+	td, reports := newReportingDoor(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	g.network.Listen = func(context.Context, string) (net.Listener, error) {
+	td.network.Listen = func(context.Context, string) (net.Listener, error) {
 		return &exhaustedListener{ln.(*net.TCPListener), time.Now().Add(500 * time.Millisecond)}, nil
 	}
-	g.start(t)
+	td.start(t)
 	nc := connect(t, ln.Addr().String())
 	sent := time.Now()
 	status, _ := roundTrip(t, nc, lookRequest)
 	require.Equal(t, http.StatusOK, status)
-	await(t, heard, "the request").assertNotOverstated(t, sent)
+	await(t, reports, "the request").assertNotOverstated(t, sent)
 }
--- a/frontdoor/serve_test.go
+++ b/frontdoor/serve_test.go
@@ -22,8 +22,8 @@
 	"github.com/swifthall/swifthall/policy"
 )
 
-// echoBackend answers requests with their body, or "hi", once it may.
-func echoBackend(may <-chan struct{}) func(net.Conn) {
+// echoBackend returns a backend that answers each request with "hi" and its body, once proceed is closed.
+func echoBackend(proceed <-chan struct{}) func(net.Conn) {
 	return func(nc net.Conn) {
 		defer nc.Close()
 		for r := bufio.NewReader(nc); ; {
@@ -32,30 +32,32 @@
 				return
 			}
 			body, _ := io.ReadAll(req.Body)
-			<-may
+			<-proceed
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body)+2, "hi"+string(body))
 		}
 	}
 }
 
-// discoveryServer tells of one backend on every watch and passes on what it was asked.
-func discoveryServer(backend string, asked chan<- string, then func(net.Conn)) func(net.Conn) {
+// discoveryServer returns a discovery server that sends a list with one backend on every watch. It reports the URI of each request
+// and then calls a function with the connection.
+func discoveryServer(backend string, requests chan<- string, then func(net.Conn)) func(net.Conn) {
 	return func(nc net.Conn) {
 		req, err := http.ReadRequest(bufio.NewReader(nc))
 		if err != nil {
 			return
 		}
-		asked <- req.RequestURI
+		requests <- req.RequestURI
 		line := fmt.Sprintf(`{"generation":41,"reset":true,"instances":[{"instanceId":"s","hostPort":%q,"lifecycle":"Ready"}]}`, backend)
 		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(line)+1, line)
 		then(nc)
 	}
 }
 
+// keepOpen leaves a connection as it is.
 func keepOpen(net.Conn) {}
 
-// sendOnce has every request sent to the first backend, once, and passes on what it hears.
-func sendOnce(heard chan<- gate.Event) deciderFunc {
+// sendOnce returns a decider that sends every request to the first backend, once, and reports the events it receives.
+func sendOnce(received chan<- gate.Event) deciderFunc {
 	return func(_ float64, events []gate.Event) (out []gate.Action) {
 		for _, e := range events {
 			switch e := e.(type) {
@@ -67,7 +69,7 @@
 				}
 			}
 			select {
-			case heard <- e:
+			case received <- e:
 			default:
 			}
 		}
@@ -75,19 +77,20 @@
 	}
 }
 
-// startDoor starts a door and waits until it is ready.
-func startDoor(t *testing.T, may <-chan struct{}, d gate.Decider) (addr string, stop func(), ended <-chan error) {
+// startDoor starts a door with testConfig and a backend, and waits until it is ready.
+func startDoor(t *testing.T, proceed <-chan struct{}, d gate.Decider) (addr string, stop func(), ended <-chan error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return startDoorWith(t, testConfig(), may, d, log)
+	return startDoorWith(t, testConfig(), proceed, d, log)
 }
 
-func startDoorWith(t *testing.T, cfg config.Door, may <-chan struct{}, d gate.Decider,
+// startDoorWith is like startDoor, with another configuration and a log.
+func startDoorWith(t *testing.T, cfg config.Door, proceed <-chan struct{}, d gate.Decider,
 	log *logrus.Logger) (addr string, stop func(), ended <-chan error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // the door's own from here on: nobody else can have its port meanwhile
+	ln, err := net.Listen("tcp", "127.0.0.1:0") // passed to the door, so that no other process can take the port in between
 	require.NoError(t, err)
-	cfg.Listen, cfg.Sockets = ln.Addr().String(), 1000 // short of sockets only where a test means it
-	cfg.Discovery = loopbacktest.Serve(t, discoveryServer(loopbacktest.Serve(t, echoBackend(may)), make(chan string, 9), keepOpen))
+	cfg.Listen, cfg.Sockets = ln.Addr().String(), 1000 // enough that no test runs short of sockets
+	cfg.Discovery = loopbacktest.Serve(t, discoveryServer(loopbacktest.Serve(t, echoBackend(proceed)), make(chan string, 9), keepOpen))
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	end := make(chan error, 1)
@@ -107,6 +110,7 @@
 	return
 }
 
+// connect opens a connection that is closed at the end of the test.
 func connect(t *testing.T, addr string) net.Conn {
 	nc, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
@@ -114,7 +118,7 @@
 	return nc
 }
 
-// roundTrip sends a text and reads one answer.
+// roundTrip sends text and reads one answer.
 func roundTrip(t *testing.T, nc net.Conn, text string) (status int, body string) {
 	_, err := io.WriteString(nc, text)
 	require.NoError(t, err)
@@ -125,10 +129,11 @@
 const lookRequest = "GET /look?key=0000000000000001 HTTP/1.1\r\nHost: d\r\nX-Txn: a1\r\nX-Tariff: team\r\nX-Remaining: 1500m\r\n" +
 	"X-Weight: units=1,spread=1,first=0\r\n\r\n"
 
+// closedChan returns a closed channel, for a backend that answers at once.
 func closedChan() chan struct{} {
-	may := make(chan struct{})
-	close(may)
-	return may
+	proceed := make(chan struct{})
+	close(proceed)
+	return proceed
 }
 
 func TestRequestsOnOneConnection(t *testing.T) {
@@ -142,16 +147,16 @@
 	big := strings.Repeat("x", 65535)
 	status, body := roundTrip(t, nc, strings.Replace(strings.Replace(lookRequest, "GET /look", "POST /book", 1), "\r\n\r\n",
 		fmt.Sprintf("\r\nIdempotency-Key: m\r\nContent-Length: %d\r\n\r\n", len(big)), 1)+big)
-	assert.Equal(t, http.StatusBadGateway, status, "an answer over the most that a body may hold is none")
+	assert.Equal(t, http.StatusBadGateway, status, "an answer with a body over the limit is malformed")
 	assert.Empty(t, body)
 	status, _ = roundTrip(t, nc, strings.Replace(lookRequest, "/look", "/odd", 1))
 	assert.Equal(t, http.StatusNotFound, status)
 	status, body = roundTrip(t, nc, lookRequest)
-	assert.Equal(t, "200 hi", fmt.Sprint(status, " ", body), "the connection goes on")
+	assert.Equal(t, "200 hi", fmt.Sprint(status, " ", body), "the connection stays open")
 	status, _ = roundTrip(t, nc, "nonsense\r\n\r\n")
 	assert.Equal(t, http.StatusBadRequest, status)
 	_, err = nc.Read(make([]byte, 1))
-	assert.Error(t, err, "and ends after noise")
+	assert.Error(t, err, "and is closed after malformed input")
 }
 
 func TestNothingIsParsedBeforePendingAnswer(t *testing.T) {
@@ -160,8 +165,8 @@
 	r := bufferedState("GET /health/live HTTP/1.1\r\n")
 	r.answerPending = true
 	assert.True(t, cl.step(r))
-	assert.True(t, cl.holdsInput.Load(), "whoever answers is to wake the reader")
-	assert.False(t, r.parser.Begun(), "a client that sends ahead holds one body, not two")
+	assert.True(t, cl.holdsInput.Load(), "the answer's writer must wake the reader")
+	assert.False(t, r.parser.Begun(), "a client that sends requests early must not make the door hold two bodies")
 	cl.answerDone <- struct{}{}
 	assert.True(t, cl.step(r))
 	assert.True(t, r.parser.Begun())
@@ -175,16 +180,16 @@
 
 func TestIdleCloseServesArrivedRequest(t *testing.T) {
 	c, _ := newTestCore(t)
-	come := make(chan struct{})
+	sent := make(chan struct{})
 	nc := connect(t, loopbacktest.Serve(t, func(nc net.Conn) {
-		<-come
+		<-sent
 		cl := newClient(c, nc)
 		cl.requestClose(closedIdle)
 		cl.run()
 	}))
 	_, err := io.WriteString(nc, "GET /health/live HTTP/1.1\r\nHost: d\r\n\r\n")
 	require.NoError(t, err)
-	close(come)
+	close(sent)
 	assert.Equal(t, 200, readResponse(t, nc).Status)
 }
 
@@ -201,11 +206,11 @@
 }
 
 func TestShutdownAnswersOpenAndLateRequests(t *testing.T) {
-	may, events := make(chan struct{}), make(chan gate.Event, 99)
-	addr, stop, ended := startDoor(t, may, sendOnce(events))
-	idle, held, fresh := connect(t, addr), connect(t, addr), connect(t, addr)
+	proceed, events := make(chan struct{}), make(chan gate.Event, 99)
+	addr, stop, ended := startDoor(t, proceed, sendOnce(events))
+	idle, open, unused := connect(t, addr), connect(t, addr), connect(t, addr)
 	roundTrip(t, idle, "GET /health/live HTTP/1.1\r\nHost: d\r\n\r\n")
-	_, err := io.WriteString(held, lookRequest)
+	_, err := io.WriteString(open, lookRequest)
 	require.NoError(t, err)
 	for _, isRequest := (<-events).(gate.Request); !isRequest; _, isRequest = (<-events).(gate.Request) {
 	}
@@ -213,13 +218,13 @@
 	late := connect(t, addr)
 	_, err = io.WriteString(late, strings.Replace(lookRequest, "a1", "a2", 1))
 	require.NoError(t, err)
-	close(may)
-	for name, nc := range map[string]net.Conn{"held": held, "late": late} {
+	close(proceed)
+	for name, nc := range map[string]net.Conn{"open": open, "late": late} {
 		a := readResponse(t, nc)
 		assert.Equal(t, 200, a.Status, name)
 		assert.True(t, a.Close, name)
 	}
-	for name, nc := range map[string]net.Conn{"idle": idle, "fresh": fresh} {
+	for name, nc := range map[string]net.Conn{"idle": idle, "unused": unused} {
 		nc.SetReadDeadline(time.Now().Add(10 * time.Second))
 		_, err := nc.Read(make([]byte, 1))
 		assert.ErrorIs(t, err, io.EOF, name)
@@ -229,21 +234,21 @@
 
 func TestBrokenWatchResumesFromItsVersion(t *testing.T) {
 	c, _ := newTestCore(t)
-	asks := make(chan string, 9)
-	c.cfg.Discovery = loopbacktest.Serve(t, discoveryServer("127.0.0.1:1", asks, func(nc net.Conn) { nc.Close() }))
+	requests := make(chan string, 9)
+	c.cfg.Discovery = loopbacktest.Serve(t, discoveryServer("127.0.0.1:1", requests, func(nc net.Conn) { nc.Close() }))
 	go c.runWatch(t.Context(), c.cfg.Discovery, 0, 0)
-	assert.Equal(t, "/registry/instances?stream=1", <-asks)
-	assert.Equal(t, "/registry/instances?stream=1&index=41", <-asks)
+	assert.Equal(t, "/registry/instances?stream=1", <-requests)
+	assert.Equal(t, "/registry/instances?stream=1&index=41", <-requests)
 }
 
 func TestSilentWatchIsRedialled(t *testing.T) {
 	c, _ := newTestCore(t)
 	c.cfg.Pace.Silence = 20
-	asks := make(chan string, 9)
-	c.cfg.Discovery = loopbacktest.Serve(t, discoveryServer("127.0.0.1:1", asks, keepOpen))
+	requests := make(chan string, 9)
+	c.cfg.Discovery = loopbacktest.Serve(t, discoveryServer("127.0.0.1:1", requests, keepOpen))
 	go c.runWatch(t.Context(), c.cfg.Discovery, 0, 0)
-	<-asks
-	assert.Equal(t, "/registry/instances?stream=1&index=41", <-asks)
+	<-requests
+	assert.Equal(t, "/registry/instances?stream=1&index=41", <-requests)
 }
 
 func TestCounterIsRedialledAfterConnectionEnds(t *testing.T) {
@@ -267,14 +272,14 @@
 	}
 }
 
-// A door that watches the settings of another shape answers by its own, and its account tells how many would have had
-// another answer.
+// A door that compares its decisions with those of other terms answers by its own terms. Its summary counts the requests that the
+// other terms would have decided differently.
 func TestComparedSettingsAreCountedButNotApplied(t *testing.T) {
 	cfg := testConfig()
 	terms := &cfg.Settings.Terms
 	terms.MaxAttempts = 1
 	terms.Classes = []gate.Class{{Contract: 1000}, {Contract: 1000, Semantics: gate.Keyed}}
-	terms.Plans = []gate.Plan{{Rate: 1e-6, Depth: 3}} // nothing fills up while the test runs
+	terms.Plans = []gate.Plan{{Rate: 1e-6, Depth: 3}} // no units are refilled while the test runs
 	other := *terms
 	other.Plans = []gate.Plan{{Rate: 1e-6, Depth: 3, OverQuotaGain: 0.3}}
 	decider := policy.New(*terms, 1)
@@ -287,7 +292,7 @@
 		status, _ := roundTrip(t, nc, strings.Replace(lookRequest, "a1", fmt.Sprint("w", i), 1))
 		statuses = append(statuses, status)
 	}
-	assert.Equal(t, []int{200, 200, 200, 429, 429}, statuses, "by its own settings")
+	assert.Equal(t, []int{200, 200, 200, 429, 429}, statuses, "decided by its own terms")
 	require.Eventually(t, func() bool {
 		for _, e := range hook.AllEntries() {
 			if e.Message == "account" && e.Data["arrived"] == 5 {
--- a/frontdoor/trace_test.go
+++ b/frontdoor/trace_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestDebugLogAndCloseReasons(t *testing.T) {
-	for level, told := range map[logrus.Level]bool{logrus.DebugLevel: true, logrus.InfoLevel: false} {
+	for level, enabled := range map[logrus.Level]bool{logrus.DebugLevel: true, logrus.InfoLevel: false} {
 		var out bytes.Buffer
 		log := logrus.New()
 		log.SetOutput(&out)
@@ -22,12 +22,12 @@
 		status, _ := roundTrip(t, connect(t, addr), lookRequest)
 		require.Equal(t, 200, status)
 		stop()
-		require.NoError(t, await(t, ended, "the end"))
+		require.NoError(t, await(t, ended, "the end of Serve"))
 		for _, step := range []string{"connection opened", "request taken", "attempt started", "attempt ended", "request answered"} {
-			assert.Equal(t, told, bytes.Contains(out.Bytes(), []byte(step)), step)
+			assert.Equal(t, enabled, bytes.Contains(out.Bytes(), []byte(step)), step)
 		}
-		assert.Equal(t, told, bytes.Contains(out.Bytes(), []byte("request=a1")))
-		assert.Contains(t, out.String(), fields.Closed, "the last account tells why connections ended")
+		assert.Equal(t, enabled, bytes.Contains(out.Bytes(), []byte("request=a1")))
+		assert.Contains(t, out.String(), fields.Closed, "the last summary contains why connections ended")
 		assert.Contains(t, out.String(), fields.Ended+outcomeOK.String())
 	}
 }
