--- a/frontdoor/discovery_test.go
+++ b/frontdoor/discovery_test.go
@@ -114,7 +114,7 @@
 				for {
 					select {
 					case n := <-c.events:
-						if n, is := n.(fleetUpdate); is && n.list.Version == 43 && delays[i] == 0 {
+						if update, ok := n.(fleetUpdate); ok && update.list.Version == 43 && delays[i] == 0 {
 							delays[i] = elapsed() - outageStart - outageLength
 						}
 					case <-ctx.Done():
--- a/frontdoor/failure_test.go
+++ b/frontdoor/failure_test.go
@@ -344,9 +344,9 @@
 	assert.Equal(t, http.StatusTooManyRequests, send(other, nextRequest(other, "0000000000000002")), "the other deployment is not affected")
 }
 
-// Idle clients hold all the sockets that clients may have, and discovery is down. New clients must still be answered by backends that
-// have to be dialled, the counter must be called on a connection that has to be dialled, the watch must be restored when discovery
-// is available again, and clients with a pending answer must receive it.
+// Idle clients hold all the sockets that clients may have, and discovery is down. New clients must still be answered by backends
+// that have to be dialled, the counter must be called on a connection that has to be dialled, the watch must be restored when
+// discovery is available again, and clients with a pending answer must receive it.
 func TestIdleClientsDoNotExhaustSockets(t *testing.T) {
 	const busy, fresh, sockets = 5, 40, 256
 	proceed, arrived := make(chan struct{}), make(chan struct{}, busy)
--- a/frontdoor/interleaving_test.go
+++ b/frontdoor/interleaving_test.go
@@ -180,8 +180,8 @@
 }
 
 // A client that sends more input may have unread bytes in the door's receive buffer when its last answer is sent, here between the
-// shutdown of the sending side and the close. Closing a socket with unread bytes resets the connection, and unsent data is lost: here
-// most of a large answer, as the client's receive buffer is small.
+// shutdown of the sending side and the close. Closing a socket with unread bytes resets the connection, and unsent data is lost:
+// here most of a large answer, as the client's receive buffer is small.
 func TestUnreadInputAtCloseDoesNotLoseAnswer(t *testing.T) {
 	writeClosed, sent := make(chan struct{}), make(chan struct{})
 	var once sync.Once
@@ -283,8 +283,8 @@
 	td.cfg.Pace.Linger = 50
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	q := &blockedListener{TCPListener: ln.(*net.TCPListener), deadlineSet: deadlineSet, release: release}
-	td.network.Listen = func(context.Context, string) (net.Listener, error) { return q, nil }
+	blocked := &blockedListener{TCPListener: ln.(*net.TCPListener), deadlineSet: deadlineSet, release: release}
+	td.network.Listen = func(context.Context, string) (net.Listener, error) { return blocked, nil }
 	td.start(t)
 	td.waitReady(t)
 	nc := connect(t, ln.Addr().String())
@@ -306,18 +306,18 @@
 	release     <-chan struct{}
 }
 
-func (q *blockedListener) SetDeadline(at time.Time) error {
-	err := q.TCPListener.SetDeadline(at)
+func (l *blockedListener) SetDeadline(at time.Time) error {
+	err := l.TCPListener.SetDeadline(at)
 	select {
-	case q.deadlineSet <- struct{}{}:
+	case l.deadlineSet <- struct{}{}:
 	default:
 	}
 	return err
 }
 
-func (q *blockedListener) Accept() (net.Conn, error) {
-	<-q.release
-	return q.TCPListener.Accept()
+func (l *blockedListener) Accept() (net.Conn, error) {
+	<-l.release
+	return l.TCPListener.Accept()
 }
 
 // The door notices that a client has closed its connection, by a FIN or a reset, also behind input that was sent before the answer,
@@ -668,10 +668,10 @@
 	once sync.Once
 }
 
-func (h *suspendedListener) SetDeadline(at time.Time) error {
-	err := h.blockedListener.SetDeadline(at)
+func (l *suspendedListener) SetDeadline(at time.Time) error {
+	err := l.blockedListener.SetDeadline(at)
 	if wait := time.Until(at); wait > 0 {
-		h.once.Do(func() { time.Sleep(4 * wait) })
+		l.once.Do(func() { time.Sleep(4 * wait) })
 	}
 	return err
 }
