--- a/frontdoor/core_test.go
+++ b/frontdoor/core_test.go
@@ -24,13 +24,13 @@
 	"github.com/swifthall/swifthall/internal/sockio"
 )
 
-// scripted answers every batch with what its function says.
-type scripted func(now float64, events []gate.Event) []gate.Action
+// deciderFunc is a gate.Decider that calls a function for every batch of events.
+type deciderFunc func(now float64, events []gate.Event) []gate.Action
 
-func (s scripted) Decide(now float64, events []gate.Event) []gate.Action { return s(now, events) }
+func (d deciderFunc) Decide(now float64, events []gate.Event) []gate.Action { return d(now, events) }
 
-// settled is a configuration with one idempotent and one keyed class and one plan.
-func settled() config.Door {
+// testConfig returns a configuration with one idempotent class, one keyed class and one plan.
+func testConfig() config.Door {
 	return config.Door{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Sockets: 100,
 		Settings: config.Settings{Terms: gate.Terms{Doors: 3, Classes: []gate.Class{{}, {Semantics: gate.Keyed}},
 			Plans: make([]gate.Plan, 1)}, Classes: map[string]int{"look": 0, "book": 1}, Plans: map[string]int{"team": 0},
@@ -38,11 +38,12 @@
 		Pace: config.Pace{SlowInput: 2000, IdleClient: 2000, IdleBackend: 5000, Silence: 3000, FirstByte: 1000, CounterStall: 800, Redial: 20, Linger: 500}}
 }
 
-// owned is a core that no goroutine runs, with one backend and one open request from a connected client.
-func owned(t *testing.T) (c *core, client net.Conn) {
+// newTestCore returns a core without a running event loop, with one backend and one open request, and the client's end of the
+// request's connection.
+func newTestCore(t *testing.T) (c *core, client net.Conn) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	c = newCore(settled(), scripted(func(float64, []gate.Event) []gate.Action { return nil }), log)
+	c = newCore(testConfig(), deciderFunc(func(float64, []gate.Event) []gate.Action { return nil }), log)
 	c.now = c.clock.now()
 	fleetUpdate{list: registry.List{Whole: true, Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready"}}}}.handle(c)
 	far, near := net.Pipe()
@@ -54,51 +55,52 @@
 	return c, far
 }
 
-// linked sends the open request over an idle connection to the backend, whose end is returned.
-func linked(t *testing.T, c *core) (*attempt, net.Conn) {
+// sendOverPipe gives the backend an idle connection and sends the open request over it. It returns the attempt and the backend's
+// end of the connection.
+func sendOverPipe(t *testing.T, c *core) (*attempt, net.Conn) {
 	far, near := net.Pipe()
 	t.Cleanup(func() { far.Close(); near.Close() })
-	l := &backendConn{c: c, addr: "127.0.0.1:1", nc: near, cancel: func() {}}
-	c.backendConns[l] = struct{}{}
-	c.backends[0].idle = append(c.backends[0].idle, l)
+	conn := &backendConn{c: c, addr: "127.0.0.1:1", nc: near, cancel: func() {}}
+	c.backendConns[conn] = struct{}{}
+	c.backends[0].idle = append(c.backends[0].idle, conn)
 	c.send(gate.Send{})
 	return c.requests[0].attempts[0], far
 }
 
-// written takes all of an attempt at the backend's end.
-func written(t *testing.T, f *attempt, far net.Conn) {
+// receiveAttempt reads a whole attempt at the backend's end of the connection and waits until its writer has finished.
+func receiveAttempt(t *testing.T, att *attempt, far net.Conn) {
 	for got := []byte{}; !bytes.HasSuffix(got, []byte("\r\n\r\n")); {
 		buf := make([]byte, 4096)
 		n, err := far.Read(buf)
 		require.NoError(t, err)
 		got = append(got, buf[:n]...)
 	}
-	for f.conn.writeInProgress.Load() {
+	for att.conn.writeInProgress.Load() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// bringing is a reader that holds bytes.
-func bringing(text string) *readState {
+// bufferedState returns the state of a reader that has received text and not parsed it yet.
+func bufferedState(text string) *readState {
 	r := &readState{buf: make([]byte, pool.Size)}
 	r.buffered = r.buf[:copy(r.buf, text)]
 	return r
 }
 
-// heard reads one answer.
-func heard(t *testing.T, nc net.Conn) http1.Response { return heardEach(t, nc, 1)[0] }
+// readResponse reads one answer from a connection.
+func readResponse(t *testing.T, nc net.Conn) http1.Response { return readResponses(t, nc, 1)[0] }
 
-// heardEach reads n answers, which may come in one read: what one read brings beyond an answer is the next's.
-func heardEach(t *testing.T, nc net.Conn, n int) []http1.Response {
+// readResponses reads n answers. Several may arrive in one read: bytes after one answer belong to the next.
+func readResponses(t *testing.T, nc net.Conn, n int) []http1.Response {
 	var in http1.ResponseReader
 	var got []http1.Response
 	buf, rest := make([]byte, 4096), []byte(nil)
 	nc.SetReadDeadline(time.Now().Add(10 * time.Second))
 	for len(got) < n {
 		if len(rest) == 0 {
-			k, err := nc.Read(buf)
+			size, err := nc.Read(buf)
 			require.NoError(t, err)
-			rest = buf[:k]
+			rest = buf[:size]
 		}
 		used, whole, err := in.Feed(rest)
 		require.NoError(t, err)
@@ -109,7 +111,7 @@
 	return got
 }
 
-func TestEveryEndHasItsResult(t *testing.T) {
+func TestOutcomeResults(t *testing.T) {
 	for e, want := range map[outcome]gate.Result{outcomeOK: gate.Finished, outcomeError: gate.Errored, outcomeTurnedAway: gate.Full,
 		outcomeNoSocket: gate.Skipped, outcomeNoConnection: gate.Unreachable, outcomeBrokenUnsent: gate.Unreachable, outcomeBroken: gate.Reset,
 		outcomeMalformed: gate.Malformed, outcomeTimeoutUnsent: gate.Skipped, outcomeTimeout: gate.TimedOut, outcomeAbandonedUnsent: gate.Skipped,
@@ -124,18 +126,18 @@
 	}
 }
 
-func TestAMachineOutOfSocketsIsNotTheBackendsFault(t *testing.T) {
+func TestLocalSocketShortageIsNotABackendFailure(t *testing.T) {
 	assert.Equal(t, outcomeNoSocket, dialOutcome(&net.OpError{Err: os.NewSyscallError("socket", syscall.EMFILE)}))
 	assert.Equal(t, outcomeNoConnection, dialOutcome(&net.OpError{Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}))
 }
 
-func TestADoorWithoutSocketsSaysSo(t *testing.T) {
-	cfg := settled()
+func TestServeFailsWithoutSockets(t *testing.T) {
+	cfg := testConfig()
 	cfg.Sockets = 3
 	assert.ErrorContains(t, New(cfg, nil, logrus.New()).Serve(t.Context()), `"limits.sockets"`)
 }
 
-func TestOnlyAMarkedAnswerIsTurnedAway(t *testing.T) {
+func TestOnlyMarkedAnswersAreTurnedAway(t *testing.T) {
 	for a, want := range map[*http1.Response]outcome{{Status: 200}: outcomeOK, {Status: 500}: outcomeError, {Status: 503}: outcomeError,
 		{Status: 503, TurnedAway: true}: outcomeTurnedAway, {Status: 504, TurnedAway: true}: outcomeTurnedAway,
 		{Status: 500, TurnedAway: true}: outcomeError, {Status: 201}: outcomeError} {
@@ -143,17 +145,17 @@
 	}
 }
 
-func TestWhatTheTermsDoNotKnowIsAFault(t *testing.T) {
-	c, _ := owned(t)
+func TestGateRequestRejectsInvalidRequests(t *testing.T) {
+	c, _ := newTestCore(t)
 	good := http1.Request{Method: "POST", Class: "book", IdempotencyKey: "m", Plan: "team", Units: 2, Spread: 3, First: 2, TTL: 1e12}
 	ev, err := c.gateRequest(&good)
 	require.NoError(t, err)
-	assert.Equal(t, gate.Request{Class: 1, TTL: 2000, Units: 2, Spread: 3, FirstDoor: 2}, ev, "no client waits longer")
+	assert.Equal(t, gate.Request{Class: 1, TTL: 2000, Units: 2, Spread: 3, FirstDoor: 2}, ev, "the time to live is limited to MaxWait")
 	for name, change := range map[string]func(*http1.Request){
-		"profile": func(o *http1.Request) { o.Class = "odd" }, "plan": func(o *http1.Request) { o.Plan = "odd" },
-		"method": func(o *http1.Request) { o.Method = "GET" },
-		"mark":   func(o *http1.Request) { o.IdempotencyKey = "" }, "first": func(o *http1.Request) { o.First = 3 },
-		"spread": func(o *http1.Request) { o.Spread = 4 }, "units": func(o *http1.Request) { o.Units = 9 },
+		"class": func(msg *http1.Request) { msg.Class = "unknown" }, "plan": func(msg *http1.Request) { msg.Plan = "unknown" },
+		"method":          func(msg *http1.Request) { msg.Method = "GET" },
+		"idempotency key": func(msg *http1.Request) { msg.IdempotencyKey = "" }, "first door": func(msg *http1.Request) { msg.First = 3 },
+		"spread": func(msg *http1.Request) { msg.Spread = 4 }, "units": func(msg *http1.Request) { msg.Units = 9 },
 	} {
 		bad := good
 		change(&bad)
@@ -162,8 +164,8 @@
 	}
 }
 
-func TestTimeLeftCountsFromTheFirstByte(t *testing.T) {
-	c, _ := owned(t)
+func TestRequestTTLCountsFromFirstByte(t *testing.T) {
+	c, _ := newTestCore(t)
 	cl := newClient(c, nil)
 	requestArrived{cl, &http1.Request{}, gate.Request{TTL: 500}, c.clock.now() - 200}.handle(c)
 	ev := c.pending[0].(gate.Request)
@@ -171,15 +173,15 @@
 	assert.Greater(t, ev.TTL, 0.0)
 }
 
-func TestAFinishedAnswerIsRelayedOnceAndFreesItsSlot(t *testing.T) {
-	c, client := owned(t)
-	f, far := linked(t, c)
-	written(t, f, far)
-	answerArrived{f.conn, http1.Response{Status: 200, Use: 0.5, Body: []byte("hi")}, f.startedAt + 30}.handle(c)
+func TestAnswerIsRelayedOnceAndFreesSlot(t *testing.T) {
+	c, client := newTestCore(t)
+	att, far := sendOverPipe(t, c)
+	receiveAttempt(t, att, far)
+	answerArrived{att.conn, http1.Response{Status: 200, Use: 0.5, Body: []byte("hi")}, att.startedAt + 30}.handle(c)
 	assert.Equal(t, gate.AttemptEnded{Result: gate.Finished, Latency: 30, Answered: true, MeteredUse: 0.5, Queue: -1}, c.pending[0])
-	c.answer(0, http.StatusBadGateway, 0, nil, "") // a second answer
-	assert.Equal(t, http1.Response{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}, heard(t, client))
-	assert.Len(t, c.backends[0].idle, 1, "the connection is used again")
+	c.answer(0, http.StatusBadGateway, 0, nil, "") // a second answer, which is dropped
+	assert.Equal(t, http1.Response{Status: 200, Use: -1, Queue: -1, Body: []byte("hi")}, readResponse(t, client))
+	assert.Len(t, c.backends[0].idle, 1, "the connection can be reused")
 	c.decide()
 	assert.Equal(t, []int{0}, c.freeSlots)
 	client.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
@@ -187,93 +189,93 @@
 	assert.Zero(t, n)
 }
 
-func TestOnlyWhatABackendAnsweredWellIsRelayed(t *testing.T) {
-	c, _ := owned(t)
-	f, _ := linked(t, c)
-	answerArrived{f.conn, http1.Response{Status: 500, Use: -1, Body: []byte("secret")}, f.startedAt}.handle(c)
-	assert.False(t, c.requests[0].done, "the decisions say what becomes of it")
+func TestErrorAnswerIsNotRelayed(t *testing.T) {
+	c, _ := newTestCore(t)
+	att, _ := sendOverPipe(t, c)
+	answerArrived{att.conn, http1.Response{Status: 500, Use: -1, Body: []byte("secret")}, att.startedAt}.handle(c)
+	assert.False(t, c.requests[0].done, "the decider decides what happens next")
 	assert.Equal(t, gate.Errored, c.pending[0].(gate.AttemptEnded).Result)
 }
 
-func TestAWriterThatComesAfterGivingUpWritesNothing(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
-	other := &attempt{op: 0, conn: f.conn}
+func TestAbandonedAttemptIsNotWritten(t *testing.T) {
+	c, _ := newTestCore(t)
+	att, far := sendOverPipe(t, c)
+	other := &attempt{op: 0, conn: att.conn}
 	c.requests[0].attempts = append(c.requests[0].attempts, other)
 	c.requests[0].outstanding++
 	c.abandon(other, outcomeAbandonedUnsent, outcomeAbandoned)
 	assert.Equal(t, gate.Skipped, c.pending[0].(gate.AttemptEnded).Result)
-	go f.conn.writeAttempt(other, []byte("late"))
+	go att.conn.writeAttempt(other, []byte("late"))
 	got, _ := io.ReadAll(far)
 	assert.NotContains(t, string(got), "late")
 }
 
-func TestGivingUpWhatMayHaveLeftMayHaveRun(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
-	_, err := far.Read(make([]byte, 1)) // the writer has begun
+func TestAttemptAbandonedDuringWriteMayHaveRun(t *testing.T) {
+	c, _ := newTestCore(t)
+	att, far := sendOverPipe(t, c)
+	_, err := far.Read(make([]byte, 1)) // the writer has started
 	require.NoError(t, err)
-	c.abandon(f, outcomeAbandonedUnsent, outcomeAbandoned)
+	c.abandon(att, outcomeAbandonedUnsent, outcomeAbandoned)
 	assert.Equal(t, gate.Cancelled, c.pending[0].(gate.AttemptEnded).Result)
-	assert.Empty(t, c.backendConns, "its connection is closed")
+	assert.Empty(t, c.backendConns, "the connection is closed")
 	_, err = io.ReadAll(far)
 	assert.NoError(t, err)
-	c.abandon(f, outcomeAbandonedUnsent, outcomeAbandoned)
-	assert.Len(t, c.pending, 1, "one end each")
+	c.abandon(att, outcomeAbandonedUnsent, outcomeAbandoned)
+	assert.Len(t, c.pending, 1, "an attempt ends once")
 }
 
-func TestAnAttemptCutOffNeverRan(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
+func TestPartlyWrittenAttemptNeverRan(t *testing.T) {
+	c, _ := newTestCore(t)
+	att, far := sendOverPipe(t, c)
 	_, err := far.Read(make([]byte, 9))
 	require.NoError(t, err)
 	far.Close()
-	for f.stage.Load() != stageBroken { // the writer finds out
+	for att.stage.Load() != stageBroken { // until the writer notices the broken connection
 		time.Sleep(time.Millisecond)
 	}
-	connClosed{f.conn, outcomeBroken}.handle(c)
+	connClosed{att.conn, outcomeBroken}.handle(c)
 	assert.Equal(t, gate.Unreachable, c.pending[0].(gate.AttemptEnded).Result)
 }
 
-func TestAnAnswerBeforeItsAttemptHasLeftEndsTheConnection(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
-	_, err := far.Read(make([]byte, 1)) // the rest is stuck
+func TestAnswerBeforeAttemptIsWrittenClosesConnection(t *testing.T) {
+	c, _ := newTestCore(t)
+	att, far := sendOverPipe(t, c)
+	_, err := far.Read(make([]byte, 1)) // the rest is not read, so the write does not complete
 	require.NoError(t, err)
-	answerArrived{f.conn, http1.Response{Status: 503, TurnedAway: true}, c.now}.handle(c)
+	answerArrived{att.conn, http1.Response{Status: 503, TurnedAway: true}, c.now}.handle(c)
 	assert.Empty(t, c.backends[0].idle)
 }
 
-func TestAnAnswerNobodyAskedForEndsTheConnection(t *testing.T) {
-	c, _ := owned(t)
+func TestUnsolicitedAnswerEndsConnection(t *testing.T) {
+	c, _ := newTestCore(t)
 	far, near := net.Pipe()
 	go far.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 	assert.Equal(t, outcomeMalformed, (&backendConn{c: c, nc: near}).readAnswers())
 }
 
-func TestAnOldProcessGetsNothingNew(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
-	written(t, f, far)
-	answerArrived{f.conn, http1.Response{Status: 500}, c.now}.handle(c)
+func TestConnectionToOldProcessIsNotReused(t *testing.T) {
+	c, _ := newTestCore(t)
+	att, far := sendOverPipe(t, c)
+	receiveAttempt(t, att, far)
+	answerArrived{att.conn, http1.Response{Status: 500}, c.now}.handle(c)
 	require.Len(t, c.backends[0].idle, 1)
 	fleetUpdate{list: registry.List{Backends: []registry.Entry{{ID: "s", Addr: "127.0.0.1:1", State: "Ready", Started: 5}}}}.handle(c)
 	assert.Empty(t, c.backends[0].idle)
 	assert.Empty(t, c.backendConns)
 }
 
-func TestAnIdleConnectionIsRetiredInTime(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
-	written(t, f, far)
-	answerArrived{f.conn, http1.Response{Status: 500}, c.now}.handle(c)
+func TestIdleBackendConnectionIsClosed(t *testing.T) {
+	c, _ := newTestCore(t)
+	att, far := sendOverPipe(t, c)
+	receiveAttempt(t, att, far)
+	answerArrived{att.conn, http1.Response{Status: 500}, c.now}.handle(c)
 	c.now += c.cfg.Pace.IdleBackend + 1
 	c.sweep()
 	assert.Empty(t, c.backendConns)
 }
 
-func TestASpentBudgetIsAResult(t *testing.T) {
-	c, _ := owned(t)
+func TestAttemptWithoutFreeSocketIsSkipped(t *testing.T) {
+	c, _ := newTestCore(t)
 	for c.budget.acquire(0) {
 	}
 	c.send(gate.Send{})
@@ -281,11 +283,11 @@
 	assert.Zero(t, c.requests[0].outstanding)
 }
 
-func TestAnIdleConnectionGivesWayToOneThatIsWanted(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
-	written(t, f, far)
-	answerArrived{f.conn, http1.Response{Status: 500}, c.now}.handle(c)
+func TestEvictIdleClosesIdleConnection(t *testing.T) {
+	c, _ := newTestCore(t)
+	att, far := sendOverPipe(t, c)
+	receiveAttempt(t, att, far)
+	answerArrived{att.conn, http1.Response{Status: 500}, c.now}.handle(c)
 	for c.budget.acquire(0) {
 	}
 	assert.True(t, c.evictIdle())
@@ -293,56 +295,56 @@
 	assert.False(t, c.evictIdle())
 }
 
-func TestACrowdClosesTheLongestIdleClientButNoneJustCome(t *testing.T) {
-	c, _ := owned(t)
+func TestSocketNeededClosesLongestIdleClient(t *testing.T) {
+	c, _ := newTestCore(t)
 	far, near := net.Pipe()
 	defer far.Close()
 	fresh, old := newClient(c, near), newClient(c, near)
 	old.idleSince -= c.cfg.Pace.Linger + 1
 	clientOpened{fresh}.handle(c)
 	socketNeeded{}.handle(c)
-	assert.False(t, fresh.closeRequested.Load(), "an operation may be on its way")
+	assert.False(t, fresh.closeRequested.Load(), "a request may be on its way")
 	clientOpened{old}.handle(c)
 	socketNeeded{}.handle(c)
 	assert.True(t, old.closeRequested.Load())
 	assert.False(t, fresh.closeRequested.Load())
-	assert.False(t, c.requests[0].client.closeRequested.Load(), "one that is owed an answer stays")
+	assert.False(t, c.requests[0].client.closeRequested.Load(), "a client with a pending answer stays")
 }
 
-// A client that sends its next request before the answer that closes its connection gets no answer for it: run,
-// it would have its effect unanswered, and a repeat of the client's would have it twice.
-func TestNothingIsTakenBehindAConnectionsLastAnswer(t *testing.T) {
-	c, _ := owned(t)
-	cl := newClient(c, dialled(t, loopbacktest.Serve(t, keep)))
+// A request that a client sends before it receives the answer that closes its connection must not run: it could not be answered,
+// and the client's repeat would run it twice.
+func TestNoRequestIsAcceptedAfterLastAnswer(t *testing.T) {
+	c, _ := newTestCore(t)
+	cl := newClient(c, connect(t, loopbacktest.Serve(t, keepOpen)))
 	cl.answer(http1.AppendResponse(nil, http.StatusOK, 0, nil, true), true)
-	r := bringing(look)
+	r := bufferedState(lookRequest)
 	r.answerPending = true
 	assert.False(t, cl.step(r))
-	assert.Empty(t, c.events, "nothing is passed on")
+	assert.Empty(t, c.events, "nothing is passed to the event loop")
 }
 
-func TestWhenSocketsAreShortAnAnswerIsItsConnectionsLast(t *testing.T) {
-	c, client := owned(t)
+func TestConnectionClosesAfterAnswerWhenSocketsAreShort(t *testing.T) {
+	c, client := newTestCore(t)
 	for c.budget.acquire(c.budget.clientReserve) {
 	}
 	c.answer(0, http.StatusTooManyRequests, 250, nil, "")
-	assert.True(t, heard(t, client).Close)
+	assert.True(t, readResponse(t, client).Close)
 }
 
-// Clients hold so many connections at most. Where each asks once and stays, all were taken within two seconds, and the
-// next requests had none until idle ones were closed.
-func TestWithManyClientsAnAnswerIsItsConnectionsLast(t *testing.T) {
-	c, client := owned(t)
+// The number of persistent client connections is limited. Without the limit, clients that each sent one request and kept their
+// connection took all sockets within two seconds, and the next requests got none until idle connections were closed.
+func TestConnectionClosesAfterAnswerWithManyActiveClients(t *testing.T) {
+	c, client := newTestCore(t)
 	c.activeClients = c.cfg.Sockets/persistentDivisor + 1
 	c.answer(0, http.StatusOK, 0, []byte("hi"), "")
-	assert.True(t, heard(t, client).Close)
-	known := c.activeClients
+	assert.True(t, readResponse(t, client).Close)
+	active := c.activeClients
 	clientClosed{c.requests[0].client, closedByClient}.handle(c)
-	assert.Equal(t, known-1, c.activeClients)
+	assert.Equal(t, active-1, c.activeClients)
 }
 
-func TestAClientThatLeavesIsReportedOnce(t *testing.T) {
-	c, _ := owned(t)
+func TestClientGoneIsReportedOnce(t *testing.T) {
+	c, _ := newTestCore(t)
 	cl := c.requests[0].client
 	clientClosed{cl, closedByClient}.handle(c)
 	assert.Equal(t, []gate.Event{gate.ClientGone{Op: 0}}, c.pending)
@@ -353,21 +355,21 @@
 	assert.Empty(t, c.pending)
 }
 
-func TestTimeRunsOutForAnAttempt(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
+func TestAttemptTimesOut(t *testing.T) {
+	c, _ := newTestCore(t)
+	att, far := sendOverPipe(t, c)
 	_, err := far.Read(make([]byte, 1))
 	require.NoError(t, err)
 	c.now = c.requests[0].deadline
 	c.timeouts.expireDue(c)
-	assert.True(t, f.ended)
+	assert.True(t, att.ended)
 	assert.Equal(t, gate.TimedOut, c.pending[0].(gate.AttemptEnded).Result)
 	assert.False(t, c.pending[0].(gate.AttemptEnded).Answered)
 }
 
-func TestReadyOnlyWhenItCanServe(t *testing.T) {
-	c, _ := owned(t)
-	assert.False(t, c.ready.Load(), "discovery was not asked")
+func TestReadiness(t *testing.T) {
+	c, _ := newTestCore(t)
+	assert.False(t, c.ready.Load(), "discovery has not been asked")
 	discoveryAttempted{}.handle(c)
 	assert.True(t, c.ready.Load())
 	fleetUpdate{list: registry.List{Whole: true}}.handle(c)
@@ -377,16 +379,16 @@
 	assert.False(t, c.ready.Load())
 }
 
-func TestACallIsToldOnceAndItsCustomerMayBeForgotten(t *testing.T) {
-	c, _ := owned(t)
+func TestCounterCallIsReportedOnce(t *testing.T) {
+	c, _ := newTestCore(t)
 	conn := newCounterConn(c, "")
 	c.counterConns = []*counterConn{conn}
 	c.callCounter(gate.Count{Customer: 0, Epoch: 7, Add: 2, TTL: 4000})
-	k := conn.queue[0]
-	assert.Equal(t, "0/7", counterKey(k))
+	call := conn.queue[0]
+	assert.Equal(t, "0/7", counterKey(call))
 	c.now += c.cfg.Settings.CounterTimeout
 	c.timeouts.expireDue(c)
-	callEnded{k, outcomeOK, 5}.handle(c)
+	callEnded{call, outcomeOK, 5}.handle(c)
 	assert.Equal(t, []gate.Event{gate.Counted{Epoch: 7, Result: gate.TimedOut}}, c.pending)
 	assert.Zero(t, conn.outstanding)
 	c.callCounter(gate.Count{Customer: 0, Epoch: 8})
@@ -395,8 +397,8 @@
 	assert.Len(t, c.pending, 1)
 }
 
-func TestCallsThatNobodyWaitsForAreNotMade(t *testing.T) {
-	c, _ := owned(t)
+func TestExpiredCounterCallsAreNotSent(t *testing.T) {
+	c, _ := newTestCore(t)
 	old, fresh := &counterCall{startedAt: c.clock.now() - 1000}, &counterCall{startedAt: c.clock.now() + 1000}
 	conn := newCounterConn(c, "")
 	conn.queue = []*counterCall{old, fresh}
@@ -408,72 +410,74 @@
 	assert.Equal(t, calls, conn.awaitingReply)
 }
 
-// A connection that ends between current and takeQueued has ended the calls awaiting a reply on it. A call registered on it
-// afterwards would never end, and would take the first reply on the next connection.
-func TestACallIsNotLoadedOntoAConnectionThatHasEnded(t *testing.T) {
-	c, _ := owned(t)
+// A connection that ends between current and takeQueued has already ended the calls awaiting a reply on it. A call registered on
+// it afterwards would never end, and would be matched to the first reply on the next connection.
+func TestCounterCallIsNotRegisteredOnEndedConnection(t *testing.T) {
+	c, _ := newTestCore(t)
 	conn := newCounterConn(c, loopbacktest.Serve(t, func(nc net.Conn) { nc.Close() }))
 	nc, how := conn.connect(t.Context())
 	require.Equal(t, outcomeOK, how)
-	for conn.current() != nil { // its reader sees the end and is over
+	for conn.current() != nil { // until its reader has noticed the end and returned
 		runtime.Gosched()
 	}
-	k := &counterCall{conn: conn, startedAt: c.clock.now()}
-	conn.queue = []*counterCall{k}
+	call := &counterCall{conn: conn, startedAt: c.clock.now()}
+	conn.queue = []*counterCall{call}
 	calls, late, up := conn.takeQueued(nc)
 	assert.False(t, up)
-	assert.Equal(t, []*counterCall{k}, calls)
+	assert.Equal(t, []*counterCall{call}, calls)
 	assert.Empty(t, late)
-	assert.Empty(t, conn.awaitingReply, "nothing waits for a reply that can't come")
-	assert.True(t, how.asUnsent().result().NeverRan(), "and nothing was added")
+	assert.Empty(t, conn.awaitingReply, "no call waits for a reply that cannot come")
+	assert.True(t, how.asUnsent().result().NeverRan(), "the call never added its units")
 }
 
-func TestAConnectionThatOwesACallForTooLongIsClosed(t *testing.T) {
-	c, _ := owned(t)
+func TestStalledCounterConnectionIsClosed(t *testing.T) {
+	c, _ := newTestCore(t)
 	far, near := net.Pipe()
 	conn := newCounterConn(c, "")
 	conn.nc = near
-	k := &counterCall{conn: conn, startedAt: c.now - c.cfg.Pace.CounterStall}
-	k.expire(c)
+	call := &counterCall{conn: conn, startedAt: c.now - c.cfg.Pace.CounterStall}
+	call.expire(c)
 	_, err := far.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// A hedge behind an answer must neither be taken for the next one nor cost the next request anything.
-func TestWhatIsBehindAnAnswerRetiresTheConnection(t *testing.T) {
-	c, _ := owned(t)
+// A second answer directly behind the first, such as one to a hedge, must not be taken for the answer to the next attempt, and
+// must not affect the next request.
+func TestExtraBytesAfterAnswerEndConnection(t *testing.T) {
+	c, _ := newTestCore(t)
 	far, near := net.Pipe()
 	defer far.Close()
 	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 	go io.WriteString(far, answer+answer)
 	assert.Equal(t, outcomeMalformed, (&backendConn{c: c, nc: near, answerPending: true}).readAnswers())
 	n := (<-c.events).(answerArrived)
-	assert.Equal(t, "hi", string(n.answer.Body), "the answer stands")
+	assert.Equal(t, "hi", string(n.answer.Body), "the first answer is valid")
 	assert.True(t, n.answer.Close)
-	assert.Empty(t, c.events, "the copy is nobody's")
+	assert.Empty(t, c.events, "the second answer is discarded")
 }
 
-// Surplus that comes later, or the backend's close, is seen before the connection is used again.
-func TestAStaleConnectionIsLeftForAnother(t *testing.T) {
-	for name, spoil := range map[string]func(net.Conn){
-		"surplus": func(nc net.Conn) { io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno") },
-		"closed":  func(nc net.Conn) { nc.Close() },
+// Extra bytes that arrive on an idle connection, or the backend's close, are noticed before the connection is used again: the
+// attempt is launched on a new connection.
+func TestStaleConnectionIsReplaced(t *testing.T) {
+	for name, breakConn := range map[string]func(net.Conn){
+		"extra bytes": func(nc net.Conn) { io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno") },
+		"closed":      func(nc net.Conn) { nc.Close() },
 	} {
-		c, _ := owned(t)
+		c, _ := newTestCore(t)
 		far := make(chan net.Conn, 2)
 		c.backends[0].addr = loopbacktest.Serve(t, func(nc net.Conn) { far <- nc })
-		near := dialled(t, c.backends[0].addr)
+		near := connect(t, c.backends[0].addr)
 		raw, err := near.(syscall.Conn).SyscallConn()
 		require.NoError(t, err)
-		l := &backendConn{c: c, addr: c.backends[0].addr, nc: near, raw: raw, cancel: func() {}, hasAnswered: true}
-		c.backendConns[l], c.backends[0].idle = struct{}{}, []*backendConn{l}
-		spoil(<-far)
+		conn := &backendConn{c: c, addr: c.backends[0].addr, nc: near, raw: raw, cancel: func() {}, hasAnswered: true}
+		c.backendConns[conn], c.backends[0].idle = struct{}{}, []*backendConn{conn}
+		breakConn(<-far)
 		for sockio.IsIdle(raw) {
 			time.Sleep(time.Millisecond)
 		}
 		c.send(gate.Send{})
-		connClosed{l, l.readAnswers()}.handle(c)
-		assert.Empty(t, c.pending, name+": the decisions hear nothing of it")
+		connClosed{conn, conn.readAnswers()}.handle(c)
+		assert.Empty(t, c.pending, name+": not reported to the decider")
 		fresh := <-far
 		req := make([]byte, 4096)
 		n, err := fresh.Read(req)
@@ -484,51 +488,51 @@
 	}
 }
 
-// What was read before a request was let out is no part of its answer, however late the reader looks at it.
-func TestOnlyWhatComesAfterAnAttemptIsItsAnswer(t *testing.T) {
+// Bytes read before an attempt was started are no part of its answer, even if the reader handles them only afterwards.
+func TestBytesReadBeforeAttemptAreNotItsAnswer(t *testing.T) {
 	far, near := net.Pipe()
-	l := &backendConn{nc: near}
+	conn := &backendConn{nc: near}
 	go io.WriteString(far, "x")
-	_, owed, err := l.receive(make([]byte, 9))
+	_, answerPending, err := conn.receive(make([]byte, 9))
 	require.NoError(t, err)
-	assert.False(t, owed)
-	assert.False(t, l.begin(&attempt{}), "what the reader has taken is seen no more")
-	l = &backendConn{nc: near}
-	assert.True(t, l.begin(&attempt{}))
+	assert.False(t, answerPending)
+	assert.False(t, conn.begin(&attempt{}), "the socket no longer shows the bytes that the reader took")
+	conn = &backendConn{nc: near}
+	assert.True(t, conn.begin(&attempt{}))
 	go io.WriteString(far, "x")
-	_, owed, err = l.receive(make([]byte, 9))
+	_, answerPending, err = conn.receive(make([]byte, 9))
 	require.NoError(t, err)
-	assert.True(t, owed)
+	assert.True(t, answerPending)
 }
 
-func TestAFreshConnectionThatBreaksUnusedIsTheBackendsFault(t *testing.T) {
-	c, _ := owned(t)
-	f := &attempt{op: 0, conn: &backendConn{c: c, cancel: func() {}}}
-	f.conn.attempt = f
-	c.requests[0].attempts, c.requests[0].outstanding = append(c.requests[0].attempts, f), 1
-	connClosed{f.conn, outcomeBroken}.handle(c)
+func TestFreshConnectionThatBreaksUnusedIsUnreachable(t *testing.T) {
+	c, _ := newTestCore(t)
+	att := &attempt{op: 0, conn: &backendConn{c: c, cancel: func() {}}}
+	att.conn.attempt = att
+	c.requests[0].attempts, c.requests[0].outstanding = append(c.requests[0].attempts, att), 1
+	connClosed{att.conn, outcomeBroken}.handle(c)
 	assert.Equal(t, gate.Unreachable, c.pending[0].(gate.AttemptEnded).Result, "it never ran")
 }
 
-// The id of another's open request: backends and decisions could not tell the two apart.
-func TestAnIdThatIsOpenElsewhereIsNotTaken(t *testing.T) {
-	c, _ := owned(t)
+// A request with the id of another open request is rejected: a backend and the decider could not tell the two apart.
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
+	c, _ := newTestCore(t)
 	far, near := net.Pipe()
 	defer far.Close()
 	cl := newClient(c, near)
-	again := requestArrived{cl, &http1.Request{ID: "x"}, gate.Request{TTL: 500}, c.now}
-	again.handle(c)
+	duplicate := requestArrived{cl, &http1.Request{ID: "x"}, gate.Request{TTL: 500}, c.now}
+	duplicate.handle(c)
 	assert.Empty(t, c.pending)
-	assert.Equal(t, http.StatusConflict, heard(t, far).Status)
+	assert.Equal(t, http.StatusConflict, readResponse(t, far).Status)
 	clientClosed{c.requests[0].client, closedByClient}.handle(c)
 	c.decide()
-	again.handle(c)
-	assert.Len(t, c.pending, 1, "free again once the other is over")
+	duplicate.handle(c)
+	assert.Len(t, c.pending, 1, "the id is free again once the other request has ended")
 }
 
-// Clients that connect and say nothing, or ask once and keep their connection for good, would fill the door.
+// Clients that connect and send nothing, or send one request and keep their connection, would use up all sockets of the door.
 func TestIdleClientsAreClosedAndBusyOnesAreNot(t *testing.T) {
-	c, _ := owned(t)
+	c, _ := newTestCore(t)
 	far, near := net.Pipe()
 	defer far.Close()
 	idle := newClient(c, near)
@@ -539,81 +543,81 @@
 	c.now += c.cfg.Pace.IdleClient
 	c.sweep()
 	assert.True(t, idle.closeRequested.Load())
-	assert.False(t, c.requests[0].client.closeRequested.Load(), "one that is owed an answer stays")
+	assert.False(t, c.requests[0].client.closeRequested.Load(), "a client with a pending answer stays")
 }
 
-// The time to bring a first request counts from the connection's beginning: one that is silent, then half-sent,
-// would else hold a socket twice as long.
-func TestAFirstRequestsTimeCountsFromItsConnection(t *testing.T) {
+// The time limit for receiving a first request counts from the opening of the connection. A client that is silent first and then
+// sends half a request would otherwise hold a socket twice as long.
+func TestFirstRequestTimeLimitCountsFromConnectionOpen(t *testing.T) {
 	cl := &client{openedAt: 100}
 	assert.Equal(t, 100.0, (&readState{firstByteAt: 900}).inputStart(cl))
 	assert.Equal(t, 900.0, (&readState{firstByteAt: 900, hadRequest: true}).inputStart(cl))
 }
 
-func TestInACrowdSilentConnectionsGoFirst(t *testing.T) {
-	c, _ := owned(t)
+func TestSocketNeededClosesSilentClientsFirst(t *testing.T) {
+	c, _ := newTestCore(t)
 	far, near := net.Pipe()
 	defer far.Close()
-	silent, known := newClient(c, near), newClient(c, near)
-	known.hasRequested = true
+	silent, active := newClient(c, near), newClient(c, near)
+	active.hasRequested = true
 	silent.idleSince -= c.cfg.Pace.Linger / 2
-	known.idleSince -= c.cfg.Pace.Linger / 2
+	active.idleSince -= c.cfg.Pace.Linger / 2
 	clientOpened{silent}.handle(c)
-	clientOpened{known}.handle(c)
+	clientOpened{active}.handle(c)
 	socketNeeded{}.handle(c)
 	assert.True(t, silent.closeRequested.Load())
-	assert.False(t, known.closeRequested.Load(), "its next operation may be on its way")
+	assert.False(t, active.closeRequested.Load(), "its next request may be on its way")
 }
 
-// A configuration read again moves discovery and counter; what the old ones still say of the fleet is passed over,
-// and calls of the old counter come to their own end.
-func TestAReloadGoesOverToTheNewAddresses(t *testing.T) {
-	c, _ := owned(t)
+// A reload switches to the new addresses of discovery and counter. Fleet updates that the old watch still sends are ignored, and
+// outstanding calls of the old counter finish on their own connections.
+func TestReloadSwitchesToNewAddresses(t *testing.T) {
+	c, _ := newTestCore(t)
 	c.background, c.cfg.Settings.Terms.Counter = t.Context(), true
 	c.useCounter("127.0.0.1:1")
 	old := c.counterConns[0]
 	old.outstanding = 1
 	stopped := false
 	old.stop = func() { stopped = true }
-	asks := make(chan string, 9)
-	next := loopbacktest.Serve(t, registryOf("127.0.0.1:7", asks, keep))
+	requests := make(chan string, 9)
+	next := loopbacktest.Serve(t, discoveryServer("127.0.0.1:7", requests, keepOpen))
 	reloadRequest{next, "127.0.0.1:2"}.handle(c)
-	assert.Equal(t, "/registry/instances?stream=1", <-asks, "the whole list, at once")
+	assert.Equal(t, "/registry/instances?stream=1", <-requests, "requests the complete list at once")
 	assert.Equal(t, []string{"127.0.0.1:2", "127.0.0.1:2"}, []string{c.counterConns[0].addr, c.counterConns[1].addr})
-	assert.False(t, stopped, "it owes an answer")
+	assert.False(t, stopped, "it has an outstanding call")
 	callEnded{&counterCall{conn: old}, outcomeOK, 5}.handle(c)
 	assert.True(t, stopped)
 	fleetUpdate{list: registry.List{Whole: true}}.handle(c)
-	assert.True(t, c.backends[0].eligible, "word of the old discovery")
+	assert.True(t, c.backends[0].eligible, "an update from the old watch is ignored")
 	for c.backends[0].addr != "127.0.0.1:7" {
 		(<-c.events).handle(c)
 	}
 	watch := c.watchNumber
 	reloadRequest{next, "127.0.0.1:2"}.handle(c)
-	assert.Equal(t, watch, c.watchNumber, "nothing has moved")
+	assert.Equal(t, watch, c.watchNumber, "unchanged addresses start no new watch")
 }
 
-// Backends are replaced all day: an index that were never used again would grow every array, and one used too early
-// would hand over connections.
-func TestAGoneBackendsIndexComesBackClean(t *testing.T) {
-	c, _ := owned(t)
-	f, far := linked(t, c)
-	written(t, f, far)
-	answerArrived{f.conn, http1.Response{Status: 500}, c.now}.handle(c)
+// Backends are replaced continually. If their indices were never reused, every array would grow without limit; an index reused
+// before its state is cleared would pass connections to another backend.
+func TestFreedBackendIndexInheritsNothing(t *testing.T) {
+	c, _ := newTestCore(t)
+	att, far := sendOverPipe(t, c)
+	receiveAttempt(t, att, far)
+	answerArrived{att.conn, http1.Response{Status: 500}, c.now}.handle(c)
 	c.execute(gate.FreeBackend{Backend: 0})
 	assert.Empty(t, c.backendConns)
 	fleetUpdate{list: registry.List{Backends: []registry.Entry{{ID: "new", Addr: "127.0.0.1:1", Zone: "b", Cell: 9, State: "Ready"}}}}.handle(c)
 	require.Len(t, c.backends, 1)
 	assert.Empty(t, c.backends[0].idle)
-	assert.Equal(t, [2]int{0, 0}, [2]int{c.backends[0].zone, c.backends[0].cell}, "zones and cells come back too")
+	assert.Equal(t, [2]int{0, 0}, [2]int{c.backends[0].zone, c.backends[0].cell}, "the indices of zones and cells are reused too")
 }
 
-func TestALoadReportIsTakenWhereTheSettingsNameIt(t *testing.T) {
+func TestQueueLengthIsReportedOnlyIfConfigured(t *testing.T) {
 	for _, names := range [][]string{nil, {"recent_ms", "backlog"}} {
-		c, _ := owned(t)
+		c, _ := newTestCore(t)
 		c.cfg.Settings.ReportNames = names
-		f, _ := linked(t, c)
-		answerArrived{f.conn, http1.Response{Status: 200, Use: -1, Queue: 4, Body: []byte("hi")}, f.startedAt + 30}.handle(c)
+		att, _ := sendOverPipe(t, c)
+		answerArrived{att.conn, http1.Response{Status: 200, Use: -1, Queue: 4, Body: []byte("hi")}, att.startedAt + 30}.handle(c)
 		want := -1.0
 		if names != nil {
 			want = 4
