--- a/lab/account/account.go
+++ b/lab/account/account.go
@@ -14,24 +14,24 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// Part is one way in which gain is lost.
-type Part struct {
-	Name    string    `json:"name"`
-	Gain    float64   `json:"gain"`  // lost
-	Share   float64   `json:"share"` // of the gain asked inside the quotas
-	Count   int       `json:"operations"`
-	Windows []float64 `json:"by_10_s"`         // shares of what was asked in each
-	Doors   int       `json:"doors"`           // that it struck
-	Top     float64   `json:"top_tenth"`       // share of it at the tenth of all doors that it struck most
-	Age     float64   `json:"age_s"`           // mean time since the door's start
-	Idle    float64   `json:"answers_lately"`  // mean of answers that the door had from backends in the 5 s before
-	Spread  float64   `json:"backends_lately"` // and of the backends that they came from
+// Loss is one way in which gain is lost.
+type Loss struct {
+	Name           string    `json:"name"`
+	Gain           float64   `json:"gain"`  // lost
+	Share          float64   `json:"share"` // of the gain asked inside the quotas
+	Count          int       `json:"operations"`
+	Windows        []float64 `json:"by_10_s"`         // shares of what was asked in each
+	Doors          int       `json:"doors"`           // that it struck
+	TopTenth       float64   `json:"top_tenth"`       // share of it at the tenth of all doors that it struck most
+	Age            float64   `json:"age_s"`           // mean time since the door's start
+	RecentAnswers  float64   `json:"answers_lately"`  // mean of answers that the door had from backends in the 5 s before
+	RecentBackends float64   `json:"backends_lately"` // and of the backends that they came from
 }
 
 // Account is a day's.
 type Account struct {
 	Offered float64 `json:"offered"`
-	Parts   []Part  `json:"parts"`
+	Parts   []Loss  `json:"parts"`
 	// Rejected with room, of all tries, window by window: the quota as it truly stood was half unused.
 	WithRoom []float64 `json:"rejected_with_room_by_10_s"`
 	// For each first try: what doors did more than serve.
@@ -40,52 +40,52 @@
 }
 
 const (
-	window   = 10e3 // ms
-	lately   = 5e3  // ms
-	room     = 0.5  // of the depth unused, from which a rejection is one with room
-	unserved = "never answered"
+	windowMs      = 10e3 // ms
+	recentMs      = 5e3  // ms
+	minRoomShare  = 0.5  // of the depth unused, from which a rejection is one with room
+	neverAnswered = "never answered"
 )
 
 // Book gathers a day's account from its trace.
 type Book struct {
-	deal  *judge.Deal
-	doors map[int]*door
-	wants map[int]*want
-	tries map[int]*try
-	quota map[int]*judge.Store
-	ideal map[int]*judge.Store
-	parts map[string]*tally
-	asked []float64 // gain by window
-	tried []int     // tries by window
-	roomy []int
-	sums  struct{ first, conns, calls, probes, sent int }
+	deal             *judge.Deal
+	doors            map[int]*door
+	requests         map[int]*clientRequest
+	tries            map[int]*openTry
+	quotas           map[int]*judge.Bucket
+	idealQuotas      map[int]*judge.Bucket
+	losses           map[string]*lossTally
+	offeredByWindow  []float64 // gain by window
+	triesByWindow    []int     // tries by window
+	withRoomByWindow []int
+	counts           struct{ first, conns, calls, probes, sent int }
 }
 
-type want struct {
-	at, gain float64
-	inside   bool
-	class    int
-	last     string // part that its latest try ended in
-	door     int
+type clientRequest struct {
+	askedAt, gain float64
+	inQuota       bool
+	class         int
+	lastOutcome   string // part that its latest try ended in
+	door          int
 }
 
-type try struct {
-	want, door, customer, plan int
-	units                      float64
-	sent                       bool
+type openTry struct {
+	request, door, customer, plan int
+	units                         float64
+	sent                          bool
 }
 
 type door struct {
-	started float64
-	came    []seen // answers lately
+	started       float64
+	recentAnswers []backendAnswer // answers lately
 }
 
-type seen struct {
+type backendAnswer struct {
 	at      float64
 	backend int
 }
 
-type tally struct {
+type lossTally struct {
 	gain, age, answers, backends float64
 	count                        int
 	windows                      []float64
@@ -93,49 +93,49 @@
 }
 
 func NewBook(d *judge.Deal) *Book {
-	return &Book{deal: d, doors: map[int]*door{}, wants: map[int]*want{}, tries: map[int]*try{}, quota: map[int]*judge.Store{}, ideal: map[int]*judge.Store{},
-		parts: map[string]*tally{}}
+	return &Book{deal: d, doors: map[int]*door{}, requests: map[int]*clientRequest{}, tries: map[int]*openTry{}, quotas: map[int]*judge.Bucket{}, idealQuotas: map[int]*judge.Bucket{},
+		losses: map[string]*lossTally{}}
 }
 
-func grow[T any](s []T, i int) []T {
+func extend[T any](s []T, i int) []T {
 	for len(s) <= i {
 		s = append(s, *new(T))
 	}
 	return s
 }
 
-// lose books a loss at a door.
-func (b *Book) lose(part string, gain, asked, now float64, at int) {
-	t := b.parts[part]
+// addLoss books a loss at a door.
+func (b *Book) addLoss(part string, gain, asked, now float64, at int) {
+	t := b.losses[part]
 	if t == nil {
-		t = &tally{doors: map[int]float64{}}
-		b.parts[part] = t
+		t = &lossTally{doors: map[int]float64{}}
+		b.losses[part] = t
 	}
 	t.gain += gain
 	t.count++
-	w := int(asked / window)
-	t.windows = grow(t.windows, w)
+	w := int(asked / windowMs)
+	t.windows = extend(t.windows, w)
 	t.windows[w] += gain
 	t.doors[at] += gain
 	if d := b.doors[at]; d != nil {
-		d.forget(now)
+		d.dropOld(now)
 		t.age += now - d.started
-		t.answers += float64(len(d.came))
+		t.answers += float64(len(d.recentAnswers))
 		some := map[int]struct{}{}
-		for _, c := range d.came {
+		for _, c := range d.recentAnswers {
 			some[c.backend] = struct{}{}
 		}
 		t.backends += float64(len(some))
 	}
 }
 
-func (d *door) forget(now float64) {
+func (d *door) dropOld(now float64) {
 	n := 0
-	for n < len(d.came) && d.came[n].at < now-lately {
+	for n < len(d.recentAnswers) && d.recentAnswers[n].at < now-recentMs {
 		n++
 	}
 	if n > 0 {
-		d.came = append(d.came[:0], d.came[n:]...)
+		d.recentAnswers = append(d.recentAnswers[:0], d.recentAnswers[n:]...)
 	}
 }
 
@@ -145,20 +145,20 @@
 	case trace.Started:
 		b.doors[e.Door] = &door{started: e.At}
 	case trace.Asked:
-		b.ask(e)
+		b.asked(e)
 	case trace.Taken:
-		b.tries[e.Try] = &try{want: e.Want, door: e.Door, customer: e.Customer, plan: e.Plan, units: e.Units}
-		b.tried = grow(b.tried, int(e.At/window))
-		b.tried[int(e.At/window)]++
-		if w := b.wants[e.Want]; w != nil {
-			w.door, w.last = e.Door, unserved
+		b.tries[e.Try] = &openTry{request: e.Want, door: e.Door, customer: e.Customer, plan: e.Plan, units: e.Units}
+		b.triesByWindow = extend(b.triesByWindow, int(e.At/windowMs))
+		b.triesByWindow[int(e.At/windowMs)]++
+		if w := b.requests[e.Want]; w != nil {
+			w.door, w.lastOutcome = e.Door, neverAnswered
 		}
 	case trace.Sent:
 		b.sent(e)
 	case trace.Closed:
 		if d := b.doors[e.Door]; d != nil && e.Result == gate.Finished {
-			d.forget(e.At)
-			d.came = append(d.came, seen{e.At, e.Backend})
+			d.dropOld(e.At)
+			d.recentAnswers = append(d.recentAnswers, backendAnswer{e.At, e.Backend})
 		}
 	case trace.Answered:
 		b.answered(e)
@@ -167,68 +167,68 @@
 	case trace.Died:
 		for id, t := range b.tries {
 			if t.door == e.Door {
-				if w := b.wants[t.want]; w != nil {
-					w.last = "door died"
+				if w := b.requests[t.request]; w != nil {
+					w.lastOutcome = "door died"
 				}
 				delete(b.tries, id)
 			}
 		}
 	case trace.Got:
-		b.got(e)
+		b.received(e)
 	case trace.GaveUp:
-		if w := b.wants[e.Want]; w != nil {
-			if w.inside {
-				b.lose(cmp.Or(w.last, "found no door"), w.gain, w.at, e.At, w.door)
+		if w := b.requests[e.Want]; w != nil {
+			if w.inQuota {
+				b.addLoss(cmp.Or(w.lastOutcome, "found no door"), w.gain, w.askedAt, e.At, w.door)
 			}
-			delete(b.wants, e.Want)
+			delete(b.requests, e.Want)
 		}
 	case trace.Connected:
-		b.sums.conns++
+		b.counts.conns++
 	case trace.Counted:
-		b.sums.calls++
+		b.counts.calls++
 	case trace.Probed:
-		b.sums.probes++
+		b.counts.probes++
 	}
 }
 
-func (b *Book) ask(e *trace.Event) {
-	b.sums.first++
+func (b *Book) asked(e *trace.Event) {
+	b.counts.first++
 	p := &b.deal.Plans[e.Plan]
-	w := &want{at: e.At, gain: b.deal.Classes[e.Class].Gain * p.Price * e.Units, class: e.Class, door: -1}
-	b.wants[e.Want] = w
-	s := b.ideal[e.Customer]
+	w := &clientRequest{askedAt: e.At, gain: b.deal.Classes[e.Class].Gain * p.Price * e.Units, class: e.Class, door: -1}
+	b.requests[e.Want] = w
+	s := b.idealQuotas[e.Customer]
 	if s == nil {
-		s = &judge.Store{Level: p.Depth, At: e.At}
-		b.ideal[e.Customer] = s
+		s = &judge.Bucket{Level: p.Depth, At: e.At}
+		b.idealQuotas[e.Customer] = s
 	}
-	if w.inside = p.Rate == 0 || s.Fill(e.At, p.Rate, p.Depth) >= e.Units-1e-9; w.inside {
+	if w.inQuota = p.Rate == 0 || s.Fill(e.At, p.Rate, p.Depth) >= e.Units-1e-9; w.inQuota {
 		s.Level -= e.Units
-		b.asked = grow(b.asked, int(e.At/window))
-		b.asked[int(e.At/window)] += w.gain
+		b.offeredByWindow = extend(b.offeredByWindow, int(e.At/windowMs))
+		b.offeredByWindow[int(e.At/windowMs)] += w.gain
 	}
 }
 
-func (b *Book) store(t *try, at float64) *judge.Store {
-	s := b.quota[t.customer]
+func (b *Book) quotaOf(t *openTry, at float64) *judge.Bucket {
+	s := b.quotas[t.customer]
 	if s == nil {
-		s = &judge.Store{Level: b.deal.Plans[t.plan].Depth, At: at}
-		b.quota[t.customer] = s
+		s = &judge.Bucket{Level: b.deal.Plans[t.plan].Depth, At: at}
+		b.quotas[t.customer] = s
 	}
 	return s
 }
 
 func (b *Book) sent(e *trace.Event) {
-	b.sums.sent++
+	b.counts.sent++
 	t := b.tries[e.Try]
 	if t == nil || t.sent {
 		return
 	}
 	t.sent = true
-	p, w := &b.deal.Plans[t.plan], b.wants[t.want]
-	if s := b.store(t, e.At); p.Rate == 0 || s.Fill(e.At, p.Rate, p.Depth) >= t.units-1e-9 {
+	p, w := &b.deal.Plans[t.plan], b.requests[t.request]
+	if s := b.quotaOf(t, e.At); p.Rate == 0 || s.Fill(e.At, p.Rate, p.Depth) >= t.units-1e-9 {
 		s.Level -= t.units
 	} else if w != nil {
-		b.lose("sent beyond the quota", b.deal.OverCost[t.plan]*w.gain, w.at, e.At, e.Door)
+		b.addLoss("sent beyond the quota", b.deal.OverCost[t.plan]*w.gain, w.askedAt, e.At, e.Door)
 	}
 }
 
@@ -242,46 +242,46 @@
 		return
 	}
 	p := &b.deal.Plans[t.plan]
-	at := int(e.At / window)
-	b.roomy = grow(b.roomy, at)
+	at := int(e.At / windowMs)
+	b.withRoomByWindow = extend(b.withRoomByWindow, at)
 	name := e.Answer.String() + ", " + e.Why.String()
-	if e.Answer == trace.Rejected && p.Rate > 0 && b.store(t, e.At).Fill(e.At, p.Rate, p.Depth) >= room*p.Depth {
-		b.roomy[at]++
+	if e.Answer == trace.Rejected && p.Rate > 0 && b.quotaOf(t, e.At).Fill(e.At, p.Rate, p.Depth) >= minRoomShare*p.Depth {
+		b.withRoomByWindow[at]++
 		name += ", with room"
 	}
-	if w := b.wants[t.want]; w != nil {
-		w.last = name
+	if w := b.requests[t.request]; w != nil {
+		w.lastOutcome = name
 	}
 }
 
-func (b *Book) got(e *trace.Event) {
-	w := b.wants[e.Want]
+func (b *Book) received(e *trace.Event) {
+	w := b.requests[e.Want]
 	if w == nil || e.Answer != trace.Finished {
 		return
 	}
-	if p := &b.deal.Classes[w.class]; w.inside && e.At-w.at > p.Contract {
-		b.lose("late", w.gain*(1-p.LateValue), w.at, e.At, w.door)
+	if p := &b.deal.Classes[w.class]; w.inQuota && e.At-w.askedAt > p.Contract {
+		b.addLoss("late", w.gain*(1-p.LateValue), w.askedAt, e.At, w.door)
 	}
-	delete(b.wants, e.Want)
+	delete(b.requests, e.Want)
 }
 
 // Sum closes the book.
 func (b *Book) Sum() *Account {
 	a := &Account{}
-	for _, g := range b.asked {
+	for _, g := range b.offeredByWindow {
 		a.Offered += g
 	}
-	each := 1 / max(1, float64(b.sums.first))
-	a.Connections, a.Calls = float64(b.sums.conns)*each, float64(b.sums.calls)*each
-	a.Probes, a.Attempts = float64(b.sums.probes)*each, float64(b.sums.sent)*each
-	for name, t := range b.parts {
+	each := 1 / max(1, float64(b.counts.first))
+	a.Connections, a.Calls = float64(b.counts.conns)*each, float64(b.counts.calls)*each
+	a.Probes, a.Attempts = float64(b.counts.probes)*each, float64(b.counts.sent)*each
+	for name, t := range b.losses {
 		n := float64(t.count)
-		p := Part{Name: name, Gain: t.gain, Share: t.gain / max(1e-9, a.Offered), Count: t.count, Doors: len(t.doors), Age: t.age / n / 1000,
-			Idle: t.answers / n, Spread: t.backends / n}
+		p := Loss{Name: name, Gain: t.gain, Share: t.gain / max(1e-9, a.Offered), Count: t.count, Doors: len(t.doors), Age: t.age / n / 1000,
+			RecentAnswers: t.answers / n, RecentBackends: t.backends / n}
 		for i, g := range t.windows {
 			share := 0.0
-			if i < len(b.asked) && b.asked[i] > 0 {
-				share = g / b.asked[i]
+			if i < len(b.offeredByWindow) && b.offeredByWindow[i] > 0 {
+				share = g / b.offeredByWindow[i]
 			}
 			p.Windows = append(p.Windows, share)
 		}
@@ -292,18 +292,18 @@
 		slices.Sort(by)
 		for i := range max(1, len(b.doors)/10) {
 			if k := len(by) - 1 - i; k >= 0 && t.gain > 0 {
-				p.Top += by[k] / t.gain
+				p.TopTenth += by[k] / t.gain
 			}
 		}
 		a.Parts = append(a.Parts, p)
 	}
-	slices.SortFunc(a.Parts, func(x, y Part) int {
+	slices.SortFunc(a.Parts, func(x, y Loss) int {
 		return cmp.Or(cmp.Compare(y.Gain, x.Gain), cmp.Compare(x.Name, y.Name))
 	})
-	for i, n := range b.tried {
+	for i, n := range b.triesByWindow {
 		share := 0.0
-		if i < len(b.roomy) && n > 0 {
-			share = float64(b.roomy[i]) / float64(n)
+		if i < len(b.withRoomByWindow) && n > 0 {
+			share = float64(b.withRoomByWindow[i]) / float64(n)
 		}
 		a.WithRoom = append(a.WithRoom, share)
 	}
@@ -320,7 +320,7 @@
 		for _, x := range p.Windows {
 			by += fmt.Sprintf(" %.3f", x)
 		}
-		fmt.Fprintf(t, "%s\t%.4f\t%d\t%d\t%.2f\t%.1f\t%.1f\t%.1f\t%s\n", p.Name, p.Share, p.Count, p.Doors, p.Top, p.Age, p.Idle, p.Spread, by)
+		fmt.Fprintf(t, "%s\t%.4f\t%d\t%d\t%.2f\t%.1f\t%.1f\t%.1f\t%s\n", p.Name, p.Share, p.Count, p.Doors, p.TopTenth, p.Age, p.RecentAnswers, p.RecentBackends, by)
 	}
 	var by string
 	for _, x := range a.WithRoom {
--- a/lab/account/account_test.go
+++ b/lab/account/account_test.go
@@ -39,7 +39,7 @@
 	}
 	one(12e3, 1, func() { take(trace.Event{Kind: trace.GaveUp, At: 14e3, Want: 1}) })
 	a := b.Sum()
-	parts := map[string]Part{}
+	parts := map[string]Loss{}
 	for _, p := range a.Parts {
 		parts[p.Name] = p
 	}
@@ -65,5 +65,5 @@
 	require.Len(t, b.Sum().Parts, 1)
 	assert.Equal(t, "door died", b.Sum().Parts[0].Name)
 	assert.Empty(t, b.tries)
-	assert.Empty(t, b.wants)
+	assert.Empty(t, b.requests)
 }
--- a/lab/judge/rules.go
+++ b/lab/judge/rules.go
@@ -51,155 +51,155 @@
 	Prices         Prices
 }
 
-const mostBreaches = 20 // of a rule that are kept; the rest is counted
+const maxViolationsKept = 20 // of a rule that are kept; the rest is counted
 
-// Rules checks all five.
-type Rules struct {
+// Checker checks all five.
+type Checker struct {
 	deal     *Deal
 	Breaches []Breach
 	Count    map[Rule]int
 
-	tries    map[int]*try
-	spare    []*try
-	told     map[pair]telling
-	cold     map[int]*trace.ColdBudget
-	fallen   map[int]bool
-	ceilings map[int]*Store
-	nextLook float64
+	tries            map[int]*openTry
+	spareTries       []*openTry
+	notified         map[doorBackend]notification
+	cold             map[int]*trace.ColdBudget
+	collapsed        map[int]bool
+	ceilings         map[int]*Bucket
+	nextOverdueCheck float64
 }
 
-type pair struct{ door, backend int }
+type doorBackend struct{ door, backend int }
 
-type telling struct {
+type notification struct {
 	status gate.Status
 	at     float64
 }
 
-// try is an open try: what was sent for it.
-type try struct {
+// openTry is an open openTry: what was sent for it.
+type openTry struct {
 	door, customer, plan, class int
-	units, until                float64
-	sends                       []sending
+	units, deadline             float64
+	transmissions               []transmission
 }
 
-type sending struct {
+type transmission struct {
 	at         float64
 	zone, cell int
-	closed     bool
-	never      bool // known never to have run
+	ended      bool
+	neverRan   bool // known never to have run
 }
 
-// Store is a quota's or a ceiling's: it fills at a rate up to a depth.
-type Store struct {
+// Bucket is a quota's or a ceiling's: it fills at a rate up to a depth.
+type Bucket struct {
 	Level float64 // units
 	At    float64 // clock of that, ms
 	plan  int
 }
 
 // Fill brings the store to a clock and returns what it holds.
-func (s *Store) Fill(at, rate, depth float64) float64 {
+func (s *Bucket) Fill(at, rate, depth float64) float64 {
 	s.Level, s.At = min(depth, s.Level+rate*(at-s.At)), at
 	return s.Level
 }
 
-func NewRules(d *Deal) *Rules {
-	return &Rules{deal: d, Breaches: []Breach{}, Count: map[Rule]int{}, tries: map[int]*try{}, told: map[pair]telling{},
-		cold: map[int]*trace.ColdBudget{}, fallen: map[int]bool{}, ceilings: map[int]*Store{}}
+func NewChecker(d *Deal) *Checker {
+	return &Checker{deal: d, Breaches: []Breach{}, Count: map[Rule]int{}, tries: map[int]*openTry{}, notified: map[doorBackend]notification{},
+		cold: map[int]*trace.ColdBudget{}, collapsed: map[int]bool{}, ceilings: map[int]*Bucket{}}
 }
 
-func (r *Rules) breach(rule Rule, e *trace.Event, format string, args ...any) {
-	if r.Count[rule]++; r.Count[rule] <= mostBreaches {
+func (r *Checker) report(rule Rule, e *trace.Event, format string, args ...any) {
+	if r.Count[rule]++; r.Count[rule] <= maxViolationsKept {
 		r.Breaches = append(r.Breaches, Breach{rule, e.At, e.Door, fmt.Sprintf(format, args...)})
 	}
 }
 
-const lookEvery = 1000 // ms between looks for what was never answered
+const overdueCheckMs = 1000 // ms between looks for what was never answered
 
 // Take takes in one event.
-func (r *Rules) Take(e *trace.Event) {
-	if e.At >= r.nextLook {
-		r.nextLook = e.At + lookEvery
-		r.overdue(e)
-		forgetFull(r.ceilings, e.At, func(p int) float64 { return r.deal.Plans[p].CeilingRate },
+func (r *Checker) Take(e *trace.Event) {
+	if e.At >= r.nextOverdueCheck {
+		r.nextOverdueCheck = e.At + overdueCheckMs
+		r.reportOverdue(e)
+		removeFull(r.ceilings, e.At, func(p int) float64 { return r.deal.Plans[p].CeilingRate },
 			func(p int) float64 { return r.deal.Plans[p].CeilingDepth })
 	}
 	switch e.Kind {
 	case trace.Taken:
-		t := r.fresh()
-		t.door, t.customer, t.plan, t.class, t.units, t.until = e.Door, e.Customer, e.Plan, e.Class, e.Units, e.Until
+		t := r.newTry()
+		t.door, t.customer, t.plan, t.class, t.units, t.deadline = e.Door, e.Customer, e.Plan, e.Class, e.Units, e.Until
 		if r.tries[e.Try] != nil {
-			r.breach(NoneLost, e, "try %d taken twice", e.Try)
+			r.report(NoneLost, e, "try %d taken twice", e.Try)
 		}
 		r.tries[e.Try] = t
 	case trace.Sent:
-		r.sent(e)
+		r.checkSent(e)
 	case trace.Closed:
-		if t := r.tries[e.Try]; t != nil && t.door == e.Door && e.Number < len(t.sends) {
-			t.sends[e.Number].closed, t.sends[e.Number].never = true, e.Result.NeverRan()
+		if t := r.tries[e.Try]; t != nil && t.door == e.Door && e.Number < len(t.transmissions) {
+			t.transmissions[e.Number].ended, t.transmissions[e.Number].neverRan = true, e.Result.NeverRan()
 		}
 	case trace.Answered:
-		r.answered(e)
+		r.checkAnswer(e)
 	case trace.Dropped:
 		if r.tries[e.Try] != nil {
-			r.breach(NoneLost, e, "the connection of try %d was ended without an answer", e.Try)
-			r.drop(e.Try)
+			r.report(NoneLost, e, "the connection of try %d was ended without an answer", e.Try)
+			r.removeTry(e.Try)
 		}
 	case trace.Left:
 		if t := r.tries[e.Try]; t != nil {
-			if e.At > t.until+r.deal.AnswerSlack+r.deal.Slack {
-				r.breach(NoneLost, e, "try %d was not answered while its client waited", e.Try)
+			if e.At > t.deadline+r.deal.AnswerSlack+r.deal.Slack {
+				r.report(NoneLost, e, "try %d was not answered while its client waited", e.Try)
 			}
-			r.drop(e.Try)
+			r.removeTry(e.Try)
 		}
 	case trace.Died:
 		for id, t := range r.tries {
 			if t.door == e.Door {
-				r.drop(id)
+				r.removeTry(id)
 			}
 		}
-		for p := range r.told {
+		for p := range r.notified {
 			if p.door == e.Door {
-				delete(r.told, p)
+				delete(r.notified, p)
 			}
 		}
 	case trace.Told:
 		if e.Status == gate.Up {
-			delete(r.told, pair{e.Door, e.Backend})
-		} else if was, known := r.told[pair{e.Door, e.Backend}]; !known || was.status == gate.Up {
-			r.told[pair{e.Door, e.Backend}] = telling{e.Status, e.At}
+			delete(r.notified, doorBackend{e.Door, e.Backend})
+		} else if was, known := r.notified[doorBackend{e.Door, e.Backend}]; !known || was.status == gate.Up {
+			r.notified[doorBackend{e.Door, e.Backend}] = notification{e.Status, e.At}
 		}
 	case trace.Began:
-		delete(r.fallen, e.Backend)
+		delete(r.collapsed, e.Backend)
 		r.cold[e.Backend] = &trace.ColdBudget{Capacity: e.Work, From: e.Cold, Span: e.Span, Began: e.At,
 			Multiple: r.deal.FallMultiple, Window: r.deal.FallWindow}
 	case trace.Came:
-		r.came(e)
+		r.checkColdBackend(e)
 	case trace.Over:
-		r.overdue(e)
+		r.reportOverdue(e)
 	}
 }
 
-func (r *Rules) fresh() *try {
-	if n := len(r.spare); n > 0 {
-		t := r.spare[n-1]
-		r.spare = r.spare[:n-1]
-		*t = try{sends: t.sends[:0]}
+func (r *Checker) newTry() *openTry {
+	if n := len(r.spareTries); n > 0 {
+		t := r.spareTries[n-1]
+		r.spareTries = r.spareTries[:n-1]
+		*t = openTry{transmissions: t.transmissions[:0]}
 		return t
 	}
-	return &try{}
+	return &openTry{}
 }
 
-func (r *Rules) drop(id int) {
+func (r *Checker) removeTry(id int) {
 	if t := r.tries[id]; t != nil {
-		r.spare = append(r.spare, t)
+		r.spareTries = append(r.spareTries, t)
 		delete(r.tries, id)
 	}
 }
 
-func (r *Rules) overdue(e *trace.Event) {
+func (r *Checker) reportOverdue(e *trace.Event) {
 	var late []int
 	for id, t := range r.tries {
-		if e.At > t.until+r.deal.AnswerSlack+r.deal.Slack {
+		if e.At > t.deadline+r.deal.AnswerSlack+r.deal.Slack {
 			late = append(late, id)
 		}
 	}
@@ -207,13 +207,13 @@
 	for _, id := range late {
 		t, at := r.tries[id], *e
 		at.Door = t.door
-		r.breach(NoneLost, &at, "try %d was not answered by %.1f", id, t.until+r.deal.AnswerSlack+r.deal.Slack)
-		r.drop(id)
+		r.report(NoneLost, &at, "try %d was not answered by %.1f", id, t.deadline+r.deal.AnswerSlack+r.deal.Slack)
+		r.removeTry(id)
 	}
 }
 
-// forgetFull drops the stores that are full again: a new one would say the same.
-func forgetFull(of map[int]*Store, at float64, rate, depth func(plan int) float64) {
+// removeFull drops the stores that are full again: a new one would say the same.
+func removeFull(of map[int]*Bucket, at float64, rate, depth func(plan int) float64) {
 	for c, s := range of {
 		if s.Level+rate(s.plan)*(at-s.At) >= depth(s.plan) {
 			delete(of, c)
@@ -222,51 +222,51 @@
 }
 
 // mayHaveRun tells whether any attempt is not known never to have run.
-func (t *try) mayHaveRun() bool {
-	for i := range t.sends {
-		if !t.sends[i].never {
+func (t *openTry) mayHaveRun() bool {
+	for i := range t.transmissions {
+		if !t.transmissions[i].neverRan {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *Rules) sent(e *trace.Event) {
-	if was, told := r.told[pair{e.Door, e.Backend}]; told && e.At > was.at+r.deal.DrainGrace+r.deal.Slack {
-		r.breach(DrainsKept, e, "try %d sent to backend %d, told of %.1f ms before", e.Try, e.Backend, e.At-was.at)
+func (r *Checker) checkSent(e *trace.Event) {
+	if was, told := r.notified[doorBackend{e.Door, e.Backend}]; told && e.At > was.at+r.deal.DrainGrace+r.deal.Slack {
+		r.report(DrainsKept, e, "try %d sent to backend %d, told of %.1f ms before", e.Try, e.Backend, e.At-was.at)
 	}
 	t := r.tries[e.Try]
 	if t == nil || t.door != e.Door {
-		r.breach(NoneLost, e, "try %d sent after its end", e.Try)
+		r.report(NoneLost, e, "try %d sent after its end", e.Try)
 		return
 	}
-	if len(t.sends) == r.deal.MaxAttempts {
-		r.breach(NoneTwice, e, "try %d sent more than %d times", e.Try, r.deal.MaxAttempts)
+	if len(t.transmissions) == r.deal.MaxAttempts {
+		r.report(NoneTwice, e, "try %d sent more than %d times", e.Try, r.deal.MaxAttempts)
 		return
 	}
-	r.repeats(e, t)
-	if len(t.sends) == 0 {
-		r.draw(e, t)
+	r.checkRepeat(e, t)
+	if len(t.transmissions) == 0 {
+		r.chargeCeiling(e, t)
 	}
-	t.sends = append(t.sends, sending{at: e.At, zone: e.Zone, cell: e.Cell})
+	t.transmissions = append(t.transmissions, transmission{at: e.At, zone: e.Zone, cell: e.Cell})
 }
 
-// repeats checks an attempt against those before it.
-func (r *Rules) repeats(e *trace.Event, t *try) {
+// checkRepeat checks an attempt against those before it.
+func (r *Checker) checkRepeat(e *trace.Event, t *openTry) {
 	p := &r.deal.Classes[t.class]
-	for i := range t.sends {
-		s := &t.sends[i]
+	for i := range t.transmissions {
+		s := &t.transmissions[i]
 		switch {
-		case !s.closed && !r.deal.Hedging:
-			r.breach(NoneTwice, e, "try %d has two transmissions out", e.Try)
-		case s.never || p.Semantics == gate.Idempotent:
+		case !s.ended && !r.deal.Hedging:
+			r.report(NoneTwice, e, "try %d has two transmissions out", e.Try)
+		case s.neverRan || p.Semantics == gate.Idempotent:
 			continue
 		case p.Semantics == gate.NonIdempotent:
-			r.breach(NoneTwice, e, "single-use try %d sent again, though transmission %d may have run", e.Try, i)
+			r.report(NoneTwice, e, "single-use try %d sent again, though transmission %d may have run", e.Try, i)
 		case p.Scope == gate.ScopeZone && s.zone != e.Zone, p.Scope == gate.ScopeCell && s.cell != e.Cell:
-			r.breach(NoneTwice, e, "tokened try %d sent outside the group of transmission %d", e.Try, i)
+			r.report(NoneTwice, e, "tokened try %d sent outside the group of transmission %d", e.Try, i)
 		case e.At > s.at+p.DedupWindow+r.deal.Slack:
-			r.breach(NoneTwice, e, "tokened try %d sent again %.1f ms after transmission %d", e.Try, e.At-s.at, i)
+			r.report(NoneTwice, e, "tokened try %d sent again %.1f ms after transmission %d", e.Try, e.At-s.at, i)
 		default:
 			continue
 		}
@@ -274,44 +274,44 @@
 	}
 }
 
-// draw takes a first attempt's units from the customer's ceiling.
-func (r *Rules) draw(e *trace.Event, t *try) {
+// chargeCeiling takes a first attempt's units from the customer's ceiling.
+func (r *Checker) chargeCeiling(e *trace.Event, t *openTry) {
 	p := &r.deal.Plans[t.plan]
 	if p.CeilingRate == 0 {
 		return
 	}
 	s := r.ceilings[t.customer]
 	if s == nil {
-		s = &Store{Level: p.CeilingDepth, At: e.At, plan: t.plan}
+		s = &Bucket{Level: p.CeilingDepth, At: e.At, plan: t.plan}
 		r.ceilings[t.customer] = s
 	}
 	slack := r.deal.CeilingSlack[t.plan] + r.deal.CeilingSlackMs*p.CeilingRate
 	s.Fill(e.At, p.CeilingRate, p.CeilingDepth)
 	if s.Level -= t.units; s.Level < -slack-1e-9 {
-		r.breach(CeilingKept, e, "customer %d is %.2f units over its ceiling, with a slack of %.2f", t.customer, -s.Level, slack)
+		r.report(CeilingKept, e, "customer %d is %.2f units over its ceiling, with a slack of %.2f", t.customer, -s.Level, slack)
 	}
 }
 
-func (r *Rules) answered(e *trace.Event) {
+func (r *Checker) checkAnswer(e *trace.Event) {
 	t := r.tries[e.Try]
 	if t == nil || t.door != e.Door {
-		r.breach(NoneLost, e, "try %d answered after its end", e.Try)
+		r.report(NoneLost, e, "try %d answered after its end", e.Try)
 		return
 	}
-	if e.At > t.until+r.deal.AnswerSlack+r.deal.Slack {
-		r.breach(NoneLost, e, "try %d answered %.1f ms late", e.Try, e.At-t.until)
+	if e.At > t.deadline+r.deal.AnswerSlack+r.deal.Slack {
+		r.report(NoneLost, e, "try %d answered %.1f ms late", e.Try, e.At-t.deadline)
 	}
 	p := &r.deal.Classes[t.class]
 	if e.Answer == trace.Rejected && p.Semantics != gate.Idempotent && t.mayHaveRun() &&
 		(p.Semantics == gate.NonIdempotent || p.Scope != gate.ScopeAll) {
-		r.breach(NoneTwice, e, "try %d rejected, though a transmission may have run", e.Try)
+		r.report(NoneTwice, e, "try %d rejected, though a transmission may have run", e.Try)
 	}
-	r.drop(e.Try)
+	r.removeTry(e.Try)
 }
 
-func (r *Rules) came(e *trace.Event) {
+func (r *Checker) checkColdBackend(e *trace.Event) {
 	c := r.cold[e.Backend]
-	if c == nil || r.fallen[e.Backend] {
+	if c == nil || r.collapsed[e.Backend] {
 		return
 	}
 	if !c.Cold(e.At) {
@@ -320,9 +320,9 @@
 	}
 	over, knowing := c.Take(e.At, e.Work, e.Told)
 	if over {
-		r.fallen[e.Backend] = true
+		r.collapsed[e.Backend] = true
 	}
 	if over && knowing {
-		r.breach(ColdSpared, e, "backend %d pushed over %.0f ms after its start", e.Backend, e.At-c.Began)
+		r.report(ColdSpared, e, "backend %d pushed over %.0f ms after its start", e.Backend, e.At-c.Began)
 	}
 }
--- a/lab/judge/service.go
+++ b/lab/judge/service.go
@@ -72,44 +72,44 @@
 	Costs   Costs
 	Latency []*hdrhistogram.Histogram // by class, of requests answered well, in µs
 
-	wants   map[int]*want
-	spareW  []*want
-	tries   map[int]*sold
-	spareT  []*sold
-	ideal   map[int]*Store // what one door that saw all first tries would let in
-	quota   map[int]*quota
-	recent  *hdrhistogram.Histogram
-	present int
+	requests      map[int]*clientRequest
+	spareRequests []*clientRequest
+	tries         map[int]*billedTry
+	spareTries    []*billedTry
+	idealQuotas   map[int]*Bucket // what one door that saw all first tries would let in
+	quotas        map[int]*quotaState
+	recent        *hdrhistogram.Histogram
+	currentSecond int
 }
 
-type want struct {
-	at                    float64
+type clientRequest struct {
+	askedAt               float64
 	customer, plan, class int
-	worth                 float64
+	gain                  float64
 }
 
-type sold struct {
-	want, door, customer, plan int
-	units, taken, until        float64
-	sent, inside, came         bool
-	out                        map[int]struct{}
+type billedTry struct {
+	request, door, customer, plan int
+	units, acceptedAt, deadline   float64
+	sent, inQuota, arrived        bool
+	inFlight                      map[int]struct{}
 }
 
-type quota struct {
-	Store
-	out int
+type quotaState struct {
+	Bucket
+	inFlight int
 }
 
 const (
-	histMost   = 600e6 // µs; no client waits longer
-	histDigits = 3
-	windowSecs = 10  // s of the worst window
-	thinWindow = 0.2 // share of the mean offer under which a window is too thin to be the worst
+	histMost       = 600e6 // µs; no client waits longer
+	histDigits     = 3
+	windowS        = 10  // s of the worst window
+	minWindowOffer = 0.2 // share of the mean offer under which a window is too thin to be the worst
 )
 
 func NewService(d *Deal) *Service {
 	s := &Service{deal: d, Plans: make([]Tally, len(d.Plans)), Profs: make([]Tally, len(d.Classes)),
-		wants: map[int]*want{}, tries: map[int]*sold{}, ideal: map[int]*Store{}, quota: map[int]*quota{},
+		requests: map[int]*clientRequest{}, tries: map[int]*billedTry{}, idealQuotas: map[int]*Bucket{}, quotas: map[int]*quotaState{},
 		recent: hdrhistogram.New(1, histMost, 2)}
 	for range d.Classes {
 		s.Latency = append(s.Latency, hdrhistogram.New(1, histMost, histDigits))
@@ -126,11 +126,11 @@
 }
 
 // tallies are those that a request counts in.
-func (s *Service) tallies(w *want) [4]*Tally {
-	return [4]*Tally{&s.Whole, &s.Plans[w.plan], &s.Profs[w.class], &s.second(w.at).Tally}
+func (s *Service) tallies(w *clientRequest) [4]*Tally {
+	return [4]*Tally{&s.Whole, &s.Plans[w.plan], &s.Profs[w.class], &s.second(w.askedAt).Tally}
 }
 
-func fresh[T any](spare *[]*T) *T {
+func reuseOrNew[T any](spare *[]*T) *T {
 	if n := len(*spare); n > 0 {
 		t := (*spare)[n-1]
 		*spare = (*spare)[:n-1]
@@ -147,37 +147,37 @@
 		s.asked(e)
 	case trace.Taken:
 		s.Costs.Tries++
-		t := fresh(&s.spareT)
-		t.want, t.door, t.customer, t.plan = e.Want, e.Door, e.Customer, e.Plan
-		t.units, t.taken, t.until = e.Units, e.At, e.Until
+		t := reuseOrNew(&s.spareTries)
+		t.request, t.door, t.customer, t.plan = e.Want, e.Door, e.Customer, e.Plan
+		t.units, t.acceptedAt, t.deadline = e.Units, e.At, e.Until
 		s.tries[e.Try] = t
 	case trace.Sent:
 		s.sent(e)
 	case trace.Came:
 		if t := s.tries[e.Try]; t != nil {
-			t.came = true
+			t.arrived = true
 		}
 	case trace.Closed:
 		if t := s.tries[e.Try]; t != nil {
-			s.close(t, e.Number)
+			s.closeAttempt(t, e.Number)
 		}
 	case trace.Answered:
 		s.answered(e)
 	case trace.Got:
-		s.got(e)
+		s.received(e)
 	case trace.GaveUp:
-		if w := s.wants[e.Want]; w != nil {
+		if w := s.requests[e.Want]; w != nil {
 			for _, t := range s.tallies(w) {
 				t.Unserved++
 			}
-			s.forget(e.Want, w)
+			s.removeRequest(e.Want, w)
 		}
 	case trace.Left, trace.Dropped:
-		s.end(e.Try)
+		s.endTry(e.Try)
 	case trace.Died:
 		for id, t := range s.tries {
 			if t.door == e.Door {
-				s.end(id)
+				s.endTry(id)
 			}
 		}
 	case trace.Counted:
@@ -197,32 +197,32 @@
 			s.Costs.EffectsTwice++
 		}
 	case trace.Over:
-		s.roll(len(s.Seconds) + 1)
-		for id, w := range s.wants {
+		s.advanceTo(len(s.Seconds) + 1)
+		for id, w := range s.requests {
 			for _, t := range s.tallies(w) {
 				t.Unserved++
 			}
-			s.forget(id, w)
+			s.removeRequest(id, w)
 		}
 	}
 }
 
-func (s *Service) forget(id int, w *want) {
-	delete(s.wants, id)
-	s.spareW = append(s.spareW, w)
+func (s *Service) removeRequest(id int, w *clientRequest) {
+	delete(s.requests, id)
+	s.spareRequests = append(s.spareRequests, w)
 }
 
 func (s *Service) asked(e *trace.Event) {
 	s.Costs.FirstTries++
 	p := &s.deal.Plans[e.Plan]
-	w := fresh(&s.spareW)
-	w.at, w.customer, w.plan, w.class = e.At, e.Customer, e.Plan, e.Class
-	w.worth = s.deal.Classes[e.Class].Gain * p.Price * e.Units
-	s.wants[e.Want] = w
-	b := s.ideal[e.Customer]
+	w := reuseOrNew(&s.spareRequests)
+	w.askedAt, w.customer, w.plan, w.class = e.At, e.Customer, e.Plan, e.Class
+	w.gain = s.deal.Classes[e.Class].Gain * p.Price * e.Units
+	s.requests[e.Want] = w
+	b := s.idealQuotas[e.Customer]
 	if b == nil {
-		b = &Store{Level: p.Depth, At: e.At, plan: e.Plan}
-		s.ideal[e.Customer] = b
+		b = &Bucket{Level: p.Depth, At: e.At, plan: e.Plan}
+		s.idealQuotas[e.Customer] = b
 	}
 	inside := p.Rate == 0 || b.Fill(e.At, p.Rate, p.Depth) >= e.Units-1e-9
 	if inside {
@@ -231,16 +231,16 @@
 	for _, t := range s.tallies(w) {
 		t.Asked++
 		if inside {
-			t.Offered += w.worth
+			t.Offered += w.gain
 		}
 	}
 }
 
-func (s *Service) quotaOf(customer, plan int, at float64) *quota {
-	q := s.quota[customer]
+func (s *Service) quotaOf(customer, plan int, at float64) *quotaState {
+	q := s.quotas[customer]
 	if q == nil {
-		q = &quota{Store: Store{Level: s.deal.Plans[plan].Depth, At: at, plan: plan}}
-		s.quota[customer] = q
+		q = &quotaState{Bucket: Bucket{Level: s.deal.Plans[plan].Depth, At: at, plan: plan}}
+		s.quotas[customer] = q
 	}
 	return q
 }
@@ -258,58 +258,58 @@
 	q := s.quotaOf(t.customer, t.plan, e.At)
 	if !t.sent {
 		t.sent = true
-		t.inside = (p.Rate == 0 || q.Fill(e.At, p.Rate, p.Depth) >= t.units-1e-9) && (p.MaxConcurrent == 0 || q.out < p.MaxConcurrent)
+		t.inQuota = (p.Rate == 0 || q.Fill(e.At, p.Rate, p.Depth) >= t.units-1e-9) && (p.MaxConcurrent == 0 || q.inFlight < p.MaxConcurrent)
 		s.Costs.SentUnits += t.units
-		if t.inside {
+		if t.inQuota {
 			q.Level -= t.units
 		} else {
 			s.Costs.BeyondUnits += t.units
-			s.charge(t.want, s.deal.OverCost[t.plan], true)
+			s.charge(t.request, s.deal.OverCost[t.plan], true)
 		}
 	}
-	if t.out == nil {
-		t.out = map[int]struct{}{}
+	if t.inFlight == nil {
+		t.inFlight = map[int]struct{}{}
 	}
-	t.out[e.Number] = struct{}{}
-	q.out++
+	t.inFlight[e.Number] = struct{}{}
+	q.inFlight++
 }
 
 // charge takes a share of a request's gain off.
 func (s *Service) charge(id int, share float64, over bool) {
-	w := s.wants[id]
+	w := s.requests[id]
 	if w == nil {
 		return
 	}
 	for _, t := range s.tallies(w) {
-		t.Earned -= share * w.worth
+		t.Earned -= share * w.gain
 		if over {
-			t.Over += share * w.worth
+			t.Over += share * w.gain
 		}
 	}
 }
 
-func (s *Service) close(t *sold, number int) {
-	if _, out := t.out[number]; out {
-		delete(t.out, number)
-		s.quota[t.customer].out--
+func (s *Service) closeAttempt(t *billedTry, number int) {
+	if _, out := t.inFlight[number]; out {
+		delete(t.inFlight, number)
+		s.quotas[t.customer].inFlight--
 	}
 }
 
-func (s *Service) end(id int) {
+func (s *Service) endTry(id int) {
 	t := s.tries[id]
 	if t == nil {
 		return
 	}
-	for number := range t.out {
-		s.close(t, number)
+	for number := range t.inFlight {
+		s.closeAttempt(t, number)
 	}
 	delete(s.tries, id)
-	s.spareT = append(s.spareT, t)
+	s.spareTries = append(s.spareTries, t)
 }
 
 const (
-	roomShare = 0.5 // of the depth unused, with which a rejection counts as one with room
-	heldShare = 0.5 // of its time, after which giving up what was never sent is priced
+	minRoomShare  = 0.5 // of the depth unused, with which a rejection counts as one with room
+	heldBackShare = 0.5 // of its time, after which giving up what was never sent is priced
 )
 
 func (s *Service) answered(e *trace.Event) {
@@ -325,27 +325,27 @@
 		s.Costs.Rejected++
 		sec.Rejected++
 		p := &s.deal.Plans[t.plan]
-		if q := s.quotaOf(t.customer, t.plan, e.At); p.Rate > 0 && q.Fill(e.At, p.Rate, p.Depth) >= roomShare*p.Depth {
+		if q := s.quotaOf(t.customer, t.plan, e.At); p.Rate > 0 && q.Fill(e.At, p.Rate, p.Depth) >= minRoomShare*p.Depth {
 			s.Costs.WithRoom++
 		}
 	} else {
 		s.Costs.Failed++
 		sec.Failed++
 	}
-	if !t.came && e.At-t.taken > heldShare*(t.until-t.taken) {
+	if !t.arrived && e.At-t.acceptedAt > heldBackShare*(t.deadline-t.acceptedAt) {
 		s.Costs.HeldBack++
-		s.charge(t.want, s.deal.Prices.HeldBack, false)
+		s.charge(t.request, s.deal.Prices.HeldBack, false)
 	}
-	s.end(e.Try)
+	s.endTry(e.Try)
 }
 
-func (s *Service) got(e *trace.Event) {
-	t, w := s.tries[e.Try], s.wants[e.Want]
+func (s *Service) received(e *trace.Event) {
+	t, w := s.tries[e.Try], s.requests[e.Want]
 	if e.Answer != trace.Finished || w == nil {
 		return
 	}
-	s.roll(int(e.At / 1000))
-	took := e.At - w.at
+	s.advanceTo(int(e.At / 1000))
+	took := e.At - w.askedAt
 	us := max(1, min(histMost, int64(math.Round(took*1000))))
 	s.Latency[w.class].RecordValue(us)
 	s.recent.RecordValue(us)
@@ -354,37 +354,37 @@
 	if inTime {
 		value = 1
 	}
-	if t != nil && !t.inside {
+	if t != nil && !t.inQuota {
 		value = 0 // beyond its quota
 	}
 	for _, ta := range s.tallies(w) {
-		ta.Earned += value * w.worth
+		ta.Earned += value * w.gain
 		if inTime {
 			ta.InTime++
 		} else {
 			ta.Late++
 		}
 	}
-	s.forget(e.Want, w)
-	s.end(e.Try)
+	s.removeRequest(e.Want, w)
+	s.endTry(e.Try)
 }
 
-// roll closes the seconds before the present one.
-func (s *Service) roll(present int) {
-	if present <= s.present {
+// advanceTo closes the seconds before the present one.
+func (s *Service) advanceTo(present int) {
+	if present <= s.currentSecond {
 		return
 	}
 	if s.recent.TotalCount() > 0 {
-		sec := s.second(float64(s.present) * 1000)
+		sec := s.second(float64(s.currentSecond) * 1000)
 		sec.P50, sec.P99 = float64(s.recent.ValueAtQuantile(50))/1000, float64(s.recent.ValueAtQuantile(99))/1000
 		s.recent.Reset()
 	}
-	s.present = present
+	s.currentSecond = present
 	rate, depth := func(p int) float64 { return s.deal.Plans[p].Rate }, func(p int) float64 { return s.deal.Plans[p].Depth }
-	forgetFull(s.ideal, float64(present)*1000, rate, depth)
-	for c, q := range s.quota {
-		if q.out == 0 && q.Level+rate(q.plan)*(float64(present)*1000-q.At) >= depth(q.plan) {
-			delete(s.quota, c)
+	removeFull(s.idealQuotas, float64(present)*1000, rate, depth)
+	for c, q := range s.quotas {
+		if q.inFlight == 0 && q.Level+rate(q.plan)*(float64(present)*1000-q.At) >= depth(q.plan) {
+			delete(s.quotas, c)
 		}
 	}
 }
@@ -405,14 +405,14 @@
 	p := Parts{Whole: s.Whole.share(), WorstWindow: 1, WorstClass: 1, WorstPlan: 1}
 	last := min(len(s.Seconds), int(math.Ceil(s.deal.Seconds)))
 	mean := s.Whole.Offered / max(1, s.deal.Seconds)
-	span := min(windowSecs, last)
+	span := min(windowS, last)
 	for at := 0; at+span <= last; at++ {
 		var w Tally
 		for i := at; i < at+span; i++ {
 			w.Offered += s.Seconds[i].Offered
 			w.Earned += s.Seconds[i].Earned
 		}
-		if share := w.share(); w.Offered > thinWindow*mean*float64(span) && share < p.WorstWindow {
+		if share := w.share(); w.Offered > minWindowOffer*mean*float64(span) && share < p.WorstWindow {
 			p.WorstWindow, p.WorstAt = share, at
 		}
 	}
@@ -433,12 +433,12 @@
 
 // Judge is both.
 type Judge struct {
-	Rules   *Rules
+	Rules   *Checker
 	Service *Service
 	Events  int
 }
 
-func New(d *Deal) *Judge { return &Judge{Rules: NewRules(d), Service: NewService(d)} }
+func New(d *Deal) *Judge { return &Judge{Rules: NewChecker(d), Service: NewService(d)} }
 
 func (j *Judge) Take(e *trace.Event) {
 	j.Events++
--- a/lab/load/errors.go
+++ b/lab/load/errors.go
@@ -36,15 +36,15 @@
 	return "Run it again and let it end; the figures so far are of a part."
 }
 
-// CrossedError is a connection that had been closed before the request came: it is sent once more.
-type CrossedError struct{}
+// StaleConnError is a connection that had been closed before the request came: it is sent once more.
+type StaleConnError struct{}
 
-func (*CrossedError) Error() string     { return "the connection had been closed" }
-func (*CrossedError) Kind() remedy.Kind { return remedy.Unreachable }
+func (*StaleConnError) Error() string     { return "the connection had been closed" }
+func (*StaleConnError) Kind() remedy.Kind { return remedy.Unreachable }
 
 // Remedy says that the tool acts by itself.
-func (*CrossedError) Remedy() string {
+func (*StaleConnError) Remedy() string {
 	return "The tool sends the operation once more by itself; a slower --rate meets it less."
 }
 
-var errCrossed = &CrossedError{}
+var errStaleConn = &StaleConnError{}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -49,23 +49,23 @@
 }
 
 const (
-	histMost   = int64(10 * time.Minute / time.Microsecond)
-	histDigits = 3
-	mostConns  = 10000
-	mostRate   = 1e6
-	mostAsked  = 20e6 // requests of a run; what is due is kept in memory
+	maxLatencyUs = int64(10 * time.Minute / time.Microsecond)
+	histDigits   = 3
+	maxConns     = 10000
+	maxRate      = 1e6
+	maxRequests  = 20e6 // requests of a run; what is due is kept in memory
 )
 
-func (r *Run) check() error {
+func (r *Run) validate() error {
 	switch {
-	case !(r.Rate > 0 && r.Rate <= mostRate):
-		return &RunError{What: fmt.Sprintf("rate %g", r.Rate), Says: fmt.Sprintf("above 0 and up to %g is wanted", mostRate)}
+	case !(r.Rate > 0 && r.Rate <= maxRate):
+		return &RunError{What: fmt.Sprintf("rate %g", r.Rate), Says: fmt.Sprintf("above 0 and up to %g is wanted", maxRate)}
 	case r.For <= 0:
 		return &RunError{What: fmt.Sprintf("length %v", r.For), Says: "above 0 is wanted"}
-	case r.Rate*r.For.Seconds() > mostAsked:
-		return &RunError{What: fmt.Sprintf("rate %g for %v", r.Rate, r.For), Says: fmt.Sprintf("over %g operations", float64(mostAsked))}
-	case r.Conns < 1 || r.Conns > mostConns:
-		return &RunError{What: fmt.Sprintf("%d connections", r.Conns), Says: fmt.Sprintf("1 to %d are wanted", mostConns)}
+	case r.Rate*r.For.Seconds() > maxRequests:
+		return &RunError{What: fmt.Sprintf("rate %g for %v", r.Rate, r.For), Says: fmt.Sprintf("over %g operations", float64(maxRequests))}
+	case r.Conns < 1 || r.Conns > maxConns:
+		return &RunError{What: fmt.Sprintf("%d connections", r.Conns), Says: fmt.Sprintf("1 to %d are wanted", maxConns)}
 	case r.Patience <= 0:
 		return &RunError{What: fmt.Sprintf("patience %v", r.Patience), Says: "above 0 is wanted"}
 	}
@@ -75,10 +75,10 @@
 	return nil
 }
 
-// due is one request and when it is meant to start.
-type due struct {
+// scheduled is one request and when it is meant to start.
+type scheduled struct {
 	number int
-	at     time.Time
+	start  time.Time
 }
 
 // tally is one connection's part of the outcome.
@@ -89,11 +89,11 @@
 
 // Play plays the run. progress hears how much of it is over, 0 to 1.
 func (r *Run) Play(ctx context.Context, progress func(done float64)) (*Outcome, error) {
-	if err := r.check(); err != nil {
+	if err := r.validate(); err != nil {
 		return nil, err
 	}
 	// All that will be due fits in, so that handing out never waits for a connection.
-	dues := make(chan due, int(r.Rate*r.For.Seconds()*1.5)+1000)
+	dues := make(chan scheduled, int(r.Rate*r.For.Seconds()*1.5)+1000)
 	tallies := make([]tally, r.Conns)
 	var busy atomic.Int64
 	var group sync.WaitGroup
@@ -103,7 +103,7 @@
 	dice := rand.New(rand.NewPCG(r.Seed, 0))
 	at := began
 	started := 0
-	for at.Sub(began) < r.For && ctx.Err() == nil && !r.enough() {
+	for at.Sub(began) < r.For && ctx.Err() == nil && !r.stopped() {
 		if wait := time.Until(at); wait > 0 {
 			time.Sleep(wait)
 		} else {
@@ -112,12 +112,12 @@
 		// A connection more is opened only while all that there are are busy.
 		if int(busy.Load()) >= started && started < r.Conns {
 			t := &tallies[started]
-			t.latency = hdrhistogram.New(1, histMost, histDigits)
+			t.latency = hdrhistogram.New(1, maxLatencyUs, histDigits)
 			started++
-			group.Go(func() { r.carry(ctx, dues, t, &busy) })
+			group.Go(func() { r.sendAll(ctx, dues, t, &busy) })
 		}
 		busy.Add(1)
-		dues <- due{asked, at}
+		dues <- scheduled{asked, at}
 		asked++
 		if gap := 1 / r.Rate; r.Poisson {
 			at = at.Add(time.Duration(dice.ExpFloat64() * gap * float64(time.Second)))
@@ -130,7 +130,7 @@
 	}
 	close(dues)
 	group.Wait()
-	o := &Outcome{Asked: asked, Took: time.Since(began), Latency: hdrhistogram.New(1, histMost, histDigits), Behind: behind}
+	o := &Outcome{Asked: asked, Took: time.Since(began), Latency: hdrhistogram.New(1, maxLatencyUs, histDigits), Behind: behind}
 	for i := range tallies[:started] {
 		t := &tallies[i]
 		o.Finished, o.Rejected, o.Failed = o.Finished+t.finished, o.Rejected+t.rejected, o.Failed+t.failed
@@ -142,7 +142,7 @@
 	return o, nil
 }
 
-func (r *Run) enough() bool {
+func (r *Run) stopped() bool {
 	select {
 	case <-r.Enough:
 		return true
@@ -151,8 +151,8 @@
 	}
 }
 
-// carry takes requests over one connection, one at a time.
-func (r *Run) carry(ctx context.Context, dues <-chan due, t *tally, busy *atomic.Int64) {
+// sendAll takes requests over one connection, one at a time.
+func (r *Run) sendAll(ctx context.Context, dues <-chan scheduled, t *tally, busy *atomic.Int64) {
 	var nc net.Conn
 	var in *bufio.Reader
 	drop := func() {
@@ -167,7 +167,7 @@
 			busy.Add(-1)
 			continue
 		}
-		status, last, err := 0, false, error(errCrossed)
+		status, last, err := 0, false, error(errStaleConn)
 		for attempt := 0; attempt < 2 && err != nil; attempt++ {
 			used := nc != nil
 			if !used {
@@ -176,10 +176,10 @@
 				}
 				in = bufio.NewReader(nc)
 			}
-			status, last, err = r.one(nc, in, d)
+			status, last, err = r.sendOne(nc, in, d)
 			if err != nil {
 				drop()
-				if !used || !errors.Is(err, errCrossed) {
+				if !used || !errors.Is(err, errStaleConn) {
 					break
 				}
 			}
@@ -192,7 +192,7 @@
 			t.failed++
 		case status == http.StatusOK:
 			t.finished++
-			_ = t.latency.RecordValue(max(1, min(histMost, time.Since(d.at).Microseconds())))
+			_ = t.latency.RecordValue(max(1, min(maxLatencyUs, time.Since(d.start).Microseconds())))
 		case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
 			t.rejected++
 		default:
@@ -202,19 +202,19 @@
 	}
 }
 
-func (r *Run) one(nc net.Conn, in *bufio.Reader, d due) (status int, last bool, err error) {
-	if err := nc.SetDeadline(d.at.Add(r.Patience)); err != nil {
+func (r *Run) sendOne(nc net.Conn, in *bufio.Reader, d scheduled) (status int, last bool, err error) {
+	if err := nc.SetDeadline(d.start.Add(r.Patience)); err != nil {
 		return 0, false, err
 	}
 	if _, err := io.WriteString(nc, r.Word(d.number)); err != nil {
-		return 0, false, errCrossed
+		return 0, false, errStaleConn
 	}
 	if _, err := in.Peek(1); err != nil {
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
 			return 0, false, err
 		}
-		return 0, false, errCrossed
+		return 0, false, errStaleConn
 	}
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -243,8 +243,8 @@
 }
 
 const (
-	kneeGrowth = 1.5 // factor from one rate to the next while they hold
-	kneeMost   = 30  // rates tried on the way up
+	kneeGrowth   = 1.5 // factor from one rate to the next while they hold
+	maxKneeSteps = 30  // rates tried on the way up
 )
 
 // holds tells whether an outcome is good enough. A run in which the tool itself was late says nothing good of a rate.
@@ -271,7 +271,7 @@
 		return s.Holds, nil
 	}
 	low, high := 0.0, math.Inf(1)
-	for rate := k.Rate; len(steps) < kneeMost; rate *= kneeGrowth {
+	for rate := k.Rate; len(steps) < maxKneeSteps; rate *= kneeGrowth {
 		holds, err := try(rate)
 		if err != nil {
 			return low, steps, err
--- a/lab/soak/backend.go
+++ b/lab/soak/backend.go
@@ -12,38 +12,38 @@
 	"time"
 )
 
-// Conduct is how a backend treats requests.
-type Conduct int32
+// Behavior is how a backend treats requests.
+type Behavior int32
 
 // The conducts of a backend.
 const (
-	Well    Conduct = iota // answers after some milliseconds
-	Slow                   // answers late
-	Hangs                  // takes requests and never answers
-	Resets                 // resets the connection under a request
-	Refuses                // turns requests away as not run
-	Fails                  // answers with an error
-	Halves                 // sends half of an answer and hangs
+	Normal    Behavior = iota // answers after some milliseconds
+	Slow                      // answers late
+	Hangs                     // takes requests and never answers
+	Resets                    // resets the connection under a request
+	Refuses                   // turns requests away as not run
+	Fails                     // answers with an error
+	Truncates                 // sends half of an answer and hangs
 )
 
-const conducts = 7
+const behaviorCount = 7
 
 // backend is a stand-in for one backend.
 type backend struct {
-	number  int
-	id      string
-	addr    string
-	conduct atomic.Int32
-	day     *world
-	ln      net.Listener
+	number   int
+	id       string
+	addr     string
+	behavior atomic.Int32
+	rig      *rig
+	ln       net.Listener
 }
 
-func newBackend(w *world, number int) (*backend, error) {
+func newBackend(w *rig, number int) (*backend, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &backend{number: number, id: fmt.Sprintf("s-%d", number), addr: ln.Addr().String(), day: w, ln: ln}
+	b := &backend{number: number, id: fmt.Sprintf("s-%d", number), addr: ln.Addr().String(), rig: w, ln: ln}
 	go acceptAll(ln, b.serve)
 	return b, nil
 }
@@ -61,25 +61,25 @@
 
 func (b *backend) serve(nc net.Conn) {
 	defer nc.Close()
-	dice := rand.New(rand.NewPCG(b.day.seed, uint64(b.number)))
+	dice := rand.New(rand.NewPCG(b.rig.seed, uint64(b.number)))
 	for r := bufio.NewReader(nc); ; {
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		a := Arrival{Backend: b.number, First: b.day.now(), Whole: Never}
+		a := Arrival{Backend: b.number, FirstByte: b.rig.now(), LastByte: Never}
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
 		a.ID = req.Header.Get("X-Txn")
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
-			b.day.record.arrival(a)
+			b.rig.history.addArrival(a)
 			return
 		}
-		a.Whole, a.Remaining = b.day.now(), span(req.Header.Get("X-Remaining"))
-		how := Conduct(b.conduct.Load())
-		a.TurnedAway = how == Refuses
-		b.day.record.arrival(a)
+		a.LastByte, a.Remaining = b.rig.now(), parseRemaining(req.Header.Get("X-Remaining"))
+		how := Behavior(b.behavior.Load())
+		a.Refused = how == Refuses
+		b.rig.history.addArrival(a)
 		if !b.answer(nc, r, how, a.ID, dice) {
 			return
 		}
@@ -87,7 +87,7 @@
 }
 
 // answer does with one request as the conduct says, and tells whether the connection goes on.
-func (b *backend) answer(nc net.Conn, r *bufio.Reader, how Conduct, id string, dice *rand.Rand) bool {
+func (b *backend) answer(nc net.Conn, r *bufio.Reader, how Behavior, id string, dice *rand.Rand) bool {
 	between := func(least, most int) { time.Sleep(time.Duration(least+dice.IntN(most-least)) * time.Millisecond) }
 	switch how {
 	case Hangs:
@@ -103,7 +103,7 @@
 	case Fails:
 		_, err := io.WriteString(nc, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
-	case Halves:
+	case Truncates:
 		_, _ = fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id[:len(id)/2])
 		_, _ = r.Peek(1)
 		return false
@@ -116,8 +116,8 @@
 	return err == nil
 }
 
-// span reads a time as the protocol page words it: a number with m for milliseconds or u for microseconds.
-func span(text string) time.Duration {
+// parseRemaining reads a time as the protocol page words it: a number with m for milliseconds or u for microseconds.
+func parseRemaining(text string) time.Duration {
 	unit := time.Millisecond
 	if strings.HasSuffix(text, "u") {
 		unit = time.Microsecond
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -16,40 +16,40 @@
 )
 
 const (
-	clientPatience = 2 * time.Second // behind a request's deadline and the time in which a late answer counts
-	stallerStays   = 4 * time.Second
+	clientGrace        = 2 * time.Second // behind a request's deadline and the time in which a late answer counts
+	stalledConnTimeout = 4 * time.Second
 )
 
 // client is one client of a door. It keeps its connection, and uses it for as long as it stays open.
 type client struct {
-	day  *world
+	rig  *rig
 	door *door
-	dice *rand.Rand
+	rng  *rand.Rand
 	nc   net.Conn
 	r    *bufio.Reader
 }
 
-var requests atomic.Uint64
+var requestCount atomic.Uint64
 
 // run asks until the day is over.
 func (c *client) run() {
-	defer c.hangUp()
-	for !c.day.over() {
+	defer c.disconnect()
+	for !c.rig.over() {
 		if c.nc == nil && !c.connect() {
-			time.Sleep(c.upTo(40))
+			time.Sleep(c.randomDelay(40))
 			continue
 		}
-		c.ask()
-		time.Sleep(c.upTo(50))
+		c.sendRequest()
+		time.Sleep(c.randomDelay(50))
 	}
 }
 
-func (c *client) upTo(ms int) time.Duration {
-	return time.Duration(c.dice.IntN(ms+1)) * time.Millisecond
+func (c *client) randomDelay(ms int) time.Duration {
+	return time.Duration(c.rng.IntN(ms+1)) * time.Millisecond
 }
 
 func (c *client) connect() bool {
-	if !c.door.admits() {
+	if !c.door.acceptsClients() {
 		return false
 	}
 	nc, err := c.door.dial()
@@ -60,93 +60,93 @@
 	return true
 }
 
-func (c *client) hangUp() {
+func (c *client) disconnect() {
 	if c.nc != nil {
 		c.nc.Close()
 		c.nc = nil
 	}
 }
 
-// manner is how a client brings one request.
-type manner int
+// sendMode is how a client brings one request.
+type sendMode int
 
 const (
-	atOnce manner = iota
-	late          // some time after its connection came up
-	inTwo         // in two pieces
-	leaves        // and closes before its answer
-	stops         // in the middle of it, and stays
+	sendAtOnce     sendMode = iota
+	sendDelayed             // some time after its connection came up
+	sendInTwoParts          // in two pieces
+	sendAndClose            // and closes before its answer
+	sendHalf                // in the middle of it, and stays
 )
 
-// draw picks a manner by its share of the requests, in percent.
-func (c *client) draw() manner {
-	switch n := c.dice.IntN(100); {
-	case c.day.late:
-		return late
+// drawMode picks a manner by its share of the requests, in percent.
+func (c *client) drawMode() sendMode {
+	switch n := c.rng.IntN(100); {
+	case c.rig.delayRequests:
+		return sendDelayed
 	case n < 70:
-		return atOnce
+		return sendAtOnce
 	case n < 82:
-		return late
+		return sendDelayed
 	case n < 90:
-		return inTwo
+		return sendInTwoParts
 	case n < 98:
-		return leaves
+		return sendAndClose
 	}
-	return stops
+	return sendHalf
 }
 
-// ask brings one request in a manner drawn.
-func (c *client) ask() {
-	how := c.draw()
-	q := c.request()
-	text := c.text(&q)
+// sendRequest brings one request in a manner drawn.
+func (c *client) sendRequest() {
+	how := c.drawMode()
+	q := c.newRequest()
+	text := c.encode(&q)
 	half := len(text)
-	if how == inTwo || how == stops {
-		half = 1 + c.dice.IntN(len(text)-1)
+	if how == sendInTwoParts || how == sendHalf {
+		half = 1 + c.rng.IntN(len(text)-1)
 	}
-	if how == late {
-		c.hangUp()
+	if how == sendDelayed {
+		c.disconnect()
 		if !c.connect() {
 			return
 		}
-		time.Sleep(c.upTo(900))
+		time.Sleep(c.randomDelay(900))
 	}
-	if c.ended() {
-		c.hangUp()
+	if c.closedByDoor() {
+		c.disconnect()
 		return
 	}
-	q.Began = c.day.now()
+	q.Began = c.rig.now()
 	if half < len(text) {
 		if _, err := io.WriteString(c.nc, text[:half]); err != nil {
-			c.hangUp()
+			c.disconnect()
 			return
 		}
-		if how == stops {
-			c.stay()
+		if how == sendHalf {
+			c.holdOpen()
 			return
 		}
-		time.Sleep(c.upTo(800))
+		time.Sleep(c.randomDelay(800))
 		text = text[half:]
 	}
-	q.Sent = c.day.now()
+	q.Sent = c.rig.now()
 	if _, err := io.WriteString(c.nc, text); err != nil {
-		q.End, q.Ended = Unwritten, c.day.now()
-		c.finish(q)
+		q.End, q.Ended = WriteFailed, c.rig.now()
+		c.record(q)
 		return
 	}
-	if how == leaves {
-		time.Sleep(c.upTo(200))
-		c.hangUp()
-		q.End, q.Ended = Left, c.day.now()
-		c.day.record.request(q)
+	if how == sendAndClose {
+		time.Sleep(c.randomDelay(200))
+		c.disconnect()
+		q.End, q.Ended = ClientClosed, c.rig.now()
+		c.rig.history.addRequest(q)
 		return
 	}
-	c.answer(&q)
-	c.finish(q)
+	c.readAnswer(&q)
+	c.record(q)
 }
 
-// ended tells whether the door has ended the connection: a client doesn't begin a request on one that it knows to be closed.
-func (c *client) ended() (is bool) {
+// closedByDoor tells whether the door has closedByDoor the connection: a client doesn't begin a request on one that it knows to be closed.
+func (c *client) closedByDoor() (is bool) {
 	raw, err := c.nc.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return true
@@ -158,52 +158,52 @@
 	return is
 }
 
-// finish records a request; a connection that did not carry a whole answer is not used again.
-func (c *client) finish(q Request) {
-	c.day.record.request(q)
+// record records a request; a connection that did not carry a whole answer is not used again.
+func (c *client) record(q Request) {
+	c.rig.history.addRequest(q)
 	if q.End != Answered {
-		c.hangUp()
+		c.disconnect()
 	}
 }
 
-// stay keeps a connection on which half a request was written, until it is closed or answered.
-func (c *client) stay() {
-	c.nc.SetReadDeadline(time.Now().Add(stallerStays))
+// holdOpen keeps a connection on which half a request was written, until it is closed or answered.
+func (c *client) holdOpen() {
+	c.nc.SetReadDeadline(time.Now().Add(stalledConnTimeout))
 	_, _ = c.r.Peek(1)
-	c.hangUp()
+	c.disconnect()
 }
 
-// request draws what to ask for.
-func (c *client) request() Request {
-	longest := c.day.record.Deadlines
-	return Request{ID: fmt.Sprintf("%016x", c.day.seed<<40|requests.Add(1)), Door: c.door.number,
-		Semantics: Semantics(c.dice.IntN(3)), Wait: longest - time.Duration(c.dice.Int64N(int64(longest)/2))}
+// newRequest draws what to ask for.
+func (c *client) newRequest() Request {
+	longest := c.rig.history.MaxDeadline
+	return Request{ID: fmt.Sprintf("%016x", c.rig.seed<<40|requestCount.Add(1)), Door: c.door.number,
+		Semantics: Semantics(c.rng.IntN(3)), Wait: longest - time.Duration(c.rng.Int64N(int64(longest)/2))}
 }
 
-func (c *client) text(q *Request) string {
+func (c *client) encode(q *Request) string {
 	var b strings.Builder
-	what := [...]string{Idempotent: "GET /look", Keyed: "POST /book", Unsafe: "POST /pay"}[q.Semantics]
+	what := [...]string{Idempotent: "GET /look", Keyed: "POST /book", NonIdempotent: "POST /pay"}[q.Semantics]
 	fmt.Fprintf(&b, "%s?key=%016x HTTP/1.1\r\nHost: d\r\nX-Txn: %s\r\nX-Tariff: team\r\nX-Remaining: %dm\r\nX-Weight: units=1,spread=1,first=0\r\n",
-		what, c.dice.IntN(100), q.ID, q.Wait.Milliseconds())
+		what, c.rng.IntN(100), q.ID, q.Wait.Milliseconds())
 	if q.Semantics == Keyed {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", q.ID)
 	}
 	if q.Semantics != Idempotent {
-		body := strings.Repeat("x", c.dice.IntN(3000))
+		body := strings.Repeat("x", c.rng.IntN(3000))
 		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", len(body), body)
 		return b.String()
 	}
 	return b.String() + "\r\n"
 }
 
-// answer reads the answer to a request, and records how that ended.
-func (c *client) answer(q *Request) {
-	until := q.Sent + q.Wait + answerLate + clientPatience
-	c.nc.SetReadDeadline(time.Now().Add(until - c.day.now()))
+// readAnswer reads the readAnswer to a request, and records how that ended.
+func (c *client) readAnswer(q *Request) {
+	until := q.Sent + q.Wait + answerGrace + clientGrace
+	c.nc.SetReadDeadline(time.Now().Add(until - c.rig.now()))
 	if _, err := c.r.Peek(1); err != nil {
-		q.End, q.Ended = Cut, c.day.now()
+		q.End, q.Ended = ConnClosed, c.rig.now()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			q.End = Unanswered
+			q.End = TimedOut
 		}
 		return
 	}
@@ -212,12 +212,12 @@
 	if err == nil {
 		body, err = io.ReadAll(res.Body)
 	}
-	q.End, q.Ended, q.Body = Answered, c.day.now(), string(body)
+	q.End, q.Ended, q.Body = Answered, c.rig.now(), string(body)
 	if err != nil {
 		q.End = Partial
 		return
 	}
 	if q.Status = res.StatusCode; res.Close {
-		c.hangUp()
+		c.disconnect()
 	}
 }
--- a/lab/soak/contention.go
+++ b/lab/soak/contention.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	contentionLook  = 50 * time.Millisecond
-	contentionLeast = 10 * time.Millisecond
+	contentionInterval = 50 * time.Millisecond
+	minContention      = 10 * time.Millisecond
 )
 
 // measureContention records when the threads of a door were ready to run and had no core, by the kernel's own count: what the
 // machine holds up is not the door's doing.
-func (w *world) measureContention() {
+func (w *rig) measureContention() {
 	before := map[string]time.Duration{}
 	for !w.over() {
 		due := w.now()
-		time.Sleep(contentionLook)
+		time.Sleep(contentionInterval)
 		for _, d := range w.doors {
-			if most := waited(d.process(), before); most > contentionLeast {
-				w.record.stall(Stall{Door: d.number, Due: due, Late: most})
+			if most := longestThreadWait(d.pid(), before); most > minContention {
+				w.history.addStall(Stall{Door: d.number, Due: due, Late: most})
 			}
 		}
 	}
 }
 
-// waited is the longest that one thread of a process has waited for a core since the last look.
-func waited(process int, before map[string]time.Duration) (most time.Duration) {
+// longestThreadWait is the longest that one thread of a process has longestThreadWait for a core since the last look.
+func longestThreadWait(process int, before map[string]time.Duration) (most time.Duration) {
 	if process == 0 {
 		return 0
 	}
@@ -52,11 +52,11 @@
 	return most
 }
 
-// process is the number of the door's present process; 0 where it has none.
-func (d *door) process() int {
+// pid is the number of the door's present pid; 0 where it has none.
+func (d *door) pid() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.cmd == nil || d.life.Exited != 0 {
+	if d.cmd == nil || d.incarnation.Exited != 0 {
 		return 0
 	}
 	return d.cmd.Process.Pid
@@ -64,7 +64,7 @@
 
 // measureNetwork records how long the machine itself takes for a new loopback connection and an echo on it: what it holds up
 // there, neither the rig nor a door can help.
-func (w *world) measureNetwork() {
+func (w *rig) measureNetwork() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return
@@ -84,9 +84,9 @@
 			}
 			nc.Close()
 		}
-		if took := w.now() - due; took > stallLeast {
-			w.record.stall(Stall{TheRig, due, took})
+		if took := w.now() - due; took > minStall {
+			w.history.addStall(Stall{TheRig, due, took})
 		}
-		time.Sleep(stallLook)
+		time.Sleep(stallInterval)
 	}
 }
--- a/lab/soak/counter.go
+++ b/lab/soak/counter.go
@@ -13,10 +13,10 @@
 
 // counter is a stand-in for the shared counter.
 type counter struct {
-	addr string
-	ln   net.Listener
-	busy atomic.Bool // it turns every call away
-	mute atomic.Bool // it answers nothing
+	addr   string
+	ln     net.Listener
+	busy   atomic.Bool // it turns every call away
+	silent atomic.Bool // it answers nothing
 
 	mu     sync.Mutex
 	totals map[string]float64
@@ -35,12 +35,12 @@
 func (c *counter) serve(nc net.Conn) {
 	defer nc.Close()
 	for r := bufio.NewReader(nc); ; {
-		words, err := words(r)
+		words, err := readCall(r)
 		if err != nil {
 			return
 		}
 		switch {
-		case c.mute.Load():
+		case c.silent.Load():
 		case c.busy.Load():
 			_, err = io.WriteString(nc, "-BUSY\r\n")
 		case len(words) == 4 && words[0] == "TALLY":
@@ -63,15 +63,15 @@
 	return c.totals[name]
 }
 
-// words reads one call: an array of bulk strings.
-func words(r *bufio.Reader) ([]string, error) {
-	n, err := count(r, '*')
+// readCall reads one call: an array of bulk strings.
+func readCall(r *bufio.Reader) ([]string, error) {
+	n, err := readLength(r, '*')
 	if err != nil {
 		return nil, err
 	}
 	out := make([]string, n)
 	for i := range out {
-		size, err := count(r, '$')
+		size, err := readLength(r, '$')
 		if err != nil {
 			return nil, err
 		}
@@ -84,7 +84,7 @@
 	return out, nil
 }
 
-func count(r *bufio.Reader, kind byte) (int, error) {
+func readLength(r *bufio.Reader, kind byte) (int, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
 		return 0, err
--- a/lab/soak/discovery.go
+++ b/lab/soak/discovery.go
@@ -35,30 +35,30 @@
 
 // discovery is one door's agent.
 type discovery struct {
-	day  *world
+	rig  *rig
 	door int
 	addr string
 	ln   net.Listener
 
-	mu      sync.Mutex
-	down    bool // it takes connections and says nothing
-	muted   bool // the door's configuration names another: that a backend drains does not count as told by it
-	version int64
-	lines   []instance
-	changed []int64       // version at which each line last changed
-	news    chan struct{} // closed with each change
-	open    map[net.Conn]bool
+	mu        sync.Mutex
+	down      bool // it takes connections and says nothing
+	inactive  bool // the door's configuration names another: that a backend drains does not count as told by it
+	version   int64
+	instances []instance
+	changedIn []int64       // version at which each line last changed
+	changes   chan struct{} // closed with each change
+	watches   map[net.Conn]bool
 }
 
-func newDiscovery(w *world, door int) (*discovery, error) {
+func newDiscovery(w *rig, door int) (*discovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &discovery{day: w, door: door, addr: ln.Addr().String(), ln: ln, version: 1, news: make(chan struct{}), open: map[net.Conn]bool{}}
+	d := &discovery{rig: w, door: door, addr: ln.Addr().String(), ln: ln, version: 1, changes: make(chan struct{}), watches: map[net.Conn]bool{}}
 	for _, b := range w.backends {
-		d.lines = append(d.lines, instance{b.id, b.addr, "a", ready, 1, 0})
-		d.changed = append(d.changed, 1)
+		d.instances = append(d.instances, instance{b.id, b.addr, "a", ready, 1, 0})
+		d.changedIn = append(d.changedIn, 1)
 	}
 	go acceptAll(ln, d.serve)
 	return d, nil
@@ -69,20 +69,20 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
-	d.lines[backend].Lifecycle, d.changed[backend] = lifecycle, d.version
-	d.wakeAll()
+	d.instances[backend].Lifecycle, d.changedIn[backend] = lifecycle, d.version
+	d.notifyWatches()
 }
 
-// mute has a drain that it writes count as told no more, or again.
-func (d *discovery) mute(is bool) {
+// setInactive has a drain that it writes count as told no more, or again.
+func (d *discovery) setInactive(is bool) {
 	d.mu.Lock()
-	d.muted = is
+	d.inactive = is
 	d.mu.Unlock()
 }
 
-func (d *discovery) wakeAll() {
-	close(d.news)
-	d.news = make(chan struct{})
+func (d *discovery) notifyWatches() {
+	close(d.changes)
+	d.changes = make(chan struct{})
 }
 
 // takeDown has it fall silent, or resets its open watches as well; bringUp ends that.
@@ -90,7 +90,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = true
-	for nc := range d.open {
+	for nc := range d.watches {
 		if reset {
 			_ = nc.(*net.TCPConn).SetLinger(0)
 			nc.Close()
@@ -102,20 +102,20 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = false
-	for nc := range d.open { // what was silent has to be opened anew
+	for nc := range d.watches { // what was silent has to be opened anew
 		nc.Close()
 	}
-	d.wakeAll()
+	d.notifyWatches()
 }
 
 func (d *discovery) serve(nc net.Conn) {
 	d.mu.Lock()
-	d.open[nc] = true
+	d.watches[nc] = true
 	d.mu.Unlock()
 	defer func() {
 		nc.Close()
 		d.mu.Lock()
-		delete(d.open, nc)
+		delete(d.watches, nc)
 		d.mu.Unlock()
 	}()
 	r := bufio.NewReader(nc)
@@ -131,14 +131,14 @@
 	index, _ := strconv.ParseInt(req.URL.Query().Get("index"), 10, 64)
 	began := false
 	for known := index; ; {
-		next, version, news, silent := d.since(known, !began)
+		next, version, news, silent := d.changesSince(known, !began)
 		if !silent && (!began || version > known) {
 			if !began {
 				if _, err := fmt.Fprint(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 					return
 				}
 			}
-			if !d.write(nc, next) {
+			if !d.writeList(nc, next) {
 				return
 			}
 			began, known = true, version
@@ -157,40 +157,40 @@
 	}
 }
 
-// since lists what has changed since a version, or all at a watch's beginning.
-func (d *discovery) since(version int64, whole bool) (listing, int64, <-chan struct{}, bool) {
+// changesSince lists what has changed changesSince a version, or all at a watch's beginning.
+func (d *discovery) changesSince(version int64, whole bool) (listing, int64, <-chan struct{}, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	l := listing{Generation: d.version, Reset: whole, Instances: []instance{}}
-	for i := range d.lines {
-		if whole || d.changed[i] > version {
-			l.Instances = append(l.Instances, d.lines[i])
+	for i := range d.instances {
+		if whole || d.changedIn[i] > version {
+			l.Instances = append(l.Instances, d.instances[i])
 		}
 	}
-	return l, d.version, d.news, d.down
+	return l, d.version, d.changes, d.down
 }
 
-// write tells a list. That a backend is ready counts from before the write, that it drains from behind it: the door may hear of
+// writeList tells a list. That a backend is ready counts from before the writeList, that it drains from behind it: the door may hear of
 // it any time between.
-func (d *discovery) write(nc net.Conn, l listing) bool {
+func (d *discovery) writeList(nc net.Conn, l listing) bool {
 	raw, _ := json.Marshal(l)
-	before := d.day.now()
+	before := d.rig.now()
 	if _, err := fmt.Fprintf(nc, "%x\r\n%s\n\r\n", len(raw)+1, raw); err != nil {
 		return false
 	}
-	after := d.day.now()
+	after := d.rig.now()
 	d.mu.Lock()
-	muted := d.muted
+	muted := d.inactive
 	d.mu.Unlock()
 	for _, line := range l.Instances {
-		told := Told{Door: d.door, Backend: d.day.numbered(line.ID), At: after}
+		told := Notification{Door: d.door, Backend: d.rig.backendNumber(line.ID), At: after}
 		switch {
 		case line.Lifecycle == ready:
 			told.At, told.Ready = before, true
 		case muted:
 			continue // the door may follow the other one by now
 		}
-		d.day.record.told(told)
+		d.rig.history.addNotification(told)
 	}
 	return true
 }
--- a/lab/soak/record.go
+++ b/lab/soak/record.go
@@ -21,7 +21,7 @@
 const (
 	Idempotent Semantics = iota
 	Keyed
-	Unsafe
+	NonIdempotent
 )
 
 // End is how a request ended for its client.
@@ -29,12 +29,12 @@
 
 // The ends of a request.
 const (
-	Answered   End = iota // a whole answer came
-	Cut                   // the connection ended with no byte of an answer
-	Partial               // the connection ended within an answer
-	Unanswered            // the client stopped waiting, long after its deadline
-	Left                  // the client closed its connection before an answer
-	Unwritten             // the connection broke before the request's last byte was written
+	Answered     End = iota // a whole answer came
+	ConnClosed              // the connection ended with no byte of an answer
+	Partial                 // the connection ended within an answer
+	TimedOut                // the client stopped waiting, long after its deadline
+	ClientClosed            // the client closed its connection before an answer
+	WriteFailed             // the connection broke before the request's last byte was written
 )
 
 // Request is one request as its client saw it.
@@ -53,29 +53,29 @@
 
 // Arrival is one attempt as a backend saw it.
 type Arrival struct {
-	ID         string
-	Backend    int
-	First      Instant       // its first byte was read
-	Whole      Instant       // its last byte was read; Never where it was cut off before
-	Remaining  time.Duration // that the front door says it will wait
-	TurnedAway bool          // answered as not run
+	ID        string
+	Backend   int
+	FirstByte Instant       // its first byte was read
+	LastByte  Instant       // its last byte was read; Never where it was cut off before
+	Remaining time.Duration // that the front door says it will wait
+	Refused   bool          // answered as not run
 }
 
-// Life is one process of a door.
-type Life struct {
-	Door       int
-	Started    Instant
-	Ready      Instant // Never where it was not
-	Term       Instant // first SIGTERM; Never where there was none
-	Kill       Instant // SIGKILL; Never where there was none
-	Outright   bool    // killed with no SIGTERM before
-	Exited     Instant
-	Fault      string // why its exit was a crash, empty where it was none
-	Invariants int    // violations that it counted itself
+// Incarnation is one process of a door.
+type Incarnation struct {
+	Door                int
+	Started             Instant
+	Ready               Instant // Never where it was not
+	Term                Instant // first SIGTERM; Never where there was none
+	Kill                Instant // SIGKILL; Never where there was none
+	KilledWithoutTerm   bool    // killed with no SIGTERM before
+	Exited              Instant
+	Crash               string // why its exit was a crash, empty where it was none
+	InvariantViolations int    // violations that it counted itself
 }
 
-// Told is the instant at which discovery had written to a door that a backend drains or is gone.
-type Told struct {
+// Notification is the instant at which discovery had written to a door that a backend drains or is gone.
+type Notification struct {
 	Door, Backend int
 	At            Instant
 	Ready         bool // it was told to be ready again
@@ -91,45 +91,45 @@
 	Late time.Duration
 }
 
-// Record is what was seen of a day.
-type Record struct {
-	Deadlines  time.Duration // the longest of the deployment
-	Window     time.Duration // for which backends discard a repeat of a keyed request
-	DrainGrace time.Duration
-
-	mu       sync.Mutex
-	Requests []Request
-	Arrivals []Arrival
-	Lives    []Life
-	Told     []Told
-	Stalls   []Stall
+// History is what was seen of a day.
+type History struct {
+	MaxDeadline time.Duration // the longest of the deployment
+	DedupWindow time.Duration // for which backends discard a repeat of a keyed request
+	DrainGrace  time.Duration
+
+	mu            sync.Mutex
+	Requests      []Request
+	Arrivals      []Arrival
+	Incarnations  []Incarnation
+	Notifications []Notification
+	Stalls        []Stall
 }
 
-func (r *Record) request(q Request) {
+func (r *History) addRequest(q Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Requests = append(r.Requests, q)
 }
 
-func (r *Record) arrival(a Arrival) {
+func (r *History) addArrival(a Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Arrivals = append(r.Arrivals, a)
 }
 
-func (r *Record) life(l Life) {
+func (r *History) addIncarnation(l Incarnation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Lives = append(r.Lives, l)
+	r.Incarnations = append(r.Incarnations, l)
 }
 
-func (r *Record) told(t Told) {
+func (r *History) addNotification(t Notification) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Told = append(r.Told, t)
+	r.Notifications = append(r.Notifications, t)
 }
 
-func (r *Record) stall(s Stall) {
+func (r *History) addStall(s Stall) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Stalls = append(r.Stalls, s)
--- a/lab/soak/schedule.go
+++ b/lab/soak/schedule.go
@@ -11,12 +11,12 @@
 
 // schedule draws the faults of a day from its seed and plays them.
 type schedule struct {
-	w    *world
-	day  Day
-	dice *rand.Rand
+	rig *rig
+	cfg Config
+	rng *rand.Rand
 }
 
-func newSchedule(w *world, day Day) *schedule {
+func newSchedule(w *rig, day Config) *schedule {
 	return &schedule{w, day, rand.New(rand.NewPCG(day.Seed, 0))}
 }
 
@@ -41,29 +41,29 @@
 	{Call: sysfaults.Open, Errno: syscall.ENFILE, OneIn: 6},
 }
 
-// faultsOf draws the faults of one process.
-func (s *schedule) faultsOf(door int) sysfaults.Plan {
-	if len(s.day.Faults) > 0 {
-		return s.day.Faults[door%len(s.day.Faults)]
+// drawFaults draws the faults of one process.
+func (s *schedule) drawFaults(door int) sysfaults.Plan {
+	if len(s.cfg.FaultPlans) > 0 {
+		return s.cfg.FaultPlans[door%len(s.cfg.FaultPlans)]
 	}
-	p := sysfaults.Plan{Seed: s.dice.Uint32()}
-	if s.day.Calm {
+	p := sysfaults.Plan{Seed: s.rng.Uint32()}
+	if s.cfg.NoRandomFaults {
 		return p
 	}
-	if s.dice.IntN(2) == 0 { // in bursts, else all the time
-		p.Period = s.ms(400, 3000)
-		p.Active = p.Period / time.Duration(2+s.dice.IntN(4))
+	if s.rng.IntN(2) == 0 { // in bursts, else all the time
+		p.Period = s.drawMs(400, 3000)
+		p.Active = p.Period / time.Duration(2+s.rng.IntN(4))
 	}
-	for range s.dice.IntN(4) {
-		f := systemFaults[s.dice.IntN(len(systemFaults))]
-		f.OneIn *= 1 + s.dice.IntN(3)
+	for range s.rng.IntN(4) {
+		f := systemFaults[s.rng.IntN(len(systemFaults))]
+		f.OneIn *= 1 + s.rng.IntN(3)
 		p.Faults = append(p.Faults, f)
 	}
 	return p
 }
 
-func (s *schedule) ms(least, most int) time.Duration {
-	return time.Duration(least+s.dice.IntN(most-least)) * time.Millisecond
+func (s *schedule) drawMs(least, most int) time.Duration {
+	return time.Duration(least+s.rng.IntN(most-least)) * time.Millisecond
 }
 
 // event is something that happens at an instant, for some time where it has an end.
@@ -72,33 +72,33 @@
 	begin, end func()
 }
 
-// play draws the day's events and has each happen in its time. The group is done once all are over, every process among
+// run draws the day's events and has each happen in its time. The group is done once all are over, every process among
 // them.
-func (s *schedule) play(events *sync.WaitGroup) {
-	if !s.day.Calm {
-		for _, e := range s.drawn() {
-			events.Go(func() { s.happen(e) })
+func (s *schedule) run(events *sync.WaitGroup) {
+	if !s.cfg.NoRandomFaults {
+		for _, e := range s.drawEvents() {
+			events.Go(func() { s.perform(e) })
 		}
 	}
-	for _, d := range s.w.doors {
-		restart := s.restart(d)
-		last, series := s.day.Length+s.ms(0, 1000), s.series()
-		if s.day.Hang {
-			events.Go(func() { s.happen(event{at: s.day.Length, begin: s.allHang}) })
+	for _, d := range s.rig.doors {
+		restart := s.drawRestart(d)
+		last, series := s.cfg.Length+s.drawMs(0, 1000), s.drawSignals()
+		if s.cfg.HangAtEnd {
+			events.Go(func() { s.perform(event{at: s.cfg.Length, begin: s.hangAll}) })
 		}
 		events.Go(func() {
 			if restart != nil {
 				restart()
 			}
 			s.sleepUntil(last)
-			d.end(series)
+			d.terminate(series)
 		})
 	}
 }
 
-func (s *schedule) sleepUntil(at Instant) { time.Sleep(at - s.w.now()) }
+func (s *schedule) sleepUntil(at Instant) { time.Sleep(at - s.rig.now()) }
 
-func (s *schedule) happen(e event) {
+func (s *schedule) perform(e event) {
 	s.sleepUntil(e.at)
 	e.begin()
 	if e.end != nil {
@@ -107,14 +107,14 @@
 	}
 }
 
-// restart draws a restart of a door in the middle of the day: told to end, or killed outright.
-func (s *schedule) restart(d *door) func() {
-	at, rest, faults, series := s.ms(1500, 1500+int(s.day.Length.Milliseconds()/2)), s.ms(0, 500), s.faultsOf(d.number), s.series()
-	how := s.dice.IntN(4)
-	if s.day.Calm || how == 0 {
+// drawRestart draws a drawRestart of a door in the middle of the day: told to end, or killed outright.
+func (s *schedule) drawRestart(d *door) func() {
+	at, rest, faults, series := s.drawMs(1500, 1500+int(s.cfg.Length.Milliseconds()/2)), s.drawMs(0, 500), s.drawFaults(d.number), s.drawSignals()
+	how := s.rng.IntN(4)
+	if s.cfg.NoRandomFaults || how == 0 {
 		return nil
 	}
-	hang := s.hanging()
+	hang := s.drawHangs()
 	return func() {
 		s.sleepUntil(at)
 		if how == 1 {
@@ -122,48 +122,48 @@
 			<-d.done
 		} else {
 			hang()
-			d.end(series)
+			d.terminate(series)
 		}
 		time.Sleep(rest)
 		if err := d.start(faults); err != nil {
-			d.day.record.life(Life{Door: d.number, Fault: err.Error()})
+			d.rig.history.addIncarnation(Incarnation{Door: d.number, Crash: err.Error()})
 		}
 	}
 }
 
-func (s *schedule) allHang() {
-	for _, b := range s.w.backends {
-		b.conduct.Store(int32(Hangs))
+func (s *schedule) hangAll() {
+	for _, b := range s.rig.backends {
+		b.behavior.Store(int32(Hangs))
 	}
 }
 
-// hanging draws which backends hang just as a door is told to end.
-func (s *schedule) hanging() func() {
+// drawHangs draws which backends hang just as a door is told to end.
+func (s *schedule) drawHangs() func() {
 	var which []*backend
-	for _, b := range s.w.backends {
-		if s.dice.IntN(3) == 0 {
+	for _, b := range s.rig.backends {
+		if s.rng.IntN(3) == 0 {
 			which = append(which, b)
 		}
 	}
-	lasts := s.ms(500, 4000)
+	lasts := s.drawMs(500, 4000)
 	return func() {
 		for _, b := range which {
-			b.conduct.Store(int32(Hangs))
+			b.behavior.Store(int32(Hangs))
 		}
 		time.AfterFunc(lasts, func() {
 			for _, b := range which {
-				b.conduct.Store(int32(Well))
+				b.behavior.Store(int32(Normal))
 			}
 		})
 	}
 }
 
-// series draws the signals by which a door is told to end.
-func (s *schedule) series() []timedSignal {
+// drawSignals draws the signals by which a door is told to end.
+func (s *schedule) drawSignals() []timedSignal {
 	all := []timedSignal{{0, syscall.SIGTERM}}
-	for range s.dice.IntN(4) {
-		next := timedSignal{s.ms(0, 60), syscall.SIGTERM}
-		if s.dice.IntN(2) == 0 {
+	for range s.rng.IntN(4) {
+		next := timedSignal{s.drawMs(0, 60), syscall.SIGTERM}
+		if s.rng.IntN(2) == 0 {
 			next.signal = syscall.SIGHUP
 		}
 		all = append(all, next)
@@ -173,55 +173,55 @@
 
 // Events of a day, how many of each in a second.
 const (
-	conductsPerS  = 1.5
-	drainsPerS    = 0.3
-	outagesPerS   = 0.6
-	countersPerS  = 0.3
-	pausesPerS    = 3.0
-	reloadsPerS   = 1.0
-	mostPause     = 150 // ms that a door may be held up for
-	reloadsInARow = 3
+	behaviorsPerS     = 1.5
+	drainsPerS        = 0.3
+	outagesPerS       = 0.6
+	counterFaultsPerS = 0.3
+	pausesPerS        = 3.0
+	reloadsPerS       = 1.0
+	maxPauseMs        = 150 // ms that a door may be held up for
+	maxReloadsInARow  = 3
 )
 
-// drawn draws the events of a day.
-func (s *schedule) drawn() (all []event) {
-	span := int(s.day.Length.Milliseconds()) + 4000
+// drawEvents draws the events of a day.
+func (s *schedule) drawEvents() (all []event) {
+	span := int(s.cfg.Length.Milliseconds()) + 4000
 	times := func(perS float64, make func(at time.Duration) event) {
 		for range int(perS * float64(span) / 1000) {
-			all = append(all, make(s.ms(1000, span)))
+			all = append(all, make(s.drawMs(1000, span)))
 		}
 	}
-	times(conductsPerS, s.conduct)
-	times(drainsPerS, s.drain)
-	times(outagesPerS, s.outage)
-	times(countersPerS, s.counterFault)
-	times(pausesPerS*float64(len(s.w.doors))/8, s.pause)
-	times(reloadsPerS*float64(len(s.w.doors))/8, s.reload)
+	times(behaviorsPerS, s.drawBehavior)
+	times(drainsPerS, s.drawDrain)
+	times(outagesPerS, s.drawOutage)
+	times(counterFaultsPerS, s.drawCounterFault)
+	times(pausesPerS*float64(len(s.rig.doors))/8, s.drawPause)
+	times(reloadsPerS*float64(len(s.rig.doors))/8, s.drawReload)
 	return all
 }
 
-func (s *schedule) conduct(at time.Duration) event {
-	b, how := s.w.backends[s.dice.IntN(len(s.w.backends))], int32(1+s.dice.IntN(conducts-1))
-	return event{at, s.ms(200, 2500), func() { b.conduct.Store(how) }, func() { b.conduct.Store(int32(Well)) }}
+func (s *schedule) drawBehavior(at time.Duration) event {
+	b, how := s.rig.backends[s.rng.IntN(len(s.rig.backends))], int32(1+s.rng.IntN(behaviorCount-1))
+	return event{at, s.drawMs(200, 2500), func() { b.behavior.Store(how) }, func() { b.behavior.Store(int32(Normal)) }}
 }
 
-func (s *schedule) drain(at time.Duration) event {
-	b := s.dice.IntN(len(s.w.backends))
+func (s *schedule) drawDrain(at time.Duration) event {
+	b := s.rng.IntN(len(s.rig.backends))
 	set := func(lifecycle string) func() {
 		return func() {
-			for _, d := range s.w.doors {
+			for _, d := range s.rig.doors {
 				for _, a := range d.agents {
 					a.set(b, lifecycle)
 				}
 			}
 		}
 	}
-	return event{at, s.ms(1000, 3000), set(draining), set(ready)}
+	return event{at, s.drawMs(1000, 3000), set(draining), set(ready)}
 }
 
-func (s *schedule) outage(at time.Duration) event {
-	d, reset := s.w.doors[s.dice.IntN(len(s.w.doors))], s.dice.IntN(2) == 0
-	return event{at, s.ms(300, 2500), func() {
+func (s *schedule) drawOutage(at time.Duration) event {
+	d, reset := s.rig.doors[s.rng.IntN(len(s.rig.doors))], s.rng.IntN(2) == 0
+	return event{at, s.drawMs(300, 2500), func() {
 		for _, a := range d.agents {
 			a.takeDown(reset)
 		}
@@ -232,23 +232,23 @@
 	}}
 }
 
-func (s *schedule) counterFault(at time.Duration) event {
-	which := &s.w.counter.busy
-	if s.dice.IntN(2) == 0 {
-		which = &s.w.counter.mute
+func (s *schedule) drawCounterFault(at time.Duration) event {
+	which := &s.rig.counter.busy
+	if s.rng.IntN(2) == 0 {
+		which = &s.rig.counter.silent
 	}
-	return event{at, s.ms(300, 2000), func() { which.Store(true) }, func() { which.Store(false) }}
+	return event{at, s.drawMs(300, 2000), func() { which.Store(true) }, func() { which.Store(false) }}
 }
 
-// pause holds a process up.
-func (s *schedule) pause(at time.Duration) event {
-	d := s.w.doors[s.dice.IntN(len(s.w.doors))]
-	return event{at, s.ms(20, mostPause), d.pause, func() { d.signal(syscall.SIGCONT) }}
+// drawPause holds a process up.
+func (s *schedule) drawPause(at time.Duration) event {
+	d := s.rig.doors[s.rng.IntN(len(s.rig.doors))]
+	return event{at, s.drawMs(20, maxPauseMs), d.pause, func() { d.signal(syscall.SIGCONT) }}
 }
 
-// reload has a door read new configurations in quick succession.
-func (s *schedule) reload(at time.Duration) event {
-	d, times := s.w.doors[s.dice.IntN(len(s.w.doors))], 1+s.dice.IntN(reloadsInARow)
+// drawReload has a door read new configurations in quick succession.
+func (s *schedule) drawReload(at time.Duration) event {
+	d, times := s.rig.doors[s.rng.IntN(len(s.rig.doors))], 1+s.rng.IntN(maxReloadsInARow)
 	return event{at: at, begin: func() {
 		for range times {
 			d.reload()
--- a/lab/soak/world.go
+++ b/lab/soak/world.go
@@ -13,23 +13,23 @@
 	"github.com/swifthall/swifthall/lab/sysfaults"
 )
 
-// Day is one day that can be played.
-type Day struct {
-	Seed      uint64
-	Program   string           // swifthall, built by sysfaults
-	Logs      string           // folder that keeps the doors' logs; empty keeps none
-	Doors     int              // front doors
-	Backends  int              //
-	Clients   int              // of each door
-	Crowd     int              // idle clients of each door, over what its descriptors hold
-	Sockets   int              // descriptors of each door
-	Deadlines time.Duration    // the longest of the deployment
-	Length    time.Duration    // until every door is told to end
-	Calm      bool             // no event is drawn, and no system call fails but by Faults
-	Hang      bool             // from Length on every backend hangs
-	Late      bool             // every client brings its request some time after its connection
-	Log       LogFault         // what is wrong with the doors' logs
-	Faults    []sysfaults.Plan // of the doors in turn, in place of drawn ones
+// Config is one day that can be played.
+type Config struct {
+	Seed           uint64
+	Program        string           // swifthall, built by sysfaults
+	LogDir         string           // folder that keeps the doors' logs; empty keeps none
+	Doors          int              // front doors
+	Backends       int              //
+	Clients        int              // of each door
+	IdleClients    int              // idle clients of each door, over what its descriptors hold
+	Descriptors    int              // descriptors of each door
+	MaxDeadline    time.Duration    // the longest of the deployment
+	Length         time.Duration    // until every door is told to end
+	NoRandomFaults bool             // no event is drawn, and no system call fails but by Faults
+	HangAtEnd      bool             // from Length on every backend hangs
+	DelayRequests  bool             // every client brings its request some time after its connection
+	LogFault       LogFault         // what is wrong with the doors' logs
+	FaultPlans     []sysfaults.Plan // of the doors in turn, in place of drawn ones
 }
 
 // LogFault is something wrong with a door's log.
@@ -37,40 +37,40 @@
 
 // The faults of a log.
 const (
-	LogWell LogFault = iota
-	LogFull          // its pipe is full, and nobody reads it
-	LogGone          // its reader has gone
+	LogOK     LogFault = iota
+	LogFull            // its pipe is full, and nobody reads it
+	LogClosed          // its reader has gone
 )
 
-// world is what surrounds the doors of a day.
-type world struct {
-	seed     uint64
-	program  string
-	logs     string
-	log      LogFault
-	late     bool
-	began    time.Time
-	record   *Record
-	backends []*backend
-	doors    []*door
-	counter  *counter
-	ended    atomic.Bool
+// rig is what surrounds the doors of a day.
+type rig struct {
+	seed          uint64
+	program       string
+	logDir        string
+	logFault      LogFault
+	delayRequests bool
+	began         time.Time
+	history       *History
+	backends      []*backend
+	doors         []*door
+	counter       *counter
+	ended         atomic.Bool
 }
 
-func (w *world) now() Instant { return time.Since(w.began) }
+func (w *rig) now() Instant { return time.Since(w.began) }
 
-// level is the doors' level of logging: where the logs are kept, they tell single requests.
-func (w *world) level() string {
-	if w.logs == "" {
+// logLevel is the doors' logLevel of logging: where the logs are kept, they tell single requests.
+func (w *rig) logLevel() string {
+	if w.logDir == "" {
 		return "info"
 	}
 	return "debug"
 }
 
-func (w *world) over() bool { return w.ended.Load() }
+func (w *rig) over() bool { return w.ended.Load() }
 
-// numbered finds a backend by its name on the list.
-func (w *world) numbered(id string) int {
+// backendNumber finds a backend by its name on the list.
+func (w *rig) backendNumber(id string) int {
 	for _, b := range w.backends {
 		if b.id == id {
 			return b.number
@@ -80,14 +80,14 @@
 }
 
 const (
-	window     = 2 * time.Second
-	drainGrace = 500 * time.Millisecond
+	dedupWindow = 2 * time.Second
+	drainGrace  = 500 * time.Millisecond
 )
 
 // setUp builds the world of a day in a folder.
-func setUp(day Day, folder string) (*world, error) {
-	w := &world{seed: day.Seed, program: day.Program, logs: day.Logs, log: day.Log, late: day.Late, began: time.Now(),
-		record: &Record{Deadlines: day.Deadlines, Window: window, DrainGrace: drainGrace}}
+func setUp(day Config, folder string) (*rig, error) {
+	w := &rig{seed: day.Seed, program: day.Program, logDir: day.LogDir, logFault: day.LogFault, delayRequests: day.DelayRequests, began: time.Now(),
+		history: &History{MaxDeadline: day.MaxDeadline, DedupWindow: dedupWindow, DrainGrace: drainGrace}}
 	for i := range day.Backends {
 		b, err := newBackend(w, i)
 		if err != nil {
@@ -104,20 +104,20 @@
 		if err != nil {
 			return w, err
 		}
-		d := &door{day: w, number: i, addr: addr, sockets: day.Sockets, file: filepath.Join(folder, fmt.Sprintf("door%d.json", i))}
+		d := &door{rig: w, number: i, addr: addr, descriptors: day.Descriptors, configFile: filepath.Join(folder, fmt.Sprintf("door%d.json", i))}
 		for k := range d.agents {
 			if d.agents[k], err = newDiscovery(w, i); err != nil {
 				return w, &RigError{"discovery", err}
 			}
 		}
-		d.agents[1].mute(true)
+		d.agents[1].setInactive(true)
 		w.doors = append(w.doors, d)
 	}
 	return w, nil
 }
 
 // takeDown ends what setUp began.
-func (w *world) takeDown() {
+func (w *rig) takeDown() {
 	for _, b := range w.backends {
 		b.ln.Close()
 	}
@@ -133,8 +133,8 @@
 	}
 }
 
-// Play plays a day and returns what was seen.
-func Play(day Day) (*Record, error) {
+// Run plays a day and returns what was seen.
+func Run(day Config) (*History, error) {
 	folder, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return nil, &RigError{"a folder", err}
@@ -147,7 +147,7 @@
 	}
 	s := newSchedule(w, day)
 	for i, d := range w.doors {
-		if err := d.start(s.faultsOf(i)); err != nil {
+		if err := d.start(s.drawFaults(i)); err != nil {
 			return nil, err
 		}
 	}
@@ -157,43 +157,43 @@
 	clients.Go(w.measureNetwork)
 	for _, d := range w.doors {
 		for k := range day.Clients {
-			c := &client{day: w, door: d, dice: rand.New(rand.NewPCG(day.Seed, uint64(d.number*1000+k)))}
+			c := &client{rig: w, door: d, rng: rand.New(rand.NewPCG(day.Seed, uint64(d.number*1000+k)))}
 			clients.Go(c.run)
 		}
-		for range day.Crowd {
+		for range day.IdleClients {
 			clients.Go(func() { w.idle(d) })
 		}
 	}
-	s.play(&events)
+	s.run(&events)
 	events.Wait()
 	w.ended.Store(true)
 	clients.Wait()
-	return w.record, nil
+	return w.history, nil
 }
 
 const (
-	stallLook  = 5 * time.Millisecond
-	stallLeast = 10 * time.Millisecond
-	idlePause  = 100 * time.Millisecond // between looks whether the door has closed an idle client's connection
-	idleAgain  = 2 * time.Second        // before an idle client that was closed connects again
+	stallInterval      = 5 * time.Millisecond
+	minStall           = 10 * time.Millisecond
+	idlePollInterval   = 100 * time.Millisecond // between looks whether the door has closed an idle client's connection
+	idleReconnectDelay = 2 * time.Second        // before an idle client that was closed connects again
 )
 
 // measureStalls records when the rig itself was late.
-func (w *world) measureStalls() {
+func (w *rig) measureStalls() {
 	for !w.over() {
-		due := w.now() + stallLook
-		time.Sleep(stallLook)
-		if late := w.now() - due; late > stallLeast {
-			w.record.stall(Stall{TheRig, due, late})
+		due := w.now() + stallInterval
+		time.Sleep(stallInterval)
+		if late := w.now() - due; late > minStall {
+			w.history.addStall(Stall{TheRig, due, late})
 		}
 	}
 }
 
 // idle is a client that connects and asks nothing.
-func (w *world) idle(d *door) {
+func (w *rig) idle(d *door) {
 	for !w.over() {
-		time.Sleep(idlePause)
-		if !d.admits() {
+		time.Sleep(idlePollInterval)
+		if !d.acceptsClients() {
 			continue
 		}
 		nc, err := d.dial()
@@ -201,12 +201,12 @@
 			continue
 		}
 		for !w.over() {
-			nc.SetReadDeadline(time.Now().Add(idlePause))
+			nc.SetReadDeadline(time.Now().Add(idlePollInterval))
 			if _, err := nc.Read(make([]byte, 1)); err != nil && !os.IsTimeout(err) {
 				break
 			}
 		}
 		nc.Close()
-		time.Sleep(idleAgain)
+		time.Sleep(idleReconnectDelay)
 	}
 }
--- a/lab/sysfaults/sysfaults.go
+++ b/lab/sysfaults/sysfaults.go
@@ -19,7 +19,7 @@
 )
 
 // Variable names the environment variable by which a process is told its faults, as Plan.Environment words them.
-const Variable = "SWIFTHALL_SYSTEM_FAULTS"
+const EnvVar = "SWIFTHALL_SYSTEM_FAULTS"
 
 // Call is a system call that can be made to fail.
 type Call int
@@ -71,7 +71,7 @@
 // Environment is the entry by which a process is told the plan.
 func (p Plan) Environment() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s=%d %d %d ", Variable, p.Seed|1, p.Period.Milliseconds(), p.Active.Milliseconds())
+	fmt.Fprintf(&b, "%s=%d %d %d ", EnvVar, p.Seed|1, p.Period.Milliseconds(), p.Active.Milliseconds())
 	for _, f := range p.Faults {
 		fmt.Fprintf(&b, "%d %d %d %d ", f.Call, int(f.Errno), f.OneIn, f.Target)
 	}
@@ -81,10 +81,10 @@
 // faulty is added to the syscall package.
 //
 //go:embed faulty.go.txt
-var faulty string
+var injectorSource string
 
 // hooks are the lines that are put at the beginning of the toolchain's functions, by the beginning of their declarations.
-var hooks = map[string]string{
+var hookLines = map[string]string{
 	`func read\(fd int, p \[\]byte\)`:                 `	if e, short := fault(0, fd, len(p)); e != 0 { return -1, e } else if short > 0 { p = p[:short] }`,
 	`func write\(fd int, p \[\]byte\)`:                `	if e, short := fault(1, fd, len(p)); e != 0 { return -1, e } else if short > 0 { p = p[:short] }`,
 	`func accept4\(s int, `:                           `	if e, _ := fault(2, -1, 0); e != 0 { return -1, e }`,
@@ -128,7 +128,7 @@
 	if err != nil {
 		return "", err
 	}
-	for declaration, hook := range hooks {
+	for declaration, hook := range hookLines {
 		begins := regexp.MustCompile(`(?m)^` + declaration + `.*\{$`)
 		at := begins.FindIndex(raw)
 		if at == nil {
@@ -140,7 +140,7 @@
 	if err := os.WriteFile(changed, raw, 0o600); err != nil {
 		return "", err
 	}
-	if err := os.WriteFile(added, []byte(faulty), 0o600); err != nil {
+	if err := os.WriteFile(added, []byte(injectorSource), 0o600); err != nil {
 		return "", err
 	}
 	words, err := json.Marshal(map[string]map[string]string{"Replace": {
--- a/lab/trace/cold.go
+++ b/lab/trace/cold.go
@@ -7,12 +7,12 @@
 	Began                float64
 	Multiple, Window     float64
 
-	at, work []float64 // within the window
-	told     []bool
-	first    int
-	sum      float64
-	sumTold  float64
-	most     float64 // largest single work seen, ms
+	at, work    []float64 // within the window
+	informed    []bool
+	first       int
+	sum         float64
+	sumInformed float64
+	largest     float64 // largest single work seen, ms
 }
 
 // Now is the capacity at a clock.
@@ -26,28 +26,28 @@
 // Cold tells whether the backend is still warming up.
 func (c *ColdBudget) Cold(at float64) bool { return at < c.Began+c.Span }
 
-const chanceWorks = 2 // largest works by which a window may go over its budget by chance
+const toleratedPeaks = 2 // largest works by which a window may go over its budget by chance
 
 // Take books work, and tells whether the budget is passed, and whether two thirds of the work came from those told.
 func (c *ColdBudget) Take(at, work float64, told bool) (over, knowing bool) {
 	for c.first < len(c.at) && c.at[c.first] < at-c.Window {
 		c.sum -= c.work[c.first]
-		if c.told[c.first] {
-			c.sumTold -= c.work[c.first]
+		if c.informed[c.first] {
+			c.sumInformed -= c.work[c.first]
 		}
 		c.first++
 	}
 	if c.first > 256 && c.first*2 > len(c.at) {
 		n := copy(c.at, c.at[c.first:])
 		copy(c.work, c.work[c.first:])
-		copy(c.told, c.told[c.first:])
-		c.at, c.work, c.told, c.first = c.at[:n], c.work[:n], c.told[:n], 0
+		copy(c.informed, c.informed[c.first:])
+		c.at, c.work, c.informed, c.first = c.at[:n], c.work[:n], c.informed[:n], 0
 	}
-	c.at, c.work, c.told = append(c.at, at), append(c.work, work), append(c.told, told)
+	c.at, c.work, c.informed = append(c.at, at), append(c.work, work), append(c.informed, told)
 	c.sum += work
 	if told {
-		c.sumTold += work
+		c.sumInformed += work
 	}
-	c.most = max(c.most, work)
-	return c.sum > c.Multiple*c.Now(at)*c.Window+chanceWorks*c.most, c.sumTold*3 >= c.sum*2
+	c.largest = max(c.largest, work)
+	return c.sum > c.Multiple*c.Now(at)*c.Window+toleratedPeaks*c.largest, c.sumInformed*3 >= c.sum*2
 }
