--- a/lab/account/account.go
+++ b/lab/account/account.go
@@ -48,7 +48,7 @@
 
 // Book gathers a day's account from its trace.
 type Book struct {
-	deal             *judge.Deal
+	params           *judge.Deal
 	doors            map[int]*door
 	requests         map[int]*clientRequest
 	tries            map[int]*openTry
@@ -93,7 +93,7 @@
 }
 
 func NewBook(d *judge.Deal) *Book {
-	return &Book{deal: d, doors: map[int]*door{}, requests: map[int]*clientRequest{}, tries: map[int]*openTry{}, quotas: map[int]*judge.Bucket{}, idealQuotas: map[int]*judge.Bucket{},
+	return &Book{params: d, doors: map[int]*door{}, requests: map[int]*clientRequest{}, tries: map[int]*openTry{}, quotas: map[int]*judge.Bucket{}, idealQuotas: map[int]*judge.Bucket{},
 		losses: map[string]*lossTally{}}
 }
 
@@ -193,8 +193,8 @@
 
 func (b *Book) asked(e *trace.Event) {
 	b.counts.first++
-	p := &b.deal.Plans[e.Plan]
-	w := &clientRequest{askedAt: e.At, gain: b.deal.Classes[e.Class].Gain * p.Price * e.Units, class: e.Class, door: -1}
+	p := &b.params.Plans[e.Plan]
+	w := &clientRequest{askedAt: e.At, gain: b.params.Classes[e.Class].Gain * p.Price * e.Units, class: e.Class, door: -1}
 	b.requests[e.Want] = w
 	s := b.idealQuotas[e.Customer]
 	if s == nil {
@@ -211,7 +211,7 @@
 func (b *Book) quotaOf(t *openTry, at float64) *judge.Bucket {
 	s := b.quotas[t.customer]
 	if s == nil {
-		s = &judge.Bucket{Level: b.deal.Plans[t.plan].Depth, At: at}
+		s = &judge.Bucket{Level: b.params.Plans[t.plan].Depth, At: at}
 		b.quotas[t.customer] = s
 	}
 	return s
@@ -224,11 +224,11 @@
 		return
 	}
 	t.sent = true
-	p, w := &b.deal.Plans[t.plan], b.requests[t.request]
+	p, w := &b.params.Plans[t.plan], b.requests[t.request]
 	if s := b.quotaOf(t, e.At); p.Rate == 0 || s.Fill(e.At, p.Rate, p.Depth) >= t.units-1e-9 {
 		s.Level -= t.units
 	} else if w != nil {
-		b.addLoss("sent beyond the quota", b.deal.OverCost[t.plan]*w.gain, w.askedAt, e.At, e.Door)
+		b.addLoss("sent beyond the quota", b.params.OverCost[t.plan]*w.gain, w.askedAt, e.At, e.Door)
 	}
 }
 
@@ -241,7 +241,7 @@
 	if e.Answer == trace.Finished {
 		return
 	}
-	p := &b.deal.Plans[t.plan]
+	p := &b.params.Plans[t.plan]
 	at := int(e.At / windowMs)
 	b.withRoomByWindow = extend(b.withRoomByWindow, at)
 	name := e.Answer.String() + ", " + e.Why.String()
@@ -259,7 +259,7 @@
 	if w == nil || e.Answer != trace.Finished {
 		return
 	}
-	if p := &b.deal.Classes[w.class]; w.inQuota && e.At-w.askedAt > p.Contract {
+	if p := &b.params.Classes[w.class]; w.inQuota && e.At-w.askedAt > p.Contract {
 		b.addLoss("late", w.gain*(1-p.LateValue), w.askedAt, e.At, w.door)
 	}
 	delete(b.requests, e.Want)
--- a/lab/judge/rules_test.go
+++ b/lab/judge/rules_test.go
@@ -14,8 +14,8 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// world is a short day on which a careless decider is found out.
-const world = `
+// scenarioText is a short scenario in which a careless decider violates the invariants.
+const scenarioText = `
 name = "careless"
 [day]
 seconds = 6
@@ -48,7 +48,7 @@
 ceiling_depth = 16.0
 `
 
-// careless sends everything to the backend that choose names and then does as it likes.
+// careless is a decider that sends every request to the backend that choose returns, unless arrived and ended override its actions.
 type careless struct {
 	up, all []int
 	since   []float64
@@ -98,11 +98,11 @@
 	return out
 }
 
-func inTurn(c *careless, op int) int { return c.up[op%len(c.up)] }
+func roundRobin(c *careless, op int) int { return c.up[op%len(c.up)] }
 
-// played judges a day of a decider.
-func played(t *testing.T, more string, c careless) *judge.Judge {
-	s, err := scenario.Read([]byte(world + more))
+// verified runs a scenario with a decider and returns the verifier of its trace.
+func verified(t *testing.T, extra string, c careless) *judge.Judge {
+	s, err := scenario.Read([]byte(scenarioText + extra))
 	require.NoError(t, err)
 	j := judge.New(model.Deal(&s))
 	maker := model.Maker{New: func(gate.Terms, uint64, model.Sight) gate.Decider { d := c; return &d }}
@@ -110,52 +110,52 @@
 	return j
 }
 
-const ample = "\n[[fault]]\nkind = \"resets\"\nat_s = 1.0\nfor_s = 4.0\nmuch = 0.5\n"
+const resetsFault = "\n[[fault]]\nkind = \"resets\"\nat_s = 1.0\nfor_s = 4.0\nmuch = 0.5\n"
 
-// moderate keeps the ceilings by sending little.
+// moderate stays below the ceilings by sending one request in seven.
 func moderate(c *careless, e gate.Request) []gate.Action {
 	if e.Op%7 > 0 || len(c.up) == 0 {
 		return []gate.Action{gate.Reject{Op: e.Op, RetryAfter: 400}}
 	}
-	return []gate.Action{gate.Send{Op: e.Op, Backend: inTurn(c, e.Op), Timeout: 700}}
+	return []gate.Action{gate.Send{Op: e.Op, Backend: roundRobin(c, e.Op), Timeout: 700}}
 }
 
-func TestACarefulDeciderBreaksNothing(t *testing.T) {
-	j := played(t, ample+"\n[[fault]]\nkind = \"replace\"\nat_s = 1.0\nfor_s = 3.0\nshare = 0.5\nmuch = 1.0\n", careless{arrived: moderate})
+func TestACarefulDeciderViolatesNoInvariant(t *testing.T) {
+	j := verified(t, resetsFault+"\n[[fault]]\nkind = \"replace\"\nat_s = 1.0\nfor_s = 3.0\nshare = 0.5\nmuch = 1.0\n", careless{arrived: moderate})
 	assert.Empty(t, j.Rules.Breaches)
 	assert.Greater(t, j.Service.Whole.InTime, 20)
 }
 
-func TestEachRuleIsFoundBroken(t *testing.T) {
-	again := func(c *careless, e gate.AttemptEnded) []gate.Action {
+func TestEachInvariantIsChecked(t *testing.T) {
+	resend := func(c *careless, e gate.AttemptEnded) []gate.Action {
 		if e.Attempt > 0 {
 			return []gate.Action{gate.Fail{Op: e.Op}}
 		}
 		return []gate.Action{gate.Send{Op: e.Op, Backend: c.all[(e.Backend+1)%len(c.all)], Timeout: 500}}
 	}
 	for name, k := range map[string]struct {
-		more string
-		rule judge.Rule
-		says string
-		by   careless
+		extra   string
+		rule    judge.Rule
+		text    string
+		decider careless
 	}{
-		"never answers": {"", judge.NoneLost, "not answered", careless{arrived: func(*careless, gate.Request) []gate.Action { return nil }}},
-		"sends what it rejected": {"", judge.NoneLost, "after its end", careless{arrived: func(c *careless, e gate.Request) []gate.Action {
-			return []gate.Action{gate.Reject{Op: e.Op}, gate.Send{Op: e.Op, Backend: inTurn(c, e.Op)}}
+		"never answers a request": {"", judge.NoneLost, "not answered", careless{arrived: func(*careless, gate.Request) []gate.Action { return nil }}},
+		"sends after rejecting": {"", judge.NoneLost, "after its end", careless{arrived: func(c *careless, e gate.Request) []gate.Action {
+			return []gate.Action{gate.Reject{Op: e.Op}, gate.Send{Op: e.Op, Backend: roundRobin(c, e.Op)}}
 		}}},
-		"sends again elsewhere": {ample, judge.NoneTwice, "sent again", careless{arrived: moderate, ended: again}},
-		"leaves the group":      {ample, judge.NoneTwice, "outside the group", careless{arrived: moderate, ended: again}},
-		"rejects what may have run": {ample, judge.NoneTwice, "rejected, though", careless{arrived: moderate,
+		"sends again to another backend":            {resetsFault, judge.NoneTwice, "sent again", careless{arrived: moderate, ended: resend}},
+		"repeats a keyed request outside its group": {resetsFault, judge.NoneTwice, "outside the group", careless{arrived: moderate, ended: resend}},
+		"rejects a request that may have run": {resetsFault, judge.NoneTwice, "rejected, though", careless{arrived: moderate,
 			ended: func(_ *careless, e gate.AttemptEnded) []gate.Action { return []gate.Action{gate.Reject{Op: e.Op}} }}},
-		"sends two at once": {"\n[allow]\nsecond_copies = false", judge.NoneTwice, "two transmissions", careless{
+		"sends two attempts at once": {"\n[allow]\nsecond_copies = false", judge.NoneTwice, "two transmissions", careless{
 			arrived: func(c *careless, e gate.Request) []gate.Action {
-				s := gate.Send{Op: e.Op, Backend: inTurn(c, e.Op), Timeout: 700}
+				s := gate.Send{Op: e.Op, Backend: roundRobin(c, e.Op), Timeout: 700}
 				return []gate.Action{s, s}
 			}}},
-		"knows no drain": {"\n[[fault]]\nkind = \"replace\"\nat_s = 1.0\nfor_s = 1.0\nshare = 0.9\nmuch = 3.0", judge.DrainsKept, "told of",
+		"ignores drains": {"\n[[fault]]\nkind = \"replace\"\nat_s = 1.0\nfor_s = 1.0\nshare = 0.9\nmuch = 3.0", judge.DrainsKept, "which the door knew to be draining or gone",
 			careless{choose: func(c *careless, op int) int { return c.all[op%len(c.all)] }}},
-		"crowds the newest": {"\n[rules]\nfall_multiple = 2.0\nfall_ms = 500.0\n[[fault]]\nkind = \"death\"\nat_s = 1.0\nfor_s = 0.5\nshare = 0.2", judge.ColdSpared,
-			"pushed over", careless{choose: func(c *careless, op int) int {
+		"overloads a cold backend": {"\n[rules]\nfall_multiple = 2.0\nfall_ms = 500.0\n[[fault]]\nkind = \"death\"\nat_s = 1.0\nfor_s = 0.5\nshare = 0.2", judge.ColdSpared,
+			"overloaded", careless{choose: func(c *careless, op int) int {
 				best := c.up[0]
 				for _, b := range c.up {
 					if c.since[b] > c.since[best] {
@@ -164,19 +164,19 @@
 				}
 				return best
 			}}},
-		"lets all in": {"\n[[fault]]\nkind = \"hot_customers\"\nat_s = 1.0\nfor_s = 4.0\nmuch = 3.0", judge.CeilingKept, "over its ceiling",
-			careless{choose: inTurn}},
+		"ignores ceilings": {"\n[[fault]]\nkind = \"hot_customers\"\nat_s = 1.0\nfor_s = 4.0\nmuch = 3.0", judge.CeilingKept, "over its ceiling",
+			careless{choose: roundRobin}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			j := played(t, k.more, k.by)
+			j := verified(t, k.extra, k.decider)
 			require.NotZero(t, j.Rules.Count[k.rule], "%v", j.Rules.Count)
-			said := false
+			found := false
 			for _, b := range j.Rules.Breaches {
 				if b.Rule == k.rule {
-					said = said || strings.Contains(b.Text, k.says)
+					found = found || strings.Contains(b.Text, k.text)
 				}
 			}
-			assert.True(t, said, "%v", j.Rules.Breaches)
+			assert.True(t, found, "%v", j.Rules.Breaches)
 		})
 	}
 }
--- a/lab/judge/service.go
+++ b/lab/judge/service.go
@@ -8,20 +8,21 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// Goal weighs the parts of G; Prices are taken off.
+// Goal weighs the parts of G, the score of a run.
 type Goal struct{ Whole, WorstWindow, WorstClass, WorstPlan float64 }
 
+// Prices are what the costs of a run take off G.
 type Prices struct{ Counter, Probe, Cross, Waste, Handshake, HeldBack float64 }
 
-// Tally counts what became of clients' requests.
+// Tally counts the outcomes of client requests.
 type Tally struct {
 	Asked    int     `json:"asked"`
 	InTime   int     `json:"in_time"`
 	Late     int     `json:"late"`
 	Unserved int     `json:"unserved"`
-	Offered  float64 `json:"offered"`   // gain asked inside the quotas
-	Earned   float64 `json:"earned"`    // gain answered in the contract time, less what beyond the quotas cost
-	Over     float64 `json:"over_cost"` // of that, taken off
+	Offered  float64 `json:"offered"`   // gain of the requests within the quotas
+	Earned   float64 `json:"earned"`    // gain of the answers, less the cost of requests sent beyond the quotas and of those held back
+	Over     float64 `json:"over_cost"` // cost of requests sent beyond the quotas, already deducted from Earned
 }
 
 func (t *Tally) share() float64 {
@@ -31,8 +32,8 @@
 	return max(0, min(1, t.Earned/t.Offered))
 }
 
-// Second is one second of the day, by the time at which requests were asked for; Rejected, Failed and the latencies
-// by the time at which the answer came.
+// Second covers one second of a run. Its tally counts requests by the time of their first try; Rejected, Failed and the latencies
+// go by the time of the answer.
 type Second struct {
 	Tally
 	Rejected int     `json:"rejected"`
@@ -41,7 +42,7 @@
 	P99      float64 `json:"p99_ms"`
 }
 
-// Costs counts what the service took.
+// Costs counts the resources that a run used and the harm that it did.
 type Costs struct {
 	FirstTries   int     `json:"first_tries"`
 	Tries        int     `json:"tries"`
@@ -52,42 +53,44 @@
 	Connections  int     `json:"connections"`
 	WorkMs       float64 `json:"work_ms"`
 	WastedMs     float64 `json:"wasted_ms"`
-	EffectsTwice int     `json:"effects_twice"` // counted, whoever is at fault
+	EffectsTwice int     `json:"effects_twice"` // all of them, whether or not a door is to blame
 	BeyondUnits  float64 `json:"beyond_units"`
 	SentUnits    float64 `json:"sent_units"`
-	WithRoom     int     `json:"rejected_with_room"` // rejections while half of the customer's quota was unused
+	WithRoom     int     `json:"rejected_with_room"` // rejections while at least half of the customer's quota was unused
 	Rejected     int     `json:"rejected"`
 	Failed       int     `json:"scrapped"`
 	HeldBack     int     `json:"held_back"`
-	Fallen       int     `json:"fallen"` // cold backends that fell over, whoever is at fault
+	Fallen       int     `json:"fallen"` // cold backends that collapsed, whether or not a door is to blame
 }
 
-// Service measures G.
+// Service computes G, the score of a run, from its trace.
 type Service struct {
-	deal    *Deal
+	params  *Deal
 	Seconds []Second
-	Plans   []Tally
-	Profs   []Tally
-	Whole   Tally
+	Plans   []Tally // by plan
+	Profs   []Tally // by class
+	Whole   Tally   // of all requests
 	Costs   Costs
-	Latency []*hdrhistogram.Histogram // by class, of requests answered well, in µs
+	Latency []*hdrhistogram.Histogram // by class, of successful answers, in µs
 
 	requests      map[int]*clientRequest
 	spareRequests []*clientRequest
 	tries         map[int]*billedTry
 	spareTries    []*billedTry
-	idealQuotas   map[int]*Bucket // what one door that saw all first tries would let in
+	idealQuotas   map[int]*Bucket // by customer: the quota as a single door that saw every first try would charge it
 	quotas        map[int]*quotaState
 	recent        *hdrhistogram.Histogram
 	currentSecond int
 }
 
+// clientRequest is a client's request, over all of its tries, that has no final outcome yet.
 type clientRequest struct {
 	askedAt               float64
 	customer, plan, class int
 	gain                  float64
 }
 
+// billedTry is a try that a door has accepted and that has not ended yet.
 type billedTry struct {
 	request, door, customer, plan int
 	units, acceptedAt, deadline   float64
@@ -95,20 +98,22 @@
 	inFlight                      map[int]struct{}
 }
 
+// quotaState is a customer's quota as charged for what doors have sent.
 type quotaState struct {
 	Bucket
 	inFlight int
 }
 
 const (
-	histMost       = 600e6 // µs; no client waits longer
-	histDigits     = 3
-	windowS        = 10  // s of the worst window
-	minWindowOffer = 0.2 // share of the mean offer under which a window is too thin to be the worst
+	histMost       = 600e6 // µs, the upper limit of the histograms; no client waits longer
+	histDigits     = 3     // significant digits of the histograms
+	windowS        = 10    // s, length of the windows of which the worst counts
+	minWindowOffer = 0.2   // share of the mean offered gain below which a window is too small to count as the worst
 )
 
+// NewService returns the score computation for a run with these parameters.
 func NewService(d *Deal) *Service {
-	s := &Service{deal: d, Plans: make([]Tally, len(d.Plans)), Profs: make([]Tally, len(d.Classes)),
+	s := &Service{params: d, Plans: make([]Tally, len(d.Plans)), Profs: make([]Tally, len(d.Classes)),
 		requests: map[int]*clientRequest{}, tries: map[int]*billedTry{}, idealQuotas: map[int]*Bucket{}, quotas: map[int]*quotaState{},
 		recent: hdrhistogram.New(1, histMost, 2)}
 	for range d.Classes {
@@ -117,6 +122,7 @@
 	return s
 }
 
+// second returns the second that contains a time.
 func (s *Service) second(at float64) *Second {
 	i := int(max(0, at) / 1000)
 	for len(s.Seconds) <= i {
@@ -125,11 +131,12 @@
 	return &s.Seconds[i]
 }
 
-// tallies are those that a request counts in.
-func (s *Service) tallies(w *clientRequest) [4]*Tally {
-	return [4]*Tally{&s.Whole, &s.Plans[w.plan], &s.Profs[w.class], &s.second(w.askedAt).Tally}
+// tallies returns the tallies in which a request is counted.
+func (s *Service) tallies(req *clientRequest) [4]*Tally {
+	return [4]*Tally{&s.Whole, &s.Plans[req.plan], &s.Profs[req.class], &s.second(req.askedAt).Tally}
 }
 
+// reuseOrNew returns a zeroed value, taken from the spare ones if there are any.
 func reuseOrNew[T any](spare *[]*T) *T {
 	if n := len(*spare); n > 0 {
 		t := (*spare)[n-1]
@@ -140,7 +147,7 @@
 	return new(T)
 }
 
-// Take takes in one event.
+// Take accounts for one event.
 func (s *Service) Take(e *trace.Event) {
 	switch e.Kind {
 	case trace.Asked:
@@ -166,11 +173,11 @@
 	case trace.Got:
 		s.received(e)
 	case trace.GaveUp:
-		if w := s.requests[e.Want]; w != nil {
-			for _, t := range s.tallies(w) {
+		if req := s.requests[e.Want]; req != nil {
+			for _, t := range s.tallies(req) {
 				t.Unserved++
 			}
-			s.removeRequest(e.Want, w)
+			s.removeRequest(e.Want, req)
 		}
 	case trace.Left, trace.Dropped:
 		s.endTry(e.Try)
@@ -198,27 +205,28 @@
 		}
 	case trace.Over:
 		s.advanceTo(len(s.Seconds) + 1)
-		for id, w := range s.requests {
-			for _, t := range s.tallies(w) {
+		for id, req := range s.requests {
+			for _, t := range s.tallies(req) {
 				t.Unserved++
 			}
-			s.removeRequest(id, w)
+			s.removeRequest(id, req)
 		}
 	}
 }
 
-func (s *Service) removeRequest(id int, w *clientRequest) {
+func (s *Service) removeRequest(id int, req *clientRequest) {
 	delete(s.requests, id)
-	s.spareRequests = append(s.spareRequests, w)
+	s.spareRequests = append(s.spareRequests, req)
 }
 
+// asked counts a request and its gain, the latter as offered only within the customer's ideal quota.
 func (s *Service) asked(e *trace.Event) {
 	s.Costs.FirstTries++
-	p := &s.deal.Plans[e.Plan]
-	w := reuseOrNew(&s.spareRequests)
-	w.askedAt, w.customer, w.plan, w.class = e.At, e.Customer, e.Plan, e.Class
-	w.gain = s.deal.Classes[e.Class].Gain * p.Price * e.Units
-	s.requests[e.Want] = w
+	p := &s.params.Plans[e.Plan]
+	req := reuseOrNew(&s.spareRequests)
+	req.askedAt, req.customer, req.plan, req.class = e.At, e.Customer, e.Plan, e.Class
+	req.gain = s.params.Classes[e.Class].Gain * p.Price * e.Units
+	s.requests[e.Want] = req
 	b := s.idealQuotas[e.Customer]
 	if b == nil {
 		b = &Bucket{Level: p.Depth, At: e.At, plan: e.Plan}
@@ -228,10 +236,10 @@
 	if inside {
 		b.Level -= e.Units
 	}
-	for _, t := range s.tallies(w) {
+	for _, t := range s.tallies(req) {
 		t.Asked++
 		if inside {
-			t.Offered += w.gain
+			t.Offered += req.gain
 		}
 	}
 }
@@ -239,12 +247,13 @@
 func (s *Service) quotaOf(customer, plan int, at float64) *quotaState {
 	q := s.quotas[customer]
 	if q == nil {
-		q = &quotaState{Bucket: Bucket{Level: s.deal.Plans[plan].Depth, At: at, plan: plan}}
+		q = &quotaState{Bucket: Bucket{Level: s.params.Plans[plan].Depth, At: at, plan: plan}}
 		s.quotas[customer] = q
 	}
 	return q
 }
 
+// sent charges the first attempt of a try to the customer's quota.
 func (s *Service) sent(e *trace.Event) {
 	s.Costs.Attempts++
 	if e.Crosses {
@@ -254,7 +263,7 @@
 	if t == nil {
 		return
 	}
-	p := &s.deal.Plans[t.plan]
+	p := &s.params.Plans[t.plan]
 	q := s.quotaOf(t.customer, t.plan, e.At)
 	if !t.sent {
 		t.sent = true
@@ -264,7 +273,7 @@
 			q.Level -= t.units
 		} else {
 			s.Costs.BeyondUnits += t.units
-			s.charge(t.request, s.deal.OverCost[t.plan], true)
+			s.charge(t.request, s.params.OverCost[t.plan], true)
 		}
 	}
 	if t.inFlight == nil {
@@ -274,16 +283,16 @@
 	q.inFlight++
 }
 
-// charge takes a share of a request's gain off.
+// charge deducts a share of a request's gain, as the cost of exceeding a quota if over is true.
 func (s *Service) charge(id int, share float64, over bool) {
-	w := s.requests[id]
-	if w == nil {
+	req := s.requests[id]
+	if req == nil {
 		return
 	}
-	for _, t := range s.tallies(w) {
-		t.Earned -= share * w.gain
+	for _, t := range s.tallies(req) {
+		t.Earned -= share * req.gain
 		if over {
-			t.Over += share * w.gain
+			t.Over += share * req.gain
 		}
 	}
 }
@@ -308,23 +317,24 @@
 }
 
 const (
-	minRoomShare  = 0.5 // of the depth unused, with which a rejection counts as one with room
-	heldBackShare = 0.5 // of its time, after which giving up what was never sent is priced
+	minRoomShare  = 0.5 // share of the quota's depth that must be unused for a rejection to count as one with room
+	heldBackShare = 0.5 // share of a try's time after which a rejection or failure with no attempt at a backend is charged as held back
 )
 
+// answered accounts for a rejection or a failure.
 func (s *Service) answered(e *trace.Event) {
 	t := s.tries[e.Try]
 	if t == nil {
 		return
 	}
-	if e.Answer == trace.Finished { // whether it counts is settled when the client has it
+	if e.Answer == trace.Finished { // counted once the client has received it
 		return
 	}
 	sec := s.second(e.At)
 	if e.Answer == trace.Rejected {
 		s.Costs.Rejected++
 		sec.Rejected++
-		p := &s.deal.Plans[t.plan]
+		p := &s.params.Plans[t.plan]
 		if q := s.quotaOf(t.customer, t.plan, e.At); p.Rate > 0 && q.Fill(e.At, p.Rate, p.Depth) >= minRoomShare*p.Depth {
 			s.Costs.WithRoom++
 		}
@@ -334,44 +344,45 @@
 	}
 	if !t.arrived && e.At-t.acceptedAt > heldBackShare*(t.deadline-t.acceptedAt) {
 		s.Costs.HeldBack++
-		s.charge(t.request, s.deal.Prices.HeldBack, false)
+		s.charge(t.request, s.params.Prices.HeldBack, false)
 	}
 	s.endTry(e.Try)
 }
 
+// received accounts for a successful answer that a client received.
 func (s *Service) received(e *trace.Event) {
-	t, w := s.tries[e.Try], s.requests[e.Want]
-	if e.Answer != trace.Finished || w == nil {
+	t, req := s.tries[e.Try], s.requests[e.Want]
+	if e.Answer != trace.Finished || req == nil {
 		return
 	}
 	s.advanceTo(int(e.At / 1000))
-	took := e.At - w.askedAt
+	took := e.At - req.askedAt
 	us := max(1, min(histMost, int64(math.Round(took*1000))))
-	s.Latency[w.class].RecordValue(us)
+	s.Latency[req.class].RecordValue(us)
 	s.recent.RecordValue(us)
-	inTime := took <= s.deal.Classes[w.class].Contract
-	value := s.deal.Classes[w.class].LateValue
+	inTime := took <= s.params.Classes[req.class].Contract
+	value := s.params.Classes[req.class].LateValue
 	if inTime {
 		value = 1
 	}
 	if t != nil && !t.inQuota {
-		value = 0 // beyond its quota
+		value = 0 // sent beyond its quota
 	}
-	for _, ta := range s.tallies(w) {
-		ta.Earned += value * w.gain
+	for _, tally := range s.tallies(req) {
+		tally.Earned += value * req.gain
 		if inTime {
-			ta.InTime++
+			tally.InTime++
 		} else {
-			ta.Late++
+			tally.Late++
 		}
 	}
-	s.removeRequest(e.Want, w)
+	s.removeRequest(e.Want, req)
 	s.endTry(e.Try)
 }
 
-// advanceTo closes the seconds before the present one.
-func (s *Service) advanceTo(present int) {
-	if present <= s.currentSecond {
+// advanceTo sets the current second, records the latencies of the one before, and removes full quotas.
+func (s *Service) advanceTo(second int) {
+	if second <= s.currentSecond {
 		return
 	}
 	if s.recent.TotalCount() > 0 {
@@ -379,17 +390,17 @@
 		sec.P50, sec.P99 = float64(s.recent.ValueAtQuantile(50))/1000, float64(s.recent.ValueAtQuantile(99))/1000
 		s.recent.Reset()
 	}
-	s.currentSecond = present
-	rate, depth := func(p int) float64 { return s.deal.Plans[p].Rate }, func(p int) float64 { return s.deal.Plans[p].Depth }
-	removeFull(s.idealQuotas, float64(present)*1000, rate, depth)
-	for c, q := range s.quotas {
-		if q.inFlight == 0 && q.Level+rate(q.plan)*(float64(present)*1000-q.At) >= depth(q.plan) {
-			delete(s.quotas, c)
+	s.currentSecond = second
+	rate, depth := func(p int) float64 { return s.params.Plans[p].Rate }, func(p int) float64 { return s.params.Plans[p].Depth }
+	removeFull(s.idealQuotas, float64(second)*1000, rate, depth)
+	for customer, q := range s.quotas {
+		if q.inFlight == 0 && q.Level+rate(q.plan)*(float64(second)*1000-q.At) >= depth(q.plan) {
+			delete(s.quotas, customer)
 		}
 	}
 }
 
-// Parts is what G is made of.
+// Parts are the parts of G. Shares are of the gain offered.
 type Parts struct {
 	Whole       float64 `json:"whole"`
 	WorstWindow float64 `json:"worst_window"`
@@ -400,19 +411,19 @@
 	G           float64 `json:"g"`
 }
 
-// Parts weighs the day. Requests asked for after the day's end are not counted in its windows.
+// Parts computes G and its parts. Requests first tried after the end of the run are in no window.
 func (s *Service) Parts() Parts {
 	p := Parts{Whole: s.Whole.share(), WorstWindow: 1, WorstClass: 1, WorstPlan: 1}
-	last := min(len(s.Seconds), int(math.Ceil(s.deal.Seconds)))
-	mean := s.Whole.Offered / max(1, s.deal.Seconds)
+	last := min(len(s.Seconds), int(math.Ceil(s.params.Seconds)))
+	mean := s.Whole.Offered / max(1, s.params.Seconds)
 	span := min(windowS, last)
 	for at := 0; at+span <= last; at++ {
-		var w Tally
+		var window Tally
 		for i := at; i < at+span; i++ {
-			w.Offered += s.Seconds[i].Offered
-			w.Earned += s.Seconds[i].Earned
+			window.Offered += s.Seconds[i].Offered
+			window.Earned += s.Seconds[i].Earned
 		}
-		if share := w.share(); w.Offered > minWindowOffer*mean*float64(span) && share < p.WorstWindow {
+		if share := window.share(); window.Offered > minWindowOffer*mean*float64(span) && share < p.WorstWindow {
 			p.WorstWindow, p.WorstAt = share, at
 		}
 	}
@@ -422,7 +433,7 @@
 	for i := range s.Plans {
 		p.WorstPlan = min(p.WorstPlan, s.Plans[i].share())
 	}
-	g, c, pr := s.deal.Goal, &s.Costs, s.deal.Prices
+	g, c, pr := s.params.Goal, &s.Costs, s.params.Prices
 	each := 1 / max(1, float64(c.FirstTries))
 	p.Prices = pr.Counter*min(1, float64(c.CounterCalls)*each) + pr.Probe*float64(c.Probes)*each + pr.Cross*float64(c.Crossing)*each +
 		pr.Handshake*float64(c.Connections)*each + pr.Waste*c.WastedMs/max(1, c.WorkMs+c.WastedMs)
@@ -431,15 +442,17 @@
 	return p
 }
 
-// Judge is both.
+// Verifier checks the invariants and computes the score of one run.
 type Judge struct {
 	Rules   *Checker
 	Service *Service
 	Events  int
 }
 
+// New returns a verifier for a run with these parameters.
 func New(d *Deal) *Judge { return &Judge{Rules: NewChecker(d), Service: NewService(d)} }
 
+// Take accounts for one event.
 func (j *Judge) Take(e *trace.Event) {
 	j.Events++
 	j.Rules.Take(e)
--- a/lab/trace/cold.go
+++ b/lab/trace/cold.go
@@ -1,21 +1,21 @@
 package trace
 
-// ColdBudget watches the work that comes to a backend that has just started. Sent more than a multiple of what it can
-// do at that moment, over a stretch of time, it falls over.
+// ColdBudget tracks the work that arrives at a backend that has just started. The backend collapses once it has been sent more
+// than Multiple times its current capacity over Window.
 type ColdBudget struct {
-	Capacity, From, Span float64 // ms of work a ms when warm; share of it at the start; ms until warm
-	Began                float64
-	Multiple, Window     float64
+	Capacity, From, Span float64 // capacity when warm, ms of work per ms; share of it at the start; ms until warm
+	Began                float64 // start of the backend, ms
+	Multiple, Window     float64 // multiple of the capacity that it withstands; length of the sliding window, ms
 
-	at, work    []float64 // within the window
-	informed    []bool
-	first       int
-	sum         float64
-	sumInformed float64
-	largest     float64 // largest single work seen, ms
+	at, work    []float64 // arrivals within the window
+	informed    []bool    // whether the sender of each knew that the backend had just started
+	first       int       // index of the oldest arrival in the window
+	sum         float64   // work in the window, ms
+	sumInformed float64   // of that, from senders that knew
+	largest     float64   // largest single piece of work so far, ms
 }
 
-// Now is the capacity at a clock.
+// Now returns the capacity at a time.
 func (c *ColdBudget) Now(at float64) float64 {
 	if c.Span <= 0 || at >= c.Began+c.Span {
 		return c.Capacity
@@ -23,13 +23,15 @@
 	return c.Capacity * (c.From + (1-c.From)*(at-c.Began)/c.Span)
 }
 
-// Cold tells whether the backend is still warming up.
+// Cold reports whether the backend is still warming up.
 func (c *ColdBudget) Cold(at float64) bool { return at < c.Began+c.Span }
 
-const toleratedPeaks = 2 // largest works by which a window may go over its budget by chance
+// toleratedPeaks is the number of largest single pieces of work by which a window may exceed its budget, as it can by chance.
+const toleratedPeaks = 2
 
-// Take books work, and tells whether the budget is passed, and whether two thirds of the work came from those told.
-func (c *ColdBudget) Take(at, work float64, told bool) (over, knowing bool) {
+// Take adds an arrival. It reports whether the budget is exceeded, and whether at least two thirds of the work in the window came
+// from senders that knew that the backend had just started.
+func (c *ColdBudget) Take(at, work float64, informed bool) (over, mostlyInformed bool) {
 	for c.first < len(c.at) && c.at[c.first] < at-c.Window {
 		c.sum -= c.work[c.first]
 		if c.informed[c.first] {
@@ -43,9 +45,9 @@
 		copy(c.informed, c.informed[c.first:])
 		c.at, c.work, c.informed, c.first = c.at[:n], c.work[:n], c.informed[:n], 0
 	}
-	c.at, c.work, c.informed = append(c.at, at), append(c.work, work), append(c.informed, told)
+	c.at, c.work, c.informed = append(c.at, at), append(c.work, work), append(c.informed, informed)
 	c.sum += work
-	if told {
+	if informed {
 		c.sumInformed += work
 	}
 	c.largest = max(c.largest, work)
