--- a/lab/account/account.go
+++ b/lab/account/account.go
@@ -1,5 +1,5 @@
-// Package account says where a day's gain went: for each part of the loss how much, when, at which doors, and in which
-// state these were. It reads the trace, and of the decisions only the cause that they give with a rejection.
+// Package account breaks down the gain that a run lost by cause: how much was lost, when, at which doors, and in which state the
+// doors were. It reads the trace; of the decisions it uses only the cause given with a rejection.
 package account
 
 import (
@@ -14,39 +14,39 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// Loss is one way in which gain is lost.
+// Loss is the gain lost to one cause.
 type Loss struct {
 	Name           string    `json:"name"`
-	Gain           float64   `json:"gain"`  // lost
-	Share          float64   `json:"share"` // of the gain asked inside the quotas
+	Gain           float64   `json:"gain"`  // gain lost
+	Share          float64   `json:"share"` // of the gain offered within the quotas
 	Count          int       `json:"operations"`
-	Windows        []float64 `json:"by_10_s"`         // shares of what was asked in each
-	Doors          int       `json:"doors"`           // that it struck
-	TopTenth       float64   `json:"top_tenth"`       // share of it at the tenth of all doors that it struck most
-	Age            float64   `json:"age_s"`           // mean time since the door's start
-	RecentAnswers  float64   `json:"answers_lately"`  // mean of answers that the door had from backends in the 5 s before
-	RecentBackends float64   `json:"backends_lately"` // and of the backends that they came from
+	Windows        []float64 `json:"by_10_s"`         // share of the gain offered in each window
+	Doors          int       `json:"doors"`           // doors at which it occurred
+	TopTenth       float64   `json:"top_tenth"`       // share of it at the tenth of all doors with the largest losses
+	Age            float64   `json:"age_s"`           // mean time since the start of the door, s
+	RecentAnswers  float64   `json:"answers_lately"`  // mean number of answers that the door received from backends in the 5 s before
+	RecentBackends float64   `json:"backends_lately"` // mean number of backends that those answers came from
 }
 
-// Account is a day's.
+// Account is the breakdown of the lost gain of one run.
 type Account struct {
-	Offered float64 `json:"offered"`
+	Offered float64 `json:"offered"` // gain offered within the quotas
 	Parts   []Loss  `json:"parts"`
-	// Rejected with room, of all tries, window by window: the quota as it truly stood was half unused.
+	// WithRoom is, by window, the share of tries that were rejected while at least half of the customer's quota was unused.
 	WithRoom []float64 `json:"rejected_with_room_by_10_s"`
-	// For each first try: what doors did more than serve.
+	// Connections, Calls (to the counter), Probes and Attempts are numbers per first try.
 	Connections, Calls, Probes float64
-	Attempts                   float64 `json:"Transmissions"` // results written before keep their key
+	Attempts                   float64 `json:"Transmissions"` // key of results written by earlier versions
 }
 
 const (
-	windowMs      = 10e3 // ms
-	recentMs      = 5e3  // ms
-	minRoomShare  = 0.5  // of the depth unused, from which a rejection is one with room
+	windowMs      = 10e3 // ms, length of a window
+	recentMs      = 5e3  // ms for which a door's latest answers are counted
+	minRoomShare  = 0.5  // share of the quota's depth that must be unused for a rejection to count as one with room
 	neverAnswered = "never answered"
 )
 
-// Book gathers a day's account from its trace.
+// Collector builds the account of a run from its trace.
 type Book struct {
 	params           *judge.Deal
 	doors            map[int]*door
@@ -55,20 +55,22 @@
 	quotas           map[int]*judge.Bucket
 	idealQuotas      map[int]*judge.Bucket
 	losses           map[string]*lossTally
-	offeredByWindow  []float64 // gain by window
-	triesByWindow    []int     // tries by window
+	offeredByWindow  []float64 // gain offered within the quotas
+	triesByWindow    []int
 	withRoomByWindow []int
 	counts           struct{ first, conns, calls, probes, sent int }
 }
 
+// clientRequest is a client's request, over all of its tries, that has no final outcome yet.
 type clientRequest struct {
 	askedAt, gain float64
 	inQuota       bool
 	class         int
-	lastOutcome   string // part that its latest try ended in
-	door          int
+	lastOutcome   string // how its latest try ended: the name of the loss if the client gives up
+	door          int    // that accepted its latest try, -1 before
 }
 
+// openTry is a try that a door has accepted and that has not ended yet.
 type openTry struct {
 	request, door, customer, plan int
 	units                         float64
@@ -77,7 +79,7 @@
 
 type door struct {
 	started       float64
-	recentAnswers []backendAnswer // answers lately
+	recentAnswers []backendAnswer // answers from backends within recentMs
 }
 
 type backendAnswer struct {
@@ -85,6 +87,7 @@
 	backend int
 }
 
+// lossTally sums up the losses of one cause. Ages, answers and backends are sums over them.
 type lossTally struct {
 	gain, age, answers, backends float64
 	count                        int
@@ -92,11 +95,13 @@
 	doors                        map[int]float64
 }
 
+// NewCollector returns a collector for a run with these parameters.
 func NewBook(d *judge.Deal) *Book {
 	return &Book{params: d, doors: map[int]*door{}, requests: map[int]*clientRequest{}, tries: map[int]*openTry{}, quotas: map[int]*judge.Bucket{}, idealQuotas: map[int]*judge.Bucket{},
 		losses: map[string]*lossTally{}}
 }
 
+// extend appends zero values until index i exists.
 func extend[T any](s []T, i int) []T {
 	for len(s) <= i {
 		s = append(s, *new(T))
@@ -104,31 +109,32 @@
 	return s
 }
 
-// addLoss books a loss at a door.
-func (b *Book) addLoss(part string, gain, asked, now float64, at int) {
-	t := b.losses[part]
+// addLoss adds a loss at a door to those of its cause.
+func (b *Book) addLoss(cause string, gain, asked, now float64, at int) {
+	t := b.losses[cause]
 	if t == nil {
 		t = &lossTally{doors: map[int]float64{}}
-		b.losses[part] = t
+		b.losses[cause] = t
 	}
 	t.gain += gain
 	t.count++
-	w := int(asked / windowMs)
-	t.windows = extend(t.windows, w)
-	t.windows[w] += gain
+	window := int(asked / windowMs)
+	t.windows = extend(t.windows, window)
+	t.windows[window] += gain
 	t.doors[at] += gain
 	if d := b.doors[at]; d != nil {
 		d.dropOld(now)
 		t.age += now - d.started
 		t.answers += float64(len(d.recentAnswers))
-		some := map[int]struct{}{}
-		for _, c := range d.recentAnswers {
-			some[c.backend] = struct{}{}
+		distinct := map[int]struct{}{}
+		for _, a := range d.recentAnswers {
+			distinct[a.backend] = struct{}{}
 		}
-		t.backends += float64(len(some))
+		t.backends += float64(len(distinct))
 	}
 }
 
+// dropOld removes the answers that are older than recentMs.
 func (d *door) dropOld(now float64) {
 	n := 0
 	for n < len(d.recentAnswers) && d.recentAnswers[n].at < now-recentMs {
@@ -139,7 +145,7 @@
 	}
 }
 
-// Take takes in one event.
+// Take accounts for one event.
 func (b *Book) Take(e *trace.Event) {
 	switch e.Kind {
 	case trace.Started:
@@ -150,8 +156,8 @@
 		b.tries[e.Try] = &openTry{request: e.Want, door: e.Door, customer: e.Customer, plan: e.Plan, units: e.Units}
 		b.triesByWindow = extend(b.triesByWindow, int(e.At/windowMs))
 		b.triesByWindow[int(e.At/windowMs)]++
-		if w := b.requests[e.Want]; w != nil {
-			w.door, w.lastOutcome = e.Door, neverAnswered
+		if req := b.requests[e.Want]; req != nil {
+			req.door, req.lastOutcome = e.Door, neverAnswered
 		}
 	case trace.Sent:
 		b.sent(e)
@@ -167,8 +173,8 @@
 	case trace.Died:
 		for id, t := range b.tries {
 			if t.door == e.Door {
-				if w := b.requests[t.request]; w != nil {
-					w.lastOutcome = "door died"
+				if req := b.requests[t.request]; req != nil {
+					req.lastOutcome = "door died"
 				}
 				delete(b.tries, id)
 			}
@@ -176,9 +182,9 @@
 	case trace.Got:
 		b.received(e)
 	case trace.GaveUp:
-		if w := b.requests[e.Want]; w != nil {
-			if w.inQuota {
-				b.addLoss(cmp.Or(w.lastOutcome, "found no door"), w.gain, w.askedAt, e.At, w.door)
+		if req := b.requests[e.Want]; req != nil {
+			if req.inQuota {
+				b.addLoss(cmp.Or(req.lastOutcome, "found no door"), req.gain, req.askedAt, e.At, req.door)
 			}
 			delete(b.requests, e.Want)
 		}
@@ -191,23 +197,25 @@
 	}
 }
 
+// asked adds a request, as offered only if it is within the customer's ideal quota.
 func (b *Book) asked(e *trace.Event) {
 	b.counts.first++
 	p := &b.params.Plans[e.Plan]
-	w := &clientRequest{askedAt: e.At, gain: b.params.Classes[e.Class].Gain * p.Price * e.Units, class: e.Class, door: -1}
-	b.requests[e.Want] = w
+	req := &clientRequest{askedAt: e.At, gain: b.params.Classes[e.Class].Gain * p.Price * e.Units, class: e.Class, door: -1}
+	b.requests[e.Want] = req
 	s := b.idealQuotas[e.Customer]
 	if s == nil {
 		s = &judge.Bucket{Level: p.Depth, At: e.At}
 		b.idealQuotas[e.Customer] = s
 	}
-	if w.inQuota = p.Rate == 0 || s.Fill(e.At, p.Rate, p.Depth) >= e.Units-1e-9; w.inQuota {
+	if req.inQuota = p.Rate == 0 || s.Fill(e.At, p.Rate, p.Depth) >= e.Units-1e-9; req.inQuota {
 		s.Level -= e.Units
 		b.offeredByWindow = extend(b.offeredByWindow, int(e.At/windowMs))
-		b.offeredByWindow[int(e.At/windowMs)] += w.gain
+		b.offeredByWindow[int(e.At/windowMs)] += req.gain
 	}
 }
 
+// quotaOf returns the customer's quota as charged for what doors have sent.
 func (b *Book) quotaOf(t *openTry, at float64) *judge.Bucket {
 	s := b.quotas[t.customer]
 	if s == nil {
@@ -217,6 +225,7 @@
 	return s
 }
 
+// sent charges the first attempt of a try to the customer's quota.
 func (b *Book) sent(e *trace.Event) {
 	b.counts.sent++
 	t := b.tries[e.Try]
@@ -224,14 +233,15 @@
 		return
 	}
 	t.sent = true
-	p, w := &b.params.Plans[t.plan], b.requests[t.request]
+	p, req := &b.params.Plans[t.plan], b.requests[t.request]
 	if s := b.quotaOf(t, e.At); p.Rate == 0 || s.Fill(e.At, p.Rate, p.Depth) >= t.units-1e-9 {
 		s.Level -= t.units
-	} else if w != nil {
-		b.addLoss("sent beyond the quota", b.params.OverCost[t.plan]*w.gain, w.askedAt, e.At, e.Door)
+	} else if req != nil {
+		b.addLoss("sent beyond the quota", b.params.OverCost[t.plan]*req.gain, req.askedAt, e.At, e.Door)
 	}
 }
 
+// answered ends a try and remembers a rejection or failure as the latest outcome of its request.
 func (b *Book) answered(e *trace.Event) {
 	t := b.tries[e.Try]
 	if t == nil {
@@ -249,23 +259,24 @@
 		b.withRoomByWindow[at]++
 		name += ", with room"
 	}
-	if w := b.requests[t.request]; w != nil {
-		w.lastOutcome = name
+	if req := b.requests[t.request]; req != nil {
+		req.lastOutcome = name
 	}
 }
 
+// received ends a request with the answer that the client received.
 func (b *Book) received(e *trace.Event) {
-	w := b.requests[e.Want]
-	if w == nil || e.Answer != trace.Finished {
+	req := b.requests[e.Want]
+	if req == nil || e.Answer != trace.Finished {
 		return
 	}
-	if p := &b.params.Classes[w.class]; w.inQuota && e.At-w.askedAt > p.Contract {
-		b.addLoss("late", w.gain*(1-p.LateValue), w.askedAt, e.At, w.door)
+	if p := &b.params.Classes[req.class]; req.inQuota && e.At-req.askedAt > p.Contract {
+		b.addLoss("late", req.gain*(1-p.LateValue), req.askedAt, e.At, req.door)
 	}
 	delete(b.requests, e.Want)
 }
 
-// Sum closes the book.
+// Sum returns the account of all events so far.
 func (b *Book) Sum() *Account {
 	a := &Account{}
 	for _, g := range b.offeredByWindow {
@@ -310,7 +321,7 @@
 	return a
 }
 
-// Print writes the account as a table.
+// Print writes the account to w as a table.
 func (a *Account) Print(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer t.Flush()
--- a/lab/account/account_test.go
+++ b/lab/account/account_test.go
@@ -12,32 +12,32 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-func TestEachLossIsBookedOnceUnderItsCause(t *testing.T) {
+func TestEachLossIsCountedOnceUnderItsCause(t *testing.T) {
 	b := NewBook(&judge.Deal{Classes: []gate.Class{{Contract: 500, Gain: 2, LateValue: 0.25}}, Plans: []gate.Plan{{Rate: 0.001, Depth: 4, Price: 1}},
 		OverCost: []float64{1.5}})
 	take := func(e trace.Event) { b.Take(&e) }
 	take(trace.Event{Kind: trace.Started, Door: 0})
-	one := func(at float64, n int, end func()) {
+	tryOnce := func(at float64, n int, end func()) {
 		take(trace.Event{Kind: trace.Asked, At: at, Want: n, Customer: n % 2, Units: 1})
 		take(trace.Event{Kind: trace.Taken, At: at, Want: n, Try: n, Customer: n % 2, Units: 1, Until: at + 2000})
 		end()
 	}
-	one(0, 0, func() { // rejected though the quota is whole
+	tryOnce(0, 0, func() { // rejected though the quota is unused
 		take(trace.Event{Kind: trace.Answered, At: 5, Try: 0, Answer: trace.Rejected, Why: gate.OverQuotaShare})
 		take(trace.Event{Kind: trace.GaveUp, At: 5, Want: 0})
 	})
-	one(10, 2, func() { // late
+	tryOnce(10, 2, func() { // late
 		take(trace.Event{Kind: trace.Sent, At: 10, Try: 2})
 		take(trace.Event{Kind: trace.Closed, At: 900, Try: 2, Result: gate.Finished})
 		take(trace.Event{Kind: trace.Got, At: 900, Want: 2, Try: 2, Answer: trace.Finished})
 	})
-	for n := 4; n < 14; n += 2 { // five more of the same customer at once
-		one(1000, n, func() {
+	for n := 4; n < 14; n += 2 { // five more requests of the same customer at once
+		tryOnce(1000, n, func() {
 			take(trace.Event{Kind: trace.Sent, At: 1000, Try: n})
 			take(trace.Event{Kind: trace.Got, At: 1010, Want: n, Try: n, Answer: trace.Finished})
 		})
 	}
-	one(12e3, 1, func() { take(trace.Event{Kind: trace.GaveUp, At: 14e3, Want: 1}) })
+	tryOnce(12e3, 1, func() { take(trace.Event{Kind: trace.GaveUp, At: 14e3, Want: 1}) })
 	a := b.Sum()
 	parts := map[string]Loss{}
 	for _, p := range a.Parts {
@@ -46,7 +46,7 @@
 	assert.InDelta(t, 2, parts["rejected, over_part, with room"].Gain, 1e-9)
 	assert.InDelta(t, 2*0.75, parts["late"].Gain, 1e-9)
 	assert.InDelta(t, 2, parts["never answered"].Gain, 1e-9)
-	require.Equal(t, 2, parts["sent beyond the quota"].Count, "the store held 3.99 of five")
+	require.Equal(t, 2, parts["sent beyond the quota"].Count, "the quota held 3.99 units for five requests")
 	assert.InDelta(t, 6, parts["sent beyond the quota"].Gain, 1e-9)
 	assert.InDelta(t, 1.0/7, a.WithRoom[0], 1e-9)
 	assert.Equal(t, 1, parts["never answered"].Doors)
@@ -56,7 +56,7 @@
 	assert.Contains(t, out.String(), "over_part, with room")
 }
 
-func TestADoorThatDiesLosesWhatItHolds(t *testing.T) {
+func TestTriesAtADoorThatDiesAreLost(t *testing.T) {
 	b := NewBook(&judge.Deal{Classes: []gate.Class{{Contract: 500, Gain: 1}}, Plans: []gate.Plan{{Rate: 1, Depth: 4, Price: 1}}, OverCost: []float64{1}})
 	for _, e := range []trace.Event{{Kind: trace.Started, Door: 3}, {Kind: trace.Asked, Want: 1, Units: 1}, {Kind: trace.Taken, Want: 1, Try: 1, Door: 3, Units: 1},
 		{Kind: trace.Died, At: 10, Door: 3}, {Kind: trace.GaveUp, At: 20, Want: 1}} {
