--- a/lab/load/errors.go
+++ b/lab/load/errors.go
@@ -6,10 +6,10 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// RunError is a run that can't be played as it was told.
+// RunError is a load run with an invalid parameter.
 type RunError struct {
-	What  string // that is wrong, with its value
-	Says  string
+	What  string // the invalid parameter, with its value
+	Says  string // what is wrong with it
 	Cause error
 }
 
@@ -19,32 +19,32 @@
 func (e *RunError) Unwrap() error     { return e.Cause }
 func (e *RunError) Kind() remedy.Kind { return remedy.Usage }
 
-// Remedy names the figure.
+// Remedy names the parameter.
 func (e *RunError) Remedy() string {
-	return fmt.Sprintf("Give another figure for %s; swifthall lab load --help lists the flags.", e.What)
+	return fmt.Sprintf("Change %s; swifthall lab load --help lists the flags.", e.What)
 }
 
-// StoppedError is a run that was ended before its time.
+// StoppedError is a load run that was interrupted before its end.
 type StoppedError struct{ Cause error }
 
 func (e *StoppedError) Error() string     { return remedy.WithCause("load", e.Cause) }
 func (e *StoppedError) Unwrap() error     { return e.Cause }
 func (e *StoppedError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says what the figures are worth.
+// Remedy states that the results are partial.
 func (e *StoppedError) Remedy() string {
-	return "Run it again and let it end; the figures so far are of a part."
+	return "Run it again and let it finish; the results so far cover only a part of the run."
 }
 
-// StaleConnError is a connection that had been closed before the request came: it is sent once more.
+// StaleConnError is a kept-alive connection that the target closed before the request arrived; the request is sent once more on a new one.
 type StaleConnError struct{}
 
-func (*StaleConnError) Error() string     { return "the connection had been closed" }
+func (*StaleConnError) Error() string     { return "the target had closed the connection" }
 func (*StaleConnError) Kind() remedy.Kind { return remedy.Unreachable }
 
-// Remedy says that the tool acts by itself.
+// Remedy states that no action is needed.
 func (*StaleConnError) Remedy() string {
-	return "The tool sends the operation once more by itself; a slower --rate meets it less."
+	return "The load generator sends the operation once more on a new connection; this happens less often at a lower --rate."
 }
 
 var errStaleConn = &StaleConnError{}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,5 +1,5 @@
-// Package load is an open-loop load tool: requests start when they are due, whatever became of those before, and each
-// latency counts from the intended start, so that a target that stalls is not spared (coordinated omission).
+// Package load is an open-loop load generator: requests start on schedule, whether or not earlier ones have finished, and each
+// latency counts from the scheduled start, so that the results of a target that stalls do not suffer from coordinated omission.
 package load
 
 import (
@@ -19,55 +19,55 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Run is one stretch at a fixed rate.
+// Run is one load run at a fixed rate.
 type Run struct {
 	Target   string             // host:port
-	Rate     float64            // requests a second
-	For      time.Duration      // of sending
-	Conns    int                // connections at most; what finds none free waits, and its latency grows
-	Poisson  bool               // random gaps in place of even ones
-	Seed     uint64             // of the gaps
-	Word     func(i int) string // the bytes of request i
-	Patience time.Duration      // after which a request counts as failed
-	Enough   <-chan struct{}    // closed to have no more requests begin before the time is over; nil for none
+	Rate     float64            // requests per second
+	For      time.Duration      // how long requests are sent
+	Conns    int                // maximum number of connections; a request that finds none free waits, which counts towards its latency
+	Poisson  bool               // exponentially distributed gaps instead of equal ones
+	Seed     uint64             // of the random gaps
+	Word     func(i int) string // returns the bytes of request i
+	Patience time.Duration      // from its scheduled start, after which a request counts as failed
+	Enough   <-chan struct{}    // closed to end the sending early; may be nil
 }
 
-// Outcome is what came of a run. Latencies are µs from the intended start, of all that was answered 200.
+// Outcome is the result of a run. Latencies are µs from the scheduled start, of all requests answered with 200.
 type Outcome struct {
 	Asked, Finished, Rejected, Failed int
 	Took                              time.Duration
 	Latency                           *hdrhistogram.Histogram
-	Behind                            time.Duration // how late the tool itself was at the worst in handing out a request
+	Behind                            time.Duration // longest delay of the generator itself in handing out a request
 }
 
-// Rate is what was finished a second.
+// Rate returns the number of requests finished per second.
 func (o *Outcome) Rate() float64 { return float64(o.Finished) / o.Took.Seconds() }
 
-// At is a quantile of the latency.
+// At returns a percentile of the latency, q being 0 to 100.
 func (o *Outcome) At(q float64) time.Duration {
 	return time.Duration(o.Latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
 const (
-	maxLatencyUs = int64(10 * time.Minute / time.Microsecond)
-	histDigits   = 3
+	maxLatencyUs = int64(10 * time.Minute / time.Microsecond) // upper limit of the histograms
+	histDigits   = 3                                          // significant digits of the histograms
 	maxConns     = 10000
-	maxRate      = 1e6
-	maxRequests  = 20e6 // requests of a run; what is due is kept in memory
+	maxRate      = 1e6  // requests per second
+	maxRequests  = 20e6 // per run; the scheduled requests are kept in memory
 )
 
 func (r *Run) validate() error {
 	switch {
 	case !(r.Rate > 0 && r.Rate <= maxRate):
-		return &RunError{What: fmt.Sprintf("rate %g", r.Rate), Says: fmt.Sprintf("above 0 and up to %g is wanted", maxRate)}
+		return &RunError{What: fmt.Sprintf("rate %g", r.Rate), Says: fmt.Sprintf("must be above 0 and at most %g", maxRate)}
 	case r.For <= 0:
-		return &RunError{What: fmt.Sprintf("length %v", r.For), Says: "above 0 is wanted"}
+		return &RunError{What: fmt.Sprintf("length %v", r.For), Says: "must be above 0"}
 	case r.Rate*r.For.Seconds() > maxRequests:
-		return &RunError{What: fmt.Sprintf("rate %g for %v", r.Rate, r.For), Says: fmt.Sprintf("over %g operations", float64(maxRequests))}
+		return &RunError{What: fmt.Sprintf("rate %g for %v", r.Rate, r.For), Says: fmt.Sprintf("more than %g operations", float64(maxRequests))}
 	case r.Conns < 1 || r.Conns > maxConns:
-		return &RunError{What: fmt.Sprintf("%d connections", r.Conns), Says: fmt.Sprintf("1 to %d are wanted", maxConns)}
+		return &RunError{What: fmt.Sprintf("%d connections", r.Conns), Says: fmt.Sprintf("must be 1 to %d", maxConns)}
 	case r.Patience <= 0:
-		return &RunError{What: fmt.Sprintf("patience %v", r.Patience), Says: "above 0 is wanted"}
+		return &RunError{What: fmt.Sprintf("patience %v", r.Patience), Says: "must be above 0"}
 	}
 	if _, _, err := net.SplitHostPort(r.Target); err != nil {
 		return &RunError{What: fmt.Sprintf("target %q", r.Target), Cause: err}
@@ -75,52 +75,52 @@
 	return nil
 }
 
-// scheduled is one request and when it is meant to start.
+// scheduled is one request and the time at which it should start.
 type scheduled struct {
 	number int
 	start  time.Time
 }
 
-// tally is one connection's part of the outcome.
+// tally counts the outcomes of the requests of one connection.
 type tally struct {
 	finished, rejected, failed int
 	latency                    *hdrhistogram.Histogram
 }
 
-// Play plays the run. progress hears how much of it is over, 0 to 1.
+// Execute performs the run. It reports the share of the run that is over, 0 to 1, to progress, which may be nil.
 func (r *Run) Play(ctx context.Context, progress func(done float64)) (*Outcome, error) {
 	if err := r.validate(); err != nil {
 		return nil, err
 	}
-	// All that will be due fits in, so that handing out never waits for a connection.
-	dues := make(chan scheduled, int(r.Rate*r.For.Seconds()*1.5)+1000)
+	// The buffer holds all requests of the run, so that handing one out never waits for a connection.
+	queue := make(chan scheduled, int(r.Rate*r.For.Seconds()*1.5)+1000)
 	tallies := make([]tally, r.Conns)
 	var busy atomic.Int64
 	var group sync.WaitGroup
 	began := time.Now()
-	var behind time.Duration
+	var maxLag time.Duration
 	asked := 0
-	dice := rand.New(rand.NewPCG(r.Seed, 0))
+	rng := rand.New(rand.NewPCG(r.Seed, 0))
 	at := began
 	started := 0
 	for at.Sub(began) < r.For && ctx.Err() == nil && !r.stopped() {
 		if wait := time.Until(at); wait > 0 {
 			time.Sleep(wait)
 		} else {
-			behind = max(behind, -wait)
+			maxLag = max(maxLag, -wait)
 		}
-		// A connection more is opened only while all that there are are busy.
+		// Another connection is opened only while all existing ones are busy.
 		if int(busy.Load()) >= started && started < r.Conns {
 			t := &tallies[started]
 			t.latency = hdrhistogram.New(1, maxLatencyUs, histDigits)
 			started++
-			group.Go(func() { r.sendAll(ctx, dues, t, &busy) })
+			group.Go(func() { r.sendAll(ctx, queue, t, &busy) })
 		}
 		busy.Add(1)
-		dues <- scheduled{asked, at}
+		queue <- scheduled{asked, at}
 		asked++
 		if gap := 1 / r.Rate; r.Poisson {
-			at = at.Add(time.Duration(dice.ExpFloat64() * gap * float64(time.Second)))
+			at = at.Add(time.Duration(rng.ExpFloat64() * gap * float64(time.Second)))
 		} else {
 			at = began.Add(time.Duration(float64(asked) * gap * float64(time.Second)))
 		}
@@ -128,9 +128,9 @@
 			progress(min(1, float64(at.Sub(began))/float64(r.For)))
 		}
 	}
-	close(dues)
+	close(queue)
 	group.Wait()
-	o := &Outcome{Asked: asked, Took: time.Since(began), Latency: hdrhistogram.New(1, maxLatencyUs, histDigits), Behind: behind}
+	o := &Outcome{Asked: asked, Took: time.Since(began), Latency: hdrhistogram.New(1, maxLatencyUs, histDigits), Behind: maxLag}
 	for i := range tallies[:started] {
 		t := &tallies[i]
 		o.Finished, o.Rejected, o.Failed = o.Finished+t.finished, o.Rejected+t.rejected, o.Failed+t.failed
@@ -151,8 +151,8 @@
 	}
 }
 
-// sendAll takes requests over one connection, one at a time.
-func (r *Run) sendAll(ctx context.Context, dues <-chan scheduled, t *tally, busy *atomic.Int64) {
+// sendAll sends scheduled requests over one connection, one at a time, and opens it anew once it is closed.
+func (r *Run) sendAll(ctx context.Context, queue <-chan scheduled, t *tally, busy *atomic.Int64) {
 	var nc net.Conn
 	var in *bufio.Reader
 	drop := func() {
@@ -162,7 +162,7 @@
 		}
 	}
 	defer drop()
-	for d := range dues {
+	for d := range queue {
 		if ctx.Err() != nil {
 			busy.Add(-1)
 			continue
@@ -202,6 +202,7 @@
 	}
 }
 
+// sendOne sends one request and reads its response; last reports that the connection ends with it.
 func (r *Run) sendOne(nc net.Conn, in *bufio.Reader, d scheduled) (status int, last bool, err error) {
 	if err := nc.SetDeadline(d.start.Add(r.Patience)); err != nil {
 		return 0, false, err
@@ -227,15 +228,15 @@
 	return resp.StatusCode, resp.Close, nil
 }
 
-// Knee searches the highest rate at which a run holds.
+// Knee searches for the highest rate that a target sustains.
 type Knee struct {
-	Run                 // of one step; its rate is where the search begins
-	P99   time.Duration // latency that a rate must keep
-	Least float64       // share of the requests that must be finished
-	Steps int           // of the bisection
+	Run                 // the run of each step; the search starts at its rate
+	P99   time.Duration // highest 99th percentile of the latency that a sustained rate may have
+	Least float64       // lowest share of finished requests that a sustained rate may have
+	Steps int           // number of bisection steps
 }
 
-// Step is one rate that was tried.
+// Step is the outcome of one rate.
 type Step struct {
 	Rate  float64
 	Holds bool
@@ -243,18 +244,19 @@
 }
 
 const (
-	kneeGrowth   = 1.5 // factor from one rate to the next while they hold
-	maxKneeSteps = 30  // rates tried on the way up
+	kneeGrowth   = 1.5 // factor between rates while they are sustained
+	maxKneeSteps = 30  // rates tried before the bisection
 )
 
-// holds tells whether an outcome is good enough. A run in which the tool itself was late says nothing good of a rate.
+// holds reports whether the rate of an outcome was sustained. A delay of the generator itself counts against the rate, since it is
+// part of the latencies.
 func (k *Knee) holds(o *Outcome) bool {
 	return float64(o.Finished) >= k.Least*float64(o.Asked) && o.At(99) <= k.P99
 }
 
-// Find raises the rate until it no longer holds, and halves the gap from there. It returns the highest rate that held, 0
-// if none did, and all that was tried.
-func (k *Knee) Find(ctx context.Context, tell func(s Step)) (float64, []Step, error) {
+// Find raises the rate until it is no longer sustained and bisects from there. It reports each step to report, which may be nil, and
+// returns the highest rate that was sustained, 0 if none was, and all steps.
+func (k *Knee) Find(ctx context.Context, report func(s Step)) (float64, []Step, error) {
 	var steps []Step
 	try := func(rate float64) (bool, error) {
 		r := k.Run
@@ -265,8 +267,8 @@
 		}
 		s := Step{rate, k.holds(o), o}
 		steps = append(steps, s)
-		if tell != nil {
-			tell(s)
+		if report != nil {
+			report(s)
 		}
 		return s.Holds, nil
 	}
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -16,7 +16,7 @@
 
 func get(int) string { return "GET / HTTP/1.1\r\nHost: t\r\n\r\n" }
 
-func target(t *testing.T, h http.HandlerFunc) string {
+func startTarget(t *testing.T, h http.HandlerFunc) string {
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
 	return srv.Listener.Addr().String()
@@ -24,7 +24,7 @@
 
 func TestEveryRequestIsAccountedFor(t *testing.T) {
 	var n atomic.Int64
-	to := target(t, func(w http.ResponseWriter, _ *http.Request) {
+	addr := startTarget(t, func(w http.ResponseWriter, _ *http.Request) {
 		switch n.Add(1) % 4 {
 		case 0:
 			w.WriteHeader(http.StatusTooManyRequests)
@@ -32,7 +32,7 @@
 			w.WriteHeader(http.StatusBadGateway)
 		}
 	})
-	r := Run{Target: to, Rate: 400, For: 500 * time.Millisecond, Conns: 8, Word: get, Patience: 5 * time.Second, Poisson: true, Seed: 1}
+	r := Run{Target: addr, Rate: 400, For: 500 * time.Millisecond, Conns: 8, Word: get, Patience: 5 * time.Second, Poisson: true, Seed: 1}
 	o, err := r.Play(context.Background(), nil)
 	require.NoError(t, err)
 	assert.Equal(t, o.Asked, o.Finished+o.Rejected+o.Failed)
@@ -41,27 +41,27 @@
 	assert.InDelta(t, o.Asked/4, o.Failed, 2)
 }
 
-// A target that stalls once holds up all that was due meanwhile, and each of them counts from when it was due.
-func TestAStallCountsForAllThatWereDueInIt(t *testing.T) {
+// A target that stalls once delays all requests scheduled during the stall, and the latency of each counts from its scheduled start.
+func TestAStallCountsForAllRequestsScheduledDuringIt(t *testing.T) {
 	const stall = 400 * time.Millisecond
 	var n atomic.Int64
 	release := make(chan struct{})
-	to := target(t, func(http.ResponseWriter, *http.Request) {
+	addr := startTarget(t, func(http.ResponseWriter, *http.Request) {
 		if n.Add(1) == 1 {
 			time.AfterFunc(stall, func() { close(release) })
 		}
 		<-release
 	})
-	r := Run{Target: to, Rate: 100, For: 300 * time.Millisecond, Conns: 1, Word: get, Patience: 10 * time.Second}
+	r := Run{Target: addr, Rate: 100, For: 300 * time.Millisecond, Conns: 1, Word: get, Patience: 10 * time.Second}
 	o, err := r.Play(context.Background(), nil)
 	require.NoError(t, err)
 	require.Equal(t, o.Asked, o.Finished)
-	// All 30 were due within the stall, on the one connection that it held up: none of them can have been quick.
+	// All 30 were scheduled during the stall, on the one connection that it blocked: none of them can have been fast.
 	assert.GreaterOrEqual(t, o.Latency.Min(), (stall-300*time.Millisecond).Microseconds()/2)
 	assert.GreaterOrEqual(t, o.At(50), stall/3)
 }
 
-func TestATargetThatIsNotThereFails(t *testing.T) {
+func TestRequestsToAnUnreachableTargetFail(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ln.Close()
@@ -71,24 +71,25 @@
 	assert.Equal(t, o.Asked, o.Failed)
 }
 
-func TestAClosedConnectionIsNoFailure(t *testing.T) {
-	to := target(t, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Connection", "close") })
-	r := Run{Target: to, Rate: 100, For: 300 * time.Millisecond, Conns: 2, Word: get, Patience: 5 * time.Second}
+func TestARequestOnAClosedConnectionIsSentAgain(t *testing.T) {
+	addr := startTarget(t, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Connection", "close") })
+	r := Run{Target: addr, Rate: 100, For: 300 * time.Millisecond, Conns: 2, Word: get, Patience: 5 * time.Second}
 	o, err := r.Play(context.Background(), nil)
 	require.NoError(t, err)
 	assert.Equal(t, o.Asked, o.Finished)
 }
 
-// The knee of a target that serves just so many at once lies where its own arithmetic says.
-func TestTheKneeIsFoundBetweenWhatHoldsAndWhatDoesNot(t *testing.T) {
+// The target rejects every request after the first 120: each step must be judged by its own outcome, and the knee must lie at the
+// highest rate that was sustained.
+func TestTheKneeIsBetweenSustainedAndFailedRates(t *testing.T) {
 	var budget atomic.Int64
-	budget.Store(120) // finished in all steps together: later ones are turned away
-	to := target(t, func(w http.ResponseWriter, _ *http.Request) {
+	budget.Store(120) // requests finished in all steps together; later ones are rejected
+	addr := startTarget(t, func(w http.ResponseWriter, _ *http.Request) {
 		if budget.Add(-1) < 0 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	k := Knee{Run: Run{Target: to, Rate: 100, For: 200 * time.Millisecond, Conns: 16, Word: get, Patience: 5 * time.Second},
+	k := Knee{Run: Run{Target: addr, Rate: 100, For: 200 * time.Millisecond, Conns: 16, Word: get, Patience: 5 * time.Second},
 		P99: 10 * time.Second, Least: 1, Steps: 2}
 	rate, steps, err := k.Find(context.Background(), nil)
 	require.NoError(t, err)
@@ -102,15 +103,15 @@
 	assert.GreaterOrEqual(t, rate, 100.0)
 }
 
-func TestWhatCannotBeAskedIsSaid(t *testing.T) {
+func TestInvalidParametersAreReported(t *testing.T) {
 	good := Run{Target: "127.0.0.1:1", Rate: 1, For: time.Second, Conns: 1, Word: get, Patience: time.Second}
-	for says, spoil := range map[string]func(*Run){
+	for text, invalidate := range map[string]func(*Run){
 		"rate": func(r *Run) { r.Rate = 0 }, "length": func(r *Run) { r.For = 0 }, "connections": func(r *Run) { r.Conns = 0 },
 		"patience": func(r *Run) { r.Patience = 0 }, "target": func(r *Run) { r.Target = "nowhere" },
 	} {
 		r := good
-		spoil(&r)
+		invalidate(&r)
 		_, err := r.Play(context.Background(), nil)
-		assert.ErrorContains(t, err, says, fmt.Sprint(r.Rate))
+		assert.ErrorContains(t, err, text, fmt.Sprint(r.Rate))
 	}
 }
