--- a/lab/sysfaults/sysfaults.go
+++ b/lab/sysfaults/sysfaults.go
@@ -1,6 +1,6 @@
-// Package sysfaults builds programs of this repository whose system calls fail at times, by an overlay of the toolchain's
-// own syscall package at build, and words what is to fail for one process. Neither the repository nor the toolchain is
-// changed, and a program that is told of no faults behaves as any other.
+// Package sysfaults injects faults into the system calls of programs of this repository. It builds a program with an overlay of
+// the toolchain's syscall package, and encodes the fault plan that a process reads from its environment. Neither the repository
+// nor the toolchain is modified, and a program without a fault plan behaves as usual.
 package sysfaults
 
 import (
@@ -18,13 +18,13 @@
 	_ "embed"
 )
 
-// Variable names the environment variable by which a process is told its faults, as Plan.Environment words them.
+// EnvVar is the environment variable that holds the fault plan of a process, as encoded by Plan.Environment.
 const EnvVar = "SWIFTHALL_SYSTEM_FAULTS"
 
-// Call is a system call that can be made to fail.
+// Call is a system call into which faults can be injected.
 type Call int
 
-// The calls; the overlay knows them by these numbers.
+// The system calls. The numbers are part of the encoding that the overlay reads.
 const (
 	Read Call = iota
 	Write
@@ -41,7 +41,7 @@
 // Target restricts a fault to one kind of descriptor.
 type Target int
 
-// The targets; the overlay knows them by these numbers.
+// The targets. The numbers are part of the encoding that the overlay reads.
 const (
 	Any Target = iota
 	Sockets
@@ -49,10 +49,10 @@
 	Pipes
 )
 
-// Short is, in the place of an errno, a transfer of fewer bytes than were asked for.
+// Short, in place of an errno, makes a call transfer fewer bytes than requested.
 const Short syscall.Errno = 0
 
-// Fault makes one in OneIn calls on descriptors of a kind fail with an errno.
+// Fault makes a random one in OneIn calls on descriptors of the target kind fail with an errno.
 type Fault struct {
 	Call   Call
 	Errno  syscall.Errno
@@ -60,15 +60,15 @@
 	Target Target
 }
 
-// Plan is what is to fail in one process. Faults are active for the first Active of each Period, from the process's start;
-// a zero Period has them active throughout.
+// Plan holds the faults of one process. They are active for the first Active of each Period, counted from the first system call
+// that can fail; with a zero Period they are always active.
 type Plan struct {
 	Seed           uint32
 	Period, Active time.Duration
 	Faults         []Fault
 }
 
-// Environment is the entry by which a process is told the plan.
+// Environment returns the plan as an environment entry, NAME=value. The seed is made odd, since the generator never leaves 0.
 func (p Plan) Environment() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s=%d %d %d ", EnvVar, p.Seed|1, p.Period.Milliseconds(), p.Active.Milliseconds())
@@ -78,12 +78,13 @@
 	return b.String()
 }
 
-// faulty is added to the syscall package.
+// injectorSource is the file that the overlay adds to the syscall package.
 //
 //go:embed faulty.go.txt
 var injectorSource string
 
-// hooks are the lines that are put at the beginning of the toolchain's functions, by the beginning of their declarations.
+// hookLines are the statements that the overlay inserts at the beginning of the toolchain's functions, by a pattern for the start of
+// their declarations. The first argument of fault is the number of the Call.
 var hookLines = map[string]string{
 	`func read\(fd int, p \[\]byte\)`:                 `	if e, short := fault(0, fd, len(p)); e != 0 { return -1, e } else if short > 0 { p = p[:short] }`,
 	`func write\(fd int, p \[\]byte\)`:                `	if e, short := fault(1, fd, len(p)); e != 0 { return -1, e } else if short > 0 { p = p[:short] }`,
@@ -97,59 +98,60 @@
 	`func openat\(dirfd int, path string, `:           `	if e, _ := fault(9, -1, 0); e != 0 { return -1, e }`,
 }
 
-// Build builds a command of the repository at root, such as ./cmd/swifthall, with the overlay.
+// Build builds a command of the repository at root, such as ./cmd/swifthall, with the overlay, and writes the program to out.
 func Build(root, command, out string) error {
-	folder, err := os.MkdirTemp("", "sysfaults")
+	dir, err := os.MkdirTemp("", "sysfaults")
 	if err != nil {
 		return &BuildError{command, "", err}
 	}
-	defer os.RemoveAll(folder)
+	defer os.RemoveAll(dir)
 	goroot, err := exec.Command("go", "env", "GOROOT").Output()
 	if err != nil {
 		return &BuildError{command, "", err}
 	}
 	source := filepath.Join(strings.TrimSpace(string(goroot)), "src", "syscall")
-	overlaid, err := overlay(folder, source)
+	overlayFile, err := overlay(dir, source)
 	if err != nil {
 		return &BuildError{command, "", err}
 	}
-	cmd := exec.Command("go", "build", "-overlay", overlaid, "-o", out, command)
+	cmd := exec.Command("go", "build", "-overlay", overlayFile, "-o", out, command)
 	cmd.Dir = root
-	if says, err := cmd.CombinedOutput(); err != nil {
-		return &BuildError{command, string(says), err}
+	if output, err := cmd.CombinedOutput(); err != nil {
+		return &BuildError{command, string(output), err}
 	}
 	return nil
 }
 
-// overlay writes the changed files and the file that names them, and returns the latter's path.
-func overlay(folder, source string) (string, error) {
+// overlay writes the changed syscall sources and the overlay file for the go command to a directory. It returns the path of the
+// overlay file.
+func overlay(dir, source string) (string, error) {
 	name := fmt.Sprintf("zsyscall_linux_%s.go", runtime.GOARCH)
 	raw, err := os.ReadFile(filepath.Join(source, name))
 	if err != nil {
 		return "", err
 	}
 	for declaration, hook := range hookLines {
-		begins := regexp.MustCompile(`(?m)^` + declaration + `.*\{$`)
-		at := begins.FindIndex(raw)
-		if at == nil {
+		pattern := regexp.MustCompile(`(?m)^` + declaration + `.*\{$`)
+		match := pattern.FindIndex(raw)
+		if match == nil {
 			return "", &HookError{declaration}
 		}
-		raw = append(raw[:at[1]:at[1]], append([]byte("\n"+hook), raw[at[1]:]...)...)
+		raw = append(raw[:match[1]:match[1]], append([]byte("\n"+hook), raw[match[1]:]...)...)
 	}
-	changed, added := filepath.Join(folder, name), filepath.Join(folder, "faulty.go")
+	changed, added := filepath.Join(dir, name), filepath.Join(dir, "faulty.go")
 	if err := os.WriteFile(changed, raw, 0o600); err != nil {
 		return "", err
 	}
 	if err := os.WriteFile(added, []byte(injectorSource), 0o600); err != nil {
 		return "", err
 	}
-	words, err := json.Marshal(map[string]map[string]string{"Replace": {
+	spec, err := json.Marshal(map[string]map[string]string{"Replace": {
 		filepath.Join(source, name):                   changed,
 		filepath.Join(source, "zfaulty_swifthall.go"): added,
 	}})
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(folder, "overlay.json")
-	return path, os.WriteFile(path, words, 0o600)
+	path := filepath.Join(dir, "overlay.json")
+	return path, os.WriteFile(path, spec, 0o600)
 }
