--- a/lab/soak/backend.go
+++ b/lab/soak/backend.go
@@ -15,20 +15,21 @@
 // Behavior is how a backend treats requests.
 type Behavior int32
 
-// The conducts of a backend.
+// The behaviors of a backend.
 const (
-	Normal    Behavior = iota // answers after some milliseconds
+	Normal    Behavior = iota // answers after a few milliseconds
 	Slow                      // answers late
-	Hangs                     // takes requests and never answers
-	Resets                    // resets the connection under a request
-	Refuses                   // turns requests away as not run
+	Hangs                     // accepts requests and never answers
+	Resets                    // resets the connection after reading a request
+	Refuses                   // refuses requests without running them
 	Fails                     // answers with an error
-	Truncates                 // sends half of an answer and hangs
+	Truncates                 // sends half of an answer, then nothing more
 )
 
+// behaviorCount is the number of behaviors.
 const behaviorCount = 7
 
-// backend is a stand-in for one backend.
+// backend is a fake backend that records the requests that it receives.
 type backend struct {
 	number   int
 	id       string
@@ -38,17 +39,17 @@
 	ln       net.Listener
 }
 
-func newBackend(w *rig, number int) (*backend, error) {
+func newBackend(r *rig, number int) (*backend, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &backend{number: number, id: fmt.Sprintf("s-%d", number), addr: ln.Addr().String(), rig: w, ln: ln}
+	b := &backend{number: number, id: fmt.Sprintf("s-%d", number), addr: ln.Addr().String(), rig: r, ln: ln}
 	go acceptAll(ln, b.serve)
 	return b, nil
 }
 
-// acceptAll serves each connection of a listener until it is closed.
+// acceptAll serves each connection in its own goroutine until the listener is closed.
 func acceptAll(ln net.Listener, serve func(net.Conn)) {
 	for {
 		nc, err := ln.Accept()
@@ -59,42 +60,43 @@
 	}
 }
 
+// serve answers the requests of one connection and records the arrival of each.
 func (b *backend) serve(nc net.Conn) {
 	defer nc.Close()
-	dice := rand.New(rand.NewPCG(b.rig.seed, uint64(b.number)))
+	rng := rand.New(rand.NewPCG(b.rig.seed, uint64(b.number)))
 	for r := bufio.NewReader(nc); ; {
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		a := Arrival{Backend: b.number, FirstByte: b.rig.now(), LastByte: Never}
+		arrival := Arrival{Backend: b.number, FirstByte: b.rig.now(), LastByte: Never}
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		a.ID = req.Header.Get("X-Txn")
+		arrival.ID = req.Header.Get("X-Txn")
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
-			b.rig.history.addArrival(a)
+			b.rig.history.addArrival(arrival)
 			return
 		}
-		a.LastByte, a.Remaining = b.rig.now(), parseRemaining(req.Header.Get("X-Remaining"))
-		how := Behavior(b.behavior.Load())
-		a.Refused = how == Refuses
-		b.rig.history.addArrival(a)
-		if !b.answer(nc, r, how, a.ID, dice) {
+		arrival.LastByte, arrival.Remaining = b.rig.now(), parseRemaining(req.Header.Get("X-Remaining"))
+		behavior := Behavior(b.behavior.Load())
+		arrival.Refused = behavior == Refuses
+		b.rig.history.addArrival(arrival)
+		if !b.answer(nc, r, behavior, arrival.ID, rng) {
 			return
 		}
 	}
 }
 
-// answer does with one request as the conduct says, and tells whether the connection goes on.
-func (b *backend) answer(nc net.Conn, r *bufio.Reader, how Behavior, id string, dice *rand.Rand) bool {
-	between := func(least, most int) { time.Sleep(time.Duration(least+dice.IntN(most-least)) * time.Millisecond) }
-	switch how {
+// answer treats one request according to a behavior, and reports whether the connection stays open.
+func (b *backend) answer(nc net.Conn, r *bufio.Reader, behavior Behavior, id string, rng *rand.Rand) bool {
+	sleepBetween := func(minMs, maxMs int) { time.Sleep(time.Duration(minMs+rng.IntN(maxMs-minMs)) * time.Millisecond) }
+	switch behavior {
 	case Hangs:
-		_, _ = r.Peek(1) // until the front door gives up
+		_, _ = r.Peek(1) // blocks until the front door closes the connection
 		return false
 	case Resets:
-		between(1, 30)
+		sleepBetween(1, 30)
 		_ = nc.(*net.TCPConn).SetLinger(0)
 		return false
 	case Refuses:
@@ -108,15 +110,16 @@
 		_, _ = r.Peek(1)
 		return false
 	case Slow:
-		between(200, 900)
+		sleepBetween(200, 900)
 	default:
-		between(3, 30)
+		sleepBetween(3, 30)
 	}
 	_, err := fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 	return err == nil
 }
 
-// parseRemaining reads a time as the protocol page words it: a number with m for milliseconds or u for microseconds.
+// parseRemaining parses a duration in the form of the protocol: a number with the suffix m for milliseconds or u for
+// microseconds.
 func parseRemaining(text string) time.Duration {
 	unit := time.Millisecond
 	if strings.HasSuffix(text, "u") {
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	clientGrace        = 2 * time.Second // behind a request's deadline and the time in which a late answer counts
-	stalledConnTimeout = 4 * time.Second
+	clientGrace        = 2 * time.Second // after a request's deadline and answerGrace, before the client stops waiting
+	stalledConnTimeout = 4 * time.Second // how long a client keeps a connection on which it sent half a request
 )
 
-// client is one client of a door. It keeps its connection, and uses it for as long as it stays open.
+// client is one client of a door. It reuses its connection for as long as that stays open.
 type client struct {
 	rig  *rig
 	door *door
@@ -29,9 +29,10 @@
 	r    *bufio.Reader
 }
 
+// requestCount numbers the requests of all clients.
 var requestCount atomic.Uint64
 
-// run asks until the day is over.
+// run sends requests until the run of the rig is over.
 func (c *client) run() {
 	defer c.disconnect()
 	for !c.rig.over() {
@@ -44,6 +45,7 @@
 	}
 }
 
+// randomDelay returns a random duration of at most ms milliseconds.
 func (c *client) randomDelay(ms int) time.Duration {
 	return time.Duration(c.rng.IntN(ms+1)) * time.Millisecond
 }
@@ -67,18 +69,18 @@
 	}
 }
 
-// sendMode is how a client brings one request.
+// sendMode is how a client sends one request.
 type sendMode int
 
 const (
 	sendAtOnce     sendMode = iota
-	sendDelayed             // some time after its connection came up
-	sendInTwoParts          // in two pieces
-	sendAndClose            // and closes before its answer
-	sendHalf                // in the middle of it, and stays
+	sendDelayed             // some time after connecting
+	sendInTwoParts          // in two parts, with a pause between
+	sendAndClose            // whole, and closes before the answer
+	sendHalf                // only a part, and keeps the connection open
 )
 
-// drawMode picks a manner by its share of the requests, in percent.
+// drawMode draws a mode; the thresholds are cumulative percentages.
 func (c *client) drawMode() sendMode {
 	switch n := c.rng.IntN(100); {
 	case c.rig.delayRequests:
@@ -95,16 +97,16 @@
 	return sendHalf
 }
 
-// sendRequest brings one request in a manner drawn.
+// sendRequest sends one request in a random mode and records how it ended.
 func (c *client) sendRequest() {
-	how := c.drawMode()
+	mode := c.drawMode()
 	q := c.newRequest()
 	text := c.encode(&q)
 	half := len(text)
-	if how == sendInTwoParts || how == sendHalf {
+	if mode == sendInTwoParts || mode == sendHalf {
 		half = 1 + c.rng.IntN(len(text)-1)
 	}
-	if how == sendDelayed {
+	if mode == sendDelayed {
 		c.disconnect()
 		if !c.connect() {
 			return
@@ -121,7 +123,7 @@
 			c.disconnect()
 			return
 		}
-		if how == sendHalf {
+		if mode == sendHalf {
 			c.holdOpen()
 			return
 		}
@@ -134,7 +136,7 @@
 		c.record(q)
 		return
 	}
-	if how == sendAndClose {
+	if mode == sendAndClose {
 		time.Sleep(c.randomDelay(200))
 		c.disconnect()
 		q.End, q.Ended = ClientClosed, c.rig.now()
@@ -145,20 +147,21 @@
 	c.record(q)
 }
 
-// closedByDoor tells whether the door has closedByDoor the connection: a client doesn't begin a request on one that it knows to be closed.
-func (c *client) closedByDoor() (is bool) {
+// closedByDoor reports whether the door has closed the connection: a client does not send a request on a connection that it
+// knows to be closed.
+func (c *client) closedByDoor() (closed bool) {
 	raw, err := c.nc.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return true
 	}
 	_ = raw.Control(func(fd uintptr) {
 		n, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		is = n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET)
+		closed = n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET)
 	})
-	return is
+	return closed
 }
 
-// record records a request; a connection that did not carry a whole answer is not used again.
+// record records a request. Unless a complete answer came, the connection is not used again.
 func (c *client) record(q Request) {
 	c.rig.history.addRequest(q)
 	if q.End != Answered {
@@ -166,25 +169,26 @@
 	}
 }
 
-// holdOpen keeps a connection on which half a request was written, until it is closed or answered.
+// holdOpen keeps a connection with half a request open until the door closes or answers it, at most for stalledConnTimeout.
 func (c *client) holdOpen() {
 	c.nc.SetReadDeadline(time.Now().Add(stalledConnTimeout))
 	_, _ = c.r.Peek(1)
 	c.disconnect()
 }
 
-// newRequest draws what to ask for.
+// newRequest draws the semantics and the deadline of a new request.
 func (c *client) newRequest() Request {
-	longest := c.rig.history.MaxDeadline
+	maxDeadline := c.rig.history.MaxDeadline
 	return Request{ID: fmt.Sprintf("%016x", c.rig.seed<<40|requestCount.Add(1)), Door: c.door.number,
-		Semantics: Semantics(c.rng.IntN(3)), Wait: longest - time.Duration(c.rng.Int64N(int64(longest)/2))}
+		Semantics: Semantics(c.rng.IntN(3)), Wait: maxDeadline - time.Duration(c.rng.Int64N(int64(maxDeadline)/2))}
 }
 
+// encode returns the bytes of a request.
 func (c *client) encode(q *Request) string {
 	var b strings.Builder
-	what := [...]string{Idempotent: "GET /look", Keyed: "POST /book", NonIdempotent: "POST /pay"}[q.Semantics]
+	target := [...]string{Idempotent: "GET /look", Keyed: "POST /book", NonIdempotent: "POST /pay"}[q.Semantics]
 	fmt.Fprintf(&b, "%s?key=%016x HTTP/1.1\r\nHost: d\r\nX-Txn: %s\r\nX-Tariff: team\r\nX-Remaining: %dm\r\nX-Weight: units=1,spread=1,first=0\r\n",
-		what, c.rng.IntN(100), q.ID, q.Wait.Milliseconds())
+		target, c.rng.IntN(100), q.ID, q.Wait.Milliseconds())
 	if q.Semantics == Keyed {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", q.ID)
 	}
@@ -196,7 +200,7 @@
 	return b.String() + "\r\n"
 }
 
-// readAnswer reads the readAnswer to a request, and records how that ended.
+// readAnswer reads the answer to a request and sets how the request ended.
 func (c *client) readAnswer(q *Request) {
 	until := q.Sent + q.Wait + answerGrace + clientGrace
 	c.nc.SetReadDeadline(time.Now().Add(until - c.rig.now()))
--- a/lab/soak/contention.go
+++ b/lab/soak/contention.go
@@ -16,43 +16,44 @@
 	minContention      = 10 * time.Millisecond
 )
 
-// measureContention records when the threads of a door were ready to run and had no core, by the kernel's own count: what the
-// machine holds up is not the door's doing.
-func (w *rig) measureContention() {
+// measureContention records when threads of a door were ready to run but had no core, according to the kernel's statistics. Such
+// delays are caused by the machine, not by the door.
+func (r *rig) measureContention() {
 	before := map[string]time.Duration{}
-	for !w.over() {
-		due := w.now()
+	for !r.over() {
+		due := r.now()
 		time.Sleep(contentionInterval)
-		for _, d := range w.doors {
-			if most := longestThreadWait(d.pid(), before); most > minContention {
-				w.history.addStall(Stall{Door: d.number, Due: due, Late: most})
+		for _, d := range r.doors {
+			if longest := longestThreadWait(d.pid(), before); longest > minContention {
+				r.history.addStall(Stall{Door: d.number, Due: due, Late: longest})
 			}
 		}
 	}
 }
 
-// longestThreadWait is the longest that one thread of a process has longestThreadWait for a core since the last look.
-func longestThreadWait(process int, before map[string]time.Duration) (most time.Duration) {
-	if process == 0 {
+// longestThreadWait returns the longest time that any one thread of a process has waited for a core since the previous call.
+// before holds the totals of that call.
+func longestThreadWait(pid int, before map[string]time.Duration) (longest time.Duration) {
+	if pid == 0 {
 		return 0
 	}
-	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", process))
+	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, file := range threads {
 		raw, err := os.ReadFile(file)
-		fields := bytes.Fields(raw) // time on a core, time waiting for one, turns; ns
+		fields := bytes.Fields(raw) // ns running, ns waiting for a core, number of time slices
 		if err != nil || len(fields) < 2 {
 			continue
 		}
 		ns, _ := strconv.ParseInt(string(fields[1]), 10, 64)
-		if last, known := before[file]; known {
-			most = max(most, time.Duration(ns)-last)
+		if last, seen := before[file]; seen {
+			longest = max(longest, time.Duration(ns)-last)
 		}
 		before[file] = time.Duration(ns)
 	}
-	return most
+	return longest
 }
 
-// pid is the number of the door's present pid; 0 where it has none.
+// pid returns the process id of the door's current incarnation, 0 if none is running.
 func (d *door) pid() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -62,9 +63,9 @@
 	return d.cmd.Process.Pid
 }
 
-// measureNetwork records how long the machine itself takes for a new loopback connection and an echo on it: what it holds up
-// there, neither the rig nor a door can help.
-func (w *rig) measureNetwork() {
+// measureNetwork records how long the machine takes to open a loopback connection and echo a byte over it. Such delays are
+// caused by the machine, not by the rig or a door.
+func (r *rig) measureNetwork() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return
@@ -74,8 +75,8 @@
 		defer nc.Close()
 		_, _ = io.Copy(nc, nc)
 	})
-	for !w.over() {
-		due := w.now()
+	for !r.over() {
+		due := r.now()
 		nc, err := net.DialTimeout("tcp", ln.Addr().String(), time.Second)
 		if err == nil {
 			nc.SetDeadline(time.Now().Add(time.Second))
@@ -84,8 +85,8 @@
 			}
 			nc.Close()
 		}
-		if took := w.now() - due; took > minStall {
-			w.history.addStall(Stall{TheRig, due, took})
+		if elapsed := r.now() - due; elapsed > minStall {
+			r.history.addStall(Stall{TheRig, due, elapsed})
 		}
 		time.Sleep(stallInterval)
 	}
--- a/lab/soak/counter.go
+++ b/lab/soak/counter.go
@@ -11,12 +11,12 @@
 	"sync/atomic"
 )
 
-// counter is a stand-in for the shared counter.
+// counter is a fake of the shared counter.
 type counter struct {
 	addr   string
 	ln     net.Listener
-	busy   atomic.Bool // it turns every call away
-	silent atomic.Bool // it answers nothing
+	busy   atomic.Bool // answers every call with BUSY
+	silent atomic.Bool // answers nothing
 
 	mu     sync.Mutex
 	totals map[string]float64
@@ -32,10 +32,11 @@
 	return c, nil
 }
 
+// serve answers the calls of one connection.
 func (c *counter) serve(nc net.Conn) {
 	defer nc.Close()
 	for r := bufio.NewReader(nc); ; {
-		words, err := readCall(r)
+		args, err := readCall(r)
 		if err != nil {
 			return
 		}
@@ -43,8 +44,8 @@
 		case c.silent.Load():
 		case c.busy.Load():
 			_, err = io.WriteString(nc, "-BUSY\r\n")
-		case len(words) == 4 && words[0] == "TALLY":
-			total := strconv.FormatFloat(c.add(words[1], words[2]), 'g', 7, 64)
+		case len(args) == 4 && args[0] == "TALLY":
+			total := strconv.FormatFloat(c.add(args[1], args[2]), 'g', 7, 64)
 			_, err = fmt.Fprintf(nc, "$%d\r\n%s\r\n", len(total), total)
 		default:
 			_, err = io.WriteString(nc, "+OK\r\n")
@@ -55,6 +56,7 @@
 	}
 }
 
+// add adds an amount to a named total and returns the total.
 func (c *counter) add(name, amount string) float64 {
 	n, _ := strconv.ParseFloat(amount, 64)
 	c.mu.Lock()
@@ -63,7 +65,7 @@
 	return c.totals[name]
 }
 
-// readCall reads one call: an array of bulk strings.
+// readCall reads one call in the counter's protocol: an array of bulk strings.
 func readCall(r *bufio.Reader) ([]string, error) {
 	n, err := readLength(r, '*')
 	if err != nil {
@@ -84,6 +86,7 @@
 	return out, nil
 }
 
+// readLength reads a line that consists of a type byte and a length.
 func readLength(r *bufio.Reader, kind byte) (int, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
--- a/lab/soak/discovery.go
+++ b/lab/soak/discovery.go
@@ -50,13 +50,13 @@
 	watches   map[net.Conn]bool
 }
 
-func newDiscovery(w *rig, door int) (*discovery, error) {
+func newDiscovery(r *rig, door int) (*discovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &discovery{rig: w, door: door, addr: ln.Addr().String(), ln: ln, version: 1, changes: make(chan struct{}), watches: map[net.Conn]bool{}}
-	for _, b := range w.backends {
+	d := &discovery{rig: r, door: door, addr: ln.Addr().String(), ln: ln, version: 1, changes: make(chan struct{}), watches: map[net.Conn]bool{}}
+	for _, b := range r.backends {
 		d.instances = append(d.instances, instance{b.id, b.addr, "a", ready, 1, 0})
 		d.changedIn = append(d.changedIn, 1)
 	}
--- a/lab/soak/door.go
+++ b/lab/soak/door.go
@@ -48,8 +48,8 @@
 
 // settings are the door's configuration, in the platform's form.
 func (d *door) settings() map[string]any {
-	w := d.rig
-	wait := w.history.MaxDeadline.Seconds()
+	r := d.rig
+	wait := r.history.MaxDeadline.Seconds()
 	class := func(name, semantics string, longest float64, more map[string]any) map[string]any {
 		c := map[string]any{"name": name, "aim": longest / 2, "give_up": longest, "semantics": semantics, "late_value": 0.2, "worth": 1}
 		for k, v := range more {
@@ -58,19 +58,19 @@
 		return c
 	}
 	return map[string]any{
-		"name": fmt.Sprintf("n%d", d.number), "listen": d.addr, "discovery": d.agents[d.activeAgent].addr, "counter": w.counter.addr,
-		"seed": fmt.Sprintf("%x", w.seed+uint64(d.number)), "log": map[string]any{"format": "json", "level": w.logLevel()},
+		"name": fmt.Sprintf("n%d", d.number), "listen": d.addr, "discovery": d.agents[d.activeAgent].addr, "counter": r.counter.addr,
+		"seed": fmt.Sprintf("%x", r.seed+uint64(d.number)), "log": map[string]any{"format": "json", "level": r.logLevel()},
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": d.descriptors},
 		"settings": map[string]any{
-			"fleet_size": len(w.doors), "my_number": d.number,
+			"fleet_size": len(r.doors), "my_number": d.number,
 			"profiles": []any{class("look", "idempotent", wait, nil),
-				class("book", "deduplicated", wait, map[string]any{"dedup_scope": "all", "window": w.history.DedupWindow.Seconds()}),
+				class("book", "deduplicated", wait, map[string]any{"dedup_scope": "all", "window": r.history.DedupWindow.Seconds()}),
 				class("pay", "at_most_once", wait, nil)},
 			"tariffs": []any{map[string]any{"name": "team", "rate": 5000, "depth": 5000, "pays": 1}},
 			"extra":   map[string]any{"counter": true, "counter_timeout": 0.1, "units_top": 8},
 			"limits": map[string]any{"cancel": true, "second_copies": true, "max_attempts": 4, "retry_after": true, "max_retry_after": 0.5,
 				"conn_idle": 15, "connect_timeout": 0.25},
-			"safety": map[string]any{"cold_from": 0.25, "cold": 10, "fall_multiple": 4, "tip_after": 1.5, "drain_grace": w.history.DrainGrace.Seconds()},
+			"safety": map[string]any{"cold_from": 0.25, "cold": 10, "fall_multiple": 4, "tip_after": 1.5, "drain_grace": r.history.DrainGrace.Seconds()},
 		},
 	}
 }
--- a/lab/soak/errors.go
+++ b/lab/soak/errors.go
@@ -6,18 +6,20 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// CallError is a line that is no call of the counter.
+// CallError is a line that is not part of a valid call to the counter.
 type CallError struct{ Line string }
 
-func (e *CallError) Error() string     { return fmt.Sprintf("%q is no call of the counter", e.Line) }
+func (e *CallError) Error() string {
+	return fmt.Sprintf("%q is not part of a valid call to the counter", e.Line)
+}
 func (e *CallError) Kind() remedy.Kind { return remedy.Internal }
 
-// Remedy says whose fault it is.
+// Remedy names the sender of the line.
 func (e *CallError) Remedy() string {
-	return "Look at the front door's counter client: it sent this line."
+	return "Check the front door's counter client, which sent this line."
 }
 
-// RigError is a part of the rig that can't be set up.
+// RigError is a part of the test rig that cannot be set up.
 type RigError struct {
 	Part  string
 	Cause error
@@ -27,7 +29,7 @@
 func (e *RigError) Unwrap() error     { return e.Cause }
 func (e *RigError) Kind() remedy.Kind { return remedy.Unreachable }
 
-// Remedy names what the rig needs.
+// Remedy names the requirements of the rig.
 func (e *RigError) Remedy() string {
 	return "Check that the program can be started and that loopback ports are free on this machine."
 }
--- a/lab/soak/rig.go
+++ b/lab/soak/rig.go
@@ -57,21 +57,21 @@
 	ended         atomic.Bool
 }
 
-func (w *rig) now() Instant { return time.Since(w.began) }
+func (r *rig) now() Instant { return time.Since(r.began) }
 
 // logLevel is the doors' logLevel of logging: where the logs are kept, they tell single requests.
-func (w *rig) logLevel() string {
-	if w.logDir == "" {
+func (r *rig) logLevel() string {
+	if r.logDir == "" {
 		return "info"
 	}
 	return "debug"
 }
 
-func (w *rig) over() bool { return w.ended.Load() }
+func (r *rig) over() bool { return r.ended.Load() }
 
 // backendNumber finds a backend by its name on the list.
-func (w *rig) backendNumber(id string) int {
-	for _, b := range w.backends {
+func (r *rig) backendNumber(id string) int {
+	for _, b := range r.backends {
 		if b.id == id {
 			return b.number
 		}
@@ -86,45 +86,45 @@
 
 // setUp builds the world of a day in a folder.
 func setUp(day Config, folder string) (*rig, error) {
-	w := &rig{seed: day.Seed, program: day.Program, logDir: day.LogDir, logFault: day.LogFault, delayRequests: day.DelayRequests, began: time.Now(),
+	r := &rig{seed: day.Seed, program: day.Program, logDir: day.LogDir, logFault: day.LogFault, delayRequests: day.DelayRequests, began: time.Now(),
 		history: &History{MaxDeadline: day.MaxDeadline, DedupWindow: dedupWindow, DrainGrace: drainGrace}}
 	for i := range day.Backends {
-		b, err := newBackend(w, i)
+		b, err := newBackend(r, i)
 		if err != nil {
-			return w, &RigError{"a backend", err}
+			return r, &RigError{"a backend", err}
 		}
-		w.backends = append(w.backends, b)
+		r.backends = append(r.backends, b)
 	}
 	var err error
-	if w.counter, err = newCounter(); err != nil {
-		return w, &RigError{"a counter", err}
+	if r.counter, err = newCounter(); err != nil {
+		return r, &RigError{"a counter", err}
 	}
 	for i := range day.Doors {
 		addr, err := loopback.Free()
 		if err != nil {
-			return w, err
+			return r, err
 		}
-		d := &door{rig: w, number: i, addr: addr, descriptors: day.Descriptors, configFile: filepath.Join(folder, fmt.Sprintf("door%d.json", i))}
+		d := &door{rig: r, number: i, addr: addr, descriptors: day.Descriptors, configFile: filepath.Join(folder, fmt.Sprintf("door%d.json", i))}
 		for k := range d.agents {
-			if d.agents[k], err = newDiscovery(w, i); err != nil {
-				return w, &RigError{"discovery", err}
+			if d.agents[k], err = newDiscovery(r, i); err != nil {
+				return r, &RigError{"discovery", err}
 			}
 		}
 		d.agents[1].setInactive(true)
-		w.doors = append(w.doors, d)
+		r.doors = append(r.doors, d)
 	}
-	return w, nil
+	return r, nil
 }
 
 // takeDown ends what setUp began.
-func (w *rig) takeDown() {
-	for _, b := range w.backends {
+func (r *rig) takeDown() {
+	for _, b := range r.backends {
 		b.ln.Close()
 	}
-	if w.counter != nil {
-		w.counter.ln.Close()
+	if r.counter != nil {
+		r.counter.ln.Close()
 	}
-	for _, d := range w.doors {
+	for _, d := range r.doors {
 		for _, a := range d.agents {
 			if a != nil {
 				a.ln.Close()
@@ -140,35 +140,35 @@
 		return nil, &RigError{"a folder", err}
 	}
 	defer os.RemoveAll(folder)
-	w, err := setUp(day, folder)
-	defer w.takeDown()
+	r, err := setUp(day, folder)
+	defer r.takeDown()
 	if err != nil {
 		return nil, err
 	}
-	s := newSchedule(w, day)
-	for i, d := range w.doors {
+	s := newSchedule(r, day)
+	for i, d := range r.doors {
 		if err := d.start(s.drawFaults(i)); err != nil {
 			return nil, err
 		}
 	}
 	var clients, events sync.WaitGroup
-	clients.Go(w.measureStalls)
-	clients.Go(w.measureContention)
-	clients.Go(w.measureNetwork)
-	for _, d := range w.doors {
+	clients.Go(r.measureStalls)
+	clients.Go(r.measureContention)
+	clients.Go(r.measureNetwork)
+	for _, d := range r.doors {
 		for k := range day.Clients {
-			c := &client{rig: w, door: d, rng: rand.New(rand.NewPCG(day.Seed, uint64(d.number*1000+k)))}
+			c := &client{rig: r, door: d, rng: rand.New(rand.NewPCG(day.Seed, uint64(d.number*1000+k)))}
 			clients.Go(c.run)
 		}
 		for range day.IdleClients {
-			clients.Go(func() { w.idle(d) })
+			clients.Go(func() { r.idle(d) })
 		}
 	}
 	s.run(&events)
 	events.Wait()
-	w.ended.Store(true)
+	r.ended.Store(true)
 	clients.Wait()
-	return w.history, nil
+	return r.history, nil
 }
 
 const (
@@ -179,19 +179,19 @@
 )
 
 // measureStalls records when the rig itself was late.
-func (w *rig) measureStalls() {
-	for !w.over() {
-		due := w.now() + stallInterval
+func (r *rig) measureStalls() {
+	for !r.over() {
+		due := r.now() + stallInterval
 		time.Sleep(stallInterval)
-		if late := w.now() - due; late > minStall {
-			w.history.addStall(Stall{TheRig, due, late})
+		if late := r.now() - due; late > minStall {
+			r.history.addStall(Stall{TheRig, due, late})
 		}
 	}
 }
 
 // idle is a client that connects and asks nothing.
-func (w *rig) idle(d *door) {
-	for !w.over() {
+func (r *rig) idle(d *door) {
+	for !r.over() {
 		time.Sleep(idlePollInterval)
 		if !d.acceptsClients() {
 			continue
@@ -200,7 +200,7 @@
 		if err != nil {
 			continue
 		}
-		for !w.over() {
+		for !r.over() {
 			nc.SetReadDeadline(time.Now().Add(idlePollInterval))
 			if _, err := nc.Read(make([]byte, 1)); err != nil && !os.IsTimeout(err) {
 				break
--- a/lab/soak/schedule.go
+++ b/lab/soak/schedule.go
@@ -16,8 +16,8 @@
 	rng *rand.Rand
 }
 
-func newSchedule(w *rig, day Config) *schedule {
-	return &schedule{w, day, rand.New(rand.NewPCG(day.Seed, 0))}
+func newSchedule(r *rig, day Config) *schedule {
+	return &schedule{r, day, rand.New(rand.NewPCG(day.Seed, 0))}
 }
 
 // systemFaults are those that a process may have, each at the rate given at most.
