--- a/lab/soak/check_test.go
+++ b/lab/soak/check_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// cleanHistory is a record with one door that is told to end and one request that is served.
+// cleanHistory returns a history without violations: one door that is terminated, and one request that is answered.
 func cleanHistory() *History {
 	return &History{MaxDeadline: 2 * time.Second, DedupWindow: dedupWindow, DrainGrace: drainGrace,
 		Requests:     []Request{{ID: "a", Sent: time.Second, Wait: time.Second, End: Answered, Ended: 1100 * time.Millisecond, Status: 200, Body: "a"}},
@@ -15,37 +15,37 @@
 		Incarnations: []Incarnation{{Ready: 20 * time.Millisecond, Term: 2 * time.Second, Kill: Never, Exited: 2700 * time.Millisecond}}}
 }
 
-func TestTheJudgeFindsEachPlantedFault(t *testing.T) {
+func TestTheCheckerFindsEachPlantedViolation(t *testing.T) {
 	assert.Empty(t, Check(cleanHistory()))
 	at := func(s float64) Instant { return Instant(s * float64(time.Second)) }
 	for name, c := range map[string]struct {
 		rule  Rule
 		plant func(*History)
 	}{
-		"never answered":        {RuleLost, func(r *History) { r.Requests[0].End = TimedOut }},
-		"answered too late":     {RuleLost, func(r *History) { r.Requests[0].Ended = at(2.7) }},
-		"forwarded and closed":  {RuleLost, func(r *History) { r.Requests[0].End = ConnClosed }},
-		"read and closed":       {RuleLost, func(r *History) { r.Requests[0].End, r.Requests[0].Ended, r.Arrivals = ConnClosed, at(1.3), nil }},
-		"cut within its answer": {RuleLost, func(r *History) { r.Requests[0].End = Partial }},
-		"open at the kill": {RuleLost, func(r *History) {
+		"never answered":                          {RuleLost, func(r *History) { r.Requests[0].End = TimedOut }},
+		"answered too late":                       {RuleLost, func(r *History) { r.Requests[0].Ended = at(2.7) }},
+		"forwarded, but closed without an answer": {RuleLost, func(r *History) { r.Requests[0].End = ConnClosed }},
+		"read, but closed without an answer":      {RuleLost, func(r *History) { r.Requests[0].End, r.Requests[0].Ended, r.Arrivals = ConnClosed, at(1.3), nil }},
+		"closed within its answer":                {RuleLost, func(r *History) { r.Requests[0].End = Partial }},
+		"still open at the kill": {RuleLost, func(r *History) {
 			r.Requests[0].End, r.Requests[0].Ended, r.Incarnations[0].Kill, r.Incarnations[0].Exited = ConnClosed, at(4.7), at(4.7), at(4.7)
 		}},
-		"begun behind the close": {RuleGone, func(r *History) {
+		"attempt begun after the client closed": {RuleGone, func(r *History) {
 			r.Requests[0].End, r.Requests[0].Ended, r.Arrivals[0].FirstByte = ClientClosed, at(1), at(1.16)
 		}},
 		"ran twice": {RuleDuplicate, func(r *History) {
 			r.Requests[0].Semantics, r.Arrivals = NonIdempotent, append(r.Arrivals, r.Arrivals[0])
 		}},
-		"repeated past its window": {RuleDuplicate, func(r *History) {
+		"repeated after the deduplication window": {RuleDuplicate, func(r *History) {
 			r.Requests[0].Semantics = Keyed
 			r.Arrivals = append(r.Arrivals, Arrival{ID: "a", FirstByte: at(3.1), LastByte: at(3.1)})
 		}},
-		"told more than it had":    {RuleDeadline, func(r *History) { r.Arrivals[0].Remaining = at(1.2) }},
-		"sent to one that drains":  {RuleDrain, func(r *History) { r.Notifications = []Notification{{At: at(0.4)}} }},
-		"ended by itself":          {RuleCrash, func(r *History) { r.Incarnations[0].Crash = "exit status 2" }},
-		"never ready":              {RuleReady, func(r *History) { r.Incarnations[0].Ready, r.Incarnations[0].Exited = Never, at(20) }},
-		"counted a violation":      {RuleInvariant, func(r *History) { r.Incarnations[0].InvariantViolations = 1 }},
-		"another request's answer": {RuleWrongBody, func(r *History) { r.Requests[0].Body = "b" }},
+		"given more time than was left": {RuleDeadline, func(r *History) { r.Arrivals[0].Remaining = at(1.2) }},
+		"sent to a draining backend":    {RuleDrain, func(r *History) { r.Notifications = []Notification{{At: at(0.4)}} }},
+		"exited by itself":              {RuleCrash, func(r *History) { r.Incarnations[0].Crash = "exit status 2" }},
+		"never became ready":            {RuleReady, func(r *History) { r.Incarnations[0].Ready, r.Incarnations[0].Exited = Never, at(20) }},
+		"reported a violation":          {RuleInvariant, func(r *History) { r.Incarnations[0].InvariantViolations = 1 }},
+		"another request's answer":      {RuleWrongBody, func(r *History) { r.Requests[0].Body = "b" }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := cleanHistory()
@@ -60,20 +60,20 @@
 	}
 }
 
-func TestTheJudgeAllowsWhatTheTermsAllow(t *testing.T) {
+func TestTheCheckerAcceptsWhatTheTermsAllow(t *testing.T) {
 	for name, allowed := range map[string]func(*History){
-		"crossed a close unread": func(r *History) {
+		"unread when the connection was closed": func(r *History) {
 			r.Requests[0].End, r.Requests[0].Ended, r.Arrivals = ConnClosed, 1100*time.Millisecond, nil
 		},
-		"killed outright": func(r *History) {
+		"killed without SIGTERM": func(r *History) {
 			r.Requests[0].End, r.Incarnations[0] = ConnClosed, Incarnation{Ready: 1, Term: Never, Kill: 1050 * time.Millisecond, Exited: 1060 * time.Millisecond, KilledWithoutTerm: true}
 		},
-		"turned away, sent again": func(r *History) {
+		"refused, then sent again": func(r *History) {
 			r.Requests[0].Semantics = NonIdempotent
 			r.Arrivals[0].Refused = true
 			r.Arrivals = append(r.Arrivals, Arrival{ID: "a", FirstByte: 1, LastByte: 1})
 		},
-		"turned away alone": func(r *History) {
+		"refused and not sent again": func(r *History) {
 			r.Requests[0].Semantics = Keyed
 			r.Requests[0].Status, r.Arrivals[0].Refused = 429, true
 			r.Requests[0].Sent += 3 * time.Second
@@ -81,7 +81,7 @@
 			r.Arrivals[0].FirstByte += 3 * time.Second
 			r.Arrivals[0].LastByte += 3 * time.Second
 		},
-		"ready again": func(r *History) { r.Notifications = []Notification{{At: 100}, {At: 200, Ready: true}} },
+		"listed as ready again": func(r *History) { r.Notifications = []Notification{{At: 100}, {At: 200, Ready: true}} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := cleanHistory()
--- a/lab/soak/contention.go
+++ b/lab/soak/contention.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	contentionInterval = 50 * time.Millisecond
-	minContention      = 10 * time.Millisecond
+	contentionInterval = 50 * time.Millisecond // between two readings of the kernel's statistics
+	minContention      = 10 * time.Millisecond // shorter waits are not recorded
 )
 
 // measureContention records when threads of a door were ready to run but had no core, according to the kernel's statistics. Such
--- a/lab/soak/discovery.go
+++ b/lab/soak/discovery.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// instance is one line of the list, in the protocol page's form.
+// instance is one entry of the backend list, in the form of the protocol.
 type instance struct {
 	ID        string  `json:"instanceId"`
 	Addr      string  `json:"hostPort"`
@@ -21,6 +21,7 @@
 	Started   int64   `json:"startedAtMs"`
 }
 
+// listing is one message of a watch: the complete list, or the instances that changed.
 type listing struct {
 	Generation int64      `json:"generation"`
 	Reset      bool       `json:"reset"`
@@ -30,10 +31,10 @@
 const (
 	ready     = "Ready"
 	draining  = "Terminating"
-	heartbeat = 2 * time.Second // an empty line of a watch
+	heartbeat = 2 * time.Second // interval of the empty lines that keep a watch alive
 )
 
-// discovery is one door's agent.
+// discovery is a fake of one discovery agent of one door.
 type discovery struct {
 	rig  *rig
 	door int
@@ -41,12 +42,12 @@
 	ln   net.Listener
 
 	mu        sync.Mutex
-	down      bool // it takes connections and says nothing
-	inactive  bool // the door's configuration names another: that a backend drains does not count as told by it
+	down      bool // accepts connections but sends nothing
+	inactive  bool // the door's configuration names its other agent: drains sent by this one do not count as notified
 	version   int64
 	instances []instance
-	changedIn []int64       // version at which each line last changed
-	changes   chan struct{} // closed with each change
+	changedIn []int64       // version at which each instance last changed
+	changes   chan struct{} // closed and replaced at each change
 	watches   map[net.Conn]bool
 }
 
@@ -64,7 +65,7 @@
 	return d, nil
 }
 
-// set changes a backend's lifecycle.
+// set changes a backend's lifecycle and notifies the watches.
 func (d *discovery) set(backend int, lifecycle string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,19 +74,20 @@
 	d.notifyWatches()
 }
 
-// setInactive has a drain that it writes count as told no more, or again.
-func (d *discovery) setInactive(is bool) {
+// setInactive sets whether the drains that the agent sends count as notified to the door.
+func (d *discovery) setInactive(inactive bool) {
 	d.mu.Lock()
-	d.inactive = is
+	d.inactive = inactive
 	d.mu.Unlock()
 }
 
+// notifyWatches wakes all watches. The caller holds the lock.
 func (d *discovery) notifyWatches() {
 	close(d.changes)
 	d.changes = make(chan struct{})
 }
 
-// takeDown has it fall silent, or resets its open watches as well; bringUp ends that.
+// takeDown makes the agent silent. If reset is true, it also resets the open watches. bringUp ends the outage.
 func (d *discovery) takeDown(reset bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -102,12 +104,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = false
-	for nc := range d.watches { // what was silent has to be opened anew
+	for nc := range d.watches { // watches that were silent have to be opened again
 		nc.Close()
 	}
 	d.notifyWatches()
 }
 
+// serve serves one watch: the complete list, then the changes.
 func (d *discovery) serve(nc net.Conn) {
 	d.mu.Lock()
 	d.watches[nc] = true
@@ -124,15 +127,15 @@
 		return
 	}
 	gone := make(chan struct{})
-	go func() { // a watch sends nothing more
+	go func() { // the client of a watch sends nothing more, so that a read ends only when it closes
 		defer close(gone)
 		_, _ = r.Peek(1)
 	}()
 	index, _ := strconv.ParseInt(req.URL.Query().Get("index"), 10, 64)
 	began := false
-	for known := index; ; {
-		next, version, news, silent := d.changesSince(known, !began)
-		if !silent && (!began || version > known) {
+	for sentVersion := index; ; {
+		next, version, news, silent := d.changesSince(sentVersion, !began)
+		if !silent && (!began || version > sentVersion) {
 			if !began {
 				if _, err := fmt.Fprint(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 					return
@@ -141,7 +144,7 @@
 			if !d.writeList(nc, next) {
 				return
 			}
-			began, known = true, version
+			began, sentVersion = true, version
 		}
 		select {
 		case <-news:
@@ -157,21 +160,22 @@
 	}
 }
 
-// changesSince lists what has changed changesSince a version, or all at a watch's beginning.
-func (d *discovery) changesSince(version int64, whole bool) (listing, int64, <-chan struct{}, bool) {
+// changesSince returns the instances that changed after a version, or all of them at the start of a watch. It also returns the
+// current version, a channel that is closed at the next change, and whether the agent is down.
+func (d *discovery) changesSince(version int64, complete bool) (listing, int64, <-chan struct{}, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := listing{Generation: d.version, Reset: whole, Instances: []instance{}}
+	l := listing{Generation: d.version, Reset: complete, Instances: []instance{}}
 	for i := range d.instances {
-		if whole || d.changedIn[i] > version {
+		if complete || d.changedIn[i] > version {
 			l.Instances = append(l.Instances, d.instances[i])
 		}
 	}
 	return l, d.version, d.changes, d.down
 }
 
-// writeList tells a list. That a backend is ready counts from before the writeList, that it drains from behind it: the door may hear of
-// it any time between.
+// writeList sends a list and records it as notified. Since the door may receive it at any time during the write, ready counts
+// from before the write and draining from after it.
 func (d *discovery) writeList(nc net.Conn, l listing) bool {
 	raw, _ := json.Marshal(l)
 	before := d.rig.now()
@@ -182,15 +186,15 @@
 	d.mu.Lock()
 	muted := d.inactive
 	d.mu.Unlock()
-	for _, line := range l.Instances {
-		told := Notification{Door: d.door, Backend: d.rig.backendNumber(line.ID), At: after}
+	for _, instance := range l.Instances {
+		notification := Notification{Door: d.door, Backend: d.rig.backendNumber(instance.ID), At: after}
 		switch {
-		case line.Lifecycle == ready:
-			told.At, told.Ready = before, true
+		case instance.Lifecycle == ready:
+			notification.At, notification.Ready = before, true
 		case muted:
-			continue // the door may follow the other one by now
+			continue // the door may follow the other agent by now
 		}
-		d.rig.history.addNotification(told)
+		d.rig.history.addNotification(notification)
 	}
 	return true
 }
--- a/lab/soak/door.go
+++ b/lab/soak/door.go
@@ -18,41 +18,41 @@
 )
 
 const (
-	readyPollInterval = 20 * time.Millisecond  // between looks whether a door can serve
-	readyTimeout      = 300 * time.Millisecond // that a look may take
-	violationPrefix   = "violations_"          // beginning of the log fields of an account that count violations
-	minPauseGap       = 500 * time.Millisecond
-	pipeFillTime      = 50 * time.Millisecond // in which a pipe is filled
-	logTailSize       = 4096                  // bytes of a log's end that are kept for a crash
+	readyPollInterval = 20 * time.Millisecond  // between two readiness checks of a door
+	readyTimeout      = 300 * time.Millisecond // of one readiness check
+	violationPrefix   = "violations_"          // prefix of the log fields that count invariant violations
+	minPauseGap       = 500 * time.Millisecond // between two pauses of a process
+	pipeFillTime      = 50 * time.Millisecond  // how long a pipe is written to until it counts as full
+	logTailSize       = 4096                   // bytes at the end of a log that are kept for a crash report
 )
 
-// door is one front door, over its processes.
+// door is one front door, over all of its processes.
 type door struct {
 	rig          *rig
 	number       int
 	addr         string
-	agents       [2]*discovery // of which the configuration names one
+	agents       [2]*discovery // the configuration names one of them, agents[activeAgent]
 	activeAgent  int
 	descriptors  int
 	configFile   string
-	launched     int        // processes so far
-	openPipeEnds []*os.File // ends of pipes that nobody reads
+	launched     int        // number of processes started so far
+	openPipeEnds []*os.File // read ends of log pipes, kept open without being read
 
 	mu          sync.Mutex
 	cmd         *exec.Cmd
 	incarnation *Incarnation
 	done        chan struct{}
-	pausedAt    Instant // when it was last held up
-	accepting   bool    // clients may connect: it has been ready, and is not long told to end
+	pausedAt    Instant // when the process was last stopped by SIGSTOP; 0 if never
+	accepting   bool    // clients may connect: the current process has become ready and has not exited or been killed
 }
 
-// settings are the door's configuration, in the platform's form.
+// settings returns the door's configuration in the platform's form.
 func (d *door) settings() map[string]any {
 	r := d.rig
 	wait := r.history.MaxDeadline.Seconds()
-	class := func(name, semantics string, longest float64, more map[string]any) map[string]any {
-		c := map[string]any{"name": name, "aim": longest / 2, "give_up": longest, "semantics": semantics, "late_value": 0.2, "worth": 1}
-		for k, v := range more {
+	class := func(name, semantics string, maxWait float64, extra map[string]any) map[string]any {
+		c := map[string]any{"name": name, "aim": maxWait / 2, "give_up": maxWait, "semantics": semantics, "late_value": 0.2, "worth": 1}
+		for k, v := range extra {
 			c[k] = v
 		}
 		return c
@@ -75,7 +75,7 @@
 	}
 }
 
-// writeConfig puts the configuration in place, whole.
+// writeConfig replaces the configuration file atomically.
 func (d *door) writeConfig() error {
 	raw, err := json.Marshal(d.settings())
 	if err == nil {
@@ -87,7 +87,7 @@
 	return err
 }
 
-// start begins a process, with the faults given.
+// start starts a process with injected faults.
 func (d *door) start(faults sysfaults.Plan) error {
 	if err := d.writeConfig(); err != nil {
 		return &RigError{"a configuration", err}
@@ -106,19 +106,20 @@
 		d.openPipeEnds = append(d.openPipeEnds, end)
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	life := &Incarnation{Door: d.number, Ready: Never, Term: Never, Kill: Never, Started: d.rig.now()}
+	inc := &Incarnation{Door: d.number, Ready: Never, Term: Never, Kill: Never, Started: d.rig.now()}
 	if err := cmd.Start(); err != nil {
 		return &RigError{"a process", err}
 	}
 	done := make(chan struct{})
 	d.mu.Lock()
-	d.cmd, d.incarnation, d.done, d.launched = cmd, life, done, d.launched+1
+	d.cmd, d.incarnation, d.done, d.launched = cmd, inc, done, d.launched+1
 	d.mu.Unlock()
-	go d.awaitExit(cmd, life, log, done)
-	go d.awaitReady(life, done)
+	go d.awaitExit(cmd, inc, log, done)
+	go d.awaitReady(inc, done)
 	return nil
 }
 
+// logFile creates the file for the log of the next process; nil if logs are not kept.
 func (d *door) logFile() *os.File {
 	if d.rig.logDir == "" {
 		return nil
@@ -130,42 +131,42 @@
 	return f
 }
 
-// awaitExit records the process's life once it has ended.
-func (d *door) awaitExit(cmd *exec.Cmd, life *Incarnation, log *logScanner, done chan struct{}) {
+// awaitExit waits for the process to exit and records its incarnation.
+func (d *door) awaitExit(cmd *exec.Cmd, inc *Incarnation, log *logScanner, done chan struct{}) {
 	err := cmd.Wait()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	life.Exited = d.rig.now()
+	inc.Exited = d.rig.now()
 	d.accepting = false
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	if log.file != nil {
 		log.file.Close()
 	}
-	life.InvariantViolations = log.violations
+	inc.InvariantViolations = log.violations
 	switch {
-	case life.Kill != Never:
-	case life.Term != Never && life.Ready == Never && cmd.ProcessState.Sys().(syscall.WaitStatus).Signal() == syscall.SIGTERM:
-		// Told to end before it listened to signals, as any program ends then.
+	case inc.Kill != Never:
+	case inc.Term != Never && inc.Ready == Never && cmd.ProcessState.Sys().(syscall.WaitStatus).Signal() == syscall.SIGTERM:
+		// Terminated before it had installed its signal handlers.
 	case err != nil:
-		life.Crash = fmt.Sprintf("%v: %s", err, log.tail)
-	case life.Term == Never:
-		life.Crash = "ended with nobody telling it to"
+		inc.Crash = fmt.Sprintf("%v: %s", err, log.tail)
+	case inc.Term == Never:
+		inc.Crash = "exited without a signal"
 	}
-	d.rig.history.addIncarnation(*life)
+	d.rig.history.addIncarnation(*inc)
 	close(done)
 }
 
-// awaitReady admits clients once the door says that it can serve.
-func (d *door) awaitReady(life *Incarnation, done <-chan struct{}) {
-	web := http.Client{Timeout: readyTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+// awaitReady polls the process until it reports ready, and then lets clients connect.
+func (d *door) awaitReady(inc *Incarnation, done <-chan struct{}) {
+	client := http.Client{Timeout: readyTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
 		select {
 		case <-done:
 			return
 		case <-time.After(readyPollInterval):
 		}
-		res, err := web.Get("http://" + d.addr + "/health/ready")
+		res, err := client.Get("http://" + d.addr + "/health/ready")
 		if err != nil {
 			continue
 		}
@@ -175,14 +176,14 @@
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if life.Ready = d.rig.now(); life.Term == Never {
+		if inc.Ready = d.rig.now(); inc.Term == Never {
 			d.accepting = true
 		}
 		return
 	}
 }
 
-// signal sends one signal to the present process.
+// signal sends a signal to the current process.
 func (d *door) signal(s syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -190,7 +191,7 @@
 		return
 	}
 	if s == syscall.SIGHUP && d.incarnation.Ready == Never {
-		return // it may not listen to signals yet, and would end as any program does
+		return // it may not have a signal handler yet, and SIGHUP would end it
 	}
 	before := d.rig.now()
 	if err := d.cmd.Process.Signal(s); err != nil {
@@ -205,26 +206,26 @@
 	}
 }
 
-// pause holds the process up, where that has not just been done: several pauses in a row would add up to more than the page
-// allows.
+// pause stops the process with SIGSTOP, unless that was done shortly before: several pauses in a row would add up to more than
+// the protocol page allows.
 func (d *door) pause() {
 	d.mu.Lock()
-	again := d.pausedAt != 0 && d.rig.now()-d.pausedAt < minPauseGap
-	if !again {
+	tooSoon := d.pausedAt != 0 && d.rig.now()-d.pausedAt < minPauseGap
+	if !tooSoon {
 		d.pausedAt = d.rig.now()
 	}
 	d.mu.Unlock()
-	if !again {
+	if !tooSoon {
 		d.signal(syscall.SIGSTOP)
 	}
 }
 
-// reload has the door follow its other agent.
+// reload makes the door follow its other agent.
 func (d *door) reload() {
 	d.mu.Lock()
 	if d.incarnation.Ready == Never || d.incarnation.Exited != 0 {
 		d.mu.Unlock()
-		return // nobody would read it
+		return // no running process would read the new configuration
 	}
 	d.agents[d.activeAgent].setInactive(true)
 	d.activeAgent = 1 - d.activeAgent
@@ -235,8 +236,8 @@
 	}
 }
 
-// terminate takes the process down as an operator does: a series of signals, and a kill at the earliest that the page allows, for
-// which it returns.
+// terminate ends the process as an operator does, by a series of signals and, at the earliest time that the protocol page
+// allows, by SIGKILL. It returns once the process has exited.
 func (d *door) terminate(series []timedSignal) {
 	for _, s := range series {
 		time.Sleep(s.after)
@@ -253,22 +254,23 @@
 	}
 }
 
-// timedSignal is a signal some time after the one before it.
+// timedSignal is a signal that is sent some time after the one before it.
 type timedSignal struct {
 	after  time.Duration
 	signal syscall.Signal
 }
 
+// acceptsClients reports whether clients may connect.
 func (d *door) acceptsClients() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.accepting
 }
 
-// dial connects to the door as a client.
+// dial opens a client connection to the door.
 func (d *door) dial() (net.Conn, error) { return net.DialTimeout("tcp", d.addr, time.Second) }
 
-// logScanner keeps the end of a log, and adds up the violations that it tells of.
+// logScanner keeps the end of a log and sums up the invariant violations that it reports.
 type logScanner struct {
 	file       *os.File
 	mu         sync.Mutex
@@ -297,21 +299,21 @@
 	}
 }
 
-// countViolations adds up the violations that one line of a log tells of.
+// countViolations returns the number of violations that one log line reports.
 func countViolations(line []byte) (n int) {
 	fields := map[string]any{}
 	if json.Unmarshal(line, &fields) != nil {
 		return 0
 	}
 	for name, value := range fields {
-		if v, is := value.(float64); is && strings.HasPrefix(name, violationPrefix) {
+		if v, ok := value.(float64); ok && strings.HasPrefix(name, violationPrefix) {
 			n += int(v)
 		}
 	}
 	return n
 }
 
-// faultyLog returns a pipe to log to that has a fault, and an end of it to be kept open.
+// faultyLog returns the write end of a log pipe with a fault, and the read end, to be kept open.
 func faultyLog(fault LogFault) (log, keep *os.File, err error) {
 	keep, log, err = os.Pipe()
 	if err != nil {
--- a/lab/soak/failures_test.go
+++ b/lab/soak/failures_test.go
@@ -11,31 +11,33 @@
 	"github.com/swifthall/swifthall/lab/sysfaults"
 )
 
-// Single failures on real processes, each forced.
+// Tests of single faults, injected into real processes.
 
-// quietConfig is a day of a few doors on which nothing befalls but what its test adds.
+// quietConfig returns the configuration of a run with a few doors and no faults, to which a test adds its own.
 func quietConfig(t *testing.T) Config {
 	return Config{Seed: 4, Program: buildProgram(t), LogDir: *logDir, Doors: 3, Backends: 3, Clients: 10, Descriptors: 512, MaxDeadline: 5 * time.Second,
 		Length: 2 * time.Second, NoRandomFaults: true}
 }
 
-func faultPlan(faults ...sysfaults.Fault) []sysfaults.Plan {
+// faultPlans returns a single plan with these faults, used by all doors.
+func faultPlans(faults ...sysfaults.Fault) []sysfaults.Plan {
 	return []sysfaults.Plan{{Seed: 41, Faults: faults}}
 }
 
-func runAndCheck(t *testing.T, d Config) *History {
+// runAndCheck performs a run and reports every violation in its history.
+func runAndCheck(t *testing.T, cfg Config) *History {
 	t.Helper()
-	r := runAndLog(t, d)
+	r := runAndLog(t, cfg)
 	for _, v := range Check(r) {
 		t.Error(v)
 	}
 	return r
 }
 
-// mostRejected is the share of requests that the design page lets be rejected on a quiet day.
+// maxRejectedShare is the share of requests that may be rejected in a run without random faults, according to the design page.
 const maxRejectedShare = 0.04
 
-// assertServed asserts that clients got what a quiet day gives them.
+// assertServed asserts that requests were answered, and that at most maxRejectedShare of the answers were rejections.
 func assertServed(t *testing.T, r *History) {
 	t.Helper()
 	all, rejected := 0, 0
@@ -46,83 +48,83 @@
 			}
 		}
 	}
-	assert.NotZero(t, all, "answers")
+	assert.NotZero(t, all, "no request was answered")
 	assert.LessOrEqual(t, float64(rejected), maxRejectedShare*float64(all), "of %d answers", all)
 }
 
-func TestARequestTakenLateInAShutdownIsAnsweredBeforeTheKill(t *testing.T) {
+func TestARequestAcceptedLateInAShutdownIsAnsweredBeforeTheKill(t *testing.T) {
 	for _, longest := range []time.Duration{200 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second, 5 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
 			t.Parallel()
-			d := quietConfig(t)
-			d.MaxDeadline, d.HangAtEnd, d.DelayRequests, d.Clients = longest, true, true, 40
-			runAndCheck(t, d)
+			cfg := quietConfig(t)
+			cfg.MaxDeadline, cfg.HangAtEnd, cfg.DelayRequests, cfg.Clients = longest, true, true, 40
+			runAndCheck(t, cfg)
 		})
 	}
 }
 
-func TestConnectionsThatWaitToBeAcceptedAreServedWhileAcceptFails(t *testing.T) {
+func TestPendingConnectionsAreServedWhileAcceptFails(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ECONNABORTED, syscall.EINTR, syscall.EPROTO} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			d := quietConfig(t)
-			d.FaultPlans = faultPlan(sysfaults.Fault{Call: sysfaults.Accept, Errno: errno, OneIn: 2})
-			assertServed(t, runAndCheck(t, d))
+			cfg := quietConfig(t)
+			cfg.FaultPlans = faultPlans(sysfaults.Fault{Call: sysfaults.Accept, Errno: errno, OneIn: 2})
+			assertServed(t, runAndCheck(t, cfg))
 		})
 	}
 }
 
-func TestAnAnswerIsReadAtOnceWhereReadsAreInterrupted(t *testing.T) {
-	d := quietConfig(t)
-	d.FaultPlans = faultPlan(sysfaults.Fault{Call: sysfaults.Read, Errno: syscall.EINTR, OneIn: 5, Target: sysfaults.Sockets},
+func TestAnAnswerIsReadWithoutDelayAfterInterruptedReads(t *testing.T) {
+	cfg := quietConfig(t)
+	cfg.FaultPlans = faultPlans(sysfaults.Fault{Call: sysfaults.Read, Errno: syscall.EINTR, OneIn: 5, Target: sysfaults.Sockets},
 		sysfaults.Fault{Call: sysfaults.Receive, Errno: syscall.EINTR, OneIn: 5, Target: sysfaults.Sockets})
-	assertServed(t, runAndCheck(t, d))
+	assertServed(t, runAndCheck(t, cfg))
 }
 
-func TestAnAnswerIsNotLostToAWriteThatFailsForAMoment(t *testing.T) {
+func TestAnAnswerSurvivesTransientWriteErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, sysfaults.Short} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			d := quietConfig(t)
-			d.FaultPlans = faultPlan(sysfaults.Fault{Call: sysfaults.Write, Errno: errno, OneIn: 5, Target: sysfaults.Sockets})
-			assertServed(t, runAndCheck(t, d))
+			cfg := quietConfig(t)
+			cfg.FaultPlans = faultPlans(sysfaults.Fault{Call: sysfaults.Write, Errno: errno, OneIn: 5, Target: sysfaults.Sockets})
+			assertServed(t, runAndCheck(t, cfg))
 		})
 	}
 }
 
-func TestADialThatFailsForAMomentIsTriedAgain(t *testing.T) {
+func TestADialIsRetriedAfterTransientErrors(t *testing.T) {
 	for _, f := range []sysfaults.Fault{{Call: sysfaults.Socket, Errno: syscall.ENFILE, OneIn: 4}, {Call: sysfaults.Socket, Errno: syscall.ENOBUFS, OneIn: 4},
 		{Call: sysfaults.Connect, Errno: syscall.ENETUNREACH, OneIn: 4}, {Call: sysfaults.Connect, Errno: syscall.EADDRNOTAVAIL, OneIn: 4}} {
 		t.Run(f.Errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			d := quietConfig(t)
-			d.FaultPlans = faultPlan(f)
-			assertServed(t, runAndCheck(t, d))
+			cfg := quietConfig(t)
+			cfg.FaultPlans = faultPlans(f)
+			assertServed(t, runAndCheck(t, cfg))
 		})
 	}
 }
 
-func TestAStartOutlivesCallsThatFailForAMoment(t *testing.T) {
+func TestAStartSurvivesTransientErrors(t *testing.T) {
 	for name, call := range map[string]sysfaults.Call{"open": sysfaults.Open, "socket": sysfaults.Socket} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := quietConfig(t)
-			d.Doors, d.Clients = 8, 1
-			for seed := range uint32(d.Doors) {
-				d.FaultPlans = append(d.FaultPlans, sysfaults.Plan{Seed: 1000 * (seed + 1), Faults: []sysfaults.Fault{{Call: call, Errno: syscall.ENFILE, OneIn: 2}}})
+			cfg := quietConfig(t)
+			cfg.Doors, cfg.Clients = 8, 1
+			for seed := range uint32(cfg.Doors) {
+				cfg.FaultPlans = append(cfg.FaultPlans, sysfaults.Plan{Seed: 1000 * (seed + 1), Faults: []sysfaults.Fault{{Call: call, Errno: syscall.ENFILE, OneIn: 2}}})
 			}
-			assertServed(t, runAndCheck(t, d))
+			assertServed(t, runAndCheck(t, cfg))
 		})
 	}
 }
 
-func TestALogThatCannotBeWrittenHoldsNothingUp(t *testing.T) {
+func TestALogThatCannotBeWrittenBlocksNothing(t *testing.T) {
 	for name, fault := range map[string]LogFault{"full": LogFull, "gone": LogClosed} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := quietConfig(t)
-			d.LogFault = fault
-			assertServed(t, runAndCheck(t, d))
+			cfg := quietConfig(t)
+			cfg.LogFault = fault
+			assertServed(t, runAndCheck(t, cfg))
 		})
 	}
 }
--- a/lab/soak/history.go
+++ b/lab/soak/history.go
@@ -1,6 +1,6 @@
-// Package soak plays days of random, overlapping faults against a few dozen real front door processes over loopback, and
-// judges what clients, backends and discovery saw of them. The judge shares no code with the front door and asks it for
-// nothing but its own count of violated invariants.
+// Package soak runs soak tests: it injects random, overlapping faults into a few dozen real front door processes on loopback and
+// checks the history that clients, backends and discovery observed. The checker shares no code with the front door and uses
+// nothing from it but its own count of invariant violations.
 package soak
 
 import (
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Instant is a time since the day began, by the rig's monotonic clock.
+// Instant is the time since the start of the run, on the rig's monotonic clock.
 type Instant = time.Duration
 
-// Never stands for an instant that has not come.
+// Never is the instant of an event that has not happened.
 const Never Instant = -1
 
-// Semantics says how often a request of a class may run.
+// Semantics states how often a request may run.
 type Semantics int
 
 // The semantics, as the settings name them.
@@ -29,73 +29,73 @@
 
 // The ends of a request.
 const (
-	Answered     End = iota // a whole answer came
-	ConnClosed              // the connection ended with no byte of an answer
-	Partial                 // the connection ended within an answer
-	TimedOut                // the client stopped waiting, long after its deadline
-	ClientClosed            // the client closed its connection before an answer
-	WriteFailed             // the connection broke before the request's last byte was written
+	Answered     End = iota // a complete answer was received
+	ConnClosed              // the connection was closed before the first byte of an answer
+	Partial                 // the connection was closed within the answer
+	TimedOut                // no answer came until long after the deadline, and the client stopped waiting
+	ClientClosed            // the client closed the connection before the answer
+	WriteFailed             // the connection broke before the last byte of the request was written
 )
 
-// Request is one request as its client saw it.
+// Request is a request as its client observed it.
 type Request struct {
 	ID        string
 	Door      int
 	Semantics Semantics
 	Began     Instant       // before its first byte was written
 	Sent      Instant       // before its last byte was written
-	Wait      time.Duration // that the client waits, from Sent
+	Wait      time.Duration // how long the client waits for the answer, from Sent
 	End       End
 	Ended     Instant
 	Status    int
 	Body      string
 }
 
-// Arrival is one attempt as a backend saw it.
+// Arrival is an attempt as a backend observed it.
 type Arrival struct {
 	ID        string
 	Backend   int
 	FirstByte Instant       // its first byte was read
-	LastByte  Instant       // its last byte was read; Never where it was cut off before
-	Remaining time.Duration // that the front door says it will wait
-	Refused   bool          // answered as not run
+	LastByte  Instant       // its last byte was read; Never if the connection broke before
+	Remaining time.Duration // how long the front door waits for the answer, according to its request header
+	Refused   bool          // refused without running
 }
 
 // Incarnation is one process of a door.
 type Incarnation struct {
 	Door                int
 	Started             Instant
-	Ready               Instant // Never where it was not
-	Term                Instant // first SIGTERM; Never where there was none
-	Kill                Instant // SIGKILL; Never where there was none
-	KilledWithoutTerm   bool    // killed with no SIGTERM before
+	Ready               Instant // Never if it did not become ready
+	Term                Instant // first SIGTERM; Never if none was sent
+	Kill                Instant // SIGKILL; Never if none was sent
+	KilledWithoutTerm   bool    // no SIGTERM was sent before SIGKILL
 	Exited              Instant
-	Crash               string // why its exit was a crash, empty where it was none
-	InvariantViolations int    // violations that it counted itself
+	Crash               string // why its exit counts as a crash; empty if it does not
+	InvariantViolations int    // number of violations that it reported in its log
 }
 
-// Notification is the instant at which discovery had written to a door that a backend drains or is gone.
+// Notification records when discovery had notified a door that a backend is draining, or ready again.
 type Notification struct {
 	Door, Backend int
 	At            Instant
-	Ready         bool // it was told to be ready again
+	Ready         bool // the backend was listed as ready again
 }
 
-// TheRig is the door of a stall that the rig itself had.
+// TheRig is the value of Stall.Door for a delay of the rig itself.
 const TheRig = -1
 
-// Stall is a measured delay: from Due on, something of the rig or of one door was held up by the machine for Late.
+// Stall is a measured delay: something that was due at Due in the rig or in one door was delayed by the machine by Late.
 type Stall struct {
 	Door int
 	Due  Instant
 	Late time.Duration
 }
 
-// History is what was seen of a day.
+// History is what clients, backends and discovery observed during a run, with the parameters of the run that its checks need.
 type History struct {
-	MaxDeadline time.Duration // the longest of the deployment
-	DedupWindow time.Duration // for which backends discard a repeat of a keyed request
-	DrainGrace  time.Duration
+	MaxDeadline time.Duration // longest request deadline of the deployment
+	DedupWindow time.Duration // how long backends discard repeats of a keyed request
+	DrainGrace  time.Duration // how long a door may still send to a backend after it was notified of its drain
 
 	mu            sync.Mutex
 	Requests      []Request
@@ -105,32 +105,32 @@
 	Stalls        []Stall
 }
 
-func (r *History) addRequest(q Request) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.Requests = append(r.Requests, q)
+func (h *History) addRequest(q Request) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.Requests = append(h.Requests, q)
 }
 
-func (r *History) addArrival(a Arrival) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.Arrivals = append(r.Arrivals, a)
+func (h *History) addArrival(a Arrival) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.Arrivals = append(h.Arrivals, a)
 }
 
-func (r *History) addIncarnation(l Incarnation) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.Incarnations = append(r.Incarnations, l)
+func (h *History) addIncarnation(l Incarnation) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.Incarnations = append(h.Incarnations, l)
 }
 
-func (r *History) addNotification(t Notification) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.Notifications = append(r.Notifications, t)
+func (h *History) addNotification(t Notification) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.Notifications = append(h.Notifications, t)
 }
 
-func (r *History) addStall(s Stall) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.Stalls = append(r.Stalls, s)
+func (h *History) addStall(s Stall) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.Stalls = append(h.Stalls, s)
 }
--- a/lab/soak/rig.go
+++ b/lab/soak/rig.go
@@ -13,36 +13,36 @@
 	"github.com/swifthall/swifthall/lab/sysfaults"
 )
 
-// Config is one day that can be played.
+// Config describes one soak run.
 type Config struct {
 	Seed           uint64
-	Program        string           // swifthall, built by sysfaults
-	LogDir         string           // folder that keeps the doors' logs; empty keeps none
-	Doors          int              // front doors
-	Backends       int              //
-	Clients        int              // of each door
-	IdleClients    int              // idle clients of each door, over what its descriptors hold
-	Descriptors    int              // descriptors of each door
-	MaxDeadline    time.Duration    // the longest of the deployment
-	Length         time.Duration    // until every door is told to end
-	NoRandomFaults bool             // no event is drawn, and no system call fails but by Faults
-	HangAtEnd      bool             // from Length on every backend hangs
-	DelayRequests  bool             // every client brings its request some time after its connection
-	LogFault       LogFault         // what is wrong with the doors' logs
-	FaultPlans     []sysfaults.Plan // of the doors in turn, in place of drawn ones
+	Program        string           // path of swifthall, built by sysfaults
+	LogDir         string           // directory in which the doors' logs are kept; empty if they are not kept
+	Doors          int              // number of front doors
+	Backends       int              // number of backends
+	Clients        int              // number of clients per door
+	IdleClients    int              // clients per door that connect but send nothing, meant to exceed what its descriptors hold
+	Descriptors    int              // limit of descriptors per door
+	MaxDeadline    time.Duration    // longest request deadline of the deployment
+	Length         time.Duration    // until every door is terminated
+	NoRandomFaults bool             // there are no random events, and no system call faults except FaultPlans
+	HangAtEnd      bool             // every backend hangs from Length on
+	DelayRequests  bool             // every client sends its request some time after connecting
+	LogFault       LogFault         // fault of the doors' logs
+	FaultPlans     []sysfaults.Plan // fault plans of the doors in turn, instead of random ones
 }
 
-// LogFault is something wrong with a door's log.
+// LogFault is a fault of a door's log.
 type LogFault int
 
-// The faults of a log.
+// The faults of logs.
 const (
 	LogOK     LogFault = iota
-	LogFull            // its pipe is full, and nobody reads it
-	LogClosed          // its reader has gone
+	LogFull            // the pipe is full and not read
+	LogClosed          // the read end of the pipe is closed
 )
 
-// rig is what surrounds the doors of a day.
+// rig is the environment of the doors of a run.
 type rig struct {
 	seed          uint64
 	program       string
@@ -57,9 +57,10 @@
 	ended         atomic.Bool
 }
 
+// now returns the time since the start of the run.
 func (r *rig) now() Instant { return time.Since(r.began) }
 
-// logLevel is the doors' logLevel of logging: where the logs are kept, they tell single requests.
+// logLevel returns the log level of the doors. Where their logs are kept, they log single requests.
 func (r *rig) logLevel() string {
 	if r.logDir == "" {
 		return "info"
@@ -67,9 +68,10 @@
 	return "debug"
 }
 
+// over reports whether the run is over.
 func (r *rig) over() bool { return r.ended.Load() }
 
-// backendNumber finds a backend by its name on the list.
+// backendNumber returns the number of the backend with an id on the list, -1 if there is none.
 func (r *rig) backendNumber(id string) int {
 	for _, b := range r.backends {
 		if b.id == id {
@@ -80,15 +82,15 @@
 }
 
 const (
-	dedupWindow = 2 * time.Second
-	drainGrace  = 500 * time.Millisecond
+	dedupWindow = 2 * time.Second        // how long backends discard repeats of a keyed request
+	drainGrace  = 500 * time.Millisecond // how long a door may still send to a backend after it was notified of its drain
 )
 
-// setUp builds the world of a day in a folder.
-func setUp(day Config, folder string) (*rig, error) {
-	r := &rig{seed: day.Seed, program: day.Program, logDir: day.LogDir, logFault: day.LogFault, delayRequests: day.DelayRequests, began: time.Now(),
-		history: &History{MaxDeadline: day.MaxDeadline, DedupWindow: dedupWindow, DrainGrace: drainGrace}}
-	for i := range day.Backends {
+// setUp creates the rig of a run, with the doors' configurations in dir. A partial rig is returned along with an error.
+func setUp(cfg Config, dir string) (*rig, error) {
+	r := &rig{seed: cfg.Seed, program: cfg.Program, logDir: cfg.LogDir, logFault: cfg.LogFault, delayRequests: cfg.DelayRequests, began: time.Now(),
+		history: &History{MaxDeadline: cfg.MaxDeadline, DedupWindow: dedupWindow, DrainGrace: drainGrace}}
+	for i := range cfg.Backends {
 		b, err := newBackend(r, i)
 		if err != nil {
 			return r, &RigError{"a backend", err}
@@ -99,12 +101,12 @@
 	if r.counter, err = newCounter(); err != nil {
 		return r, &RigError{"a counter", err}
 	}
-	for i := range day.Doors {
+	for i := range cfg.Doors {
 		addr, err := loopback.Free()
 		if err != nil {
 			return r, err
 		}
-		d := &door{rig: r, number: i, addr: addr, descriptors: day.Descriptors, configFile: filepath.Join(folder, fmt.Sprintf("door%d.json", i))}
+		d := &door{rig: r, number: i, addr: addr, descriptors: cfg.Descriptors, configFile: filepath.Join(dir, fmt.Sprintf("door%d.json", i))}
 		for k := range d.agents {
 			if d.agents[k], err = newDiscovery(r, i); err != nil {
 				return r, &RigError{"discovery", err}
@@ -116,7 +118,7 @@
 	return r, nil
 }
 
-// takeDown ends what setUp began.
+// takeDown closes all listeners of the rig.
 func (r *rig) takeDown() {
 	for _, b := range r.backends {
 		b.ln.Close()
@@ -133,19 +135,19 @@
 	}
 }
 
-// Run plays a day and returns what was seen.
-func Run(day Config) (*History, error) {
-	folder, err := os.MkdirTemp("", "soak")
+// Run performs a soak run and returns its history.
+func Run(cfg Config) (*History, error) {
+	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
-		return nil, &RigError{"a folder", err}
+		return nil, &RigError{"a directory", err}
 	}
-	defer os.RemoveAll(folder)
-	r, err := setUp(day, folder)
+	defer os.RemoveAll(dir)
+	r, err := setUp(cfg, dir)
 	defer r.takeDown()
 	if err != nil {
 		return nil, err
 	}
-	s := newSchedule(r, day)
+	s := newSchedule(r, cfg)
 	for i, d := range r.doors {
 		if err := d.start(s.drawFaults(i)); err != nil {
 			return nil, err
@@ -156,11 +158,11 @@
 	clients.Go(r.measureContention)
 	clients.Go(r.measureNetwork)
 	for _, d := range r.doors {
-		for k := range day.Clients {
-			c := &client{rig: r, door: d, rng: rand.New(rand.NewPCG(day.Seed, uint64(d.number*1000+k)))}
+		for k := range cfg.Clients {
+			c := &client{rig: r, door: d, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(d.number*1000+k)))}
 			clients.Go(c.run)
 		}
-		for range day.IdleClients {
+		for range cfg.IdleClients {
 			clients.Go(func() { r.idle(d) })
 		}
 	}
@@ -172,13 +174,13 @@
 }
 
 const (
-	stallInterval      = 5 * time.Millisecond
-	minStall           = 10 * time.Millisecond
-	idlePollInterval   = 100 * time.Millisecond // between looks whether the door has closed an idle client's connection
-	idleReconnectDelay = 2 * time.Second        // before an idle client that was closed connects again
+	stallInterval      = 5 * time.Millisecond   // between two measurements
+	minStall           = 10 * time.Millisecond  // shorter delays are not recorded
+	idlePollInterval   = 100 * time.Millisecond // between checks whether the door has closed an idle client's connection
+	idleReconnectDelay = 2 * time.Second        // before an idle client connects again after the door closed its connection
 )
 
-// measureStalls records when the rig itself was late.
+// measureStalls records when the rig's own timers fired late.
 func (r *rig) measureStalls() {
 	for !r.over() {
 		due := r.now() + stallInterval
@@ -189,7 +191,7 @@
 	}
 }
 
-// idle is a client that connects and asks nothing.
+// idle runs a client that connects but sends nothing.
 func (r *rig) idle(d *door) {
 	for !r.over() {
 		time.Sleep(idlePollInterval)
--- a/lab/soak/schedule.go
+++ b/lab/soak/schedule.go
@@ -9,18 +9,18 @@
 	"github.com/swifthall/swifthall/lab/sysfaults"
 )
 
-// schedule draws the faults of a day from its seed and plays them.
+// schedule draws the faults of a run from its seed and injects them.
 type schedule struct {
 	rig *rig
 	cfg Config
 	rng *rand.Rand
 }
 
-func newSchedule(r *rig, day Config) *schedule {
-	return &schedule{r, day, rand.New(rand.NewPCG(day.Seed, 0))}
+func newSchedule(r *rig, cfg Config) *schedule {
+	return &schedule{r, cfg, rand.New(rand.NewPCG(cfg.Seed, 0))}
 }
 
-// systemFaults are those that a process may have, each at the rate given at most.
+// systemFaults are the system call faults that a process may have. Each OneIn is a minimum; drawFaults multiplies it.
 var systemFaults = []sysfaults.Fault{
 	{Call: sysfaults.Read, Errno: syscall.EINTR, OneIn: 20, Target: sysfaults.Sockets},
 	{Call: sysfaults.Read, Errno: sysfaults.Short, OneIn: 4, Target: sysfaults.Sockets},
@@ -41,7 +41,7 @@
 	{Call: sysfaults.Open, Errno: syscall.ENFILE, OneIn: 6},
 }
 
-// drawFaults draws the faults of one process.
+// drawFaults draws the system call faults of one process.
 func (s *schedule) drawFaults(door int) sysfaults.Plan {
 	if len(s.cfg.FaultPlans) > 0 {
 		return s.cfg.FaultPlans[door%len(s.cfg.FaultPlans)]
@@ -50,7 +50,7 @@
 	if s.cfg.NoRandomFaults {
 		return p
 	}
-	if s.rng.IntN(2) == 0 { // in bursts, else all the time
+	if s.rng.IntN(2) == 0 { // in bursts, otherwise throughout
 		p.Period = s.drawMs(400, 3000)
 		p.Active = p.Period / time.Duration(2+s.rng.IntN(4))
 	}
@@ -62,18 +62,19 @@
 	return p
 }
 
-func (s *schedule) drawMs(least, most int) time.Duration {
-	return time.Duration(least+s.rng.IntN(most-least)) * time.Millisecond
+// drawMs draws a duration from minMs up to, but not including, maxMs milliseconds.
+func (s *schedule) drawMs(minMs, maxMs int) time.Duration {
+	return time.Duration(minMs+s.rng.IntN(maxMs-minMs)) * time.Millisecond
 }
 
-// event is something that happens at an instant, for some time where it has an end.
+// event is a fault or a change that is made at an instant and may be undone after some time.
 type event struct {
-	at, lasts  time.Duration
-	begin, end func()
+	at, lasts  time.Duration // start; duration if there is an end
+	begin, end func()        // end may be nil
 }
 
-// run draws the day's events and has each happen in its time. The group is done once all are over, every process among
-// them.
+// run draws the events of the run and performs each at its time. The group is done once all of them are over and every process
+// has exited.
 func (s *schedule) run(events *sync.WaitGroup) {
 	if !s.cfg.NoRandomFaults {
 		for _, e := range s.drawEvents() {
@@ -82,7 +83,7 @@
 	}
 	for _, d := range s.rig.doors {
 		restart := s.drawRestart(d)
-		last, series := s.cfg.Length+s.drawMs(0, 1000), s.drawSignals()
+		endAt, signals := s.cfg.Length+s.drawMs(0, 1000), s.drawSignals()
 		if s.cfg.HangAtEnd {
 			events.Go(func() { s.perform(event{at: s.cfg.Length, begin: s.hangAll}) })
 		}
@@ -90,8 +91,8 @@
 			if restart != nil {
 				restart()
 			}
-			s.sleepUntil(last)
-			d.terminate(series)
+			s.sleepUntil(endAt)
+			d.terminate(signals)
 		})
 	}
 }
@@ -107,104 +108,107 @@
 	}
 }
 
-// drawRestart draws a drawRestart of a door in the middle of the day: told to end, or killed outright.
+// drawRestart draws a restart of a door in the middle of the run, by signals or by an immediate SIGKILL; nil if there is none.
 func (s *schedule) drawRestart(d *door) func() {
-	at, rest, faults, series := s.drawMs(1500, 1500+int(s.cfg.Length.Milliseconds()/2)), s.drawMs(0, 500), s.drawFaults(d.number), s.drawSignals()
-	how := s.rng.IntN(4)
-	if s.cfg.NoRandomFaults || how == 0 {
+	at, downtime, faults, signals := s.drawMs(1500, 1500+int(s.cfg.Length.Milliseconds()/2)), s.drawMs(0, 500), s.drawFaults(d.number), s.drawSignals()
+	choice := s.rng.IntN(4)
+	if s.cfg.NoRandomFaults || choice == 0 {
 		return nil
 	}
 	hang := s.drawHangs()
 	return func() {
 		s.sleepUntil(at)
-		if how == 1 {
+		if choice == 1 {
 			d.signal(syscall.SIGKILL)
 			<-d.done
 		} else {
 			hang()
-			d.terminate(series)
+			d.terminate(signals)
 		}
-		time.Sleep(rest)
+		time.Sleep(downtime)
 		if err := d.start(faults); err != nil {
 			d.rig.history.addIncarnation(Incarnation{Door: d.number, Crash: err.Error()})
 		}
 	}
 }
 
+// hangAll makes all backends hang.
 func (s *schedule) hangAll() {
 	for _, b := range s.rig.backends {
 		b.behavior.Store(int32(Hangs))
 	}
 }
 
-// drawHangs draws which backends hang just as a door is told to end.
+// drawHangs draws the backends that hang for some time from when a door is terminated.
 func (s *schedule) drawHangs() func() {
-	var which []*backend
+	var affected []*backend
 	for _, b := range s.rig.backends {
 		if s.rng.IntN(3) == 0 {
-			which = append(which, b)
+			affected = append(affected, b)
 		}
 	}
 	lasts := s.drawMs(500, 4000)
 	return func() {
-		for _, b := range which {
+		for _, b := range affected {
 			b.behavior.Store(int32(Hangs))
 		}
 		time.AfterFunc(lasts, func() {
-			for _, b := range which {
+			for _, b := range affected {
 				b.behavior.Store(int32(Normal))
 			}
 		})
 	}
 }
 
-// drawSignals draws the signals by which a door is told to end.
+// drawSignals draws the signals that terminate a door: SIGTERM, then up to three more SIGTERM or SIGHUP.
 func (s *schedule) drawSignals() []timedSignal {
-	all := []timedSignal{{0, syscall.SIGTERM}}
+	signals := []timedSignal{{0, syscall.SIGTERM}}
 	for range s.rng.IntN(4) {
 		next := timedSignal{s.drawMs(0, 60), syscall.SIGTERM}
 		if s.rng.IntN(2) == 0 {
 			next.signal = syscall.SIGHUP
 		}
-		all = append(all, next)
+		signals = append(signals, next)
 	}
-	return all
+	return signals
 }
 
-// Events of a day, how many of each in a second.
+// Mean numbers of events per second, and limits of single events.
 const (
-	behaviorsPerS     = 1.5
+	behaviorsPerS     = 1.5 // changes of a backend's behavior
 	drainsPerS        = 0.3
-	outagesPerS       = 0.6
+	outagesPerS       = 0.6 // of one door's discovery agents
 	counterFaultsPerS = 0.3
-	pausesPerS        = 3.0
-	reloadsPerS       = 1.0
-	maxPauseMs        = 150 // ms that a door may be held up for
+	pausesPerS        = 3.0 // for 8 doors; scaled to their number
+	reloadsPerS       = 1.0 // likewise
+	maxPauseMs        = 150 // ms, the longest pause of a door that the protocol page allows
 	maxReloadsInARow  = 3
 )
 
-// drawEvents draws the events of a day.
-func (s *schedule) drawEvents() (all []event) {
+// drawEvents draws the events of the run other than restarts.
+func (s *schedule) drawEvents() (events []event) {
 	span := int(s.cfg.Length.Milliseconds()) + 4000
-	times := func(perS float64, make func(at time.Duration) event) {
+	draw := func(perS float64, makeEvent func(at time.Duration) event) {
 		for range int(perS * float64(span) / 1000) {
-			all = append(all, make(s.drawMs(1000, span)))
+			events = append(events, makeEvent(s.drawMs(1000, span)))
 		}
 	}
-	times(behaviorsPerS, s.drawBehavior)
-	times(drainsPerS, s.drawDrain)
-	times(outagesPerS, s.drawOutage)
-	times(counterFaultsPerS, s.drawCounterFault)
-	times(pausesPerS*float64(len(s.rig.doors))/8, s.drawPause)
-	times(reloadsPerS*float64(len(s.rig.doors))/8, s.drawReload)
-	return all
+	draw(behaviorsPerS, s.drawBehavior)
+	draw(drainsPerS, s.drawDrain)
+	draw(outagesPerS, s.drawOutage)
+	draw(counterFaultsPerS, s.drawCounterFault)
+	draw(pausesPerS*float64(len(s.rig.doors))/8, s.drawPause)
+	draw(reloadsPerS*float64(len(s.rig.doors))/8, s.drawReload)
+	return events
 }
 
+// drawBehavior draws a time for which one backend misbehaves.
 func (s *schedule) drawBehavior(at time.Duration) event {
-	b, how := s.rig.backends[s.rng.IntN(len(s.rig.backends))], int32(1+s.rng.IntN(behaviorCount-1))
-	return event{at, s.drawMs(200, 2500), func() { b.behavior.Store(how) }, func() { b.behavior.Store(int32(Normal)) }}
+	b, behavior := s.rig.backends[s.rng.IntN(len(s.rig.backends))], int32(1+s.rng.IntN(behaviorCount-1))
+	return event{at, s.drawMs(200, 2500), func() { b.behavior.Store(behavior) }, func() { b.behavior.Store(int32(Normal)) }}
 }
 
+// drawDrain draws a drain of one backend, announced by all discovery agents.
 func (s *schedule) drawDrain(at time.Duration) event {
 	b := s.rng.IntN(len(s.rig.backends))
 	set := func(lifecycle string) func() {
@@ -219,6 +223,7 @@
 	return event{at, s.drawMs(1000, 3000), set(draining), set(ready)}
 }
 
+// drawOutage draws an outage of one door's discovery agents.
 func (s *schedule) drawOutage(at time.Duration) event {
 	d, reset := s.rig.doors[s.rng.IntN(len(s.rig.doors))], s.rng.IntN(2) == 0
 	return event{at, s.drawMs(300, 2500), func() {
@@ -232,25 +237,26 @@
 	}}
 }
 
+// drawCounterFault draws a time for which the counter refuses calls or is silent.
 func (s *schedule) drawCounterFault(at time.Duration) event {
-	which := &s.rig.counter.busy
+	fault := &s.rig.counter.busy
 	if s.rng.IntN(2) == 0 {
-		which = &s.rig.counter.silent
+		fault = &s.rig.counter.silent
 	}
-	return event{at, s.drawMs(300, 2000), func() { which.Store(true) }, func() { which.Store(false) }}
+	return event{at, s.drawMs(300, 2000), func() { fault.Store(true) }, func() { fault.Store(false) }}
 }
 
-// drawPause holds a process up.
+// drawPause draws a pause of one process by SIGSTOP.
 func (s *schedule) drawPause(at time.Duration) event {
 	d := s.rig.doors[s.rng.IntN(len(s.rig.doors))]
 	return event{at, s.drawMs(20, maxPauseMs), d.pause, func() { d.signal(syscall.SIGCONT) }}
 }
 
-// drawReload has a door read new configurations in quick succession.
+// drawReload draws one or more reloads of one door in quick succession.
 func (s *schedule) drawReload(at time.Duration) event {
-	d, times := s.rig.doors[s.rng.IntN(len(s.rig.doors))], 1+s.rng.IntN(maxReloadsInARow)
+	d, count := s.rig.doors[s.rng.IntN(len(s.rig.doors))], 1+s.rng.IntN(maxReloadsInARow)
 	return event{at: at, begin: func() {
-		for range times {
+		for range count {
 			d.reload()
 			time.Sleep(30 * time.Millisecond)
 		}
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -16,12 +16,12 @@
 
 // By hand: go test ./lab/soak -run Soak -v -seeds 50 -first 1 -timeout 60m
 var (
-	seeds  = flag.Int("seeds", 3, "days of the soak that are played, one after the other")
-	first  = flag.Uint64("first", 1, "seed of the first day")
-	logDir = flag.String("logs", "", "folder that keeps the doors' logs")
+	seeds  = flag.Int("seeds", 3, "number of soak runs, one after the other")
+	first  = flag.Uint64("first", 1, "seed of the first run")
+	logDir = flag.String("logs", "", "directory in which the doors' logs are kept")
 )
 
-// program is the front door with system calls that can be made to fail, built once.
+// program builds swifthall with injectable system call faults, once, and returns its path.
 var program = sync.OnceValues(func() (string, error) {
 	var err error
 	if programDir, err = os.MkdirTemp("", "soak-program"); err != nil {
@@ -31,7 +31,7 @@
 	return out, sysfaults.Build("../..", "./cmd/swifthall", out)
 })
 
-var programDir string // empty before it is built
+var programDir string // empty until the program is built
 
 func TestMain(m *testing.M) {
 	code := m.Run()
@@ -41,36 +41,40 @@
 	os.Exit(code)
 }
 
+// buildProgram returns the path of the program, built on the first call.
 func buildProgram(t *testing.T) string {
 	out, err := program()
 	require.NoError(t, err)
 	return out
 }
 
-// randomConfig is the day of a seed: what a few dozen processes, doors and their deployment, look like on it.
-func randomConfig(program string, seed uint64) Config {
+// soakConfig returns the configuration of the soak run of a seed, with a few dozen processes. Its deadlines, descriptor limit
+// and idle clients vary by seed.
+func soakConfig(program string, seed uint64) Config {
 	deadlines := []time.Duration{400 * time.Millisecond, time.Second, 2 * time.Second, 5 * time.Second}
-	d := Config{Seed: seed, Program: program, LogDir: *logDir, Doors: 24, Backends: 8, Clients: 6, Descriptors: 512,
+	cfg := Config{Seed: seed, Program: program, LogDir: *logDir, Doors: 24, Backends: 8, Clients: 6, Descriptors: 512,
 		MaxDeadline: deadlines[seed%4], Length: 8 * time.Second}
 	if seed%3 == 0 {
-		d.Descriptors, d.IdleClients = 128, 120
+		cfg.Descriptors, cfg.IdleClients = 128, 120
 	}
-	return d
+	return cfg
 }
 
-func runAndLog(t *testing.T, d Config) *History {
+// runAndLog performs a run and logs a summary of its history.
+func runAndLog(t *testing.T, cfg Config) *History {
 	t.Helper()
-	r, err := Run(d)
+	r, err := Run(cfg)
 	require.NoError(t, err)
 	ends := map[End]int{}
 	for _, q := range r.Requests {
 		ends[q.End]++
 	}
-	t.Logf("seed %d: %d requests, %d answered, %d cut, %d left; %d attempts, %d processes, longest delay of the rig %v", d.Seed,
+	t.Logf("seed %d: %d requests, %d answered, %d cut, %d left; %d attempts, %d processes, longest stall of the rig %v", cfg.Seed,
 		len(r.Requests), ends[Answered], ends[ConnClosed], ends[ClientClosed], len(r.Arrivals), len(r.Incarnations), longestRigStall(r.Stalls))
 	return r
 }
 
+// longestRigStall returns the longest stall of the rig itself.
 func longestRigStall(all []Stall) (most time.Duration) {
 	for _, s := range all {
 		if s.Door == TheRig {
@@ -83,14 +87,14 @@
 func TestSoakOfRandomFaultsKeepsEveryRule(t *testing.T) {
 	out := buildProgram(t)
 	for i := range *seeds {
-		for _, v := range Check(runAndLog(t, randomConfig(out, *first+uint64(i)))) {
+		for _, v := range Check(runAndLog(t, soakConfig(out, *first+uint64(i)))) {
 			t.Errorf("seed %d: %v", *first+uint64(i), v)
 		}
 	}
 }
 
-func TestACalmDayKeepsEveryRule(t *testing.T) {
-	d := randomConfig(buildProgram(t), 4)
-	d.NoRandomFaults, d.Doors, d.Length = true, 4, 2*time.Second
-	assert.Empty(t, Check(runAndLog(t, d)))
+func TestARunWithoutFaultsKeepsEveryRule(t *testing.T) {
+	cfg := soakConfig(buildProgram(t), 4)
+	cfg.NoRandomFaults, cfg.Doors, cfg.Length = true, 4, 2*time.Second
+	assert.Empty(t, Check(runAndLog(t, cfg)))
 }
