--- a/lab/account/account.go
+++ b/lab/account/account.go
@@ -97,8 +97,8 @@
 
 // NewCollector returns a collector for a run with these parameters.
 func NewBook(d *judge.Deal) *Book {
-	return &Book{params: d, doors: map[int]*door{}, requests: map[int]*clientRequest{}, tries: map[int]*openTry{}, quotas: map[int]*judge.Bucket{}, idealQuotas: map[int]*judge.Bucket{},
-		losses: map[string]*lossTally{}}
+	return &Book{params: d, doors: map[int]*door{}, requests: map[int]*clientRequest{}, tries: map[int]*openTry{},
+		quotas: map[int]*judge.Bucket{}, idealQuotas: map[int]*judge.Bucket{}, losses: map[string]*lossTally{}}
 }
 
 // extend appends zero values until index i exists.
--- a/lab/soak/check.go
+++ b/lab/soak/check.go
@@ -191,7 +191,8 @@
 		c.report(RuleDuplicate, q.ID, "not idempotent, but ran %d times", ran)
 	}
 	for _, a := range c.arrivals[q.ID] {
-		if q.Semantics == Keyed && firstRun != Never && a.LastByte != Never && !a.Refused && a.LastByte > firstRun+c.DedupWindow+timingSlack+c.delay(q.Door, a.LastByte) {
+		if q.Semantics == Keyed && firstRun != Never && a.LastByte != Never && !a.Refused &&
+			a.LastByte > firstRun+c.DedupWindow+timingSlack+c.delay(q.Door, a.LastByte) {
 			c.report(RuleDuplicate, q.ID, "repeated %v after it ran, after the deduplication window", a.LastByte-firstRun)
 		}
 	}
--- a/lab/soak/discovery.go
+++ b/lab/soak/discovery.go
@@ -126,9 +126,9 @@
 	if err != nil {
 		return
 	}
-	gone := make(chan struct{})
+	closed := make(chan struct{})
 	go func() { // the client of a watch sends nothing more, so that a read ends only when it closes
-		defer close(gone)
+		defer close(closed)
 		_, _ = r.Peek(1)
 	}()
 	index, _ := strconv.ParseInt(req.URL.Query().Get("index"), 10, 64)
@@ -148,7 +148,7 @@
 		}
 		select {
 		case <-news:
-		case <-gone:
+		case <-closed:
 			return
 		case <-time.After(heartbeat):
 			if began && !silent {
--- a/lab/soak/failures_test.go
+++ b/lab/soak/failures_test.go
@@ -119,7 +119,7 @@
 }
 
 func TestALogThatCannotBeWrittenBlocksNothing(t *testing.T) {
-	for name, fault := range map[string]LogFault{"full": LogFull, "gone": LogClosed} {
+	for name, fault := range map[string]LogFault{"full": LogFull, "closed": LogClosed} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			cfg := quietConfig(t)
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -75,13 +75,13 @@
 }
 
 // longestRigStall returns the longest stall of the rig itself.
-func longestRigStall(all []Stall) (most time.Duration) {
+func longestRigStall(all []Stall) (longest time.Duration) {
 	for _, s := range all {
 		if s.Door == TheRig {
-			most = max(most, s.Late)
+			longest = max(longest, s.Late)
 		}
 	}
-	return most
+	return longest
 }
 
 func TestSoakOfRandomFaultsKeepsEveryRule(t *testing.T) {
