--- a/lab/judge/service.go
+++ b/lab/judge/service.go
@@ -16,15 +16,16 @@
 
 // Tally counts the outcomes of client requests.
 type Tally struct {
-	Asked    int     `json:"asked"`
-	InTime   int     `json:"in_time"`
-	Late     int     `json:"late"`
-	Unserved int     `json:"unserved"`
+	Asked    int     `json:"asked"`     // requests
+	InTime   int     `json:"in_time"`   // answered within the contract time
+	Late     int     `json:"late"`      // answered later
+	Unserved int     `json:"unserved"`  // never answered successfully
 	Offered  float64 `json:"offered"`   // gain of the requests within the quotas
 	Earned   float64 `json:"earned"`    // gain of the answers, less the cost of requests sent beyond the quotas and of those held back
 	Over     float64 `json:"over_cost"` // cost of requests sent beyond the quotas, already deducted from Earned
 }
 
+// share returns the share of the offered gain that was earned, 0 to 1.
 func (t *Tally) share() float64 {
 	if t.Offered <= 0 {
 		return 1
@@ -47,20 +48,20 @@
 	FirstTries   int     `json:"first_tries"`
 	Tries        int     `json:"tries"`
 	Attempts     int     `json:"transmissions"`
-	Crossing     int     `json:"crossing"`
+	Crossing     int     `json:"crossing"` // attempts sent to another zone
 	CounterCalls int     `json:"counter_calls"`
 	Probes       int     `json:"probes"`
 	Connections  int     `json:"connections"`
-	WorkMs       float64 `json:"work_ms"`
-	WastedMs     float64 `json:"wasted_ms"`
-	EffectsTwice int     `json:"effects_twice"` // all of them, whether or not a door is to blame
-	BeyondUnits  float64 `json:"beyond_units"`
+	WorkMs       float64 `json:"work_ms"`       // of backends, with a result that was awaited
+	WastedMs     float64 `json:"wasted_ms"`     // of backends, with a result that was lost or no longer awaited
+	EffectsTwice int     `json:"effects_twice"` // effects that happened more than once, whether or not a door is to blame
+	BeyondUnits  float64 `json:"beyond_units"`  // units sent beyond quotas
 	SentUnits    float64 `json:"sent_units"`
 	WithRoom     int     `json:"rejected_with_room"` // rejections while at least half of the customer's quota was unused
 	Rejected     int     `json:"rejected"`
 	Failed       int     `json:"scrapped"`
-	HeldBack     int     `json:"held_back"`
-	Fallen       int     `json:"fallen"` // cold backends that collapsed, whether or not a door is to blame
+	HeldBack     int     `json:"held_back"` // late rejections and failures without an attempt at a backend
+	Fallen       int     `json:"fallen"`    // cold backends that collapsed, whether or not a door is to blame
 }
 
 // Service computes G, the score of a run, from its trace.
@@ -105,7 +106,7 @@
 }
 
 const (
-	histMost       = 600e6 // µs, the upper limit of the histograms; no client waits longer
+	maxLatencyUs   = 600e6 // µs, the upper limit of the histograms; no client waits longer
 	histDigits     = 3     // significant digits of the histograms
 	windowS        = 10    // s, length of the windows of which the worst counts
 	minWindowOffer = 0.2   // share of the mean offered gain below which a window is too small to count as the worst
@@ -115,9 +116,9 @@
 func NewService(d *Deal) *Service {
 	s := &Service{params: d, Plans: make([]Tally, len(d.Plans)), Profs: make([]Tally, len(d.Classes)),
 		requests: map[int]*clientRequest{}, tries: map[int]*billedTry{}, idealQuotas: map[int]*Bucket{}, quotas: map[int]*quotaState{},
-		recent: hdrhistogram.New(1, histMost, 2)}
+		recent: hdrhistogram.New(1, maxLatencyUs, 2)}
 	for range d.Classes {
-		s.Latency = append(s.Latency, hdrhistogram.New(1, histMost, histDigits))
+		s.Latency = append(s.Latency, hdrhistogram.New(1, maxLatencyUs, histDigits))
 	}
 	return s
 }
@@ -244,6 +245,7 @@
 	}
 }
 
+// quotaOf returns a customer's quota, full if it is new.
 func (s *Service) quotaOf(customer, plan int, at float64) *quotaState {
 	q := s.quotas[customer]
 	if q == nil {
@@ -304,6 +306,7 @@
 	}
 }
 
+// endTry removes a try and ends its attempts in flight.
 func (s *Service) endTry(id int) {
 	t := s.tries[id]
 	if t == nil {
@@ -318,7 +321,7 @@
 
 const (
 	minRoomShare  = 0.5 // share of the quota's depth that must be unused for a rejection to count as one with room
-	heldBackShare = 0.5 // share of a try's time after which a rejection or failure with no attempt at a backend is charged as held back
+	heldBackShare = 0.5 // share of a try's time after which a rejection or failure without an attempt at a backend counts as held back
 )
 
 // answered accounts for a rejection or a failure.
@@ -357,7 +360,7 @@
 	}
 	s.advanceTo(int(e.At / 1000))
 	took := e.At - req.askedAt
-	us := max(1, min(histMost, int64(math.Round(took*1000))))
+	us := max(1, min(maxLatencyUs, int64(math.Round(took*1000))))
 	s.Latency[req.class].RecordValue(us)
 	s.recent.RecordValue(us)
 	inTime := took <= s.params.Classes[req.class].Contract
