--- a/lab/soak/backend.go
+++ b/lab/soak/backend.go
@@ -12,43 +12,44 @@
 	"time"
 )
 
-// Conduct is how a backend treats requests.
-type Conduct int32
+// Behavior is how a backend treats requests.
+type Behavior int32
 
-// The conducts of a backend.
+// The behaviors of a backend.
 const (
-	Well    Conduct = iota // answers after some milliseconds
-	Slow                   // answers late
-	Hangs                  // takes requests and never answers
-	Resets                 // resets the connection under a request
-	Refuses                // turns requests away as not run
-	Fails                  // answers with an error
-	Halves                 // sends half of an answer and hangs
+	Normal    Behavior = iota // answers after a few milliseconds
+	Slow                      // answers late
+	Hangs                     // accepts requests and never answers
+	Resets                    // resets the connection after reading a request
+	Refuses                   // refuses requests without running them
+	Fails                     // answers with an error
+	Truncates                 // sends half of an answer, then nothing more
 )
 
-const conducts = 7
+// behaviorCount is the number of behaviors.
+const behaviorCount = 7
 
-// backend is a stand-in for one backend.
+// backend is a fake backend that records the requests that it receives.
 type backend struct {
-	number  int
-	id      string
-	addr    string
-	conduct atomic.Int32
-	day     *world
-	ln      net.Listener
+	number   int
+	id       string
+	addr     string
+	behavior atomic.Int32
+	rig      *rig
+	ln       net.Listener
 }
 
-func newBackend(w *world, number int) (*backend, error) {
+func newBackend(r *rig, number int) (*backend, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &backend{number: number, id: fmt.Sprintf("s-%d", number), addr: ln.Addr().String(), day: w, ln: ln}
+	b := &backend{number: number, id: fmt.Sprintf("s-%d", number), addr: ln.Addr().String(), rig: r, ln: ln}
 	go acceptAll(ln, b.serve)
 	return b, nil
 }
 
-// acceptAll serves each connection of a listener until it is closed.
+// acceptAll serves each connection in its own goroutine until the listener is closed.
 func acceptAll(ln net.Listener, serve func(net.Conn)) {
 	for {
 		nc, err := ln.Accept()
@@ -59,42 +60,43 @@
 	}
 }
 
+// serve answers the requests of one connection and records the arrival of each.
 func (b *backend) serve(nc net.Conn) {
 	defer nc.Close()
-	dice := rand.New(rand.NewPCG(b.day.seed, uint64(b.number)))
+	rng := rand.New(rand.NewPCG(b.rig.seed, uint64(b.number)))
 	for r := bufio.NewReader(nc); ; {
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		a := Arrival{Backend: b.number, First: b.day.now(), Whole: Never}
+		arrival := Arrival{Backend: b.number, FirstByte: b.rig.now(), LastByte: Never}
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		a.ID = req.Header.Get("X-Txn")
+		arrival.ID = req.Header.Get("X-Txn")
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
-			b.day.record.arrival(a)
+			b.rig.history.addArrival(arrival)
 			return
 		}
-		a.Whole, a.Remaining = b.day.now(), span(req.Header.Get("X-Remaining"))
-		how := Conduct(b.conduct.Load())
-		a.TurnedAway = how == Refuses
-		b.day.record.arrival(a)
-		if !b.answer(nc, r, how, a.ID, dice) {
+		arrival.LastByte, arrival.Remaining = b.rig.now(), parseRemaining(req.Header.Get("X-Remaining"))
+		behavior := Behavior(b.behavior.Load())
+		arrival.Refused = behavior == Refuses
+		b.rig.history.addArrival(arrival)
+		if !b.answer(nc, r, behavior, arrival.ID, rng) {
 			return
 		}
 	}
 }
 
-// answer does with one request as the conduct says, and tells whether the connection goes on.
-func (b *backend) answer(nc net.Conn, r *bufio.Reader, how Conduct, id string, dice *rand.Rand) bool {
-	between := func(least, most int) { time.Sleep(time.Duration(least+dice.IntN(most-least)) * time.Millisecond) }
-	switch how {
+// answer treats one request according to a behavior, and reports whether the connection stays open.
+func (b *backend) answer(nc net.Conn, r *bufio.Reader, behavior Behavior, id string, rng *rand.Rand) bool {
+	sleepBetween := func(minMs, maxMs int) { time.Sleep(time.Duration(minMs+rng.IntN(maxMs-minMs)) * time.Millisecond) }
+	switch behavior {
 	case Hangs:
-		_, _ = r.Peek(1) // until the front door gives up
+		_, _ = r.Peek(1) // blocks until the front door closes the connection
 		return false
 	case Resets:
-		between(1, 30)
+		sleepBetween(1, 30)
 		_ = nc.(*net.TCPConn).SetLinger(0)
 		return false
 	case Refuses:
@@ -103,21 +105,22 @@
 	case Fails:
 		_, err := io.WriteString(nc, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
-	case Halves:
+	case Truncates:
 		_, _ = fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id[:len(id)/2])
 		_, _ = r.Peek(1)
 		return false
 	case Slow:
-		between(200, 900)
+		sleepBetween(200, 900)
 	default:
-		between(3, 30)
+		sleepBetween(3, 30)
 	}
 	_, err := fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 	return err == nil
 }
 
-// span reads a time as the protocol page words it: a number with m for milliseconds or u for microseconds.
-func span(text string) time.Duration {
+// parseRemaining parses a duration in the form of the protocol: a number with the suffix m for milliseconds or u for
+// microseconds.
+func parseRemaining(text string) time.Duration {
 	unit := time.Millisecond
 	if strings.HasSuffix(text, "u") {
 		unit = time.Microsecond
--- a/lab/soak/door.go
+++ b/lab/soak/door.go
@@ -18,154 +18,155 @@
 )
 
 const (
-	readyPause  = 20 * time.Millisecond  // between looks whether a door can serve
-	readyLook   = 300 * time.Millisecond // that a look may take
-	invariantOf = "violations_"          // beginning of the log fields of an account that count violations
-	pausesApart = 500 * time.Millisecond
-	fillFor     = 50 * time.Millisecond // in which a pipe is filled
-	logKept     = 4096                  // bytes of a log's end that are kept for a crash
+	readyPollInterval = 20 * time.Millisecond  // between two readiness checks of a door
+	readyTimeout      = 300 * time.Millisecond // of one readiness check
+	violationPrefix   = "violations_"          // prefix of the log fields that count invariant violations
+	minPauseGap       = 500 * time.Millisecond // between two pauses of a process
+	pipeFillTime      = 50 * time.Millisecond  // how long a pipe is written to until it counts as full
+	logTailSize       = 4096                   // bytes at the end of a log that are kept for a crash report
 )
 
-// door is one front door, over its processes.
+// door is one front door, over all of its processes.
 type door struct {
-	day      *world
-	number   int
-	addr     string
-	agents   [2]*discovery // of which the configuration names one
-	follows  int
-	sockets  int
-	file     string
-	launched int        // processes so far
-	keeps    []*os.File // ends of pipes that nobody reads
+	rig          *rig
+	number       int
+	addr         string
+	agents       [2]*discovery // the configuration names one of them, agents[activeAgent]
+	activeAgent  int
+	descriptors  int
+	configFile   string
+	launched     int        // number of processes started so far
+	openPipeEnds []*os.File // read ends of log pipes, kept open without being read
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	life  *Life
-	done  chan struct{}
-	held  Instant // when it was last held up
-	taken bool    // clients may connect: it has been ready, and is not long told to end
+	mu          sync.Mutex
+	cmd         *exec.Cmd
+	incarnation *Incarnation
+	done        chan struct{}
+	pausedAt    Instant // when the process was last stopped by SIGSTOP; 0 if never
+	accepting   bool    // clients may connect: the current process has become ready and has not exited or been killed
 }
 
-// settings are the door's configuration, in the platform's form.
+// settings returns the door's configuration in the platform's form.
 func (d *door) settings() map[string]any {
-	w := d.day
-	wait := w.record.Deadlines.Seconds()
-	class := func(name, semantics string, longest float64, more map[string]any) map[string]any {
-		c := map[string]any{"name": name, "aim": longest / 2, "give_up": longest, "semantics": semantics, "late_value": 0.2, "worth": 1}
-		for k, v := range more {
+	r := d.rig
+	wait := r.history.MaxDeadline.Seconds()
+	class := func(name, semantics string, maxWait float64, extra map[string]any) map[string]any {
+		c := map[string]any{"name": name, "aim": maxWait / 2, "give_up": maxWait, "semantics": semantics, "late_value": 0.2, "worth": 1}
+		for k, v := range extra {
 			c[k] = v
 		}
 		return c
 	}
 	return map[string]any{
-		"name": fmt.Sprintf("n%d", d.number), "listen": d.addr, "discovery": d.agents[d.follows].addr, "counter": w.counter.addr,
-		"seed": fmt.Sprintf("%x", w.seed+uint64(d.number)), "log": map[string]any{"format": "json", "level": w.level()},
-		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": d.sockets},
+		"name": fmt.Sprintf("n%d", d.number), "listen": d.addr, "discovery": d.agents[d.activeAgent].addr, "counter": r.counter.addr,
+		"seed": fmt.Sprintf("%x", r.seed+uint64(d.number)), "log": map[string]any{"format": "json", "level": r.logLevel()},
+		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": d.descriptors},
 		"settings": map[string]any{
-			"fleet_size": len(w.doors), "my_number": d.number,
+			"fleet_size": len(r.doors), "my_number": d.number,
 			"profiles": []any{class("look", "idempotent", wait, nil),
-				class("book", "deduplicated", wait, map[string]any{"dedup_scope": "all", "window": w.record.Window.Seconds()}),
+				class("book", "deduplicated", wait, map[string]any{"dedup_scope": "all", "window": r.history.DedupWindow.Seconds()}),
 				class("pay", "at_most_once", wait, nil)},
 			"tariffs": []any{map[string]any{"name": "team", "rate": 5000, "depth": 5000, "pays": 1}},
 			"extra":   map[string]any{"counter": true, "counter_timeout": 0.1, "units_top": 8},
 			"limits": map[string]any{"cancel": true, "second_copies": true, "max_attempts": 4, "retry_after": true, "max_retry_after": 0.5,
 				"conn_idle": 15, "connect_timeout": 0.25},
-			"safety": map[string]any{"cold_from": 0.25, "cold": 10, "fall_multiple": 4, "tip_after": 1.5, "drain_grace": w.record.DrainGrace.Seconds()},
+			"safety": map[string]any{"cold_from": 0.25, "cold": 10, "fall_multiple": 4, "tip_after": 1.5, "drain_grace": r.history.DrainGrace.Seconds()},
 		},
 	}
 }
 
-// write puts the configuration in place, whole.
-func (d *door) write() error {
+// writeConfig replaces the configuration file atomically.
+func (d *door) writeConfig() error {
 	raw, err := json.Marshal(d.settings())
 	if err == nil {
-		err = os.WriteFile(d.file+".new", raw, 0o600)
+		err = os.WriteFile(d.configFile+".new", raw, 0o600)
 	}
 	if err == nil {
-		err = os.Rename(d.file+".new", d.file)
+		err = os.Rename(d.configFile+".new", d.configFile)
 	}
 	return err
 }
 
-// start begins a process, with the faults given.
+// start starts a process with injected faults.
 func (d *door) start(faults sysfaults.Plan) error {
-	if err := d.write(); err != nil {
+	if err := d.writeConfig(); err != nil {
 		return &RigError{"a configuration", err}
 	}
-	log := &logScan{file: d.logFile()}
-	cmd := exec.Command(d.day.program)
-	cmd.Env = append(os.Environ(), "GW_CONFIG="+d.file, faults.Environment())
+	log := &logScanner{file: d.logFile()}
+	cmd := exec.Command(d.rig.program)
+	cmd.Env = append(os.Environ(), "GW_CONFIG="+d.configFile, faults.Environment())
 	cmd.Stderr, cmd.WaitDelay = log, time.Second
-	if d.day.log != LogWell {
-		pipe, end, err := spoiltLog(d.day.log)
+	if d.rig.logFault != LogOK {
+		pipe, end, err := faultyLog(d.rig.logFault)
 		if err != nil {
 			return &RigError{"a log", err}
 		}
 		cmd.Stderr = pipe
 		defer pipe.Close()
-		d.keeps = append(d.keeps, end)
+		d.openPipeEnds = append(d.openPipeEnds, end)
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	life := &Life{Door: d.number, Ready: Never, Term: Never, Kill: Never, Started: d.day.now()}
+	inc := &Incarnation{Door: d.number, Ready: Never, Term: Never, Kill: Never, Started: d.rig.now()}
 	if err := cmd.Start(); err != nil {
 		return &RigError{"a process", err}
 	}
 	done := make(chan struct{})
 	d.mu.Lock()
-	d.cmd, d.life, d.done, d.launched = cmd, life, done, d.launched+1
+	d.cmd, d.incarnation, d.done, d.launched = cmd, inc, done, d.launched+1
 	d.mu.Unlock()
-	go d.wait(cmd, life, log, done)
-	go d.look(life, done)
+	go d.awaitExit(cmd, inc, log, done)
+	go d.awaitReady(inc, done)
 	return nil
 }
 
+// logFile creates the file for the log of the next process; nil if logs are not kept.
 func (d *door) logFile() *os.File {
-	if d.day.logs == "" {
+	if d.rig.logDir == "" {
 		return nil
 	}
-	f, err := os.Create(filepath.Join(d.day.logs, fmt.Sprintf("seed%d-door%d-%d.log", d.day.seed, d.number, d.launched)))
+	f, err := os.Create(filepath.Join(d.rig.logDir, fmt.Sprintf("seed%d-door%d-%d.log", d.rig.seed, d.number, d.launched)))
 	if err != nil {
 		return nil
 	}
 	return f
 }
 
-// wait records the process's life once it has ended.
-func (d *door) wait(cmd *exec.Cmd, life *Life, log *logScan, done chan struct{}) {
+// awaitExit waits for the process to exit and records its incarnation.
+func (d *door) awaitExit(cmd *exec.Cmd, inc *Incarnation, log *logScanner, done chan struct{}) {
 	err := cmd.Wait()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	life.Exited = d.day.now()
-	d.taken = false
+	inc.Exited = d.rig.now()
+	d.accepting = false
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	if log.file != nil {
 		log.file.Close()
 	}
-	life.Invariants = log.invariants
+	inc.InvariantViolations = log.violations
 	switch {
-	case life.Kill != Never:
-	case life.Term != Never && life.Ready == Never && cmd.ProcessState.Sys().(syscall.WaitStatus).Signal() == syscall.SIGTERM:
-		// Told to end before it listened to signals, as any program ends then.
+	case inc.Kill != Never:
+	case inc.Term != Never && inc.Ready == Never && cmd.ProcessState.Sys().(syscall.WaitStatus).Signal() == syscall.SIGTERM:
+		// Terminated before it had installed its signal handlers.
 	case err != nil:
-		life.Fault = fmt.Sprintf("%v: %s", err, log.last)
-	case life.Term == Never:
-		life.Fault = "ended with nobody telling it to"
+		inc.Crash = fmt.Sprintf("%v: %s", err, log.tail)
+	case inc.Term == Never:
+		inc.Crash = "exited without a signal"
 	}
-	d.day.record.life(*life)
+	d.rig.history.addIncarnation(*inc)
 	close(done)
 }
 
-// look admits clients once the door says that it can serve.
-func (d *door) look(life *Life, done <-chan struct{}) {
-	web := http.Client{Timeout: readyLook, Transport: &http.Transport{DisableKeepAlives: true}}
+// awaitReady polls the process until it reports ready, and then lets clients connect.
+func (d *door) awaitReady(inc *Incarnation, done <-chan struct{}) {
+	client := http.Client{Timeout: readyTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
 		select {
 		case <-done:
 			return
-		case <-time.After(readyPause):
+		case <-time.After(readyPollInterval):
 		}
-		res, err := web.Get("http://" + d.addr + "/health/ready")
+		res, err := client.Get("http://" + d.addr + "/health/ready")
 		if err != nil {
 			continue
 		}
@@ -175,154 +176,155 @@
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if life.Ready = d.day.now(); life.Term == Never {
-			d.taken = true
+		if inc.Ready = d.rig.now(); inc.Term == Never {
+			d.accepting = true
 		}
 		return
 	}
 }
 
-// signal sends one signal to the present process.
+// signal sends a signal to the current process.
 func (d *door) signal(s syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.cmd == nil || d.life.Exited != 0 {
+	if d.cmd == nil || d.incarnation.Exited != 0 {
 		return
 	}
-	if s == syscall.SIGHUP && d.life.Ready == Never {
-		return // it may not listen to signals yet, and would end as any program does
+	if s == syscall.SIGHUP && d.incarnation.Ready == Never {
+		return // it may not have a signal handler yet, and SIGHUP would end it
 	}
-	before := d.day.now()
+	before := d.rig.now()
 	if err := d.cmd.Process.Signal(s); err != nil {
 		return
 	}
 	switch {
-	case s == syscall.SIGTERM && d.life.Term == Never:
-		d.life.Term = d.day.now()
-	case s == syscall.SIGKILL && d.life.Kill == Never:
-		d.life.Kill, d.life.Outright = before, d.life.Term == Never
-		d.taken = false
+	case s == syscall.SIGTERM && d.incarnation.Term == Never:
+		d.incarnation.Term = d.rig.now()
+	case s == syscall.SIGKILL && d.incarnation.Kill == Never:
+		d.incarnation.Kill, d.incarnation.KilledWithoutTerm = before, d.incarnation.Term == Never
+		d.accepting = false
 	}
 }
 
-// pause holds the process up, where that has not just been done: several pauses in a row would add up to more than the page
-// allows.
+// pause stops the process with SIGSTOP, unless that was done shortly before: several pauses in a row would add up to more than
+// the protocol page allows.
 func (d *door) pause() {
 	d.mu.Lock()
-	again := d.held != 0 && d.day.now()-d.held < pausesApart
-	if !again {
-		d.held = d.day.now()
+	tooSoon := d.pausedAt != 0 && d.rig.now()-d.pausedAt < minPauseGap
+	if !tooSoon {
+		d.pausedAt = d.rig.now()
 	}
 	d.mu.Unlock()
-	if !again {
+	if !tooSoon {
 		d.signal(syscall.SIGSTOP)
 	}
 }
 
-// reload has the door follow its other agent.
+// reload makes the door follow its other agent.
 func (d *door) reload() {
 	d.mu.Lock()
-	if d.life.Ready == Never || d.life.Exited != 0 {
+	if d.incarnation.Ready == Never || d.incarnation.Exited != 0 {
 		d.mu.Unlock()
-		return // nobody would read it
+		return // no running process would read the new configuration
 	}
-	d.agents[d.follows].mute(true)
-	d.follows = 1 - d.follows
-	d.agents[d.follows].mute(false)
+	d.agents[d.activeAgent].setInactive(true)
+	d.activeAgent = 1 - d.activeAgent
+	d.agents[d.activeAgent].setInactive(false)
 	d.mu.Unlock()
-	if d.write() == nil {
+	if d.writeConfig() == nil {
 		d.signal(syscall.SIGHUP)
 	}
 }
 
-// end takes the process down as an operator does: a series of signals, and a kill at the earliest that the page allows, for
-// which it returns.
-func (d *door) end(series []timedSignal) {
+// terminate ends the process as an operator does, by a series of signals and, at the earliest time that the protocol page
+// allows, by SIGKILL. It returns once the process has exited.
+func (d *door) terminate(series []timedSignal) {
 	for _, s := range series {
 		time.Sleep(s.after)
 		d.signal(s.signal)
 	}
 	d.mu.Lock()
-	term, done := d.life.Term, d.done
+	term, done := d.incarnation.Term, d.done
 	d.mu.Unlock()
 	select {
 	case <-done:
-	case <-time.After(term + EarliestKill(d.day.record.Deadlines) - d.day.now()):
+	case <-time.After(term + EarliestKill(d.rig.history.MaxDeadline) - d.rig.now()):
 		d.signal(syscall.SIGKILL)
 		<-done
 	}
 }
 
-// timedSignal is a signal some time after the one before it.
+// timedSignal is a signal that is sent some time after the one before it.
 type timedSignal struct {
 	after  time.Duration
 	signal syscall.Signal
 }
 
-func (d *door) admits() bool {
+// acceptsClients reports whether clients may connect.
+func (d *door) acceptsClients() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.taken
+	return d.accepting
 }
 
-// dial connects to the door as a client.
+// dial opens a client connection to the door.
 func (d *door) dial() (net.Conn, error) { return net.DialTimeout("tcp", d.addr, time.Second) }
 
-// logScan keeps the end of a log, and adds up the violations that it tells of.
-type logScan struct {
+// logScanner keeps the end of a log and sums up the invariant violations that it reports.
+type logScanner struct {
 	file       *os.File
 	mu         sync.Mutex
-	part       []byte
-	last       []byte
-	invariants int
+	partial    []byte
+	tail       []byte
+	violations int
 }
 
-func (l *logScan) Write(p []byte) (int, error) {
+func (l *logScanner) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.file != nil {
 		_, _ = l.file.Write(p)
 	}
-	if l.last = append(l.last, p...); len(l.last) > logKept {
-		l.last = l.last[len(l.last)-logKept:]
+	if l.tail = append(l.tail, p...); len(l.tail) > logTailSize {
+		l.tail = l.tail[len(l.tail)-logTailSize:]
 	}
-	l.part = append(l.part, p...)
+	l.partial = append(l.partial, p...)
 	for {
-		i := bytes.IndexByte(l.part, '\n')
+		i := bytes.IndexByte(l.partial, '\n')
 		if i < 0 {
 			return len(p), nil
 		}
-		l.invariants += violationsIn(l.part[:i])
-		l.part = append(l.part[:0], l.part[i+1:]...)
+		l.violations += countViolations(l.partial[:i])
+		l.partial = append(l.partial[:0], l.partial[i+1:]...)
 	}
 }
 
-// violationsIn adds up the violations that one line of a log tells of.
-func violationsIn(line []byte) (n int) {
+// countViolations returns the number of violations that one log line reports.
+func countViolations(line []byte) (n int) {
 	fields := map[string]any{}
 	if json.Unmarshal(line, &fields) != nil {
 		return 0
 	}
 	for name, value := range fields {
-		if v, is := value.(float64); is && strings.HasPrefix(name, invariantOf) {
+		if v, ok := value.(float64); ok && strings.HasPrefix(name, violationPrefix) {
 			n += int(v)
 		}
 	}
 	return n
 }
 
-// spoiltLog returns a pipe to log to that has a fault, and an end of it to be kept open.
-func spoiltLog(fault LogFault) (log, keep *os.File, err error) {
+// faultyLog returns the write end of a log pipe with a fault, and the read end, to be kept open.
+func faultyLog(fault LogFault) (log, keep *os.File, err error) {
 	keep, log, err = os.Pipe()
 	if err != nil {
 		return nil, nil, err
 	}
-	if fault == LogGone {
+	if fault == LogClosed {
 		return log, keep, keep.Close()
 	}
-	log.SetWriteDeadline(time.Now().Add(fillFor))
+	log.SetWriteDeadline(time.Now().Add(pipeFillTime))
 	for err == nil {
-		_, err = log.Write(make([]byte, logKept))
+		_, err = log.Write(make([]byte, logTailSize))
 	}
 	return log, keep, nil
 }
