--- a/lab/account/account.go
+++ b/lab/account/account.go
@@ -47,8 +47,8 @@
 )
 
 // Collector builds the account of a run from its trace.
-type Book struct {
-	params           *judge.Deal
+type Collector struct {
+	params           *judge.Params
 	doors            map[int]*door
 	requests         map[int]*clientRequest
 	tries            map[int]*openTry
@@ -96,8 +96,8 @@
 }
 
 // NewCollector returns a collector for a run with these parameters.
-func NewBook(d *judge.Deal) *Book {
-	return &Book{params: d, doors: map[int]*door{}, requests: map[int]*clientRequest{}, tries: map[int]*openTry{},
+func NewCollector(d *judge.Params) *Collector {
+	return &Collector{params: d, doors: map[int]*door{}, requests: map[int]*clientRequest{}, tries: map[int]*openTry{},
 		quotas: map[int]*judge.Bucket{}, idealQuotas: map[int]*judge.Bucket{}, losses: map[string]*lossTally{}}
 }
 
@@ -110,7 +110,7 @@
 }
 
 // addLoss adds a loss at a door to those of its cause.
-func (b *Book) addLoss(cause string, gain, asked, now float64, at int) {
+func (b *Collector) addLoss(cause string, gain, asked, now float64, at int) {
 	t := b.losses[cause]
 	if t == nil {
 		t = &lossTally{doors: map[int]float64{}}
@@ -146,17 +146,17 @@
 }
 
 // Take accounts for one event.
-func (b *Book) Take(e *trace.Event) {
+func (b *Collector) Take(e *trace.Event) {
 	switch e.Kind {
-	case trace.Started:
+	case trace.DoorStarted:
 		b.doors[e.Door] = &door{started: e.At}
 	case trace.Asked:
 		b.asked(e)
-	case trace.Taken:
-		b.tries[e.Try] = &openTry{request: e.Want, door: e.Door, customer: e.Customer, plan: e.Plan, units: e.Units}
+	case trace.Accepted:
+		b.tries[e.Try] = &openTry{request: e.Request, door: e.Door, customer: e.Customer, plan: e.Plan, units: e.Units}
 		b.triesByWindow = extend(b.triesByWindow, int(e.At/windowMs))
 		b.triesByWindow[int(e.At/windowMs)]++
-		if req := b.requests[e.Want]; req != nil {
+		if req := b.requests[e.Request]; req != nil {
 			req.door, req.lastOutcome = e.Door, neverAnswered
 		}
 	case trace.Sent:
@@ -168,9 +168,9 @@
 		}
 	case trace.Answered:
 		b.answered(e)
-	case trace.Left, trace.Dropped:
+	case trace.ClientLeft, trace.Dropped:
 		delete(b.tries, e.Try)
-	case trace.Died:
+	case trace.DoorDied:
 		for id, t := range b.tries {
 			if t.door == e.Door {
 				if req := b.requests[t.request]; req != nil {
@@ -179,18 +179,18 @@
 				delete(b.tries, id)
 			}
 		}
-	case trace.Got:
+	case trace.Received:
 		b.received(e)
 	case trace.GaveUp:
-		if req := b.requests[e.Want]; req != nil {
+		if req := b.requests[e.Request]; req != nil {
 			if req.inQuota {
 				b.addLoss(cmp.Or(req.lastOutcome, "found no door"), req.gain, req.askedAt, e.At, req.door)
 			}
-			delete(b.requests, e.Want)
+			delete(b.requests, e.Request)
 		}
 	case trace.Connected:
 		b.counts.conns++
-	case trace.Counted:
+	case trace.CounterCalled:
 		b.counts.calls++
 	case trace.Probed:
 		b.counts.probes++
@@ -198,11 +198,11 @@
 }
 
 // asked adds a request, as offered only if it is within the customer's ideal quota.
-func (b *Book) asked(e *trace.Event) {
+func (b *Collector) asked(e *trace.Event) {
 	b.counts.first++
 	p := &b.params.Plans[e.Plan]
 	req := &clientRequest{askedAt: e.At, gain: b.params.Classes[e.Class].Gain * p.Price * e.Units, class: e.Class, door: -1}
-	b.requests[e.Want] = req
+	b.requests[e.Request] = req
 	s := b.idealQuotas[e.Customer]
 	if s == nil {
 		s = &judge.Bucket{Level: p.Depth, At: e.At}
@@ -216,7 +216,7 @@
 }
 
 // quotaOf returns the customer's quota as charged for what doors have sent.
-func (b *Book) quotaOf(t *openTry, at float64) *judge.Bucket {
+func (b *Collector) quotaOf(t *openTry, at float64) *judge.Bucket {
 	s := b.quotas[t.customer]
 	if s == nil {
 		s = &judge.Bucket{Level: b.params.Plans[t.plan].Depth, At: at}
@@ -226,7 +226,7 @@
 }
 
 // sent charges the first attempt of a try to the customer's quota.
-func (b *Book) sent(e *trace.Event) {
+func (b *Collector) sent(e *trace.Event) {
 	b.counts.sent++
 	t := b.tries[e.Try]
 	if t == nil || t.sent {
@@ -237,12 +237,12 @@
 	if s := b.quotaOf(t, e.At); p.Rate == 0 || s.Fill(e.At, p.Rate, p.Depth) >= t.units-1e-9 {
 		s.Level -= t.units
 	} else if req != nil {
-		b.addLoss("sent beyond the quota", b.params.OverCost[t.plan]*req.gain, req.askedAt, e.At, e.Door)
+		b.addLoss("sent beyond the quota", b.params.OverQuotaCost[t.plan]*req.gain, req.askedAt, e.At, e.Door)
 	}
 }
 
 // answered ends a try and remembers a rejection or failure as the latest outcome of its request.
-func (b *Book) answered(e *trace.Event) {
+func (b *Collector) answered(e *trace.Event) {
 	t := b.tries[e.Try]
 	if t == nil {
 		return
@@ -254,7 +254,7 @@
 	p := &b.params.Plans[t.plan]
 	at := int(e.At / windowMs)
 	b.withRoomByWindow = extend(b.withRoomByWindow, at)
-	name := e.Answer.String() + ", " + e.Why.String()
+	name := e.Answer.String() + ", " + e.Cause.String()
 	if e.Answer == trace.Rejected && p.Rate > 0 && b.quotaOf(t, e.At).Fill(e.At, p.Rate, p.Depth) >= minRoomShare*p.Depth {
 		b.withRoomByWindow[at]++
 		name += ", with room"
@@ -265,19 +265,19 @@
 }
 
 // received ends a request with the answer that the client received.
-func (b *Book) received(e *trace.Event) {
-	req := b.requests[e.Want]
+func (b *Collector) received(e *trace.Event) {
+	req := b.requests[e.Request]
 	if req == nil || e.Answer != trace.Finished {
 		return
 	}
 	if p := &b.params.Classes[req.class]; req.inQuota && e.At-req.askedAt > p.Contract {
 		b.addLoss("late", req.gain*(1-p.LateValue), req.askedAt, e.At, req.door)
 	}
-	delete(b.requests, e.Want)
+	delete(b.requests, e.Request)
 }
 
 // Sum returns the account of all events so far.
-func (b *Book) Sum() *Account {
+func (b *Collector) Sum() *Account {
 	a := &Account{}
 	for _, g := range b.offeredByWindow {
 		a.Offered += g
--- a/lab/judge/rules.go
+++ b/lab/judge/rules.go
@@ -26,7 +26,7 @@
 var AllRules = []Rule{NoneLost, NoneTwice, DrainsKept, ColdSpared, CeilingKept}
 
 // Violation is one violation of an invariant.
-type Breach struct {
+type Violation struct {
 	Rule Rule    `json:"rule"`
 	At   float64 `json:"at_ms"`
 	Door int     `json:"door"`
@@ -34,31 +34,31 @@
 }
 
 // Params are the parameters of a run that the checker and the score depend on.
-type Deal struct {
-	Classes        []gate.Class
-	Plans          []gate.Plan
-	OverCost       []float64 // by plan: share of its gain that sending a request beyond the quota costs
-	CeilingSlack   []float64 // by plan: units by which a ceiling may be exceeded
-	MaxAttempts    int
-	Hedging        bool
-	AnswerSlack    float64 // ms after the deadline within which an answer still counts
-	DrainGrace     float64 // ms that a door has to stop sending to a backend that it learns to be draining
-	FallMultiple   float64 // multiple of its capacity that a cold backend withstands
-	FallWindow     float64 // ms over which that load is measured
-	Slack          float64 // ms added to every time limit; above 0 for runs over real sockets
-	CeilingSlackMs float64 // ms of the ceiling's rate added to its slack; above 0 for runs over real sockets
-	Seconds        float64 // length of the run
-	Goal           Goal
-	Prices         Prices
+type Params struct {
+	Classes          []gate.Class
+	Plans            []gate.Plan
+	OverQuotaCost    []float64 // by plan: share of its gain that sending a request beyond the quota costs
+	CeilingSlack     []float64 // by plan: units by which a ceiling may be exceeded
+	MaxAttempts      int
+	Hedging          bool
+	AnswerSlack      float64 // ms after the deadline within which an answer still counts
+	DrainGrace       float64 // ms that a door has to stop sending to a backend that it learns to be draining
+	OverloadMultiple float64 // multiple of its capacity that a cold backend withstands
+	OverloadWindow   float64 // ms over which that load is measured
+	Slack            float64 // ms added to every time limit; above 0 for runs over real sockets
+	CeilingSlackMs   float64 // ms of the ceiling's rate added to its slack; above 0 for runs over real sockets
+	Seconds          float64 // length of the run
+	Goal             Goal
+	Prices           Prices
 }
 
 const maxViolationsKept = 20 // per rule; further ones are only counted
 
 // Checker checks the trace of a run against all invariants.
 type Checker struct {
-	params   *Deal
-	Breaches []Breach
-	Count    map[Rule]int // of all violations, including those that are not kept
+	params     *Params
+	Violations []Violation
+	Count      map[Rule]int // of all violations, including those that are not kept
 
 	tries            map[int]*openTry
 	spareTries       []*openTry // for reuse
@@ -105,15 +105,15 @@
 }
 
 // NewChecker returns a checker of all invariants for a run with these parameters.
-func NewChecker(d *Deal) *Checker {
-	return &Checker{params: d, Breaches: []Breach{}, Count: map[Rule]int{}, tries: map[int]*openTry{}, notified: map[doorBackend]notification{},
+func NewChecker(d *Params) *Checker {
+	return &Checker{params: d, Violations: []Violation{}, Count: map[Rule]int{}, tries: map[int]*openTry{}, notified: map[doorBackend]notification{},
 		cold: map[int]*trace.ColdBudget{}, collapsed: map[int]bool{}, ceilings: map[int]*Bucket{}}
 }
 
 // report counts a violation, and keeps it unless there are too many of its rule.
 func (r *Checker) report(rule Rule, e *trace.Event, format string, args ...any) {
 	if r.Count[rule]++; r.Count[rule] <= maxViolationsKept {
-		r.Breaches = append(r.Breaches, Breach{rule, e.At, e.Door, fmt.Sprintf(format, args...)})
+		r.Violations = append(r.Violations, Violation{rule, e.At, e.Door, fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -128,9 +128,9 @@
 			func(p int) float64 { return r.params.Plans[p].CeilingDepth })
 	}
 	switch e.Kind {
-	case trace.Taken:
+	case trace.Accepted:
 		t := r.newTry()
-		t.door, t.customer, t.plan, t.class, t.units, t.deadline = e.Door, e.Customer, e.Plan, e.Class, e.Units, e.Until
+		t.door, t.customer, t.plan, t.class, t.units, t.deadline = e.Door, e.Customer, e.Plan, e.Class, e.Units, e.Deadline
 		if r.tries[e.Try] != nil {
 			r.report(NoneLost, e, "try %d taken twice", e.Try)
 		}
@@ -138,8 +138,8 @@
 	case trace.Sent:
 		r.checkSent(e)
 	case trace.Closed:
-		if t := r.tries[e.Try]; t != nil && t.door == e.Door && e.Number < len(t.transmissions) {
-			t.transmissions[e.Number].ended, t.transmissions[e.Number].neverRan = true, e.Result.NeverRan()
+		if t := r.tries[e.Try]; t != nil && t.door == e.Door && e.Attempt < len(t.transmissions) {
+			t.transmissions[e.Attempt].ended, t.transmissions[e.Attempt].neverRan = true, e.Result.NeverRan()
 		}
 	case trace.Answered:
 		r.checkAnswer(e)
@@ -148,14 +148,14 @@
 			r.report(NoneLost, e, "the connection of try %d was ended without an answer", e.Try)
 			r.removeTry(e.Try)
 		}
-	case trace.Left:
+	case trace.ClientLeft:
 		if t := r.tries[e.Try]; t != nil {
 			if e.At > t.deadline+r.params.AnswerSlack+r.params.Slack {
 				r.report(NoneLost, e, "try %d was not answered while its client waited", e.Try)
 			}
 			r.removeTry(e.Try)
 		}
-	case trace.Died:
+	case trace.DoorDied:
 		for id, t := range r.tries {
 			if t.door == e.Door {
 				r.removeTry(id)
@@ -166,19 +166,19 @@
 				delete(r.notified, p)
 			}
 		}
-	case trace.Told:
+	case trace.StatusSeen:
 		if e.Status == gate.Up {
 			delete(r.notified, doorBackend{e.Door, e.Backend})
 		} else if was, known := r.notified[doorBackend{e.Door, e.Backend}]; !known || was.status == gate.Up {
 			r.notified[doorBackend{e.Door, e.Backend}] = notification{e.Status, e.At}
 		}
-	case trace.Began:
+	case trace.BackendStarted:
 		delete(r.collapsed, e.Backend)
-		r.cold[e.Backend] = &trace.ColdBudget{Capacity: e.Work, From: e.Cold, Span: e.Span, Began: e.At,
-			Multiple: r.params.FallMultiple, Window: r.params.FallWindow}
-	case trace.Came:
+		r.cold[e.Backend] = &trace.ColdBudget{Capacity: e.Work, ColdShare: e.ColdShare, WarmupTime: e.WarmupTime, StartedAt: e.At,
+			Multiple: r.params.OverloadMultiple, Window: r.params.OverloadWindow}
+	case trace.Arrived:
 		r.checkColdBackend(e)
-	case trace.Over:
+	case trace.Ended:
 		r.reportOverdue(e)
 	}
 }
@@ -327,11 +327,11 @@
 		delete(r.cold, e.Backend)
 		return
 	}
-	over, mostlyInformed := c.Take(e.At, e.Work, e.Told)
+	over, mostlyInformed := c.Add(e.At, e.Work, e.KnowsStart)
 	if over {
 		r.collapsed[e.Backend] = true
 	}
 	if over && mostlyInformed {
-		r.report(ColdSpared, e, "backend %d overloaded %.0f ms after its start", e.Backend, e.At-c.Began)
+		r.report(ColdSpared, e, "backend %d overloaded %.0f ms after its start", e.Backend, e.At-c.StartedAt)
 	}
 }
--- a/lab/judge/rules_test.go
+++ b/lab/judge/rules_test.go
@@ -101,7 +101,7 @@
 func roundRobin(c *careless, op int) int { return c.up[op%len(c.up)] }
 
 // verified runs a scenario with a decider and returns the verifier of its trace.
-func verified(t *testing.T, extra string, c careless) *judge.Judge {
+func verified(t *testing.T, extra string, c careless) *judge.Verifier {
 	s, err := scenario.Read([]byte(scenarioText + extra))
 	require.NoError(t, err)
 	j := judge.New(model.Deal(&s))
@@ -122,7 +122,7 @@
 
 func TestACarefulDeciderViolatesNoInvariant(t *testing.T) {
 	j := verified(t, resetsFault+"\n[[fault]]\nkind = \"replace\"\nat_s = 1.0\nfor_s = 3.0\nshare = 0.5\nmuch = 1.0\n", careless{arrived: moderate})
-	assert.Empty(t, j.Rules.Breaches)
+	assert.Empty(t, j.Rules.Violations)
 	assert.Greater(t, j.Service.Whole.InTime, 20)
 }
 
@@ -171,12 +171,12 @@
 			j := verified(t, k.extra, k.decider)
 			require.NotZero(t, j.Rules.Count[k.rule], "%v", j.Rules.Count)
 			found := false
-			for _, b := range j.Rules.Breaches {
+			for _, b := range j.Rules.Violations {
 				if b.Rule == k.rule {
 					found = found || strings.Contains(b.Text, k.text)
 				}
 			}
-			assert.True(t, found, "%v", j.Rules.Breaches)
+			assert.True(t, found, "%v", j.Rules.Violations)
 		})
 	}
 }
--- a/lab/judge/service.go
+++ b/lab/judge/service.go
@@ -66,10 +66,10 @@
 
 // Service computes G, the score of a run, from its trace.
 type Service struct {
-	params  *Deal
+	params  *Params
 	Seconds []Second
 	Plans   []Tally // by plan
-	Profs   []Tally // by class
+	Classes []Tally // by class
 	Whole   Tally   // of all requests
 	Costs   Costs
 	Latency []*hdrhistogram.Histogram // by class, of successful answers, in µs
@@ -113,8 +113,8 @@
 )
 
 // NewService returns the score computation for a run with these parameters.
-func NewService(d *Deal) *Service {
-	s := &Service{params: d, Plans: make([]Tally, len(d.Plans)), Profs: make([]Tally, len(d.Classes)),
+func NewService(d *Params) *Service {
+	s := &Service{params: d, Plans: make([]Tally, len(d.Plans)), Classes: make([]Tally, len(d.Classes)),
 		requests: map[int]*clientRequest{}, tries: map[int]*billedTry{}, idealQuotas: map[int]*Bucket{}, quotas: map[int]*quotaState{},
 		recent: hdrhistogram.New(1, maxLatencyUs, 2)}
 	for range d.Classes {
@@ -134,7 +134,7 @@
 
 // tallies returns the tallies in which a request is counted.
 func (s *Service) tallies(req *clientRequest) [4]*Tally {
-	return [4]*Tally{&s.Whole, &s.Plans[req.plan], &s.Profs[req.class], &s.second(req.askedAt).Tally}
+	return [4]*Tally{&s.Whole, &s.Plans[req.plan], &s.Classes[req.class], &s.second(req.askedAt).Tally}
 }
 
 // reuseOrNew returns a zeroed value, taken from the spare ones if there are any.
@@ -153,48 +153,48 @@
 	switch e.Kind {
 	case trace.Asked:
 		s.asked(e)
-	case trace.Taken:
+	case trace.Accepted:
 		s.Costs.Tries++
 		t := reuseOrNew(&s.spareTries)
-		t.request, t.door, t.customer, t.plan = e.Want, e.Door, e.Customer, e.Plan
-		t.units, t.acceptedAt, t.deadline = e.Units, e.At, e.Until
+		t.request, t.door, t.customer, t.plan = e.Request, e.Door, e.Customer, e.Plan
+		t.units, t.acceptedAt, t.deadline = e.Units, e.At, e.Deadline
 		s.tries[e.Try] = t
 	case trace.Sent:
 		s.sent(e)
-	case trace.Came:
+	case trace.Arrived:
 		if t := s.tries[e.Try]; t != nil {
 			t.arrived = true
 		}
 	case trace.Closed:
 		if t := s.tries[e.Try]; t != nil {
-			s.closeAttempt(t, e.Number)
+			s.closeAttempt(t, e.Attempt)
 		}
 	case trace.Answered:
 		s.answered(e)
-	case trace.Got:
+	case trace.Received:
 		s.received(e)
 	case trace.GaveUp:
-		if req := s.requests[e.Want]; req != nil {
+		if req := s.requests[e.Request]; req != nil {
 			for _, t := range s.tallies(req) {
 				t.Unserved++
 			}
-			s.removeRequest(e.Want, req)
+			s.removeRequest(e.Request, req)
 		}
-	case trace.Left, trace.Dropped:
+	case trace.ClientLeft, trace.Dropped:
 		s.endTry(e.Try)
-	case trace.Died:
+	case trace.DoorDied:
 		for id, t := range s.tries {
 			if t.door == e.Door {
 				s.endTry(id)
 			}
 		}
-	case trace.Counted:
+	case trace.CounterCalled:
 		s.Costs.CounterCalls++
 	case trace.Probed:
 		s.Costs.Probes++
 	case trace.Connected:
 		s.Costs.Connections++
-	case trace.Fell:
+	case trace.Collapsed:
 		s.Costs.Fallen++
 	case trace.Wasted:
 		s.Costs.WastedMs += e.Work
@@ -204,7 +204,7 @@
 		if e.Twice {
 			s.Costs.EffectsTwice++
 		}
-	case trace.Over:
+	case trace.Ended:
 		s.advanceTo(len(s.Seconds) + 1)
 		for id, req := range s.requests {
 			for _, t := range s.tallies(req) {
@@ -227,7 +227,7 @@
 	req := reuseOrNew(&s.spareRequests)
 	req.askedAt, req.customer, req.plan, req.class = e.At, e.Customer, e.Plan, e.Class
 	req.gain = s.params.Classes[e.Class].Gain * p.Price * e.Units
-	s.requests[e.Want] = req
+	s.requests[e.Request] = req
 	b := s.idealQuotas[e.Customer]
 	if b == nil {
 		b = &Bucket{Level: p.Depth, At: e.At, plan: e.Plan}
@@ -275,13 +275,13 @@
 			q.Level -= t.units
 		} else {
 			s.Costs.BeyondUnits += t.units
-			s.charge(t.request, s.params.OverCost[t.plan], true)
+			s.charge(t.request, s.params.OverQuotaCost[t.plan], true)
 		}
 	}
 	if t.inFlight == nil {
 		t.inFlight = map[int]struct{}{}
 	}
-	t.inFlight[e.Number] = struct{}{}
+	t.inFlight[e.Attempt] = struct{}{}
 	q.inFlight++
 }
 
@@ -354,7 +354,7 @@
 
 // received accounts for a successful answer that a client received.
 func (s *Service) received(e *trace.Event) {
-	t, req := s.tries[e.Try], s.requests[e.Want]
+	t, req := s.tries[e.Try], s.requests[e.Request]
 	if e.Answer != trace.Finished || req == nil {
 		return
 	}
@@ -379,7 +379,7 @@
 			tally.Late++
 		}
 	}
-	s.removeRequest(e.Want, req)
+	s.removeRequest(e.Request, req)
 	s.endTry(e.Try)
 }
 
@@ -430,8 +430,8 @@
 			p.WorstWindow, p.WorstAt = share, at
 		}
 	}
-	for i := range s.Profs {
-		p.WorstClass = min(p.WorstClass, s.Profs[i].share())
+	for i := range s.Classes {
+		p.WorstClass = min(p.WorstClass, s.Classes[i].share())
 	}
 	for i := range s.Plans {
 		p.WorstPlan = min(p.WorstPlan, s.Plans[i].share())
@@ -446,17 +446,17 @@
 }
 
 // Verifier checks the invariants and computes the score of one run.
-type Judge struct {
+type Verifier struct {
 	Rules   *Checker
 	Service *Service
 	Events  int
 }
 
 // New returns a verifier for a run with these parameters.
-func New(d *Deal) *Judge { return &Judge{Rules: NewChecker(d), Service: NewService(d)} }
+func New(d *Params) *Verifier { return &Verifier{Rules: NewChecker(d), Service: NewService(d)} }
 
 // Take accounts for one event.
-func (j *Judge) Take(e *trace.Event) {
+func (j *Verifier) Take(e *trace.Event) {
 	j.Events++
 	j.Rules.Take(e)
 	j.Service.Take(e)
--- a/lab/load/errors.go
+++ b/lab/load/errors.go
@@ -8,20 +8,20 @@
 
 // RunError is a load run with an invalid parameter.
 type RunError struct {
-	What  string // the invalid parameter, with its value
-	Says  string // what is wrong with it
-	Cause error
+	Parameter string // the invalid parameter, with its value
+	Reason    string // what is wrong with it
+	Cause     error
 }
 
 func (e *RunError) Error() string {
-	return "load: " + e.What + ": " + remedy.WithCause(e.Says, e.Cause)
+	return "load: " + e.Parameter + ": " + remedy.WithCause(e.Reason, e.Cause)
 }
 func (e *RunError) Unwrap() error     { return e.Cause }
 func (e *RunError) Kind() remedy.Kind { return remedy.Usage }
 
 // Remedy names the parameter.
 func (e *RunError) Remedy() string {
-	return fmt.Sprintf("Change %s; swifthall lab load --help lists the flags.", e.What)
+	return fmt.Sprintf("Change %s; swifthall lab load --help lists the flags.", e.Parameter)
 }
 
 // StoppedError is a load run that was interrupted before its end.
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -23,25 +23,25 @@
 type Run struct {
 	Target   string             // host:port
 	Rate     float64            // requests per second
-	For      time.Duration      // how long requests are sent
+	Duration time.Duration      // how long requests are sent
 	Conns    int                // maximum number of connections; a request that finds none free waits, which counts towards its latency
 	Poisson  bool               // exponentially distributed gaps instead of equal ones
 	Seed     uint64             // of the random gaps
-	Word     func(i int) string // returns the bytes of request i
-	Patience time.Duration      // from its scheduled start, after which a request counts as failed
-	Enough   <-chan struct{}    // closed to end the sending early; may be nil
+	Request  func(i int) string // returns the bytes of request i
+	Timeout  time.Duration      // from its scheduled start, after which a request counts as failed
+	Stop     <-chan struct{}    // closed to end the sending early; may be nil
 }
 
 // Outcome is the result of a run. Latencies are µs from the scheduled start, of all requests answered with 200.
 type Outcome struct {
 	Asked, Finished, Rejected, Failed int
-	Took                              time.Duration
+	Elapsed                           time.Duration
 	Latency                           *hdrhistogram.Histogram
-	Behind                            time.Duration // longest delay of the generator itself in handing out a request
+	MaxLag                            time.Duration // longest delay of the generator itself in handing out a request
 }
 
 // Rate returns the number of requests finished per second.
-func (o *Outcome) Rate() float64 { return float64(o.Finished) / o.Took.Seconds() }
+func (o *Outcome) Rate() float64 { return float64(o.Finished) / o.Elapsed.Seconds() }
 
 // At returns a percentile of the latency, q being 0 to 100.
 func (o *Outcome) At(q float64) time.Duration {
@@ -59,18 +59,18 @@
 func (r *Run) validate() error {
 	switch {
 	case !(r.Rate > 0 && r.Rate <= maxRate):
-		return &RunError{What: fmt.Sprintf("rate %g", r.Rate), Says: fmt.Sprintf("must be above 0 and at most %g", maxRate)}
-	case r.For <= 0:
-		return &RunError{What: fmt.Sprintf("length %v", r.For), Says: "must be above 0"}
-	case r.Rate*r.For.Seconds() > maxRequests:
-		return &RunError{What: fmt.Sprintf("rate %g for %v", r.Rate, r.For), Says: fmt.Sprintf("more than %g operations", float64(maxRequests))}
+		return &RunError{Parameter: fmt.Sprintf("rate %g", r.Rate), Reason: fmt.Sprintf("must be above 0 and at most %g", maxRate)}
+	case r.Duration <= 0:
+		return &RunError{Parameter: fmt.Sprintf("length %v", r.Duration), Reason: "must be above 0"}
+	case r.Rate*r.Duration.Seconds() > maxRequests:
+		return &RunError{Parameter: fmt.Sprintf("rate %g for %v", r.Rate, r.Duration), Reason: fmt.Sprintf("more than %g operations", float64(maxRequests))}
 	case r.Conns < 1 || r.Conns > maxConns:
-		return &RunError{What: fmt.Sprintf("%d connections", r.Conns), Says: fmt.Sprintf("must be 1 to %d", maxConns)}
-	case r.Patience <= 0:
-		return &RunError{What: fmt.Sprintf("patience %v", r.Patience), Says: "must be above 0"}
+		return &RunError{Parameter: fmt.Sprintf("%d connections", r.Conns), Reason: fmt.Sprintf("must be 1 to %d", maxConns)}
+	case r.Timeout <= 0:
+		return &RunError{Parameter: fmt.Sprintf("patience %v", r.Timeout), Reason: "must be above 0"}
 	}
 	if _, _, err := net.SplitHostPort(r.Target); err != nil {
-		return &RunError{What: fmt.Sprintf("target %q", r.Target), Cause: err}
+		return &RunError{Parameter: fmt.Sprintf("target %q", r.Target), Cause: err}
 	}
 	return nil
 }
@@ -88,12 +88,12 @@
 }
 
 // Execute performs the run. It reports the share of the run that is over, 0 to 1, to progress, which may be nil.
-func (r *Run) Play(ctx context.Context, progress func(done float64)) (*Outcome, error) {
+func (r *Run) Execute(ctx context.Context, progress func(done float64)) (*Outcome, error) {
 	if err := r.validate(); err != nil {
 		return nil, err
 	}
 	// The buffer holds all requests of the run, so that handing one out never waits for a connection.
-	queue := make(chan scheduled, int(r.Rate*r.For.Seconds()*1.5)+1000)
+	queue := make(chan scheduled, int(r.Rate*r.Duration.Seconds()*1.5)+1000)
 	tallies := make([]tally, r.Conns)
 	var busy atomic.Int64
 	var group sync.WaitGroup
@@ -103,7 +103,7 @@
 	rng := rand.New(rand.NewPCG(r.Seed, 0))
 	at := began
 	started := 0
-	for at.Sub(began) < r.For && ctx.Err() == nil && !r.stopped() {
+	for at.Sub(began) < r.Duration && ctx.Err() == nil && !r.stopped() {
 		if wait := time.Until(at); wait > 0 {
 			time.Sleep(wait)
 		} else {
@@ -125,12 +125,12 @@
 			at = began.Add(time.Duration(float64(asked) * gap * float64(time.Second)))
 		}
 		if progress != nil {
-			progress(min(1, float64(at.Sub(began))/float64(r.For)))
+			progress(min(1, float64(at.Sub(began))/float64(r.Duration)))
 		}
 	}
 	close(queue)
 	group.Wait()
-	o := &Outcome{Asked: asked, Took: time.Since(began), Latency: hdrhistogram.New(1, maxLatencyUs, histDigits), Behind: maxLag}
+	o := &Outcome{Asked: asked, Elapsed: time.Since(began), Latency: hdrhistogram.New(1, maxLatencyUs, histDigits), MaxLag: maxLag}
 	for i := range tallies[:started] {
 		t := &tallies[i]
 		o.Finished, o.Rejected, o.Failed = o.Finished+t.finished, o.Rejected+t.rejected, o.Failed+t.failed
@@ -144,7 +144,7 @@
 
 func (r *Run) stopped() bool {
 	select {
-	case <-r.Enough:
+	case <-r.Stop:
 		return true
 	default:
 		return false
@@ -171,7 +171,7 @@
 		for attempt := 0; attempt < 2 && err != nil; attempt++ {
 			used := nc != nil
 			if !used {
-				if nc, err = net.DialTimeout("tcp", r.Target, r.Patience); err != nil {
+				if nc, err = net.DialTimeout("tcp", r.Target, r.Timeout); err != nil {
 					break
 				}
 				in = bufio.NewReader(nc)
@@ -204,10 +204,10 @@
 
 // sendOne sends one request and reads its response; last reports that the connection ends with it.
 func (r *Run) sendOne(nc net.Conn, in *bufio.Reader, d scheduled) (status int, last bool, err error) {
-	if err := nc.SetDeadline(d.start.Add(r.Patience)); err != nil {
+	if err := nc.SetDeadline(d.start.Add(r.Timeout)); err != nil {
 		return 0, false, err
 	}
-	if _, err := io.WriteString(nc, r.Word(d.number)); err != nil {
+	if _, err := io.WriteString(nc, r.Request(d.number)); err != nil {
 		return 0, false, errStaleConn
 	}
 	if _, err := in.Peek(1); err != nil {
@@ -230,10 +230,10 @@
 
 // Knee searches for the highest rate that a target sustains.
 type Knee struct {
-	Run                 // the run of each step; the search starts at its rate
-	P99   time.Duration // highest 99th percentile of the latency that a sustained rate may have
-	Least float64       // lowest share of finished requests that a sustained rate may have
-	Steps int           // number of bisection steps
+	Run                       // the run of each step; the search starts at its rate
+	P99         time.Duration // highest 99th percentile of the latency that a sustained rate may have
+	MinFinished float64       // lowest share of finished requests that a sustained rate may have
+	Steps       int           // number of bisection steps
 }
 
 // Step is the outcome of one rate.
@@ -251,7 +251,7 @@
 // holds reports whether the rate of an outcome was sustained. A delay of the generator itself counts against the rate, since it is
 // part of the latencies.
 func (k *Knee) holds(o *Outcome) bool {
-	return float64(o.Finished) >= k.Least*float64(o.Asked) && o.At(99) <= k.P99
+	return float64(o.Finished) >= k.MinFinished*float64(o.Asked) && o.At(99) <= k.P99
 }
 
 // Find raises the rate until it is no longer sustained and bisects from there. It reports each step to report, which may be nil, and
@@ -261,7 +261,7 @@
 	try := func(rate float64) (bool, error) {
 		r := k.Run
 		r.Rate = rate
-		o, err := r.Play(ctx, nil)
+		o, err := r.Execute(ctx, nil)
 		if err != nil {
 			return false, err
 		}
--- a/lab/load/requests.go
+++ b/lab/load/requests.go
@@ -6,7 +6,7 @@
 )
 
 // DoorRequests generates requests to a front door in the form that the platform's clients use.
-type Door struct {
+type DoorRequests struct {
 	Host      string
 	Class     string
 	Plan      string
@@ -17,7 +17,7 @@
 }
 
 // Format returns the bytes of request i. It may be called concurrently.
-func (d Door) Word(i int) string {
+func (d DoorRequests) Format(i int) string {
 	rng := rand.New(rand.NewPCG(d.Seed, uint64(i)))
 	customer, id := rng.IntN(max(1, d.Customers)), rng.Uint64()
 	method, headers, body := "GET", "", ""
