--- a/cmd/swifthall-coordinate/calendar.go
+++ b/cmd/swifthall-coordinate/calendar.go
@@ -22,15 +22,15 @@
 // The change calendar: what is to come, who has to agree, and what is in the way.
 
 const (
-	lineMost  = 80                 // columns of a terminal
-	shownForm = "2006-01-02 15:04" // of times that are shown
-	freeMost  = 5                  // windows that are offered
-	aWeek     = 7 * 24 * 3600e3    // ms
-	tabFor    = time.Second        // that completion of a number may take
+	maxLineWidth      = 80                 // columns of a terminal
+	timeLayout        = "2006-01-02 15:04" // of times that are shown
+	maxFreeWindows    = 5                  // windows that are offered
+	weekMs            = 7 * 24 * 3600e3    // ms
+	completionTimeout = time.Second        // that completion of a number may take
 )
 
-// numbered reads 7 or 7@3, an entry with the revision that its operator has seen.
-func numbered(text string) (id, revision uint64, err error) {
+// parseNumber reads 7 or 7@3, an entry with the revision that its operator has seen.
+func parseNumber(text string) (id, revision uint64, err error) {
 	number, seen, has := strings.Cut(text, "@")
 	if id, err = strconv.ParseUint(number, 10, 64); err == nil && has {
 		revision, err = strconv.ParseUint(seen, 10, 64)
@@ -41,10 +41,10 @@
 	return id, revision, nil
 }
 
-// asks asks the calendar.
-func (o *operator) asks(cmd *cobra.Command, q client.CalendarQuestion) (*calendar.State, *client.CalendarAnswer, error) {
+// queryCalendar queryCalendar the calendar.
+func (o *operator) queryCalendar(cmd *cobra.Command, q client.CalendarQuery) (*calendar.State, *client.CalendarAnswer, error) {
 	var a client.CalendarAnswer
-	if err := o.with(cmd, func(ctx context.Context, c *client.Client) error { return c.Ask(ctx, client.CalendarPath, q, &a) }); err != nil {
+	if err := o.withClient(cmd, func(ctx context.Context, c *client.Client) error { return c.Ask(ctx, client.CalendarPath, q, &a) }); err != nil {
 		return nil, nil, err
 	}
 	s := calendar.New()
@@ -54,13 +54,13 @@
 	return s, &a, nil
 }
 
-// one finds an entry, as it is now.
-func (o *operator) one(cmd *cobra.Command, text string) (*calendar.Entry, uint64, *calendar.State, error) {
-	id, revision, err := numbered(text)
+// findEntry finds an entry, as it is now.
+func (o *operator) findEntry(cmd *cobra.Command, text string) (*calendar.Entry, uint64, *calendar.State, error) {
+	id, revision, err := parseNumber(text)
 	if err != nil {
 		return nil, 0, nil, err
 	}
-	s, _, err := o.asks(cmd, client.CalendarQuestion{ID: id, Bare: true})
+	s, _, err := o.queryCalendar(cmd, client.CalendarQuery{ID: id, EntryOnly: true})
 	if err != nil {
 		return nil, 0, nil, err
 	}
@@ -74,34 +74,34 @@
 	return e, revision, s, nil
 }
 
-// asSeen reads 7@3, and for a bare 7 asks how often that has been changed by now; 0 where it isn't there.
-func (o *operator) asSeen(cmd *cobra.Command, text string, now func(s *calendar.State, id uint64) uint64) (id, revision uint64, err error) {
-	if id, revision, err = numbered(text); err != nil || revision != 0 {
+// resolveRevision reads 7@3, and for a bare 7 asks how often that has been changed by now; 0 where it isn't there.
+func (o *operator) resolveRevision(cmd *cobra.Command, text string, now func(s *calendar.State, id uint64) uint64) (id, revision uint64, err error) {
+	if id, revision, err = parseNumber(text); err != nil || revision != 0 {
 		return id, revision, err
 	}
-	s, _, err := o.asks(cmd, client.CalendarQuestion{})
+	s, _, err := o.queryCalendar(cmd, client.CalendarQuery{})
 	if err != nil {
 		return 0, 0, err
 	}
 	return id, now(s, id), nil
 }
 
-func freezeNow(s *calendar.State, id uint64) uint64 {
+func freezeRevision(s *calendar.State, id uint64) uint64 {
 	if f := s.Freezes[id]; f != nil {
 		return f.Revision
 	}
 	return 0
 }
 
-func migrationNow(s *calendar.State, id uint64) uint64 {
+func migrationRevision(s *calendar.State, id uint64) uint64 {
 	if m := s.Migrations[id]; m != nil {
 		return m.Revision
 	}
 	return 0
 }
 
-// named is a command that needs its operator's name, and often a reason.
-func (o *operator) named() error {
+// requireName is a command that needs its operator's name, and often a reason.
+func (o *operator) requireName() error {
 	if o.who == "" {
 		return &ReasonError{}
 	}
@@ -114,36 +114,36 @@
 	cmd := &cobra.Command{Use: "calendar [ID]", Short: "Show the changes to come, under way and over, and the freezes", Args: cobra.MaximumNArgs(1),
 		Long: "Shows what begins within a day, what is under way, and the freezes of that time. With an ID, all about that entry. An entry is shown\n" +
 			"as 7@3: number 7, as it is after 3 changes; commands that take 7@3 do nothing if somebody has changed it since.",
-		ValidArgsFunction: o.ids,
+		ValidArgsFunction: o.completeEntries,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			zone, err := planfile.ZoneOf(in)
 			if err != nil {
 				return err
 			}
 			if len(args) == 1 {
-				e, _, s, err := o.one(cmd, args[0])
+				e, _, s, err := o.findEntry(cmd, args[0])
 				if err != nil {
 					return err
 				}
 				if asJSON {
-					return indented(cmd.OutOrStdout(), e)
+					return writeIndented(cmd.OutOrStdout(), e)
 				}
 				showEntry(cmd.OutOrStdout(), s, e, zone)
 				return nil
 			}
-			s, a, err := o.asks(cmd, client.CalendarQuestion{Events: asJSON})
+			s, a, err := o.queryCalendar(cmd, client.CalendarQuery{Events: asJSON})
 			if err != nil {
 				return err
 			}
 			if asJSON {
-				return indented(cmd.OutOrStdout(), a.Calendar)
+				return writeIndented(cmd.OutOrStdout(), a.Calendar)
 			}
 			through := s.WallMs + 24*3600e3
 			switch {
 			case all:
 				through = -1
 			case week:
-				through = s.WallMs + aWeek
+				through = s.WallMs + weekMs
 			}
 			showCalendar(cmd.OutOrStdout(), s, subject, through, zone)
 			return nil
@@ -157,49 +157,49 @@
 	return cmd
 }
 
-func indented(out io.Writer, v any) error {
+func writeIndented(out io.Writer, v any) error {
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", "  ")
 	return enc.Encode(v)
 }
 
-func shown(ms float64, in *time.Location) string {
-	return time.UnixMilli(int64(ms)).In(in).Format(shownForm)
+func formatTime(ms float64, in *time.Location) string {
+	return time.UnixMilli(int64(ms)).In(in).Format(timeLayout)
 }
 
-// line prints words that fit a terminal: what is too long is cut, with a sign of it.
-func line(out io.Writer, format string, args ...any) {
+// printLine prints words that fit a terminal: what is too long is cut, with a sign of it.
+func printLine(out io.Writer, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	if utf8.RuneCountInString(text) > lineMost {
-		text = string([]rune(text)[:lineMost-1]) + "…"
+	if utf8.RuneCountInString(text) > maxLineWidth {
+		text = string([]rune(text)[:maxLineWidth-1]) + "…"
 	}
 	fmt.Fprintln(out, strings.TrimRight(text, " "))
 }
 
-// about tells whether a subject is of what somebody asks for, as scope or scope/name.
-func about(b calendar.Subject, asked string) bool {
+// matchesSubject tells whether a subject is of what somebody asks for, as scope or scope/name.
+func matchesSubject(b calendar.Subject, asked string) bool {
 	scope, name, has := strings.Cut(asked, "/")
 	return asked == "" || string(b.Scope) == scope && (!has || len(b.Names) == 0 || slices.Contains(b.Names, name)) || b.Scope == calendar.Fleet
 }
 
-func over(e *calendar.Entry) bool {
+func isOver(e *calendar.Entry) bool {
 	return e.Stage == calendar.Done || e.Stage == calendar.Missed || e.Stage == calendar.Withdrawn
 }
 
 func showCalendar(out io.Writer, s *calendar.State, subject string, throughMs float64, in *time.Location) {
 	if s.Doubt != "" && s.InUse() {
-		line(out, "TIME IS IN DOUBT, nothing begins: %s", s.Doubt)
+		printLine(out, "TIME IS IN DOUBT, nothing begins: %s", s.Doubt)
 	}
-	line(out, "agreed time %s %s", shown(s.WallMs, in), in)
+	printLine(out, "agreed time %s %s", formatTime(s.WallMs, in), in)
 	entries := slices.Collect(maps.Values(s.Entries))
 	slices.SortFunc(entries, func(a, b *calendar.Entry) int {
 		return slices.Compare([]float64{a.Window.FromMs, float64(a.ID)}, []float64{b.Window.FromMs, float64(b.ID)})
 	})
 	row := "%-7s %-13s %-16s %-5s %s"
-	line(out, row, "ENTRY", "STAGE", "FROM", "MIN", "WHAT")
+	printLine(out, row, "ENTRY", "STAGE", "FROM", "MIN", "WHAT")
 	some := false
 	for _, e := range entries {
-		if !about(e.Subject, subject) || throughMs >= 0 && (over(e) || e.Window.FromMs > throughMs) {
+		if !matchesSubject(e.Subject, subject) || throughMs >= 0 && (isOver(e) || e.Window.FromMs > throughMs) {
 			continue
 		}
 		some = true
@@ -207,37 +207,37 @@
 		if e.Emergency != nil {
 			mark = "EMERGENCY "
 		}
-		line(out, row, fmt.Sprintf("%d@%d", e.ID, e.Revision), stageWord(e.Stage), shown(e.Window.FromMs, in), fmt.Sprintf("%.0f", e.Needs()/60e3), fmt.Sprintf("%s%s: %s", mark, e.Name, e.Subject.String()))
-		if e.Says != "" && !over(e) {
-			line(out, "        %s", e.Says)
+		printLine(out, row, fmt.Sprintf("%d@%d", e.ID, e.Revision), stageLabel(e.Stage), formatTime(e.Window.FromMs, in), fmt.Sprintf("%.0f", e.Needs()/60e3), fmt.Sprintf("%s%s: %s", mark, e.Name, e.Subject.String()))
+		if e.Says != "" && !isOver(e) {
+			printLine(out, "        %s", e.Says)
 		}
 	}
 	if !some {
-		line(out, "nothing")
+		printLine(out, "nothing")
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.Migrations)) {
 		if m := s.Migrations[id]; throughMs < 0 || m.Stage != calendar.Done && m.Stage != calendar.Withdrawn {
-			line(out, "migration %d@%d %s, %s, entries %s", m.ID, m.Revision, m.Name, m.Stage, strings.Trim(fmt.Sprint(m.Steps), "[]"))
+			printLine(out, "migration %d@%d %s, %s, entries %s", m.ID, m.Revision, m.Name, m.Stage, strings.Trim(fmt.Sprint(m.Steps), "[]"))
 			if m.Says != "" {
-				line(out, "        %s", m.Says)
+				printLine(out, "        %s", m.Says)
 			}
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.Freezes)) {
 		f := s.Freezes[id]
-		if !about(f.Subject, subject) {
+		if !matchesSubject(f.Subject, subject) {
 			continue
 		}
 		i := slices.IndexFunc(f.Spans, func(p calendar.Span) bool { return p.ToMs > s.WallMs })
 		if i < 0 || throughMs >= 0 && f.Spans[i].FromMs > throughMs {
 			continue
 		}
-		line(out, "freeze %d@%d %s to %s, %s: %s", f.ID, f.Revision, shown(f.Spans[i].FromMs, in), shown(f.Spans[i].ToMs, in), f.Name, f.Subject.String())
+		printLine(out, "freeze %d@%d %s to %s, %s: %s", f.ID, f.Revision, formatTime(f.Spans[i].FromMs, in), formatTime(f.Spans[i].ToMs, in), f.Name, f.Subject.String())
 	}
 }
 
-// stageWord is a stage in a column's width.
-func stageWord(s calendar.Stage) string {
+// stageLabel is a stage in a column's width.
+func stageLabel(s calendar.Stage) string {
 	if s == calendar.Waiting {
 		return "to approve"
 	}
@@ -245,70 +245,70 @@
 }
 
 func showEntry(out io.Writer, s *calendar.State, e *calendar.Entry, in *time.Location) {
-	line(out, "entry     %d@%d %s", e.ID, e.Revision, e.Name)
-	line(out, "stage     %s", e.Stage)
+	printLine(out, "entry     %d@%d %s", e.ID, e.Revision, e.Name)
+	printLine(out, "stage     %s", e.Stage)
 	if e.Says != "" {
-		line(out, "          %s", e.Says)
+		printLine(out, "          %s", e.Says)
 	}
-	line(out, "kind      %s of %s", e.Kind, e.Subject.String())
-	line(out, "window    %s to %s %s", shown(e.Window.FromMs, in), shown(e.Window.ToMs, in), in)
-	line(out, "waves     %d of %d done, %.0f min in all", e.Wave, e.Waves, e.Needs()/60e3)
-	line(out, "author    %s", e.Author)
+	printLine(out, "kind      %s of %s", e.Kind, e.Subject.String())
+	printLine(out, "window    %s to %s %s", formatTime(e.Window.FromMs, in), formatTime(e.Window.ToMs, in), in)
+	printLine(out, "waves     %d of %d done, %.0f min in all", e.Wave, e.Waves, e.Needs()/60e3)
+	printLine(out, "author    %s", e.Author)
 	for _, a := range e.Approvals {
-		line(out, "approved  by %s %s at %s", a.Who, a.Role, shown(a.AtMs, in))
+		printLine(out, "approved  by %s %s at %s", a.Who, a.Role, formatTime(a.AtMs, in))
 	}
 	if m := e.Emergency; m != nil {
-		line(out, "EMERGENCY by %s with %s: %s", m.Who, m.Second, m.Why)
+		printLine(out, "EMERGENCY by %s with %s: %s", m.Who, m.Second, m.Why)
 	}
 	if e.Migration != 0 {
-		line(out, "step of   migration %d", e.Migration)
+		printLine(out, "step of   migration %d", e.Migration)
 	}
 	for _, id := range e.After {
 		if a := s.Entries[id]; a != nil {
-			line(out, "after     %d, which is %s", id, a.Stage)
+			printLine(out, "after     %d, which is %s", id, a.Stage)
 		}
 	}
 	for _, of := range [][]string{e.Preconditions, e.Postconditions} {
 		for _, name := range of {
 			word := "nobody has looked"
 			if o, seen := e.Observations[name]; seen {
-				word = fmt.Sprintf("well: %t at %s %s", o.Well, shown(o.AtMs, in), o.Says)
+				word = fmt.Sprintf("well: %t at %s %s", o.Well, formatTime(o.AtMs, in), o.Says)
 			}
-			line(out, "seen      %s: %s", name, word)
+			printLine(out, "seen      %s: %s", name, word)
 		}
 	}
-	line(out, "digest    %s", e.Digest())
+	printLine(out, "digest    %s", e.Digest())
 	fmt.Fprintf(out, "does      %s\n", e.Do) // whole: it is what is approved
 	if len(e.Rollback) > 0 {
 		fmt.Fprintf(out, "back      %s\n", e.Rollback)
 	}
 }
 
-// meets tells what a change would meet, and when there is room for it; false where that is to keep it out.
-func (o *operator) meets(cmd *cobra.Command, c *calendar.Change, id uint64, in *time.Location) (clear bool, err error) {
-	_, a, err := o.asks(cmd, client.CalendarQuestion{ID: id, Change: c, Most: freeMost, Bare: true})
+// printConflicts tells what a change would meet, and when there is room for it; false where that is to keep it out.
+func (o *operator) printConflicts(cmd *cobra.Command, c *calendar.Change, id uint64, in *time.Location) (clear bool, err error) {
+	_, a, err := o.queryCalendar(cmd, client.CalendarQuery{ID: id, Change: c, MaxFree: maxFreeWindows, EntryOnly: true})
 	if err != nil {
 		return false, err
 	}
-	for _, m := range a.Met {
+	for _, m := range a.Conflicts {
 		word := m.Says
 		if m.With != 0 {
 			word = fmt.Sprintf("%d: %s", m.With, word)
 		}
-		line(cmd.OutOrStdout(), "in the way  %s", word)
+		printLine(cmd.OutOrStdout(), "in the way  %s", word)
 	}
-	if len(a.Met) > 0 {
+	if len(a.Conflicts) > 0 {
 		showFree(cmd.OutOrStdout(), a.Free, in)
 	}
-	return len(a.Met) == 0, nil
+	return len(a.Conflicts) == 0, nil
 }
 
 func showFree(out io.Writer, free []calendar.Span, in *time.Location) {
 	for _, p := range free {
-		line(out, "free        %s to %s %s", shown(p.FromMs, in), shown(p.ToMs, in), in)
+		printLine(out, "free        %s to %s %s", formatTime(p.FromMs, in), formatTime(p.ToMs, in), in)
 	}
 	if len(free) == 0 {
-		line(out, "free        not within 400 days")
+		printLine(out, "free        not within 400 days")
 	}
 }
 
@@ -328,22 +328,22 @@
 			if err != nil {
 				return err
 			}
-			if err := o.named(); err != nil {
+			if err := o.requireName(); err != nil {
 				return err
 			}
 			zone, _ := planfile.ZoneOf(f.In) // it was read already
 			var id, revision uint64
 			if edit != "" {
-				e, seen, _, err := o.one(cmd, edit)
+				e, seen, _, err := o.findEntry(cmd, edit)
 				if err != nil {
 					return err
 				}
 				id, revision = e.ID, seen
 			}
-			if clear, err := o.meets(cmd, &c, id, zone); err != nil {
+			if clear, err := o.printConflicts(cmd, &c, id, zone); err != nil {
 				return err
 			} else if !clear && !anyway {
-				return &MeetsError{c.Name}
+				return &ConflictError{c.Name}
 			}
 			var do any = calendar.Plan{Change: c, Who: o.who, Draft: draft}
 			if id != 0 {
@@ -365,15 +365,15 @@
 
 func (o *operator) approve() *cobra.Command {
 	var role, digest string
-	cmd := &cobra.Command{Use: "approve ID", Short: "Agree to what an entry would do", Args: cobra.ExactArgs(1), ValidArgsFunction: o.ids,
+	cmd := &cobra.Command{Use: "approve ID", Short: "Agree to what an entry would do", Args: cobra.ExactArgs(1), ValidArgsFunction: o.completeEntries,
 		Long: "Shows what is agreed to. With --digest the approval holds only for that, as swifthall calendar ID has shown it: names and roles are as\n" +
 			"told, nobody signs in; whoever reaches the coordinators can give any. docs/calendar.md tells what that means.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			e, _, s, err := o.one(cmd, args[0])
+			e, _, s, err := o.findEntry(cmd, args[0])
 			if err != nil {
 				return err
 			}
-			if err := o.named(); err != nil {
+			if err := o.requireName(); err != nil {
 				return err
 			}
 			if digest == "" {
@@ -391,14 +391,14 @@
 	return cmd
 }
 
-// onEntry is a command about one entry.
-func (o *operator) onEntry(use, short, long string, do func(cmd *cobra.Command, e *calendar.Entry, revision uint64) (any, error)) *cobra.Command {
-	return &cobra.Command{Use: use + " ID", Short: short, Long: long, Args: cobra.ExactArgs(1), ValidArgsFunction: o.ids,
+// entryCommand is a command about one entry.
+func (o *operator) entryCommand(use, short, long string, do func(cmd *cobra.Command, e *calendar.Entry, revision uint64) (any, error)) *cobra.Command {
+	return &cobra.Command{Use: use + " ID", Short: short, Long: long, Args: cobra.ExactArgs(1), ValidArgsFunction: o.completeEntries,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := o.named(); err != nil {
+			if err := o.requireName(); err != nil {
 				return err
 			}
-			e, revision, _, err := o.one(cmd, args[0])
+			e, revision, _, err := o.findEntry(cmd, args[0])
 			if err != nil {
 				return err
 			}
@@ -409,9 +409,9 @@
 			if _, err := o.command(cmd, what); err != nil {
 				return err
 			}
-			s, _, err := o.asks(cmd, client.CalendarQuestion{ID: e.ID, Bare: true})
+			s, _, err := o.queryCalendar(cmd, client.CalendarQuery{ID: e.ID, EntryOnly: true})
 			if err == nil && s.Entries[e.ID] != nil {
-				line(cmd.OutOrStdout(), "entry %d is %s", e.ID, s.Entries[e.ID].Stage)
+				printLine(cmd.OutOrStdout(), "entry %d is %s", e.ID, s.Entries[e.ID].Stage)
 			}
 			return err
 		}}
@@ -421,17 +421,17 @@
 func (o *operator) entryCommands() []*cobra.Command {
 	why := func(do func(e *calendar.Entry, revision uint64) any) func(*cobra.Command, *calendar.Entry, uint64) (any, error) {
 		return func(_ *cobra.Command, e *calendar.Entry, revision uint64) (any, error) {
-			return do(e, revision), o.reason()
+			return do(e, revision), o.requireReason()
 		}
 	}
 	var second string
-	emergency := o.onEntry("emergency", "Have an entry pass freezes, with a second name and a reason", "It stays marked, whatever becomes of it.",
+	emergency := o.entryCommand("emergency", "Have an entry pass freezes, with a second name and a reason", "It stays marked, whatever becomes of it.",
 		why(func(e *calendar.Entry, _ uint64) any {
 			return calendar.DeclareEmergency{ID: e.ID, Emergency: calendar.Emergency{Who: o.who, Second: second, Why: o.why}}
 		}))
 	emergency.Flags().StringVar(&second, "second", "", "who agrees that it is one")
 	var from, to, in string
-	move := o.onEntry("move", "Give an entry another window", "Approvals are of the window too: they are asked for anew.",
+	move := o.entryCommand("move", "Give an entry another window", "Approvals are of the window too: they are asked for anew.",
 		func(cmd *cobra.Command, e *calendar.Entry, revision uint64) (any, error) {
 			zone, err := planfile.ZoneOf(in)
 			if err != nil {
@@ -441,7 +441,7 @@
 			if c.Window, err = calendar.Window(from, to, zone); err != nil {
 				return nil, err
 			}
-			if _, err := o.meets(cmd, &c, e.ID, zone); err != nil { // told; the start looks again
+			if _, err := o.printConflicts(cmd, &c, e.ID, zone); err != nil { // told; the start looks again
 				return nil, err
 			}
 			return calendar.Edit{ID: e.ID, Revision: revision, Change: c, Who: o.who, Draft: e.Stage == calendar.Drafted}, nil
@@ -451,7 +451,7 @@
 	move.Flags().StringVar(&in, "in", "", "time zone by name; UTC where it is left out")
 	var not bool
 	var what, says string
-	saw := o.onEntry("saw", "Tell what was seen of what an entry wants seen", "What was seen before an entry counts for five minutes.",
+	saw := o.entryCommand("saw", "Tell what was seen of what an entry wants seen", "What was seen before an entry counts for five minutes.",
 		func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
 			return calendar.Observe{ID: e.ID, What: what, Well: !not, Says: says, Who: o.who}, nil
 		})
@@ -461,47 +461,47 @@
 	steer := &cobra.Command{Use: "steer", Short: "Halt an entry that is under way, have it go on or back, or say how far people are with it", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	steer.AddCommand(
-		o.onEntry("halt", "Halt it where it is", "", why(func(e *calendar.Entry, _ uint64) any { return calendar.Halt{ID: e.ID, Who: o.who, Why: o.why} })),
-		o.onEntry("resume", "Have it go on", "", func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
+		o.entryCommand("halt", "Halt it where it is", "", why(func(e *calendar.Entry, _ uint64) any { return calendar.Halt{ID: e.ID, Who: o.who, Why: o.why} })),
+		o.entryCommand("resume", "Have it go on", "", func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
 			return calendar.Resume{ID: e.ID, Who: o.who}, nil
 		}),
-		o.onEntry("back", "Have it go back; a step takes its whole migration with it", "", why(func(e *calendar.Entry, _ uint64) any {
+		o.entryCommand("back", "Have it go back; a step takes its whole migration with it", "", why(func(e *calendar.Entry, _ uint64) any {
 			if e.Migration != 0 {
 				return calendar.Revert{ID: e.Migration, Who: o.who, Why: o.why}
 			}
 			return calendar.RollBack{ID: e.ID, Who: o.who, Why: o.why}
 		})),
-		o.onEntry("done", "Say that people have done its next wave", "", func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
+		o.entryCommand("done", "Say that people have done its next wave", "", func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
 			return calendar.WaveDone{ID: e.ID, Wave: e.Wave + 1, Who: o.who}, nil
 		}),
-		o.onEntry("returned", "Say that people have taken it back", "", func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
+		o.entryCommand("returned", "Say that people have taken it back", "", func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
 			return calendar.RolledBack{ID: e.ID, Who: o.who}, nil
 		}))
 	return []*cobra.Command{emergency, move, saw, steer,
-		o.onEntry("refuse", "Send an entry back to its author, with a reason", "", why(func(e *calendar.Entry, _ uint64) any {
+		o.entryCommand("refuse", "Send an entry back to its author, with a reason", "", why(func(e *calendar.Entry, _ uint64) any {
 			return calendar.Refuse{ID: e.ID, Digest: e.Digest(), Who: o.who, Why: o.why}
 		})),
-		o.onEntry("withdraw", "Take an entry out that has not begun", "", why(func(e *calendar.Entry, revision uint64) any {
+		o.entryCommand("withdraw", "Take an entry out that has not begun", "", why(func(e *calendar.Entry, revision uint64) any {
 			return calendar.Withdraw{ID: e.ID, Revision: revision, Who: o.who, Why: o.why}
 		})),
-		o.whyNot(), o.next(), o.freeze(), o.thaw(), o.rules(), o.migrate(), o.history()}
+		o.whyCommand(), o.next(), o.freeze(), o.thaw(), o.rules(), o.migrate(), o.history()}
 }
 
-func (o *operator) whyNot() *cobra.Command {
-	return &cobra.Command{Use: "why ID", Short: "Name the first thing that keeps an entry from beginning, and who can clear it", Args: cobra.ExactArgs(1), ValidArgsFunction: o.ids,
+func (o *operator) whyCommand() *cobra.Command {
+	return &cobra.Command{Use: "why ID", Short: "Name the first thing that keeps an entry from beginning, and who can clear it", Args: cobra.ExactArgs(1), ValidArgsFunction: o.completeEntries,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			id, _, err := numbered(args[0])
+			id, _, err := parseNumber(args[0])
 			if err != nil {
 				return err
 			}
-			_, a, err := o.asks(cmd, client.CalendarQuestion{ID: id, Bare: true})
+			_, a, err := o.queryCalendar(cmd, client.CalendarQuery{ID: id, EntryOnly: true})
 			if err != nil {
 				return err
 			}
-			if a.InTheWay.Err == nil {
+			if a.Obstacle.Err == nil {
 				fmt.Fprintln(cmd.OutOrStdout(), "nothing is in the way: it begins within a second")
 			}
-			return a.InTheWay.Err
+			return a.Obstacle.Err
 		}}
 }
 
@@ -521,13 +521,13 @@
 				return err
 			}
 			zone, _ := planfile.ZoneOf(f.In)
-			_, a, err := o.asks(cmd, client.CalendarQuestion{Change: &c, Most: most, Bare: true})
+			_, a, err := o.queryCalendar(cmd, client.CalendarQuery{Change: &c, MaxFree: most, EntryOnly: true})
 			if err == nil {
 				showFree(cmd.OutOrStdout(), a.Free, zone)
 			}
 			return err
 		}}
-	cmd.Flags().IntVarP(&most, "most", "n", freeMost, "windows")
+	cmd.Flags().IntVarP(&most, "most", "n", maxFreeWindows, "windows")
 	return cmd
 }
 
@@ -541,14 +541,14 @@
 			if err := planfile.Read(args[0], cmd.InOrStdin(), &f); err != nil {
 				return err
 			}
-			if err := o.reason(); err != nil {
+			if err := o.requireReason(); err != nil {
 				return err
 			}
 			zone, err := planfile.ZoneOf(f.When.In)
 			if err != nil {
 				return err
 			}
-			s, _, err := o.asks(cmd, client.CalendarQuestion{Bare: true}) // for the agreed time
+			s, _, err := o.queryCalendar(cmd, client.CalendarQuery{EntryOnly: true}) // for the agreed time
 			if err != nil {
 				return err
 			}
@@ -561,13 +561,13 @@
 			}
 			do := calendar.SetFreeze{Freeze: z}
 			if edit != "" {
-				if do.ID, do.Revision, err = o.asSeen(cmd, edit, freezeNow); err != nil {
+				if do.ID, do.Revision, err = o.resolveRevision(cmd, edit, freezeRevision); err != nil {
 					return err
 				}
 			}
 			a, err := o.command(cmd, do)
 			if err == nil {
-				line(cmd.OutOrStdout(), "%s is freeze %d, %d times within 400 days", z.Name, a.Number, len(z.Spans))
+				printLine(cmd.OutOrStdout(), "%s is freeze %d, %d times within 400 days", z.Name, a.Number, len(z.Spans))
 			}
 			return err
 		}}
@@ -578,10 +578,10 @@
 func (o *operator) thaw() *cobra.Command {
 	return &cobra.Command{Use: "thaw ID", Short: "Take a freeze out", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := o.reason(); err != nil {
+			if err := o.requireReason(); err != nil {
 				return err
 			}
-			id, revision, err := o.asSeen(cmd, args[0], freezeNow)
+			id, revision, err := o.resolveRevision(cmd, args[0], freezeRevision)
 			if err != nil {
 				return err
 			}
@@ -594,17 +594,17 @@
 	return &cobra.Command{Use: "rules [FILE]", Short: "Show who must approve what and how much may be under way, or set those of a file", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				s, _, err := o.asks(cmd, client.CalendarQuestion{})
+				s, _, err := o.queryCalendar(cmd, client.CalendarQuery{})
 				if err != nil {
 					return err
 				}
-				return indented(cmd.OutOrStdout(), planfile.Rules{Rules: s.Rules, Budgets: s.Budgets})
+				return writeIndented(cmd.OutOrStdout(), planfile.Rules{Rules: s.Rules, Budgets: s.Budgets})
 			}
 			var f planfile.Rules
 			if err := planfile.Read(args[0], cmd.InOrStdin(), &f); err != nil {
 				return err
 			}
-			if err := o.named(); err != nil {
+			if err := o.requireName(); err != nil {
 				return err
 			}
 			_, err := o.command(cmd, calendar.SetRules{Rules: f.Rules, Budgets: f.Budgets, Who: o.who})
@@ -620,7 +620,7 @@
 			if err := planfile.Read(args[0], cmd.InOrStdin(), &f); err != nil {
 				return err
 			}
-			if err := o.named(); err != nil {
+			if err := o.requireName(); err != nil {
 				return err
 			}
 			var steps []calendar.Change
@@ -633,7 +633,7 @@
 			}
 			var do any = calendar.Migrate{Name: f.Name, Steps: steps, Who: o.who}
 			if replace != "" {
-				id, revision, err := o.asSeen(cmd, replace, migrationNow)
+				id, revision, err := o.resolveRevision(cmd, replace, migrationRevision)
 				if err != nil {
 					return err
 				}
@@ -641,7 +641,7 @@
 			}
 			a, err := o.command(cmd, do)
 			if err == nil {
-				line(cmd.OutOrStdout(), "%s is migration %d", f.Name, a.Number)
+				printLine(cmd.OutOrStdout(), "%s is migration %d", f.Name, a.Number)
 			}
 			return err
 		}}
@@ -651,16 +651,16 @@
 
 func (o *operator) history() *cobra.Command {
 	var asJSON bool
-	cmd := &cobra.Command{Use: "history [ID]", Short: "Show what has happened in the calendar, to one entry or all", Args: cobra.MaximumNArgs(1), ValidArgsFunction: o.ids,
+	cmd := &cobra.Command{Use: "history [ID]", Short: "Show what has happened in the calendar, to one entry or all", Args: cobra.MaximumNArgs(1), ValidArgsFunction: o.completeEntries,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var id uint64
 			if len(args) == 1 {
 				var err error
-				if id, _, err = numbered(args[0]); err != nil {
+				if id, _, err = parseNumber(args[0]); err != nil {
 					return err
 				}
 			}
-			s, _, err := o.asks(cmd, client.CalendarQuestion{Events: true})
+			s, _, err := o.queryCalendar(cmd, client.CalendarQuery{Events: true})
 			if err != nil {
 				return err
 			}
@@ -672,14 +672,14 @@
 						return err
 					}
 				default:
-					text := fmt.Sprintf("%5d %s %4d %s", e.Number, shown(e.AtMs, time.UTC), e.ID, e.What)
+					text := fmt.Sprintf("%5d %s %4d %s", e.Number, formatTime(e.AtMs, time.UTC), e.ID, e.What)
 					if e.Who != "" {
 						text += ", " + e.Who
 					}
 					if e.Why != "" {
 						text += ": " + e.Why
 					}
-					line(cmd.OutOrStdout(), "%s", text)
+					printLine(cmd.OutOrStdout(), "%s", text)
 				}
 			}
 			return nil
@@ -688,20 +688,20 @@
 	return cmd
 }
 
-// ids completes the number of an entry that isn't over.
-func (o *operator) ids(cmd *cobra.Command, args []string, begun string) ([]string, cobra.ShellCompDirective) {
+// completeEntries completes the number of an entry that isn't over.
+func (o *operator) completeEntries(cmd *cobra.Command, args []string, begun string) ([]string, cobra.ShellCompDirective) {
 	if len(args) > 0 {
 		return nil, cobra.ShellCompDirectiveNoFileComp
 	}
 	quick := *o
-	quick.patience = tabFor
-	s, _, err := quick.asks(cmd, client.CalendarQuestion{})
+	quick.timeout = completionTimeout
+	s, _, err := quick.queryCalendar(cmd, client.CalendarQuery{})
 	if err != nil {
 		return nil, cobra.ShellCompDirectiveNoFileComp
 	}
 	var all []string
 	for _, id := range slices.Sorted(maps.Keys(s.Entries)) {
-		if e := s.Entries[id]; !over(e) && strings.HasPrefix(fmt.Sprint(id), begun) {
+		if e := s.Entries[id]; !isOver(e) && strings.HasPrefix(fmt.Sprint(id), begun) {
 			all = append(all, fmt.Sprintf("%d\t%s, %s", id, e.Name, e.Stage))
 		}
 	}
--- a/cmd/swifthall-coordinate/calendar_test.go
+++ b/cmd/swifthall-coordinate/calendar_test.go
@@ -25,21 +25,21 @@
 	"github.com/swifthall/swifthall/permits/planfile"
 )
 
-// site is one coordinator, asked by commands alone.
-type site struct {
-	t   testing.TB
-	dir string
-	at  string
+// testCoordinator is one coordinator, asked by commands alone.
+type testCoordinator struct {
+	t       testing.TB
+	dir     string
+	address string
 }
 
-func coordinated(t testing.TB) *site {
-	s := &site{t: t, dir: t.TempDir(), at: "c-1/" + free(t)}
-	raft := free(t)
-	file := s.file("c.json", map[string]any{"name": "c-1", "fleet": "f", "listen": raft, "api": strings.TrimPrefix(s.at, "c-1/"), "data": s.dir, "peers": []string{"c-1/" + raft}, "log": map[string]string{"level": "error"}})
+func startCoordinator(t testing.TB) *testCoordinator {
+	s := &testCoordinator{t: t, dir: t.TempDir(), address: "c-1/" + freeAddress(t)}
+	raft := freeAddress(t)
+	file := s.file("c.json", map[string]any{"name": "c-1", "fleet": "f", "listen": raft, "api": strings.TrimPrefix(s.address, "c-1/"), "data": s.dir, "peers": []string{"c-1/" + raft}, "log": map[string]string{"level": "error"}})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		cmd := root()
+		cmd := newRoot()
 		cmd.SetArgs([]string{"coordinate", "--config", file})
 		ended <- cli.Execute(ctx, cmd)
 	}()
@@ -56,7 +56,7 @@
 	return s
 }
 
-func (s *site) file(name string, v any) string {
+func (s *testCoordinator) file(name string, v any) string {
 	raw, err := json.Marshal(v)
 	require.NoError(s.t, err)
 	path := filepath.Join(s.dir, name)
@@ -64,26 +64,26 @@
 	return path
 }
 
-func (s *site) as(who string, args ...string) (string, error) {
-	out, err := do(append(args, "--at", s.at, "--who", who, "--patience", "20s")...)
+func (s *testCoordinator) as(who string, args ...string) (string, error) {
+	out, err := run(append(args, "--at", s.address, "--who", who, "--patience", "20s")...)
 	if err != nil || slices.Contains(args, "--json") || args[0] == "rules" || args[0] == "audit" {
 		return out, err // for programs, and tables of other commands
 	}
 	for _, l := range strings.Split(out, "\n") {
 		whole := strings.HasPrefix(l, "does ") || strings.HasPrefix(l, "back ") // what is approved is shown whole
-		assert.True(s.t, whole || utf8.RuneCountInString(l) <= lineMost, l)
+		assert.True(s.t, whole || utf8.RuneCountInString(l) <= maxLineWidth, l)
 	}
 	return out, err
 }
 
-func (s *site) ok(args ...string) string {
+func (s *testCoordinator) ok(args ...string) string {
 	s.t.Helper()
 	out, err := s.as("ana", args...)
 	require.NoError(s.t, err, args)
 	return out
 }
 
-func (s *site) until(what string, is func() bool) {
+func (s *testCoordinator) eventually(what string, is func() bool) {
 	s.t.Helper()
 	require.Eventually(s.t, is, 20*time.Second, 50*time.Millisecond, what)
 }
@@ -98,7 +98,7 @@
 
 // One change from draft to done, as docs/calendar.md tells it.
 func TestOneChangeFromDraftToDone(t *testing.T) {
-	s := coordinated(t)
+	s := startCoordinator(t)
 	s.ok("rules", s.file("rules.json", map[string]any{"rules": []any{map[string]any{"kinds": []string{"terms"}, "subject": map[string]any{"scope": "plans"}, "count": 1, "roles": []string{"lead"}}}, "budgets": []any{}}))
 	assert.Contains(t, s.ok("rules"), `"lead"`)
 	plan := s.file("plan.json", entry("gold to 40 a second", "gold", -2*time.Minute, time.Hour))
@@ -120,7 +120,7 @@
 	out, err := s.as("bea", "approve", "1", "--role", "lead")
 	require.NoError(t, err)
 	assert.Contains(t, out, `{"manual":"set the rate"}`)
-	s.until("it runs by itself", func() bool { return strings.Contains(s.ok("calendar", "1"), "stage     running") })
+	s.eventually("it runs by itself", func() bool { return strings.Contains(s.ok("calendar", "1"), "stage     running") })
 	assert.Contains(t, s.ok("steer", "done", "1"), "entry 1 is done")
 	history := s.ok("history", "1")
 	assert.NotContains(t, history, "1970", "not even of the first second")
@@ -138,7 +138,7 @@
 }
 
 func TestTwoOperatorsAtOnceAreTold(t *testing.T) {
-	s := coordinated(t)
+	s := startCoordinator(t)
 	plan := s.file("plan.json", entry("a", "gold", time.Hour, 2*time.Hour))
 	s.ok("plan", plan)
 	_, err := s.as("bea", "move", "1@1", "--from", "2090-01-01T00:00", "--to", "2090-01-01T01:00")
@@ -171,11 +171,11 @@
 }
 
 func TestWhatIsInTheWayIsToldWithWhatWouldFit(t *testing.T) {
-	s := coordinated(t)
+	s := startCoordinator(t)
 	s.ok("plan", s.file("a.json", entry("a", "gold", time.Hour, 3*time.Hour)))
 	second := s.file("b.json", entry("b", "gold", 2*time.Hour, 4*time.Hour))
 	out, err := s.as("bea", "plan", second)
-	var meets *MeetsError
+	var meets *ConflictError
 	require.ErrorAs(t, err, &meets)
 	assert.Contains(t, out, "in the way  1: ")
 	assert.Contains(t, out, "free        ")
@@ -194,7 +194,7 @@
 	require.ErrorAs(t, err, &meets)
 	assert.Contains(t, out, "nights")
 	s.ok("plan", third, "--anyway")
-	s.until("agreed time", func() bool { return !strings.Contains(s.ok("calendar"), "DOUBT") })
+	s.eventually("agreed time", func() bool { return !strings.Contains(s.ok("calendar"), "DOUBT") })
 	_, err = s.as("ana", "why", "4")
 	var frozen *calendar.FrozenError
 	require.ErrorAs(t, err, &frozen)
@@ -202,7 +202,7 @@
 	_, err = s.as("ana", "emergency", "4", "--why", "fire", "--second", "ana")
 	require.Error(t, err, "two names")
 	s.ok("emergency", "4", "--why", "fire", "--second", "bea")
-	s.until("it passes the freeze", func() bool { return strings.Contains(s.ok("calendar", "4"), "stage     running") })
+	s.eventually("it passes the freeze", func() bool { return strings.Contains(s.ok("calendar", "4"), "stage     running") })
 	assert.Contains(t, s.ok("calendar"), "EMERGENCY c")
 	assert.Contains(t, s.ok("steer", "halt", "4", "--why", "look"), "entry 4 is halted")
 	assert.Contains(t, s.ok("steer", "back", "4", "--why", "look"), "entry 4 is going back")
@@ -215,7 +215,7 @@
 }
 
 func TestAMigrationIsFollowedStepByStep(t *testing.T) {
-	s := coordinated(t)
+	s := startCoordinator(t)
 	first, second := entry("one", "gold", -2*time.Minute, time.Hour), entry("two", "silver", -2*time.Minute, time.Hour)
 	first["kind"], second["kind"] = "migration", "migration"
 	second["preconditions"] = []string{"quiet"}
@@ -223,7 +223,7 @@
 		return s.file("m.json", map[string]any{"name": "m", "steps": steps})
 	}
 	assert.Contains(t, s.ok("migrate", file(first, second)), "is migration 1")
-	s.until("its first step runs", func() bool { return strings.Contains(s.ok("calendar", "2"), "stage     running") })
+	s.eventually("its first step runs", func() bool { return strings.Contains(s.ok("calendar", "2"), "stage     running") })
 	s.ok("steer", "done", "2")
 	_, err := s.as("ana", "why", "3")
 	var unseen *calendar.PreconditionError
@@ -233,7 +233,7 @@
 	assert.Contains(t, s.ok("history", "3"), "seen quiet: false, ana: three alarms")
 	delete(second, "preconditions")
 	assert.Contains(t, s.ok("migrate", file(first, second), "--replace", "1@1"), "is migration 1")
-	s.until("what replaced it runs", func() bool { return strings.Contains(s.ok("calendar", "4"), "stage     running") })
+	s.eventually("what replaced it runs", func() bool { return strings.Contains(s.ok("calendar", "4"), "stage     running") })
 	var begun *calendar.BegunError
 	_, err = s.as("ana", "migrate", file(second, first), "--replace", "1")
 	require.ErrorAs(t, err, &begun)
@@ -245,7 +245,7 @@
 }
 
 func TestTheCalendarsExamplesAreTaken(t *testing.T) {
-	s := coordinated(t)
+	s := startCoordinator(t)
 	s.ok("rules", "../../examples/rules.json")
 	assert.Contains(t, s.ok("freeze", "../../examples/freeze.json", "--why", "matches"), "match evenings")
 	assert.Contains(t, s.ok("next", "../../examples/entry.json"), "free")
@@ -266,7 +266,7 @@
 
 // docs/migration.md's move to another shape ships as a migration: its digests are of the files beside it, each of which a door takes.
 func TestTheMoveToAnotherShapeShips(t *testing.T) {
-	s := coordinated(t)
+	s := startCoordinator(t)
 	dir := "../../examples/shape/"
 	var m planfile.Migration
 	require.NoError(t, planfile.Read(dir+"migration.json", nil, &m))
@@ -298,11 +298,11 @@
 }
 
 func TestNumbersAreCompleted(t *testing.T) {
-	s := coordinated(t)
+	s := startCoordinator(t)
 	s.ok("plan", s.file("a.json", entry("first", "gold", time.Hour, 3*time.Hour)))
 	s.ok("plan", s.file("b.json", entry("second", "silver", time.Hour, 3*time.Hour)))
 	s.ok("withdraw", "2", "--why", "x")
-	out, err := do("__complete", "--at", s.at, "why", "")
+	out, err := run("__complete", "--at", s.address, "why", "")
 	require.NoError(t, err)
 	assert.Contains(t, out, "1\tfirst, approved")
 	assert.NotContains(t, out, "second", "it is over")
@@ -325,28 +325,28 @@
 		`[]`:                                                      remedy.Configuration,
 	} {
 		for _, of := range []string{"plan", "next"} {
-			_, err := do(of, write(text), "--at", "c/127.0.0.1:1", "--patience", "100ms")
+			_, err := run(of, write(text), "--at", "c/127.0.0.1:1", "--patience", "100ms")
 			require.Error(t, err, text)
 			assert.Equal(t, kind, remedy.Typed(err)[0].Kind(), "%s %s: %v", of, text, err)
 		}
 	}
-	_, err := do("migrate", write(`{"name":"m","steps":[{"name":"x","from":"a","to":"b"}]}`), "--at", "c/127.0.0.1:1")
+	_, err := run("migrate", write(`{"name":"m","steps":[{"name":"x","from":"a","to":"b"}]}`), "--at", "c/127.0.0.1:1")
 	var step *StepError
 	require.ErrorAs(t, err, &step)
 	assert.Equal(t, 1, step.Step)
 	for _, number := range []string{"x", "0", "7@", "7@0", "-1"} {
-		_, err := do("calendar", "--at", "c/127.0.0.1:1", "--patience", "100ms", "--", number)
+		_, err := run("calendar", "--at", "c/127.0.0.1:1", "--patience", "100ms", "--", number)
 		var wrong *NumberError
 		assert.ErrorAs(t, err, &wrong, number)
 	}
-	_, err = do("plan", "nowhere.json", "--at", "c/127.0.0.1:1")
+	_, err = run("plan", "nowhere.json", "--at", "c/127.0.0.1:1")
 	var file *planfile.FileError
 	assert.ErrorAs(t, err, &file)
 }
 
 // BenchmarkTenThousandEntries is what an operator waits for where the calendar has ten thousand entries.
 func BenchmarkTenThousandEntries(b *testing.B) {
-	s := coordinated(b)
+	s := startCoordinator(b)
 	steps := make([]any, 100)
 	for m := range 100 {
 		for i := range steps {
--- a/cmd/swifthall-coordinate/commands.go
+++ b/cmd/swifthall-coordinate/commands.go
@@ -21,7 +21,7 @@
 	"github.com/swifthall/swifthall/permits"
 )
 
-func root() *cobra.Command {
+func newRoot() *cobra.Command {
 	o := &operator{}
 	cmd := &cobra.Command{Use: "swifthall-coordinate", Short: "Drains and releases agreed across a fleet", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
@@ -29,7 +29,7 @@
 	f.StringVar(&o.at, "at", "", "coordinators, as name/address,...; else "+atVariable+", else the key fleet.coordinators of what GW_CONFIG names, else "+defaultAt)
 	f.StringVar(&o.who, "who", os.Getenv("USER"), "who asks, for the audit")
 	f.StringVar(&o.why, "why", "", "why, for the audit")
-	f.DurationVar(&o.patience, "patience", 10*time.Second, "for an answer")
+	f.DurationVar(&o.timeout, "patience", 10*time.Second, "for an answer")
 	cmd.AddCommand(coordinate(), o.drain(), o.undrain(), o.status(), o.halt(), o.resume(), o.budgets(), o.writeOff(), o.forget(), o.coordinators(), o.audit(), o.release(), o.calendar(), o.plan(), o.approve())
 	cmd.AddCommand(o.entryCommands()...)
 	return cmd
@@ -43,10 +43,10 @@
 // operator is who asks.
 type operator struct {
 	at, who, why string
-	patience     time.Duration
+	timeout      time.Duration
 }
 
-func (o *operator) asked() (all []config.NamedAddress, err error) {
+func (o *operator) coordinatorAddresses() (all []config.NamedAddress, err error) {
 	text := o.at
 	if text == "" {
 		text = os.Getenv(atVariable)
@@ -69,22 +69,22 @@
 	return all, nil
 }
 
-// with asks within the operator's patience.
-func (o *operator) with(cmd *cobra.Command, do func(ctx context.Context, c *client.Client) error) error {
-	all, err := o.asked()
+// withClient asks within the operator's patience.
+func (o *operator) withClient(cmd *cobra.Command, do func(ctx context.Context, c *client.Client) error) error {
+	all, err := o.coordinatorAddresses()
 	if err != nil {
 		return err
 	}
 	c := client.New(all)
 	defer c.Close()
-	ctx, stop := context.WithTimeout(cmd.Context(), o.patience)
+	ctx, stop := context.WithTimeout(cmd.Context(), o.timeout)
 	defer stop()
 	return do(ctx, c)
 }
 
 // command gives one command; an answer that was lost is asked for again, with its number.
 func (o *operator) command(cmd *cobra.Command, do any) (a permits.Answer, err error) {
-	err = o.with(cmd, func(ctx context.Context, c *client.Client) error {
+	err = o.withClient(cmd, func(ctx context.Context, c *client.Client) error {
 		a, err = c.Command(ctx, permits.Command{Caller: permits.CallerName("operator "+o.who, rand.Uint64()), Seq: 1, Do: do})
 		return err
 	})
@@ -94,23 +94,23 @@
 	return a, err
 }
 
-func (o *operator) reason() error {
+func (o *operator) requireReason() error {
 	if o.who == "" || o.why == "" {
 		return &ReasonError{}
 	}
 	return nil
 }
 
-// unit reads the kind of what a change is about, and sees that the change has its reason.
-func (o *operator) unit(word string) (permits.Kind, error) {
-	k, err := kind(word)
+// changedKind reads the kind of what a change is about, and sees that the change has its reason.
+func (o *operator) changedKind(word string) (permits.Kind, error) {
+	k, err := parseKind(word)
 	if err == nil {
-		err = o.reason()
+		err = o.requireReason()
 	}
 	return k, err
 }
 
-func kind(word string) (permits.Kind, error) {
+func parseKind(word string) (permits.Kind, error) {
 	switch k := permits.Kind(word); k {
 	case permits.Door, permits.Backend, permits.Zone:
 		return k, nil
@@ -142,7 +142,7 @@
 				return err
 			}
 			return coordinator.Run(cmd.Context(), cfg, coordinator.Options{Restore: restore, NoSync: noSync,
-				Before: coordinator.Spoiled(os.Getenv(coordinator.DiskFault)), Wrong: serving.WallClockOffset()}, log)
+				BeforeWrite: coordinator.DiskFaultHook(os.Getenv(coordinator.DiskFault)), ClockOffset: serving.WallClockOffset()}, log)
 		}}
 	f := cmd.Flags()
 	f.StringVar(&file, "config", "", "the coordinator's file")
@@ -162,14 +162,14 @@
 		Long: "Takes its place at once, or says who is in the way. A backend gets nothing new from any door; a door turns not ready and serves what\n" +
 			"still comes; a zone goes whole or not at all. It stays out until swifthall undrain, or until --until or --for.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			k, err := kind(args[0])
+			k, err := parseKind(args[0])
 			if err != nil {
 				return err
 			}
 			if dry {
-				return o.try(cmd, k, args[1])
+				return o.dryRun(cmd, k, args[1])
 			}
-			if err := o.reason(); err != nil {
+			if err := o.requireReason(); err != nil {
 				return err
 			}
 			d := permits.Drain{Kind: k, Name: args[1], Who: o.who, Why: o.why}
@@ -189,7 +189,7 @@
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s %s goes out by permit %d\n", k, args[1], a.Number)
 			if wait {
-				return o.wait(cmd, k, args[1], most)
+				return o.waitDrained(cmd, k, args[1], most)
 			}
 			return nil
 		}}
@@ -202,14 +202,14 @@
 	return cmd
 }
 
-func (o *operator) try(cmd *cobra.Command, k permits.Kind, name string) error {
-	var t client.Tried
-	if err := o.with(cmd, func(ctx context.Context, c *client.Client) error {
-		return c.Ask(ctx, client.TryPath, client.Asked{Kind: k, Name: name}, &t)
+func (o *operator) dryRun(cmd *cobra.Command, k permits.Kind, name string) error {
+	var t client.DryRunResult
+	if err := o.withClient(cmd, func(ctx context.Context, c *client.Client) error {
+		return c.Ask(ctx, client.DryRunPath, client.DryRun{Kind: k, Name: name}, &t)
 	}); err != nil {
 		return err
 	}
-	for _, w := range t.Would {
+	for _, w := range t.Units {
 		fmt.Fprintln(cmd.OutOrStdout(), "would go:", w)
 	}
 	if t.Answer.Err != nil {
@@ -219,27 +219,27 @@
 	return nil
 }
 
-const pollEvery = 200 * time.Millisecond // between looks at a drain that is waited for
+const pollInterval = 200 * time.Millisecond // between looks at a drain that is waited for
 
-// wait waits until all that a drain takes out is drained, and names those that it waits for in vain.
-func (o *operator) wait(cmd *cobra.Command, k permits.Kind, name string, most time.Duration) error {
+// waitDrained waits until all that a drain takes out is drained, and names those that it waits for in vain.
+func (o *operator) waitDrained(cmd *cobra.Command, k permits.Kind, name string, most time.Duration) error {
 	for end := time.Now().Add(most); ; {
-		st, err := o.statusNow(cmd)
+		st, err := o.fetchStatus(cmd)
 		if err != nil {
 			return err
 		}
-		left := &WaitError{Of: k, Name: name}
+		left := &DrainTimeoutError{UnitKind: k, Name: name}
 		found := false
-		for _, p := range st.Places {
+		for _, p := range st.Permits {
 			if k == permits.Zone && p.Of == name || p.Unit.Kind == k && p.Unit.Name == name {
 				found = true
 				if !p.Drained {
-					left.For = append(left.For, fmt.Sprintf("%s %s", p.Unit.Kind, p.Unit.Name))
+					left.Pending = append(left.Pending, fmt.Sprintf("%s %s", p.Unit.Kind, p.Unit.Name))
 					left.Doors = append(left.Doors, p.Waiting...)
 				}
 			}
 		}
-		if found && len(left.For) == 0 {
+		if found && len(left.Pending) == 0 {
 			fmt.Fprintln(cmd.OutOrStdout(), "drained")
 			return nil
 		}
@@ -249,7 +249,7 @@
 		select {
 		case <-cmd.Context().Done():
 			return left
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
@@ -270,7 +270,7 @@
 			if len(args) != 2 {
 				return &KindError{strings.Join(args, " ")}
 			}
-			k, err := o.unit(args[0])
+			k, err := o.changedKind(args[0])
 			if err != nil {
 				return err
 			}
@@ -290,7 +290,7 @@
 		Long: "Asks whichever coordinator leads, which a majority confirms. With --each every coordinator says what it last heard, which may be old.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for {
-				if err := o.tell(cmd, asJSON, each); err != nil {
+				if err := o.showStatus(cmd, asJSON, each); err != nil {
 					return err
 				}
 				if !watch {
@@ -311,15 +311,15 @@
 	return cmd
 }
 
-func (o *operator) tell(cmd *cobra.Command, asJSON, each bool) error {
+func (o *operator) showStatus(cmd *cobra.Command, asJSON, each bool) error {
 	show := func(st client.Status) error {
 		if asJSON {
 			return json.NewEncoder(cmd.OutOrStdout()).Encode(st)
 		}
-		print(cmd.OutOrStdout(), st)
+		printStatus(cmd.OutOrStdout(), st)
 		return nil
 	}
-	return o.with(cmd, func(ctx context.Context, c *client.Client) error {
+	return o.withClient(cmd, func(ctx context.Context, c *client.Client) error {
 		if !each {
 			var st client.Status
 			if err := c.Ask(ctx, client.StatusPath, struct{}{}, &st); err != nil {
@@ -327,13 +327,13 @@
 			}
 			return show(st)
 		}
-		all, err := o.asked()
+		all, err := o.coordinatorAddresses()
 		if err != nil {
 			return err
 		}
 		for _, a := range all {
 			var st client.Status
-			if err := c.Once(ctx, a, client.StatusPath, &st); err != nil {
+			if err := c.AskOne(ctx, a, client.StatusPath, &st); err != nil {
 				fmt.Fprintln(cmd.OutOrStdout(), err)
 				continue
 			}
@@ -345,16 +345,16 @@
 	})
 }
 
-var standings = [...]string{permits.Unseen: "unseen", permits.Failed: "failed", permits.Starting: "not ready", permits.Ready: "ready", permits.Ended: "ended"}
+var standingNames = [...]string{permits.Unseen: "unseen", permits.Failed: "failed", permits.Starting: "not ready", permits.Ready: "ready", permits.Ended: "ended"}
 
-func print(out io.Writer, st client.Status) {
+func printStatus(out io.Writer, st client.Status) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer t.Flush()
 	how := "as a majority has it"
 	if !st.Current {
 		how = "as it last heard; " + strings.TrimSuffix("leader "+st.Leader, "leader ")
 		if st.Leader == "" {
-			how = fmt.Sprintf("as it last heard: no leader for %.0f s; docs/coordinators.md tells what to do", st.Hint.ForMs/1e3)
+			how = fmt.Sprintf("as it last heard: no leader for %.0f s; docs/coordinators.md tells what to do", st.Hint.LeaderSilentMs/1e3)
 		}
 	}
 	fmt.Fprintf(t, "fleet %s, told by %s, %s\n", st.Fleet, st.Self, how)
@@ -369,16 +369,16 @@
 		fmt.Fprintf(t, "coordinator %s\t%s\t%s\n", m.Name, m.Address, says)
 	}
 	for _, h := range st.Halts {
-		fmt.Fprintf(t, "HALT of %s%s by %s: %s\n", or(string(h.Kind), "all"), or(" in "+h.Zone, ""), h.Who, h.Why)
+		fmt.Fprintf(t, "HALT of %s%s by %s: %s\n", orDefault(string(h.Kind), "all"), orDefault(" in "+h.Zone, ""), h.Who, h.Why)
 	}
 	for _, b := range st.Budgets {
 		raw, _ := json.Marshal(b)
 		fmt.Fprintf(t, "budget %s\n", raw)
 	}
-	if len(st.Places) > 0 {
+	if len(st.Permits) > 0 {
 		fmt.Fprintln(t, "permit\tunit\tstage\twho\twhy\twaits for")
 	}
-	for _, p := range st.Places {
+	for _, p := range st.Permits {
 		stage := map[permits.Stage]string{permits.Granted: "granted", permits.Out: "going out"}[p.Stage]
 		switch {
 		case p.Over:
@@ -400,11 +400,11 @@
 		if u.AgeMs < 1e6 && u.AtMs > 0 {
 			seen = fmt.Sprintf("%.1f s ago", u.AgeMs/1e3)
 		}
-		fmt.Fprintf(t, "%s %s\t%s\t%s\t%s\t%s\n", u.Kind, u.Name, u.Zone, standings[u.Standing], counts, seen)
+		fmt.Fprintf(t, "%s %s\t%s\t%s\t%s\t%s\n", u.Kind, u.Name, u.Zone, standingNames[u.Standing], counts, seen)
 	}
 }
 
-func or(text, other string) string {
+func orDefault(text, other string) string {
 	if text == "" || text == " in " {
 		return other
 	}
@@ -415,7 +415,7 @@
 	var k, zone string
 	cmd := &cobra.Command{Use: "halt", Short: "Let nothing more go out", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := o.reason(); err != nil {
+			if err := o.requireReason(); err != nil {
 				return err
 			}
 			_, err := o.command(cmd, permits.Halt{Kind: permits.Kind(k), Zone: zone, Who: o.who, Why: o.why})
@@ -424,11 +424,11 @@
 			}
 			return err
 		}}
-	scope(cmd, &k, &zone)
+	scopeFlags(cmd, &k, &zone)
 	return cmd
 }
 
-func scope(cmd *cobra.Command, k, zone *string) {
+func scopeFlags(cmd *cobra.Command, k, zone *string) {
 	cmd.Flags().StringVar(k, "kind", "", "door or backend; both where empty")
 	cmd.Flags().StringVar(zone, "zone", "", "of one zone; all where empty")
 }
@@ -440,7 +440,7 @@
 			_, err := o.command(cmd, permits.Resume{Kind: permits.Kind(k), Zone: zone, Who: o.who})
 			return err
 		}}
-	scope(cmd, &k, &zone)
+	scopeFlags(cmd, &k, &zone)
 	return cmd
 }
 
@@ -448,7 +448,7 @@
 	return &cobra.Command{Use: "budgets [FILE]", Short: "Show the budgets, or set those of a file of JSON (- for standard input)", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				st, err := o.statusNow(cmd)
+				st, err := o.fetchStatus(cmd)
 				if err != nil {
 					return err
 				}
@@ -456,7 +456,7 @@
 				enc.SetIndent("", "  ")
 				return enc.Encode(st.Budgets)
 			}
-			if err := o.reason(); err != nil {
+			if err := o.requireReason(); err != nil {
 				return err
 			}
 			in := cmd.InOrStdin()
@@ -480,15 +480,15 @@
 func (o *operator) writeOff() *cobra.Command {
 	return &cobra.Command{Use: "write-off door|backend NAME", Short: "Free the place of one that went by plan and won't come back", Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			k, err := o.unit(args[0])
+			k, err := o.changedKind(args[0])
 			if err != nil {
 				return err
 			}
-			st, err := o.statusNow(cmd)
+			st, err := o.fetchStatus(cmd)
 			if err != nil {
 				return err
 			}
-			for _, p := range st.Places {
+			for _, p := range st.Permits {
 				if p.Unit.Kind == k && p.Unit.Name == args[1] {
 					_, err := o.command(cmd, permits.WriteOff{Number: p.Number, Who: o.who, Why: o.why})
 					return err
@@ -501,7 +501,7 @@
 func (o *operator) forget() *cobra.Command {
 	return &cobra.Command{Use: "forget door|backend NAME", Short: "Count a unit no more: it is gone for good, and so is its permit", Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			k, err := o.unit(args[0])
+			k, err := o.changedKind(args[0])
 			if err != nil {
 				return err
 			}
@@ -513,14 +513,14 @@
 func (o *operator) coordinators() *cobra.Command {
 	change := func(add bool) func(cmd *cobra.Command, args []string) error {
 		return func(cmd *cobra.Command, args []string) error {
-			if err := o.reason(); err != nil {
+			if err := o.requireReason(); err != nil {
 				return err
 			}
-			c := client.Change{Add: add, Name: args[0], Who: o.who, Why: o.why}
+			c := client.MembershipChange{Add: add, Name: args[0], Who: o.who, Why: o.why}
 			if add {
 				c.Address = args[1]
 			}
-			return o.with(cmd, func(ctx context.Context, cl *client.Client) error {
+			return o.withClient(cmd, func(ctx context.Context, cl *client.Client) error {
 				return cl.Ask(ctx, client.MembersPath, c, &struct{}{})
 			})
 		}
@@ -535,15 +535,15 @@
 func (o *operator) audit() *cobra.Command {
 	return &cobra.Command{Use: "audit", Short: "Show who did what, and when", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			all, err := o.asked()
+			all, err := o.coordinatorAddresses()
 			if err != nil {
 				return err
 			}
-			return o.with(cmd, func(ctx context.Context, c *client.Client) error {
+			return o.withClient(cmd, func(ctx context.Context, c *client.Client) error {
 				var lines []permits.AuditEntry
 				var last error
 				for _, a := range all {
-					if last = c.Once(ctx, a, client.AuditPath, &lines); last == nil {
+					if last = c.AskOne(ctx, a, client.AuditPath, &lines); last == nil {
 						break
 					}
 				}
--- a/cmd/swifthall-coordinate/commands_test.go
+++ b/cmd/swifthall-coordinate/commands_test.go
@@ -20,8 +20,8 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-func do(args ...string) (string, error) {
-	cmd := root()
+func run(args ...string) (string, error) {
+	cmd := newRoot()
 	var out bytes.Buffer
 	cmd.SetOut(&out)
 	cmd.SetErr(&out)
@@ -34,23 +34,23 @@
 	t.Setenv("USER", "")
 	for _, args := range [][]string{{"drain", "cellar", "x"}, {"drain", "door", "x"}, {"halt"}, {"status", "--at", "nowhere"},
 		{"drain", "door", "x", "--who", "a", "--why", "b", "--until", "yesterday"}, {"undrain"}} {
-		_, err := do(args...)
+		_, err := run(args...)
 		require.Error(t, err, args)
 		assert.Equal(t, remedy.Usage, remedy.Typed(err)[0].Kind(), args)
 	}
-	_, err := do("budgets", "nowhere.json", "--who", "a", "--why", "b")
+	_, err := run("budgets", "nowhere.json", "--who", "a", "--why", "b")
 	assert.Equal(t, 3, remedy.ExitCode(err))
-	_, err = do("status", "--at", "c/127.0.0.1:1", "--patience", "100ms")
+	_, err = run("status", "--at", "c/127.0.0.1:1", "--patience", "100ms")
 	assert.Equal(t, 5, remedy.ExitCode(err))
-	out, err := do("status", "--each", "--at", "c/127.0.0.1:1", "--patience", "100ms")
+	out, err := run("status", "--each", "--at", "c/127.0.0.1:1", "--patience", "100ms")
 	require.NoError(t, err)
 	assert.Contains(t, out, "coordinator c at 127.0.0.1:1")
 }
 
 func TestTheExamplesAreTaken(t *testing.T) {
-	_, err := do("release", "check", "../../examples/release.json")
+	_, err := run("release", "check", "../../examples/release.json")
 	require.NoError(t, err)
-	out, err := do("coordinate", "--check", "--config", "../../examples/coordinator.json")
+	out, err := run("coordinate", "--check", "--config", "../../examples/coordinator.json")
 	require.NoError(t, err)
 	assert.Equal(t, "ok\n", out)
 	raw, err := os.Open("../../examples/budgets.json")
@@ -61,7 +61,7 @@
 	assert.NotEmpty(t, all)
 	file := filepath.Join(t.TempDir(), "c.json")
 	require.NoError(t, os.WriteFile(file, []byte(`{"name":"a/b","listen":"8.8.8.8:1","api":"x","peers":["c"]}`), 0o600))
-	_, err = do("coordinate", "--check", "--config", file)
+	_, err = run("coordinate", "--check", "--config", file)
 	for _, key := range []string{"name", "fleet", "data", "listen", "api", "peers[0]"} {
 		assert.ErrorContains(t, err, `key "`+key+`"`)
 	}
@@ -70,17 +70,17 @@
 func TestTheStatusIsATable(t *testing.T) {
 	var out bytes.Buffer
 	unit := permits.Unit{Kind: permits.Backend, Name: "b-1", Zone: "z1"}
-	print(&out, client.Status{Self: "c-1", Fleet: "prod", Leader: "c-1", Current: true, Members: []client.Member{{Name: "c-1"}, {Name: "c-2", SilentMs: 4e3}},
-		Halts:  []permits.Halt{{Who: "ana", Why: "errors"}},
-		Places: []client.Place{{Permit: permits.Permit{Number: 7, Unit: unit, Order: true, Stage: permits.Out, Who: "bea"}, Waiting: []string{"door-3"}}},
-		Units:  []client.Unit{{UnitState: permits.UnitState{Unit: unit, Standing: permits.Ready, AtMs: 5}, Out: true, AgeMs: 200}}})
+	printStatus(&out, client.Status{Self: "c-1", Fleet: "prod", Leader: "c-1", Current: true, Members: []client.Member{{Name: "c-1"}, {Name: "c-2", SilentMs: 4e3}},
+		Halts:   []permits.Halt{{Who: "ana", Why: "errors"}},
+		Permits: []client.Permit{{Permit: permits.Permit{Number: 7, Unit: unit, Order: true, Stage: permits.Out, Who: "bea"}, Waiting: []string{"door-3"}}},
+		Units:   []client.Unit{{UnitState: permits.UnitState{Unit: unit, Standing: permits.Ready, AtMs: 5}, Out: true, AgeMs: 200}}})
 	assert.Regexp(t, `HALT of all by ana: errors`, out.String())
 	assert.Regexp(t, `c-2 +silent for 4 s`, out.String())
 	assert.Regexp(t, `7 +backend b-1 +going out +bea +door-3`, out.String())
 	assert.Regexp(t, `backend b-1 +z1 +ready +out +0.2 s ago`, out.String())
 }
 
-func free(t testing.TB) string {
+func freeAddress(t testing.TB) string {
 	at, err := loopback.Free()
 	require.NoError(t, err)
 	return at
@@ -89,7 +89,7 @@
 // One coordinator, from its file to its end, by the commands alone.
 func TestACoordinatorIsRunAskedAndEnded(t *testing.T) {
 	dir := t.TempDir()
-	at, raft := free(t), free(t)
+	at, raft := freeAddress(t), freeAddress(t)
 	file := filepath.Join(dir, "c.json")
 	raw, err := json.Marshal(map[string]any{"name": "c-1", "fleet": "f", "listen": raft, "api": at, "data": dir, "peers": []string{"c-1/" + raft}, "log": map[string]string{"level": "error"}})
 	require.NoError(t, err)
@@ -97,12 +97,12 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		cmd := root()
+		cmd := newRoot()
 		cmd.SetArgs([]string{"coordinate", "--config", file})
 		ended <- cli.Execute(ctx, cmd)
 	}()
 	ask := func(args ...string) (string, error) {
-		return do(append(args, "--at", "c-1/"+at, "--who", "ana", "--why", "test", "--patience", "20s")...)
+		return run(append(args, "--at", "c-1/"+at, "--who", "ana", "--why", "test", "--patience", "20s")...)
 	}
 	_, err = ask("budgets", "../../examples/budgets.json")
 	require.NoError(t, err)
--- a/cmd/swifthall-coordinate/errors.go
+++ b/cmd/swifthall-coordinate/errors.go
@@ -20,10 +20,10 @@
 }
 
 // KindError is a word that names nothing that can go out.
-type KindError struct{ Word string }
+type KindError struct{ Text string }
 
 func (e *KindError) Error() string {
-	return fmt.Sprintf("%q: door, backend or zone, and a name, are wanted", e.Word)
+	return fmt.Sprintf("%q: door, backend or zone, and a name, are wanted", e.Text)
 }
 func (e *KindError) Kind() remedy.Kind { return remedy.Usage }
 
@@ -63,24 +63,24 @@
 	return "Write a list of budgets as examples/budgets.json does; swifthall budgets shows the present ones in that form."
 }
 
-// WaitError is a drain that isn't done in time: somebody has not confirmed.
-type WaitError struct {
-	Of         permits.Kind
-	Name       string
-	For, Doors []string
+// DrainTimeoutError is a drain that isn't done in time: somebody has not confirmed.
+type DrainTimeoutError struct {
+	UnitKind       permits.Kind
+	Name           string
+	Pending, Doors []string
 }
 
-func (e *WaitError) Error() string {
+func (e *DrainTimeoutError) Error() string {
 	doors := ""
 	if len(e.Doors) > 0 {
 		doors = "; doors that have not confirmed: " + strings.Join(e.Doors, ", ")
 	}
-	return fmt.Sprintf("%s %s is not drained so far, for %s%s", e.Of, e.Name, strings.Join(e.For, ", "), doors)
+	return fmt.Sprintf("%s %s is not drained so far, for %s%s", e.UnitKind, e.Name, strings.Join(e.Pending, ", "), doors)
 }
-func (e *WaitError) Kind() remedy.Kind { return remedy.Refused }
+func (e *DrainTimeoutError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says what may be in the way.
-func (e *WaitError) Remedy() string {
+func (e *DrainTimeoutError) Remedy() string {
 	return "Look at those doors: one that is away may still send until it is seen to have ended; swifthall forget door NAME says that it is gone for good."
 }
 
@@ -97,14 +97,14 @@
 	return "Name it as 7 or 7@3; swifthall calendar lists them so."
 }
 
-// MeetsError is a change that would meet something in its window.
-type MeetsError struct{ Name string }
+// ConflictError is a change that would meet something in its window.
+type ConflictError struct{ Name string }
 
-func (e *MeetsError) Error() string     { return e.Name + " is not entered: something is in its way" }
-func (e *MeetsError) Kind() remedy.Kind { return remedy.Refused }
+func (e *ConflictError) Error() string     { return e.Name + " is not entered: something is in its way" }
+func (e *ConflictError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says what can be done.
-func (e *MeetsError) Remedy() string {
+func (e *ConflictError) Remedy() string {
 	return "Take one of the free windows, or enter it with --anyway: it begins if the way is clear by then."
 }
 
--- a/cmd/swifthall-coordinate/main.go
+++ b/cmd/swifthall-coordinate/main.go
@@ -13,7 +13,7 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	code := cli.Main(ctx, root(), os.Stderr)
+	code := cli.Main(ctx, newRoot(), os.Stderr)
 	stop()
 	os.Exit(code)
 }
--- a/cmd/swifthall-coordinate/release.go
+++ b/cmd/swifthall-coordinate/release.go
@@ -37,7 +37,7 @@
 			if err != nil {
 				return err
 			}
-			if err := o.reason(); err != nil {
+			if err := o.requireReason(); err != nil {
 				return err
 			}
 			a, err := o.command(cmd, release.Start{Plan: p, Who: o.who, Why: o.why})
@@ -46,7 +46,7 @@
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "release %s is number %d\n", p.Name, a.Number)
 			if wait {
-				return o.follow(cmd, p.Name)
+				return o.waitRelease(cmd, p.Name)
 			}
 			return nil
 		}}
@@ -78,7 +78,7 @@
 	for to, short := range map[string]string{release.ToHalt: "Let no further door change", release.ToResume: "Let a halted release go on", release.ToBack: "Bring all doors back to what they ran, in the reverse order"} {
 		cmd.AddCommand(&cobra.Command{Use: to + " NAME", Short: short, Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				if err := o.reason(); err != nil {
+				if err := o.requireReason(); err != nil {
 					return err
 				}
 				_, err := o.command(cmd, release.Steer{Name: args[0], To: to, Who: o.who, Why: o.why})
@@ -88,8 +88,8 @@
 	return cmd
 }
 
-func (o *operator) statusNow(cmd *cobra.Command) (st client.Status, err error) {
-	err = o.with(cmd, func(ctx context.Context, c *client.Client) error {
+func (o *operator) fetchStatus(cmd *cobra.Command) (st client.Status, err error) {
+	err = o.withClient(cmd, func(ctx context.Context, c *client.Client) error {
 		return c.Ask(ctx, client.StatusPath, struct{}{}, &st)
 	})
 	return st, err
@@ -99,7 +99,7 @@
 	var asJSON bool
 	cmd := &cobra.Command{Use: "status", Short: "Show releases, their waves, and what doors run", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			st, err := o.statusNow(cmd)
+			st, err := o.fetchStatus(cmd)
 			if err != nil {
 				return err
 			}
@@ -136,10 +136,10 @@
 	}
 }
 
-// follow waits until a release has come to an end, or is halted.
-func (o *operator) follow(cmd *cobra.Command, name string) error {
+// waitRelease waits until a release has come to an end, or is halted.
+func (o *operator) waitRelease(cmd *cobra.Command, name string) error {
 	for {
-		st, err := o.statusNow(cmd)
+		st, err := o.fetchStatus(cmd)
 		if err != nil {
 			return err
 		}
@@ -160,7 +160,7 @@
 		select {
 		case <-cmd.Context().Done():
 			return nil
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/cmd/swifthall-fleet/commands.go
+++ b/cmd/swifthall-fleet/commands.go
@@ -15,7 +15,7 @@
 	"github.com/swifthall/swifthall/internal/serving"
 )
 
-func root() *cobra.Command {
+func newRoot() *cobra.Command {
 	var l serving.LogFlags
 	cmd := &cobra.Command{Use: "swifthall-fleet", Short: "A front door that is a member of a fleet", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
@@ -44,16 +44,16 @@
 	return holding.Run(cmd.Context(), cfg, os.Getenv("GW_CONFIG"), log)
 }
 
-const defaultStatus = "127.0.0.1:7980"
+const defaultStatusAddress = "127.0.0.1:7980"
 
-// status is where the door that GW_CONFIG configures tells its status.
-func status() string {
+// statusAddress is where the door that GW_CONFIG configures tells its statusAddress.
+func statusAddress() string {
 	if os.Getenv("GW_CONFIG") != "" {
 		if cfg, err := config.Load(os.Getenv); err == nil && cfg.Fleet != nil && cfg.Fleet.Status != "" {
 			return cfg.Fleet.Status
 		}
 	}
-	return defaultStatus
+	return defaultStatusAddress
 }
 
 func members() *cobra.Command {
@@ -61,11 +61,11 @@
 	var watch, asJSON bool
 	var every time.Duration
 	cmd := &cobra.Command{Use: "members", Short: "Show which doors a door holds to be here", Args: cobra.NoArgs,
-		Long: "Asks the door whose status is told at --at, the key fleet.status of what GW_CONFIG names, or " + defaultStatus + ".\n" +
+		Long: "Asks the door whose status is told at --at, the key fleet.status of what GW_CONFIG names, or " + defaultStatusAddress + ".\n" +
 			"A door that is seen by fewer than all its observers is doubted by the rest; docs/members.md tells what that means.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if at == "" {
-				at = status()
+				at = statusAddress()
 			}
 			for {
 				m, err := admin.GetMembers(cmd.Context(), at)
--- a/cmd/swifthall/commands.go
+++ b/cmd/swifthall/commands.go
@@ -10,7 +10,7 @@
 	"github.com/swifthall/swifthall/internal/serving"
 )
 
-func root() *cobra.Command {
+func newRoot() *cobra.Command {
 	var l serving.LogFlags
 	cmd := &cobra.Command{Use: "swifthall", Short: "An admission gateway for services sold by plan", Args: cobra.NoArgs,
 		Long: "Alone, swifthall serves as one front door, as swifthall serve does: it reads the file that GW_CONFIG names;\n" +
@@ -28,16 +28,16 @@
 			Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), serving.Version()) }},
 		&cobra.Command{Use: "lab", Short: "The laboratory: play, list, compare, sweep, hunt, load", DisableFlagParsing: true,
 			Long: "Starts swifthall-lab, which lies beside this program or on the path: the laboratory is a program of its own.",
-			RunE: func(_ *cobra.Command, args []string) error { return become(labProgram, args...) }},
+			RunE: func(_ *cobra.Command, args []string) error { return execProgram(labProgram, args...) }},
 		&cobra.Command{Use: "rehearse", Short: "Play a migration on the site's scenario, simulated, and tell what it would cost", DisableFlagParsing: true,
 			Long: "Starts swifthall-lab, which lies beside this program or on the path; swifthall rehearse --help lists the flags.",
 			RunE: func(_ *cobra.Command, args []string) error {
-				return become(labProgram, append([]string{"rehearse"}, args...)...)
+				return execProgram(labProgram, append([]string{"rehearse"}, args...)...)
 			}},
 		&cobra.Command{Use: "members", Short: "Show which doors a door of a fleet holds to be here (--watch, --json, --at)", DisableFlagParsing: true,
 			Long: "Starts swifthall-fleet, which lies beside this program or on the path; swifthall members --help lists the flags.",
 			RunE: func(_ *cobra.Command, args []string) error {
-				return become(fleetProgram, append([]string{"members"}, args...)...)
+				return execProgram(fleetProgram, append([]string{"members"}, args...)...)
 			}},
 	)
 	for _, c := range [][2]string{{"coordinate", "Run a coordinator of drains and releases"}, {"drain", "Take a door, a backend or a zone out, if its budget allows"},
@@ -53,7 +53,7 @@
 		cmd.AddCommand(&cobra.Command{Use: c[0], Short: c[1], DisableFlagParsing: true,
 			Long: "Starts swifthall-coordinate, which lies beside this program or on the path; swifthall " + c[0] + " --help lists the flags.",
 			RunE: func(_ *cobra.Command, args []string) error {
-				return become(coordinateProgram, append([]string{c[0]}, args...)...)
+				return execProgram(coordinateProgram, append([]string{c[0]}, args...)...)
 			}})
 	}
 	return cmd
--- a/cmd/swifthall/commands_test.go
+++ b/cmd/swifthall/commands_test.go
@@ -14,8 +14,8 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-func do(args ...string) (string, error) {
-	cmd := root()
+func run(args ...string) (string, error) {
+	cmd := newRoot()
 	var out bytes.Buffer
 	cmd.SetOut(&out)
 	cmd.SetErr(&out)
@@ -27,12 +27,12 @@
 func TestCheckNamesEveryFaultyKeyAndWarnsOfOddOnes(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "door.json")
 	require.NoError(t, os.WriteFile(file, []byte(`{"listen":"x","discovery":"127.0.0.1:1","pase":1,"settings":{"fleet_size":0}}`), 0o644))
-	out, err := do("check", file)
+	out, err := run("check", file)
 	assert.Error(t, err)
 	for _, key := range []string{`warning: key "pase"`, `key "listen"`, `key "settings.fleet_size"`, `key "settings.profiles"`} {
 		assert.Contains(t, out, key)
 	}
-	out, err = do("check", "../../examples/config.json")
+	out, err = run("check", "../../examples/config.json")
 	require.NoError(t, err)
 	assert.Equal(t, "ok\n", out)
 }
@@ -42,28 +42,28 @@
 	t.Setenv("GW_CONFIG", "")
 	for code, args := range map[int][]string{2: {"serve", "now"}, 3: {"serve"}, 5: {"lab", "list"}} {
 		var errs bytes.Buffer
-		cmd := root()
+		cmd := newRoot()
 		cmd.SetArgs(args)
 		assert.Equal(t, code, cli.Main(context.Background(), cmd, &errs), args)
 		assert.Contains(t, errs.String(), "to do: ")
 	}
-	_, err := do("chek")
+	_, err := run("chek")
 	var usage *cli.UsageError
 	assert.ErrorAs(t, err, &usage)
-	_, err = do("check", "nowhere.json")
+	_, err = run("check", "nowhere.json")
 	assert.Equal(t, remedy.Configuration, remedy.Typed(err)[0].Kind())
 }
 
 func TestServeDoesNotStartOnAFaultyFlagOrFile(t *testing.T) {
 	t.Setenv("GW_CONFIG", "../../examples/config.json")
-	_, err := do("--log-level", "loud")
+	_, err := run("--log-level", "loud")
 	assert.ErrorContains(t, err, "log.level")
 	t.Setenv("GW_CONFIG", "nowhere.json")
-	_, err = do("serve")
+	_, err = run("serve")
 	assert.ErrorContains(t, err, "GW_CONFIG")
 }
 
 func TestTheLaboratoryThatIsNotThereIsNamed(t *testing.T) {
 	t.Setenv("PATH", "")
-	assert.ErrorContains(t, become(labProgram, "list"), "swifthall-lab")
+	assert.ErrorContains(t, execProgram(labProgram, "list"), "swifthall-lab")
 }
--- a/cmd/swifthall/errors.go
+++ b/cmd/swifthall/errors.go
@@ -8,7 +8,7 @@
 
 // CheckError is a configuration that a door would not start with; what is wrong with it has been printed.
 type CheckError struct {
-	Faults int
+	Errors int
 	File   string
 }
 
@@ -17,7 +17,7 @@
 
 // Remedy names the file.
 func (e *CheckError) Remedy() string {
-	return fmt.Sprintf("Set each of the keys named above in %s, and check again: %d to go.", e.File, e.Faults)
+	return fmt.Sprintf("Set each of the keys named above in %s, and check again: %d to go.", e.File, e.Errors)
 }
 
 // ProgramError is a program beside this one that can't be started.
--- a/cmd/swifthall/main.go
+++ b/cmd/swifthall/main.go
@@ -10,5 +10,5 @@
 )
 
 func main() {
-	os.Exit(cli.Main(context.Background(), root(), os.Stderr))
+	os.Exit(cli.Main(context.Background(), newRoot(), os.Stderr))
 }
--- a/cmd/swifthall/beside.go
+++ b/cmd/swifthall/programs.go
@@ -18,8 +18,8 @@
 	coordinateProgram = "swifthall-coordinate"
 )
 
-// become goes over into a program that lies beside this one or on the path.
-func become(program string, args ...string) error {
+// execProgram goes over into a program that lies beside this one or on the path.
+func execProgram(program string, args ...string) error {
 	path := ""
 	if self, err := os.Executable(); err == nil {
 		path = filepath.Join(filepath.Dir(self), program)
@@ -41,6 +41,6 @@
 		if cfg.Fleet == nil {
 			return nil
 		}
-		return become(fleetProgram, "serve", "--log-level", cfg.Log.Level, "--log-format", cfg.Log.Format)
+		return execProgram(fleetProgram, "serve", "--log-level", cfg.Log.Level, "--log-format", cfg.Log.Format)
 	}, nil)
 }
--- a/coordinator/calendar_test.go
+++ b/coordinator/calendar_test.go
@@ -20,55 +20,55 @@
 	"github.com/swifthall/swifthall/permits"
 )
 
-func wall() float64 { return float64(time.Now().UnixMilli()) }
+func wallMs() float64 { return float64(time.Now().UnixMilli()) }
 
-// byHand is a change that people do.
-func byHand(name string, fromMs, toMs float64) calendar.Change {
+// manualChange is a change that people do.
+func manualChange(name string, fromMs, toMs float64) calendar.Change {
 	return calendar.Change{Name: name, Kind: calendar.Coordinators, Subject: calendar.Subject{Scope: calendar.Plans, Names: []string{name}}, Window: calendar.Span{FromMs: fromMs, ToMs: toMs},
 		Waves: 1, Do: json.RawMessage(`{"manual":"look"}`)}
 }
 
-func agreed(t *testing.T, c *client.Client) *calendar.State {
+func calendarState(t *testing.T, c *client.Client) *calendar.State {
 	var a client.CalendarAnswer
-	require.NoError(t, c.Ask(soon(t), client.CalendarPath, client.CalendarQuestion{Events: true}, &a))
+	require.NoError(t, c.Ask(shortContext(t), client.CalendarPath, client.CalendarQuery{Events: true}, &a))
 	s := calendar.New()
 	require.NoError(t, json.Unmarshal(a.Calendar, s))
 	return s
 }
 
-// onTime has the calendar be in use, and waits until its time is agreed.
-func onTime(t *testing.T, c *client.Client) {
-	give(t, c, "first use", 1, calendar.SetRules{Who: "ana"})
-	within(t, "agreed time", func() bool { return agreed(t, c).Doubt == "" })
+// useCalendar has the calendar be in use, and waits until its time is agreed.
+func useCalendar(t *testing.T, c *client.Client) {
+	command(t, c, "first use", 1, calendar.SetRules{Who: "ana"})
+	eventually(t, "agreed time", func() bool { return calendarState(t, c).Doubt == "" })
 }
 
 // A coordinator of an earlier release ends itself where it meets a command that it doesn't know: nothing of the calendar is said
 // before somebody uses it.
 func TestNothingIsSaidOfACalendarThatNobodyUses(t *testing.T) {
-	all := peers(t, 1)
-	leader(t, all)
-	c := asker(all)
-	ch := byHand("x", wall()+3600e3, wall()+7200e3)
+	all := startPeers(t, 1)
+	waitLeader(t, all)
+	c := newClient(all)
+	ch := manualChange("x", wallMs()+3600e3, wallMs()+7200e3)
 	var a client.CalendarAnswer
-	require.NoError(t, c.Ask(soon(t), client.CalendarPath, client.CalendarQuestion{Change: &ch, Most: 1}, &a))
+	require.NoError(t, c.Ask(shortContext(t), client.CalendarPath, client.CalendarQuery{Change: &ch, MaxFree: 1}, &a))
 	require.Len(t, a.Free, 1)
-	assert.InDelta(t, wall(), a.Free[0].FromMs, 60e3, "from now on, not from 1970")
-	give(t, c, "op", 1, permits.Note{What: "x"}) // behind whatever a clock would have said
+	assert.InDelta(t, wallMs(), a.Free[0].FromMs, 60e3, "from now on, not from 1970")
+	command(t, c, "op", 1, permits.Note{What: "x"}) // behind whatever a clock would have said
 	before := all[0].raft.AppliedIndex()
-	within(t, "some rounds of sightings, longer than clocks wait", func() bool { return all[0].raft.AppliedIndex() > before+2 })
-	assert.Empty(t, agreed(t, c).Readings)
-	onTime(t, c)
-	assert.NotEmpty(t, agreed(t, c).Readings)
+	eventually(t, "some rounds of sightings, longer than clocks wait", func() bool { return all[0].raft.AppliedIndex() > before+2 })
+	assert.Empty(t, calendarState(t, c).Readings)
+	useCalendar(t, c)
+	assert.NotEmpty(t, calendarState(t, c).Readings)
 }
 
 func plan(t *testing.T, c *client.Client, change calendar.Change) uint64 {
-	a := give(t, c, fmt.Sprint("plan ", change.Name), 1, calendar.Plan{Change: change, Who: "ana"})
+	a := command(t, c, fmt.Sprint("plan ", change.Name), 1, calendar.Plan{Change: change, Who: "ana"})
 	require.NoError(t, a.Err)
 	return a.Number
 }
 
-// started lists when each entry began, by the history.
-func started(s *calendar.State) map[uint64][]float64 {
+// startTimes lists when each entry began, by the history.
+func startTimes(s *calendar.State) map[uint64][]float64 {
 	at := map[uint64][]float64{}
 	for _, e := range s.Events {
 		if strings.HasSuffix(e.What, "-> "+string(calendar.Running)) {
@@ -83,45 +83,45 @@
 func TestACoordinatorWhoseClockIsAheadBeginsNothingEarly(t *testing.T) {
 	var all []*peer
 	for i := range 3 {
-		p := fresh(t, fmt.Sprint("c-", i))
+		p := newPeer(t, fmt.Sprint("c-", i))
 		if i == 0 {
-			p.options.Wrong = 10 * time.Minute
+			p.options.ClockOffset = 10 * time.Minute
 		}
 		all = append(all, p)
 	}
-	begin(t, all)
-	leader(t, all)
-	within(t, "the one whose clock is ahead leads", func() bool {
-		at := leader(t, all)
+	startAll(t, all)
+	waitLeader(t, all)
+	eventually(t, "the one whose clock is ahead leads", func() bool {
+		at := waitLeader(t, all)
 		if at == all[0] {
 			return true
 		}
 		_ = at.raft.LeadershipTransferToServer(raft.ServerID(all[0].cfg.Name), raft.ServerAddress(all[0].cfg.Listen)).Error()
 		return false
 	})
-	c := asker(all)
-	onTime(t, c)
-	assert.InDelta(t, wall(), agreed(t, c).WallMs, 10e3)
-	long := plan(t, c, byHand("long", wall()+10*60e3-5e3, wall()+10*60e3+2000)) // by that clock it would be due, and soon missed
-	due := wall() + 6e3
-	id := plan(t, c, byHand("soon", due, due+60e3))
-	within(t, "it is due", func() bool { return agreed(t, c).Entries[id].Stage != calendar.Approved })
-	all[0].end()
-	leader(t, all[1:])
-	within(t, "it has begun", func() bool { return agreed(t, c).Entries[id].Stage == calendar.Running })
-	s := agreed(t, c)
-	assert.GreaterOrEqual(t, wall(), due)
-	require.Len(t, started(s)[id], 1)
-	assert.GreaterOrEqual(t, started(s)[id][0], due)
+	c := newClient(all)
+	useCalendar(t, c)
+	assert.InDelta(t, wallMs(), calendarState(t, c).WallMs, 10e3)
+	long := plan(t, c, manualChange("long", wallMs()+10*60e3-5e3, wallMs()+10*60e3+2000)) // by that clock it would be due, and soon missed
+	due := wallMs() + 6e3
+	id := plan(t, c, manualChange("soon", due, due+60e3))
+	eventually(t, "it is due", func() bool { return calendarState(t, c).Entries[id].Stage != calendar.Approved })
+	all[0].stop()
+	waitLeader(t, all[1:])
+	eventually(t, "it has begun", func() bool { return calendarState(t, c).Entries[id].Stage == calendar.Running })
+	s := calendarState(t, c)
+	assert.GreaterOrEqual(t, wallMs(), due)
+	require.Len(t, startTimes(s)[id], 1)
+	assert.GreaterOrEqual(t, startTimes(s)[id][0], due)
 	assert.Equal(t, calendar.Approved, s.Entries[long].Stage)
 	assert.Equal(t, 1, s.Entries[id].Starts)
 }
 
-func begin(t *testing.T, all []*peer) {
+func startAll(t *testing.T, all []*peer) {
 	for _, p := range all {
 		p.cfg.Members = nil
 		for _, o := range all {
-			p.cfg.Members = append(p.cfg.Members, named(o))
+			p.cfg.Members = append(p.cfg.Members, listenAddress(o))
 		}
 	}
 	for _, p := range all {
@@ -130,88 +130,88 @@
 }
 
 func TestARecurringFreezeIsKnownFurtherAheadBeforeItEnds(t *testing.T) {
-	all := peers(t, 1)
-	leader(t, all)
-	c := asker(all)
-	onTime(t, c)
-	a := give(t, c, "bea", 1, calendar.SetFreeze{Freeze: calendar.Freeze{Name: "nights", Subject: calendar.Subject{Scope: calendar.Fleet}, ThroughMs: wall() + 1000, Sends: calendar.FinishesWave,
+	all := startPeers(t, 1)
+	waitLeader(t, all)
+	c := newClient(all)
+	useCalendar(t, c)
+	a := command(t, c, "bea", 1, calendar.SetFreeze{Freeze: calendar.Freeze{Name: "nights", Subject: calendar.Subject{Scope: calendar.Fleet}, ThroughMs: wallMs() + 1000, Sends: calendar.FinishesWave,
 		When: calendar.Recurrence{Begin: "2026-01-01T22:00", Minutes: 60, Every: "FREQ=DAILY", In: "Europe/Lisbon"}, Who: "bea", Why: "sleep"}})
 	require.NoError(t, a.Err)
-	within(t, "it is worked out", func() bool { return len(agreed(t, c).Freezes[a.Number].Spans) > 300 })
+	eventually(t, "it is worked out", func() bool { return len(calendarState(t, c).Freezes[a.Number].Spans) > 300 })
 	var next client.CalendarAnswer
-	ch := byHand("x", wall(), wall()+3600e3)
+	ch := manualChange("x", wallMs(), wallMs()+3600e3)
 	ch.SoakMs = 22 * 3600e3
-	require.NoError(t, c.Ask(soon(t), client.CalendarPath, client.CalendarQuestion{Change: &ch, Most: 3}, &next))
+	require.NoError(t, c.Ask(shortContext(t), client.CalendarPath, client.CalendarQuery{Change: &ch, MaxFree: 3}, &next))
 	assert.Len(t, next.Free, 3, "between the nights")
-	assert.NotEmpty(t, next.Met, "the window is too short")
+	assert.NotEmpty(t, next.Conflicts, "the window is too short")
 }
 
 func TestACalendarOfARestoredStateLetsNothingGoOn(t *testing.T) {
-	all := peers(t, 1)
-	leader(t, all)
-	c := asker(all)
-	onTime(t, c)
-	id := plan(t, c, byHand("x", wall()-1000, wall()+60e3))
-	within(t, "it runs", func() bool { return agreed(t, c).Entries[id].Stage == calendar.Running })
+	all := startPeers(t, 1)
+	waitLeader(t, all)
+	c := newClient(all)
+	useCalendar(t, c)
+	id := plan(t, c, manualChange("x", wallMs()-1000, wallMs()+60e3))
+	eventually(t, "it runs", func() bool { return calendarState(t, c).Entries[id].Stage == calendar.Running })
 	p := all[0]
-	p.end()
+	p.stop()
 	p.options.Restore = true
 	p.start(t)
-	leader(t, all)
-	c = asker(all)
-	assert.Equal(t, calendar.Halted, agreed(t, c).Entries[id].Stage, "from the first word of the one that leads")
-	give(t, c, "op", 1, calendar.Resume{ID: id, Who: "op"})
-	p.set(nil)
-	p.Coordinator.begin() // it leads anew: the restore is told once
-	assert.Equal(t, calendar.Running, agreed(t, c).Entries[id].Stage)
+	waitLeader(t, all)
+	c = newClient(all)
+	assert.Equal(t, calendar.Halted, calendarState(t, c).Entries[id].Stage, "from the first word of the one that leads")
+	command(t, c, "op", 1, calendar.Resume{ID: id, Who: "op"})
+	p.setTerm(nil)
+	p.Coordinator.beginTerm() // it leads anew: the restore is told once
+	assert.Equal(t, calendar.Running, calendarState(t, c).Entries[id].Stage)
 }
 
 func TestABareAnswerHoldsTheEntryAndWhatItWaitsFor(t *testing.T) {
-	all := peers(t, 1)
-	leader(t, all)
-	c := asker(all)
-	first, second := byHand("a", wall()+3600e3, wall()+7200e3), byHand("b", wall()+3600e3, wall()+7200e3)
+	all := startPeers(t, 1)
+	waitLeader(t, all)
+	c := newClient(all)
+	first, second := manualChange("a", wallMs()+3600e3, wallMs()+7200e3), manualChange("b", wallMs()+3600e3, wallMs()+7200e3)
 	id := plan(t, c, first)
 	plan(t, c, second)
-	third := byHand("c", wall()+3600e3, wall()+7200e3)
+	third := manualChange("c", wallMs()+3600e3, wallMs()+7200e3)
 	third.After = []uint64{id}
 	last := plan(t, c, third)
 	var a client.CalendarAnswer
-	require.NoError(t, c.Ask(soon(t), client.CalendarPath, client.CalendarQuestion{ID: last, Bare: true}, &a))
+	require.NoError(t, c.Ask(shortContext(t), client.CalendarPath, client.CalendarQuery{ID: last, EntryOnly: true}, &a))
 	s := calendar.New()
 	require.NoError(t, json.Unmarshal(a.Calendar, s))
 	assert.Len(t, s.Entries, 2)
 	assert.NotNil(t, s.Entries[id])
 	assert.Empty(t, s.Events)
-	assert.NotEmpty(t, agreed(t, c).Events)
-	assert.Len(t, agreed(t, c).Entries, 3, "the state itself has all")
+	assert.NotEmpty(t, calendarState(t, c).Events)
+	assert.Len(t, calendarState(t, c).Entries, 3, "the state itself has all")
 }
 
 func TestAnEntryThatCantGoOutSaysWhy(t *testing.T) {
-	all := peers(t, 1)
-	leader(t, all)
-	c := asker(all)
-	onTime(t, c)
-	life := give(t, c, "d/1", 1, permits.Begin{Unit: permits.Unit{Kind: permits.Door, Name: "d"}, Process: 1}).Number
+	all := startPeers(t, 1)
+	waitLeader(t, all)
+	c := newClient(all)
+	useCalendar(t, c)
+	life := command(t, c, "d/1", 1, permits.Begin{Unit: permits.Unit{Kind: permits.Door, Name: "d"}, Process: 1}).Number
 	require.NotZero(t, life)
-	ch := calendar.Change{Name: "x", Kind: calendar.Drain, Subject: calendar.Subject{Scope: calendar.Doors, Names: []string{"d"}}, Window: calendar.Span{FromMs: wall() - 1000, ToMs: wall() + 60e3}, Waves: 1,
+	ch := calendar.Change{Name: "x", Kind: calendar.Drain, Subject: calendar.Subject{Scope: calendar.Doors, Names: []string{"d"}}, Window: calendar.Span{FromMs: wallMs() - 1000, ToMs: wallMs() + 60e3}, Waves: 1,
 		Do: json.RawMessage(`{"drain":{"kind":"door","name":"d"}}`), Rollback: json.RawMessage(`{"undo":true}`)}
 	id := plan(t, c, ch)
-	within(t, "it is due", func() bool { return agreed(t, c).Entries[id].Stage == calendar.Due })
+	eventually(t, "it is due", func() bool { return calendarState(t, c).Entries[id].Stage == calendar.Due })
 	var a client.CalendarAnswer
-	require.NoError(t, c.Ask(soon(t), client.CalendarPath, client.CalendarQuestion{ID: id}, &a))
+	require.NoError(t, c.Ask(shortContext(t), client.CalendarPath, client.CalendarQuery{ID: id}, &a))
 	var denied *permits.DeniedError
-	require.ErrorAs(t, a.InTheWay.Err, &denied, "there is no budget")
-	other := plan(t, c, byHand("y", wall()-1000, wall()+60e3))
-	within(t, "what can't go out holds up no other", func() bool { return agreed(t, c).Entries[other].Stage == calendar.Running })
-	assert.Equal(t, calendar.Due, agreed(t, c).Entries[id].Stage)
-	give(t, c, "op", 1, budgets)
-	says(t, c, "d", life, 2, 0)
-	within(t, "it runs", func() bool { return agreed(t, c).Entries[id].Stage == calendar.Running })
-	assert.Len(t, status(t, c).Places, 1)
-	give(t, c, "bea", 1, calendar.SetFreeze{Freeze: calendar.Freeze{Name: "f", Subject: calendar.Subject{Scope: calendar.Fleet}, Spans: []calendar.Span{{FromMs: 0, ToMs: wall() + 3600e3}},
+	require.ErrorAs(t, a.Obstacle.Err, &denied, "there is no budget")
+	other := plan(t, c, manualChange("y", wallMs()-1000, wallMs()+60e3))
+	eventually(t, "what can't go out holds up no other", func() bool { return calendarState(t, c).Entries[other].Stage == calendar.Running })
+	assert.Equal(t, calendar.Due, calendarState(t, c).Entries[id].Stage)
+	command(t, c, "op", 1, budgets)
+	reportDoor(t, c, "d", life, 2, 0)
+	eventually(t, "it runs", func() bool { return calendarState(t, c).Entries[id].Stage == calendar.Running })
+	assert.Len(t, status(t, c).Permits, 1)
+	command(t, c, "bea", 1, calendar.SetFreeze{Freeze: calendar.Freeze{Name: "f", Subject: calendar.Subject{Scope: calendar.Fleet}, Spans: []calendar.Span{{FromMs: 0, ToMs: wallMs() + 3600e3}},
 		Sends: calendar.FinishesWave, Who: "bea", Why: "x"}})
-	err := c.Ask(soon(t), client.MembersPath, client.Change{Add: true, Name: "c-9", Address: "127.0.0.1:1", Who: "op", Why: "x"}, &struct{}{})
+	err := c.Ask(shortContext(t), client.MembersPath, client.MembershipChange{Add: true, Name: "c-9", Address: "127.0.0.1:1", Who: "op", Why: "x"}, &struct{}{})
 	assert.ErrorContains(t, err, `freeze`, "the coordinators are no exception")
 }
 
@@ -222,18 +222,18 @@
 	heard, fails, child := filepath.Join(dir, "heard"), filepath.Join(dir, "fails"), filepath.Join(dir, "child")
 	hook := filepath.Join(dir, "hook")
 	require.NoError(t, os.WriteFile(hook, []byte("#!/bin/sh\nread -r line\nif [ ! -e "+fails+" ]; then touch "+fails+"; exit 1; fi\ncase \"$line\" in *hangs*) sleep 600 & echo $! >>"+child+"; wait;; esac\necho \"$line\" >>"+heard+"\n"), 0o700))
-	p := fresh(t, "c-0")
+	p := newPeer(t, "c-0")
 	p.cfg.Calendar.Events = filepath.Join(dir, "events")
 	p.cfg.Calendar.Hook, p.cfg.Calendar.HookMs, p.cfg.Calendar.Tries = []string{hook}, 400, 2
 	all := []*peer{p}
-	begin(t, all)
-	leader(t, all)
-	c := asker(all)
+	startAll(t, all)
+	waitLeader(t, all)
+	c := newClient(all)
 	for _, name := range []string{"one", "hangs", "two"} {
-		ch := byHand(name, wall()+3600e3, wall()+7200e3)
-		give(t, c, "plan "+name, 1, calendar.Plan{Change: ch, Who: "ana", Draft: true})
+		ch := manualChange(name, wallMs()+3600e3, wallMs()+7200e3)
+		command(t, c, "plan "+name, 1, calendar.Plan{Change: ch, Who: "ana", Draft: true})
 	}
-	within(t, "all is told", func() bool { s := agreed(t, c); return s.Number > 0 && s.Acknowledged == s.Number })
+	eventually(t, "all is told", func() bool { s := calendarState(t, c); return s.Number > 0 && s.Acknowledged == s.Number })
 	lines := func(file string) (numbers []uint64) {
 		raw, err := os.ReadFile(file)
 		require.NoError(t, err)
@@ -254,12 +254,12 @@
 		var pid int
 		_, err := fmt.Sscan(text, &pid)
 		require.NoError(t, err)
-		within(t, "what it started is gone", func() bool { return gone(pid) })
+		eventually(t, "what it started is gone", func() bool { return hasExited(pid) })
 	}
 }
 
-// gone tells whether a process has ended, collected or not.
-func gone(pid int) bool {
+// hasExited tells whether a process has ended, collected or not.
+func hasExited(pid int) bool {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	return err != nil || syscall.Kill(pid, 0) != nil || bytes.Contains(raw, []byte(") Z "))
 }
--- a/coordinator/client/client.go
+++ b/coordinator/client/client.go
@@ -20,34 +20,34 @@
 
 // Paths of a coordinator's API.
 const (
-	CommandPath = "/command"
-	WordPath    = "/word"
-	HoldPath    = "/hold"
-	StatusPath  = "/status"
-	TryPath     = "/try"
-	AuditPath   = "/audit"
-	MembersPath = "/members"
+	CommandPath      = "/command"
+	DoorReportPath   = "/word"
+	HolderReportPath = "/hold"
+	StatusPath       = "/status"
+	DryRunPath       = "/try"
+	AuditPath        = "/audit"
+	MembersPath      = "/members"
 
 	CalendarPath = "/calendar"
 )
 
 // Hint is what one that doesn't lead answers: who does, as far as it knows.
 type Hint struct {
-	Leader string  `json:"leader"` // name; empty where none is known
-	API    string  `json:"api"`
-	Says   string  `json:"says"`
-	ForMs  float64 `json:"for_ms"` // since it heard a leader
+	Leader         string  `json:"leader"` // name; empty where none is known
+	API            string  `json:"api"`
+	Reason         string  `json:"says"`
+	LeaderSilentMs float64 `json:"for_ms"` // since it heard a leader
 }
 
-// Asked is a drain that is only tried.
-type Asked struct {
+// DryRun is a drain that is only tried.
+type DryRun struct {
 	Kind permits.Kind `json:"kind"`
 	Name string       `json:"name"`
 }
 
-// Tried is what it would come to.
-type Tried struct {
-	Would  []string       `json:"would"`
+// DryRunResult is what it would come to.
+type DryRunResult struct {
+	Units  []string       `json:"would"`
 	Answer permits.Answer `json:"answer"`
 }
 
@@ -59,8 +59,8 @@
 	SilentMs float64 `json:"silent_ms"` // since it answered; 0 while it does
 }
 
-// Change of the coordinators.
-type Change struct {
+// MembershipChange of the coordinators.
+type MembershipChange struct {
 	Add      bool   `json:"add"`
 	Name     string `json:"name"`
 	Address  string `json:"address"`
@@ -74,8 +74,8 @@
 	AgeMs float64 `json:"age_ms"`
 }
 
-// Place is a permit, with those that a drain still waits for.
-type Place struct {
+// Permit is a permit, with those that a drain still waits for.
+type Permit struct {
 	permits.Permit
 	Drained bool     `json:"drained"`
 	Waiting []string `json:"waiting,omitempty"`
@@ -91,7 +91,7 @@
 	Members []Member         `json:"members"`
 	Change  uint64           `json:"change"`
 	Units   []Unit           `json:"units"`
-	Places  []Place          `json:"places"`
+	Permits []Permit         `json:"places"`
 	Budgets []permits.Budget `json:"budgets"`
 	Halts   []permits.Halt   `json:"halts"`
 
@@ -100,33 +100,33 @@
 	Seen     map[string]string           `json:"seen"` // process of each backend
 }
 
-// CalendarQuestion asks for the calendar, and about an entry or a change.
-type CalendarQuestion struct {
-	ID     uint64           `json:"id,omitempty"`     // what is in the way of this entry; or the change's own
-	Change *calendar.Change `json:"change,omitempty"` // what it would meet, and when there is room for it
-	Most   int              `json:"most,omitempty"`   // free windows
-	Bare   bool             `json:"bare,omitempty"`   // of the calendar, only the entry and those that it waits for: there may be thousands
-	Events bool             `json:"events,omitempty"` // its history too
+// CalendarQuery asks for the calendar, and about an entry or a change.
+type CalendarQuery struct {
+	ID        uint64           `json:"id,omitempty"`     // what is in the way of this entry; or the change's own
+	Change    *calendar.Change `json:"change,omitempty"` // what it would meet, and when there is room for it
+	MaxFree   int              `json:"most,omitempty"`   // free windows
+	EntryOnly bool             `json:"bare,omitempty"`   // of the calendar, only the entry and those that it waits for: there may be thousands
+	Events    bool             `json:"events,omitempty"` // its history too
 }
 
 // CalendarAnswer answers it.
 type CalendarAnswer struct {
-	Calendar json.RawMessage     `json:"calendar"` // a calendar.State
-	InTheWay permits.Answer      `json:"in_the_way"`
-	Met      []calendar.Conflict `json:"met,omitempty"`
-	Free     []calendar.Span     `json:"free,omitempty"`
+	Calendar  json.RawMessage     `json:"calendar"` // a calendar.State
+	Obstacle  permits.Answer      `json:"in_the_way"`
+	Conflicts []calendar.Conflict `json:"met,omitempty"`
+	Free      []calendar.Span     `json:"free,omitempty"`
 }
 
 const (
-	attempt  = 900 * time.Millisecond // of one question to one coordinator; a leader that is well answers in some ms
-	rest     = 100 * time.Millisecond // between rounds over all of them
-	mostBody = 16 << 20               // bytes of an answer; some tens of thousands of units
+	attemptTimeout = 900 * time.Millisecond // of one question to one coordinator; a leader that is well answers in some ms
+	roundInterval  = 100 * time.Millisecond // between rounds over all of them
+	maxBody        = 16 << 20               // bytes of an answer; some tens of thousands of units
 )
 
 // Client asks a few coordinators, named with their addresses.
 type Client struct {
-	all  []config.NamedAddress
-	http *http.Client
+	coordinators []config.NamedAddress
+	http         *http.Client
 
 	mu     sync.Mutex
 	leader config.NamedAddress // that answered last, or was hinted at
@@ -134,20 +134,20 @@
 
 // New returns a client.
 func New(all []config.NamedAddress) *Client {
-	return &Client{all: all, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second}}}
+	return &Client{coordinators: all, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second}}}
 }
 
 // Close ends what is idle.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// order lists whom to ask, the likeliest first.
-func (c *Client) order() (all []config.NamedAddress) {
+// candidates lists whom to ask, the likeliest first.
+func (c *Client) candidates() (all []config.NamedAddress) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leader.Address != "" {
 		all = append(all, c.leader)
 	}
-	for _, a := range c.all {
+	for _, a := range c.coordinators {
 		if a.Address != c.leader.Address {
 			all = append(all, a)
 		}
@@ -155,9 +155,9 @@
 	return all
 }
 
-// at finds where a hinted leader is: as this client knows it, else as the hint says.
-func (c *Client) at(h Hint) config.NamedAddress {
-	for _, a := range c.all {
+// resolve finds where a hinted leader is: as this client knows it, else as the hint says.
+func (c *Client) resolve(h Hint) config.NamedAddress {
+	for _, a := range c.coordinators {
 		if a.Name == h.Leader {
 			return a
 		}
@@ -165,7 +165,7 @@
 	return config.NamedAddress{Name: h.Leader, Address: h.API}
 }
 
-func (c *Client) leads(a config.NamedAddress) {
+func (c *Client) setLeader(a config.NamedAddress) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leader = a
@@ -177,46 +177,46 @@
 	if err != nil {
 		return err
 	}
-	last := &NoLeaderError{Asked: c.all}
+	last := &NoLeaderError{Asked: c.coordinators}
 	for {
 		hinted := map[string]bool{}
-		for todo := c.order(); len(todo) > 0; todo = todo[1:] {
+		for todo := c.candidates(); len(todo) > 0; todo = todo[1:] {
 			a := todo[0]
-			h, err := c.once(ctx, a, path, raw, out)
+			h, err := c.send(ctx, a, path, raw, out)
 			switch {
 			case err == nil:
-				c.leads(a)
+				c.setLeader(a)
 				return nil
 			case h != nil && h.Leader != "" && !hinted[h.Leader]:
 				hinted[h.Leader] = true
-				todo = append([]config.NamedAddress{a, c.at(*h)}, todo[1:]...)
+				todo = append([]config.NamedAddress{a, c.resolve(*h)}, todo[1:]...)
 			}
 			var refused *RefusedError
 			if errors.As(err, &refused) {
 				return err
 			}
-			last.note(a, h, err)
+			last.record(a, h, err)
 			if ctx.Err() != nil {
 				return last
 			}
 		}
-		c.leads(config.NamedAddress{})
+		c.setLeader(config.NamedAddress{})
 		select {
 		case <-ctx.Done():
 			return last
-		case <-time.After(rest):
+		case <-time.After(roundInterval):
 		}
 	}
 }
 
-// Once asks a single coordinator, whether it leads or not.
-func (c *Client) Once(ctx context.Context, a config.NamedAddress, path string, out any) error {
-	_, err := c.once(ctx, a, path, nil, out)
+// AskOne asks a single coordinator, whether it leads or not.
+func (c *Client) AskOne(ctx context.Context, a config.NamedAddress, path string, out any) error {
+	_, err := c.send(ctx, a, path, nil, out)
 	return err
 }
 
-func (c *Client) once(ctx context.Context, a config.NamedAddress, path string, raw []byte, out any) (*Hint, error) {
-	ctx, stop := context.WithTimeout(ctx, attempt)
+func (c *Client) send(ctx context.Context, a config.NamedAddress, path string, raw []byte, out any) (*Hint, error) {
+	ctx, stop := context.WithTimeout(ctx, attemptTimeout)
 	defer stop()
 	method := http.MethodPost
 	if raw == nil {
@@ -224,35 +224,35 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+a.Address+path, bytes.NewReader(raw))
 	if err != nil {
-		return nil, &AskError{a, "", err}
+		return nil, &RequestError{a, "", err}
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, &AskError{a, "", err}
+		return nil, &RequestError{a, "", err}
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostBody))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
 	if err != nil {
-		return nil, &AskError{a, "", err}
+		return nil, &RequestError{a, "", err}
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
 		if err := json.Unmarshal(body, out); err != nil {
-			return nil, &AskError{a, "not a coordinator's answer", err}
+			return nil, &RequestError{a, "not a coordinator's answer", err}
 		}
 		return nil, nil
 	case http.StatusMisdirectedRequest:
 		var h Hint
 		if json.Unmarshal(body, &h) != nil {
-			return nil, &AskError{a, "not a coordinator's answer", nil}
+			return nil, &RequestError{a, "not a coordinator's answer", nil}
 		}
-		return &h, &AskError{a, h.Says, nil}
+		return &h, &RequestError{a, h.Reason, nil}
 	case http.StatusBadRequest:
 		var h Hint
 		_ = json.Unmarshal(body, &h)
-		return nil, &RefusedError{a, h.Says}
+		return nil, &RefusedError{a, h.Reason}
 	}
-	return nil, &AskError{a, resp.Status, nil}
+	return nil, &RequestError{a, resp.Status, nil}
 }
 
 // Command gives a command and returns what it came to; its error is the client's, the answer's stands in the answer.
@@ -263,12 +263,12 @@
 
 // Word says a door's word.
 func (c *Client) Word(ctx context.Context, w *permits.DoorReport) (r permits.Reply, err error) {
-	err = c.Ask(ctx, WordPath, w, &r)
+	err = c.Ask(ctx, DoorReportPath, w, &r)
 	return r, err
 }
 
 // Hold says a holder's word.
 func (c *Client) Hold(ctx context.Context, h *permits.HolderReport) (g permits.Assignment, err error) {
-	err = c.Ask(ctx, HoldPath, h, &g)
+	err = c.Ask(ctx, HolderReportPath, h, &g)
 	return g, err
 }
--- a/coordinator/client/errors.go
+++ b/coordinator/client/errors.go
@@ -8,31 +8,33 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// AskError is a coordinator that can't be asked, or doesn't lead.
-type AskError struct {
-	At    config.NamedAddress
-	Says  string
-	Cause error
+// RequestError is a coordinator that can't be asked, or doesn't lead.
+type RequestError struct {
+	Coordinator config.NamedAddress
+	Reason      string
+	Cause       error
 }
 
-func (e *AskError) Error() string {
-	return remedy.WithCause(strings.TrimSuffix(fmt.Sprintf("coordinator %s at %s: %s", e.At.Name, e.At.Address, e.Says), ": "), e.Cause)
+func (e *RequestError) Error() string {
+	return remedy.WithCause(strings.TrimSuffix(fmt.Sprintf("coordinator %s at %s: %s", e.Coordinator.Name, e.Coordinator.Address, e.Reason), ": "), e.Cause)
 }
-func (e *AskError) Unwrap() error     { return e.Cause }
-func (e *AskError) Kind() remedy.Kind { return remedy.Unreachable }
+func (e *RequestError) Unwrap() error     { return e.Cause }
+func (e *RequestError) Kind() remedy.Kind { return remedy.Unreachable }
 
 // Remedy names it.
-func (e *AskError) Remedy() string {
-	return fmt.Sprintf("See that coordinator %s runs at %s, or name others with --at or in \"fleet.coordinators\".", e.At.Name, e.At.Address)
+func (e *RequestError) Remedy() string {
+	return fmt.Sprintf("See that coordinator %s runs at %s, or name others with --at or in \"fleet.coordinators\".", e.Coordinator.Name, e.Coordinator.Address)
 }
 
 // RefusedError is a question that a coordinator doesn't understand.
 type RefusedError struct {
-	At   config.NamedAddress
-	Says string
+	Coordinator config.NamedAddress
+	Reason      string
 }
 
-func (e *RefusedError) Error() string     { return fmt.Sprintf("coordinator %s: %s", e.At.Name, e.Says) }
+func (e *RefusedError) Error() string {
+	return fmt.Sprintf("coordinator %s: %s", e.Coordinator.Name, e.Reason)
+}
 func (e *RefusedError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says what it means.
@@ -42,29 +44,29 @@
 
 // NoLeaderError is that no coordinator decides: none was reached, or none of those that were has a majority behind it.
 type NoLeaderError struct {
-	Asked []config.NamedAddress
-	Says  []string // by those asked, the latest of each
-	heard map[string]int
+	Asked   []config.NamedAddress
+	Reasons []string // by those asked, the latest of each
+	index   map[string]int
 }
 
-func (e *NoLeaderError) note(a config.NamedAddress, h *Hint, err error) {
+func (e *NoLeaderError) record(a config.NamedAddress, h *Hint, err error) {
 	says := err.Error()
 	if h != nil && h.Leader == "" {
-		says = fmt.Sprintf("%s knows of no leader, for %.0f s", a.Name, h.ForMs/1e3)
+		says = fmt.Sprintf("%s knows of no leader, for %.0f s", a.Name, h.LeaderSilentMs/1e3)
 	}
-	if e.heard == nil {
-		e.heard = map[string]int{}
+	if e.index == nil {
+		e.index = map[string]int{}
 	}
-	if i, told := e.heard[a.Address]; told {
-		e.Says[i] = says
+	if i, told := e.index[a.Address]; told {
+		e.Reasons[i] = says
 		return
 	}
-	e.heard[a.Address] = len(e.Says)
-	e.Says = append(e.Says, says)
+	e.index[a.Address] = len(e.Reasons)
+	e.Reasons = append(e.Reasons, says)
 }
 
 func (e *NoLeaderError) Error() string {
-	return "no coordinator decides: " + strings.Join(e.Says, "; ")
+	return "no coordinator decides: " + strings.Join(e.Reasons, "; ")
 }
 func (e *NoLeaderError) Kind() remedy.Kind { return remedy.Unreachable }
 
--- a/coordinator/spoil.go
+++ b/coordinator/disk_fault.go
@@ -11,8 +11,8 @@
 // a span as "1s" that each write is to take, or nothing.
 const DiskFault = "SWIFTHALL_DISK_FAULT"
 
-// Spoiled is what happens before each write by that file; nil where none is named.
-func Spoiled(path string) func() error {
+// DiskFaultHook is what happens before each write by that file; nil where none is named.
+func DiskFaultHook(path string) func() error {
 	if path == "" {
 		return nil
 	}
--- a/coordinator/errors.go
+++ b/coordinator/errors.go
@@ -38,58 +38,58 @@
 	return fmt.Sprintf("Free %s, or name another address of this machine in the key %q.", e.Address, e.Key)
 }
 
-// LostError is a command that may have happened or not: its coordinator lost the lead, or its majority, meanwhile.
-type LostError struct {
+// UnknownOutcomeError is a command that may have happened or not: its coordinator lost the lead, or its majority, meanwhile.
+type UnknownOutcomeError struct {
 	Name  string
 	Cause error
 }
 
-func (e *LostError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return remedy.WithCause("coordinator "+e.Name+" can't say whether it happened", e.Cause)
 }
-func (e *LostError) Unwrap() error     { return e.Cause }
-func (e *LostError) Kind() remedy.Kind { return remedy.Unreachable }
+func (e *UnknownOutcomeError) Unwrap() error     { return e.Cause }
+func (e *UnknownOutcomeError) Kind() remedy.Kind { return remedy.Unreachable }
 
 // Remedy says what to do.
-func (e *LostError) Remedy() string {
+func (e *UnknownOutcomeError) Remedy() string {
 	return "Give the command again with its number, as programs do by themselves: it happens once; or ask for the status."
 }
 
-// ElsewhereError is a coordinator that doesn't lead.
-type ElsewhereError struct {
+// NotLeaderError is a coordinator that doesn't lead.
+type NotLeaderError struct {
 	Name string
 	Hint client.Hint
 }
 
-func (e *ElsewhereError) Error() string {
+func (e *NotLeaderError) Error() string {
 	if e.Hint.Leader == "" {
-		return fmt.Sprintf("coordinator %s: %s", e.Name, e.Hint.Says)
+		return fmt.Sprintf("coordinator %s: %s", e.Name, e.Hint.Reason)
 	}
 	return fmt.Sprintf("coordinator %s doesn't lead, %s does", e.Name, e.Hint.Leader)
 }
-func (e *ElsewhereError) Kind() remedy.Kind { return remedy.Unreachable }
+func (e *NotLeaderError) Kind() remedy.Kind { return remedy.Unreachable }
 
 // Remedy says whom to ask.
-func (e *ElsewhereError) Remedy() string {
+func (e *NotLeaderError) Remedy() string {
 	if e.Hint.Leader == "" {
 		return "Start the coordinators that are down until more than half run."
 	}
 	return fmt.Sprintf("Ask %s at %s.", e.Hint.Leader, e.Hint.API)
 }
 
-// MembersError is a removal that would leave no majority.
-type MembersError struct {
-	Name       string
-	Left, Well int
+// MajorityError is a removal that would leave no majority.
+type MajorityError struct {
+	Name                 string
+	Remaining, Answering int
 }
 
-func (e *MembersError) Error() string {
-	return fmt.Sprintf("without %s %d coordinators would be left, of which %d answer", e.Name, e.Left, e.Well)
+func (e *MajorityError) Error() string {
+	return fmt.Sprintf("without %s %d coordinators would be left, of which %d answer", e.Name, e.Remaining, e.Answering)
 }
-func (e *MembersError) Kind() remedy.Kind { return remedy.Refused }
+func (e *MajorityError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says what to do first.
-func (e *MembersError) Remedy() string {
+func (e *MajorityError) Remedy() string {
 	return "Add another coordinator first, or start those that don't answer."
 }
 
@@ -120,17 +120,17 @@
 	return "Look at the calendar with swifthall calendar."
 }
 
-// EventError is a file or a command that could not be told of an event of the calendar.
-type EventError struct {
-	To    string
-	Cause error
+// DeliveryError is a file or a command that could not be told of an event of the calendar.
+type DeliveryError struct {
+	Receiver string
+	Cause    error
 }
 
-func (e *EventError) Error() string     { return remedy.WithCause(e.To, e.Cause) }
-func (e *EventError) Unwrap() error     { return e.Cause }
-func (e *EventError) Kind() remedy.Kind { return remedy.Refused }
+func (e *DeliveryError) Error() string     { return remedy.WithCause(e.Receiver, e.Cause) }
+func (e *DeliveryError) Unwrap() error     { return e.Cause }
+func (e *DeliveryError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy names the keys.
-func (e *EventError) Remedy() string {
+func (e *DeliveryError) Remedy() string {
 	return "See that the file of \"calendar.events\" can be written, and that the command of \"calendar.hook\" ends with 0 in time; swifthall history has what was not told."
 }
--- a/coordinator/run.go
+++ b/coordinator/run.go
@@ -23,34 +23,34 @@
 
 // Options of a coordinator's process.
 type Options struct {
-	Restore bool                                    // begin with the peers of the configuration alone
-	NoSync  bool                                    // for measurements: what is agreed may be lost with the machine
-	Before  func() error                            // called before each write
-	Wrong   time.Duration                           // by which the wall clock is to be wrong, for rigs
-	Layer   func(raft.StreamLayer) raft.StreamLayer // put before connections; nil for none
+	Restore     bool                                    // begin with the peers of the configuration alone
+	NoSync      bool                                    // for measurements: what is agreed may be lost with the machine
+	BeforeWrite func() error                            // called before each write
+	ClockOffset time.Duration                           // by which the wall clock is to be wrong, for rigs
+	Layer       func(raft.StreamLayer) raft.StreamLayer // put before connections; nil for none
 }
 
 const (
-	fileName = "coordinator.db"
-	private  = 0o700            // mode of its folder
-	mostBody = 16 << 20         // bytes of a question
-	patience = 10 * time.Second // of a question and its answer
+	fileName       = "coordinator.db"
+	dirMode        = 0o700            // mode of its folder
+	maxBody        = 16 << 20         // bytes of a question
+	requestTimeout = 10 * time.Second // of a question and its answer
 )
 
-// layer is TCP for raft.
-type layer struct{ net.Listener }
+// tcpLayer is TCP for raft.
+type tcpLayer struct{ net.Listener }
 
-func (layer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (tcpLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	return net.DialTimeout("tcp", string(address), timeout)
 }
 
-// Layer takes an address for raft's connections.
-func Layer(address string) (raft.StreamLayer, error) {
+// Listen takes an address for raft's connections.
+func Listen(address string) (raft.StreamLayer, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, &ListenError{"listen", address, err}
 	}
-	return layer{ln}, nil
+	return tcpLayer{ln}, nil
 }
 
 // Run starts a coordinator with its file and its listeners, and runs it until ctx ends or it can't go on.
@@ -58,21 +58,21 @@
 	var c *Coordinator
 	begun := make(chan struct{})
 	broken := make(chan error, 1)
-	if err := os.MkdirAll(cfg.Data, private); err != nil {
+	if err := os.MkdirAll(cfg.Data, dirMode); err != nil {
 		return &store.OpenError{Path: cfg.Data, Cause: err}
 	}
-	st, err := store.Open(filepath.Join(cfg.Data, fileName), store.Options{NoSync: o.NoSync, BeforeWrite: o.Before,
+	st, err := store.Open(filepath.Join(cfg.Data, fileName), store.Options{NoSync: o.NoSync, BeforeWrite: o.BeforeWrite,
 		OnWriteError: func(err error) {
 			select {
 			case <-begun:
-				c.Failed(err)
+				c.Fail(err)
 			default: // at the start, whose error it is
 			}
 		},
 		OnWrite: func(d time.Duration) {
 			select {
 			case <-begun:
-				c.Wrote(d)
+				c.RecordWrite(d)
 			default:
 			}
 		}})
@@ -80,7 +80,7 @@
 		return err
 	}
 	defer st.Close()
-	l, err := Layer(cfg.Listen)
+	l, err := Listen(cfg.Listen)
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 		l.Close()
 		return &ListenError{"api", cfg.API, err}
 	}
-	transport := Transport(l, cfg.Routes, log)
+	transport := NewTransport(l, cfg.Routes, log)
 	defer transport.Close()
 	if o.Restore {
 		if err := Restore(cfg, st, transport, log); err != nil {
@@ -103,7 +103,7 @@
 		return err
 	}
 	close(begun)
-	srv := &http.Server{Handler: c.Handler(), ReadTimeout: patience, WriteTimeout: patience, IdleTimeout: patience}
+	srv := &http.Server{Handler: c.Handler(), ReadTimeout: requestTimeout, WriteTimeout: requestTimeout, IdleTimeout: requestTimeout}
 	go func() {
 		if err := srv.Serve(api); !errors.Is(err, http.ErrServerClosed) {
 			broken <- &ListenError{"api", cfg.API, err}
@@ -114,7 +114,7 @@
 	case <-ctx.Done():
 		err = nil
 	case err = <-broken:
-	case err = <-c.Ended():
+	case err = <-c.Failure():
 	}
 	srv.Close()
 	if err != nil { // what waits in raft for a broken disk would never end
@@ -128,64 +128,64 @@
 // Handler answers doors and operators.
 func (c *Coordinator) Handler() http.Handler {
 	mux := http.NewServeMux()
-	post(mux, client.CommandPath, func(cmd *permits.Command) (any, error) { return c.Command(*cmd) })
-	post(mux, client.WordPath, func(w *permits.DoorReport) (any, error) { return c.Word(w) })
-	post(mux, client.HoldPath, func(h *permits.HolderReport) (any, error) { return c.Hold(h) })
-	post(mux, client.MembersPath, func(ch *client.Change) (any, error) { return struct{}{}, c.Members(*ch) })
-	post(mux, client.TryPath, func(a *client.Asked) (any, error) {
-		var t client.Tried
-		if !c.Read(func(s *permits.State, _ float64) { t.Would, t.Answer.Err = s.DryRun(a.Kind, a.Name) }) {
-			return nil, c.elsewhere()
+	handlePost(mux, client.CommandPath, func(cmd *permits.Command) (any, error) { return c.Command(*cmd) })
+	handlePost(mux, client.DoorReportPath, func(w *permits.DoorReport) (any, error) { return c.HandleDoorReport(w) })
+	handlePost(mux, client.HolderReportPath, func(h *permits.HolderReport) (any, error) { return c.HandleHolderReport(h) })
+	handlePost(mux, client.MembersPath, func(ch *client.MembershipChange) (any, error) { return struct{}{}, c.ChangeMembership(*ch) })
+	handlePost(mux, client.DryRunPath, func(a *client.DryRun) (any, error) {
+		var t client.DryRunResult
+		if !c.Read(func(s *permits.State, _ float64) { t.Units, t.Answer.Err = s.DryRun(a.Kind, a.Name) }) {
+			return nil, c.notLeader()
 		}
 		return t, nil
 	})
-	post(mux, client.StatusPath, func(*struct{}) (any, error) {
+	handlePost(mux, client.StatusPath, func(*struct{}) (any, error) {
 		st := c.Status()
 		if !st.Current {
-			return nil, c.elsewhere()
+			return nil, c.notLeader()
 		}
 		return st, nil
 	})
-	post(mux, client.CalendarPath, func(q *client.CalendarQuestion) (any, error) { return c.Calendar(q) })
-	mux.HandleFunc("GET "+client.StatusPath, func(w http.ResponseWriter, _ *http.Request) { say(w, http.StatusOK, c.Status()) })
-	mux.HandleFunc("GET "+client.AuditPath, func(w http.ResponseWriter, _ *http.Request) { say(w, http.StatusOK, c.Audit()) })
+	handlePost(mux, client.CalendarPath, func(q *client.CalendarQuery) (any, error) { return c.QueryCalendar(q) })
+	mux.HandleFunc("GET "+client.StatusPath, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, c.Status()) })
+	mux.HandleFunc("GET "+client.AuditPath, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, c.Audit()) })
 	return mux
 }
 
-func say(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// post answers questions of one kind. What can't be read is refused; one that doesn't lead says who does; one that can't say
+// handlePost answers questions of one kind. What can't be read is refused; one that doesn't lead says who does; one that can't say
 // whether a command happened says that, and is asked again.
-func post[Q any](mux *http.ServeMux, path string, answer func(*Q) (any, error)) {
+func handlePost[Q any](mux *http.ServeMux, path string, answer func(*Q) (any, error)) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		var q Q
-		raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostBody))
+		raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 		if err == nil {
 			err = json.Unmarshal(raw, &q)
 		}
 		if err != nil {
-			say(w, http.StatusBadRequest, client.Hint{Says: err.Error()})
+			writeJSON(w, http.StatusBadRequest, client.Hint{Reason: err.Error()})
 			return
 		}
 		a, err := answer(&q)
-		var elsewhere *ElsewhereError
-		var members *MembersError
+		var elsewhere *NotLeaderError
+		var members *MajorityError
 		var held *CalendarError
 		switch {
 		case errors.As(err, &elsewhere):
-			say(w, http.StatusMisdirectedRequest, elsewhere.Hint)
+			writeJSON(w, http.StatusMisdirectedRequest, elsewhere.Hint)
 		case errors.As(err, &members):
-			say(w, http.StatusBadRequest, client.Hint{Says: members.Error() + ". " + members.Remedy()})
+			writeJSON(w, http.StatusBadRequest, client.Hint{Reason: members.Error() + ". " + members.Remedy()})
 		case errors.As(err, &held):
-			say(w, http.StatusBadRequest, client.Hint{Says: held.Error() + ". " + held.Remedy()})
+			writeJSON(w, http.StatusBadRequest, client.Hint{Reason: held.Error() + ". " + held.Remedy()})
 		case err != nil:
-			say(w, http.StatusServiceUnavailable, client.Hint{Says: err.Error()})
+			writeJSON(w, http.StatusServiceUnavailable, client.Hint{Reason: err.Error()})
 		default:
-			say(w, http.StatusOK, a)
+			writeJSON(w, http.StatusOK, a)
 		}
 	})
 }
--- a/coordinator/transport_test.go
+++ b/coordinator/transport_test.go
@@ -11,16 +11,16 @@
 	"github.com/swifthall/swifthall/members/transporttest"
 )
 
-type streams struct{ raft.StreamLayer }
+type streamAdapter struct{ raft.StreamLayer }
 
-func (s streams) Dial(address string, timeout time.Duration) (net.Conn, error) {
+func (s streamAdapter) Dial(address string, timeout time.Duration) (net.Conn, error) {
 	return s.StreamLayer.Dial(raft.ServerAddress(address), timeout)
 }
 
 func TestContractOfTheLayerBeneathRaft(t *testing.T) {
 	transporttest.RunStreams(t, transporttest.StreamConfig{UnusedAddress: "127.0.0.1:1", Listen: func(t *testing.T) transporttest.StreamLayer {
-		l, err := Layer("127.0.0.1:0")
+		l, err := Listen("127.0.0.1:0")
 		require.NoError(t, err)
-		return streams{l}
+		return streamAdapter{l}
 	}})
 }
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -26,7 +26,7 @@
 		go func() { log.Fatal(http.ListenAndServe(addr, backend(addr, *work))) }()
 	}
 	log.Printf("telling of two backends on %s", *registry)
-	log.Fatal(http.ListenAndServe(*registry, watch(`{"generation":1,"reset":true,"instances":[`+list[1:]+`]}`)))
+	log.Fatal(http.ListenAndServe(*registry, serveList(`{"generation":1,"reset":true,"instances":[`+list[1:]+`]}`)))
 }
 
 // backend works for a random time, as exponential service does.
@@ -48,8 +48,8 @@
 	}
 }
 
-// watch tells the list once and then, every 2 s, that nothing has changed.
-func watch(list string) http.HandlerFunc {
+// serveList tells the list once and then, every 2 s, that nothing has changed.
+func serveList(list string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for line := list; ; line = "" {
 			if _, err := fmt.Fprintln(w, line); err != nil || r.URL.Query().Get("stream") == "" {
