--- a/coordinator/calendar.go
+++ b/coordinator/calendar.go
@@ -22,70 +22,75 @@
 )
 
 const (
-	clockInterval         = 2 * time.Second        // between words of a coordinator's wall clock; a word counts for 30 s
-	clockRetryInterval    = 200 * time.Millisecond // after one that nobody took
-	clockTimeout          = time.Second            // that such a word may take: one that took longer would tell an old time
-	maxStartsPerRound     = 16                     // entries begun in a round
-	eventPollInterval     = 500 * time.Millisecond // between looks for events that nobody has been told
-	maxEventsPerBatch     = 256                    // told in one go
-	deliveryRetryInterval = time.Second            // between tries to tell one
-	hookOutputTimeout     = 200 * time.Millisecond // that something else may hold a hook's output once it has been ended
+	clockInterval         = 2 * time.Second        // between reports of a coordinator's wall clock; a report counts for 30 s
+	clockRetryInterval    = 200 * time.Millisecond // after a report that failed, and between checks whether the calendar is in use
+	clockTimeout          = time.Second            // of a report: one that took longer would carry an outdated time
+	maxStartsPerRound     = 16                     // calendar entries
+	eventPollInterval     = 500 * time.Millisecond // between checks for events that have not been delivered
+	maxEventsPerBatch     = 256                    // events delivered before they are acknowledged together
+	deliveryRetryInterval = time.Second            // between attempts to deliver an event
+	hookOutputTimeout     = 200 * time.Millisecond // for which a child process may keep a hook's output open after the hook was killed
 )
 
-// commandSource numbers what one part of a coordinator commands, beside its leader's own.
+// commandSource numbers the commands of one goroutine of a coordinator. They have a caller of their own, apart from the leader's.
 type commandSource struct {
 	caller string
 	seq    uint64
 }
 
-func (c *Coordinator) newCommandSource(part string) *commandSource {
-	return &commandSource{caller: permits.CallerName(part+"-"+c.cfg.Name, rand.Uint64())}
+// newCommandSource returns a source with a unique caller.
+func (c *Coordinator) newCommandSource(name string) *commandSource {
+	return &commandSource{caller: permits.CallerName(name+"-"+c.cfg.Name, rand.Uint64())}
 }
 
-func (v *commandSource) next(do any) permits.Command {
-	v.seq++
-	return permits.Command{Caller: v.caller, Seq: v.seq, Do: do}
+// next wraps a command with the caller and the next sequence number.
+func (s *commandSource) next(do any) permits.Command {
+	s.seq++
+	return permits.Command{Caller: s.caller, Seq: s.seq, Do: do}
 }
 
-// reportClock tells this coordinator's wall clock again and again, to whichever leads: agreed time is a majority's. Not before the calendar
-// is used: coordinators of an earlier release don't know the command, and end themselves where they meet it.
+// reportClock reports this coordinator's wall clock to the leader at every clockInterval: the calendar's time is what a majority of the
+// clocks agrees on. It sends nothing until the calendar is used, because coordinators of an earlier release don't know the command
+// and terminate when they have to apply it.
 func (c *Coordinator) reportClock() {
-	v := c.newCommandSource("clock")
-	next := time.NewTimer(clockRetryInterval)
-	defer next.Stop()
+	source := c.newCommandSource("clock")
+	timer := time.NewTimer(clockRetryInterval)
+	defer timer.Stop()
 	for {
 		select {
 		case <-c.done:
 			return
-		case <-next.C:
+		case <-timer.C:
 		}
 		if !c.calendarInUse() {
-			next.Reset(clockRetryInterval)
-		} else if err := c.sendClock(v); err != nil {
-			c.log.WithError(err).Debug("this coordinator's clock is not told so far")
-			next.Reset(clockRetryInterval)
+			timer.Reset(clockRetryInterval)
+		} else if err := c.sendClock(source); err != nil {
+			c.log.WithError(err).Debug("reporting this coordinator's clock failed")
+			timer.Reset(clockRetryInterval)
 		} else {
-			next.Reset(clockInterval)
+			timer.Reset(clockInterval)
 		}
 	}
 }
 
+// calendarInUse reports whether anybody has used the calendar so far.
 func (c *Coordinator) calendarInUse() (is bool) {
 	c.fsm.read(func(s *permits.State) { is = s.Calendar.InUse() })
 	return is
 }
 
-func (c *Coordinator) sendClock(v *commandSource) error {
-	cmd := v.next(calendar.Clock{Name: c.cfg.Name, WallMs: float64(time.Now().Add(c.clockOffset).UnixMilli()), Size: c.voterCount()})
+// sendClock reports the wall clock once, to this coordinator itself if it leads.
+func (c *Coordinator) sendClock(source *commandSource) error {
+	cmd := source.next(calendar.Clock{Name: c.cfg.Name, WallMs: float64(time.Now().Add(c.clockOffset).UnixMilli()), Size: c.voterCount()})
 	if t := c.currentTerm(); t != nil {
 		_, err := c.commit(t, cmd)
 		return err
 	}
-	h := c.hint()
-	if h.API == "" {
-		return &NotLeaderError{c.cfg.Name, h}
+	hint := c.hint()
+	if hint.API == "" {
+		return &NotLeaderError{c.cfg.Name, hint}
 	}
-	cl := client.New([]config.NamedAddress{{Name: h.Leader, Address: h.API}})
+	cl := client.New([]config.NamedAddress{{Name: hint.Leader, Address: hint.API}})
 	defer cl.Close()
 	ctx, stop := c.timeoutContext(clockTimeout)
 	defer stop()
@@ -93,7 +98,7 @@
 	return err
 }
 
-// timeoutContext is a context that ends with the coordinator, or before.
+// timeoutContext returns a context that ends after d or when the coordinator is closed.
 func (c *Coordinator) timeoutContext(d time.Duration) (context.Context, context.CancelFunc) {
 	ctx, stop := context.WithTimeout(context.Background(), d)
 	go func() {
@@ -106,7 +111,7 @@
 	return ctx, stop
 }
 
-// voterCount is how many coordinators have a vote.
+// voterCount returns the number of coordinators that have a vote, at least 1.
 func (c *Coordinator) voterCount() (n int) {
 	f := c.raft.GetConfiguration()
 	if f.Error() != nil {
@@ -120,89 +125,89 @@
 	return max(1, n)
 }
 
-// advanceCalendar begins the entries that are due with nothing in the way, and has recurring freezes known further ahead.
+// advanceCalendar starts the due entries that nothing blocks, and computes further occurrences of recurring freezes.
 func (c *Coordinator) advanceCalendar(t *term) {
 	for range maxStartsPerRound {
 		var id uint64
-		var any bool
-		c.fsm.read(func(s *permits.State) { id, any = s.NextStart() })
-		if !any {
+		var found bool
+		c.fsm.read(func(s *permits.State) { id, found = s.NextStart() })
+		if !found {
 			break
 		}
 		a, err := c.commitOwn(t, calendar.Start{ID: id})
 		if err != nil || a.Err != nil {
-			c.log.WithError(errors.Join(err, a.Err)).Debug("an entry of the calendar is not begun so far")
+			c.log.WithError(errors.Join(err, a.Err)).Debug("an entry of the calendar was not started; the next round tries again")
 			break
 		}
 	}
-	var todo []calendar.Extend
+	var extensions []calendar.Extend
 	c.fsm.read(func(s *permits.State) {
 		for _, id := range s.Calendar.Short() {
 			f := *s.Calendar.Freezes[id]
-			in, err := time.LoadLocation(f.When.In)
+			zone, err := time.LoadLocation(f.When.In)
 			if err == nil {
-				err = f.Ahead(in, s.Calendar.WallMs)
+				err = f.Ahead(zone, s.Calendar.WallMs)
 			}
 			if err != nil {
-				c.log.WithError(err).WithField("freeze", f.Name).Warn("a recurring freeze can't be worked out further; it will last from where it ends")
+				c.log.WithError(err).WithField("freeze", f.Name).Warn("further occurrences of a recurring freeze can't be computed; after the known ones it is in force without end")
 				continue
 			}
-			todo = append(todo, calendar.Extend{ID: id, Revision: f.Revision, Spans: f.Spans, ThroughMs: f.ThroughMs})
+			extensions = append(extensions, calendar.Extend{ID: id, Revision: f.Revision, Spans: f.Spans, ThroughMs: f.ThroughMs})
 		}
 	})
-	for _, do := range todo {
+	for _, do := range extensions {
 		if a, err := c.commitOwn(t, do); err != nil || a.Err != nil {
-			c.log.WithError(errors.Join(err, a.Err)).Debug("a freeze is not extended so far")
+			c.log.WithError(errors.Join(err, a.Err)).Debug("a freeze was not extended; the next round tries again")
 		}
 	}
 }
 
-// QueryCalendar answers a question about the calendar, as a majority has it.
-func (c *Coordinator) QueryCalendar(q *client.CalendarQuery) (*client.CalendarAnswer, error) {
-	var a client.CalendarAnswer
+// QueryCalendar answers a query about the calendar from the current state, as confirmed by a majority.
+func (c *Coordinator) QueryCalendar(query *client.CalendarQuery) (*client.CalendarAnswer, error) {
+	var answer client.CalendarAnswer
 	var err error
 	if !c.Read(func(s *permits.State, _ float64) {
 		part := *s.Calendar
-		if part.WallMs == 0 { // nobody has told a clock so far: the calendar is empty, and free from now on
+		if part.WallMs == 0 { // no clock has been reported so far: the calendar is empty, and time is free from now on
 			part.WallMs = float64(time.Now().Add(c.clockOffset).UnixMilli())
 		}
-		if !q.Events {
+		if !query.Events {
 			part.Events = nil
 		}
-		if q.EntryOnly {
+		if query.EntryOnly {
 			part.Entries, part.Freezes, part.Migrations = map[uint64]*calendar.Entry{}, nil, nil
-			if e := s.Calendar.Entries[q.ID]; e != nil {
-				for _, id := range append(slices.Clone(e.After), q.ID) {
+			if e := s.Calendar.Entries[query.ID]; e != nil {
+				for _, id := range append(slices.Clone(e.After), query.ID) {
 					if o := s.Calendar.Entries[id]; o != nil {
 						part.Entries[id] = o
 					}
 				}
 			}
 		}
-		if a.Calendar, err = json.Marshal(&part); err != nil {
+		if answer.Calendar, err = json.Marshal(&part); err != nil {
 			return
 		}
-		if q.ID != 0 {
-			a.Obstacle.Err = s.StartObstacle(q.ID)
+		if query.ID != 0 {
+			answer.Obstacle.Err = s.StartObstacle(query.ID)
 		}
-		if q.Change != nil {
-			whole := *s.Calendar
-			whole.WallMs = part.WallMs
-			a.Conflicts, a.Free = whole.Conflicts(q.Change, q.ID, q.MaxFree)
-			if len(a.Conflicts) == 0 {
-				a.Free = whole.Next(q.Change, q.ID, q.MaxFree)
+		if query.Change != nil {
+			full := *s.Calendar
+			full.WallMs = part.WallMs
+			answer.Conflicts, answer.Free = full.Conflicts(query.Change, query.ID, query.MaxFree)
+			if len(answer.Conflicts) == 0 {
+				answer.Free = full.Next(query.Change, query.ID, query.MaxFree)
 			}
 		}
 	}) {
 		return nil, c.notLeader()
 	}
-	return &a, err
+	return &answer, err
 }
 
-// deliverEvents tells what happens in the calendar, at the coordinator that leads: in its log, to its file and its hook. What was told and
-// not yet written down as told when another takes the lead is told again, with its number.
+// deliverEvents delivers the calendar's events to the log, the file and the hook, if this coordinator leads. Events that were
+// delivered but not acknowledged before the leadership changed are delivered again, with the same number.
 func (c *Coordinator) deliverEvents() {
-	v := c.newCommandSource("events")
+	source := c.newCommandSource("events")
 	tick := time.NewTicker(eventPollInterval)
 	defer tick.Stop()
 	for {
@@ -215,35 +220,35 @@
 		if t == nil {
 			continue
 		}
-		var news []calendar.Event
+		var events []calendar.Event
 		c.fsm.read(func(s *permits.State) {
-			i, _ := slices.BinarySearchFunc(s.Calendar.Events, s.Calendar.Acknowledged+1, func(e calendar.Event, n uint64) int {
+			first, _ := slices.BinarySearchFunc(s.Calendar.Events, s.Calendar.Acknowledged+1, func(e calendar.Event, n uint64) int {
 				if e.Number < n {
 					return -1
 				}
 				return 1
 			})
-			news = slices.Clone(s.Calendar.Events[i:min(len(s.Calendar.Events), i+maxEventsPerBatch)])
+			events = slices.Clone(s.Calendar.Events[first:min(len(s.Calendar.Events), first+maxEventsPerBatch)])
 		})
-		if len(news) == 0 {
+		if len(events) == 0 {
 			continue
 		}
-		for _, e := range news {
+		for _, e := range events {
 			if !c.deliverEvent(e) {
 				return
 			}
 		}
-		if _, err := c.commit(t, v.next(calendar.Acknowledge{Number: news[len(news)-1].Number})); err != nil {
-			c.log.WithError(err).Debug("events are told, and will be again")
+		if _, err := c.commit(t, source.next(calendar.Acknowledge{Number: events[len(events)-1].Number})); err != nil {
+			c.log.WithError(err).Debug("acknowledging events failed; they are delivered again")
 		}
 	}
 }
 
-// deliverEvent tells one event; false where the coordinator ends meanwhile. A receiver that fails for as many tries as it is given is
-// passed over: the log says so, and the history has it.
+// deliverEvent delivers one event. It returns false if the coordinator is closed before that is done. A receiver that fails in all
+// configured attempts is skipped; the log records that, and the history keeps the event.
 func (c *Coordinator) deliverEvent(e calendar.Event) bool {
 	c.log.WithFields(logrus.Fields{"event": e.Number, "entry": e.ID, "who": e.Who, "why": e.Why}).Info("calendar: " + e.What)
-	line, _ := json.Marshal(e) // numbers and words
+	line, _ := json.Marshal(e) // can't fail: an event consists of numbers and strings
 	for _, receiver := range []struct {
 		name string
 		tell func([]byte) error
@@ -253,7 +258,7 @@
 			if err == nil {
 				break
 			}
-			c.log.WithError(err).WithFields(logrus.Fields{"event": e.Number, "try": try}).Warn("calendar: the " + receiver.name + " was not told")
+			c.log.WithError(err).WithFields(logrus.Fields{"event": e.Number, "try": try}).Warn("calendar: the " + receiver.name + " did not accept the event")
 			if try >= c.cfg.Calendar.Tries {
 				break
 			}
@@ -267,7 +272,7 @@
 	return true
 }
 
-// appendToFile adds a line, and waits until the disk has it.
+// appendToFile appends a line to the events file and syncs it to the disk.
 func (c *Coordinator) appendToFile(line []byte) error {
 	if c.cfg.Calendar.Events == "" {
 		return nil
@@ -286,7 +291,7 @@
 	return nil
 }
 
-// runHook runs the command with the event for its input. One that hangs is ended, with all that it started.
+// runHook runs the hook with the event on its standard input. A hook that exceeds its timeout is killed with its process group.
 func (c *Coordinator) runHook(line []byte) error {
 	if len(c.cfg.Calendar.Hook) == 0 {
 		return nil
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -1,6 +1,6 @@
-// Package coordinator is the process that agrees with its like on who goes out by plan: permits' state machine behind
-// hashicorp/raft, a store, and an API of net/http and JSON on loopback or a private address. It decides nothing itself, and
-// no request of any door waits for it.
+// Package coordinator runs a coordinator. The coordinators of a fleet agree on planned outages: they replicate the state machine
+// of package permits with hashicorp/raft, persist it in a store, and serve an HTTP and JSON API on a loopback or private address.
+// The package makes no decisions of its own, and no request that a door serves waits for a coordinator.
 package coordinator
 
 import (
@@ -30,21 +30,21 @@
 )
 
 const (
-	heartbeatTimeout   = 400 * time.Millisecond // without one a follower wants to lead; a leader stopped for less goes on
-	leaderLeaseTimeout = 300 * time.Millisecond // without a majority for so long a leader steps down
-	commitTimeout      = 20 * time.Millisecond  // a commit is told on at the latest
-	maxBatch           = 256                    // commands in one write
-	trailingLogs       = 1024                   // entries behind a snapshot, for followers that are some minutes behind
-	snapshotInterval   = 20 * time.Second       // between looks whether a snapshot is due
-	snapshotThreshold  = 2048                   // entries
-	applyTimeout       = 2 * time.Second        // that a command may wait to be taken in
-	sightingInterval   = 500 * time.Millisecond // between rounds of sightings
-	membershipTimeout  = 5 * time.Second        // of a change of the coordinators
-	slowWriteThreshold = 300 * time.Millisecond // a write that takes longer holds all up
-	maxSlowWrites      = 3                      // of those in a row, and the leader has another lead
+	heartbeatTimeout   = 400 * time.Millisecond // without a heartbeat for this long a follower starts an election; a leader that pauses for less stays leader
+	leaderLeaseTimeout = 300 * time.Millisecond // a leader that can't reach a majority for this long steps down
+	commitTimeout      = 20 * time.Millisecond  // maximum delay until followers learn of a commit
+	maxBatch           = 256                    // log entries in one append, and the buffer for raft's observations
+	trailingLogs       = 1024                   // log entries kept before a snapshot, for followers that lag by some minutes
+	snapshotInterval   = 20 * time.Second       // between checks whether a snapshot is due
+	snapshotThreshold  = 2048                   // log entries since the last snapshot after which the next is due
+	applyTimeout       = 2 * time.Second        // for which a command may wait to be accepted by raft; also limits the transport's I/O
+	sightingInterval   = 500 * time.Millisecond // between rounds of the leader
+	membershipTimeout  = 5 * time.Second        // of a change of the set of coordinators
+	slowWriteThreshold = 300 * time.Millisecond // a leader with slower writes delays all commands
+	maxSlowWrites      = 3                      // consecutive slow writes after which the leader transfers its leadership
 )
 
-// Coordinator is one of them.
+// Coordinator is one of the coordinators of a fleet.
 type Coordinator struct {
 	cfg         config.Coordinator
 	log         logrus.FieldLogger
@@ -53,30 +53,31 @@
 	failed      chan error
 	done        chan struct{}
 	goroutines  sync.WaitGroup
-	slowWrites  atomic.Int32 // writes in a row that were slow
-	clockOffset time.Duration
-	restored    bool // it was restored: what was agreed last may be lost
+	slowWrites  atomic.Int32  // consecutive slow writes
+	clockOffset time.Duration // added to the wall clock, see Options
+	restored    bool          // started with Options.Restore: the last agreed commands may be lost
 
 	mu          sync.Mutex
-	term        *term // while this one leads, and has said so
-	silentSince map[raft.ServerID]time.Time
+	term        *term                       // non-nil while this coordinator leads and its Leadership command is applied
+	silentSince map[raft.ServerID]time.Time // last contact of the peers that don't answer this leader
 }
 
-// term is what a leader has while it leads.
+// term is the state that a leader keeps during one period of leadership.
 type term struct {
 	collector *permits.ReportCollector
-	baseMs    float64 // of the agreed clock
+	baseMs    float64 // reading of the agreed clock when the term began
 	began     time.Time
-	caller    string
+	caller    string // of the leader's own commands
 	seq       uint64
 }
 
+// now returns the agreed clock, ms. It advances with the monotonic clock during a term.
 func (t *term) now() float64 { return t.baseMs + float64(time.Since(t.began))/1e6 }
 
-// Start begins, by what the store holds, or anew with its peers. Of the options it heeds by how much its wall clock is to be wrong,
-// and whether it was restored.
-func Start(cfg config.Coordinator, st store.Store, transport raft.Transport, o Options, log logrus.FieldLogger) (*Coordinator, error) {
-	c := &Coordinator{cfg: cfg, log: log, clockOffset: o.ClockOffset, restored: o.Restore, failed: make(chan error, 1), done: make(chan struct{}), silentSince: map[raft.ServerID]time.Time{}}
+// Start starts a coordinator from the contents of its store, or bootstraps it with the configured peers if the store is empty. Of
+// the options it uses only ClockOffset and Restore.
+func Start(cfg config.Coordinator, st store.Store, transport raft.Transport, options Options, log logrus.FieldLogger) (*Coordinator, error) {
+	c := &Coordinator{cfg: cfg, log: log, clockOffset: options.ClockOffset, restored: options.Restore, failed: make(chan error, 1), done: make(chan struct{}), silentSince: map[raft.ServerID]time.Time{}}
 	c.fsm = &stateMachine{state: permits.New(), fail: c.Fail}
 	rc := c.raftConfig()
 	existing, err := raft.HasExistingState(st, st, st)
@@ -92,17 +93,17 @@
 	if err != nil {
 		return nil, &StartError{cfg.Name, err}
 	}
-	seen := make(chan raft.Observation, maxBatch)
-	c.raft.RegisterObserver(raft.NewObserver(seen, false, nil))
-	c.goroutines.Go(func() { c.watchPeers(seen) })
+	observations := make(chan raft.Observation, maxBatch)
+	c.raft.RegisterObserver(raft.NewObserver(observations, false, nil))
+	c.goroutines.Go(func() { c.watchPeers(observations) })
 	c.goroutines.Go(c.watchLeadership)
 	c.goroutines.Go(c.reportClock)
 	c.goroutines.Go(c.deliverEvents)
 	return c, nil
 }
 
-// Restore makes the peers of the configuration the only coordinators, by what this one's store holds: for when a majority of
-// the earlier ones is lost for good. It is called once, before Start, on each of those that are left.
+// Restore makes the peers of the configuration the only coordinators, with the state in this one's store. It is for the case that a
+// majority of the coordinators is lost permanently. It is called once, before Start, on each remaining coordinator.
 func Restore(cfg config.Coordinator, st store.Store, transport raft.Transport, log logrus.FieldLogger) error {
 	c := &Coordinator{cfg: cfg, log: log}
 	if err := raft.RecoverCluster(c.raftConfig(), &stateMachine{state: permits.New(), fail: func(error) {}}, st, st, st, transport, serverConfiguration(cfg.Members)); err != nil {
@@ -111,6 +112,7 @@
 	return nil
 }
 
+// serverConfiguration converts the configured members to raft's form.
 func serverConfiguration(all []config.NamedAddress) (of raft.Configuration) {
 	for _, m := range all {
 		of.Servers = append(of.Servers, raft.Server{ID: raft.ServerID(m.Name), Address: raft.ServerAddress(m.Address)})
@@ -118,6 +120,7 @@
 	return of
 }
 
+// raftConfig returns the configuration of raft.
 func (c *Coordinator) raftConfig() *raft.Config {
 	rc := raft.DefaultConfig()
 	rc.LocalID = raft.ServerID(c.cfg.Name)
@@ -128,7 +131,7 @@
 	return rc
 }
 
-// debugWriter passes the library's log on as debugging: what an operator needs of it is told here.
+// debugWriter writes the library's log at level debug; what an operator needs to know is logged by this package.
 type debugWriter struct{ logrus.FieldLogger }
 
 func (l debugWriter) Write(p []byte) (int, error) {
@@ -136,8 +139,8 @@
 	return len(p), nil
 }
 
-// Fail has the coordinator end itself for an error; it is what a store's failed writes call. It doesn't return where the
-// coordinator's process is about to end: the library would panic on what a broken disk makes of its votes.
+// Fail terminates the coordinator because of an error; the store calls it for a failed write. It blocks until the coordinator is
+// closed: if it returned, the library would panic because it can't persist its vote.
 func (c *Coordinator) Fail(err error) {
 	select {
 	case c.failed <- err:
@@ -146,7 +149,7 @@
 	<-c.done
 }
 
-// RecordWrite hears how long the store's writes take. A leader whose disk has become slow has another lead.
+// RecordWrite records the duration of a write of the store. A leader whose disk has become slow transfers its leadership.
 func (c *Coordinator) RecordWrite(d time.Duration) {
 	if d < slowWriteThreshold {
 		c.slowWrites.Store(0)
@@ -165,20 +168,20 @@
 	}
 }
 
-// Close ends the coordinator.
+// Close stops the coordinator and waits for its goroutines.
 func (c *Coordinator) Close() {
 	close(c.done)
 	_ = c.raft.Shutdown().Error()
 	c.goroutines.Wait()
 }
 
-// watchPeers notes which of the others don't answer this one while it leads.
-func (c *Coordinator) watchPeers(seen <-chan raft.Observation) {
+// watchPeers records which peers don't answer this coordinator while it leads.
+func (c *Coordinator) watchPeers(observations <-chan raft.Observation) {
 	for {
 		select {
 		case <-c.done:
 			return
-		case o := <-seen:
+		case o := <-observations:
 			c.mu.Lock()
 			switch d := o.Data.(type) {
 			case raft.FailedHeartbeatObservation:
@@ -193,22 +196,22 @@
 	}
 }
 
-// watchLeadership goes on while the coordinator runs: with each leadership it says so to the state before anything else, and then tells
-// it how units stand.
+// watchLeadership runs until the coordinator is closed. When it becomes leader it begins a term, during which it runs a round at
+// every sightingInterval.
 func (c *Coordinator) watchLeadership() {
-	leads := c.raft.LeaderCh()
+	leaderChanges := c.raft.LeaderCh()
 	tick := time.NewTicker(sightingInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-c.done:
 			return
-		case now := <-leads:
+		case isLeader := <-leaderChanges:
 			c.setTerm(nil)
-			if now {
+			if isLeader {
 				c.beginTerm()
 			} else {
-				c.log.WithField(fields.Door, c.cfg.Name).Info("leads no more")
+				c.log.WithField(fields.Door, c.cfg.Name).Info("lost the leadership")
 			}
 		case <-tick.C:
 			c.runRound()
@@ -228,7 +231,8 @@
 	return c.term
 }
 
-// beginTerm has the state know who leads. The agreed clock goes on from where it stood: no wall clock has a say in it.
+// beginTerm records the new leader in the state. The agreed clock continues from its last reading and doesn't depend on any wall
+// clock.
 func (c *Coordinator) beginTerm() {
 	if err := c.raft.Barrier(applyTimeout).Error(); err != nil {
 		return
@@ -247,30 +251,31 @@
 	c.log.WithField(fields.Door, c.cfg.Name).Info("leads")
 }
 
-// runRound tells the state how units stand.
+// runRound records changed sightings of units and carries out what releases and the calendar require. It does nothing unless this
+// coordinator leads.
 func (c *Coordinator) runRound() {
 	t := c.currentTerm()
 	if t == nil {
 		return
 	}
 	c.mu.Lock()
-	all := t.collector.ChangedSightings(t.now())
+	sightings := t.collector.ChangedSightings(t.now())
 	c.mu.Unlock()
-	if _, err := c.commitOwn(t, permits.RecordSightings{Sightings: all}); err != nil {
-		c.log.WithError(err).Debug("sightings not told; they are when they change, or after a while")
+	if _, err := c.commitOwn(t, permits.RecordSightings{Sightings: sightings}); err != nil {
+		c.log.WithError(err).Debug("recording sightings failed; each is sent again when it changes, or after a few seconds")
 	}
 	c.recordVerdicts(t)
 	c.advanceReleases(t)
 	c.advanceCalendar(t)
 }
 
-// commitOwn gives a command of the leader's own.
+// commitOwn commits a command of the leader itself.
 func (c *Coordinator) commitOwn(t *term, do any) (permits.Answer, error) {
 	t.seq++
 	return c.commit(t, permits.Command{Caller: t.caller, Seq: t.seq, Do: do})
 }
 
-// commit has a command agreed on. An error says that it may have happened or not.
+// commit replicates a command and returns its answer. After an error it is unknown whether the command was or will be applied.
 func (c *Coordinator) commit(t *term, cmd permits.Command) (permits.Answer, error) {
 	cmd.AtMs, cmd.WallMs = t.now(), float64(time.Now().Add(c.clockOffset).UnixMilli())
 	raw, err := json.Marshal(cmd)
@@ -288,7 +293,7 @@
 	return a, nil
 }
 
-// Command has a command agreed on, at the one that leads.
+// Command commits a command if this coordinator leads.
 func (c *Coordinator) Command(cmd permits.Command) (permits.Answer, error) {
 	t := c.currentTerm()
 	if t == nil {
@@ -297,69 +302,70 @@
 	return c.commit(t, cmd)
 }
 
-// HandleDoorReport takes a door's word in. What it calls for at once is agreed on before the answer; the rest goes with the next round.
-// A majority confirms that this one still leads: an answer by what was so before could undo what a door has done since.
-func (c *Coordinator) HandleDoorReport(w *permits.DoorReport) (r permits.Reply, err error) {
+// HandleDoorReport processes a door's report. Commands that it requires at once are committed before the reply; everything else
+// follows with the next round. Before the reply a majority confirms that this coordinator still leads: a reply from outdated state
+// could undo what the door has done since.
+func (c *Coordinator) HandleDoorReport(report *permits.DoorReport) (reply permits.Reply, err error) {
 	t := c.currentTerm()
 	if t == nil {
-		return r, c.notLeader()
+		return reply, c.notLeader()
 	}
 	c.mu.Lock()
-	fresh := t.collector.Record(t.now(), *w)
-	full := t.collector.WantsBackends(t.now(), w.Name)
+	accepted := t.collector.Record(t.now(), *report)
+	wantsBackends := t.collector.WantsBackends(t.now(), report.Name)
 	c.mu.Unlock()
-	if fresh {
-		var needs []any
-		c.fsm.read(func(s *permits.State) { needs = s.Needs(w) })
-		for i, do := range needs {
-			cmd := permits.Command{Caller: w.Caller, Seq: w.Seq, Do: do}
+	if accepted {
+		var commands []any
+		c.fsm.read(func(s *permits.State) { commands = s.Needs(report) })
+		for i, do := range commands {
+			cmd := permits.Command{Caller: report.Caller, Seq: report.Seq, Do: do}
 			if _, own := do.(permits.SelfReport); !own {
-				cmd.Caller = permits.CallerName(w.Caller+"/hand", uint64(i))
+				cmd.Caller = permits.CallerName(report.Caller+"/hand", uint64(i))
 			}
 			if _, err := c.commit(t, cmd); err != nil {
-				return r, err
+				return reply, err
 			}
 		}
 	}
 	if err := c.raft.VerifyLeader().Error(); err != nil {
-		return r, c.notLeader()
+		return reply, c.notLeader()
 	}
-	c.fsm.read(func(s *permits.State) { r = s.Reply(w, full) })
-	return r, nil
+	c.fsm.read(func(s *permits.State) { reply = s.Reply(report, wantsBackends) })
+	return reply, nil
 }
 
-// HandleHolderReport takes the word of a door's holder in, and tells what its door is to run.
-func (c *Coordinator) HandleHolderReport(h *permits.HolderReport) (g permits.Assignment, err error) {
+// HandleHolderReport processes the report of the process that holds a door's listener, and returns what the door is to run.
+func (c *Coordinator) HandleHolderReport(report *permits.HolderReport) (assignment permits.Assignment, err error) {
 	t := c.currentTerm()
 	if t == nil {
-		return g, c.notLeader()
+		return assignment, c.notLeader()
 	}
-	var needs []any
-	c.fsm.read(func(s *permits.State) { needs = s.HolderCommands(h) })
-	for _, do := range needs {
-		if _, err := c.commit(t, permits.Command{Caller: h.Caller, Seq: h.Seq, Do: do}); err != nil {
-			return g, err
+	var commands []any
+	c.fsm.read(func(s *permits.State) { commands = s.HolderCommands(report) })
+	for _, do := range commands {
+		if _, err := c.commit(t, permits.Command{Caller: report.Caller, Seq: report.Seq, Do: do}); err != nil {
+			return assignment, err
 		}
 	}
 	if err := c.raft.VerifyLeader().Error(); err != nil {
-		return g, c.notLeader()
+		return assignment, c.notLeader()
 	}
-	c.fsm.read(func(s *permits.State) { g = s.Assignment(h.Door) })
-	return g, nil
+	c.fsm.read(func(s *permits.State) { assignment = s.Assignment(report.Door) })
+	return assignment, nil
 }
 
-// advanceReleases does what releases of backends call for.
+// advanceReleases commits the drains and undrains that releases of backends require.
 func (c *Coordinator) advanceReleases(t *term) {
-	var todo []any
-	c.fsm.read(func(s *permits.State) { todo = s.ReleaseCommands() })
-	for _, do := range todo {
+	var commands []any
+	c.fsm.read(func(s *permits.State) { commands = s.ReleaseCommands() })
+	for _, do := range commands {
 		if a, err := c.commitOwn(t, do); err != nil || a.Err != nil {
-			c.log.WithError(errors.Join(err, a.Err)).Debug("a step of a release is not taken so far")
+			c.log.WithError(errors.Join(err, a.Err)).Debug("a step of a release was not carried out; the next round tries again")
 		}
 	}
 }
 
-// recordVerdicts looks at the waves of releases that all their doors have taken, and has verdicts agreed on.
+// recordVerdicts commits the verdicts on waves of releases that all doors of the wave have installed.
 func (c *Coordinator) recordVerdicts(t *term) {
 	var verdicts []release.RecordVerdict
 	c.mu.Lock()
@@ -367,12 +373,13 @@
 	c.mu.Unlock()
 	for _, v := range verdicts {
 		if _, err := c.commitOwn(t, v); err != nil {
-			c.log.WithError(err).Debug("a verdict is not agreed on so far")
+			c.log.WithError(err).Debug("a verdict was not recorded; the next round tries again")
 		}
 	}
 }
 
-// Read reads the state as a majority has it; false where this one can't say that.
+// Read calls do with the current state, as confirmed by a majority, and returns true. It returns false if this coordinator doesn't
+// lead.
 func (c *Coordinator) Read(do func(s *permits.State, now float64)) bool {
 	t := c.currentTerm()
 	if t == nil || c.raft.VerifyLeader().Error() != nil {
@@ -383,7 +390,7 @@
 	return true
 }
 
-// hint tells who leads, as far as this one knows.
+// hint describes the leader, as far as this coordinator knows it.
 func (c *Coordinator) hint() (h client.Hint) {
 	_, id := c.raft.LeaderWithID()
 	h.Leader = string(id)
@@ -393,19 +400,19 @@
 		}
 	})
 	if id == "" {
-		h.Reason = "no leader: fewer than half of the coordinators answer, or they are about to choose"
+		h.Reason = "no leader: no majority of the coordinators answers, or an election is under way"
 		if at := c.raft.LastContact(); !at.IsZero() {
 			h.LeaderSilentMs = float64(time.Since(at)) / 1e6
 		}
 	} else if h.Leader == c.cfg.Name {
-		h.Leader, h.Reason = "", "about to lead"
+		h.Leader, h.Reason = "", "its leadership is not confirmed"
 	}
 	return h
 }
 
 func (c *Coordinator) notLeader() error { return &NotLeaderError{c.cfg.Name, c.hint()} }
 
-// Status tells all that is agreed on, as a majority has it, or as this one last heard.
+// Status returns the agreed state, as confirmed by a majority if this coordinator leads, and otherwise as it last received it.
 func (c *Coordinator) Status() client.Status {
 	st := client.Status{Self: c.cfg.Name, Fleet: c.cfg.Fleet, Hint: c.hint()}
 	st.Leader = st.Hint.Leader
@@ -449,14 +456,14 @@
 	return st
 }
 
-// Audit tells who did what.
+// Audit returns the audit log, as this coordinator last received it.
 func (c *Coordinator) Audit() (all []permits.AuditEntry) {
 	c.fsm.read(func(s *permits.State) { all = slices.Clone(s.Audit) })
 	return all
 }
 
-// ChangeMembership adds or removes a coordinator, at the one that leads. A removal that would leave fewer than half of those that stay
-// answering is refused.
+// ChangeMembership adds or removes a coordinator if this one leads. It refuses a removal after which no majority of the remaining
+// coordinators would answer.
 func (c *Coordinator) ChangeMembership(ch client.MembershipChange) error {
 	t := c.currentTerm()
 	if t == nil {
@@ -472,17 +479,17 @@
 	if ch.Add {
 		err = c.raft.AddVoter(raft.ServerID(ch.Name), raft.ServerAddress(ch.Address), 0, membershipTimeout).Error()
 	} else {
-		left, well := 0, 0
+		remaining, answering := 0, 0
 		for _, m := range c.Status().Members {
 			if m.Name != ch.Name {
-				left++
+				remaining++
 				if m.SilentMs == 0 {
-					well++
+					answering++
 				}
 			}
 		}
-		if left == 0 || 2*well <= left {
-			return &MajorityError{ch.Name, left, well}
+		if remaining == 0 || 2*answering <= remaining {
+			return &MajorityError{ch.Name, remaining, answering}
 		}
 		err = c.raft.RemoveServer(raft.ServerID(ch.Name), 0, membershipTimeout).Error()
 	}
@@ -497,27 +504,30 @@
 	return err
 }
 
-// stateMachine is the state behind raft.
+// stateMachine implements raft.FSM with the state of package permits.
 type stateMachine struct {
 	mu       sync.Mutex
 	state    *permits.State
-	restored bool // the calendar has heard of a restore since this process began
-	fail     func(error)
+	restored bool        // a calendar.Restored command was applied since this process started
+	fail     func(error) // terminates the coordinator
 }
 
+// restoreRecorded reports whether a calendar.Restored command was applied since this process started.
 func (m *stateMachine) restoreRecorded() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.restored
 }
 
+// read calls do with the state while it is locked.
 func (m *stateMachine) read(do func(*permits.State)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	do(m.state)
 }
 
-// Apply takes an entry in. One that this release can't read must not be passed over: the coordinator ends itself.
+// Apply applies a log entry. An entry that this release can't decode must not be skipped, as the states would diverge: the
+// coordinator terminates itself.
 func (m *stateMachine) Apply(l *raft.Log) any {
 	var cmd permits.Command
 	if err := json.Unmarshal(l.Data, &cmd); err != nil {
@@ -532,7 +542,7 @@
 	return m.state.Apply(cmd)
 }
 
-// Snapshot writes the state down.
+// Snapshot encodes the state.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -543,7 +553,7 @@
 	return snapshot(out.Bytes()), nil
 }
 
-// Restore reads one.
+// Restore replaces the state with that of a snapshot.
 func (m *stateMachine) Restore(in io.ReadCloser) error {
 	defer in.Close()
 	s, err := permits.Load(in)
@@ -556,6 +566,7 @@
 	return nil
 }
 
+// snapshot is an encoded state.
 type snapshot []byte
 
 func (s snapshot) Persist(sink raft.SnapshotSink) error {
@@ -568,15 +579,17 @@
 
 func (snapshot) Release() {}
 
-// Failure is closed by an error that ends the coordinator, as of a disk that can't be written.
+// Failure returns a channel that delivers the error that terminates the coordinator, such as a failed write to the disk.
 func (c *Coordinator) Failure() <-chan error { return c.failed }
 
-// NewTransport makes raft's transport of a layer of connections. Routes lead to others by name, where they aren't where they say.
+// NewTransport returns raft's transport on a stream layer. routes has the addresses of peers, by name, that can't be reached at the
+// address they advertise.
 func NewTransport(layer raft.StreamLayer, routes map[string]string, log logrus.FieldLogger) *raft.NetworkTransport {
 	return raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{ServerAddressProvider: routeTable(routes), Stream: layer, MaxPool: 3, Timeout: applyTimeout,
 		Logger: hclog.New(&hclog.LoggerOptions{Name: "transport", Level: hclog.Info, Output: debugWriter{log}, DisableTime: true})})
 }
 
+// routeTable implements raft.ServerAddressProvider. Without a route raft uses the advertised address.
 type routeTable map[string]string
 
 func (r routeTable) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
--- a/coordinator/disk_fault.go
+++ b/coordinator/disk_fault.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// DiskFault names a variable by which a rig spoils this process's disk: the file that it names holds "full", "readonly",
-// a span as "1s" that each write is to take, or nothing.
+// DiskFault is the environment variable that names a file by which a test injects disk faults into this process. The file
+// contains "full", "readonly", a duration such as "1s" by which each write is delayed, or nothing.
 const DiskFault = "SWIFTHALL_DISK_FAULT"
 
-// DiskFaultHook is what happens before each write by that file; nil where none is named.
+// DiskFaultHook returns a function that reads the file and injects the fault; it is called before each write. It is nil if path is
+// empty.
 func DiskFaultHook(path string) func() error {
 	if path == "" {
 		return nil
 	}
 	return func() error {
 		raw, _ := os.ReadFile(path)
-		switch word := strings.TrimSpace(string(raw)); word {
+		switch fault := strings.TrimSpace(string(raw)); fault {
 		case "":
 			return nil
 		case "full":
@@ -26,7 +27,7 @@
 		case "readonly":
 			return syscall.EROFS
 		default:
-			if d, err := time.ParseDuration(word); err == nil {
+			if d, err := time.ParseDuration(fault); err == nil {
 				time.Sleep(d)
 			}
 			return nil
--- a/coordinator/errors.go
+++ b/coordinator/errors.go
@@ -8,7 +8,7 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// StartError is a coordinator that can't begin by what its store holds.
+// StartError is a coordinator that can't start from the contents of its store.
 type StartError struct {
 	Name  string
 	Cause error
@@ -18,44 +18,45 @@
 func (e *StartError) Unwrap() error     { return e.Cause }
 func (e *StartError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says what to do.
+// Remedy says how to check and replace the data directory.
 func (e *StartError) Remedy() string {
-	return "See that the folder in the key \"data\" is this coordinator's own; put a damaged one aside, remove the coordinator from the others and add it again empty."
+	return "Check that the directory in the key \"data\" belongs to this coordinator. If it is damaged, move it away, remove this coordinator from the others, and add it again with an empty directory."
 }
 
-// ListenError is an address that a coordinator can't listen at.
+// ListenError is an address on which a coordinator can't listen.
 type ListenError struct {
 	Key, Address string
 	Cause        error
 }
 
-func (e *ListenError) Error() string     { return remedy.WithCause("listening at "+e.Address, e.Cause) }
+func (e *ListenError) Error() string     { return remedy.WithCause("listening on "+e.Address, e.Cause) }
 func (e *ListenError) Unwrap() error     { return e.Cause }
 func (e *ListenError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names the key.
+// Remedy names the address and the key.
 func (e *ListenError) Remedy() string {
-	return fmt.Sprintf("Free %s, or name another address of this machine in the key %q.", e.Address, e.Key)
+	return fmt.Sprintf("Free %s, or set the key %q to another address of this machine.", e.Address, e.Key)
 }
 
-// UnknownOutcomeError is a command that may have happened or not: its coordinator lost the lead, or its majority, meanwhile.
+// UnknownOutcomeError is a command of which it is unknown whether it was applied: its coordinator lost the leadership or the majority
+// before it could confirm the command.
 type UnknownOutcomeError struct {
 	Name  string
 	Cause error
 }
 
 func (e *UnknownOutcomeError) Error() string {
-	return remedy.WithCause("coordinator "+e.Name+" can't say whether it happened", e.Cause)
+	return remedy.WithCause("coordinator "+e.Name+" doesn't know whether the command was applied", e.Cause)
 }
 func (e *UnknownOutcomeError) Unwrap() error     { return e.Cause }
 func (e *UnknownOutcomeError) Kind() remedy.Kind { return remedy.Unreachable }
 
-// Remedy says what to do.
+// Remedy says how to repeat the command.
 func (e *UnknownOutcomeError) Remedy() string {
-	return "Give the command again with its number, as programs do by themselves: it happens once; or ask for the status."
+	return "Repeat the command with the same number, as the programs do on their own: it is applied only once. Or query the status."
 }
 
-// NotLeaderError is a coordinator that doesn't lead.
+// NotLeaderError is a request that only the leader can answer, sent to another coordinator.
 type NotLeaderError struct {
 	Name string
 	Hint client.Hint
@@ -65,62 +66,62 @@
 	if e.Hint.Leader == "" {
 		return fmt.Sprintf("coordinator %s: %s", e.Name, e.Hint.Reason)
 	}
-	return fmt.Sprintf("coordinator %s doesn't lead, %s does", e.Name, e.Hint.Leader)
+	return fmt.Sprintf("coordinator %s isn't the leader, %s is", e.Name, e.Hint.Leader)
 }
 func (e *NotLeaderError) Kind() remedy.Kind { return remedy.Unreachable }
 
-// Remedy says whom to ask.
+// Remedy names the leader, or says how to get one.
 func (e *NotLeaderError) Remedy() string {
 	if e.Hint.Leader == "" {
-		return "Start the coordinators that are down until more than half run."
+		return "Start coordinators that are down until a majority runs."
 	}
-	return fmt.Sprintf("Ask %s at %s.", e.Hint.Leader, e.Hint.API)
+	return fmt.Sprintf("Send the request to %s at %s.", e.Hint.Leader, e.Hint.API)
 }
 
-// MajorityError is a removal that would leave no majority.
+// MajorityError is a removal of a coordinator after which no majority of the others would answer.
 type MajorityError struct {
 	Name                 string
 	Remaining, Answering int
 }
 
 func (e *MajorityError) Error() string {
-	return fmt.Sprintf("without %s %d coordinators would be left, of which %d answer", e.Name, e.Remaining, e.Answering)
+	return fmt.Sprintf("without %s %d coordinators would remain, of which %d answer", e.Name, e.Remaining, e.Answering)
 }
 func (e *MajorityError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says what to do first.
+// Remedy says how to get a majority first.
 func (e *MajorityError) Remedy() string {
 	return "Add another coordinator first, or start those that don't answer."
 }
 
-// RouteError is a coordinator that has no route of its own: it is reached where it says.
+// RouteError is a coordinator without a configured route; raft then uses the address that it advertises.
 type RouteError struct{ Name string }
 
 func (e *RouteError) Error() string     { return "no route to " + e.Name }
 func (e *RouteError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says that it is no matter.
+// Remedy says when a route is needed.
 func (e *RouteError) Remedy() string {
-	return "Nothing, where it can be reached as it says; else name it in the key \"routes\"."
+	return "Nothing to do if the coordinator can be reached at the address it advertises; otherwise add it to the key \"routes\"."
 }
 
-// CalendarError is a change of the coordinators that the calendar doesn't let through.
+// CalendarError is a change of the set of coordinators that the calendar rejects.
 type CalendarError struct{ Cause error }
 
 func (e *CalendarError) Error() string     { return remedy.WithCause("coordinators", e.Cause) }
 func (e *CalendarError) Unwrap() error     { return e.Cause }
 func (e *CalendarError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy is the calendar's own.
+// Remedy returns the remedy of the calendar's error.
 func (e *CalendarError) Remedy() string {
 	var own remedy.Error
 	if errors.As(e.Cause, &own) {
 		return own.Remedy()
 	}
-	return "Look at the calendar with swifthall calendar."
+	return "Check the calendar with swifthall calendar."
 }
 
-// DeliveryError is a file or a command that could not be told of an event of the calendar.
+// DeliveryError is a file or a command to which an event of the calendar could not be delivered.
 type DeliveryError struct {
 	Receiver string
 	Cause    error
@@ -130,7 +131,7 @@
 func (e *DeliveryError) Unwrap() error     { return e.Cause }
 func (e *DeliveryError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names the keys.
+// Remedy names the keys of the receivers.
 func (e *DeliveryError) Remedy() string {
-	return "See that the file of \"calendar.events\" can be written, and that the command of \"calendar.hook\" ends with 0 in time; swifthall history has what was not told."
+	return "Check that the file in \"calendar.events\" is writable, and that the command in \"calendar.hook\" exits with 0 within \"calendar.hook_ms\"; swifthall history shows the events that were not delivered."
 }
--- a/coordinator/run.go
+++ b/coordinator/run.go
@@ -21,30 +21,30 @@
 	"github.com/swifthall/swifthall/store"
 )
 
-// Options of a coordinator's process.
+// Options configures a coordinator's process.
 type Options struct {
-	Restore     bool                                    // begin with the peers of the configuration alone
-	NoSync      bool                                    // for measurements: what is agreed may be lost with the machine
-	BeforeWrite func() error                            // called before each write
-	ClockOffset time.Duration                           // by which the wall clock is to be wrong, for rigs
-	Layer       func(raft.StreamLayer) raft.StreamLayer // put before connections; nil for none
+	Restore     bool                                    // make the peers of the configuration the only coordinators, see Restore
+	NoSync      bool                                    // don't sync writes to the disk, for measurements: a machine that crashes loses agreed commands
+	BeforeWrite func() error                            // called before each write of the store; an error fails the write. Used to inject disk faults; may be nil
+	ClockOffset time.Duration                           // added to the wall clock, to test the effects of a wrong clock
+	Layer       func(raft.StreamLayer) raft.StreamLayer // wraps the connections of raft; nil for none
 }
 
 const (
-	fileName       = "coordinator.db"
-	dirMode        = 0o700            // mode of its folder
-	maxBody        = 16 << 20         // bytes of a question
-	requestTimeout = 10 * time.Second // of a question and its answer
+	fileName       = "coordinator.db" // in the data directory
+	dirMode        = 0o700            // of the data directory
+	maxBody        = 16 << 20         // bytes of a request
+	requestTimeout = 10 * time.Second // for reading a request, for writing the response, and for idle connections
 )
 
-// tcpLayer is TCP for raft.
+// tcpLayer implements raft.StreamLayer with TCP.
 type tcpLayer struct{ net.Listener }
 
 func (tcpLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	return net.DialTimeout("tcp", string(address), timeout)
 }
 
-// Listen takes an address for raft's connections.
+// Listen listens for raft's connections on a TCP address.
 func Listen(address string) (raft.StreamLayer, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -53,25 +53,25 @@
 	return tcpLayer{ln}, nil
 }
 
-// Run starts a coordinator with its file and its listeners, and runs it until ctx ends or it can't go on.
-func Run(ctx context.Context, cfg config.Coordinator, o Options, log logrus.FieldLogger) error {
+// Run opens a coordinator's store and listeners, and runs the coordinator until ctx ends or an error terminates it.
+func Run(ctx context.Context, cfg config.Coordinator, options Options, log logrus.FieldLogger) error {
 	var c *Coordinator
-	begun := make(chan struct{})
-	broken := make(chan error, 1)
+	started := make(chan struct{})
+	serveErrors := make(chan error, 1)
 	if err := os.MkdirAll(cfg.Data, dirMode); err != nil {
 		return &store.OpenError{Path: cfg.Data, Cause: err}
 	}
-	st, err := store.Open(filepath.Join(cfg.Data, fileName), store.Options{NoSync: o.NoSync, BeforeWrite: o.BeforeWrite,
+	st, err := store.Open(filepath.Join(cfg.Data, fileName), store.Options{NoSync: options.NoSync, BeforeWrite: options.BeforeWrite,
 		OnWriteError: func(err error) {
 			select {
-			case <-begun:
+			case <-started:
 				c.Fail(err)
-			default: // at the start, whose error it is
+			default: // during the start, which returns the error itself
 			}
 		},
 		OnWrite: func(d time.Duration) {
 			select {
-			case <-begun:
+			case <-started:
 				c.RecordWrite(d)
 			default:
 			}
@@ -91,33 +91,33 @@
 	}
 	transport := NewTransport(l, cfg.Routes, log)
 	defer transport.Close()
-	if o.Restore {
+	if options.Restore {
 		if err := Restore(cfg, st, transport, log); err != nil {
 			api.Close()
 			return err
 		}
 		log.Warn("restored: the peers of the configuration are the only coordinators")
 	}
-	if c, err = Start(cfg, st, transport, o, log); err != nil {
+	if c, err = Start(cfg, st, transport, options, log); err != nil {
 		api.Close()
 		return err
 	}
-	close(begun)
+	close(started)
 	srv := &http.Server{Handler: c.Handler(), ReadTimeout: requestTimeout, WriteTimeout: requestTimeout, IdleTimeout: requestTimeout}
 	go func() {
 		if err := srv.Serve(api); !errors.Is(err, http.ErrServerClosed) {
-			broken <- &ListenError{"api", cfg.API, err}
+			serveErrors <- &ListenError{"api", cfg.API, err}
 		}
 	}()
 	log.WithFields(logrus.Fields{fields.Door: cfg.Name, fields.Listen: cfg.API}).Info("coordinating")
 	select {
 	case <-ctx.Done():
 		err = nil
-	case err = <-broken:
+	case err = <-serveErrors:
 	case err = <-c.Failure():
 	}
 	srv.Close()
-	if err != nil { // what waits in raft for a broken disk would never end
+	if err != nil { // Close would wait forever for a raft goroutine that is blocked in Fail
 		return err
 	}
 	c.Close()
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// Handler answers doors and operators.
+// Handler returns the API for doors and operators.
 func (c *Coordinator) Handler() http.Handler {
 	mux := http.NewServeMux()
 	handlePost(mux, client.CommandPath, func(cmd *permits.Command) (any, error) { return c.Command(*cmd) })
@@ -152,40 +152,42 @@
 	return mux
 }
 
-func writeJSON(w http.ResponseWriter, status int, v any) {
+// writeJSON writes a JSON response.
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v)
+	_ = json.NewEncoder(w).Encode(body)
 }
 
-// handlePost answers questions of one kind. What can't be read is refused; one that doesn't lead says who does; one that can't say
-// whether a command happened says that, and is asked again.
-func handlePost[Q any](mux *http.ServeMux, path string, answer func(*Q) (any, error)) {
+// handlePost registers a handler for JSON requests. A request that can't be decoded is answered with status 400, as is one that is
+// refused. If this coordinator doesn't lead, the status is 421 and the body names the leader. If the outcome of a command is
+// unknown, the status is 503, and the client repeats the request.
+func handlePost[Q any](mux *http.ServeMux, path string, handle func(*Q) (any, error)) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-		var q Q
+		var request Q
 		raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 		if err == nil {
-			err = json.Unmarshal(raw, &q)
+			err = json.Unmarshal(raw, &request)
 		}
 		if err != nil {
 			writeJSON(w, http.StatusBadRequest, client.Hint{Reason: err.Error()})
 			return
 		}
-		a, err := answer(&q)
-		var elsewhere *NotLeaderError
-		var members *MajorityError
-		var held *CalendarError
+		response, err := handle(&request)
+		var notLeader *NotLeaderError
+		var noMajority *MajorityError
+		var byCalendar *CalendarError
 		switch {
-		case errors.As(err, &elsewhere):
-			writeJSON(w, http.StatusMisdirectedRequest, elsewhere.Hint)
-		case errors.As(err, &members):
-			writeJSON(w, http.StatusBadRequest, client.Hint{Reason: members.Error() + ". " + members.Remedy()})
-		case errors.As(err, &held):
-			writeJSON(w, http.StatusBadRequest, client.Hint{Reason: held.Error() + ". " + held.Remedy()})
+		case errors.As(err, &notLeader):
+			writeJSON(w, http.StatusMisdirectedRequest, notLeader.Hint)
+		case errors.As(err, &noMajority):
+			writeJSON(w, http.StatusBadRequest, client.Hint{Reason: noMajority.Error() + ". " + noMajority.Remedy()})
+		case errors.As(err, &byCalendar):
+			writeJSON(w, http.StatusBadRequest, client.Hint{Reason: byCalendar.Error() + ". " + byCalendar.Remedy()})
 		case err != nil:
 			writeJSON(w, http.StatusServiceUnavailable, client.Hint{Reason: err.Error()})
 		default:
-			writeJSON(w, http.StatusOK, a)
+			writeJSON(w, http.StatusOK, response)
 		}
 	})
 }
