--- a/cmd/swifthall-coordinate/calendar.go
+++ b/cmd/swifthall-coordinate/calendar.go
@@ -19,29 +19,29 @@
 	"github.com/swifthall/swifthall/permits/planfile"
 )
 
-// The change calendar: what is to come, who has to agree, and what is in the way.
+// The commands of the change calendar, and the tables they print.
 
 const (
-	maxLineWidth      = 80                 // columns of a terminal
-	timeLayout        = "2006-01-02 15:04" // of times that are shown
-	maxFreeWindows    = 5                  // windows that are offered
+	maxLineWidth      = 80                 // characters; the width of a terminal
+	timeLayout        = "2006-01-02 15:04" // of displayed times
+	maxFreeWindows    = 5                  // offered for a change that conflicts
 	weekMs            = 7 * 24 * 3600e3    // ms
-	completionTimeout = time.Second        // that completion of a number may take
+	completionTimeout = time.Second        // limit of the query that completes a number
 )
 
-// parseNumber reads 7 or 7@3, an entry with the revision that its operator has seen.
+// parseNumber parses 7 or 7@3, the number of an entry with the revision that the operator has seen. The revision is 0 if there is none.
 func parseNumber(text string) (id, revision uint64, err error) {
-	number, seen, has := strings.Cut(text, "@")
-	if id, err = strconv.ParseUint(number, 10, 64); err == nil && has {
-		revision, err = strconv.ParseUint(seen, 10, 64)
+	number, suffix, hasRevision := strings.Cut(text, "@")
+	if id, err = strconv.ParseUint(number, 10, 64); err == nil && hasRevision {
+		revision, err = strconv.ParseUint(suffix, 10, 64)
 	}
-	if err != nil || id == 0 || has && revision == 0 {
+	if err != nil || id == 0 || hasRevision && revision == 0 {
 		return 0, 0, &NumberError{text}
 	}
 	return id, revision, nil
 }
 
-// queryCalendar queryCalendar the calendar.
+// queryCalendar sends a query and decodes the calendar in the answer.
 func (o *operator) queryCalendar(cmd *cobra.Command, q client.CalendarQuery) (*calendar.State, *client.CalendarAnswer, error) {
 	var a client.CalendarAnswer
 	if err := o.withClient(cmd, func(ctx context.Context, c *client.Client) error { return c.Ask(ctx, client.CalendarPath, q, &a) }); err != nil {
@@ -54,7 +54,7 @@
 	return s, &a, nil
 }
 
-// findEntry finds an entry, as it is now.
+// findEntry returns an entry in its present state, with the revision in text, or the entry's own if text has none.
 func (o *operator) findEntry(cmd *cobra.Command, text string) (*calendar.Entry, uint64, *calendar.State, error) {
 	id, revision, err := parseNumber(text)
 	if err != nil {
@@ -74,7 +74,8 @@
 	return e, revision, s, nil
 }
 
-// resolveRevision reads 7@3, and for a bare 7 asks how often that has been changed by now; 0 where it isn't there.
+// resolveRevision parses 7@3. If the revision is missing, it queries the calendar and returns that of now, which returns 0 for an
+// unknown number.
 func (o *operator) resolveRevision(cmd *cobra.Command, text string, now func(s *calendar.State, id uint64) uint64) (id, revision uint64, err error) {
 	if id, revision, err = parseNumber(text); err != nil || revision != 0 {
 		return id, revision, err
@@ -86,6 +87,7 @@
 	return id, now(s, id), nil
 }
 
+// freezeRevision returns the revision of a freeze; 0 if it doesn't exist.
 func freezeRevision(s *calendar.State, id uint64) uint64 {
 	if f := s.Freezes[id]; f != nil {
 		return f.Revision
@@ -93,6 +95,7 @@
 	return 0
 }
 
+// migrationRevision returns the revision of a migration; 0 if it doesn't exist.
 func migrationRevision(s *calendar.State, id uint64) uint64 {
 	if m := s.Migrations[id]; m != nil {
 		return m.Revision
@@ -100,7 +103,7 @@
 	return 0
 }
 
-// requireName is a command that needs its operator's name, and often a reason.
+// requireName returns an error unless --who is given.
 func (o *operator) requireName() error {
 	if o.who == "" {
 		return &ReasonError{}
@@ -108,12 +111,13 @@
 	return nil
 }
 
+// calendar returns the command that shows the calendar or one entry.
 func (o *operator) calendar() *cobra.Command {
-	var all, week, asJSON bool
+	var everything, week, asJSON bool
 	var subject, in string
-	cmd := &cobra.Command{Use: "calendar [ID]", Short: "Show the changes to come, under way and over, and the freezes", Args: cobra.MaximumNArgs(1),
-		Long: "Shows what begins within a day, what is under way, and the freezes of that time. With an ID, all about that entry. An entry is shown\n" +
-			"as 7@3: number 7, as it is after 3 changes; commands that take 7@3 do nothing if somebody has changed it since.",
+	cmd := &cobra.Command{Use: "calendar [ID]", Short: "Show planned, running and finished changes, and the freezes", Args: cobra.MaximumNArgs(1),
+		Long: "Shows what starts within a day, what is running, and the freezes of that time. With an ID, shows the details of that entry. An entry\n" +
+			"is shown as 7@3: number 7, revision 3. Commands that accept 7@3 do nothing if the entry has been changed since.",
 		ValidArgsFunction: o.completeEntries,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			zone, err := planfile.ZoneOf(in)
@@ -131,16 +135,16 @@
 				showEntry(cmd.OutOrStdout(), s, e, zone)
 				return nil
 			}
-			s, a, err := o.queryCalendar(cmd, client.CalendarQuery{Events: asJSON})
+			s, answer, err := o.queryCalendar(cmd, client.CalendarQuery{Events: asJSON})
 			if err != nil {
 				return err
 			}
 			if asJSON {
-				return writeIndented(cmd.OutOrStdout(), a.Calendar)
+				return writeIndented(cmd.OutOrStdout(), answer.Calendar)
 			}
 			through := s.WallMs + 24*3600e3
 			switch {
-			case all:
+			case everything:
 				through = -1
 			case week:
 				through = s.WallMs + weekMs
@@ -149,25 +153,27 @@
 			return nil
 		}}
 	f := cmd.Flags()
-	f.BoolVar(&week, "week", false, "a week in place of a day")
-	f.BoolVar(&all, "all", false, "all, what is over with it")
-	f.StringVar(&subject, "subject", "", "only what is about this: a scope, or scope/name, as backends/b-1")
-	f.StringVar(&in, "in", "", "time zone of what is shown, as Europe/Lisbon; UTC where it is left out")
-	f.BoolVar(&asJSON, "json", false, "JSON in place of tables")
+	f.BoolVar(&week, "week", false, "show a week instead of a day")
+	f.BoolVar(&everything, "all", false, "show everything, including finished changes")
+	f.StringVar(&subject, "subject", "", "show only what concerns this scope, or scope/name, such as backends/b-1")
+	f.StringVar(&in, "in", "", "time zone of displayed times, such as Europe/Lisbon; default UTC")
+	f.BoolVar(&asJSON, "json", false, "print JSON instead of tables")
 	return cmd
 }
 
+// writeIndented writes a value as indented JSON.
 func writeIndented(out io.Writer, v any) error {
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", "  ")
 	return enc.Encode(v)
 }
 
+// formatTime formats a time, ms since 1970.
 func formatTime(ms float64, in *time.Location) string {
 	return time.UnixMilli(int64(ms)).In(in).Format(timeLayout)
 }
 
-// printLine prints words that fit a terminal: what is too long is cut, with a sign of it.
+// printLine prints a line that fits a terminal. A longer one is truncated and ends with an ellipsis.
 func printLine(out io.Writer, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if utf8.RuneCountInString(text) > maxLineWidth {
@@ -176,16 +182,19 @@
 	fmt.Fprintln(out, strings.TrimRight(text, " "))
 }
 
-// matchesSubject tells whether a subject is of what somebody asks for, as scope or scope/name.
-func matchesSubject(b calendar.Subject, asked string) bool {
-	scope, name, has := strings.Cut(asked, "/")
-	return asked == "" || string(b.Scope) == scope && (!has || len(b.Names) == 0 || slices.Contains(b.Names, name)) || b.Scope == calendar.Fleet
+// matchesSubject reports whether a subject overlaps with a filter of the form scope or scope/name; an empty filter matches all.
+func matchesSubject(subject calendar.Subject, filter string) bool {
+	scope, name, hasName := strings.Cut(filter, "/")
+	return filter == "" || string(subject.Scope) == scope && (!hasName || len(subject.Names) == 0 || slices.Contains(subject.Names, name)) || subject.Scope == calendar.Fleet
 }
 
+// isOver reports whether an entry has ended.
 func isOver(e *calendar.Entry) bool {
 	return e.Stage == calendar.Done || e.Stage == calendar.Missed || e.Stage == calendar.Withdrawn
 }
 
+// showCalendar prints the entries, migrations and freezes up to a time. If throughMs is negative it prints all, with those that
+// have ended.
 func showCalendar(out io.Writer, s *calendar.State, subject string, throughMs float64, in *time.Location) {
 	if s.Doubt != "" && s.InUse() {
 		printLine(out, "TIME IS IN DOUBT, nothing begins: %s", s.Doubt)
@@ -197,12 +206,12 @@
 	})
 	row := "%-7s %-13s %-16s %-5s %s"
 	printLine(out, row, "ENTRY", "STAGE", "FROM", "MIN", "WHAT")
-	some := false
+	found := false
 	for _, e := range entries {
 		if !matchesSubject(e.Subject, subject) || throughMs >= 0 && (isOver(e) || e.Window.FromMs > throughMs) {
 			continue
 		}
-		some = true
+		found = true
 		mark := ""
 		if e.Emergency != nil {
 			mark = "EMERGENCY "
@@ -212,7 +221,7 @@
 			printLine(out, "        %s", e.Says)
 		}
 	}
-	if !some {
+	if !found {
 		printLine(out, "nothing")
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.Migrations)) {
@@ -236,7 +245,7 @@
 	}
 }
 
-// stageLabel is a stage in a column's width.
+// stageLabel returns a stage's name, shortened to the width of its column.
 func stageLabel(s calendar.Stage) string {
 	if s == calendar.Waiting {
 		return "to approve"
@@ -244,6 +253,7 @@
 	return string(s)
 }
 
+// showEntry prints the details of an entry.
 func showEntry(out io.Writer, s *calendar.State, e *calendar.Entry, in *time.Location) {
 	printLine(out, "entry     %d@%d %s", e.ID, e.Revision, e.Name)
 	printLine(out, "stage     %s", e.Stage)
@@ -270,32 +280,33 @@
 	}
 	for _, of := range [][]string{e.Preconditions, e.Postconditions} {
 		for _, name := range of {
-			word := "nobody has looked"
+			status := "nobody has looked"
 			if o, seen := e.Observations[name]; seen {
-				word = fmt.Sprintf("well: %t at %s %s", o.Well, formatTime(o.AtMs, in), o.Says)
+				status = fmt.Sprintf("well: %t at %s %s", o.Well, formatTime(o.AtMs, in), o.Says)
 			}
-			printLine(out, "seen      %s: %s", name, word)
+			printLine(out, "seen      %s: %s", name, status)
 		}
 	}
 	printLine(out, "digest    %s", e.Digest())
-	fmt.Fprintf(out, "does      %s\n", e.Do) // whole: it is what is approved
+	fmt.Fprintf(out, "does      %s\n", e.Do) // not truncated, because this is what is approved
 	if len(e.Rollback) > 0 {
 		fmt.Fprintf(out, "back      %s\n", e.Rollback)
 	}
 }
 
-// printConflicts tells what a change would meet, and when there is room for it; false where that is to keep it out.
+// printConflicts prints the conflicts of a change in its window and, if there are any, the next free windows. It reports whether
+// there are none.
 func (o *operator) printConflicts(cmd *cobra.Command, c *calendar.Change, id uint64, in *time.Location) (clear bool, err error) {
 	_, a, err := o.queryCalendar(cmd, client.CalendarQuery{ID: id, Change: c, MaxFree: maxFreeWindows, EntryOnly: true})
 	if err != nil {
 		return false, err
 	}
 	for _, m := range a.Conflicts {
-		word := m.Says
+		text := m.Says
 		if m.With != 0 {
-			word = fmt.Sprintf("%d: %s", m.With, word)
+			text = fmt.Sprintf("%d: %s", m.With, text)
 		}
-		printLine(cmd.OutOrStdout(), "in the way  %s", word)
+		printLine(cmd.OutOrStdout(), "in the way  %s", text)
 	}
 	if len(a.Conflicts) > 0 {
 		showFree(cmd.OutOrStdout(), a.Free, in)
@@ -303,6 +314,7 @@
 	return len(a.Conflicts) == 0, nil
 }
 
+// showFree prints free windows.
 func showFree(out io.Writer, free []calendar.Span, in *time.Location) {
 	for _, p := range free {
 		printLine(out, "free        %s to %s %s", formatTime(p.FromMs, in), formatTime(p.ToMs, in), in)
@@ -312,13 +324,14 @@
 	}
 }
 
+// plan returns the command that adds or replaces an entry.
 func (o *operator) plan() *cobra.Command {
 	var draft, anyway bool
 	var edit string
-	cmd := &cobra.Command{Use: "plan FILE", Short: "Enter a change into the calendar, or put it in the place of another", Args: cobra.ExactArgs(1),
-		Long: "FILE is of JSON (- for standard input), as examples/entry.json. What the change would meet in its window is told, with the next\n" +
-			"windows that are free; it is entered all the same with --anyway. It begins by itself once its window has, all approvals are\n" +
-			"given and nothing is in the way; swifthall why ID names the first thing that is.",
+	cmd := &cobra.Command{Use: "plan FILE", Short: "Add a change to the calendar, or replace one", Args: cobra.ExactArgs(1),
+		Long: "FILE is JSON (- for standard input), such as examples/entry.json. If the change conflicts with something in its window, the conflicts\n" +
+			"and the next free windows are listed, and it is added only with --anyway. It starts by itself once its window has begun, all\n" +
+			"approvals are given and nothing blocks it; swifthall why ID shows the first obstacle.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var f planfile.Entry
 			if err := planfile.Read(args[0], cmd.InOrStdin(), &f); err != nil {
@@ -331,7 +344,7 @@
 			if err := o.requireName(); err != nil {
 				return err
 			}
-			zone, _ := planfile.ZoneOf(f.In) // it was read already
+			zone, _ := planfile.ZoneOf(f.In) // Change has checked the zone
 			var id, revision uint64
 			if edit != "" {
 				e, seen, _, err := o.findEntry(cmd, edit)
@@ -357,17 +370,18 @@
 			return nil
 		}}
 	f := cmd.Flags()
-	f.BoolVar(&draft, "draft", false, "nobody is asked so far")
-	f.BoolVar(&anyway, "anyway", false, "enter it though something is in its way")
-	f.StringVar(&edit, "edit", "", "the entry, as 7@3, in whose place it is put")
+	f.BoolVar(&draft, "draft", false, "add it as a draft, for which no approvals are requested")
+	f.BoolVar(&anyway, "anyway", false, "add it in spite of conflicts")
+	f.StringVar(&edit, "edit", "", "the entry to replace, such as 7@3")
 	return cmd
 }
 
+// approve returns the command that approves an entry.
 func (o *operator) approve() *cobra.Command {
 	var role, digest string
-	cmd := &cobra.Command{Use: "approve ID", Short: "Agree to what an entry would do", Args: cobra.ExactArgs(1), ValidArgsFunction: o.completeEntries,
-		Long: "Shows what is agreed to. With --digest the approval holds only for that, as swifthall calendar ID has shown it: names and roles are as\n" +
-			"told, nobody signs in; whoever reaches the coordinators can give any. docs/calendar.md tells what that means.",
+	cmd := &cobra.Command{Use: "approve ID", Short: "Approve an entry", Args: cobra.ExactArgs(1), ValidArgsFunction: o.completeEntries,
+		Long: "Prints what is approved. With --digest, as printed by swifthall calendar ID, the approval is valid only for that content. Names and roles\n" +
+			"are not authenticated: whoever can reach the coordinators can give any; see docs/calendar.md.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			e, _, s, err := o.findEntry(cmd, args[0])
 			if err != nil {
@@ -386,12 +400,12 @@
 			}
 			return err
 		}}
-	cmd.Flags().StringVar(&role, "role", "", "in which it is given, where a rule asks for one")
-	cmd.Flags().StringVar(&digest, "digest", "", "of what is agreed to")
+	cmd.Flags().StringVar(&role, "role", "", "role of the approver, if a rule requires one")
+	cmd.Flags().StringVar(&digest, "digest", "", "digest of the content that is approved")
 	return cmd
 }
 
-// entryCommand is a command about one entry.
+// entryCommand returns a command about one entry, which commits the command that do returns and prints the entry's new stage.
 func (o *operator) entryCommand(use, short, long string, do func(cmd *cobra.Command, e *calendar.Entry, revision uint64) (any, error)) *cobra.Command {
 	return &cobra.Command{Use: use + " ID", Short: short, Long: long, Args: cobra.ExactArgs(1), ValidArgsFunction: o.completeEntries,
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -402,11 +416,11 @@
 			if err != nil {
 				return err
 			}
-			what, err := do(cmd, e, revision)
+			command, err := do(cmd, e, revision)
 			if err != nil {
 				return err
 			}
-			if _, err := o.command(cmd, what); err != nil {
+			if _, err := o.command(cmd, command); err != nil {
 				return err
 			}
 			s, _, err := o.queryCalendar(cmd, client.CalendarQuery{ID: e.ID, EntryOnly: true})
@@ -417,21 +431,21 @@
 		}}
 }
 
-// entryCommands are those about one entry.
+// entryCommands returns the commands about single entries, and the rest of the calendar's commands.
 func (o *operator) entryCommands() []*cobra.Command {
-	why := func(do func(e *calendar.Entry, revision uint64) any) func(*cobra.Command, *calendar.Entry, uint64) (any, error) {
+	withReason := func(do func(e *calendar.Entry, revision uint64) any) func(*cobra.Command, *calendar.Entry, uint64) (any, error) {
 		return func(_ *cobra.Command, e *calendar.Entry, revision uint64) (any, error) {
 			return do(e, revision), o.requireReason()
 		}
 	}
 	var second string
-	emergency := o.entryCommand("emergency", "Have an entry pass freezes, with a second name and a reason", "It stays marked, whatever becomes of it.",
-		why(func(e *calendar.Entry, _ uint64) any {
+	emergency := o.entryCommand("emergency", "Let an entry ignore freezes, with a second name and a reason", "The entry stays marked as an emergency.",
+		withReason(func(e *calendar.Entry, _ uint64) any {
 			return calendar.DeclareEmergency{ID: e.ID, Emergency: calendar.Emergency{Who: o.who, Second: second, Why: o.why}}
 		}))
-	emergency.Flags().StringVar(&second, "second", "", "who agrees that it is one")
+	emergency.Flags().StringVar(&second, "second", "", "name of a second person who agrees that it is an emergency")
 	var from, to, in string
-	move := o.entryCommand("move", "Give an entry another window", "Approvals are of the window too: they are asked for anew.",
+	move := o.entryCommand("move", "Move an entry to another window", "Approvals include the window, so they are requested again.",
 		func(cmd *cobra.Command, e *calendar.Entry, revision uint64) (any, error) {
 			zone, err := planfile.ZoneOf(in)
 			if err != nil {
@@ -441,54 +455,55 @@
 			if c.Window, err = calendar.Window(from, to, zone); err != nil {
 				return nil, err
 			}
-			if _, err := o.printConflicts(cmd, &c, e.ID, zone); err != nil { // told; the start looks again
+			if _, err := o.printConflicts(cmd, &c, e.ID, zone); err != nil { // conflicts are only reported; the start checks again
 				return nil, err
 			}
 			return calendar.Edit{ID: e.ID, Revision: revision, Change: c, Who: o.who, Draft: e.Stage == calendar.Drafted}, nil
 		})
-	move.Flags().StringVar(&from, "from", "", "local time, as 2026-12-24T22:00")
+	move.Flags().StringVar(&from, "from", "", "local time, such as 2026-12-24T22:00")
 	move.Flags().StringVar(&to, "to", "", "local time")
-	move.Flags().StringVar(&in, "in", "", "time zone by name; UTC where it is left out")
-	var not bool
+	move.Flags().StringVar(&in, "in", "", "time zone name; default UTC")
+	var failed bool
 	var what, says string
-	saw := o.entryCommand("saw", "Tell what was seen of what an entry wants seen", "What was seen before an entry counts for five minutes.",
+	saw := o.entryCommand("saw", "Report whether a condition of an entry was observed", "An observation of a precondition is valid for five minutes.",
 		func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
-			return calendar.Observe{ID: e.ID, What: what, Well: !not, Says: says, Who: o.who}, nil
+			return calendar.Observe{ID: e.ID, What: what, Well: !failed, Says: says, Who: o.who}, nil
 		})
-	saw.Flags().StringVar(&what, "what", "", "its name in the entry")
-	saw.Flags().BoolVar(&not, "not", false, "it was looked for, and isn't so")
-	saw.Flags().StringVar(&says, "says", "", "in words")
-	steer := &cobra.Command{Use: "steer", Short: "Halt an entry that is under way, have it go on or back, or say how far people are with it", Args: cobra.NoArgs,
+	saw.Flags().StringVar(&what, "what", "", "name of the condition in the entry")
+	saw.Flags().BoolVar(&failed, "not", false, "the condition was checked and does not hold")
+	saw.Flags().StringVar(&says, "says", "", "details of the observation")
+	steer := &cobra.Command{Use: "steer", Short: "Halt, resume or roll back a running entry, or report manual progress", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	steer.AddCommand(
-		o.entryCommand("halt", "Halt it where it is", "", why(func(e *calendar.Entry, _ uint64) any { return calendar.Halt{ID: e.ID, Who: o.who, Why: o.why} })),
-		o.entryCommand("resume", "Have it go on", "", func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
+		o.entryCommand("halt", "Halt the entry at the end of its present wave", "", withReason(func(e *calendar.Entry, _ uint64) any { return calendar.Halt{ID: e.ID, Who: o.who, Why: o.why} })),
+		o.entryCommand("resume", "Resume a halted entry", "", func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
 			return calendar.Resume{ID: e.ID, Who: o.who}, nil
 		}),
-		o.entryCommand("back", "Have it go back; a step takes its whole migration with it", "", why(func(e *calendar.Entry, _ uint64) any {
+		o.entryCommand("back", "Roll the entry back; if it is a step of a migration, the whole migration is rolled back", "", withReason(func(e *calendar.Entry, _ uint64) any {
 			if e.Migration != 0 {
 				return calendar.Revert{ID: e.Migration, Who: o.who, Why: o.why}
 			}
 			return calendar.RollBack{ID: e.ID, Who: o.who, Why: o.why}
 		})),
-		o.entryCommand("done", "Say that people have done its next wave", "", func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
+		o.entryCommand("done", "Report that its next wave was completed by hand", "", func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
 			return calendar.WaveDone{ID: e.ID, Wave: e.Wave + 1, Who: o.who}, nil
 		}),
-		o.entryCommand("returned", "Say that people have taken it back", "", func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
+		o.entryCommand("returned", "Report that its rollback was completed by hand", "", func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
 			return calendar.RolledBack{ID: e.ID, Who: o.who}, nil
 		}))
 	return []*cobra.Command{emergency, move, saw, steer,
-		o.entryCommand("refuse", "Send an entry back to its author, with a reason", "", why(func(e *calendar.Entry, _ uint64) any {
+		o.entryCommand("refuse", "Reject an entry and return it to its author, with a reason", "", withReason(func(e *calendar.Entry, _ uint64) any {
 			return calendar.Refuse{ID: e.ID, Digest: e.Digest(), Who: o.who, Why: o.why}
 		})),
-		o.entryCommand("withdraw", "Take an entry out that has not begun", "", why(func(e *calendar.Entry, revision uint64) any {
+		o.entryCommand("withdraw", "Withdraw an entry that has not started", "", withReason(func(e *calendar.Entry, revision uint64) any {
 			return calendar.Withdraw{ID: e.ID, Revision: revision, Who: o.who, Why: o.why}
 		})),
 		o.whyCommand(), o.next(), o.freeze(), o.thaw(), o.rules(), o.migrate(), o.history()}
 }
 
+// whyCommand returns the command that shows what keeps an entry from starting.
 func (o *operator) whyCommand() *cobra.Command {
-	return &cobra.Command{Use: "why ID", Short: "Name the first thing that keeps an entry from beginning, and who can clear it", Args: cobra.ExactArgs(1), ValidArgsFunction: o.completeEntries,
+	return &cobra.Command{Use: "why ID", Short: "Show the first obstacle that keeps an entry from starting, and who can remove it", Args: cobra.ExactArgs(1), ValidArgsFunction: o.completeEntries,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			id, _, err := parseNumber(args[0])
 			if err != nil {
@@ -505,15 +520,16 @@
 		}}
 }
 
+// next returns the command that lists free windows.
 func (o *operator) next() *cobra.Command {
 	var most int
-	cmd := &cobra.Command{Use: "next FILE", Short: "List the next windows in which there is room for a change", Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{Use: "next FILE", Short: "List the next free windows for a change", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var f planfile.Entry
 			if err := planfile.Read(args[0], cmd.InOrStdin(), &f); err != nil {
 				return err
 			}
-			if f.From == "" && f.To == "" { // its window is what is asked for
+			if f.From == "" && f.To == "" { // a placeholder, since the window is what is requested
 				f.From, f.To = "2000-01-01T00:00", "2000-01-02T00:00"
 			}
 			c, err := f.Change("")
@@ -527,15 +543,16 @@
 			}
 			return err
 		}}
-	cmd.Flags().IntVarP(&most, "most", "n", maxFreeWindows, "windows")
+	cmd.Flags().IntVarP(&most, "most", "n", maxFreeWindows, "maximum number of windows")
 	return cmd
 }
 
+// freeze returns the command that adds or replaces a freeze.
 func (o *operator) freeze() *cobra.Command {
 	var edit string
-	cmd := &cobra.Command{Use: "freeze FILE", Short: "Lay a freeze: times in which changes don't begin", Args: cobra.ExactArgs(1),
-		Long: "FILE is of JSON, as examples/freeze.json. What runs when a freeze begins finishes its wave and is halted until it is over, or goes\n" +
-			"back at once with \"sends\": \"send back\".",
+	cmd := &cobra.Command{Use: "freeze FILE", Short: "Add a freeze: times at which changes don't start", Args: cobra.ExactArgs(1),
+		Long: "FILE is JSON, such as examples/freeze.json. A change that is running when a freeze begins finishes its wave and is halted until the freeze\n" +
+			"is over; with \"sends\": \"send back\" it is rolled back at once.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var f planfile.Freeze
 			if err := planfile.Read(args[0], cmd.InOrStdin(), &f); err != nil {
@@ -548,7 +565,7 @@
 			if err != nil {
 				return err
 			}
-			s, _, err := o.queryCalendar(cmd, client.CalendarQuery{EntryOnly: true}) // for the agreed time
+			s, _, err := o.queryCalendar(cmd, client.CalendarQuery{EntryOnly: true}) // to get the agreed time
 			if err != nil {
 				return err
 			}
@@ -571,12 +588,13 @@
 			}
 			return err
 		}}
-	cmd.Flags().StringVar(&edit, "edit", "", "the freeze, as 7@3, in whose place it is put")
+	cmd.Flags().StringVar(&edit, "edit", "", "the freeze to replace, such as 7@3")
 	return cmd
 }
 
+// thaw returns the command that removes a freeze.
 func (o *operator) thaw() *cobra.Command {
-	return &cobra.Command{Use: "thaw ID", Short: "Take a freeze out", Args: cobra.ExactArgs(1),
+	return &cobra.Command{Use: "thaw ID", Short: "Remove a freeze", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := o.requireReason(); err != nil {
 				return err
@@ -590,8 +608,9 @@
 		}}
 }
 
+// rules returns the command that shows or sets the rules and budgets of the calendar.
 func (o *operator) rules() *cobra.Command {
-	return &cobra.Command{Use: "rules [FILE]", Short: "Show who must approve what and how much may be under way, or set those of a file", Args: cobra.MaximumNArgs(1),
+	return &cobra.Command{Use: "rules [FILE]", Short: "Show which approvals changes need and how many may run at once, or set these rules from a file", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
 				s, _, err := o.queryCalendar(cmd, client.CalendarQuery{})
@@ -612,9 +631,10 @@
 		}}
 }
 
+// migrate returns the command that adds a migration or replaces its remaining steps.
 func (o *operator) migrate() *cobra.Command {
 	var replace string
-	cmd := &cobra.Command{Use: "migrate FILE", Short: "Enter a migration: steps, each after the one before, each with its way back", Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{Use: "migrate FILE", Short: "Add a migration: a sequence of steps, each with its rollback", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var f planfile.Migration
 			if err := planfile.Read(args[0], cmd.InOrStdin(), &f); err != nil {
@@ -645,13 +665,14 @@
 			}
 			return err
 		}}
-	cmd.Flags().StringVar(&replace, "replace", "", "the migration, as 7@3, whose steps that have not begun are replaced")
+	cmd.Flags().StringVar(&replace, "replace", "", "the migration, such as 7@3, whose steps that have not started are replaced")
 	return cmd
 }
 
+// history returns the command that shows the calendar's events.
 func (o *operator) history() *cobra.Command {
 	var asJSON bool
-	cmd := &cobra.Command{Use: "history [ID]", Short: "Show what has happened in the calendar, to one entry or all", Args: cobra.MaximumNArgs(1), ValidArgsFunction: o.completeEntries,
+	cmd := &cobra.Command{Use: "history [ID]", Short: "Show the events of the calendar, of one entry or all", Args: cobra.MaximumNArgs(1), ValidArgsFunction: o.completeEntries,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var id uint64
 			if len(args) == 1 {
@@ -684,26 +705,26 @@
 			}
 			return nil
 		}}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "a line of JSON for each")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print a line of JSON for each event")
 	return cmd
 }
 
-// completeEntries completes the number of an entry that isn't over.
-func (o *operator) completeEntries(cmd *cobra.Command, args []string, begun string) ([]string, cobra.ShellCompDirective) {
+// completeEntries completes the number of an entry that has not ended. It gives up after completionTimeout.
+func (o *operator) completeEntries(cmd *cobra.Command, args []string, prefix string) ([]string, cobra.ShellCompDirective) {
 	if len(args) > 0 {
 		return nil, cobra.ShellCompDirectiveNoFileComp
 	}
-	quick := *o
-	quick.timeout = completionTimeout
-	s, _, err := quick.queryCalendar(cmd, client.CalendarQuery{})
+	hurried := *o
+	hurried.timeout = completionTimeout
+	s, _, err := hurried.queryCalendar(cmd, client.CalendarQuery{})
 	if err != nil {
 		return nil, cobra.ShellCompDirectiveNoFileComp
 	}
-	var all []string
+	var completions []string
 	for _, id := range slices.Sorted(maps.Keys(s.Entries)) {
-		if e := s.Entries[id]; !isOver(e) && strings.HasPrefix(fmt.Sprint(id), begun) {
-			all = append(all, fmt.Sprintf("%d\t%s, %s", id, e.Name, e.Stage))
+		if e := s.Entries[id]; !isOver(e) && strings.HasPrefix(fmt.Sprint(id), prefix) {
+			completions = append(completions, fmt.Sprintf("%d\t%s, %s", id, e.Name, e.Stage))
 		}
 	}
-	return all, cobra.ShellCompDirectiveNoFileComp
+	return completions, cobra.ShellCompDirectiveNoFileComp
 }
--- a/cmd/swifthall-coordinate/commands.go
+++ b/cmd/swifthall-coordinate/commands.go
@@ -21,31 +21,33 @@
 	"github.com/swifthall/swifthall/permits"
 )
 
+// newRoot returns the root command.
 func newRoot() *cobra.Command {
 	o := &operator{}
 	cmd := &cobra.Command{Use: "swifthall-coordinate", Short: "Drains and releases agreed across a fleet", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	f := cmd.PersistentFlags()
-	f.StringVar(&o.at, "at", "", "coordinators, as name/address,...; else "+atVariable+", else the key fleet.coordinators of what GW_CONFIG names, else "+defaultAt)
-	f.StringVar(&o.who, "who", os.Getenv("USER"), "who asks, for the audit")
-	f.StringVar(&o.why, "why", "", "why, for the audit")
-	f.DurationVar(&o.timeout, "patience", 10*time.Second, "for an answer")
+	f.StringVar(&o.at, "at", "", "coordinators, as name/address,...; default: "+atVariable+", else the key fleet.coordinators of the file in GW_CONFIG, else "+defaultAt)
+	f.StringVar(&o.who, "who", os.Getenv("USER"), "your name, for the audit log")
+	f.StringVar(&o.why, "why", "", "reason, for the audit log")
+	f.DurationVar(&o.timeout, "patience", 10*time.Second, "how long to wait for an answer")
 	cmd.AddCommand(coordinate(), o.drain(), o.undrain(), o.status(), o.halt(), o.resume(), o.budgets(), o.writeOff(), o.forget(), o.coordinators(), o.audit(), o.release(), o.calendar(), o.plan(), o.approve())
 	cmd.AddCommand(o.entryCommands()...)
 	return cmd
 }
 
 const (
-	atVariable = "SWIFTHALL_COORDINATORS"
+	atVariable = "SWIFTHALL_COORDINATORS" // environment variable in place of --at
 	defaultAt  = "coordinator/127.0.0.1:7981"
 )
 
-// operator is who asks.
+// operator holds the values of the flags that all commands share.
 type operator struct {
 	at, who, why string
 	timeout      time.Duration
 }
 
+// coordinatorAddresses returns the coordinators that the flag, the environment or the door's configuration names, or the default.
 func (o *operator) coordinatorAddresses() (all []config.NamedAddress, err error) {
 	text := o.at
 	if text == "" {
@@ -59,17 +61,17 @@
 	if text == "" {
 		text = defaultAt
 	}
-	for _, one := range strings.Split(text, ",") {
-		n, err := config.ParseNamedAddress(strings.TrimSpace(one))
+	for _, item := range strings.Split(text, ",") {
+		n, err := config.ParseNamedAddress(strings.TrimSpace(item))
 		if err != nil {
-			return nil, &AtError{one}
+			return nil, &AtError{item}
 		}
 		all = append(all, n)
 	}
 	return all, nil
 }
 
-// withClient asks within the operator's patience.
+// withClient calls do with a client and a context that ends after the operator's timeout.
 func (o *operator) withClient(cmd *cobra.Command, do func(ctx context.Context, c *client.Client) error) error {
 	all, err := o.coordinatorAddresses()
 	if err != nil {
@@ -82,7 +84,7 @@
 	return do(ctx, c)
 }
 
-// command gives one command; an answer that was lost is asked for again, with its number.
+// command commits one command. The client repeats it with the same number if the answer is lost.
 func (o *operator) command(cmd *cobra.Command, do any) (a permits.Answer, err error) {
 	err = o.withClient(cmd, func(ctx context.Context, c *client.Client) error {
 		a, err = c.Command(ctx, permits.Command{Caller: permits.CallerName("operator "+o.who, rand.Uint64()), Seq: 1, Do: do})
@@ -94,6 +96,7 @@
 	return a, err
 }
 
+// requireReason returns an error unless both --who and --why are given.
 func (o *operator) requireReason() error {
 	if o.who == "" || o.why == "" {
 		return &ReasonError{}
@@ -101,29 +104,31 @@
 	return nil
 }
 
-// changedKind reads the kind of what a change is about, and sees that the change has its reason.
-func (o *operator) changedKind(word string) (permits.Kind, error) {
-	k, err := parseKind(word)
+// changedKind parses the kind of a unit that is to be changed, and requires a reason for the change.
+func (o *operator) changedKind(text string) (permits.Kind, error) {
+	k, err := parseKind(text)
 	if err == nil {
 		err = o.requireReason()
 	}
 	return k, err
 }
 
-func parseKind(word string) (permits.Kind, error) {
-	switch k := permits.Kind(word); k {
+// parseKind parses the kind of a unit, or the kind zone.
+func parseKind(text string) (permits.Kind, error) {
+	switch k := permits.Kind(text); k {
 	case permits.Door, permits.Backend, permits.Zone:
 		return k, nil
 	}
-	return "", &KindError{word}
+	return "", &KindError{text}
 }
 
+// coordinate returns the command that runs a coordinator.
 func coordinate() *cobra.Command {
 	var file string
 	var check, restore, noSync bool
-	var l serving.LogFlags
+	var logFlags serving.LogFlags
 	cmd := &cobra.Command{Use: "coordinate", Short: "Run a coordinator", Args: cobra.NoArgs,
-		Long: "Runs the coordinator that --config describes, or GW_CONFIG where the flag isn't given; docs/coordinators.md tells the rest.",
+		Long: "Runs the coordinator configured by the file in --config, or in GW_CONFIG if the flag is not given; see docs/coordinators.md.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if file == "" {
 				file = os.Getenv("GW_CONFIG")
@@ -138,35 +143,36 @@
 			}
 			log, flush := serving.NewLog()
 			defer flush()
-			if _, err := l.Apply(log, cfg.Log); err != nil {
+			if _, err := logFlags.Apply(log, cfg.Log); err != nil {
 				return err
 			}
 			return coordinator.Run(cmd.Context(), cfg, coordinator.Options{Restore: restore, NoSync: noSync,
 				BeforeWrite: coordinator.DiskFaultHook(os.Getenv(coordinator.DiskFault)), ClockOffset: serving.WallClockOffset()}, log)
 		}}
 	f := cmd.Flags()
-	f.StringVar(&file, "config", "", "the coordinator's file")
-	f.BoolVar(&check, "check", false, "say what is wrong with the file, key by key, without starting")
-	f.BoolVar(&restore, "restore", false, "make the peers of the file the only coordinators: a majority of the earlier ones is lost for good")
-	f.BoolVar(&noSync, "no-sync", false, "don't wait for the disk; for measurements")
-	f.StringVar(&l.Level, "log-level", "", "debug, info, warn or error; wins over the key log.level")
-	f.StringVar(&l.Format, "log-format", "", "text or json; wins over the key log.format")
+	f.StringVar(&file, "config", "", "the coordinator's configuration file")
+	f.BoolVar(&check, "check", false, "report the invalid keys of the file, and exit without starting")
+	f.BoolVar(&restore, "restore", false, "make the peers in the file the only coordinators, after a majority of the earlier ones was lost permanently")
+	f.BoolVar(&noSync, "no-sync", false, "don't sync writes to the disk; for measurements")
+	f.StringVar(&logFlags.Level, "log-level", "", "debug, info, warn or error; overrides the key log.level")
+	f.StringVar(&logFlags.Format, "log-format", "", "text or json; overrides the key log.format")
 	return cmd
 }
 
+// drain returns the command that orders a drain.
 func (o *operator) drain() *cobra.Command {
 	var until string
-	var long, most time.Duration
-	var dry, wait bool
-	cmd := &cobra.Command{Use: "drain door|backend|zone NAME", Short: "Take a door, a backend or a zone out, if its budget allows", Args: cobra.ExactArgs(2),
-		Long: "Takes its place at once, or says who is in the way. A backend gets nothing new from any door; a door turns not ready and serves what\n" +
-			"still comes; a zone goes whole or not at all. It stays out until swifthall undrain, or until --until or --for.",
+	var duration, waitLimit time.Duration
+	var dryRun, wait bool
+	cmd := &cobra.Command{Use: "drain door|backend|zone NAME", Short: "Take a door, a backend or a zone out of service, if its budget allows", Args: cobra.ExactArgs(2),
+		Long: "Takes a place in the budgets at once, or reports what blocks it. A drained backend receives no new requests from any door. A drained\n" +
+			"door turns unready and serves what still arrives. A zone is drained as a whole or not at all. The drain ends with swifthall undrain,\nor at the time given by --until or --for.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			k, err := parseKind(args[0])
 			if err != nil {
 				return err
 			}
-			if dry {
+			if dryRun {
 				return o.dryRun(cmd, k, args[1])
 			}
 			if err := o.requireReason(); err != nil {
@@ -174,8 +180,8 @@
 			}
 			d := permits.Drain{Kind: k, Name: args[1], Who: o.who, Why: o.why}
 			switch {
-			case long > 0:
-				d.UntilMs = float64(time.Now().Add(long).UnixMilli())
+			case duration > 0:
+				d.UntilMs = float64(time.Now().Add(duration).UnixMilli())
 			case until != "":
 				at, err := time.Parse(time.RFC3339, until)
 				if err != nil || !at.After(time.Now()) {
@@ -189,19 +195,20 @@
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s %s goes out by permit %d\n", k, args[1], a.Number)
 			if wait {
-				return o.waitDrained(cmd, k, args[1], most)
+				return o.waitDrained(cmd, k, args[1], waitLimit)
 			}
 			return nil
 		}}
 	f := cmd.Flags()
-	f.StringVar(&until, "until", "", "time at which it comes back by itself, as 2026-12-24T18:00:00Z")
-	f.DurationVar(&long, "for", 0, "span after which it comes back by itself")
-	f.BoolVar(&dry, "dry-run", false, "say what would go, and what stands in the way, and do nothing")
-	f.BoolVar(&wait, "wait", false, "until it is drained: every door that may still send to it has confirmed")
-	f.DurationVar(&most, "wait-most", 2*time.Minute, "for --wait")
+	f.StringVar(&until, "until", "", "time at which the drain ends by itself, such as 2026-12-24T18:00:00Z")
+	f.DurationVar(&duration, "for", 0, "duration after which the drain ends by itself")
+	f.BoolVar(&dryRun, "dry-run", false, "list the units that would go out and report what blocks the drain, without draining")
+	f.BoolVar(&wait, "wait", false, "wait until it is drained: every door that may still send to it has confirmed")
+	f.DurationVar(&waitLimit, "wait-most", 2*time.Minute, "time limit of --wait")
 	return cmd
 }
 
+// dryRun prints the units that a drain would take out, and returns the error that blocks it.
 func (o *operator) dryRun(cmd *cobra.Command, k permits.Kind, name string) error {
 	var t client.DryRunResult
 	if err := o.withClient(cmd, func(ctx context.Context, c *client.Client) error {
@@ -219,53 +226,55 @@
 	return nil
 }
 
-const pollInterval = 200 * time.Millisecond // between looks at a drain that is waited for
+const pollInterval = 200 * time.Millisecond // between queries of the status while waiting for a drain or a release
 
-// waitDrained waits until all that a drain takes out is drained, and names those that it waits for in vain.
-func (o *operator) waitDrained(cmd *cobra.Command, k permits.Kind, name string, most time.Duration) error {
-	for end := time.Now().Add(most); ; {
+// waitDrained waits until all units that a drain takes out are drained. When the time limit is over it returns the units and doors
+// that it still waits for.
+func (o *operator) waitDrained(cmd *cobra.Command, k permits.Kind, name string, limit time.Duration) error {
+	for end := time.Now().Add(limit); ; {
 		st, err := o.fetchStatus(cmd)
 		if err != nil {
 			return err
 		}
-		left := &DrainTimeoutError{UnitKind: k, Name: name}
+		pending := &DrainTimeoutError{UnitKind: k, Name: name}
 		found := false
 		for _, p := range st.Permits {
 			if k == permits.Zone && p.Of == name || p.Unit.Kind == k && p.Unit.Name == name {
 				found = true
 				if !p.Drained {
-					left.Pending = append(left.Pending, fmt.Sprintf("%s %s", p.Unit.Kind, p.Unit.Name))
-					left.Doors = append(left.Doors, p.Waiting...)
+					pending.Pending = append(pending.Pending, fmt.Sprintf("%s %s", p.Unit.Kind, p.Unit.Name))
+					pending.Doors = append(pending.Doors, p.Waiting...)
 				}
 			}
 		}
-		if found && len(left.Pending) == 0 {
+		if found && len(pending.Pending) == 0 {
 			fmt.Fprintln(cmd.OutOrStdout(), "drained")
 			return nil
 		}
 		if time.Now().After(end) {
-			return left
+			return pending
 		}
 		select {
 		case <-cmd.Context().Done():
-			return left
+			return pending
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
+// undrain returns the command that ends a drain.
 func (o *operator) undrain() *cobra.Command {
 	var here string
-	cmd := &cobra.Command{Use: "undrain door|backend|zone NAME", Short: "Bring back what was drained", Args: cobra.MaximumNArgs(2),
-		Long: "Ends a drain. Its place is free once the unit is seen back, ready and warm. With --here ADDRESS, the status address of a door, that door\n" +
-			"comes back, and sends to backends that are withheld, whoever can't be reached.",
+	cmd := &cobra.Command{Use: "undrain door|backend|zone NAME", Short: "Return a drained door, backend or zone to service", Args: cobra.MaximumNArgs(2),
+		Long: "Ends a drain. Its place in the budgets becomes free once the unit is seen back, ready and warm. With --here ADDRESS, the status address\n" +
+			"of a door, that door returns to service and sends to withheld backends again, even if no coordinator can be reached.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if here != "" {
-				p, err := admin.Back(cmd.Context(), here)
+				plan, err := admin.Back(cmd.Context(), here)
 				if err != nil {
 					return err
 				}
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(p)
+				return json.NewEncoder(cmd.OutOrStdout()).Encode(plan)
 			}
 			if len(args) != 2 {
 				return &KindError{strings.Join(args, " ")}
@@ -280,14 +289,15 @@
 			fmt.Fprintf(cmd.OutOrStdout(), "%s %s comes back\n", k, args[1])
 			return nil
 		}}
-	cmd.Flags().StringVar(&here, "here", "", "status address of a door that is to come back by itself")
+	cmd.Flags().StringVar(&here, "here", "", "status address of a door that is to return to service without the coordinators")
 	return cmd
 }
 
+// status returns the command that shows the agreed state.
 func (o *operator) status() *cobra.Command {
 	var watch, asJSON, each bool
-	cmd := &cobra.Command{Use: "status", Short: "Show what is out, what is waited for, and who decides", Args: cobra.NoArgs,
-		Long: "Asks whichever coordinator leads, which a majority confirms. With --each every coordinator says what it last heard, which may be old.",
+	cmd := &cobra.Command{Use: "status", Short: "Show what is out of service, what drains wait for, and which coordinator leads", Args: cobra.NoArgs,
+		Long: "Queries the leader, which a majority confirms. With --each, queries every coordinator for what it last received, which may be outdated.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for {
 				if err := o.showStatus(cmd, asJSON, each); err != nil {
@@ -305,12 +315,13 @@
 			}
 		}}
 	f := cmd.Flags()
-	f.BoolVar(&watch, "watch", false, "again and again, until interrupted")
-	f.BoolVar(&asJSON, "json", false, "JSON in place of tables")
-	f.BoolVar(&each, "each", false, "each coordinator by itself")
+	f.BoolVar(&watch, "watch", false, "repeat every second until interrupted")
+	f.BoolVar(&asJSON, "json", false, "print JSON instead of tables")
+	f.BoolVar(&each, "each", false, "query each coordinator separately")
 	return cmd
 }
 
+// showStatus queries the leader, or each coordinator, and prints the status.
 func (o *operator) showStatus(cmd *cobra.Command, asJSON, each bool) error {
 	show := func(st client.Status) error {
 		if asJSON {
@@ -345,28 +356,30 @@
 	})
 }
 
+// standingNames are the names of standings in the table.
 var standingNames = [...]string{permits.Unseen: "unseen", permits.Failed: "failed", permits.Starting: "not ready", permits.Ready: "ready", permits.Ended: "ended"}
 
+// printStatus prints the status as tables.
 func printStatus(out io.Writer, st client.Status) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer t.Flush()
-	how := "as a majority has it"
+	source := "as a majority has it"
 	if !st.Current {
-		how = "as it last heard; " + strings.TrimSuffix("leader "+st.Leader, "leader ")
+		source = "as it last heard; " + strings.TrimSuffix("leader "+st.Leader, "leader ")
 		if st.Leader == "" {
-			how = fmt.Sprintf("as it last heard: no leader for %.0f s; docs/coordinators.md tells what to do", st.Hint.LeaderSilentMs/1e3)
+			source = fmt.Sprintf("as it last heard: no leader for %.0f s; docs/coordinators.md tells what to do", st.Hint.LeaderSilentMs/1e3)
 		}
 	}
-	fmt.Fprintf(t, "fleet %s, told by %s, %s\n", st.Fleet, st.Self, how)
+	fmt.Fprintf(t, "fleet %s, told by %s, %s\n", st.Fleet, st.Self, source)
 	for _, m := range st.Members {
-		says := "answers"
+		state := "answers"
 		if m.SilentMs > 0 {
-			says = fmt.Sprintf("silent for %.0f s", m.SilentMs/1e3)
+			state = fmt.Sprintf("silent for %.0f s", m.SilentMs/1e3)
 		}
 		if m.Name == st.Leader {
-			says = "leads"
+			state = "leads"
 		}
-		fmt.Fprintf(t, "coordinator %s\t%s\t%s\n", m.Name, m.Address, says)
+		fmt.Fprintf(t, "coordinator %s\t%s\t%s\n", m.Name, m.Address, state)
 	}
 	for _, h := range st.Halts {
 		fmt.Fprintf(t, "HALT of %s%s by %s: %s\n", orDefault(string(h.Kind), "all"), orDefault(" in "+h.Zone, ""), h.Who, h.Why)
@@ -404,6 +417,7 @@
 	}
 }
 
+// orDefault returns text, or other if text is empty or the empty zone of a halt.
 func orDefault(text, other string) string {
 	if text == "" || text == " in " {
 		return other
@@ -411,9 +425,10 @@
 	return text
 }
 
+// halt returns the command that denies further permits.
 func (o *operator) halt() *cobra.Command {
 	var k, zone string
-	cmd := &cobra.Command{Use: "halt", Short: "Let nothing more go out", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "halt", Short: "Deny all further permits to go out of service", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := o.requireReason(); err != nil {
 				return err
@@ -428,11 +443,13 @@
 	return cmd
 }
 
+// scopeFlags adds the flags for the kind and the zone of a halt.
 func scopeFlags(cmd *cobra.Command, k, zone *string) {
-	cmd.Flags().StringVar(k, "kind", "", "door or backend; both where empty")
-	cmd.Flags().StringVar(zone, "zone", "", "of one zone; all where empty")
+	cmd.Flags().StringVar(k, "kind", "", "door or backend; empty for both")
+	cmd.Flags().StringVar(zone, "zone", "", "one zone; empty for all")
 }
 
+// resume returns the command that ends a halt.
 func (o *operator) resume() *cobra.Command {
 	var k, zone string
 	cmd := &cobra.Command{Use: "resume", Short: "End a halt of the same kind and zone", Args: cobra.NoArgs,
@@ -444,8 +461,9 @@
 	return cmd
 }
 
+// budgets returns the command that shows or sets the budgets.
 func (o *operator) budgets() *cobra.Command {
-	return &cobra.Command{Use: "budgets [FILE]", Short: "Show the budgets, or set those of a file of JSON (- for standard input)", Args: cobra.MaximumNArgs(1),
+	return &cobra.Command{Use: "budgets [FILE]", Short: "Show the budgets, or set them from a JSON file (- for standard input)", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
 				st, err := o.fetchStatus(cmd)
@@ -477,8 +495,9 @@
 		}}
 }
 
+// writeOff returns the command that frees the place of a unit that won't come back.
 func (o *operator) writeOff() *cobra.Command {
-	return &cobra.Command{Use: "write-off door|backend NAME", Short: "Free the place of one that went by plan and won't come back", Args: cobra.ExactArgs(2),
+	return &cobra.Command{Use: "write-off door|backend NAME", Short: "Free the place of a unit that went out by plan and won't come back", Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			k, err := o.changedKind(args[0])
 			if err != nil {
@@ -498,8 +517,9 @@
 		}}
 }
 
+// forget returns the command that removes a unit from the state.
 func (o *operator) forget() *cobra.Command {
-	return &cobra.Command{Use: "forget door|backend NAME", Short: "Count a unit no more: it is gone for good, and so is its permit", Args: cobra.ExactArgs(2),
+	return &cobra.Command{Use: "forget door|backend NAME", Short: "Remove a unit that is gone permanently, and its permit", Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			k, err := o.changedKind(args[0])
 			if err != nil {
@@ -510,6 +530,7 @@
 		}}
 }
 
+// coordinators returns the commands that add and remove coordinators.
 func (o *operator) coordinators() *cobra.Command {
 	change := func(add bool) func(cmd *cobra.Command, args []string) error {
 		return func(cmd *cobra.Command, args []string) error {
@@ -527,11 +548,12 @@
 	}
 	cmd := &cobra.Command{Use: "coordinators", Short: "Add or remove coordinators at run time", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	cmd.AddCommand(
-		&cobra.Command{Use: "add NAME ADDRESS", Short: "Add one that was started with the key join, at its key listen", Args: cobra.ExactArgs(2), RunE: change(true)},
-		&cobra.Command{Use: "remove NAME", Short: "Remove one, if those that are left have a majority that answers", Args: cobra.ExactArgs(1), RunE: change(false)})
+		&cobra.Command{Use: "add NAME ADDRESS", Short: "Add a coordinator that was started with the key join; ADDRESS is its key listen", Args: cobra.ExactArgs(2), RunE: change(true)},
+		&cobra.Command{Use: "remove NAME", Short: "Remove a coordinator, if a majority of the remaining ones answers", Args: cobra.ExactArgs(1), RunE: change(false)})
 	return cmd
 }
 
+// audit returns the command that shows the audit log of the first coordinator that answers.
 func (o *operator) audit() *cobra.Command {
 	return &cobra.Command{Use: "audit", Short: "Show who did what, and when", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/cmd/swifthall-coordinate/main.go
+++ b/cmd/swifthall-coordinate/main.go
@@ -1,5 +1,5 @@
-// Command swifthall-coordinate is a coordinator of drains and releases, and what operators ask coordinators; swifthall goes
-// over into it. It is a program of its own so that a door does not carry its libraries.
+// Command swifthall-coordinate runs a coordinator of drains and releases, and contains the operators' commands for coordinators.
+// swifthall executes it for these commands. It is a separate program so that a door doesn't include its libraries.
 package main
 
 import (
--- a/cmd/swifthall-coordinate/release.go
+++ b/cmd/swifthall-coordinate/release.go
@@ -18,6 +18,7 @@
 	"github.com/swifthall/swifthall/release"
 )
 
+// readPlan reads and checks the file of a release.
 func readPlan(path string) (release.Plan, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -27,11 +28,12 @@
 	return release.Read(f)
 }
 
+// release returns the commands for releases.
 func (o *operator) release() *cobra.Command {
-	cmd := &cobra.Command{Use: "release", Short: "Give doors a new configuration or program, in waves that are watched", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "release", Short: "Roll out a new configuration or program to doors, in monitored waves", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	var wait bool
-	start := &cobra.Command{Use: "start FILE", Short: "Begin a release, or have it wait for another that has some of its doors", Args: cobra.ExactArgs(1),
+	start := &cobra.Command{Use: "start FILE", Short: "Start a release; it waits while another one is changing some of its doors", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p, err := readPlan(args[0])
 			if err != nil {
@@ -50,9 +52,9 @@
 			}
 			return nil
 		}}
-	start.Flags().BoolVar(&wait, "wait", false, "until it is done, halted or back")
+	start.Flags().BoolVar(&wait, "wait", false, "wait until it is done, halted or rolled back")
 	cmd.AddCommand(start,
-		&cobra.Command{Use: "check FILE", Short: "Say what is wrong with a release's file", Args: cobra.ExactArgs(1),
+		&cobra.Command{Use: "check FILE", Short: "Check the file of a release", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
 				if _, err := readPlan(args[0]); err != nil {
 					return err
@@ -60,7 +62,7 @@
 				fmt.Fprintln(cmd.OutOrStdout(), "ok")
 				return nil
 			}},
-		&cobra.Command{Use: "digest FILE", Short: "Print the digest of what is to be released: the name under which doors have it in their folder", Args: cobra.ExactArgs(1),
+		&cobra.Command{Use: "digest FILE", Short: "Print the digest of a file to release: doors keep the file under that name in their directory", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
 				f, err := os.Open(args[0])
 				if err != nil {
@@ -75,7 +77,7 @@
 				return nil
 			}},
 		o.releases())
-	for to, short := range map[string]string{release.ToHalt: "Let no further door change", release.ToResume: "Let a halted release go on", release.ToBack: "Bring all doors back to what they ran, in the reverse order"} {
+	for to, short := range map[string]string{release.ToHalt: "Stop a release from changing further doors", release.ToResume: "Continue a halted release", release.ToBack: "Roll all doors back to what they ran before, in reverse order"} {
 		cmd.AddCommand(&cobra.Command{Use: to + " NAME", Short: short, Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
 				if err := o.requireReason(); err != nil {
@@ -88,6 +90,7 @@
 	return cmd
 }
 
+// fetchStatus queries the leader for the status.
 func (o *operator) fetchStatus(cmd *cobra.Command) (st client.Status, err error) {
 	err = o.withClient(cmd, func(ctx context.Context, c *client.Client) error {
 		return c.Ask(ctx, client.StatusPath, struct{}{}, &st)
@@ -95,6 +98,7 @@
 	return st, err
 }
 
+// releases returns the command that shows the releases.
 func (o *operator) releases() *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{Use: "status", Short: "Show releases, their waves, and what doors run", Args: cobra.NoArgs,
@@ -109,10 +113,11 @@
 			printReleases(cmd.OutOrStdout(), st)
 			return nil
 		}}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "JSON in place of tables")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON instead of tables")
 	return cmd
 }
 
+// printReleases prints the releases as a table, and the doors that failed to install a version.
 func printReleases(out io.Writer, st client.Status) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer t.Flush()
@@ -136,7 +141,7 @@
 	}
 }
 
-// waitRelease waits until a release has come to an end, or is halted.
+// waitRelease waits until a release is done, and returns an error if it is halted, rolled back or replaced.
 func (o *operator) waitRelease(cmd *cobra.Command, name string) error {
 	for {
 		st, err := o.fetchStatus(cmd)
--- a/cmd/swifthall-fleet/commands.go
+++ b/cmd/swifthall-fleet/commands.go
@@ -15,26 +15,28 @@
 	"github.com/swifthall/swifthall/internal/serving"
 )
 
+// newRoot returns the root command.
 func newRoot() *cobra.Command {
 	var l serving.LogFlags
 	cmd := &cobra.Command{Use: "swifthall-fleet", Short: "A front door that is a member of a fleet", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
-	serve := &cobra.Command{Use: "serve", Short: "Serve as one front door of a fleet", Args: cobra.NoArgs,
+	serve := &cobra.Command{Use: "serve", Short: "Run one front door of a fleet", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return serve(cmd, l) }}
-	serve.Flags().StringVar(&l.Level, "log-level", "", "debug, info, warn or error; wins over the key log.level")
-	serve.Flags().StringVar(&l.Format, "log-format", "", "text or json; wins over the key log.format")
+	serve.Flags().StringVar(&l.Level, "log-level", "", "debug, info, warn or error; overrides the key log.level")
+	serve.Flags().StringVar(&l.Format, "log-format", "", "text or json; overrides the key log.format")
 	cmd.AddCommand(serve, members())
 	return cmd
 }
 
-// serve is one door. With the key fleet.releases it is a process that holds the door's listener, and has the door run as another.
+// serve runs one door. If the configuration has the key fleet.releases, this process holds the door's listener and supervises the
+// door, which runs as another process.
 func serve(cmd *cobra.Command, l serving.LogFlags) error {
 	if os.Getenv(serving.ListenerVariable) != "" {
 		return serving.Door(l, nil, doorfleet.Run)
 	}
 	cfg, err := serving.Load(cmd.Context())
 	if err != nil || cfg.Fleet == nil || cfg.Fleet.Releases == "" {
-		return serving.Door(l, nil, doorfleet.Run) // what is wrong with the file it says itself
+		return serving.Door(l, nil, doorfleet.Run) // it reports the errors of the file itself
 	}
 	log, flush := serving.NewLog()
 	defer flush()
@@ -44,6 +46,7 @@
 	return holding.Run(cmd.Context(), cfg, os.Getenv("GW_CONFIG"), log)
 }
 
+// defaultStatusAddress is where operators expect a door's status if nothing is configured.
 const defaultStatusAddress = "127.0.0.1:7980"
 
 // statusAddress is where the door that GW_CONFIG configures tells its statusAddress.
@@ -56,13 +59,14 @@
 	return defaultStatusAddress
 }
 
+// members returns the command that shows a door's view of its fleet.
 func members() *cobra.Command {
 	var at string
 	var watch, asJSON bool
 	var every time.Duration
-	cmd := &cobra.Command{Use: "members", Short: "Show which doors a door holds to be here", Args: cobra.NoArgs,
-		Long: "Asks the door whose status is told at --at, the key fleet.status of what GW_CONFIG names, or " + defaultStatusAddress + ".\n" +
-			"A door that is seen by fewer than all its observers is doubted by the rest; docs/members.md tells what that means.",
+	cmd := &cobra.Command{Use: "members", Short: "Show the members of a fleet as one of its doors sees them", Args: cobra.NoArgs,
+		Long: "Queries the door that serves its status at --at, at the key fleet.status of the file in GW_CONFIG, or at " + defaultStatusAddress + ".\n" +
+			"A door that is seen by only some of its observers is suspected by the others; see docs/members.md.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if at == "" {
 				at = statusAddress()
@@ -93,9 +97,9 @@
 			}
 		}}
 	f := cmd.Flags()
-	f.StringVar(&at, "at", "", "address where the door tells its status")
-	f.BoolVar(&watch, "watch", false, "again and again, until interrupted")
-	f.DurationVar(&every, "every", time.Second, "between two tables of --watch")
-	f.BoolVar(&asJSON, "json", false, "one line of JSON in place of a table")
+	f.StringVar(&at, "at", "", "address at which the door serves its status")
+	f.BoolVar(&watch, "watch", false, "repeat until interrupted")
+	f.DurationVar(&every, "every", time.Second, "interval of --watch")
+	f.BoolVar(&asJSON, "json", false, "print one line of JSON instead of a table")
 	return cmd
 }
--- a/cmd/swifthall-fleet/main.go
+++ b/cmd/swifthall-fleet/main.go
@@ -1,5 +1,5 @@
-// Command swifthall-fleet is a front door that is a member of a fleet; swifthall goes over into it where the configuration
-// has the key fleet. It is a program of its own so that a plain door does not carry its libraries.
+// Command swifthall-fleet runs a front door that is a member of a fleet. swifthall executes it if the configuration has the key
+// fleet. It is a separate program so that a door without a fleet doesn't include its libraries.
 package main
 
 import (
--- a/cmd/swifthall-lab/main.go
+++ b/cmd/swifthall-lab/main.go
@@ -1,5 +1,5 @@
-// Command swifthall-lab is the laboratory; swifthall lab starts it. It is a program of its own so that a door does not
-// carry its libraries.
+// Command swifthall-lab is the laboratory; swifthall lab starts it. It is a separate program so that a door doesn't include its
+// libraries.
 package main
 
 import (
--- a/cmd/swifthall/errors.go
+++ b/cmd/swifthall/errors.go
@@ -6,7 +6,7 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// CheckError is a configuration that a door would not start with; what is wrong with it has been printed.
+// CheckError is a configuration with which a door would not start; its errors have already been printed.
 type CheckError struct {
 	Errors int
 	File   string
@@ -17,18 +17,18 @@
 
 // Remedy names the file.
 func (e *CheckError) Remedy() string {
-	return fmt.Sprintf("Set each of the keys named above in %s, and check again: %d to go.", e.File, e.Errors)
+	return fmt.Sprintf("Correct each of the keys named above in %s, and check again: %d to go.", e.File, e.Errors)
 }
 
-// ProgramError is a program beside this one that can't be started.
+// ProgramError is another of the project's programs that can't be found or started.
 type ProgramError struct {
-	Name, Path string // Path is empty where the program wasn't found
+	Name, Path string // Path is empty if the program was not found
 	Cause      error
 }
 
 func (e *ProgramError) Error() string {
 	if e.Path == "" {
-		return remedy.WithCause(e.Name+" is neither beside this program nor on the path", e.Cause)
+		return remedy.WithCause(e.Name+" is neither in the directory of this program nor in PATH", e.Cause)
 	}
 	return remedy.WithCause("starting "+e.Path, e.Cause)
 }
@@ -37,5 +37,5 @@
 
 // Remedy names the command that builds the program.
 func (e *ProgramError) Remedy() string {
-	return fmt.Sprintf("Build it with go build -o bin/ ./cmd/... and keep %s beside swifthall.", e.Name)
+	return fmt.Sprintf("Build it with go build -o bin/ ./cmd/... and keep %s in the directory of swifthall.", e.Name)
 }
--- a/cmd/swifthall/main.go
+++ b/cmd/swifthall/main.go
@@ -1,5 +1,5 @@
-// Command swifthall is one front door, and the way to what else the project has: swifthall alone, or swifthall serve,
-// reads its configuration and serves until told to stop.
+// Command swifthall runs one front door and gives access to the project's other programs. swifthall alone, or swifthall serve,
+// reads the configuration and serves until it is signalled to stop.
 package main
 
 import (
--- a/cmd/swifthall/programs.go
+++ b/cmd/swifthall/programs.go
@@ -10,7 +10,7 @@
 	"github.com/swifthall/swifthall/internal/serving"
 )
 
-// Programs of their own beside this one, so that a plain door does not carry their libraries.
+// Names of the other programs. They are separate so that a door without a fleet doesn't include their libraries.
 const (
 	labProgram   = "swifthall-lab"
 	fleetProgram = "swifthall-fleet"
@@ -18,7 +18,8 @@
 	coordinateProgram = "swifthall-coordinate"
 )
 
-// execProgram goes over into a program that lies beside this one or on the path.
+// execProgram replaces this process by another program, which it looks for in this program's directory and then in PATH. It returns
+// only on errors.
 func execProgram(program string, args ...string) error {
 	path := ""
 	if self, err := os.Executable(); err == nil {
@@ -35,9 +36,9 @@
 	return nil
 }
 
-// serve is one front door. With the key fleet it goes over into the program that carries membership.
-func serve(l serving.LogFlags) error {
-	return serving.Door(l, func(cfg config.Door) error {
+// serve runs one front door. If the configuration has the key fleet, it executes swifthall-fleet, which includes membership.
+func serve(logFlags serving.LogFlags) error {
+	return serving.Door(logFlags, func(cfg config.Door) error {
 		if cfg.Fleet == nil {
 			return nil
 		}
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,4 @@
-// Command wirehost serves the decision module on the simulator's wire: standard input to standard output.
+// Command wirehost serves the decision module to the simulator by the protocol of package wire, on standard input and output.
 package main
 
 import (
--- a/coordinator/client/client.go
+++ b/coordinator/client/client.go
@@ -1,5 +1,5 @@
-// Package client asks coordinators, for doors and operators: whichever leads, found by the hints of the others. A command is
-// asked again with its number wherever an answer was lost, and happens once.
+// Package client is the client of the coordinators' API, for doors and operators. It finds the leader by the hints of the other
+// coordinators. A command whose answer was lost is sent again with the same number, and is applied only once.
 package client
 
 import (
@@ -31,35 +31,36 @@
 	CalendarPath = "/calendar"
 )
 
-// Hint is what one that doesn't lead answers: who does, as far as it knows.
+// Hint is the answer of a coordinator that doesn't lead: the leader, as far as it knows. As the answer to a refused request it has
+// only a Reason.
 type Hint struct {
-	Leader         string  `json:"leader"` // name; empty where none is known
+	Leader         string  `json:"leader"` // name; empty if unknown
 	API            string  `json:"api"`
 	Reason         string  `json:"says"`
-	LeaderSilentMs float64 `json:"for_ms"` // since it heard a leader
+	LeaderSilentMs float64 `json:"for_ms"` // since the last contact with a leader
 }
 
-// DryRun is a drain that is only tried.
+// DryRun is a request to check what a drain would do, without doing it.
 type DryRun struct {
 	Kind permits.Kind `json:"kind"`
 	Name string       `json:"name"`
 }
 
-// DryRunResult is what it would come to.
+// DryRunResult is the answer to a DryRun: the units that the drain would take out, and the error it would meet.
 type DryRunResult struct {
 	Units  []string       `json:"would"`
 	Answer permits.Answer `json:"answer"`
 }
 
-// Member is a coordinator, as the one that leads sees it.
+// Member is a coordinator, as another one sees it.
 type Member struct {
 	Name     string  `json:"name"`
 	Address  string  `json:"address"`
 	Voter    bool    `json:"voter"`
-	SilentMs float64 `json:"silent_ms"` // since it answered; 0 while it does
+	SilentMs float64 `json:"silent_ms"` // since it last answered the leader; 0 while it answers
 }
 
-// MembershipChange of the coordinators.
+// MembershipChange adds or removes a coordinator.
 type MembershipChange struct {
 	Add      bool   `json:"add"`
 	Name     string `json:"name"`
@@ -67,26 +68,26 @@
 	Who, Why string
 }
 
-// Unit is a door or backend as coordinators know it.
+// Unit is a door or backend in the agreed state.
 type Unit struct {
 	permits.UnitState
-	Out   bool    `json:"out"` // counts as out
+	Out   bool    `json:"out"` // counts as out in the budgets
 	AgeMs float64 `json:"age_ms"`
 }
 
-// Permit is a permit, with those that a drain still waits for.
+// Permit is a permit in the agreed state.
 type Permit struct {
 	permits.Permit
-	Drained bool     `json:"drained"`
-	Waiting []string `json:"waiting,omitempty"`
+	Drained bool     `json:"drained"`           // the drain is complete, see permits.State.Drained
+	Waiting []string `json:"waiting,omitempty"` // doors that have not confirmed the drain of a backend
 }
 
-// Status is what coordinators have agreed on.
+// Status is the agreed state, with its source.
 type Status struct {
-	Self    string           `json:"self"`
+	Self    string           `json:"self"` // coordinator that sent it
 	Fleet   string           `json:"fleet"`
 	Leader  string           `json:"leader"`
-	Current bool             `json:"current"` // told by the one that leads, which a majority has confirmed
+	Current bool             `json:"current"` // from the leader, confirmed by a majority; otherwise the state may be outdated
 	Hint    Hint             `json:"hint"`
 	Members []Member         `json:"members"`
 	Change  uint64           `json:"change"`
@@ -96,20 +97,20 @@
 	Halts   []permits.Halt   `json:"halts"`
 
 	Releases []*release.Release          `json:"releases"`
-	Runs     map[string]release.Versions `json:"runs"` // by door
-	Seen     map[string]string           `json:"seen"` // process of each backend
+	Runs     map[string]release.Versions `json:"runs"` // installed versions by door
+	Seen     map[string]string           `json:"seen"` // last seen process of each backend
 }
 
-// CalendarQuery asks for the calendar, and about an entry or a change.
+// CalendarQuery requests the calendar, and optionally information about an entry or a change.
 type CalendarQuery struct {
-	ID        uint64           `json:"id,omitempty"`     // what is in the way of this entry; or the change's own
-	Change    *calendar.Change `json:"change,omitempty"` // what it would meet, and when there is room for it
-	MaxFree   int              `json:"most,omitempty"`   // free windows
-	EntryOnly bool             `json:"bare,omitempty"`   // of the calendar, only the entry and those that it waits for: there may be thousands
-	Events    bool             `json:"events,omitempty"` // its history too
+	ID        uint64           `json:"id,omitempty"`     // entry whose obstacle is requested; with Change the entry that it would replace
+	Change    *calendar.Change `json:"change,omitempty"` // change whose conflicts and free windows are requested
+	MaxFree   int              `json:"most,omitempty"`   // maximum number of free windows
+	EntryOnly bool             `json:"bare,omitempty"`   // of the calendar's thousands of entries send only this one and those it waits for
+	Events    bool             `json:"events,omitempty"` // include the calendar's events
 }
 
-// CalendarAnswer answers it.
+// CalendarAnswer is the answer to a CalendarQuery.
 type CalendarAnswer struct {
 	Calendar  json.RawMessage     `json:"calendar"` // a calendar.State
 	Obstacle  permits.Answer      `json:"in_the_way"`
@@ -118,29 +119,29 @@
 }
 
 const (
-	attemptTimeout = 900 * time.Millisecond // of one question to one coordinator; a leader that is well answers in some ms
-	roundInterval  = 100 * time.Millisecond // between rounds over all of them
-	maxBody        = 16 << 20               // bytes of an answer; some tens of thousands of units
+	attemptTimeout = 900 * time.Millisecond // of one request to one coordinator; a healthy leader answers within a few ms
+	roundInterval  = 100 * time.Millisecond // between rounds over all coordinators
+	maxBody        = 16 << 20               // bytes of a response; enough for some tens of thousands of units
 )
 
-// Client asks a few coordinators, named with their addresses.
+// Client sends requests to the coordinators of a fleet. Its methods may be called concurrently.
 type Client struct {
 	coordinators []config.NamedAddress
 	http         *http.Client
 
 	mu     sync.Mutex
-	leader config.NamedAddress // that answered last, or was hinted at
+	leader config.NamedAddress // the coordinator that answered last; zero if unknown
 }
 
-// New returns a client.
-func New(all []config.NamedAddress) *Client {
-	return &Client{coordinators: all, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second}}}
+// New returns a client of the given coordinators.
+func New(coordinators []config.NamedAddress) *Client {
+	return &Client{coordinators: coordinators, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second}}}
 }
 
-// Close ends what is idle.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// candidates lists whom to ask, the likeliest first.
+// candidates returns the coordinators in the order in which they are asked: the last known leader first.
 func (c *Client) candidates() (all []config.NamedAddress) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,7 +156,7 @@
 	return all
 }
 
-// resolve finds where a hinted leader is: as this client knows it, else as the hint says.
+// resolve returns the address of a hinted leader: the client's own address for that name if it has one, else that of the hint.
 func (c *Client) resolve(h Hint) config.NamedAddress {
 	for _, a := range c.coordinators {
 		if a.Name == h.Leader {
@@ -165,64 +166,67 @@
 	return config.NamedAddress{Name: h.Leader, Address: h.API}
 }
 
+// setLeader records the coordinator that is asked first.
 func (c *Client) setLeader(a config.NamedAddress) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leader = a
 }
 
-// Ask asks the one that leads, until it answers or ctx ends.
+// Ask sends a request to the leader and decodes the answer into out. It retries until the leader answers, a coordinator refuses the
+// request, or ctx ends.
 func (c *Client) Ask(ctx context.Context, path string, in, out any) error {
-	raw, err := json.Marshal(in)
+	body, err := json.Marshal(in)
 	if err != nil {
 		return err
 	}
-	last := &NoLeaderError{Asked: c.coordinators}
+	failure := &NoLeaderError{Asked: c.coordinators}
 	for {
 		hinted := map[string]bool{}
-		for todo := c.candidates(); len(todo) > 0; todo = todo[1:] {
-			a := todo[0]
-			h, err := c.send(ctx, a, path, raw, out)
+		for remaining := c.candidates(); len(remaining) > 0; remaining = remaining[1:] {
+			a := remaining[0]
+			h, err := c.send(ctx, a, path, body, out)
 			switch {
 			case err == nil:
 				c.setLeader(a)
 				return nil
 			case h != nil && h.Leader != "" && !hinted[h.Leader]:
 				hinted[h.Leader] = true
-				todo = append([]config.NamedAddress{a, c.resolve(*h)}, todo[1:]...)
+				remaining = append([]config.NamedAddress{a, c.resolve(*h)}, remaining[1:]...)
 			}
 			var refused *RefusedError
 			if errors.As(err, &refused) {
 				return err
 			}
-			last.record(a, h, err)
+			failure.record(a, h, err)
 			if ctx.Err() != nil {
-				return last
+				return failure
 			}
 		}
 		c.setLeader(config.NamedAddress{})
 		select {
 		case <-ctx.Done():
-			return last
+			return failure
 		case <-time.After(roundInterval):
 		}
 	}
 }
 
-// AskOne asks a single coordinator, whether it leads or not.
+// AskOne sends a GET request to one coordinator, which need not lead, and decodes the answer into out.
 func (c *Client) AskOne(ctx context.Context, a config.NamedAddress, path string, out any) error {
 	_, err := c.send(ctx, a, path, nil, out)
 	return err
 }
 
-func (c *Client) send(ctx context.Context, a config.NamedAddress, path string, raw []byte, out any) (*Hint, error) {
+// send sends one request, with method GET if body is nil. It returns the hint of a coordinator that doesn't lead.
+func (c *Client) send(ctx context.Context, a config.NamedAddress, path string, body []byte, out any) (*Hint, error) {
 	ctx, stop := context.WithTimeout(ctx, attemptTimeout)
 	defer stop()
 	method := http.MethodPost
-	if raw == nil {
+	if body == nil {
 		method = http.MethodGet
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+a.Address+path, bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+a.Address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, &RequestError{a, "", err}
 	}
@@ -231,44 +235,45 @@
 		return nil, &RequestError{a, "", err}
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
+	respBody, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
 	if err != nil {
 		return nil, &RequestError{a, "", err}
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		if err := json.Unmarshal(body, out); err != nil {
-			return nil, &RequestError{a, "not a coordinator's answer", err}
+		if err := json.Unmarshal(respBody, out); err != nil {
+			return nil, &RequestError{a, "the response can't be decoded", err}
 		}
 		return nil, nil
 	case http.StatusMisdirectedRequest:
 		var h Hint
-		if json.Unmarshal(body, &h) != nil {
-			return nil, &RequestError{a, "not a coordinator's answer", nil}
+		if json.Unmarshal(respBody, &h) != nil {
+			return nil, &RequestError{a, "the response can't be decoded", nil}
 		}
 		return &h, &RequestError{a, h.Reason, nil}
 	case http.StatusBadRequest:
 		var h Hint
-		_ = json.Unmarshal(body, &h)
+		_ = json.Unmarshal(respBody, &h)
 		return nil, &RefusedError{a, h.Reason}
 	}
 	return nil, &RequestError{a, resp.Status, nil}
 }
 
-// Command gives a command and returns what it came to; its error is the client's, the answer's stands in the answer.
+// Command commits a command and returns its answer. err reports that no answer was received; an error of the command itself is in
+// the answer.
 func (c *Client) Command(ctx context.Context, cmd permits.Command) (a permits.Answer, err error) {
 	err = c.Ask(ctx, CommandPath, cmd, &a)
 	return a, err
 }
 
-// Word says a door's word.
-func (c *Client) Word(ctx context.Context, w *permits.DoorReport) (r permits.Reply, err error) {
-	err = c.Ask(ctx, DoorReportPath, w, &r)
-	return r, err
+// Word sends a door's report.
+func (c *Client) Word(ctx context.Context, report *permits.DoorReport) (reply permits.Reply, err error) {
+	err = c.Ask(ctx, DoorReportPath, report, &reply)
+	return reply, err
 }
 
-// Hold says a holder's word.
-func (c *Client) Hold(ctx context.Context, h *permits.HolderReport) (g permits.Assignment, err error) {
-	err = c.Ask(ctx, HolderReportPath, h, &g)
-	return g, err
+// Hold sends the report of the process that holds a door's listener.
+func (c *Client) Hold(ctx context.Context, report *permits.HolderReport) (assignment permits.Assignment, err error) {
+	err = c.Ask(ctx, HolderReportPath, report, &assignment)
+	return assignment, err
 }
--- a/coordinator/client/errors.go
+++ b/coordinator/client/errors.go
@@ -8,7 +8,7 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// RequestError is a coordinator that can't be asked, or doesn't lead.
+// RequestError is a request that a coordinator didn't answer, because it can't be reached, failed or doesn't lead.
 type RequestError struct {
 	Coordinator config.NamedAddress
 	Reason      string
@@ -21,12 +21,12 @@
 func (e *RequestError) Unwrap() error     { return e.Cause }
 func (e *RequestError) Kind() remedy.Kind { return remedy.Unreachable }
 
-// Remedy names it.
+// Remedy names the coordinator.
 func (e *RequestError) Remedy() string {
-	return fmt.Sprintf("See that coordinator %s runs at %s, or name others with --at or in \"fleet.coordinators\".", e.Coordinator.Name, e.Coordinator.Address)
+	return fmt.Sprintf("Check that coordinator %s runs at %s, or name others with --at or in \"fleet.coordinators\".", e.Coordinator.Name, e.Coordinator.Address)
 }
 
-// RefusedError is a question that a coordinator doesn't understand.
+// RefusedError is a request that a coordinator rejected as invalid or not allowed.
 type RefusedError struct {
 	Coordinator config.NamedAddress
 	Reason      string
@@ -37,41 +37,42 @@
 }
 func (e *RefusedError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says what it means.
+// Remedy says how to correct the request.
 func (e *RefusedError) Remedy() string {
-	return "Use a program of the coordinators' release, or bring them to this one; if they are alike, what was asked is wrong."
+	return "If the message names no other remedy, use a program of the same release as the coordinators; if the releases are equal, the request is wrong."
 }
 
-// NoLeaderError is that no coordinator decides: none was reached, or none of those that were has a majority behind it.
+// NoLeaderError is a request that found no leader: no coordinator was reached, or none of those reached has a majority.
 type NoLeaderError struct {
 	Asked   []config.NamedAddress
-	Reasons []string // by those asked, the latest of each
-	index   map[string]int
+	Reasons []string       // latest failure of each coordinator
+	index   map[string]int // index in Reasons by address
 }
 
+// record sets the latest failure of a coordinator.
 func (e *NoLeaderError) record(a config.NamedAddress, h *Hint, err error) {
-	says := err.Error()
+	reason := err.Error()
 	if h != nil && h.Leader == "" {
-		says = fmt.Sprintf("%s knows of no leader, for %.0f s", a.Name, h.LeaderSilentMs/1e3)
+		reason = fmt.Sprintf("%s has had no contact with a leader for %.0f s", a.Name, h.LeaderSilentMs/1e3)
 	}
 	if e.index == nil {
 		e.index = map[string]int{}
 	}
-	if i, told := e.index[a.Address]; told {
-		e.Reasons[i] = says
+	if i, known := e.index[a.Address]; known {
+		e.Reasons[i] = reason
 		return
 	}
 	e.index[a.Address] = len(e.Reasons)
-	e.Reasons = append(e.Reasons, says)
+	e.Reasons = append(e.Reasons, reason)
 }
 
 func (e *NoLeaderError) Error() string {
-	return "no coordinator decides: " + strings.Join(e.Reasons, "; ")
+	return "no coordinator leads: " + strings.Join(e.Reasons, "; ")
 }
 func (e *NoLeaderError) Kind() remedy.Kind { return remedy.Unreachable }
 
-// Remedy says how to get a majority back.
+// Remedy says how to restore a majority.
 func (e *NoLeaderError) Remedy() string {
-	return "Start the coordinators that are down until more than half run; if those are lost for good, docs/coordinators.md tells how one that is left is restored. " +
-		"Doors serve on, and what is out comes back with swifthall undrain --here at the door."
+	return "Start coordinators that are down until a majority runs. If they are lost permanently, docs/coordinators.md explains how to restore a remaining one. " +
+		"Doors continue to serve; swifthall undrain --here returns a drained door to service without the coordinators."
 }
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy stands in for what a door needs, on loopback: a fleet list with two backends, and the backends.
-// Each backend answers a request after a while with a line of text, or its own body.
+// Command toy serves what a door needs to run on loopback: a fleet list with two backends, and the backends. A backend answers a
+// request after a random time with the request's body, or with a line of text if the body is empty.
 package main
 
 import (
@@ -14,9 +14,9 @@
 )
 
 func main() {
-	registry := flag.String("registry", "127.0.0.1:8500", "where the fleet list is told")
+	registry := flag.String("registry", "127.0.0.1:8500", "address of the fleet list")
 	first := flag.Int("port", 8101, "port of the first backend, on 127.0.0.1")
-	work := flag.Duration("work", 50*time.Millisecond, "mean time that an operation takes")
+	work := flag.Duration("work", 50*time.Millisecond, "mean time that a request takes")
 	flag.Parse()
 	list := ""
 	for i := range 2 {
@@ -25,11 +25,11 @@
 			i, addr, i)
 		go func() { log.Fatal(http.ListenAndServe(addr, backend(addr, *work))) }()
 	}
-	log.Printf("telling of two backends on %s", *registry)
+	log.Printf("fleet list of two backends on %s", *registry)
 	log.Fatal(http.ListenAndServe(*registry, serveList(`{"generation":1,"reset":true,"instances":[`+list[1:]+`]}`)))
 }
 
-// backend works for a random time, as exponential service does.
+// backend returns a backend with exponentially distributed service times.
 func backend(name string, work time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Txn") == "" {
@@ -43,12 +43,12 @@
 		select {
 		case <-time.After(time.Duration(rand.ExpFloat64() * float64(work))):
 			fmt.Fprintln(w, cmp.Or(string(body), "done by "+name))
-		case <-r.Context().Done(): // the door has given it up
+		case <-r.Context().Done(): // the door has cancelled the request
 		}
 	}
 }
 
-// serveList tells the list once and then, every 2 s, that nothing has changed.
+// serveList sends the list once, and then an empty line every 2 s, which means that nothing has changed.
 func serveList(list string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for line := list; ; line = "" {
