--- a/cmd/swifthall-coordinate/calendar_test.go
+++ b/cmd/swifthall-coordinate/calendar_test.go
@@ -25,7 +25,7 @@
 	"github.com/swifthall/swifthall/permits/planfile"
 )
 
-// testCoordinator is one coordinator, asked by commands alone.
+// testCoordinator is a coordinator that is used only by commands.
 type testCoordinator struct {
 	t       testing.TB
 	dir     string
@@ -49,7 +49,7 @@
 		case err := <-ended:
 			assert.NoError(t, err)
 		case <-time.After(20 * time.Second):
-			assert.Fail(t, "it goes on")
+			assert.Fail(t, "the coordinator does not stop")
 		}
 	})
 	assert.Contains(t, s.ok("calendar"), "nothing")
@@ -67,10 +67,10 @@
 func (s *testCoordinator) as(who string, args ...string) (string, error) {
 	out, err := run(append(args, "--at", s.address, "--who", who, "--patience", "20s")...)
 	if err != nil || slices.Contains(args, "--json") || args[0] == "rules" || args[0] == "audit" {
-		return out, err // for programs, and tables of other commands
+		return out, err // JSON, and the output of other commands, may have longer lines
 	}
 	for _, l := range strings.Split(out, "\n") {
-		whole := strings.HasPrefix(l, "does ") || strings.HasPrefix(l, "back ") // what is approved is shown whole
+		whole := strings.HasPrefix(l, "does ") || strings.HasPrefix(l, "back ") // what is approved isn't truncated
 		assert.True(s.t, whole || utf8.RuneCountInString(l) <= maxLineWidth, l)
 	}
 	return out, err
@@ -88,7 +88,7 @@
 	require.Eventually(s.t, is, 20*time.Second, 50*time.Millisecond, what)
 }
 
-// entry is a change by hand with a window around now.
+// entry returns a manual change whose window is relative to now.
 func entry(name, subject string, fromIn, toIn time.Duration) map[string]any {
 	now := time.Now().UTC()
 	return map[string]any{"name": name, "kind": "terms", "subject": map[string]any{"scope": "plans", "names": []string{subject}},
@@ -96,7 +96,7 @@
 		"do": map[string]any{"manual": "set the rate"}, "rollback": map[string]any{"manual": "set it back"}}
 }
 
-// One change from draft to done, as docs/calendar.md tells it.
+// One change from draft to done, as in the walk-through of docs/calendar.md.
 func TestOneChangeFromDraftToDone(t *testing.T) {
 	s := startCoordinator(t)
 	s.ok("rules", s.file("rules.json", map[string]any{"rules": []any{map[string]any{"kinds": []string{"terms"}, "subject": map[string]any{"scope": "plans"}, "count": 1, "roles": []string{"lead"}}}, "budgets": []any{}}))
@@ -120,10 +120,10 @@
 	out, err := s.as("bea", "approve", "1", "--role", "lead")
 	require.NoError(t, err)
 	assert.Contains(t, out, `{"manual":"set the rate"}`)
-	s.eventually("it runs by itself", func() bool { return strings.Contains(s.ok("calendar", "1"), "stage     running") })
+	s.eventually("it starts by itself", func() bool { return strings.Contains(s.ok("calendar", "1"), "stage     running") })
 	assert.Contains(t, s.ok("steer", "done", "1"), "entry 1 is done")
 	history := s.ok("history", "1")
-	assert.NotContains(t, history, "1970", "not even of the first second")
+	assert.NotContains(t, history, "1970", "not even for an event of the first second")
 	for _, word := range []string{"planned: gold to 40 a second, ana", "approval, bea: lead", "due -> running", "wave 1 of 1 done, ana", "running -> done"} {
 		assert.Contains(t, history, word)
 	}
@@ -137,7 +137,7 @@
 	assert.Contains(t, s.ok("audit"), "calendar 1: running -> done")
 }
 
-func TestTwoOperatorsAtOnceAreTold(t *testing.T) {
+func TestConcurrentChangesAreRejected(t *testing.T) {
 	s := startCoordinator(t)
 	plan := s.file("plan.json", entry("a", "gold", time.Hour, 2*time.Hour))
 	s.ok("plan", plan)
@@ -161,7 +161,7 @@
 	require.Len(t, seen, 64)
 	s.ok("move", "1", "--from", "2090-01-01T00:00", "--to", "2090-01-01T02:00", "--in", "Europe/Lisbon")
 	_, err = s.as("cai", "approve", "1", "--digest", seen)
-	require.ErrorAs(t, err, &changed, "an approval is of what was seen")
+	require.ErrorAs(t, err, &changed, "an approval is valid only for the digest that was seen")
 	_, err = s.as("cai", "approve", "1", "--digest", digest())
 	require.NoError(t, err)
 	assert.Contains(t, s.ok("withdraw", "1@3", "--why", "late"), "entry 1 is withdrawn")
@@ -170,7 +170,7 @@
 	require.ErrorAs(t, err, &stage)
 }
 
-func TestWhatIsInTheWayIsToldWithWhatWouldFit(t *testing.T) {
+func TestConflictsAreListedWithFreeWindows(t *testing.T) {
 	s := startCoordinator(t)
 	s.ok("plan", s.file("a.json", entry("a", "gold", time.Hour, 3*time.Hour)))
 	second := s.file("b.json", entry("b", "gold", 2*time.Hour, 4*time.Hour))
@@ -200,9 +200,9 @@
 	require.ErrorAs(t, err, &frozen)
 	assert.Contains(t, frozen.Remedy(), "ana")
 	_, err = s.as("ana", "emergency", "4", "--why", "fire", "--second", "ana")
-	require.Error(t, err, "two names")
+	require.Error(t, err, "two different names are required")
 	s.ok("emergency", "4", "--why", "fire", "--second", "bea")
-	s.eventually("it passes the freeze", func() bool { return strings.Contains(s.ok("calendar", "4"), "stage     running") })
+	s.eventually("it ignores the freeze", func() bool { return strings.Contains(s.ok("calendar", "4"), "stage     running") })
 	assert.Contains(t, s.ok("calendar"), "EMERGENCY c")
 	assert.Contains(t, s.ok("steer", "halt", "4", "--why", "look"), "entry 4 is halted")
 	assert.Contains(t, s.ok("steer", "back", "4", "--why", "look"), "entry 4 is going back")
@@ -214,7 +214,7 @@
 	assert.NotContains(t, s.ok("calendar", "--all"), "freeze")
 }
 
-func TestAMigrationIsFollowedStepByStep(t *testing.T) {
+func TestAMigrationRunsStepByStep(t *testing.T) {
 	s := startCoordinator(t)
 	first, second := entry("one", "gold", -2*time.Minute, time.Hour), entry("two", "silver", -2*time.Minute, time.Hour)
 	first["kind"], second["kind"] = "migration", "migration"
@@ -233,7 +233,7 @@
 	assert.Contains(t, s.ok("history", "3"), "seen quiet: false, ana: three alarms")
 	delete(second, "preconditions")
 	assert.Contains(t, s.ok("migrate", file(first, second), "--replace", "1@1"), "is migration 1")
-	s.eventually("what replaced it runs", func() bool { return strings.Contains(s.ok("calendar", "4"), "stage     running") })
+	s.eventually("its replacement runs", func() bool { return strings.Contains(s.ok("calendar", "4"), "stage     running") })
 	var begun *calendar.BegunError
 	_, err = s.as("ana", "migrate", file(second, first), "--replace", "1")
 	require.ErrorAs(t, err, &begun)
@@ -244,7 +244,7 @@
 	assert.Contains(t, s.ok("calendar", "--all"), "migration 1@2 m, withdrawn")
 }
 
-func TestTheCalendarsExamplesAreTaken(t *testing.T) {
+func TestTheCalendarsExamplesAreValid(t *testing.T) {
 	s := startCoordinator(t)
 	s.ok("rules", "../../examples/rules.json")
 	assert.Contains(t, s.ok("freeze", "../../examples/freeze.json", "--why", "matches"), "match evenings")
@@ -253,7 +253,7 @@
 	require.NoError(t, planfile.Read("../../examples/migration.json", nil, &m))
 	raw, err := os.ReadFile("../../examples/migration.json")
 	require.NoError(t, err)
-	later := filepath.Join(s.dir, "m.json") // whatever the date is
+	later := filepath.Join(s.dir, "m.json") // valid on any date
 	require.NoError(t, os.WriteFile(later, []byte(strings.ReplaceAll(string(raw), "2026-12-2", fmt.Sprintf("%d-12-2", time.Now().Year()+1))), 0o600))
 	assert.Contains(t, s.ok("migrate", later), "is migration")
 	var e planfile.Entry
@@ -264,8 +264,9 @@
 	assert.Equal(t, 1800e3, c.WaveMs)
 }
 
-// docs/migration.md's move to another shape ships as a migration: its digests are of the files beside it, each of which a door takes.
-func TestTheMoveToAnotherShapeShips(t *testing.T) {
+// The example of docs/migration.md, a migration to another shape of the fleet, has the digests of the files in its directory, and a
+// door accepts each of them.
+func TestTheExampleOfAShapeMigrationIsValid(t *testing.T) {
 	s := startCoordinator(t)
 	dir := "../../examples/shape/"
 	var m planfile.Migration
@@ -289,7 +290,7 @@
 	assert.Equal(t, []bool{true, true, false}, watched)
 	raw, err := os.ReadFile(dir + "migration.json")
 	require.NoError(t, err)
-	later := filepath.Join(s.dir, "m.json") // whatever the date is
+	later := filepath.Join(s.dir, "m.json") // valid on any date
 	require.NoError(t, os.WriteFile(later, []byte(strings.ReplaceAll(string(raw), "2026-12-0", fmt.Sprintf("%d-12-0", time.Now().Year()+1))), 0o600))
 	assert.Contains(t, s.ok("migrate", later), "is migration 1")
 	out := s.ok("calendar", "--all")
@@ -305,10 +306,10 @@
 	out, err := run("__complete", "--at", s.address, "why", "")
 	require.NoError(t, err)
 	assert.Contains(t, out, "1\tfirst, approved")
-	assert.NotContains(t, out, "second", "it is over")
+	assert.NotContains(t, out, "second", "it has ended")
 }
 
-func TestWhatIsWrittenWronglyForTheCalendarIsNamed(t *testing.T) {
+func TestInvalidCalendarFilesAndNumbersAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	write := func(text string) string {
 		path := filepath.Join(dir, "x.json")
@@ -344,7 +345,7 @@
 	assert.ErrorAs(t, err, &file)
 }
 
-// BenchmarkTenThousandEntries is what an operator waits for where the calendar has ten thousand entries.
+// BenchmarkTenThousandEntries measures the operators' commands on a calendar with ten thousand entries.
 func BenchmarkTenThousandEntries(b *testing.B) {
 	s := startCoordinator(b)
 	steps := make([]any, 100)
--- a/cmd/swifthall-coordinate/commands_test.go
+++ b/cmd/swifthall-coordinate/commands_test.go
@@ -30,7 +30,7 @@
 	return out.String(), err
 }
 
-func TestWhatIsAskedWronglySaysWhatToDo(t *testing.T) {
+func TestInvalidArgumentsAreUsageErrors(t *testing.T) {
 	t.Setenv("USER", "")
 	for _, args := range [][]string{{"drain", "cellar", "x"}, {"drain", "door", "x"}, {"halt"}, {"status", "--at", "nowhere"},
 		{"drain", "door", "x", "--who", "a", "--why", "b", "--until", "yesterday"}, {"undrain"}} {
@@ -47,7 +47,7 @@
 	assert.Contains(t, out, "coordinator c at 127.0.0.1:1")
 }
 
-func TestTheExamplesAreTaken(t *testing.T) {
+func TestTheExamplesAreValid(t *testing.T) {
 	_, err := run("release", "check", "../../examples/release.json")
 	require.NoError(t, err)
 	out, err := run("coordinate", "--check", "--config", "../../examples/coordinator.json")
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestTheStatusIsATable(t *testing.T) {
+func TestTheStatusIsPrintedAsTables(t *testing.T) {
 	var out bytes.Buffer
 	unit := permits.Unit{Kind: permits.Backend, Name: "b-1", Zone: "z1"}
 	printStatus(&out, client.Status{Self: "c-1", Fleet: "prod", Leader: "c-1", Current: true, Members: []client.Member{{Name: "c-1"}, {Name: "c-2", SilentMs: 4e3}},
@@ -86,8 +86,8 @@
 	return at
 }
 
-// One coordinator, from its file to its end, by the commands alone.
-func TestACoordinatorIsRunAskedAndEnded(t *testing.T) {
+// One coordinator is started from its file, used and stopped by means of the commands only.
+func TestACoordinatorIsRunQueriedAndStopped(t *testing.T) {
 	dir := t.TempDir()
 	at, raft := freeAddress(t), freeAddress(t)
 	file := filepath.Join(dir, "c.json")
@@ -138,6 +138,6 @@
 	case err := <-ended:
 		require.NoError(t, err)
 	case <-time.After(20 * time.Second):
-		require.Fail(t, "it goes on")
+		require.Fail(t, "the coordinator does not stop")
 	}
 }
--- a/cmd/swifthall-fleet/commands.go
+++ b/cmd/swifthall-fleet/commands.go
@@ -49,7 +49,7 @@
 // defaultStatusAddress is where operators expect a door's status if nothing is configured.
 const defaultStatusAddress = "127.0.0.1:7980"
 
-// statusAddress is where the door that GW_CONFIG configures tells its statusAddress.
+// statusAddress returns the address at which the door configured by GW_CONFIG serves its status, or the default.
 func statusAddress() string {
 	if os.Getenv("GW_CONFIG") != "" {
 		if cfg, err := config.Load(os.Getenv); err == nil && cfg.Fleet != nil && cfg.Fleet.Status != "" {
--- a/cmd/swifthall/commands_test.go
+++ b/cmd/swifthall/commands_test.go
@@ -24,7 +24,7 @@
 	return out.String(), err
 }
 
-func TestCheckNamesEveryFaultyKeyAndWarnsOfOddOnes(t *testing.T) {
+func TestCheckReportsInvalidKeysAndWarnings(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "door.json")
 	require.NoError(t, os.WriteFile(file, []byte(`{"listen":"x","discovery":"127.0.0.1:1","pase":1,"settings":{"fleet_size":0}}`), 0o644))
 	out, err := run("check", file)
@@ -37,7 +37,7 @@
 	assert.Equal(t, "ok\n", out)
 }
 
-func TestEachKindOfErrorHasItsExitCodeAndSaysWhatToDo(t *testing.T) {
+func TestEachKindOfErrorHasAnExitCodeAndARemedy(t *testing.T) {
 	t.Setenv("PATH", "")
 	t.Setenv("GW_CONFIG", "")
 	for code, args := range map[int][]string{2: {"serve", "now"}, 3: {"serve"}, 5: {"lab", "list"}} {
@@ -54,7 +54,7 @@
 	assert.Equal(t, remedy.Configuration, remedy.Typed(err)[0].Kind())
 }
 
-func TestServeDoesNotStartOnAFaultyFlagOrFile(t *testing.T) {
+func TestServeDoesNotStartWithAnInvalidFlagOrFile(t *testing.T) {
 	t.Setenv("GW_CONFIG", "../../examples/config.json")
 	_, err := run("--log-level", "loud")
 	assert.ErrorContains(t, err, "log.level")
@@ -63,7 +63,7 @@
 	assert.ErrorContains(t, err, "GW_CONFIG")
 }
 
-func TestTheLaboratoryThatIsNotThereIsNamed(t *testing.T) {
+func TestAMissingProgramIsNamed(t *testing.T) {
 	t.Setenv("PATH", "")
 	assert.ErrorContains(t, execProgram(labProgram, "list"), "swifthall-lab")
 }
--- a/coordinator/calendar_test.go
+++ b/coordinator/calendar_test.go
@@ -22,12 +22,13 @@
 
 func wallMs() float64 { return float64(time.Now().UnixMilli()) }
 
-// manualChange is a change that people do.
+// manualChange returns a change that is carried out by hand.
 func manualChange(name string, fromMs, toMs float64) calendar.Change {
 	return calendar.Change{Name: name, Kind: calendar.Coordinators, Subject: calendar.Subject{Scope: calendar.Plans, Names: []string{name}}, Window: calendar.Span{FromMs: fromMs, ToMs: toMs},
 		Waves: 1, Do: json.RawMessage(`{"manual":"look"}`)}
 }
 
+// calendarState queries the calendar with its events.
 func calendarState(t *testing.T, c *client.Client) *calendar.State {
 	var a client.CalendarAnswer
 	require.NoError(t, c.Ask(shortContext(t), client.CalendarPath, client.CalendarQuery{Events: true}, &a))
@@ -36,15 +37,15 @@
 	return s
 }
 
-// useCalendar has the calendar be in use, and waits until its time is agreed.
+// useCalendar makes a first use of the calendar, and waits until its time is agreed.
 func useCalendar(t *testing.T, c *client.Client) {
 	command(t, c, "first use", 1, calendar.SetRules{Who: "ana"})
 	eventually(t, "agreed time", func() bool { return calendarState(t, c).Doubt == "" })
 }
 
-// A coordinator of an earlier release ends itself where it meets a command that it doesn't know: nothing of the calendar is said
-// before somebody uses it.
-func TestNothingIsSaidOfACalendarThatNobodyUses(t *testing.T) {
+// A coordinator of an earlier release terminates when it has to apply a command that it doesn't know. Therefore no clock is
+// reported before the calendar is used.
+func TestNoClockIsReportedBeforeTheCalendarIsUsed(t *testing.T) {
 	all := startPeers(t, 1)
 	waitLeader(t, all)
 	c := newClient(all)
@@ -52,10 +53,10 @@
 	var a client.CalendarAnswer
 	require.NoError(t, c.Ask(shortContext(t), client.CalendarPath, client.CalendarQuery{Change: &ch, MaxFree: 1}, &a))
 	require.Len(t, a.Free, 1)
-	assert.InDelta(t, wallMs(), a.Free[0].FromMs, 60e3, "from now on, not from 1970")
-	command(t, c, "op", 1, permits.Note{What: "x"}) // behind whatever a clock would have said
+	assert.InDelta(t, wallMs(), a.Free[0].FromMs, 60e3, "free from now on, not from 1970")
+	command(t, c, "op", 1, permits.Note{What: "x"}) // is applied after any clock that was reported
 	before := all[0].raft.AppliedIndex()
-	eventually(t, "some rounds of sightings, longer than clocks wait", func() bool { return all[0].raft.AppliedIndex() > before+2 })
+	eventually(t, "some rounds of the leader, which take longer than clockRetryInterval", func() bool { return all[0].raft.AppliedIndex() > before+2 })
 	assert.Empty(t, calendarState(t, c).Readings)
 	useCalendar(t, c)
 	assert.NotEmpty(t, calendarState(t, c).Readings)
@@ -67,7 +68,7 @@
 	return a.Number
 }
 
-// startTimes lists when each entry began, by the history.
+// startTimes returns the times at which each entry started, from the calendar's events.
 func startTimes(s *calendar.State) map[uint64][]float64 {
 	at := map[uint64][]float64{}
 	for _, e := range s.Events {
@@ -78,9 +79,9 @@
 	return at
 }
 
-// One of three clocks is ten minutes ahead, and its coordinator leads: nothing begins early by that, and nothing is missed. The
-// entry begins once, though the one that leads is lost right when it is due.
-func TestACoordinatorWhoseClockIsAheadBeginsNothingEarly(t *testing.T) {
+// The clock of one of three coordinators is ten minutes ahead, and it leads. No entry starts early or is missed because of that. An
+// entry starts exactly once, even if the leader is lost at the moment the entry is due.
+func TestACoordinatorWhoseClockIsAheadStartsNothingEarly(t *testing.T) {
 	var all []*peer
 	for i := range 3 {
 		p := newPeer(t, fmt.Sprint("c-", i))
@@ -102,7 +103,7 @@
 	c := newClient(all)
 	useCalendar(t, c)
 	assert.InDelta(t, wallMs(), calendarState(t, c).WallMs, 10e3)
-	long := plan(t, c, manualChange("long", wallMs()+10*60e3-5e3, wallMs()+10*60e3+2000)) // by that clock it would be due, and soon missed
+	long := plan(t, c, manualChange("long", wallMs()+10*60e3-5e3, wallMs()+10*60e3+2000)) // by the wrong clock it would be due, and soon missed
 	due := wallMs() + 6e3
 	id := plan(t, c, manualChange("soon", due, due+60e3))
 	eventually(t, "it is due", func() bool { return calendarState(t, c).Entries[id].Stage != calendar.Approved })
@@ -117,6 +118,7 @@
 	assert.Equal(t, 1, s.Entries[id].Starts)
 }
 
+// startAll starts peers as the members of one fleet.
 func startAll(t *testing.T, all []*peer) {
 	for _, p := range all {
 		p.cfg.Members = nil
@@ -129,7 +131,7 @@
 	}
 }
 
-func TestARecurringFreezeIsKnownFurtherAheadBeforeItEnds(t *testing.T) {
+func TestARecurringFreezeIsExtendedBeforeItsKnownOccurrencesEnd(t *testing.T) {
 	all := startPeers(t, 1)
 	waitLeader(t, all)
 	c := newClient(all)
@@ -137,16 +139,16 @@
 	a := command(t, c, "bea", 1, calendar.SetFreeze{Freeze: calendar.Freeze{Name: "nights", Subject: calendar.Subject{Scope: calendar.Fleet}, ThroughMs: wallMs() + 1000, Sends: calendar.FinishesWave,
 		When: calendar.Recurrence{Begin: "2026-01-01T22:00", Minutes: 60, Every: "FREQ=DAILY", In: "Europe/Lisbon"}, Who: "bea", Why: "sleep"}})
 	require.NoError(t, a.Err)
-	eventually(t, "it is worked out", func() bool { return len(calendarState(t, c).Freezes[a.Number].Spans) > 300 })
+	eventually(t, "its occurrences are computed", func() bool { return len(calendarState(t, c).Freezes[a.Number].Spans) > 300 })
 	var next client.CalendarAnswer
 	ch := manualChange("x", wallMs(), wallMs()+3600e3)
 	ch.SoakMs = 22 * 3600e3
 	require.NoError(t, c.Ask(shortContext(t), client.CalendarPath, client.CalendarQuery{Change: &ch, MaxFree: 3}, &next))
-	assert.Len(t, next.Free, 3, "between the nights")
+	assert.Len(t, next.Free, 3, "windows between the occurrences")
 	assert.NotEmpty(t, next.Conflicts, "the window is too short")
 }
 
-func TestACalendarOfARestoredStateLetsNothingGoOn(t *testing.T) {
+func TestRunningEntriesAreHaltedAfterARestore(t *testing.T) {
 	all := startPeers(t, 1)
 	waitLeader(t, all)
 	c := newClient(all)
@@ -159,14 +161,14 @@
 	p.start(t)
 	waitLeader(t, all)
 	c = newClient(all)
-	assert.Equal(t, calendar.Halted, calendarState(t, c).Entries[id].Stage, "from the first word of the one that leads")
+	assert.Equal(t, calendar.Halted, calendarState(t, c).Entries[id].Stage, "from the beginning of the leader's term")
 	command(t, c, "op", 1, calendar.Resume{ID: id, Who: "op"})
 	p.setTerm(nil)
-	p.Coordinator.beginTerm() // it leads anew: the restore is told once
+	p.Coordinator.beginTerm() // in a new term of the same process the restore isn't recorded again
 	assert.Equal(t, calendar.Running, calendarState(t, c).Entries[id].Stage)
 }
 
-func TestABareAnswerHoldsTheEntryAndWhatItWaitsFor(t *testing.T) {
+func TestAnEntryOnlyAnswerHasTheEntryAndItsPredecessors(t *testing.T) {
 	all := startPeers(t, 1)
 	waitLeader(t, all)
 	c := newClient(all)
@@ -184,16 +186,16 @@
 	assert.NotNil(t, s.Entries[id])
 	assert.Empty(t, s.Events)
 	assert.NotEmpty(t, calendarState(t, c).Events)
-	assert.Len(t, calendarState(t, c).Entries, 3, "the state itself has all")
+	assert.Len(t, calendarState(t, c).Entries, 3, "the state itself still has all entries")
 }
 
-func TestAnEntryThatCantGoOutSaysWhy(t *testing.T) {
+func TestADeniedEntryReportsItsObstacleAndBlocksNoOther(t *testing.T) {
 	all := startPeers(t, 1)
 	waitLeader(t, all)
 	c := newClient(all)
 	useCalendar(t, c)
-	life := command(t, c, "d/1", 1, permits.Begin{Unit: permits.Unit{Kind: permits.Door, Name: "d"}, Process: 1}).Number
-	require.NotZero(t, life)
+	incarnation := command(t, c, "d/1", 1, permits.Begin{Unit: permits.Unit{Kind: permits.Door, Name: "d"}, Process: 1}).Number
+	require.NotZero(t, incarnation)
 	ch := calendar.Change{Name: "x", Kind: calendar.Drain, Subject: calendar.Subject{Scope: calendar.Doors, Names: []string{"d"}}, Window: calendar.Span{FromMs: wallMs() - 1000, ToMs: wallMs() + 60e3}, Waves: 1,
 		Do: json.RawMessage(`{"drain":{"kind":"door","name":"d"}}`), Rollback: json.RawMessage(`{"undo":true}`)}
 	id := plan(t, c, ch)
@@ -201,27 +203,27 @@
 	var a client.CalendarAnswer
 	require.NoError(t, c.Ask(shortContext(t), client.CalendarPath, client.CalendarQuery{ID: id}, &a))
 	var denied *permits.DeniedError
-	require.ErrorAs(t, a.Obstacle.Err, &denied, "there is no budget")
+	require.ErrorAs(t, a.Obstacle.Err, &denied, "no budget is set")
 	other := plan(t, c, manualChange("y", wallMs()-1000, wallMs()+60e3))
-	eventually(t, "what can't go out holds up no other", func() bool { return calendarState(t, c).Entries[other].Stage == calendar.Running })
+	eventually(t, "a denied entry blocks no other", func() bool { return calendarState(t, c).Entries[other].Stage == calendar.Running })
 	assert.Equal(t, calendar.Due, calendarState(t, c).Entries[id].Stage)
 	command(t, c, "op", 1, budgets)
-	reportDoor(t, c, "d", life, 2, 0)
+	reportDoor(t, c, "d", incarnation, 2, 0)
 	eventually(t, "it runs", func() bool { return calendarState(t, c).Entries[id].Stage == calendar.Running })
 	assert.Len(t, status(t, c).Permits, 1)
 	command(t, c, "bea", 1, calendar.SetFreeze{Freeze: calendar.Freeze{Name: "f", Subject: calendar.Subject{Scope: calendar.Fleet}, Spans: []calendar.Span{{FromMs: 0, ToMs: wallMs() + 3600e3}},
 		Sends: calendar.FinishesWave, Who: "bea", Why: "x"}})
 	err := c.Ask(shortContext(t), client.MembersPath, client.MembershipChange{Add: true, Name: "c-9", Address: "127.0.0.1:1", Who: "op", Why: "x"}, &struct{}{})
-	assert.ErrorContains(t, err, `freeze`, "the coordinators are no exception")
+	assert.ErrorContains(t, err, `freeze`, "a freeze applies to changes of the coordinators")
 }
 
-// Each event is told at least once, in order, with its number: the file has them all, the hook too, though its first tries fail.
-// One that hangs is ended after its time and tries, with what it started, and the coordinator goes on.
-func TestEventsAreToldAndAHookThatHangsHoldsNothingUp(t *testing.T) {
+// Each event is delivered at least once, in order, with its number, to the file and to the hook, even if the hook fails at first. A
+// hook that hangs is killed with its children after its timeout, in each attempt, and the coordinator continues with the next event.
+func TestEventsAreDeliveredInSpiteOfAHangingHook(t *testing.T) {
 	dir := t.TempDir()
-	heard, fails, child := filepath.Join(dir, "heard"), filepath.Join(dir, "fails"), filepath.Join(dir, "child")
+	received, failed, child := filepath.Join(dir, "heard"), filepath.Join(dir, "fails"), filepath.Join(dir, "child")
 	hook := filepath.Join(dir, "hook")
-	require.NoError(t, os.WriteFile(hook, []byte("#!/bin/sh\nread -r line\nif [ ! -e "+fails+" ]; then touch "+fails+"; exit 1; fi\ncase \"$line\" in *hangs*) sleep 600 & echo $! >>"+child+"; wait;; esac\necho \"$line\" >>"+heard+"\n"), 0o700))
+	require.NoError(t, os.WriteFile(hook, []byte("#!/bin/sh\nread -r line\nif [ ! -e "+failed+" ]; then touch "+failed+"; exit 1; fi\ncase \"$line\" in *hangs*) sleep 600 & echo $! >>"+child+"; wait;; esac\necho \"$line\" >>"+received+"\n"), 0o700))
 	p := newPeer(t, "c-0")
 	p.cfg.Calendar.Events = filepath.Join(dir, "events")
 	p.cfg.Calendar.Hook, p.cfg.Calendar.HookMs, p.cfg.Calendar.Tries = []string{hook}, 400, 2
@@ -233,8 +235,8 @@
 		ch := manualChange(name, wallMs()+3600e3, wallMs()+7200e3)
 		command(t, c, "plan "+name, 1, calendar.Plan{Change: ch, Who: "ana", Draft: true})
 	}
-	eventually(t, "all is told", func() bool { s := calendarState(t, c); return s.Number > 0 && s.Acknowledged == s.Number })
-	lines := func(file string) (numbers []uint64) {
+	eventually(t, "all events are acknowledged", func() bool { s := calendarState(t, c); return s.Number > 0 && s.Acknowledged == s.Number })
+	numbersIn := func(file string) (numbers []uint64) {
 		raw, err := os.ReadFile(file)
 		require.NoError(t, err)
 		for _, l := range bytes.Split(bytes.TrimSpace(raw), []byte("\n")) {
@@ -244,21 +246,21 @@
 		}
 		return numbers
 	}
-	assert.Equal(t, []uint64{1, 2, 3}, lines(p.cfg.Calendar.Events))
-	assert.Equal(t, []uint64{1, 3}, lines(heard), "the second never ended")
+	assert.Equal(t, []uint64{1, 2, 3}, numbersIn(p.cfg.Calendar.Events))
+	assert.Equal(t, []uint64{1, 3}, numbersIn(received), "the hook never finished the second event")
 	raw, err := os.ReadFile(child)
 	require.NoError(t, err)
 	children := strings.Fields(string(raw))
-	assert.Len(t, children, 2, "two tries")
-	for _, text := range children {
+	assert.Len(t, children, 2, "two attempts")
+	for _, field := range children {
 		var pid int
-		_, err := fmt.Sscan(text, &pid)
+		_, err := fmt.Sscan(field, &pid)
 		require.NoError(t, err)
-		eventually(t, "what it started is gone", func() bool { return hasExited(pid) })
+		eventually(t, "the hook's child process has exited", func() bool { return hasExited(pid) })
 	}
 }
 
-// hasExited tells whether a process has ended, collected or not.
+// hasExited reports whether a process has exited; it may be a zombie.
 func hasExited(pid int) bool {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	return err != nil || syscall.Kill(pid, 0) != nil || bytes.Contains(raw, []byte(") Z "))
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -30,7 +30,7 @@
 	return l
 }
 
-// peer is one coordinator within the test's process.
+// peer is a coordinator in the test's process.
 type peer struct {
 	*Coordinator
 	cfg       config.Coordinator
@@ -94,7 +94,7 @@
 }
 
 func newPeer(t *testing.T, name string) *peer {
-	at, err := loopback.Free() // it is taken again after a restart
+	at, err := loopback.Free() // a restarted peer uses the same address
 	require.NoError(t, err)
 	l, err := Listen(at)
 	require.NoError(t, err)
@@ -105,7 +105,7 @@
 	require.Eventually(t, is, 20*time.Second, 10*time.Millisecond, what)
 }
 
-// waitLeader waits until one of them leads and says so.
+// waitLeader waits until one of the peers leads, with its Leadership command applied, and returns it.
 func waitLeader(t *testing.T, all []*peer) (at *peer) {
 	eventually(t, "a leader", func() bool {
 		for _, p := range all {
@@ -143,15 +143,15 @@
 
 var budgets = permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Backend, MaxOut: 1}, {Kind: permits.Door, MaxOut: 1}}}
 
-// reportDoor has a door say that it is ready, and of two backends that they are.
-func reportDoor(t *testing.T, c *client.Client, door string, life, seq, did uint64) permits.Reply {
-	w := permits.DoorReport{Caller: door + "/1", Seq: seq, Sighting: permits.Sighting{Unit: permits.Unit{Kind: permits.Door, Name: door}, Standing: permits.Ready, Incarnation: life, Process: 1, Did: did}}
+// reportDoor sends the report of a door that is ready and lists two ready backends.
+func reportDoor(t *testing.T, c *client.Client, door string, incarnation, seq, did uint64) permits.Reply {
+	report := permits.DoorReport{Caller: door + "/1", Seq: seq, Sighting: permits.Sighting{Unit: permits.Unit{Kind: permits.Door, Name: door}, Standing: permits.Ready, Incarnation: incarnation, Process: 1, Did: did}}
 	for _, b := range []string{"b-0", "b-1"} {
-		w.Backends = append(w.Backends, permits.Sighting{Unit: permits.Unit{Kind: permits.Backend, Name: b}, Standing: permits.Ready})
+		report.Backends = append(report.Backends, permits.Sighting{Unit: permits.Unit{Kind: permits.Backend, Name: b}, Standing: permits.Ready})
 	}
-	r, err := c.Word(shortContext(t), &w)
+	reply, err := c.Word(shortContext(t), &report)
 	require.NoError(t, err)
-	return r
+	return reply
 }
 
 func status(t *testing.T, c *client.Client) (st client.Status) {
@@ -159,49 +159,49 @@
 	return st
 }
 
-func TestADrainIsAgreedConfirmedAndOutlivesItsLeader(t *testing.T) {
+func TestADrainIsConfirmedAndSurvivesALeaderChange(t *testing.T) {
 	all := startPeers(t, 3)
 	waitLeader(t, all)
 	c := newClient(all)
 	command(t, c, "op", 1, budgets)
-	life := command(t, c, "d/1", 1, permits.Begin{Unit: permits.Unit{Kind: permits.Door, Name: "d"}, Process: 1}).Number
+	incarnation := command(t, c, "d/1", 1, permits.Begin{Unit: permits.Unit{Kind: permits.Door, Name: "d"}, Process: 1}).Number
 	seq := uint64(2)
-	word := func(did uint64) permits.Reply { seq++; return reportDoor(t, c, "d", life, seq, did) }
-	eventually(t, "backends are known", func() bool { word(0); return len(status(t, c).Units) == 3 })
+	report := func(did uint64) permits.Reply { seq++; return reportDoor(t, c, "d", incarnation, seq, did) }
+	eventually(t, "backends are in the state", func() bool { report(0); return len(status(t, c).Units) == 3 })
 	a := command(t, c, "op", 2, permits.Drain{Kind: permits.Backend, Name: "b-0", Who: "ana"})
 	require.NoError(t, a.Err)
-	assert.Equal(t, a, command(t, c, "op", 2, permits.Drain{Kind: permits.Backend, Name: "b-0", Who: "ana"}), "a repeat")
+	assert.Equal(t, a, command(t, c, "op", 2, permits.Drain{Kind: permits.Backend, Name: "b-0", Who: "ana"}), "a repeated command")
 	var denied *permits.DeniedError
 	assert.ErrorAs(t, command(t, c, "op3", 1, permits.Drain{Kind: permits.Backend, Name: "b-1"}).Err, &denied)
-	r := word(0)
+	r := report(0)
 	assert.Equal(t, []string{"b-0"}, r.Withheld)
 	assert.Equal(t, []string{"d"}, status(t, c).Permits[0].Waiting)
-	word(r.Change)
+	report(r.Change)
 	eventually(t, "the door has confirmed", func() bool { return status(t, c).Permits[0].Drained })
 
-	gone := waitLeader(t, all)
-	gone.stop()
+	former := waitLeader(t, all)
+	former.stop()
 	waitLeader(t, all)
 	require.NotNil(t, c)
-	assert.Equal(t, a, command(t, c, "op", 2, permits.Drain{Kind: permits.Backend, Name: "b-0", Who: "ana"}), "an answer that was lost with its leader")
+	assert.Equal(t, a, command(t, c, "op", 2, permits.Drain{Kind: permits.Backend, Name: "b-0", Who: "ana"}), "the answer to a repeated command after its leader was lost")
 	st := status(t, c)
 	assert.Len(t, st.Permits, 1)
 	assert.True(t, st.Current)
-	assert.ErrorAs(t, command(t, c, "op4", 1, permits.Drain{Kind: permits.Backend, Name: "b-1"}).Err, &denied, "the new leader knows nobody, or knows that b-0 is out")
-	var t2 client.DryRunResult
-	require.NoError(t, c.Ask(shortContext(t), client.DryRunPath, client.DryRun{Kind: permits.Backend, Name: "b-1"}, &t2))
-	assert.Equal(t, []string{"backend/b-1"}, t2.Units)
-	assert.Error(t, t2.Answer.Err)
+	assert.ErrorAs(t, command(t, c, "op4", 1, permits.Drain{Kind: permits.Backend, Name: "b-1"}).Err, &denied, "the new leader has no sightings, or knows that b-0 is out")
+	var result client.DryRunResult
+	require.NoError(t, c.Ask(shortContext(t), client.DryRunPath, client.DryRun{Kind: permits.Backend, Name: "b-1"}, &result))
+	assert.Equal(t, []string{"backend/b-1"}, result.Units)
+	assert.Error(t, result.Answer.Err)
 }
 
-func TestTwoOperatorsAtOnceDontGetTheLastTwoPlaces(t *testing.T) {
+func TestConcurrentDrainsDontExceedTheBudget(t *testing.T) {
 	all := startPeers(t, 3)
 	waitLeader(t, all)
 	c := newClient(all)
 	command(t, c, "op", 1, permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, Zone: permits.EachZone, MaxOut: 2, MinReady: 1}}})
 	for _, d := range []string{"d1", "d2"} {
-		life := command(t, c, d+"/1", 1, permits.Begin{Unit: permits.Unit{Kind: permits.Door, Name: d}, Process: 1}).Number
-		reportDoor(t, c, d, life, 2, 0)
+		incarnation := command(t, c, d+"/1", 1, permits.Begin{Unit: permits.Unit{Kind: permits.Door, Name: d}, Process: 1}).Number
+		reportDoor(t, c, d, incarnation, 2, 0)
 	}
 	eventually(t, "both are ready", func() bool {
 		n := 0
@@ -230,14 +230,14 @@
 	assert.Equal(t, 1, denied)
 }
 
-func TestOneThatDoesNotLeadSaysWhoDoesAndReadsNothingAsCurrent(t *testing.T) {
+func TestAFollowerNamesTheLeaderAndReportsItsStateAsOutdated(t *testing.T) {
 	all := startPeers(t, 3)
 	lead := waitLeader(t, all)
 	for _, p := range all {
 		if p == lead {
 			continue
 		}
-		eventually(t, "it knows who leads", func() bool { return p.hint().Leader == lead.cfg.Name })
+		eventually(t, "it knows the leader", func() bool { return p.hint().Leader == lead.cfg.Name })
 		assert.False(t, p.Status().Current)
 		_, err := p.Command(permits.Command{Caller: "x", Seq: 1, Do: permits.Halt{}})
 		var elsewhere *NotLeaderError
@@ -248,22 +248,22 @@
 	}
 }
 
-func TestWithoutAMajorityNothingIsSaidAndOneThatIsLeftIsRestored(t *testing.T) {
+func TestWithoutAMajorityCommandsFailUntilOneIsRestored(t *testing.T) {
 	all := startPeers(t, 3)
 	lead := waitLeader(t, all)
 	c := newClient(all)
 	command(t, c, "op", 1, budgets)
-	var left *peer
+	var stopped *peer
 	for _, p := range all {
 		if p != lead {
 			p.stop()
-			left = p
+			stopped = p
 		}
 	}
-	eventually(t, "it leads no more", func() bool { return lead.raft.State() != raft.Leader })
+	eventually(t, "it has lost the leadership", func() bool { return lead.raft.State() != raft.Leader })
 	ctx, stop := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer stop()
-	_, err := client.New([]config.NamedAddress{lead.apiAddress(), {Name: left.cfg.Name, Address: "127.0.0.1:1"}}).Command(ctx, permits.Command{Caller: "op", Seq: 9, Do: permits.Halt{}})
+	_, err := client.New([]config.NamedAddress{lead.apiAddress(), {Name: stopped.cfg.Name, Address: "127.0.0.1:1"}}).Command(ctx, permits.Command{Caller: "op", Seq: 9, Do: permits.Halt{}})
 	var none *client.NoLeaderError
 	require.ErrorAs(t, err, &none)
 	assert.Contains(t, none.Remedy(), "docs/coordinators.md")
@@ -274,9 +274,9 @@
 	l, err := Listen(lead.cfg.Listen)
 	require.NoError(t, err)
 	lead.layer = l
-	tr := NewTransport(l, nil, discardLog())
-	require.NoError(t, Restore(lead.cfg, lead.store, tr, discardLog()))
-	tr.Close()
+	transport := NewTransport(l, nil, discardLog())
+	require.NoError(t, Restore(lead.cfg, lead.store, transport, discardLog()))
+	transport.Close()
 	lead.layer = nil
 	lead.start(t)
 	waitLeader(t, []*peer{lead})
@@ -285,31 +285,31 @@
 	assert.Len(t, st.Members, 1)
 }
 
-func TestCoordinatorsAreAddedReplacedAndRemoved(t *testing.T) {
+func TestCoordinatorsAreAddedReplacedAndRemovedAtRunTime(t *testing.T) {
 	all := startPeers(t, 3)
 	lead := waitLeader(t, all)
 	c := newClient(all)
 	command(t, c, "op", 1, budgets)
-	four := newPeer(t, "c-3")
-	four.cfg.Join = true
-	four.start(t)
-	require.NoError(t, c.Ask(shortContext(t), client.MembersPath, client.MembershipChange{Add: true, Name: "c-3", Address: four.cfg.Listen, Who: "ana"}, &struct{}{}))
-	eventually(t, "it has what the others have", func() bool { return len(four.Status().Budgets) == 2 })
+	added := newPeer(t, "c-3")
+	added.cfg.Join = true
+	added.start(t)
+	require.NoError(t, c.Ask(shortContext(t), client.MembersPath, client.MembershipChange{Add: true, Name: "c-3", Address: added.cfg.Listen, Who: "ana"}, &struct{}{}))
+	eventually(t, "it has received the state", func() bool { return len(added.Status().Budgets) == 2 })
 	lead.stop()
-	rest := append(all, four)
+	rest := append(all, added)
 	waitLeader(t, rest)
 	c = newClient(rest)
 	require.NoError(t, c.Ask(shortContext(t), client.MembersPath, client.MembershipChange{Name: lead.cfg.Name, Who: "ana"}, &struct{}{}))
 	assert.Len(t, status(t, c).Members, 3)
-	two := waitLeader(t, rest)
+	next := waitLeader(t, rest)
 	for _, p := range rest {
-		if p.Coordinator != nil && p != two {
+		if p.Coordinator != nil && p != next {
 			p.stop()
 			break
 		}
 	}
 	waitLeader(t, rest)
-	eventually(t, "its silence is known", func() bool {
+	eventually(t, "the silent coordinator is reported", func() bool {
 		for _, m := range status(t, c).Members {
 			if m.SilentMs > 0 {
 				return true
@@ -318,13 +318,13 @@
 		return false
 	})
 	var refused *client.RefusedError
-	require.ErrorAs(t, c.Ask(shortContext(t), client.MembersPath, client.MembershipChange{Name: two.cfg.Name}, &struct{}{}), &refused)
+	require.ErrorAs(t, c.Ask(shortContext(t), client.MembersPath, client.MembershipChange{Name: next.cfg.Name}, &struct{}{}), &refused)
 	assert.Contains(t, refused.Reason, "Add another")
-	lines := two.Audit()
+	lines := next.Audit()
 	assert.Contains(t, lines[len(lines)-1].What, "coordinator removed: "+lead.cfg.Name)
 }
 
-func TestAStateIsTakenUpFromDiskAndFromASnapshot(t *testing.T) {
+func TestTheStateIsRestoredFromTheLogAndASnapshot(t *testing.T) {
 	dir := t.TempDir()
 	open := func() store.Store {
 		s, err := store.Open(filepath.Join(dir, fileName), store.Options{})
@@ -343,7 +343,7 @@
 		command(t, c, fmt.Sprint("op", round), 2, permits.Halt{Who: fmt.Sprint(round)})
 		st := status(t, c)
 		assert.Equal(t, round+1, st.Budgets[0].MaxOut)
-		assert.Len(t, st.Halts, round+1, "those of the lives before as well")
+		assert.Len(t, st.Halts, round+1, "including those of earlier runs")
 		p.stop()
 		require.NoError(t, p.store.Close())
 		p.store = open()
@@ -351,7 +351,7 @@
 	p.store.Close()
 }
 
-func TestAFullDiskEndsTheCoordinatorAndASlowOneLosesTheLead(t *testing.T) {
+func TestAFullDiskTerminatesTheCoordinatorAndASlowOneCostsLeadership(t *testing.T) {
 	dir := t.TempDir()
 	fault := filepath.Join(dir, "fault")
 	cfg := config.Coordinator{Name: "c-0", Fleet: "f", Data: dir}
@@ -377,18 +377,18 @@
 	ended := make(chan error, 1)
 	go func() { ended <- Run(ctx, cfg, Options{BeforeWrite: DiskFaultHook(fault)}, discardLog()) }()
 	c := client.New([]config.NamedAddress{{Name: "c-0", Address: cfg.API}, all[0].apiAddress(), all[1].apiAddress()})
-	lead := func() string { return status(t, c).Leader }
-	leader := lead()
-	for leader != "c-0" { // until the one with the disk leads
+	leaderName := func() string { return status(t, c).Leader }
+	current := leaderName()
+	for current != "c-0" { // until the one with the faulty disk leads
 		for _, p := range all {
-			if p.cfg.Name == leader {
+			if p.cfg.Name == current {
 				_ = p.raft.LeadershipTransferToServer("c-0", raft.ServerAddress(cfg.Listen)).Error()
 			}
 		}
-		leader = lead()
+		current = leaderName()
 	}
 	require.NoError(t, os.WriteFile(fault, []byte("400ms"), 0o600))
-	eventually(t, "another leads", func() bool { return lead() != "c-0" })
+	eventually(t, "another leads", func() bool { return leaderName() != "c-0" })
 	require.NoError(t, os.WriteFile(fault, []byte("full"), 0o600))
 	command(t, c, "op", 1, permits.Halt{Who: "ana"})
 	select {
@@ -396,12 +396,12 @@
 		var failed *store.WriteError
 		require.ErrorAs(t, err, &failed)
 	case <-time.After(20 * time.Second):
-		require.Fail(t, "it goes on without its disk")
+		require.Fail(t, "it continues without its disk")
 	}
 	command(t, c, "op", 2, permits.Resume{Who: "ana"})
 }
 
-func TestWhatIsNoQuestionIsRefused(t *testing.T) {
+func TestAnUndecodableRequestIsRefused(t *testing.T) {
 	all := startPeers(t, 1)
 	waitLeader(t, all)
 	c := newClient(all)
