--- a/cmd/swifthall-coordinate/calendar_test.go
+++ b/cmd/swifthall-coordinate/calendar_test.go
@@ -32,6 +32,7 @@
 	address string
 }
 
+// startCoordinator runs the command coordinate until the test ends, and waits until it answers.
 func startCoordinator(t testing.TB) *testCoordinator {
 	s := &testCoordinator{t: t, dir: t.TempDir(), address: "c-1/" + freeAddress(t)}
 	raft := freeAddress(t)
@@ -56,6 +57,7 @@
 	return s
 }
 
+// file writes a JSON file and returns its path.
 func (s *testCoordinator) file(name string, v any) string {
 	raw, err := json.Marshal(v)
 	require.NoError(s.t, err)
@@ -64,6 +66,7 @@
 	return path
 }
 
+// as runs a command as an operator, and checks that the lines of its output fit a terminal.
 func (s *testCoordinator) as(who string, args ...string) (string, error) {
 	out, err := run(append(args, "--at", s.address, "--who", who, "--patience", "20s")...)
 	if err != nil || slices.Contains(args, "--json") || args[0] == "rules" || args[0] == "audit" {
@@ -76,6 +79,7 @@
 	return out, err
 }
 
+// ok runs a command that must succeed, and returns its output.
 func (s *testCoordinator) ok(args ...string) string {
 	s.t.Helper()
 	out, err := s.as("ana", args...)
--- a/cmd/swifthall-coordinate/commands_test.go
+++ b/cmd/swifthall-coordinate/commands_test.go
@@ -20,6 +20,7 @@
 	"github.com/swifthall/swifthall/release"
 )
 
+// run executes a command in the test's process and returns its output.
 func run(args ...string) (string, error) {
 	cmd := newRoot()
 	var out bytes.Buffer
--- a/cmd/swifthall/commands_test.go
+++ b/cmd/swifthall/commands_test.go
@@ -14,6 +14,7 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
+// run executes a command in the test's process and returns its output.
 func run(args ...string) (string, error) {
 	cmd := newRoot()
 	var out bytes.Buffer
--- a/coordinator/calendar_test.go
+++ b/coordinator/calendar_test.go
@@ -62,6 +62,7 @@
 	assert.NotEmpty(t, calendarState(t, c).Readings)
 }
 
+// plan adds a change to the calendar and returns the number of its entry.
 func plan(t *testing.T, c *client.Client, change calendar.Change) uint64 {
 	a := command(t, c, fmt.Sprint("plan ", change.Name), 1, calendar.Plan{Change: change, Who: "ana"})
 	require.NoError(t, a.Err)
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -219,12 +219,14 @@
 	}
 }
 
+// setTerm sets the present term; nil if this coordinator doesn't lead.
 func (c *Coordinator) setTerm(t *term) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.term = t
 }
 
+// currentTerm returns the present term; nil if this coordinator doesn't lead.
 func (c *Coordinator) currentTerm() *term {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -410,6 +412,7 @@
 	return h
 }
 
+// notLeader returns the error for requests that only the leader can answer.
 func (c *Coordinator) notLeader() error { return &NotLeaderError{c.cfg.Name, c.hint()} }
 
 // Status returns the agreed state, as confirmed by a majority if this coordinator leads, and otherwise as it last received it.
@@ -569,6 +572,7 @@
 // snapshot is an encoded state.
 type snapshot []byte
 
+// Persist writes the snapshot to the store.
 func (s snapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
 		_ = sink.Cancel()
@@ -577,6 +581,7 @@
 	return sink.Close()
 }
 
+// Release does nothing: the encoded state needs no cleanup.
 func (snapshot) Release() {}
 
 // Failure returns a channel that delivers the error that terminates the coordinator, such as a failed write to the disk.
@@ -592,6 +597,7 @@
 // routeTable implements raft.ServerAddressProvider. Without a route raft uses the advertised address.
 type routeTable map[string]string
 
+// ServerAddr returns the configured address of a peer, or an error if it has none.
 func (r routeTable) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
 	if at, ok := r[string(id)]; ok {
 		return raft.ServerAddress(at), nil
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -42,6 +42,7 @@
 	api     *httptest.Server
 }
 
+// stop closes the peer and keeps its store, so that it can be started again.
 func (p *peer) stop() {
 	if p.Coordinator != nil {
 		p.api.Close()
@@ -51,10 +52,12 @@
 	}
 }
 
+// apiAddress returns the peer's name with the address of its API.
 func (p *peer) apiAddress() config.NamedAddress {
 	return config.NamedAddress{Name: p.cfg.Name, Address: strings.TrimPrefix(p.api.URL, "http://")}
 }
 
+// start starts the peer from its store, with a new API address.
 func (p *peer) start(t *testing.T) {
 	if p.layer == nil {
 		l, err := Listen(p.cfg.Listen)
@@ -75,6 +78,7 @@
 	t.Cleanup(p.stop)
 }
 
+// startPeers starts n peers that are the members of one fleet.
 func startPeers(t *testing.T, n int) (all []*peer) {
 	var members []config.NamedAddress
 	for i := range n {
@@ -89,10 +93,12 @@
 	return all
 }
 
+// listenAddress returns the peer's name with its address for other coordinators.
 func listenAddress(p *peer) config.NamedAddress {
 	return config.NamedAddress{Name: p.cfg.Name, Address: p.cfg.Listen}
 }
 
+// newPeer returns a peer with an empty store in memory. It is not started.
 func newPeer(t *testing.T, name string) *peer {
 	at, err := loopback.Free() // a restarted peer uses the same address
 	require.NoError(t, err)
@@ -129,12 +135,14 @@
 	return client.New(named)
 }
 
+// shortContext returns a context that ends after the time limit of one step of a test.
 func shortContext(t *testing.T) context.Context {
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	t.Cleanup(stop)
 	return ctx
 }
 
+// command commits a command at the leader and returns its answer.
 func command(t *testing.T, c *client.Client, caller string, seq uint64, do any) permits.Answer {
 	a, err := c.Command(shortContext(t), permits.Command{Caller: caller, Seq: seq, Do: do})
 	require.NoError(t, err)
@@ -154,6 +162,7 @@
 	return reply
 }
 
+// status queries the leader for the status.
 func status(t *testing.T, c *client.Client) (st client.Status) {
 	require.NoError(t, c.Ask(shortContext(t), client.StatusPath, struct{}{}, &st))
 	return st
--- a/coordinator/run.go
+++ b/coordinator/run.go
@@ -27,7 +27,7 @@
 	NoSync      bool                                    // don't sync writes to the disk, for measurements: a machine that crashes loses agreed commands
 	BeforeWrite func() error                            // called before each write of the store; an error fails the write. Used to inject disk faults; may be nil
 	ClockOffset time.Duration                           // added to the wall clock, to test the effects of a wrong clock
-	Layer       func(raft.StreamLayer) raft.StreamLayer // wraps the connections of raft; nil for none
+	Layer       func(raft.StreamLayer) raft.StreamLayer // wraps the connections of raft; not used by Run so far
 }
 
 const (
@@ -40,6 +40,7 @@
 // tcpLayer implements raft.StreamLayer with TCP.
 type tcpLayer struct{ net.Listener }
 
+// Dial connects to another coordinator.
 func (tcpLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	return net.DialTimeout("tcp", string(address), timeout)
 }
