--- a/cmd/swifthall-coordinate/calendar.go
+++ b/cmd/swifthall-coordinate/calendar.go
@@ -543,7 +543,7 @@
 			}
 			return err
 		}}
-	cmd.Flags().IntVarP(&most, "most", "n", maxFreeWindows, "maximum number of windows")
+	cmd.Flags().IntVarP(&most, "most", "n", maxFreeWindows, "windows")
 	return cmd
 }
 
