--- a/coordinator/disk_fault.go
+++ b/coordinator/disk_fault.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// DiskFault is the environment variable that names a file by which a test injects disk faults into this process. The file
+// DiskFaultVariable is the environment variable that names a file by which a test injects disk faults into this process. The file
 // contains "full", "readonly", a duration such as "1s" by which each write is delayed, or nothing.
 const DiskFault = "SWIFTHALL_DISK_FAULT"
 
