--- a/cmd/swifthall-coordinate/calendar.go
+++ b/cmd/swifthall-coordinate/calendar.go
@@ -196,8 +196,8 @@
 // showCalendar prints the entries, migrations and freezes up to a time. If throughMs is negative it prints all, with those that
 // have ended.
 func showCalendar(out io.Writer, s *calendar.State, subject string, throughMs float64, in *time.Location) {
-	if s.Doubt != "" && s.InUse() {
-		printLine(out, "TIME IS IN DOUBT, nothing begins: %s", s.Doubt)
+	if s.ClockProblem != "" && s.InUse() {
+		printLine(out, "TIME IS IN DOUBT, nothing begins: %s", s.ClockProblem)
 	}
 	printLine(out, "agreed time %s %s", formatTime(s.WallMs, in), in)
 	entries := slices.Collect(maps.Values(s.Entries))
@@ -216,9 +216,9 @@
 		if e.Emergency != nil {
 			mark = "EMERGENCY "
 		}
-		printLine(out, row, fmt.Sprintf("%d@%d", e.ID, e.Revision), stageLabel(e.Stage), formatTime(e.Window.FromMs, in), fmt.Sprintf("%.0f", e.Needs()/60e3), fmt.Sprintf("%s%s: %s", mark, e.Name, e.Subject.String()))
-		if e.Says != "" && !isOver(e) {
-			printLine(out, "        %s", e.Says)
+		printLine(out, row, fmt.Sprintf("%d@%d", e.ID, e.Revision), stageLabel(e.Stage), formatTime(e.Window.FromMs, in), fmt.Sprintf("%.0f", e.DurationMs()/60e3), fmt.Sprintf("%s%s: %s", mark, e.Name, e.Subject.String()))
+		if e.Reason != "" && !isOver(e) {
+			printLine(out, "        %s", e.Reason)
 		}
 	}
 	if !found {
@@ -227,8 +227,8 @@
 	for _, id := range slices.Sorted(maps.Keys(s.Migrations)) {
 		if m := s.Migrations[id]; throughMs < 0 || m.Stage != calendar.Done && m.Stage != calendar.Withdrawn {
 			printLine(out, "migration %d@%d %s, %s, entries %s", m.ID, m.Revision, m.Name, m.Stage, strings.Trim(fmt.Sprint(m.Steps), "[]"))
-			if m.Says != "" {
-				printLine(out, "        %s", m.Says)
+			if m.Reason != "" {
+				printLine(out, "        %s", m.Reason)
 			}
 		}
 	}
@@ -257,12 +257,12 @@
 func showEntry(out io.Writer, s *calendar.State, e *calendar.Entry, in *time.Location) {
 	printLine(out, "entry     %d@%d %s", e.ID, e.Revision, e.Name)
 	printLine(out, "stage     %s", e.Stage)
-	if e.Says != "" {
-		printLine(out, "          %s", e.Says)
+	if e.Reason != "" {
+		printLine(out, "          %s", e.Reason)
 	}
 	printLine(out, "kind      %s of %s", e.Kind, e.Subject.String())
 	printLine(out, "window    %s to %s %s", formatTime(e.Window.FromMs, in), formatTime(e.Window.ToMs, in), in)
-	printLine(out, "waves     %d of %d done, %.0f min in all", e.Wave, e.Waves, e.Needs()/60e3)
+	printLine(out, "waves     %d of %d done, %.0f min in all", e.WavesDone, e.Waves, e.DurationMs()/60e3)
 	printLine(out, "author    %s", e.Author)
 	for _, a := range e.Approvals {
 		printLine(out, "approved  by %s %s at %s", a.Who, a.Role, formatTime(a.AtMs, in))
@@ -282,7 +282,7 @@
 		for _, name := range of {
 			status := "nobody has looked"
 			if o, seen := e.Observations[name]; seen {
-				status = fmt.Sprintf("well: %t at %s %s", o.Well, formatTime(o.AtMs, in), o.Says)
+				status = fmt.Sprintf("well: %t at %s %s", o.Passed, formatTime(o.AtMs, in), o.Detail)
 			}
 			printLine(out, "seen      %s: %s", name, status)
 		}
@@ -302,7 +302,7 @@
 		return false, err
 	}
 	for _, m := range a.Conflicts {
-		text := m.Says
+		text := m.Detail
 		if m.With != 0 {
 			text = fmt.Sprintf("%d: %s", m.With, text)
 		}
@@ -452,7 +452,7 @@
 				return nil, err
 			}
 			c := e.Change
-			if c.Window, err = calendar.Window(from, to, zone); err != nil {
+			if c.Window, err = calendar.ParseWindow(from, to, zone); err != nil {
 				return nil, err
 			}
 			if _, err := o.printConflicts(cmd, &c, e.ID, zone); err != nil { // conflicts are only reported; the start checks again
@@ -467,7 +467,7 @@
 	var what, says string
 	saw := o.entryCommand("saw", "Report whether a condition of an entry was observed", "An observation of a precondition is valid for five minutes.",
 		func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
-			return calendar.Observe{ID: e.ID, What: what, Well: !failed, Says: says, Who: o.who}, nil
+			return calendar.Observe{ID: e.ID, What: what, Passed: !failed, Detail: says, Who: o.who}, nil
 		})
 	saw.Flags().StringVar(&what, "what", "", "name of the condition in the entry")
 	saw.Flags().BoolVar(&failed, "not", false, "the condition was checked and does not hold")
@@ -481,12 +481,12 @@
 		}),
 		o.entryCommand("back", "Roll the entry back; if it is a step of a migration, the whole migration is rolled back", "", withReason(func(e *calendar.Entry, _ uint64) any {
 			if e.Migration != 0 {
-				return calendar.Revert{ID: e.Migration, Who: o.who, Why: o.why}
+				return calendar.RevertMigration{ID: e.Migration, Who: o.who, Why: o.why}
 			}
 			return calendar.RollBack{ID: e.ID, Who: o.who, Why: o.why}
 		})),
 		o.entryCommand("done", "Report that its next wave was completed by hand", "", func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
-			return calendar.WaveDone{ID: e.ID, Wave: e.Wave + 1, Who: o.who}, nil
+			return calendar.WaveDone{ID: e.ID, Wave: e.WavesDone + 1, Who: o.who}, nil
 		}),
 		o.entryCommand("returned", "Report that its rollback was completed by hand", "", func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
 			return calendar.RolledBack{ID: e.ID, Who: o.who}, nil
@@ -561,7 +561,7 @@
 			if err := o.requireReason(); err != nil {
 				return err
 			}
-			zone, err := planfile.ZoneOf(f.When.In)
+			zone, err := planfile.ZoneOf(f.When.TimeZone)
 			if err != nil {
 				return err
 			}
@@ -569,11 +569,11 @@
 			if err != nil {
 				return err
 			}
-			z := calendar.Freeze{Name: f.Name, Kinds: f.Kinds, Subject: f.Subject, When: f.When, Sends: f.Sends, Who: o.who, Why: o.why}
-			if z.Sends == "" {
-				z.Sends = calendar.FinishesWave
+			z := calendar.Freeze{Name: f.Name, Kinds: f.Kinds, Subject: f.Subject, When: f.When, RunningPolicy: f.Sends, Who: o.who, Why: o.why}
+			if z.RunningPolicy == "" {
+				z.RunningPolicy = calendar.HaltAfterWave
 			}
-			if err := z.Ahead(zone, s.WallMs); err != nil {
+			if err := z.ExpandSpans(zone, s.WallMs); err != nil {
 				return err
 			}
 			do := calendar.SetFreeze{Freeze: z}
@@ -657,7 +657,7 @@
 				if err != nil {
 					return err
 				}
-				do = calendar.Replace{ID: id, Revision: revision, Steps: steps, Who: o.who}
+				do = calendar.ReplaceSteps{ID: id, Revision: revision, Steps: steps, Who: o.who}
 			}
 			a, err := o.command(cmd, do)
 			if err == nil {
--- a/coordinator/calendar.go
+++ b/coordinator/calendar.go
@@ -81,7 +81,7 @@
 
 // sendClock reports the wall clock once, to this coordinator itself if it leads.
 func (c *Coordinator) sendClock(source *commandSource) error {
-	cmd := source.next(calendar.Clock{Name: c.cfg.Name, WallMs: float64(time.Now().Add(c.clockOffset).UnixMilli()), Size: c.voterCount()})
+	cmd := source.next(calendar.ReportClock{Name: c.cfg.Name, WallMs: float64(time.Now().Add(c.clockOffset).UnixMilli()), Size: c.voterCount()})
 	if t := c.currentTerm(); t != nil {
 		_, err := c.commit(t, cmd)
 		return err
@@ -140,19 +140,19 @@
 			break
 		}
 	}
-	var extensions []calendar.Extend
+	var extensions []calendar.ExtendFreeze
 	c.fsm.read(func(s *permits.State) {
-		for _, id := range s.Calendar.Short() {
+		for _, id := range s.Calendar.FreezesToExtend() {
 			f := *s.Calendar.Freezes[id]
-			zone, err := time.LoadLocation(f.When.In)
+			zone, err := time.LoadLocation(f.When.TimeZone)
 			if err == nil {
-				err = f.Ahead(zone, s.Calendar.WallMs)
+				err = f.ExpandSpans(zone, s.Calendar.WallMs)
 			}
 			if err != nil {
 				c.log.WithError(err).WithField("freeze", f.Name).Warn("further occurrences of a recurring freeze can't be computed; after the known ones it is in force without end")
 				continue
 			}
-			extensions = append(extensions, calendar.Extend{ID: id, Revision: f.Revision, Spans: f.Spans, ThroughMs: f.ThroughMs})
+			extensions = append(extensions, calendar.ExtendFreeze{ID: id, Revision: f.Revision, Spans: f.Spans, ThroughMs: f.ThroughMs})
 		}
 	})
 	for _, do := range extensions {
@@ -195,7 +195,7 @@
 			full.WallMs = part.WallMs
 			answer.Conflicts, answer.Free = full.Conflicts(query.Change, query.ID, query.MaxFree)
 			if len(answer.Conflicts) == 0 {
-				answer.Free = full.Next(query.Change, query.ID, query.MaxFree)
+				answer.Free = full.FindFree(query.Change, query.ID, query.MaxFree)
 			}
 		}
 	}) {
--- a/coordinator/calendar_test.go
+++ b/coordinator/calendar_test.go
@@ -40,7 +40,7 @@
 // useCalendar makes a first use of the calendar, and waits until its time is agreed.
 func useCalendar(t *testing.T, c *client.Client) {
 	command(t, c, "first use", 1, calendar.SetRules{Who: "ana"})
-	eventually(t, "agreed time", func() bool { return calendarState(t, c).Doubt == "" })
+	eventually(t, "agreed time", func() bool { return calendarState(t, c).ClockProblem == "" })
 }
 
 // A coordinator of an earlier release terminates when it has to apply a command that it doesn't know. Therefore no clock is
@@ -137,8 +137,8 @@
 	waitLeader(t, all)
 	c := newClient(all)
 	useCalendar(t, c)
-	a := command(t, c, "bea", 1, calendar.SetFreeze{Freeze: calendar.Freeze{Name: "nights", Subject: calendar.Subject{Scope: calendar.Fleet}, ThroughMs: wallMs() + 1000, Sends: calendar.FinishesWave,
-		When: calendar.Recurrence{Begin: "2026-01-01T22:00", Minutes: 60, Every: "FREQ=DAILY", In: "Europe/Lisbon"}, Who: "bea", Why: "sleep"}})
+	a := command(t, c, "bea", 1, calendar.SetFreeze{Freeze: calendar.Freeze{Name: "nights", Subject: calendar.Subject{Scope: calendar.Fleet}, ThroughMs: wallMs() + 1000, RunningPolicy: calendar.HaltAfterWave,
+		When: calendar.Recurrence{Begin: "2026-01-01T22:00", Minutes: 60, RRule: "FREQ=DAILY", TimeZone: "Europe/Lisbon"}, Who: "bea", Why: "sleep"}})
 	require.NoError(t, a.Err)
 	eventually(t, "its occurrences are computed", func() bool { return len(calendarState(t, c).Freezes[a.Number].Spans) > 300 })
 	var next client.CalendarAnswer
@@ -213,7 +213,7 @@
 	eventually(t, "it runs", func() bool { return calendarState(t, c).Entries[id].Stage == calendar.Running })
 	assert.Len(t, status(t, c).Permits, 1)
 	command(t, c, "bea", 1, calendar.SetFreeze{Freeze: calendar.Freeze{Name: "f", Subject: calendar.Subject{Scope: calendar.Fleet}, Spans: []calendar.Span{{FromMs: 0, ToMs: wallMs() + 3600e3}},
-		Sends: calendar.FinishesWave, Who: "bea", Why: "x"}})
+		RunningPolicy: calendar.HaltAfterWave, Who: "bea", Why: "x"}})
 	err := c.Ask(shortContext(t), client.MembersPath, client.MembershipChange{Add: true, Name: "c-9", Address: "127.0.0.1:1", Who: "op", Why: "x"}, &struct{}{})
 	assert.ErrorContains(t, err, `freeze`, "a freeze applies to changes of the coordinators")
 }
@@ -236,7 +236,7 @@
 		ch := manualChange(name, wallMs()+3600e3, wallMs()+7200e3)
 		command(t, c, "plan "+name, 1, calendar.Plan{Change: ch, Who: "ana", Draft: true})
 	}
-	eventually(t, "all events are acknowledged", func() bool { s := calendarState(t, c); return s.Number > 0 && s.Acknowledged == s.Number })
+	eventually(t, "all events are acknowledged", func() bool { s := calendarState(t, c); return s.LastEvent > 0 && s.Acknowledged == s.LastEvent })
 	numbersIn := func(file string) (numbers []uint64) {
 		raw, err := os.ReadFile(file)
 		require.NoError(t, err)
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -474,7 +474,7 @@
 	}
 	var err error
 	c.fsm.read(func(s *permits.State) {
-		err = s.Calendar.MayBegin(calendar.Coordinators, calendar.Subject{Scope: calendar.Fleet})
+		err = s.Calendar.CheckUnplanned(calendar.Coordinators, calendar.Subject{Scope: calendar.Fleet})
 	})
 	if err != nil {
 		return &CalendarError{err}
