--- a/cmd/swifthall-coordinate/release.go
+++ b/cmd/swifthall-coordinate/release.go
@@ -18,6 +18,7 @@
 	"github.com/swifthall/swifthall/release"
 )
 
+// readPlan reads and checks the file of a release.
 func readPlan(path string) (release.Plan, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -27,17 +28,18 @@
 	return release.Read(f)
 }
 
+// release returns the commands for releases.
 func (o *operator) release() *cobra.Command {
-	cmd := &cobra.Command{Use: "release", Short: "Give doors a new configuration or program, in waves that are watched", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "release", Short: "Roll out a new configuration or program to doors, in monitored waves", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	var wait bool
-	start := &cobra.Command{Use: "start FILE", Short: "Begin a release, or have it wait for another that has some of its doors", Args: cobra.ExactArgs(1),
+	start := &cobra.Command{Use: "start FILE", Short: "Start a release; it waits while another one is changing some of its doors", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p, err := readPlan(args[0])
 			if err != nil {
 				return err
 			}
-			if err := o.reason(); err != nil {
+			if err := o.requireReason(); err != nil {
 				return err
 			}
 			a, err := o.command(cmd, release.Start{Plan: p, Who: o.who, Why: o.why})
@@ -46,13 +48,13 @@
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "release %s is number %d\n", p.Name, a.Number)
 			if wait {
-				return o.follow(cmd, p.Name)
+				return o.waitRelease(cmd, p.Name)
 			}
 			return nil
 		}}
-	start.Flags().BoolVar(&wait, "wait", false, "until it is done, halted or back")
+	start.Flags().BoolVar(&wait, "wait", false, "wait until it is done, halted or rolled back")
 	cmd.AddCommand(start,
-		&cobra.Command{Use: "check FILE", Short: "Say what is wrong with a release's file", Args: cobra.ExactArgs(1),
+		&cobra.Command{Use: "check FILE", Short: "Check the file of a release", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
 				if _, err := readPlan(args[0]); err != nil {
 					return err
@@ -60,7 +62,7 @@
 				fmt.Fprintln(cmd.OutOrStdout(), "ok")
 				return nil
 			}},
-		&cobra.Command{Use: "digest FILE", Short: "Print the digest of what is to be released: the name under which doors have it in their folder", Args: cobra.ExactArgs(1),
+		&cobra.Command{Use: "digest FILE", Short: "Print the digest of a file to release: doors keep the file under that name in their directory", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
 				f, err := os.Open(args[0])
 				if err != nil {
@@ -75,10 +77,10 @@
 				return nil
 			}},
 		o.releases())
-	for to, short := range map[string]string{release.ToHalt: "Let no further door change", release.ToResume: "Let a halted release go on", release.ToBack: "Bring all doors back to what they ran, in the reverse order"} {
+	for to, short := range map[string]string{release.ToHalt: "Stop a release from changing further doors", release.ToResume: "Continue a halted release", release.ToBack: "Roll all doors back to what they ran before, in reverse order"} {
 		cmd.AddCommand(&cobra.Command{Use: to + " NAME", Short: short, Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				if err := o.reason(); err != nil {
+				if err := o.requireReason(); err != nil {
 					return err
 				}
 				_, err := o.command(cmd, release.Steer{Name: args[0], To: to, Who: o.who, Why: o.why})
@@ -88,18 +90,20 @@
 	return cmd
 }
 
-func (o *operator) statusNow(cmd *cobra.Command) (st client.Status, err error) {
-	err = o.with(cmd, func(ctx context.Context, c *client.Client) error {
+// fetchStatus queries the leader for the status.
+func (o *operator) fetchStatus(cmd *cobra.Command) (st client.Status, err error) {
+	err = o.withClient(cmd, func(ctx context.Context, c *client.Client) error {
 		return c.Ask(ctx, client.StatusPath, struct{}{}, &st)
 	})
 	return st, err
 }
 
+// releases returns the command that shows the releases.
 func (o *operator) releases() *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{Use: "status", Short: "Show releases, their waves, and what doors run", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			st, err := o.statusNow(cmd)
+			st, err := o.fetchStatus(cmd)
 			if err != nil {
 				return err
 			}
@@ -109,10 +113,11 @@
 			printReleases(cmd.OutOrStdout(), st)
 			return nil
 		}}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "JSON in place of tables")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON instead of tables")
 	return cmd
 }
 
+// printReleases prints the releases as a table, and the doors that failed to install a version.
 func printReleases(out io.Writer, st client.Status) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer t.Flush()
@@ -136,10 +141,10 @@
 	}
 }
 
-// follow waits until a release has come to an end, or is halted.
-func (o *operator) follow(cmd *cobra.Command, name string) error {
+// waitRelease waits until a release is done, and returns an error if it is halted, rolled back or replaced.
+func (o *operator) waitRelease(cmd *cobra.Command, name string) error {
 	for {
-		st, err := o.statusNow(cmd)
+		st, err := o.fetchStatus(cmd)
 		if err != nil {
 			return err
 		}
@@ -160,7 +165,7 @@
 		select {
 		case <-cmd.Context().Done():
 			return nil
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/coordinator/client/client.go
+++ b/coordinator/client/client.go
@@ -1,5 +1,5 @@
-// Package client asks coordinators, for doors and operators: whichever leads, found by the hints of the others. A command is
-// asked again with its number wherever an answer was lost, and happens once.
+// Package client is the client of the coordinators' API, for doors and operators. It finds the leader by the hints of the other
+// coordinators. A command whose answer was lost is sent again with the same number, and is applied only once.
 package client
 
 import (
@@ -20,134 +20,135 @@
 
 // Paths of a coordinator's API.
 const (
-	CommandPath = "/command"
-	WordPath    = "/word"
-	HoldPath    = "/hold"
-	StatusPath  = "/status"
-	TryPath     = "/try"
-	AuditPath   = "/audit"
-	MembersPath = "/members"
+	CommandPath      = "/command"
+	DoorReportPath   = "/word"
+	HolderReportPath = "/hold"
+	StatusPath       = "/status"
+	DryRunPath       = "/try"
+	AuditPath        = "/audit"
+	MembersPath      = "/members"
 
 	CalendarPath = "/calendar"
 )
 
-// Hint is what one that doesn't lead answers: who does, as far as it knows.
+// Hint is the answer of a coordinator that doesn't lead: the leader, as far as it knows. As the answer to a refused request it has
+// only a Reason.
 type Hint struct {
-	Leader string  `json:"leader"` // name; empty where none is known
-	API    string  `json:"api"`
-	Says   string  `json:"says"`
-	ForMs  float64 `json:"for_ms"` // since it heard a leader
+	Leader         string  `json:"leader"` // name; empty if unknown
+	API            string  `json:"api"`
+	Reason         string  `json:"says"`
+	LeaderSilentMs float64 `json:"for_ms"` // since the last contact with a leader
 }
 
-// Asked is a drain that is only tried.
-type Asked struct {
+// DryRun is a request to check what a drain would do, without doing it.
+type DryRun struct {
 	Kind permits.Kind `json:"kind"`
 	Name string       `json:"name"`
 }
 
-// Tried is what it would come to.
-type Tried struct {
-	Would  []string       `json:"would"`
+// DryRunResult is the answer to a DryRun: the units that the drain would take out, and the error it would meet.
+type DryRunResult struct {
+	Units  []string       `json:"would"`
 	Answer permits.Answer `json:"answer"`
 }
 
-// Member is a coordinator, as the one that leads sees it.
+// Member is a coordinator, as another one sees it.
 type Member struct {
 	Name     string  `json:"name"`
 	Address  string  `json:"address"`
 	Voter    bool    `json:"voter"`
-	SilentMs float64 `json:"silent_ms"` // since it answered; 0 while it does
+	SilentMs float64 `json:"silent_ms"` // since it last answered the leader; 0 while it answers
 }
 
-// Change of the coordinators.
-type Change struct {
+// MembershipChange adds or removes a coordinator.
+type MembershipChange struct {
 	Add      bool   `json:"add"`
 	Name     string `json:"name"`
 	Address  string `json:"address"`
 	Who, Why string
 }
 
-// Unit is a door or backend as coordinators know it.
+// Unit is a door or backend in the agreed state.
 type Unit struct {
 	permits.UnitState
-	Out   bool    `json:"out"` // counts as out
+	Out   bool    `json:"out"` // counts as out in the budgets
 	AgeMs float64 `json:"age_ms"`
 }
 
-// Place is a permit, with those that a drain still waits for.
-type Place struct {
+// Permit is a permit in the agreed state.
+type Permit struct {
 	permits.Permit
-	Drained bool     `json:"drained"`
-	Waiting []string `json:"waiting,omitempty"`
+	Drained bool     `json:"drained"`           // the drain is complete, see permits.State.Drained
+	Waiting []string `json:"waiting,omitempty"` // doors that have not confirmed the drain of a backend
 }
 
-// Status is what coordinators have agreed on.
+// Status is the agreed state, with its source.
 type Status struct {
-	Self    string           `json:"self"`
+	Self    string           `json:"self"` // coordinator that sent it
 	Fleet   string           `json:"fleet"`
 	Leader  string           `json:"leader"`
-	Current bool             `json:"current"` // told by the one that leads, which a majority has confirmed
+	Current bool             `json:"current"` // from the leader, confirmed by a majority; otherwise the state may be outdated
 	Hint    Hint             `json:"hint"`
 	Members []Member         `json:"members"`
 	Change  uint64           `json:"change"`
 	Units   []Unit           `json:"units"`
-	Places  []Place          `json:"places"`
+	Permits []Permit         `json:"places"`
 	Budgets []permits.Budget `json:"budgets"`
 	Halts   []permits.Halt   `json:"halts"`
 
 	Releases []*release.Release          `json:"releases"`
-	Runs     map[string]release.Versions `json:"runs"` // by door
-	Seen     map[string]string           `json:"seen"` // process of each backend
+	Runs     map[string]release.Versions `json:"runs"` // installed versions by door
+	Seen     map[string]string           `json:"seen"` // last seen process of each backend
 }
 
-// CalendarQuestion asks for the calendar, and about an entry or a change.
-type CalendarQuestion struct {
-	ID     uint64           `json:"id,omitempty"`     // what is in the way of this entry; or the change's own
-	Change *calendar.Change `json:"change,omitempty"` // what it would meet, and when there is room for it
-	Most   int              `json:"most,omitempty"`   // free windows
-	Bare   bool             `json:"bare,omitempty"`   // of the calendar, only the entry and those that it waits for: there may be thousands
-	Events bool             `json:"events,omitempty"` // its history too
+// CalendarQuery requests the calendar, and optionally information about an entry or a change.
+type CalendarQuery struct {
+	ID        uint64           `json:"id,omitempty"`     // entry whose obstacle is requested; with Change the entry that it would replace
+	Change    *calendar.Change `json:"change,omitempty"` // change whose conflicts and free windows are requested
+	MaxFree   int              `json:"most,omitempty"`   // maximum number of free windows
+	EntryOnly bool             `json:"bare,omitempty"`   // of the calendar's thousands of entries send only this one and those it waits for
+	Events    bool             `json:"events,omitempty"` // include the calendar's events
 }
 
-// CalendarAnswer answers it.
+// CalendarAnswer is the answer to a CalendarQuery.
 type CalendarAnswer struct {
-	Calendar json.RawMessage     `json:"calendar"` // a calendar.State
-	InTheWay permits.Answer      `json:"in_the_way"`
-	Met      []calendar.Conflict `json:"met,omitempty"`
-	Free     []calendar.Span     `json:"free,omitempty"`
+	Calendar  json.RawMessage     `json:"calendar"` // a calendar.State
+	Obstacle  permits.Answer      `json:"in_the_way"`
+	Conflicts []calendar.Conflict `json:"met,omitempty"`
+	Free      []calendar.Span     `json:"free,omitempty"`
 }
 
 const (
-	attempt  = 900 * time.Millisecond // of one question to one coordinator; a leader that is well answers in some ms
-	rest     = 100 * time.Millisecond // between rounds over all of them
-	mostBody = 16 << 20               // bytes of an answer; some tens of thousands of units
+	attemptTimeout = 900 * time.Millisecond // of one request to one coordinator; a healthy leader answers within a few ms
+	roundInterval  = 100 * time.Millisecond // between rounds over all coordinators
+	maxBody        = 16 << 20               // bytes of a response; enough for some tens of thousands of units
 )
 
-// Client asks a few coordinators, named with their addresses.
+// Client sends requests to the coordinators of a fleet. Its methods may be called concurrently.
 type Client struct {
-	all  []config.NamedAddress
-	http *http.Client
+	coordinators []config.NamedAddress
+	http         *http.Client
 
 	mu     sync.Mutex
-	leader config.NamedAddress // that answered last, or was hinted at
+	leader config.NamedAddress // the coordinator that answered last; zero if unknown
 }
 
-// New returns a client.
-func New(all []config.NamedAddress) *Client {
-	return &Client{all: all, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second}}}
+// New returns a client of the given coordinators.
+func New(coordinators []config.NamedAddress) *Client {
+	return &Client{coordinators: coordinators, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second}}}
 }
 
-// Close ends what is idle.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// order lists whom to ask, the likeliest first.
-func (c *Client) order() (all []config.NamedAddress) {
+// candidates returns the coordinators in the order in which they are asked: the last known leader first.
+func (c *Client) candidates() (all []config.NamedAddress) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leader.Address != "" {
 		all = append(all, c.leader)
 	}
-	for _, a := range c.all {
+	for _, a := range c.coordinators {
 		if a.Address != c.leader.Address {
 			all = append(all, a)
 		}
@@ -155,9 +156,9 @@
 	return all
 }
 
-// at finds where a hinted leader is: as this client knows it, else as the hint says.
-func (c *Client) at(h Hint) config.NamedAddress {
-	for _, a := range c.all {
+// resolve returns the address of a hinted leader: the client's own address for that name if it has one, else that of the hint.
+func (c *Client) resolve(h Hint) config.NamedAddress {
+	for _, a := range c.coordinators {
 		if a.Name == h.Leader {
 			return a
 		}
@@ -165,110 +166,114 @@
 	return config.NamedAddress{Name: h.Leader, Address: h.API}
 }
 
-func (c *Client) leads(a config.NamedAddress) {
+// setLeader records the coordinator that is asked first.
+func (c *Client) setLeader(a config.NamedAddress) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leader = a
 }
 
-// Ask asks the one that leads, until it answers or ctx ends.
+// Ask sends a request to the leader and decodes the answer into out. It retries until the leader answers, a coordinator refuses the
+// request, or ctx ends.
 func (c *Client) Ask(ctx context.Context, path string, in, out any) error {
-	raw, err := json.Marshal(in)
+	body, err := json.Marshal(in)
 	if err != nil {
 		return err
 	}
-	last := &NoLeaderError{Asked: c.all}
+	failure := &NoLeaderError{Asked: c.coordinators}
 	for {
 		hinted := map[string]bool{}
-		for todo := c.order(); len(todo) > 0; todo = todo[1:] {
-			a := todo[0]
-			h, err := c.once(ctx, a, path, raw, out)
+		for remaining := c.candidates(); len(remaining) > 0; remaining = remaining[1:] {
+			a := remaining[0]
+			h, err := c.send(ctx, a, path, body, out)
 			switch {
 			case err == nil:
-				c.leads(a)
+				c.setLeader(a)
 				return nil
 			case h != nil && h.Leader != "" && !hinted[h.Leader]:
 				hinted[h.Leader] = true
-				todo = append([]config.NamedAddress{a, c.at(*h)}, todo[1:]...)
+				remaining = append([]config.NamedAddress{a, c.resolve(*h)}, remaining[1:]...)
 			}
 			var refused *RefusedError
 			if errors.As(err, &refused) {
 				return err
 			}
-			last.note(a, h, err)
+			failure.record(a, h, err)
 			if ctx.Err() != nil {
-				return last
+				return failure
 			}
 		}
-		c.leads(config.NamedAddress{})
+		c.setLeader(config.NamedAddress{})
 		select {
 		case <-ctx.Done():
-			return last
-		case <-time.After(rest):
+			return failure
+		case <-time.After(roundInterval):
 		}
 	}
 }
 
-// Once asks a single coordinator, whether it leads or not.
-func (c *Client) Once(ctx context.Context, a config.NamedAddress, path string, out any) error {
-	_, err := c.once(ctx, a, path, nil, out)
+// AskOne sends a GET request to one coordinator, which need not lead, and decodes the answer into out.
+func (c *Client) AskOne(ctx context.Context, a config.NamedAddress, path string, out any) error {
+	_, err := c.send(ctx, a, path, nil, out)
 	return err
 }
 
-func (c *Client) once(ctx context.Context, a config.NamedAddress, path string, raw []byte, out any) (*Hint, error) {
-	ctx, stop := context.WithTimeout(ctx, attempt)
+// send sends one request, with method GET if body is nil. It returns the hint of a coordinator that doesn't lead.
+func (c *Client) send(ctx context.Context, a config.NamedAddress, path string, body []byte, out any) (*Hint, error) {
+	ctx, stop := context.WithTimeout(ctx, attemptTimeout)
 	defer stop()
 	method := http.MethodPost
-	if raw == nil {
+	if body == nil {
 		method = http.MethodGet
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+a.Address+path, bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+a.Address+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, &AskError{a, "", err}
+		return nil, &RequestError{a, "", err}
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, &AskError{a, "", err}
+		return nil, &RequestError{a, "", err}
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostBody))
+	respBody, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
 	if err != nil {
-		return nil, &AskError{a, "", err}
+		return nil, &RequestError{a, "", err}
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		if err := json.Unmarshal(body, out); err != nil {
-			return nil, &AskError{a, "not a coordinator's answer", err}
+		if err := json.Unmarshal(respBody, out); err != nil {
+			return nil, &RequestError{a, "the response can't be decoded", err}
 		}
 		return nil, nil
 	case http.StatusMisdirectedRequest:
 		var h Hint
-		if json.Unmarshal(body, &h) != nil {
-			return nil, &AskError{a, "not a coordinator's answer", nil}
+		if json.Unmarshal(respBody, &h) != nil {
+			return nil, &RequestError{a, "the response can't be decoded", nil}
 		}
-		return &h, &AskError{a, h.Says, nil}
+		return &h, &RequestError{a, h.Reason, nil}
 	case http.StatusBadRequest:
 		var h Hint
-		_ = json.Unmarshal(body, &h)
-		return nil, &RefusedError{a, h.Says}
+		_ = json.Unmarshal(respBody, &h)
+		return nil, &RefusedError{a, h.Reason}
 	}
-	return nil, &AskError{a, resp.Status, nil}
+	return nil, &RequestError{a, resp.Status, nil}
 }
 
-// Command gives a command and returns what it came to; its error is the client's, the answer's stands in the answer.
+// Command commits a command and returns its answer. err reports that no answer was received; an error of the command itself is in
+// the answer.
 func (c *Client) Command(ctx context.Context, cmd permits.Command) (a permits.Answer, err error) {
 	err = c.Ask(ctx, CommandPath, cmd, &a)
 	return a, err
 }
 
-// Word says a door's word.
-func (c *Client) Word(ctx context.Context, w *permits.DoorReport) (r permits.Reply, err error) {
-	err = c.Ask(ctx, WordPath, w, &r)
-	return r, err
+// Word sends a door's report.
+func (c *Client) Word(ctx context.Context, report *permits.DoorReport) (reply permits.Reply, err error) {
+	err = c.Ask(ctx, DoorReportPath, report, &reply)
+	return reply, err
 }
 
-// Hold says a holder's word.
-func (c *Client) Hold(ctx context.Context, h *permits.HolderReport) (g permits.Assignment, err error) {
-	err = c.Ask(ctx, HoldPath, h, &g)
-	return g, err
+// Hold sends the report of the process that holds a door's listener.
+func (c *Client) Hold(ctx context.Context, report *permits.HolderReport) (assignment permits.Assignment, err error) {
+	err = c.Ask(ctx, HolderReportPath, report, &assignment)
+	return assignment, err
 }
