--- a/cmd/swifthall-coordinate/commands.go
+++ b/cmd/swifthall-coordinate/commands.go
@@ -147,7 +147,7 @@
 				return err
 			}
 			return coordinator.Run(cmd.Context(), cfg, coordinator.Options{Restore: restore, NoSync: noSync,
-				BeforeWrite: coordinator.DiskFaultHook(os.Getenv(coordinator.DiskFault)), ClockOffset: serving.WallClockOffset()}, log)
+				BeforeWrite: coordinator.DiskFaultHook(os.Getenv(coordinator.DiskFaultVariable)), ClockOffset: serving.WallClockOffset()}, log)
 		}}
 	f := cmd.Flags()
 	f.StringVar(&file, "config", "", "the coordinator's configuration file")
--- a/coordinator/client/client.go
+++ b/coordinator/client/client.go
@@ -266,14 +266,14 @@
 	return a, err
 }
 
-// Word sends a door's report.
-func (c *Client) Word(ctx context.Context, report *permits.DoorReport) (reply permits.Reply, err error) {
+// ReportDoor sends a door's report.
+func (c *Client) ReportDoor(ctx context.Context, report *permits.DoorReport) (reply permits.Reply, err error) {
 	err = c.Ask(ctx, DoorReportPath, report, &reply)
 	return reply, err
 }
 
-// Hold sends the report of the process that holds a door's listener.
-func (c *Client) Hold(ctx context.Context, report *permits.HolderReport) (assignment permits.Assignment, err error) {
+// ReportHolder sends the report of the process that holds a door's listener.
+func (c *Client) ReportHolder(ctx context.Context, report *permits.HolderReport) (assignment permits.Assignment, err error) {
 	err = c.Ask(ctx, HolderReportPath, report, &assignment)
 	return assignment, err
 }
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -157,7 +157,7 @@
 	for _, b := range []string{"b-0", "b-1"} {
 		report.Backends = append(report.Backends, permits.Sighting{Unit: permits.Unit{Kind: permits.Backend, Name: b}, Standing: permits.Ready})
 	}
-	reply, err := c.Word(shortContext(t), &report)
+	reply, err := c.ReportDoor(shortContext(t), &report)
 	require.NoError(t, err)
 	return reply
 }
--- a/coordinator/disk_fault.go
+++ b/coordinator/disk_fault.go
@@ -9,7 +9,7 @@
 
 // DiskFaultVariable is the environment variable that names a file by which a test injects disk faults into this process. The file
 // contains "full", "readonly", a duration such as "1s" by which each write is delayed, or nothing.
-const DiskFault = "SWIFTHALL_DISK_FAULT"
+const DiskFaultVariable = "SWIFTHALL_DISK_FAULT"
 
 // DiskFaultHook returns a function that reads the file and injects the fault; it is called before each write. It is nil if path is
 // empty.
