--- a/lab/model/deal.go
+++ b/lab/model/deal.go
@@ -44,111 +44,111 @@
 	return d
 }
 
-// sight is the true state as one door's indices name it.
-type sight struct {
+// doorView is the true state as one door's indices name it.
+type doorView struct {
 	w *World
 	d *door
 }
 
 // Wait works out what a backend would take, from its queue as it stands.
-func (s sight) Wait(backend, class int) float64 {
+func (s doorView) Wait(backend, class int) float64 {
 	w := s.w
-	b := w.backends[s.d.names.ID(backend)]
-	_, hangs := b.hurting("hang", class)
-	_, refuses := b.hurting("refuse", -1)
-	if !b.up || b.fallen || b.status != gate.Up || hangs || refuses || b.silent() || b.paused || w.cut(s.d.zone, b.zone) ||
-		len(b.work) >= b.slots && len(b.queue) >= b.room {
+	b := w.backends[s.d.backendIDs.ID(backend)]
+	_, hangs := b.faultMagnitude("hang", class)
+	_, refuses := b.faultMagnitude("refuse", -1)
+	if !b.up || b.collapsed || b.status != gate.Up || hangs || refuses || b.silent() || b.paused || w.partitioned(s.d.zone, b.zone) ||
+		len(b.running) >= b.slots && len(b.queue) >= b.maxQueue {
 		return math.Inf(1)
 	}
 	mean := w.s.Classes[class].WorkMs
 	now := b.capacity()
-	if b.budget != nil {
-		now = b.budget.Now(w.now)
-		if now*w.s.Rules.FallMs < mean*coldWorks {
+	if b.coldBudget != nil {
+		now = b.coldBudget.Now(w.now)
+		if now*w.s.Rules.FallMs < mean*minColdRequests {
 			return math.Inf(1)
 		}
 	}
-	for _, h := range b.hurts {
+	for _, h := range b.faults {
 		if h.fault.Kind == "slow" {
 			now /= max(1, h.fault.Much)
 		}
 	}
-	held := float64(b.owed)
+	held := float64(b.pending)
 	alone := mean * float64(b.cores) / now
 	return max(alone, (held+1)*mean/now)
 }
 
 // Work is a class's mean work.
-func (s sight) Work(class int) float64 { return s.w.s.Classes[class].WorkMs }
+func (s doorView) Work(class int) float64 { return s.w.s.Classes[class].WorkMs }
 
-const coldWorks = 2 // works that a cold backend must have room for before it is sent anything
+const minColdRequests = 2 // works that a cold backend must have room for before it is sent anything
 
-func (s sight) Take(customer, plan int, units float64) bool {
-	return s.w.truth.take(s.w, s.d.customers.ID(customer), plan, units)
+func (s doorView) Take(customer, plan int, units float64) bool {
+	return s.w.quotas.take(s.w, s.d.customers.ID(customer), plan, units)
 }
 
-func (s sight) TakeLate(customer, plan int, units, lateMs float64) bool {
-	return s.w.truth.takeLate(s.w, s.d.id, s.d.customers.ID(customer), plan, units, lateMs)
+func (s doorView) TakeLate(customer, plan int, units, lateMs float64) bool {
+	return s.w.quotas.takeLate(s.w, s.d.id, s.d.customers.ID(customer), plan, units, lateMs)
 }
 
-// truth holds the customers' true quotas, for deciders that may see them.
-type truth struct {
-	of   map[int]level
-	late map[int]*lately
+// trueQuotas holds the customers' true quotas, for deciders that may see them.
+type trueQuotas struct {
+	current map[int]quotaLevel
+	stale   map[int]*staleQuota
 }
 
-// lately is a quota as it was some time ago, and what has been taken since.
-type lately struct {
-	was   level
-	taken []taking
+// staleQuota is a quota as it was some time ago, and what has been taken since.
+type staleQuota struct {
+	base        quotaLevel
+	withdrawals []withdrawal
 }
 
-type taking struct {
+type withdrawal struct {
 	at, units float64
 	door      int
 }
 
-type level struct{ units, at float64 }
+type quotaLevel struct{ units, at float64 }
 
 // refilled is what a quota holds at a later time.
-func (l level) refilled(p *scenario.Plan, at float64) float64 {
+func (l quotaLevel) refilled(p *scenario.Plan, at float64) float64 {
 	return min(p.Depth, l.units+p.PerS/1000*(at-l.at))
 }
 
-func (t *truth) take(w *World, customer, plan int, units float64) bool {
+func (t *trueQuotas) take(w *World, customer, plan int, units float64) bool {
 	p := &w.s.Plans[plan]
-	if t.of == nil {
-		t.of = map[int]level{}
+	if t.current == nil {
+		t.current = map[int]quotaLevel{}
 	}
-	l, known := t.of[customer]
+	l, known := t.current[customer]
 	if !known {
-		l = level{p.Depth, w.now}
+		l = quotaLevel{p.Depth, w.now}
 	}
 	l.units, l.at = l.refilled(p, w.now), w.now
 	has := l.units >= units
 	if has {
 		l.units -= units
 	}
-	t.of[customer] = l
+	t.current[customer] = l
 	return has
 }
 
-func (t *truth) takeLate(w *World, door, customer, plan int, units, lateMs float64) bool {
+func (t *trueQuotas) takeLate(w *World, door, customer, plan int, units, lateMs float64) bool {
 	p := &w.s.Plans[plan]
-	if t.late == nil {
-		t.late = map[int]*lately{}
+	if t.stale == nil {
+		t.stale = map[int]*staleQuota{}
 	}
-	k := t.late[customer]
+	k := t.stale[customer]
 	if k == nil {
-		k = &lately{was: level{p.Depth, w.now - lateMs}}
-		t.late[customer] = k
+		k = &staleQuota{base: quotaLevel{p.Depth, w.now - lateMs}}
+		t.stale[customer] = k
 	}
-	for len(k.taken) > 0 && k.taken[0].at <= w.now-lateMs {
-		k.was = level{k.was.refilled(p, k.taken[0].at) - k.taken[0].units, k.taken[0].at}
-		k.taken = k.taken[1:]
+	for len(k.withdrawals) > 0 && k.withdrawals[0].at <= w.now-lateMs {
+		k.base = quotaLevel{k.base.refilled(p, k.withdrawals[0].at) - k.withdrawals[0].units, k.withdrawals[0].at}
+		k.withdrawals = k.withdrawals[1:]
 	}
-	left := k.was.refilled(p, w.now)
-	for _, n := range k.taken {
+	left := k.base.refilled(p, w.now)
+	for _, n := range k.withdrawals {
 		if n.door == door {
 			left -= n.units
 		}
@@ -156,6 +156,6 @@
 	if left < units {
 		return false
 	}
-	k.taken = append(k.taken, taking{w.now, units, door})
+	k.withdrawals = append(k.withdrawals, withdrawal{w.now, units, door})
 	return true
 }
--- a/lab/model/discovery.go
+++ b/lab/model/discovery.go
@@ -8,58 +8,58 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// news is what a door is told of the list.
-type news struct {
-	whole   bool
-	entries []line
+// listUpdate is what a door is told of the list.
+type listUpdate struct {
+	complete bool
+	entries  []listEntry
 }
 
-// line is one backend as the list has it.
-type line struct {
-	backend int
-	status  gate.Status
-	since   float64
+// listEntry is one backend as the list has it.
+type listEntry struct {
+	backend   int
+	status    gate.Status
+	startedAt float64
 }
 
-// telling is what a door was last told of a backend.
-type telling struct {
-	known  bool
-	status gate.Status
-	since  float64
+// knownBackend is what a door was last told of a backend.
+type knownBackend struct {
+	known     bool
+	status    gate.Status
+	startedAt float64
 }
 
 // announce sends a change of one backend to all doors, once the list has noticed it.
 func (w *World) announce(b *backend, status gate.Status, notice float64) {
-	one := news{entries: []line{{b.id, status, b.since}}}
-	w.at(w.now+notice, due{kind: dueStart, p: func() {
-		if status == gate.Gone && b.up && b.listed && b.since > one.entries[0].since {
+	one := listUpdate{entries: []listEntry{{b.id, status, b.startedAt}}}
+	w.schedule(w.now+notice, event{kind: eventFunc, payload: func() {
+		if status == gate.Gone && b.up && b.listed && b.startedAt > one.entries[0].startedAt {
 			return // it is back before anyone noticed
 		}
 		for _, d := range w.doors {
-			if d.tracking {
-				w.pass(d, one)
+			if d.subscribed {
+				w.sendListUpdate(d, one)
 			}
 		}
 	}})
 }
 
-// pass sends news to one door, in order; while discovery is silent they wait.
-func (w *World) pass(d *door, n news) {
+// sendListUpdate sends news to one door, in order; while discovery is silent they wait.
+func (w *World) sendListUpdate(d *door, n listUpdate) {
 	at := w.now + d.listDelay
-	late, _ := w.hurting("list_late")
+	late, _ := w.faultMagnitude("list_late")
 	at += late
-	for _, h := range w.hurts {
+	for _, h := range w.faults {
 		if h.fault.Kind == "list_silent" || h.fault.Kind == "zone_cut" && (d.zone == *h.fault.Zone) != (*h.fault.Zone == 0) {
 			at = max(at, h.fault.End()*1000+d.listDelay)
 		}
 	}
-	d.listAt = max(at, math.Nextafter(d.listAt, math.Inf(1)))
-	w.at(d.listAt, due{kind: dueList, n: d.id, m: d.life, p: n})
+	d.lastListAt = max(at, math.Nextafter(d.lastListAt, math.Inf(1)))
+	w.schedule(d.lastListAt, event{kind: eventListUpdate, index: d.id, arg: d.incarnation, payload: n})
 }
 
-// whole is the list as it stands.
-func (w *World) whole() news {
-	n := news{whole: true}
+// fullList is the list as it stands.
+func (w *World) fullList() listUpdate {
+	n := listUpdate{complete: true}
 	for _, b := range w.backends {
 		if b.listed {
 			status := b.status
@@ -67,63 +67,63 @@
 				status = gate.Gone
 			}
 			if status != gate.Gone {
-				n.entries = append(n.entries, line{b.id, status, b.since})
+				n.entries = append(n.entries, listEntry{b.id, status, b.startedAt})
 			}
 		}
 	}
 	return n
 }
 
-// list takes news in.
-func (d *door) list(w *World, life int, n news) {
-	if !d.up || d.life != life {
+// receiveListUpdate takes news in.
+func (d *door) receiveListUpdate(w *World, life int, n listUpdate) {
+	if !d.up || d.incarnation != life {
 		return
 	}
-	if d.outer != nil {
-		d.note(w, n)
-		d.outer.List(n.whole, lines(w, n))
+	if d.external != nil {
+		d.recordList(w, n)
+		d.external.ListChanged(n.complete, backendEntries(w, n))
 		return
 	}
-	d.listed = append(d.listed, n)
-	d.wake(w, w.now)
+	d.listUpdates = append(d.listUpdates, n)
+	d.scheduleDecision(w, w.now)
 }
 
-// hear words one piece of news for the decisions.
-func (d *door) hear(w *World, n news) gate.FleetUpdate {
-	d.note(w, n)
-	f := gate.FleetUpdate{Complete: n.whole}
+// fleetUpdate words one piece of news for the decisions.
+func (d *door) fleetUpdate(w *World, n listUpdate) gate.FleetUpdate {
+	d.recordList(w, n)
+	f := gate.FleetUpdate{Complete: n.complete}
 	for _, l := range n.entries {
 		b := w.backends[l.backend]
 		since := 0.0
-		if l.since > -epoch {
-			since = l.since + epoch
+		if l.startedAt > -epoch {
+			since = l.startedAt + epoch
 		}
-		f.Entries = append(f.Entries, gate.Entry{Backend: d.names.Add(l.backend), Zone: b.zone, Cell: b.cell, Status: l.status,
+		f.Entries = append(f.Entries, gate.Entry{Backend: d.backendIDs.Add(l.backend), Zone: b.zone, Cell: b.cell, Status: l.status,
 			StartedAt: since, Weight: 1, RingPosition: index.Phase(uint64(l.backend) + 1)})
 	}
 	return f
 }
 
-// note books what the door knows from here on.
-func (d *door) note(w *World, n news) {
-	if n.whole {
+// recordList books what the door knows from here on.
+func (d *door) recordList(w *World, n listUpdate) {
+	if n.complete {
 		named := make(map[int]bool, len(n.entries))
 		for _, l := range n.entries {
 			named[l.backend] = true
 		}
-		for i := range d.told {
-			if t := &d.told[i]; t.known && !named[i] && t.status != gate.Gone {
+		for i := range d.known {
+			if t := &d.known[i]; t.known && !named[i] && t.status != gate.Gone {
 				t.status = gate.Gone
-				w.tell(trace.Event{Kind: trace.Told, Door: d.id, Backend: i, Status: gate.Gone})
+				w.emit(trace.Event{Kind: trace.Told, Door: d.id, Backend: i, Status: gate.Gone})
 			}
 		}
 	}
 	for _, l := range n.entries {
-		for len(d.told) <= l.backend {
-			d.told = append(d.told, telling{})
+		for len(d.known) <= l.backend {
+			d.known = append(d.known, knownBackend{})
 			d.idle = append(d.idle, idleConns{})
 		}
-		d.told[l.backend] = telling{true, l.status, l.since}
-		w.tell(trace.Event{Kind: trace.Told, Door: d.id, Backend: l.backend, Status: l.status})
+		d.known[l.backend] = knownBackend{true, l.status, l.startedAt}
+		w.emit(trace.Event{Kind: trace.Told, Door: d.id, Backend: l.backend, Status: l.status})
 	}
 }
--- a/lab/model/door.go
+++ b/lab/model/door.go
@@ -11,65 +11,65 @@
 
 // door carries a decider: it words what comes as events, and has its actions done.
 type door struct {
-	id, zone, life int
-	up             bool
-	leaving        bool    // clients no longer come
-	diedAt         float64 // ms
-	dueAt          float64 // clock at which it decides next; infinite where it has nothing to do
-	decider        gate.Decider
-	inbox          []gate.Event
-	came           []*Try
-	back           []ending
-	listed         []news
-	events         []gate.Event
-	actions        []gate.Action
-	wakeAt         float64
-	ops            []op
-	free           []int
-	closing        []int
-	customers      index.Table[int]
-	names          index.Table[int] // of backends
-	told           []telling        // by backend
-	idle           []idleConns      // by backend
-	listDelay      float64
-	listAt         float64
-	tracking       bool
-	outer          Outer // carries a door outside of the world; nil where the world carries a decider
+	id, zone, incarnation int
+	up                    bool
+	stopping              bool    // clients no longer come
+	crashedAt             float64 // ms
+	decideAt              float64 // clock at which it decides next; infinite where it has nothing to do
+	decider               gate.Decider
+	inbox                 []gate.Event
+	submitted             []*Try
+	ended                 []attemptEnd
+	listUpdates           []listUpdate
+	events                []gate.Event
+	actions               []gate.Action
+	timerAt               float64
+	ops                   []op
+	freeSlots             []int
+	slotsToFree           []int
+	customers             index.Table[int]
+	backendIDs            index.Table[int] // of backends
+	known                 []knownBackend   // by backend
+	idle                  []idleConns      // by backend
+	listDelay             float64
+	lastListAt            float64
+	subscribed            bool
+	external              ExternalDoor // carries a door outside of the world; nil where the world carries a decider
 }
 
 // op is a request that the door holds.
 type op struct {
-	try  *Try
-	jobs []*Job
-	out  int
-	over bool
+	try      *Try
+	jobs     []*Job
+	inFlight int
+	answered bool
 }
 
-// ending is an attempt's end that waits for the door to look.
-type ending struct {
-	job    *Job
-	result gate.Result
-	took   float64
-	use    float64
+// attemptEnd is an attempt's end that waits for the door to look.
+type attemptEnd struct {
+	job     *Job
+	result  gate.Result
+	latency float64
+	use     float64
 }
 
 // idleConns are a door's free connections to a backend.
 type idleConns struct {
-	n, life int
-	used    float64 // when one was last, ms
+	n, incarnation int
+	lastUsed       float64 // when one was last, ms
 }
 
-type probe struct {
-	at     float64
-	life   int
-	result gate.Result
+type probeResult struct {
+	sentAt      float64
+	incarnation int
+	result      gate.Result
 }
 
-func phase(customer int) float64 { return index.Phase(uint64(customer) + 1) }
+func customerPhase(customer int) float64 { return index.Phase(uint64(customer) + 1) }
 
 func newDoor(w *World, id int) *door {
-	d := &door{id: id, zone: id % w.s.Fleet.Zones, diedAt: math.Inf(-1), dueAt: math.Inf(1)}
-	d.listDelay = w.s.Discovery.DelayMs.At(w.dice.net.Float64())
+	d := &door{id: id, zone: id % w.s.Fleet.Zones, crashedAt: math.Inf(-1), decideAt: math.Inf(1)}
+	d.listDelay = w.s.Discovery.DelayMs.At(w.rng.net.Float64())
 	return d
 }
 
@@ -78,56 +78,56 @@
 	if d.up {
 		return
 	}
-	known := news{whole: true}
-	for i, t := range d.told {
+	known := listUpdate{complete: true}
+	for i, t := range d.known {
 		if t.known && t.status != gate.Gone {
-			known.entries = append(known.entries, line{i, t.status, t.since})
+			known.entries = append(known.entries, listEntry{i, t.status, t.startedAt})
 		}
 	}
-	if d.life == 0 {
-		known = w.whole()
+	if d.incarnation == 0 {
+		known = w.fullList()
 	}
-	if d.outer != nil {
-		d.life++
-		d.up, d.leaving, d.tracking = true, false, true
-		w.tell(trace.Event{Kind: trace.Started, Door: d.id})
-		d.note(w, known)
-		d.outer.Start(lines(w, known))
-		w.pass(d, w.whole())
+	if d.external != nil {
+		d.incarnation++
+		d.up, d.stopping, d.subscribed = true, false, true
+		w.emit(trace.Event{Kind: trace.Started, Door: d.id})
+		d.recordList(w, known)
+		d.external.Start(backendEntries(w, known))
+		w.sendListUpdate(d, w.fullList())
 		return
 	}
-	d.life++
-	d.up, d.leaving = true, false
-	d.customers, d.names = index.New[int](), index.New[int]()
-	d.ops, d.free, d.closing = nil, nil, nil
-	d.inbox, d.came, d.back, d.listed = nil, nil, nil, nil
-	d.wakeAt, d.dueAt = 0, math.Inf(1)
-	d.idle = make([]idleConns, len(d.told))
-	seed := chance(w.seed, chanceDoors<<16|uint64(d.id)<<32|uint64(d.life)).Uint64()
-	d.decider = w.maker.New(Terms(w.s, d.id), seed, sight{w, d})
-	d.tracking = !w.s.Discovery.Ask
-	w.tell(trace.Event{Kind: trace.Started, Door: d.id})
-	d.listed = append(d.listed, known)
-	w.moved(d)
-	if w.s.Fleet.MembersMs > 0 && d.life > 1 {
-		d.inbox = append(d.inbox, w.present())
-	}
-	if d.life > 1 && d.tracking {
-		w.pass(d, w.whole())
-	}
-	d.wake(w, w.now)
+	d.incarnation++
+	d.up, d.stopping = true, false
+	d.customers, d.backendIDs = index.New[int](), index.New[int]()
+	d.ops, d.freeSlots, d.slotsToFree = nil, nil, nil
+	d.inbox, d.submitted, d.ended, d.listUpdates = nil, nil, nil, nil
+	d.timerAt, d.decideAt = 0, math.Inf(1)
+	d.idle = make([]idleConns, len(d.known))
+	seed := newRand(w.seed, streamDoors<<16|uint64(d.id)<<32|uint64(d.incarnation)).Uint64()
+	d.decider = w.maker.New(Terms(w.s, d.id), seed, doorView{w, d})
+	d.subscribed = !w.s.Discovery.Ask
+	w.emit(trace.Event{Kind: trace.Started, Door: d.id})
+	d.listUpdates = append(d.listUpdates, known)
+	w.scheduleDoorsUpdate(d)
+	if w.s.Fleet.MembersMs > 0 && d.incarnation > 1 {
+		d.inbox = append(d.inbox, w.doorsUpdate())
+	}
+	if d.incarnation > 1 && d.subscribed {
+		w.sendListUpdate(d, w.fullList())
+	}
+	d.scheduleDecision(w, w.now)
 }
 
-// die ends a life with all that it holds.
-func (d *door) die(w *World) {
+// crash ends a life with all that it holds.
+func (d *door) crash(w *World) {
 	if !d.up {
 		return
 	}
-	d.up, d.diedAt = false, w.now
-	w.tell(trace.Event{Kind: trace.Died, Door: d.id})
-	w.moved(d)
-	if d.outer != nil {
-		d.outer.Kill()
+	d.up, d.crashedAt = false, w.now
+	w.emit(trace.Event{Kind: trace.Died, Door: d.id})
+	w.scheduleDoorsUpdate(d)
+	if d.external != nil {
+		d.external.Kill()
 	}
 	for i := range d.ops {
 		o := &d.ops[i]
@@ -135,15 +135,15 @@
 			continue
 		}
 		for _, j := range o.jobs {
-			if !j.handed {
-				d.hand(w, j)
-				d.hangUp(w, j)
+			if !j.closed {
+				d.markClosed(w, j)
+				d.closeConn(w, j)
 			}
 		}
-		w.clients.broken(w, o.try)
+		w.clients.connectionLost(w, o.try)
 	}
-	for _, t := range d.came {
-		w.clients.broken(w, t)
+	for _, t := range d.submitted {
+		w.clients.connectionLost(w, t)
 	}
 	for b := range d.idle {
 		d.closeIdle(w, b)
@@ -151,203 +151,203 @@
 	d.ops = nil
 }
 
-// withdraw has the door leave in order, and start again after a rest.
-func (d *door) withdraw(w *World, rest float64) {
-	d.leaving = true
-	life := d.life
-	if d.outer != nil {
-		d.outer.Stop()
-	}
-	w.at(w.now+leaveMost, due{kind: dueStart, p: func() {
-		if d.life == life {
-			d.die(w)
+// restart has the door leave in order, and start again after a rest.
+func (d *door) restart(w *World, rest float64) {
+	d.stopping = true
+	life := d.incarnation
+	if d.external != nil {
+		d.external.Stop()
+	}
+	w.schedule(w.now+maxShutdown, event{kind: eventFunc, payload: func() {
+		if d.incarnation == life {
+			d.crash(w)
 		}
 	}})
-	w.at(w.now+leaveMost+rest, due{kind: dueStart, p: func() { d.start(w) }})
+	w.schedule(w.now+maxShutdown+rest, event{kind: eventFunc, payload: func() { d.start(w) }})
 }
 
-// seen tells whether clients take the door for one that serves.
-func (d *door) seen(now, notice float64) bool {
-	return d.up && !d.leaving || !d.up && now < d.diedAt+notice
+// seenUp tells whether clients take the door for one that serves.
+func (d *door) seenUp(now, notice float64) bool {
+	return d.up && !d.stopping || !d.up && now < d.crashedAt+notice
 }
 
-// wake has the door decide at the next look at or after a clock.
-func (d *door) wake(w *World, at float64) {
-	if at = w.grid(max(at, w.now)); at < d.dueAt {
-		d.dueAt = at
-		w.at(at, due{kind: dueDoor, n: d.id})
+// scheduleDecision has the door decide at the next look at or after a clock.
+func (d *door) scheduleDecision(w *World, at float64) {
+	if at = w.nextTick(max(at, w.now)); at < d.decideAt {
+		d.decideAt = at
+		w.schedule(at, event{kind: eventDecide, index: d.id})
 	}
 }
 
 // submit is a try that has come.
 func (d *door) submit(w *World, t *Try) {
 	if !d.up {
-		w.at(w.now+w.clientWay(), due{kind: dueStart, p: func() { w.clients.unreachable(w, t) }})
+		w.schedule(w.now+w.clientDelay(), event{kind: eventFunc, payload: func() { w.clients.unreachable(w, t) }})
 		return
 	}
 	if t.over {
 		return
 	}
-	t.life, t.slot = d.life, -1
-	if d.outer != nil {
-		d.outer.Submit(t)
+	t.incarnation, t.slot = d.incarnation, -1
+	if d.external != nil {
+		d.external.Submit(t)
 		return
 	}
-	w.taken(d, t)
-	d.came = append(d.came, t)
-	d.wake(w, w.now)
+	w.markTaken(d, t)
+	d.submitted = append(d.submitted, t)
+	d.scheduleDecision(w, w.now)
 }
 
-// taken marks a try as the door's own from here on.
-func (w *World) taken(d *door, t *Try) {
-	k := &w.clients.customers[t.want.customer]
+// markTaken marks a try as the door's own from here on.
+func (w *World) markTaken(d *door, t *Try) {
+	k := &w.clients.customers[t.request.customer]
 	t.taken = true
-	w.tell(trace.Event{Kind: trace.Taken, Try: t.ID, Want: t.want.id, Door: d.id, Customer: t.want.customer, Plan: k.plan, Class: t.Class,
-		Units: t.want.units, Until: t.until})
+	w.emit(trace.Event{Kind: trace.Taken, Try: t.ID, Want: t.request.id, Door: d.id, Customer: t.request.customer, Plan: k.plan, Class: t.Class,
+		Units: t.request.units, Until: t.deadline})
 }
 
-// leave is the news that a client has left.
-func (d *door) leave(w *World, t *Try) {
-	if !t.taken || t.life != d.life || !d.up {
+// clientLeft is the news that a client has left.
+func (d *door) clientLeft(w *World, t *Try) {
+	if !t.taken || t.incarnation != d.incarnation || !d.up {
 		return
 	}
-	w.tell(trace.Event{Kind: trace.Left, Try: t.ID, Door: d.id})
+	w.emit(trace.Event{Kind: trace.Left, Try: t.ID, Door: d.id})
 	if t.answered {
 		return
 	}
 	t.answered = true
-	if d.outer != nil {
-		d.outer.Leave(t)
+	if d.external != nil {
+		d.external.ClientLeft(t)
 		return
 	}
 	if t.slot < 0 { // it has not been looked at yet
-		for i, c := range d.came {
+		for i, c := range d.submitted {
 			if c == t {
-				d.came = append(d.came[:i:i], d.came[i+1:]...)
+				d.submitted = append(d.submitted[:i:i], d.submitted[i+1:]...)
 				return
 			}
 		}
 		return
 	}
-	d.ops[t.slot].over = true
-	d.closing = append(d.closing, t.slot)
+	d.ops[t.slot].answered = true
+	d.slotsToFree = append(d.slotsToFree, t.slot)
 	d.inbox = append(d.inbox, gate.ClientGone{Op: t.slot})
-	d.wake(w, w.now)
+	d.scheduleDecision(w, w.now)
 }
 
 // Ended is an attempt's end, as it reaches the door.
 func (d *door) Ended(w *World, j *Job, r gate.Result) {
-	if j.handed || !d.up || j.Try.life != d.life {
+	if j.closed || !d.up || j.Try.incarnation != d.incarnation {
 		return
 	}
-	d.hand(w, j)
+	d.markClosed(w, j)
 	use := -1.0
 	if r == gate.Finished || r == gate.Errored || r == gate.Full {
-		use = w.meter.use(w, j.Try.want.customer, w.s.Plans[w.clients.customers[j.Try.want.customer].plan].PerS/1000)
+		use = w.meter.use(w, j.Try.request.customer, w.s.Plans[w.clients.customers[j.Try.request.customer].plan].PerS/1000)
 		idle := &d.idle[j.Backend]
-		if b := w.backends[j.Backend]; idle.life != b.life {
-			*idle = idleConns{life: b.life}
+		if b := w.backends[j.Backend]; idle.incarnation != b.incarnation {
+			*idle = idleConns{incarnation: b.incarnation}
 		}
-		idle.n, idle.used = idle.n+1, w.now
+		idle.n, idle.lastUsed = idle.n+1, w.now
 	} else if r != gate.Unreachable && r != gate.Skipped {
-		d.hangUp(w, j)
+		d.closeConn(w, j)
 	}
-	d.back = append(d.back, ending{j, r, w.now - j.at, use})
-	d.wake(w, w.now)
+	d.ended = append(d.ended, attemptEnd{j, r, w.now - j.sentAt, use})
+	d.scheduleDecision(w, w.now)
 }
 
-// hand marks an attempt as one that its door no longer waits for.
-func (d *door) hand(w *World, j *Job) {
-	j.handed = true
-	w.backends[j.Backend].owed--
+// markClosed marks an attempt as one that its door no longer waits for.
+func (d *door) markClosed(w *World, j *Job) {
+	j.closed = true
+	w.backends[j.Backend].pending--
 }
 
-// hangUp ends an attempt's connection.
-func (d *door) hangUp(w *World, j *Job) {
+// closeConn ends an attempt's connection.
+func (d *door) closeConn(w *World, j *Job) {
 	b := w.backends[j.Backend]
-	if j.life == b.life && b.open > 0 {
-		b.open--
+	if j.incarnation == b.incarnation && b.openConns > 0 {
+		b.openConns--
 	}
-	w.at(w.now+w.way(d.zone, b.zone), due{kind: dueCancel, j: j})
+	w.schedule(w.now+w.networkDelay(d.zone, b.zone), event{kind: eventCancel, job: j})
 }
 
-func (d *door) expire(w *World, j *Job) {
-	if !j.handed && d.up && j.Try.life == d.life {
+func (d *door) attemptTimedOut(w *World, j *Job) {
+	if !j.closed && d.up && j.Try.incarnation == d.incarnation {
 		d.Ended(w, j, gate.TimedOut)
 	}
 }
 
 func (d *door) closeIdle(w *World, b int) {
 	idle, be := &d.idle[b], w.backends[b]
-	if idle.life == be.life {
-		be.open = max(0, be.open-idle.n)
+	if idle.incarnation == be.incarnation {
+		be.openConns = max(0, be.openConns-idle.n)
 	}
 	idle.n = 0
 }
 
 func (d *door) dropIdle(w *World) {
 	for b := range d.idle {
-		if d.idle[b].n > 0 && d.idle[b].used+w.s.Net.IdleMs/2 < w.now {
+		if d.idle[b].n > 0 && d.idle[b].lastUsed+w.s.Net.IdleMs/2 < w.now {
 			d.closeIdle(w, b)
 		}
 	}
 }
 
-// gather words what has come, and hands out answers that need no decision.
-func (d *door) gather(w *World) {
+// collectEvents words what has come, and hands out answers that need no decision.
+func (d *door) collectEvents(w *World) {
 	d.events = d.events[:0]
-	for _, n := range d.listed {
-		d.events = append(d.events, d.hear(w, n))
+	for _, n := range d.listUpdates {
+		d.events = append(d.events, d.fleetUpdate(w, n))
 	}
-	d.listed = nil
+	d.listUpdates = nil
 	d.events = append(d.events, d.inbox...)
 	clear(d.inbox)
 	d.inbox = d.inbox[:0]
-	for _, e := range d.back {
+	for _, e := range d.ended {
 		t := e.job.Try
 		o := &d.ops[t.slot]
-		o.out--
-		d.closing = append(d.closing, t.slot)
-		if e.result == gate.Finished && !o.over {
+		o.inFlight--
+		d.slotsToFree = append(d.slotsToFree, t.slot)
+		if e.result == gate.Finished && !o.answered {
 			d.answer(w, t.slot, trace.Finished, 0, gate.Unspecified)
 		}
-		w.tell(trace.Event{Kind: trace.Closed, Try: t.ID, Door: d.id, Number: e.job.Number, Backend: e.job.Backend, Result: e.result})
-		b, _ := d.names.Find(e.job.Backend)
-		d.events = append(d.events, gate.AttemptEnded{Op: t.slot, Attempt: e.job.Number, Backend: b, Result: e.result, Latency: e.took,
-			Answered: o.over, MeteredUse: e.use, Queue: -1})
-	}
-	clear(d.back)
-	d.back = d.back[:0]
-	for _, t := range d.came {
-		if len(d.free) == 0 {
-			d.free = append(d.free, len(d.ops))
+		w.emit(trace.Event{Kind: trace.Closed, Try: t.ID, Door: d.id, Number: e.job.Number, Backend: e.job.Backend, Result: e.result})
+		b, _ := d.backendIDs.Find(e.job.Backend)
+		d.events = append(d.events, gate.AttemptEnded{Op: t.slot, Attempt: e.job.Number, Backend: b, Result: e.result, Latency: e.latency,
+			Answered: o.answered, MeteredUse: e.use, Queue: -1})
+	}
+	clear(d.ended)
+	d.ended = d.ended[:0]
+	for _, t := range d.submitted {
+		if len(d.freeSlots) == 0 {
+			d.freeSlots = append(d.freeSlots, len(d.ops))
 			d.ops = append(d.ops, op{})
 		}
-		t.slot = d.free[len(d.free)-1]
-		d.free = d.free[:len(d.free)-1]
+		t.slot = d.freeSlots[len(d.freeSlots)-1]
+		d.freeSlots = d.freeSlots[:len(d.freeSlots)-1]
 		o := &d.ops[t.slot]
 		*o = op{try: t, jobs: o.jobs[:0]}
-		d.events = append(d.events, t.word(w, t.slot, d.customers.Add(t.want.customer)))
+		d.events = append(d.events, t.gateRequest(w, t.slot, d.customers.Add(t.request.customer)))
 	}
-	clear(d.came)
-	d.came = d.came[:0]
-	if d.wakeAt > 0 && w.now >= d.wakeAt {
-		d.wakeAt = 0
+	clear(d.submitted)
+	d.submitted = d.submitted[:0]
+	if d.timerAt > 0 && w.now >= d.timerAt {
+		d.timerAt = 0
 		d.events = append(d.events, gate.TimerFired{})
 	}
 }
 
-// think asks the decider. It touches nothing but this door.
-func (d *door) think(now float64) { d.actions = d.decider.Decide(now+epoch, d.events) }
+// decide asks the decider. It touches nothing but this door.
+func (d *door) decide(now float64) { d.actions = d.decider.Decide(now+epoch, d.events) }
 
-// act carries the actions out.
-func (d *door) act(w *World) {
+// carryOut carries the actions out.
+func (d *door) carryOut(w *World) {
 	for _, a := range d.actions {
 		switch a := a.(type) {
 		case gate.Send:
 			d.send(w, a)
 		case gate.Cancel:
-			if j := d.ops[a.Op].jobs[a.Attempt]; !j.handed {
+			if j := d.ops[a.Op].jobs[a.Attempt]; !j.closed {
 				d.Ended(w, j, gate.Cancelled)
 			}
 		case gate.Reject:
@@ -355,99 +355,99 @@
 		case gate.Fail:
 			d.answer(w, a.Op, trace.Failed, 0, a.Why)
 		case gate.SetTimer:
-			d.wakeAt = max(a.At-epoch, w.now+w.s.Day.TickMs) // a tick is the shortest rest
-			d.wake(w, d.wakeAt)
+			d.timerAt = max(a.At-epoch, w.now+w.s.Day.TickMs) // a tick is the shortest rest
+			d.scheduleDecision(w, d.timerAt)
 		case gate.Count:
-			w.call(d, a)
+			w.sendCounterCall(d, a)
 		case gate.Probe:
 			d.probe(w, a)
 		case gate.SubscribeFleet:
-			if !d.tracking {
-				d.tracking = true
-				w.pass(d, w.whole())
+			if !d.subscribed {
+				d.subscribed = true
+				w.sendListUpdate(d, w.fullList())
 			}
 		case gate.FreeCustomer:
 			d.customers.Drop(a.Customer)
 		case gate.FreeBackend:
-			d.names.Drop(a.Backend)
+			d.backendIDs.Drop(a.Backend)
 		case gate.Log, gate.Differs:
 		default:
 			panic(fmt.Sprintf("no way to carry out %T", a))
 		}
 	}
-	for _, i := range d.closing {
-		if o := &d.ops[i]; o.try != nil && o.over && o.out == 0 {
+	for _, i := range d.slotsToFree {
+		if o := &d.ops[i]; o.try != nil && o.answered && o.inFlight == 0 {
 			*o = op{jobs: o.jobs[:0]}
-			d.free = append(d.free, i)
+			d.freeSlots = append(d.freeSlots, i)
 		}
 	}
-	d.closing = d.closing[:0]
-	if d.wakeAt > 0 { // asked for before, with something due earlier
-		d.wake(w, d.wakeAt)
+	d.slotsToFree = d.slotsToFree[:0]
+	if d.timerAt > 0 { // asked for before, with something due earlier
+		d.scheduleDecision(w, d.timerAt)
 	}
 }
 
 // answer gives a request its one answer.
 func (d *door) answer(w *World, slot int, a trace.Answer, retryAfter float64, why gate.Cause) {
 	o := &d.ops[slot]
-	if o.try == nil || o.over { // it is over: what a decider says of it no longer matters
+	if o.try == nil || o.answered { // it is over: what a decider says of it no longer matters
 		return
 	}
 	t := o.try
-	w.tell(trace.Event{Kind: trace.Answered, Try: t.ID, Door: d.id, Answer: a, Why: why})
-	t.answered, o.over = true, true
+	w.emit(trace.Event{Kind: trace.Answered, Try: t.ID, Door: d.id, Answer: a, Why: why})
+	t.answered, o.answered = true, true
 	t.answer, t.retryAfter = a, retryAfter
-	d.closing = append(d.closing, slot)
-	w.at(w.now+w.clientWay(), due{kind: dueGot, t: t})
+	d.slotsToFree = append(d.slotsToFree, slot)
+	w.schedule(w.now+w.clientDelay(), event{kind: eventAnswer, try: t})
 }
 
 // send starts an attempt, over a free connection where there is one.
 func (d *door) send(w *World, a gate.Send) {
 	o := &d.ops[a.Op]
 	if o.try == nil {
-		w.tell(trace.Event{Kind: trace.Sent, Try: -1, Door: d.id, Backend: d.names.ID(a.Backend)})
+		w.emit(trace.Event{Kind: trace.Sent, Try: -1, Door: d.id, Backend: d.backendIDs.ID(a.Backend)})
 		return
 	}
 	t := o.try
-	b := w.backends[d.names.ID(a.Backend)]
-	j := &Job{Try: t, Number: len(o.jobs), Backend: b.id, at: w.now, by: a.StartBy, life: b.life, caller: d}
-	w.tell(trace.Event{Kind: trace.Sent, Try: t.ID, Door: d.id, Number: j.Number, Backend: b.id, Zone: b.zone, Cell: b.cell, Crosses: b.zone != d.zone})
+	b := w.backends[d.backendIDs.ID(a.Backend)]
+	j := &Job{Try: t, Number: len(o.jobs), Backend: b.id, sentAt: w.now, startBy: a.StartBy, incarnation: b.incarnation, caller: d}
+	w.emit(trace.Event{Kind: trace.Sent, Try: t.ID, Door: d.id, Number: j.Number, Backend: b.id, Zone: b.zone, Cell: b.cell, Crosses: b.zone != d.zone})
 	if j.Number == 0 {
-		w.meter.add(w, t.want.customer, t.want.units)
+		w.meter.add(w, t.request.customer, t.request.units)
 	}
 	o.jobs = append(o.jobs, j)
-	o.out++
-	b.owed++
-	until := t.until
+	o.inFlight++
+	b.pending++
+	until := t.deadline
 	if a.Timeout > 0 {
 		until = min(until, w.now+a.Timeout)
 	}
-	w.at(max(w.now, until), due{kind: dueExpire, j: j})
-	if idle := &d.idle[b.id]; idle.n > 0 && idle.life == b.life {
+	w.schedule(max(w.now, until), event{kind: eventAttemptTimeout, job: j})
+	if idle := &d.idle[b.id]; idle.n > 0 && idle.incarnation == b.incarnation {
 		idle.n--
-		w.at(w.now+w.way(d.zone, b.zone), due{kind: dueCome, j: j})
+		w.schedule(w.now+w.networkDelay(d.zone, b.zone), event{kind: eventBackendArrival, job: j})
 		return
 	}
 	w.dial(j)
 }
 
 func (d *door) probe(w *World, a gate.Probe) {
-	b := w.backends[d.names.ID(a.Backend)]
-	w.tell(trace.Event{Kind: trace.Probed, Door: d.id, Backend: b.id})
-	p := probe{at: w.now, life: d.life, result: gate.Finished}
-	took := w.way(d.zone, b.zone) + w.way(b.zone, d.zone) + w.s.Allow.ProbeMs
-	switch _, hangs := b.hurting("hang", -1); {
-	case b.silent() || w.cut(d.zone, b.zone) || hangs || b.paused:
+	b := w.backends[d.backendIDs.ID(a.Backend)]
+	w.emit(trace.Event{Kind: trace.Probed, Door: d.id, Backend: b.id})
+	p := probeResult{sentAt: w.now, incarnation: d.incarnation, result: gate.Finished}
+	took := w.networkDelay(d.zone, b.zone) + w.networkDelay(b.zone, d.zone) + w.s.Allow.ProbeMs
+	switch _, hangs := b.faultMagnitude("hang", -1); {
+	case b.silent() || w.partitioned(d.zone, b.zone) || hangs || b.paused:
 		p.result, took = gate.TimedOut, w.s.Net.ConnectTimeoutMs
 	case !b.up:
 		p.result = gate.Unreachable
 	}
-	w.at(w.now+took, due{kind: dueProbe, n: b.id, m: d.id, p: p})
+	w.schedule(w.now+took, event{kind: eventProbeEnd, index: b.id, arg: d.id, payload: p})
 }
 
-func (d *door) probed(w *World, backend int, p probe) {
-	if i, known := d.names.Find(backend); known && d.up && d.life == p.life {
-		d.inbox = append(d.inbox, gate.Probed{Backend: i, Result: p.result, Latency: w.now - p.at})
-		d.wake(w, w.now)
+func (d *door) probeEnded(w *World, backend int, p probeResult) {
+	if i, known := d.backendIDs.Find(backend); known && d.up && d.incarnation == p.incarnation {
+		d.inbox = append(d.inbox, gate.Probed{Backend: i, Result: p.result, Latency: w.now - p.sentAt})
+		d.scheduleDecision(w, w.now)
 	}
 }
--- a/lab/model/members.go
+++ b/lab/model/members.go
@@ -6,37 +6,37 @@
 	"github.com/swifthall/swifthall/gate"
 )
 
-const togetherFor = 50 // ms in which what doors come to know of others is told as one
+const updateBatchDelay = 50 // ms in which what doors come to know of others is told as one
 
-// moved has all doors know, after the scenario's time for it, that one has come or gone. How they come to know is
+// scheduleDoorsUpdate has all doors know, after the scenario's time for it, that one has come or gone. How they come to know is
 // lab/procs' matter; here they all know alike, and late.
-func (w *World) moved(d *door) {
-	if w.s.Fleet.MembersMs == 0 || d.outer != nil {
+func (w *World) scheduleDoorsUpdate(d *door) {
+	if w.s.Fleet.MembersMs == 0 || d.external != nil {
 		return
 	}
-	w.at(w.now+w.s.Fleet.MembersMs, due{kind: dueStart, p: func() {
-		for len(w.here) < len(w.doors) {
-			w.here = append(w.here, true)
+	w.schedule(w.now+w.s.Fleet.MembersMs, event{kind: eventFunc, payload: func() {
+		for len(w.present) < len(w.doors) {
+			w.present = append(w.present, true)
 		}
-		if w.here[d.id] = d.up && !d.leaving; w.telling {
+		if w.present[d.id] = d.up && !d.stopping; w.updatePending {
 			return
 		}
-		w.telling = true
-		w.at(w.now+togetherFor, due{kind: dueStart, p: func() {
-			w.telling = false
+		w.updatePending = true
+		w.schedule(w.now+updateBatchDelay, event{kind: eventFunc, payload: func() {
+			w.updatePending = false
 			for _, o := range w.doors {
 				if o.up {
-					o.inbox = append(o.inbox, w.present())
-					o.wake(w, w.now)
+					o.inbox = append(o.inbox, w.doorsUpdate())
+					o.scheduleDecision(w, w.now)
 				}
 			}
 		}})
 	}})
 }
 
-// present words who is believed to be here.
-func (w *World) present() gate.DoorsUpdate {
-	e := gate.DoorsUpdate{Present: slices.Clone(w.here), PresentCount: len(w.doors)}
+// doorsUpdate words who is believed to be here.
+func (w *World) doorsUpdate() gate.DoorsUpdate {
+	e := gate.DoorsUpdate{Present: slices.Clone(w.present), PresentCount: len(w.doors)}
 	for _, here := range e.Present {
 		if !here {
 			e.PresentCount--
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -19,7 +19,7 @@
 	"github.com/swifthall/swifthall/policy"
 )
 
-const town = `
+const baseScenario = `
 name = "town"
 [day]
 seconds = 5
@@ -60,26 +60,26 @@
 `
 
 func read(t *testing.T, more string) *scenario.Scenario {
-	s, err := scenario.Read([]byte(town + more))
+	s, err := scenario.Read([]byte(baseScenario + more))
 	require.NoError(t, err)
 	return &s
 }
 
-// kept keeps a day's events, and a sum of them.
-type kept struct {
+// eventLog keeps a day's events, and a sum of them.
+type eventLog struct {
 	events []trace.Event
 	sum    hash.Hash64
 }
 
-func (k *kept) Take(e *trace.Event) {
+func (k *eventLog) Take(e *trace.Event) {
 	k.events = append(k.events, *e)
 	if k.sum != nil {
 		_ = binary.Write(k.sum, binary.LittleEndian, []int64{int64(e.Kind), int64(math.Float64bits(e.At)), int64(e.Try), int64(e.Door), int64(e.Backend)})
 	}
 }
 
-// of lists the events of a kind.
-func (k *kept) of(kind trace.Kind) (out []trace.Event) {
+// ofKind lists the events ofKind a kind.
+func (k *eventLog) ofKind(kind trace.Kind) (out []trace.Event) {
 	for _, e := range k.events {
 		if e.Kind == kind {
 			out = append(out, e)
@@ -88,29 +88,29 @@
 	return out
 }
 
-var ours = Maker{New: func(t gate.Terms, seed uint64, _ Sight) gate.Decider { return policy.New(t, seed) }}
+var policyMaker = Maker{New: func(t gate.Terms, seed uint64, _ Sight) gate.Decider { return policy.New(t, seed) }}
 
-func play(t *testing.T, s *scenario.Scenario, seed uint64, m Maker) *kept {
-	k := &kept{sum: xxhash.New()}
+func runScenario(t *testing.T, s *scenario.Scenario, seed uint64, m Maker) *eventLog {
+	k := &eventLog{sum: xxhash.New()}
 	require.NoError(t, New(s, seed, m, k).Run(context.Background(), nil))
 	return k
 }
 
-func TestTheSameSeedIsTheSameDayOnAnyNumberOfCores(t *testing.T) {
+func TestSameSeedGivesSameRunOnAnyNumberOfCores(t *testing.T) {
 	s := read(t, "\n[[fault]]\nkind = \"door_deaths\"\nat_s = 2.0\nfor_s = 1.0\nshare = 0.5\n[[fault]]\nkind = \"replace\"\nat_s = 1.0\nfor_s = 2.0\nshare = 0.5\nmuch = 1.0")
 	s.Fleet.Doors = 12 // enough that they are asked side by side
-	first := play(t, s, 3, ours)
+	first := runScenario(t, s, 3, policyMaker)
 	before := runtime.GOMAXPROCS(1)
-	alone := play(t, s, 3, ours)
+	alone := runScenario(t, s, 3, policyMaker)
 	runtime.GOMAXPROCS(before)
 	assert.Equal(t, first.sum.Sum64(), alone.sum.Sum64())
-	assert.NotEqual(t, first.sum.Sum64(), play(t, s, 4, ours).sum.Sum64())
+	assert.NotEqual(t, first.sum.Sum64(), runScenario(t, s, 4, policyMaker).sum.Sum64())
 }
 
-func TestWhatIsAskedDoesNotHangOnTheDecisions(t *testing.T) {
+func TestWorkloadIsIndependentOfDecisions(t *testing.T) {
 	s := read(t, "")
 	rejects := Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return rejecter{} }}
-	assert.Equal(t, play(t, s, 1, ours).of(trace.Asked), play(t, s, 1, rejects).of(trace.Asked))
+	assert.Equal(t, runScenario(t, s, 1, policyMaker).ofKind(trace.Asked), runScenario(t, s, 1, rejects).ofKind(trace.Asked))
 }
 
 type rejecter struct{}
@@ -124,13 +124,13 @@
 	return out
 }
 
-// timed sends each request once with a cap, and counts its ends.
-type timed struct {
+// timeoutDecider sends each request once with a cap, and counts its ends.
+type timeoutDecider struct {
 	limit float64
 	ends  map[gate.Result]int
 }
 
-func (d *timed) Decide(_ float64, events []gate.Event) (out []gate.Action) {
+func (d *timeoutDecider) Decide(_ float64, events []gate.Event) (out []gate.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case gate.Request:
@@ -146,49 +146,49 @@
 }
 
 // A request whose answer and time-out fall on the same instant ends once.
-func TestAnAnswerAndATimeOutAtTheSameInstantAreOneEnd(t *testing.T) {
+func TestAnswerAndTimeoutAtSameInstantEndAttemptOnce(t *testing.T) {
 	s := read(t, "")
-	d := &timed{ends: map[gate.Result]int{}}
-	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return d }}, &kept{})
+	d := &timeoutDecider{ends: map[gate.Result]int{}}
+	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return d }}, &eventLog{})
 	door := w.doors[0]
 	door.start(w)
 	w.now = 10
-	try := &Try{want: &want{units: 1, until: 5000}, until: 1000}
+	try := &Try{request: &clientRequest{units: 1, deadline: 5000}, deadline: 1000}
 	door.submit(w, try)
-	door.gather(w)
-	door.think(w.now)
+	door.collectEvents(w)
+	door.decide(w.now)
 	d.limit = 0
-	door.act(w)
+	door.carryOut(w)
 	job := door.ops[0].jobs[0]
 	w.now = 200
-	w.at(200, due{kind: dueBack, j: job, p: gate.Finished})
-	w.at(200, due{kind: dueExpire, j: job})
-	for len(w.q.heap) > 0 && w.q.heap[0].at <= 200 {
-		if next := w.q.pop(); next.kind == dueBack || next.kind == dueExpire {
-			w.step(&next)
+	w.schedule(200, event{kind: eventResult, job: job, payload: gate.Finished})
+	w.schedule(200, event{kind: eventAttemptTimeout, job: job})
+	for len(w.queue.heap) > 0 && w.queue.heap[0].at <= 200 {
+		if next := w.queue.pop(); next.kind == eventResult || next.kind == eventAttemptTimeout {
+			w.dispatch(&next)
 		}
 	}
-	require.Len(t, door.back, 1)
-	door.gather(w)
-	door.think(w.now)
-	door.act(w)
+	require.Len(t, door.ended, 1)
+	door.collectEvents(w)
+	door.decide(w.now)
+	door.carryOut(w)
 	assert.Equal(t, map[gate.Result]int{gate.Finished: 1}, d.ends)
 	assert.Equal(t, trace.Finished, try.answer)
 }
 
-// sleeper asks once to be woken, and notes when it is.
-type sleeper struct {
-	asked bool
-	woken *float64
+// timerDecider asks once to be woken, and notes when it is.
+type timerDecider struct {
+	asked   bool
+	firedAt *float64
 }
 
-func (d *sleeper) Decide(now float64, events []gate.Event) (out []gate.Action) {
+func (d *timerDecider) Decide(now float64, events []gate.Event) (out []gate.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case gate.Request:
 			out = append(out, gate.Reject{Op: e.Op})
 		case gate.TimerFired:
-			*d.woken = now - epoch
+			*d.firedAt = now - epoch
 		}
 	}
 	if !d.asked {
@@ -200,94 +200,94 @@
 
 // A hunt found a request answered 50 ms after its client's wait: its door's wake was lost where it decided on
 // something else before.
-func TestAWakeOutlivesADecisionBeforeIt(t *testing.T) {
+func TestTimerSurvivesEarlierDecision(t *testing.T) {
 	s := read(t, "")
 	woken := 0.0
-	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return &sleeper{woken: &woken} }}, &kept{})
+	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return &timerDecider{firedAt: &woken} }}, &eventLog{})
 	d := w.doors[0]
 	d.start(w)
 	turn := func(at float64) {
 		w.now = at
-		w.ready = append(w.ready[:0], d)
+		w.deciding = append(w.deciding[:0], d)
 		w.decide()
 	}
 	turn(0)
 	w.now = 5
-	d.submit(w, &Try{want: &want{units: 1, until: 5000}, until: 1000})
+	d.submit(w, &Try{request: &clientRequest{units: 1, deadline: 5000}, deadline: 1000})
 	turn(5)
-	for len(w.q.heap) > 0 && woken == 0 {
-		if next := w.q.pop(); next.kind == dueDoor && next.n == 0 {
+	for len(w.queue.heap) > 0 && woken == 0 {
+		if next := w.queue.pop(); next.kind == eventDecide && next.index == 0 {
 			turn(next.at)
 		}
 	}
 	assert.Equal(t, 20.0, woken)
 }
 
-// caller makes one call of the counter for each request.
-type caller struct{ heard *int }
+// counterDecider makes one call of the counter for each request.
+type counterDecider struct{ replies *int }
 
-func (d caller) Decide(_ float64, events []gate.Event) (out []gate.Action) {
+func (d counterDecider) Decide(_ float64, events []gate.Event) (out []gate.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case gate.Request:
 			out = append(out, gate.Count{Customer: e.Customer, Epoch: 1, Add: 1, TTL: 1e4}, gate.Reject{Op: e.Op})
 		case gate.Counted:
-			*d.heard++
+			*d.replies++
 		}
 	}
 	return out
 }
 
 // A counter that answers after its caller is dead adds what it was told to, and nobody hears of it.
-func TestTheCounterAnswersADeadCaller(t *testing.T) {
+func TestCounterReplyToCrashedDoorIsDropped(t *testing.T) {
 	s := read(t, "")
 	heard := 0
-	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return caller{&heard} }}, &kept{})
+	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return counterDecider{&heard} }}, &eventLog{})
 	d := w.doors[0]
 	d.start(w)
-	d.submit(w, &Try{want: &want{units: 1, until: 5000}, until: 1000})
-	d.gather(w)
-	d.think(w.now)
-	d.act(w)
-	d.die(w)
+	d.submit(w, &Try{request: &clientRequest{units: 1, deadline: 5000}, deadline: 1000})
+	d.collectEvents(w)
+	d.decide(w.now)
+	d.carryOut(w)
+	d.crash(w)
 	w.now = 0.5
 	d.start(w)
-	for len(w.q.heap) > 0 && w.q.heap[0].at < 100 {
-		next := w.q.pop()
+	for len(w.queue.heap) > 0 && w.queue.heap[0].at < 100 {
+		next := w.queue.pop()
 		w.now = next.at
-		if next.kind == dueCount || next.kind == dueCounted {
-			w.step(&next)
+		if next.kind == eventCounterCall || next.kind == eventCounterReply {
+			w.dispatch(&next)
 		}
 	}
-	assert.Equal(t, 1.0, w.counter.totals[name{0, 1}].total)
+	assert.Equal(t, 1.0, w.counter.totals[counterKey{0, 1}].total)
 	assert.Empty(t, d.inbox)
 	assert.Zero(t, heard)
 }
 
 // A group that forgets a mark a millisecond before its repeat comes lets the request run twice.
-func TestAForgottenMarkLetsARequestRunTwice(t *testing.T) {
+func TestForgottenKeyLetsRequestRunTwice(t *testing.T) {
 	s := read(t, "\n[[fault]]\nkind = \"forget_tokens\"\nat_s = 0.0\nfor_s = 5.0\nmuch = 1.0")
-	k := &kept{}
-	w := New(s, 1, ours, k)
-	b, try := w.backends[0], &Try{Class: 1, want: &want{units: 1}}
+	k := &eventLog{}
+	w := New(s, 1, policyMaker, k)
+	b, try := w.backends[0], &Try{Class: 1, request: &clientRequest{units: 1}}
 	w.now = 100
-	w.ran(b, try)
+	w.recordEffect(b, try)
 	w.now = 100 + 400
-	assert.True(t, w.remembers(b, try), "within its window")
-	b.hurts = []*hurt{{fault: &s.Faults[0], class: -1}}
-	assert.False(t, w.remembers(b, try), "forgotten a millisecond early")
-	w.ran(b, try)
-	ran := k.of(trace.Ran)
+	assert.True(t, w.isDuplicate(b, try), "within its window")
+	b.faults = []*activeFault{{fault: &s.Faults[0], class: -1}}
+	assert.False(t, w.isDuplicate(b, try), "forgotten a millisecond early")
+	w.recordEffect(b, try)
+	ran := k.ofKind(trace.Ran)
 	require.Len(t, ran, 2)
 	assert.True(t, ran[1].Twice)
 }
 
-func TestSeventyInAHundredDoorsDieAtOnce(t *testing.T) {
+func TestSeventyPercentOfDoorsCrashAtOnce(t *testing.T) {
 	s := read(t, "\n[[fault]]\nkind = \"door_deaths\"\nat_s = 2.0\nfor_s = 1.0\nshare = 0.7")
 	s.Fleet.Doors, s.Day.TickMs = 300, 4
-	k := play(t, s, 1, ours)
-	assert.Len(t, k.of(trace.Died), 210)
-	assert.Len(t, k.of(trace.Started), 510)
+	k := runScenario(t, s, 1, policyMaker)
+	assert.Len(t, k.ofKind(trace.Died), 210)
+	assert.Len(t, k.ofKind(trace.Started), 510)
 	open := map[int]bool{}
 	for _, e := range k.events {
 		switch e.Kind {
@@ -302,12 +302,12 @@
 }
 
 // A split counter shows even and odd doors totals of their own, and keeps the even ones' when it heals.
-func TestASplitCounterCountsApart(t *testing.T) {
+func TestSplitCounterKeepsSeparateTotals(t *testing.T) {
 	s := read(t, "")
-	w := New(s, 1, ours, &kept{})
+	w := New(s, 1, policyMaker, &eventLog{})
 	count := func(door int) float64 {
-		k := &call{door: door, name: name{7, 1}, add: 1, keep: 1e4}
-		w.counter.come(w, k)
+		k := &counterCall{door: door, key: counterKey{7, 1}, add: 1, ttl: 1e4}
+		w.counter.serve(w, k)
 		return k.total
 	}
 	assert.Equal(t, 1.0, count(0))
@@ -319,17 +319,17 @@
 	assert.Equal(t, 4.0, count(1))
 }
 
-func TestTheQueueGivesBackInOrder(t *testing.T) {
+func TestEventQueuePopsInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var q queue
+		var q eventQueue
 		for _, at := range rapid.SliceOfN(rapid.IntRange(0, 20), 1, 300).Draw(t, "times") {
-			kind := dueCome
+			kind := eventBackendArrival
 			if rapid.Bool().Draw(t, "door") {
-				kind = dueDoor
+				kind = eventDecide
 			}
-			q.push(due{at: float64(at), kind: kind})
+			q.push(event{at: float64(at), kind: kind})
 		}
-		last := due{at: -1}
+		last := event{at: -1}
 		for len(q.heap) > 0 {
 			next := q.pop()
 			if next.before(&last) {
@@ -341,26 +341,26 @@
 }
 
 // Work is neither lost nor made: what a backend serves in a time is what its cores can do.
-func TestABackendServesAtItsCapacity(t *testing.T) {
+func TestBackendServesAtItsCapacity(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := read(t, "")
 		s.Machines[0].Thrash, s.Machines[0].ErrorRate = 0, 0
-		w := New(s, 1, ours, &kept{})
+		w := New(s, 1, policyMaker, &eventLog{})
 		b := w.backends[0]
 		n := rapid.IntRange(1, b.slots).Draw(rt, "operations")
 		total := 0.0
 		for i := range n {
 			work := rapid.Float64Range(1, 100).Draw(rt, "work")
 			total += work
-			j := &Job{Try: &Try{ID: i, want: &want{work: work}}, life: b.life, caller: w.doors[0]}
+			j := &Job{Try: &Try{ID: i, request: &clientRequest{work: work}}, incarnation: b.incarnation, caller: w.doors[0]}
 			j.work = work
-			b.begin(j)
+			b.startJob(j)
 		}
-		b.plan(w)
-		for len(b.work) > 0 {
-			next := w.q.pop()
-			if w.now = next.at; next.kind == dueFinish {
-				w.step(&next)
+		b.scheduleFinish(w)
+		for len(b.running) > 0 {
+			next := w.queue.pop()
+			if w.now = next.at; next.kind == eventFinish {
+				w.dispatch(&next)
 			}
 		}
 		least, most := total/b.capacity(), total/b.speed
--- a/lab/model/world.go
+++ b/lab/model/world.go
@@ -40,54 +40,54 @@
 
 // Stream numbers of the world's chance; each party draws from its own, so that one's draws do not move another's.
 const (
-	chanceClients = iota + 1
-	chanceFleet
-	chanceNet
-	chanceFaults
-	chanceDoors
-	chanceMoods
-	chanceBackends // and one for each backend from here on
+	streamWorkload = iota + 1
+	streamFleet
+	streamNet
+	streamFaults
+	streamDoors
+	streamReactions
+	streamBackends // and one for each backend from here on
 )
 
 // World is one day.
 type World struct {
-	s    *scenario.Scenario
-	now  float64
-	q    queue
-	sink trace.Sink
-	seed uint64
-
-	backends []*backend
-	doors    []*door
-	here     []bool // the doors that all believe to be here, by number
-	telling  bool   // they are about to hear of it
-	clients  clients
-	counter  counter
-	meter    meter
-	truth    truth
-	hurts    []*hurt // of the network, discovery, counter, meter and clients, that strike now
-	dice     struct{ net, faults, fleet *rand.Rand }
-	ready    []*door // that decide now
-	maker    Maker
-	tries    int
-	closing  bool // no more requests arrive
-	waiting  int  // clients' requests that are not over
-	steps    int
-	posted   chan func() // from outside, in real time
-	outJobs  int
+	s     *scenario.Scenario
+	now   float64
+	queue eventQueue
+	sink  trace.Sink
+	seed  uint64
+
+	backends      []*backend
+	doors         []*door
+	present       []bool // the doors that all believe to be here, by number
+	updatePending bool   // they are about to hear of it
+	clients       clients
+	counter       counter
+	meter         meter
+	quotas        trueQuotas
+	faults        []*activeFault // of the network, discovery, counter, meter and clients, that strike now
+	rng           struct{ net, faults, fleet *rand.Rand }
+	deciding      []*door // that decide now
+	maker         Maker
+	nextTryID     int
+	loadEnded     bool // no more requests arrive
+	openRequests  int  // clients' requests that are not over
+	steps         int
+	posted        chan func() // from outside, in real time
+	outJobs       int
 }
 
-func chance(seed uint64, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
+func newRand(seed uint64, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
 // New builds the world of a day.
 func New(s *scenario.Scenario, seed uint64, maker Maker, sink trace.Sink) *World {
 	w := &World{s: s, seed: seed, sink: sink, maker: maker}
-	w.dice.net, w.dice.faults, w.dice.fleet = chance(seed, chanceNet), chance(seed, chanceFaults), chance(seed, chanceFleet)
+	w.rng.net, w.rng.faults, w.rng.fleet = newRand(seed, streamNet), newRand(seed, streamFaults), newRand(seed, streamFleet)
 	for i := range s.Fleet.Backends {
 		w.addBackend(i%s.Fleet.Zones, i/s.Fleet.CellSize, w.machineFor(i))
 	}
 	for _, b := range w.backends {
-		b.up, b.listed, b.status, b.since = true, true, gate.Up, -epoch
+		b.up, b.listed, b.status, b.startedAt = true, true, gate.Up, -epoch
 	}
 	w.counter.init(s)
 	w.clients.init(w)
@@ -113,40 +113,40 @@
 }
 
 func (w *World) addBackend(zone, cell int, m *scenario.Machine) *backend {
-	b := &backend{id: len(w.backends), zone: zone, cell: cell, cores: m.Cores, machine: m, speed: m.Speed.At(w.dice.fleet.Float64()),
-		slots: max(1, int(m.SlotsPerCore*float64(m.Cores))), room: int(m.QueuePerCore * float64(m.Cores)),
-		conns: max(1, int(m.ConnsPerCore*float64(m.Cores))), dice: chance(w.seed, chanceBackends+uint64(len(w.backends)))}
+	b := &backend{id: len(w.backends), zone: zone, cell: cell, cores: m.Cores, machine: m, speed: m.Speed.At(w.rng.fleet.Float64()),
+		slots: max(1, int(m.SlotsPerCore*float64(m.Cores))), maxQueue: int(m.QueuePerCore * float64(m.Cores)),
+		maxConns: max(1, int(m.ConnsPerCore*float64(m.Cores))), rng: newRand(w.seed, streamBackends+uint64(len(w.backends)))}
 	w.backends = append(w.backends, b)
 	return b
 }
 
-func (w *World) at(at float64, d due) {
+func (w *World) schedule(at float64, d event) {
 	d.at = at
-	w.q.push(d)
+	w.queue.push(d)
 }
 
-func (w *World) tell(e trace.Event) {
+func (w *World) emit(e trace.Event) {
 	e.At = w.now
 	w.sink.Take(&e)
 }
 
-// grid rounds a clock up to the next at which doors look.
-func (w *World) grid(at float64) float64 {
+// nextTick rounds a clock up to the next at which doors look.
+func (w *World) nextTick(at float64) float64 {
 	return math.Ceil(at/w.s.Day.TickMs-1e-9) * w.s.Day.TickMs
 }
 
 const (
-	tail      = 120e3 // ms after the last arrival by which a day must be over
-	lookCtx   = 4096  // steps between looks at whether the run is to stop
-	sweepEach = 1000  // ms
+	drainTime     = 120e3 // ms after the last arrival by which a day must be over
+	stepsPerCheck = 4096  // steps between looks at whether the run is to stop
+	sweepInterval = 1000  // ms
 )
 
 // Run plays the day. It reports progress, 0 to 1, now and then.
 func (w *World) Run(ctx context.Context, progress func(done float64)) error {
 	end := w.s.Day.Seconds * 1000
 	w.begin()
-	for len(w.q.heap) > 0 {
-		if w.steps++; w.steps%lookCtx == 0 {
+	for len(w.queue.heap) > 0 {
+		if w.steps++; w.steps%stepsPerCheck == 0 {
 			if err := ctx.Err(); err != nil {
 				return &StoppedError{w.now / 1000, err}
 			}
@@ -154,25 +154,25 @@
 				progress(min(1, w.now/end))
 			}
 		}
-		d := w.q.pop()
+		d := w.queue.pop()
 		w.now = d.at
 		if w.now >= end {
-			w.closing = true
-			if w.waiting == 0 || w.now > end+tail {
+			w.loadEnded = true
+			if w.openRequests == 0 || w.now > end+drainTime {
 				break
 			}
 		}
-		if d.kind == dueDoor {
-			w.ready = append(w.ready[:0], w.doors[d.n])
-			for len(w.q.heap) > 0 && w.q.heap[0].at == w.now && w.q.heap[0].kind == dueDoor {
-				w.ready = append(w.ready, w.doors[w.q.pop().n])
+		if d.kind == eventDecide {
+			w.deciding = append(w.deciding[:0], w.doors[d.index])
+			for len(w.queue.heap) > 0 && w.queue.heap[0].at == w.now && w.queue.heap[0].kind == eventDecide {
+				w.deciding = append(w.deciding, w.doors[w.queue.pop().index])
 			}
 			w.decide()
 			continue
 		}
-		w.step(&d)
+		w.dispatch(&d)
 	}
-	w.tell(trace.Event{Kind: trace.Over})
+	w.emit(trace.Event{Kind: trace.Over})
 	return nil
 }
 
@@ -182,85 +182,85 @@
 	}
 	w.clients.begin(w)
 	for i := range w.s.Faults {
-		w.at(w.s.Faults[i].AtS*1000, due{kind: dueFault, n: i, m: 1})
+		w.schedule(w.s.Faults[i].AtS*1000, event{kind: eventFault, index: i, arg: 1})
 	}
-	w.at(sweepEach, due{kind: dueSweep})
+	w.schedule(sweepInterval, event{kind: eventSweep})
 }
 
-func (w *World) step(d *due) {
+func (w *World) dispatch(d *event) {
 	switch d.kind {
-	case dueArrival, dueSpike, dueShift, dueExtra, dueLeave, dueGot, dueAgain:
-		w.clients.step(w, d)
-	case dueSubmit:
-		w.doors[d.t.Door].submit(w, d.t)
-	case dueGone:
-		w.doors[d.t.Door].leave(w, d.t)
-	case dueDial:
-		w.dialled(d.j)
-	case dueCome:
-		if b := w.backends[d.j.Backend]; !d.j.handed && !w.cut(w.doors[d.j.Try.Door].zone, b.zone) {
-			b.come(w, d.j)
+	case eventArrival, eventSpike, eventShift, eventExtraRequest, eventClientTimeout, eventAnswer, eventRetry:
+		w.clients.handle(w, d)
+	case eventSubmit:
+		w.doors[d.try.Door].submit(w, d.try)
+	case eventClientGone:
+		w.doors[d.try.Door].clientLeft(w, d.try)
+	case eventConnect:
+		w.connectionArrived(d.job)
+	case eventBackendArrival:
+		if b := w.backends[d.job.Backend]; !d.job.closed && !w.partitioned(w.doors[d.job.Try.Door].zone, b.zone) {
+			b.receive(w, d.job)
 		}
-	case dueFinish:
-		if b := w.backends[d.n]; b.stamp == d.m {
-			b.finish(w)
+	case eventFinish:
+		if b := w.backends[d.index]; b.finishStamp == d.arg {
+			b.finishDue(w)
 		}
-	case dueRefresh:
-		if b := w.backends[d.n]; b.life == d.m && b.budget != nil {
-			b.settle(w.now)
-			b.plan(w)
-			w.at(w.now+refreshEvery, *d)
+	case eventRefreshSpeed:
+		if b := w.backends[d.index]; b.incarnation == d.arg && b.coldBudget != nil {
+			b.advance(w.now)
+			b.scheduleFinish(w)
+			w.schedule(w.now+coldRefreshInterval, *d)
 		}
-	case dueBack:
-		d.j.caller.Ended(w, d.j, d.p.(gate.Result))
-	case dueCancel:
-		if b := w.backends[d.j.Backend]; !w.cut(w.doors[d.j.Try.Door].zone, b.zone) {
-			b.drop(w, d.j)
+	case eventResult:
+		d.job.caller.Ended(w, d.job, d.payload.(gate.Result))
+	case eventCancel:
+		if b := w.backends[d.job.Backend]; !w.partitioned(w.doors[d.job.Try.Door].zone, b.zone) {
+			b.cancel(w, d.job)
 		}
-	case dueExpire:
-		w.doors[d.j.Try.Door].expire(w, d.j)
-	case dueCount:
-		w.counter.come(w, d.p.(*call))
-	case dueCounted:
-		w.counter.answer(w, d.p.(*call))
-	case dueProbe:
-		w.doors[d.m].probed(w, d.n, d.p.(probe))
-	case dueList:
-		w.doors[d.n].list(w, d.m, d.p.(news))
-	case dueFault:
-		w.fault(d.n, d.m == 1)
-	case dueStep:
-		w.faultStep(d.n, d.m, d.p.(*hurt))
-	case dueStart:
-		d.p.(func())()
-	case dueSweep:
+	case eventAttemptTimeout:
+		w.doors[d.job.Try.Door].attemptTimedOut(w, d.job)
+	case eventCounterCall:
+		w.counter.serve(w, d.payload.(*counterCall))
+	case eventCounterReply:
+		w.counter.deliver(w, d.payload.(*counterCall))
+	case eventProbeEnd:
+		w.doors[d.arg].probeEnded(w, d.index, d.payload.(probeResult))
+	case eventListUpdate:
+		w.doors[d.index].receiveListUpdate(w, d.arg, d.payload.(listUpdate))
+	case eventFault:
+		w.toggleFault(d.index, d.arg == 1)
+	case eventFaultStep:
+		w.faultStep(d.index, d.arg, d.payload.(*activeFault))
+	case eventFunc:
+		d.payload.(func())()
+	case eventSweep:
 		w.sweep()
-		w.at(w.now+sweepEach, due{kind: dueSweep})
+		w.schedule(w.now+sweepInterval, event{kind: eventSweep})
 	}
 }
 
-const manyDoors = 6 // doors at one instant from which it pays to ask them side by side
+const parallelThreshold = 6 // doors at one instant from which it pays to ask them side by side
 
 // decide has all doors that are due decide. They share nothing, so they are asked side by side; what they want is
 // carried out in the order of their numbers.
 func (w *World) decide() {
-	slices.SortFunc(w.ready, func(a, b *door) int { return a.id - b.id })
-	w.ready = slices.CompactFunc(w.ready, func(a, b *door) bool { return a == b })
+	slices.SortFunc(w.deciding, func(a, b *door) int { return a.id - b.id })
+	w.deciding = slices.CompactFunc(w.deciding, func(a, b *door) bool { return a == b })
 	n := 0
-	for _, d := range w.ready {
-		if d.dueAt == w.now && d.up {
-			d.dueAt = math.Inf(1)
-			d.gather(w)
-			w.ready[n] = d
+	for _, d := range w.deciding {
+		if d.decideAt == w.now && d.up {
+			d.decideAt = math.Inf(1)
+			d.collectEvents(w)
+			w.deciding[n] = d
 			n++
 		}
 	}
-	w.ready = w.ready[:n]
+	w.deciding = w.deciding[:n]
 	workers := min(runtime.GOMAXPROCS(0), n/2)
-	if w.maker.Shared || n < manyDoors || workers < 2 {
-		for _, d := range w.ready {
-			d.think(w.now)
-			d.act(w)
+	if w.maker.Shared || n < parallelThreshold || workers < 2 {
+		for _, d := range w.deciding {
+			d.decide(w.now)
+			d.carryOut(w)
 		}
 		return
 	}
@@ -273,26 +273,26 @@
 				if i >= n {
 					return
 				}
-				w.ready[i].think(w.now)
+				w.deciding[i].decide(w.now)
 			}
 		})
 	}
 	done.Wait()
-	for _, d := range w.ready {
-		d.act(w)
+	for _, d := range w.deciding {
+		d.carryOut(w)
 	}
 }
 
 // ---- The network ----
 
-// way draws the time from one zone to another, ms.
-func (w *World) way(from, to int) float64 {
+// networkDelay draws the time from one zone to another, ms.
+func (w *World) networkDelay(from, to int) float64 {
 	span := w.s.Net.CrossMs
 	if from == to {
 		span = w.s.Net.SameMs
 	}
-	d := span.At(w.dice.net.Float64()) * (1 + w.s.Net.Jitter*(2*w.dice.net.Float64()-1))
-	for _, h := range w.hurts {
+	d := span.At(w.rng.net.Float64()) * (1 + w.s.Net.Jitter*(2*w.rng.net.Float64()-1))
+	for _, h := range w.faults {
 		if h.fault.Kind == "delay" {
 			d += h.fault.Much
 		}
@@ -300,11 +300,11 @@
 	return max(0.01, d)
 }
 
-func (w *World) clientWay() float64 { return max(0.01, w.s.Net.ClientMs.At(w.dice.net.Float64())) }
+func (w *World) clientDelay() float64 { return max(0.01, w.s.Net.ClientMs.At(w.rng.net.Float64())) }
 
-// cut tells whether two zones are cut off from each other.
-func (w *World) cut(a, b int) bool {
-	for _, h := range w.hurts {
+// partitioned tells whether two zones are partitioned off from each other.
+func (w *World) partitioned(a, b int) bool {
+	for _, h := range w.faults {
 		if h.fault.Kind == "zone_cut" && (a == *h.fault.Zone) != (b == *h.fault.Zone) {
 			return true
 		}
@@ -312,9 +312,9 @@
 	return false
 }
 
-// hurting returns how much a kind of fault strikes those that are not backends.
-func (w *World) hurting(kind string) (much float64, is bool) {
-	for _, h := range w.hurts {
+// faultMagnitude returns how much a kind of fault strikes those that are not backends.
+func (w *World) faultMagnitude(kind string) (much float64, is bool) {
+	for _, h := range w.faults {
 		if h.fault.Kind == kind {
 			much, is = max(much, h.fault.Much), true
 		}
@@ -322,66 +322,66 @@
 	return much, is
 }
 
-// back sends an attempt's result on its way.
-func (w *World) back(b *backend, j *Job, r gate.Result) {
-	if j.handed || b.silent() {
+// sendResult sends an attempt's result on its way.
+func (w *World) sendResult(b *backend, j *Job, r gate.Result) {
+	if j.closed || b.silent() {
 		return
 	}
 	z := w.doors[j.Try.Door].zone
-	much, lossy := w.hurting("loss")
-	if w.cut(z, b.zone) || r != gate.Unreachable && w.dice.net.Float64() < w.s.Net.Loss || lossy && w.dice.net.Float64() < much {
+	much, lossy := w.faultMagnitude("loss")
+	if w.partitioned(z, b.zone) || r != gate.Unreachable && w.rng.net.Float64() < w.s.Net.Loss || lossy && w.rng.net.Float64() < much {
 		return
 	}
-	w.at(w.now+w.way(b.zone, z), due{kind: dueBack, j: j, p: r})
+	w.schedule(w.now+w.networkDelay(b.zone, z), event{kind: eventResult, job: j, payload: r})
 }
 
 // dial opens a connection for an attempt.
 func (w *World) dial(j *Job) {
 	b := w.backends[j.Backend]
 	z := w.doors[j.Try.Door].zone
-	j.opened = true
-	w.tell(trace.Event{Kind: trace.Connected, Door: j.Try.Door, Backend: b.id})
-	if b.silent() || w.cut(z, b.zone) {
-		w.at(w.now+w.s.Net.ConnectTimeoutMs, due{kind: dueBack, j: j, p: gate.Unreachable})
+	j.newConn = true
+	w.emit(trace.Event{Kind: trace.Connected, Door: j.Try.Door, Backend: b.id})
+	if b.silent() || w.partitioned(z, b.zone) {
+		w.schedule(w.now+w.s.Net.ConnectTimeoutMs, event{kind: eventResult, job: j, payload: gate.Unreachable})
 		return
 	}
-	w.at(w.now+w.way(z, b.zone), due{kind: dueDial, j: j})
+	w.schedule(w.now+w.networkDelay(z, b.zone), event{kind: eventConnect, job: j})
 }
 
-// dialled is a connection's beginning at the backend.
-func (w *World) dialled(j *Job) {
+// connectionArrived is a connection's beginning at the backend.
+func (w *World) connectionArrived(j *Job) {
 	b := w.backends[j.Backend]
-	if j.handed {
+	if j.closed {
 		return
 	}
 	if b.silent() {
-		w.at(j.at+w.s.Net.ConnectTimeoutMs, due{kind: dueBack, j: j, p: gate.Unreachable})
+		w.schedule(j.sentAt+w.s.Net.ConnectTimeoutMs, event{kind: eventResult, job: j, payload: gate.Unreachable})
 		return
 	}
-	most := b.conns
-	if much, is := b.hurting("few_conns", -1); is {
+	most := b.maxConns
+	if much, is := b.faultMagnitude("few_conns", -1); is {
 		most = int(much)
 	}
-	if _, refuses := b.hurting("refuse", -1); refuses || !b.up || b.open >= most {
-		w.back(b, j, gate.Unreachable)
+	if _, refuses := b.faultMagnitude("refuse", -1); refuses || !b.up || b.openConns >= most {
+		w.sendResult(b, j, gate.Unreachable)
 		return
 	}
 	z := w.doors[j.Try.Door].zone
-	if j.by > 0 {
-		if up := w.now + w.way(b.zone, z); up > j.by { // it may not begin any more
-			w.at(up, due{kind: dueBack, j: j, p: gate.Skipped})
+	if j.startBy > 0 {
+		if up := w.now + w.networkDelay(b.zone, z); up > j.startBy { // it may not begin any more
+			w.schedule(up, event{kind: eventResult, job: j, payload: gate.Skipped})
 			return
 		}
 	}
-	b.open++
-	j.life = b.life
-	w.at(w.now+w.way(b.zone, z)+w.way(z, b.zone), due{kind: dueCome, j: j})
+	b.openConns++
+	j.incarnation = b.incarnation
+	w.schedule(w.now+w.networkDelay(b.zone, z)+w.networkDelay(z, b.zone), event{kind: eventBackendArrival, job: j})
 }
 
-// knows tells whether a door has been told of a backend's latest start.
-func (w *World) knows(door int, b *backend) bool {
+// knowsStart tells whether a door has been told of a backend's latest start.
+func (w *World) knowsStart(door int, b *backend) bool {
 	d := w.doors[door]
-	return b.id < len(d.told) && d.told[b.id].known && d.told[b.id].since == b.since
+	return b.id < len(d.known) && d.known[b.id].known && d.known[b.id].startedAt == b.startedAt
 }
 
 // ---- Effects ----
@@ -392,7 +392,7 @@
 	at    float64
 }
 
-func (w *World) group(b *backend, p *scenario.Class) int {
+func (w *World) dedupGroup(b *backend, p *scenario.Class) int {
 	switch p.Scope {
 	case "zone":
 		return b.zone
@@ -402,31 +402,31 @@
 	return 0
 }
 
-// remembers tells whether the backend's group knows that the request ran, and will not let it run again.
-func (w *World) remembers(b *backend, t *Try) bool {
+// isDuplicate tells whether the backend's group knows that the request ran, and will not let it run again.
+func (w *World) isDuplicate(b *backend, t *Try) bool {
 	p := &w.s.Classes[t.Class]
 	if p.Semantics != "tokened" {
 		return false
 	}
-	early, _ := b.hurting("forget_tokens", t.Class)
-	for _, e := range t.want.effects {
-		if e.group == w.group(b, p) && w.now <= e.at+p.WindowMs-early {
+	early, _ := b.faultMagnitude("forget_tokens", t.Class)
+	for _, e := range t.request.effects {
+		if e.group == w.dedupGroup(b, p) && w.now <= e.at+p.WindowMs-early {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *World) ran(b *backend, t *Try) {
+func (w *World) recordEffect(b *backend, t *Try) {
 	p := &w.s.Classes[t.Class]
 	if p.Semantics == "replayable" {
 		return
 	}
-	if w.remembers(b, t) { // another has run since this one began
+	if w.isDuplicate(b, t) { // another has run since this one began
 		return
 	}
-	w.tell(trace.Event{Kind: trace.Ran, Want: t.want.id, Try: t.ID, Backend: b.id, Twice: len(t.want.effects) > 0})
-	t.want.effects = append(t.want.effects, effect{w.group(b, p), w.now})
+	w.emit(trace.Event{Kind: trace.Ran, Want: t.request.id, Try: t.ID, Backend: b.id, Twice: len(t.request.effects) > 0})
+	t.request.effects = append(t.request.effects, effect{w.dedupGroup(b, p), w.now})
 }
 
 // sweep drops what is idle.
--- a/lab/stand/backend.go
+++ b/lab/stand/backend.go
@@ -14,35 +14,35 @@
 	"github.com/swifthall/swifthall/lab/model"
 )
 
-// address is where one door reaches one backend. While the backend's process does not run, nobody listens there.
-type address struct {
-	f             *fleet
+// backendListener is where one door reaches one backend. While the backend's process does not run, nobody listens there.
+type backendListener struct {
+	f             *testbed
 	door, backend int
-	at            string
+	addr          string
 
 	mu    sync.Mutex
 	ln    net.Listener
 	conns map[net.Conn]struct{}
 }
 
-func newAddress(f *fleet, door, backend int) (*address, error) {
-	a := &address{f: f, door: door, backend: backend, conns: map[net.Conn]struct{}{}}
+func newBackendListener(f *testbed, door, backend int) (*backendListener, error) {
+	a := &backendListener{f: f, door: door, backend: backend, conns: map[net.Conn]struct{}{}}
 	ln, err := f.listen("127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	a.at = ln.Addr().String()
+	a.addr = ln.Addr().String()
 	a.serve(ln)
-	f.atEnd(a.end)
+	f.onClose(a.close)
 	return a, nil
 }
 
 // serve takes connections in until the listener ends.
-func (a *address) serve(ln net.Listener) {
+func (a *backendListener) serve(ln net.Listener) {
 	a.mu.Lock()
 	a.ln = ln
 	a.mu.Unlock()
-	a.f.later(func() {
+	a.f.spawn(func() {
 		for {
 			nc, err := ln.Accept()
 			if err != nil {
@@ -51,13 +51,13 @@
 			a.mu.Lock()
 			a.conns[nc] = struct{}{}
 			a.mu.Unlock()
-			a.f.later(func() { a.talk(nc) })
+			a.f.spawn(func() { a.serveConn(nc) })
 		}
 	})
 }
 
-// set has the address follow its backend's process: with a new life all connections are reset.
-func (a *address) set(up bool) {
+// setUp has the address follow its backend's process: with a new life all connections are reset.
+func (a *backendListener) setUp(up bool) {
 	a.mu.Lock()
 	ln := a.ln
 	for nc := range a.conns {
@@ -69,13 +69,13 @@
 	}
 	a.mu.Unlock()
 	if up && ln == nil && !a.f.over.Load() {
-		if again, err := a.f.listen(a.at); err == nil {
+		if again, err := a.f.listen(a.addr); err == nil {
 			a.serve(again)
 		}
 	}
 }
 
-func (a *address) end() {
+func (a *backendListener) close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.ln != nil {
@@ -95,18 +95,21 @@
 	nc.Close()
 }
 
-// answer is what a backend's stand-in sends, or does, for one attempt.
-type answer struct {
+// attemptResult is what a backend's stand-in sends, or does, for one attempt.
+type attemptResult struct {
 	result gate.Result
 	use    float64
 }
 
-const mostBody = 64 << 10 // bytes of a request
+const maxBody = 64 << 10 // bytes of a request
 
-// talk serves one connection. One that the backend does not take is reset.
-func (a *address) talk(nc net.Conn) {
+// serveConn serves one connection. One that the backend does not take is reset.
+func (a *backendListener) serveConn(nc net.Conn) {
 	taken, life := make(chan bool, 1), 0
-	a.f.post(func() { life = a.f.w.Life(a.backend); taken <- a.f.w.Connected(a.door, a.backend) })
+	a.f.post(func() {
+		life = a.f.world.BackendIncarnation(a.backend)
+		taken <- a.f.world.Connected(a.door, a.backend)
+	})
 	defer func() {
 		a.mu.Lock()
 		delete(a.conns, nc)
@@ -122,13 +125,13 @@
 	case <-a.f.ctx.Done():
 		return
 	}
-	defer a.f.post(func() { a.f.w.Disconnected(a.backend, life) })
+	defer a.f.post(func() { a.f.world.Disconnected(a.backend, life) })
 	ops, gone := make(chan request), make(chan struct{})
-	a.f.later(func() { a.read(nc, ops, gone) })
+	a.f.spawn(func() { a.readRequests(nc, ops, gone) })
 	for fresh := true; ; fresh = false {
 		select {
 		case op := <-ops:
-			if !a.one(nc, op, gone, fresh) {
+			if !a.serveRequest(nc, op, gone, fresh) {
 				return
 			}
 		case <-gone:
@@ -145,15 +148,15 @@
 	body []byte
 }
 
-// read takes requests off a connection, one by one, and notices when the door ends it.
-func (a *address) read(nc net.Conn, ops chan<- request, gone chan<- struct{}) {
+// readRequests takes requests off a connection, one by one, and notices when the door ends it.
+func (a *backendListener) readRequests(nc net.Conn, ops chan<- request, gone chan<- struct{}) {
 	defer close(gone)
 	for r := bufio.NewReader(nc); ; {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(req.Body, mostBody))
+		body, err := io.ReadAll(io.LimitReader(req.Body, maxBody))
 		if err != nil {
 			return
 		}
@@ -165,35 +168,35 @@
 	}
 }
 
-// one serves one request, and tells whether the connection goes on.
-func (a *address) one(nc net.Conn, op request, gone <-chan struct{}, fresh bool) bool {
-	t := a.f.find(op.id)
+// serveRequest serves serveRequest request, and tells whether the connection goes on.
+func (a *backendListener) serveRequest(nc net.Conn, op request, gone <-chan struct{}, fresh bool) bool {
+	t := a.f.findTry(op.id)
 	if t == nil {
 		fmt.Fprintf(nc, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	come := make(chan answer, 1)
+	come := make(chan attemptResult, 1)
 	var job *model.Job
 	a.f.post(func() {
 		a.f.mu.Lock()
-		number := a.f.sends[t.ID]
-		a.f.sends[t.ID]++
+		number := a.f.attempts[t.ID]
+		a.f.attempts[t.ID]++
 		a.f.mu.Unlock()
-		job = a.f.w.Arrive(a.door, a.backend, t, number, fresh, func(res gate.Result, use float64) { come <- answer{res, use} })
+		job = a.f.world.AttemptArrived(a.door, a.backend, t, number, fresh, func(res gate.Result, use float64) { come <- attemptResult{res, use} })
 	})
 	select {
 	case <-a.f.ctx.Done():
 		return false
 	case <-gone: // the door ends its connection when it gives the attempt up
-		a.f.post(func() { a.f.w.Abandon(job) })
+		a.f.post(func() { a.f.world.AttemptAbandoned(job) })
 		return false
 	case got := <-come:
-		return a.say(nc, got, op.id)
+		return a.writeResult(nc, got, op.id)
 	}
 }
 
-// say words a result on the wire.
-func (a *address) say(nc net.Conn, got answer, id string) bool {
+// writeResult words a result on the wire.
+func (a *backendListener) writeResult(nc net.Conn, got attemptResult, id string) bool {
 	head := ""
 	if got.use >= 0 {
 		head = "X-Allowance-Used: " + strconv.FormatFloat(100*got.use, 'f', 2, 64) + "\r\n"
--- a/lab/stand/beside.go
+++ b/lab/stand/beside.go
@@ -47,54 +47,54 @@
 }
 
 const (
-	besideBackends  = 4
-	besideCustomers = 500
-	besideWait      = 2000 // ms
+	comparedBackends  = 4
+	comparedCustomers = 500
+	clientTimeoutMs   = 2000 // ms
 )
 
 // instant is a world in which a door has nothing to decide: ample quotas, short work.
-var instant = scenario.Scenario{
+var trivialScenario = scenario.Scenario{
 	Name:    "beside",
-	Fleet:   scenario.Fleet{Doors: 1, Backends: besideBackends, Zones: 1, CellSize: 1},
+	Fleet:   scenario.Fleet{Doors: 1, Backends: comparedBackends, Zones: 1, CellSize: 1},
 	Load:    scenario.Load{MostUnits: 1},
 	Net:     scenario.Net{ConnectTimeoutMs: 250, IdleMs: 15e3},
 	Allow:   scenario.Allow{MaxAttempts: 3, Cancel: true, Hedging: true, RetryAfter: true},
 	Clients: scenario.Clients{MaxRetryAfterMs: 500},
 	Rules:   scenario.Rules{ColdFrom: 0.3, ColdS: 5, FallMultiple: 4, FallMs: 1500},
-	Classes: []scenario.Class{{Name: "look", ContractMs: 500, OuterMs: besideWait, Gain: 1, Semantics: "replayable", Scope: "all"}},
+	Classes: []scenario.Class{{Name: "look", ContractMs: 500, OuterMs: clientTimeoutMs, Gain: 1, Semantics: "replayable", Scope: "all"}},
 	Plans:   []scenario.Plan{{Name: "ample", PerS: 1e6, Depth: 1e6, Price: 1}},
 }
 
 // Run plays the rounds, and searches each one's knee. tell hears each turn as it ends.
 func (b Beside) Run(ctx context.Context, tell func(name string, rate float64, o *load.Outcome)) (rows []Row, knees map[string]float64, err error) {
 	ctx, stop := context.WithCancel(ctx)
-	f := &fleet{ctx: ctx, play: &Play{Scenario: &instant, Binary: b.Binary}}
+	f := &testbed{ctx: ctx, cfg: &Play{Scenario: &trivialScenario, Binary: b.Binary}}
 	f.over.Store(true) // no world plays: the backends here answer at once
 	defer f.group.Wait()
 	defer f.close()
 	defer stop()
 	var addrs []string
 	var entries []registry.Entry
-	var lines []model.Line
-	for i := range besideBackends {
+	var lines []model.BackendEntry
+	for i := range comparedBackends {
 		ln, err := f.listen("127.0.0.1:0")
 		if err != nil {
 			return nil, nil, err
 		}
 		srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("done")) })}
-		f.later(func() { _ = srv.Serve(ln) })
-		f.atEnd(func() { srv.Close() })
+		f.spawn(func() { _ = srv.Serve(ln) })
+		f.onClose(func() { srv.Close() })
 		addrs = append(addrs, ln.Addr().String())
 		entries = append(entries, registry.Entry{ID: fmt.Sprintf("b-%d", i), Addr: addrs[i], Zone: "z", State: "Ready", Size: 1})
-		lines = append(lines, model.Line{Backend: i})
+		lines = append(lines, model.BackendEntry{Backend: i})
 	}
 	d, err := newDoor(f, 0)
 	if err != nil {
 		return nil, nil, err
 	}
-	d.discovery.tell(true, entries, lines)
+	d.discovery.publish(true, entries, lines)
 	list := registry.List{Version: d.discovery.version, Whole: true, Backends: entries}
-	core, back, err := onOneCore()
+	core, back, err := pinToOneCore()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -103,18 +103,18 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	f.atEnd(func() { _ = proxy.Process.Kill(); _ = proxy.Wait() })
+	f.onClose(func() { _ = proxy.Process.Kill(); _ = proxy.Wait() })
 	targets := []struct {
 		name, at string
 		pid      func() int
-	}{{"door", d.listen, func() int { return d.cmd.Process.Pid }}, {"reverse proxy", proxyAt, func() int { return proxy.Process.Pid }}}
+	}{{"door", d.addr, func() int { return d.cmd.Process.Pid }}, {"reverse proxy", proxyAt, func() int { return proxy.Process.Pid }}}
 	for _, t := range targets {
-		if err := answers(ctx, t.at); err != nil {
-			return nil, nil, &PartyError{fmt.Sprintf("%s on core %d", t.name, core), "", err}
+		if err := waitReady(ctx, t.at); err != nil {
+			return nil, nil, &ComponentError{fmt.Sprintf("%s on core %d", t.name, core), "", err}
 		}
 	}
 	word := func(at string, seed uint64) func(int) string {
-		return load.Door{Host: at, Class: "look", Plan: "ample", Customers: besideCustomers, Wait: besideWait, Seed: seed}.Word
+		return load.Door{Host: at, Class: "look", Plan: "ample", Customers: comparedCustomers, Wait: clientTimeoutMs, Seed: seed}.Word
 	}
 	const patience = 5 * time.Second
 	for _, rate := range b.Rates {
@@ -123,7 +123,7 @@
 			for i := range targets {
 				t := targets[(i+round)%len(targets)] // each goes first in turn
 				row := &here[(i+round)%len(targets)]
-				before := cpu(t.pid())
+				before := cpuTime(t.pid())
 				r := load.Run{Target: t.at, Rate: rate, For: b.For, Conns: b.Conns, Patience: patience, Poisson: true, Seed: uint64(round) + 1,
 					Word: word(t.at, uint64(round)+uint64(rate)<<8)}
 				o, err := r.Play(ctx, nil)
@@ -137,7 +137,7 @@
 				}
 				row.Served += o.Rate() / float64(b.Rounds)
 				row.Lost += o.Rejected + o.Failed
-				row.CPU += time.Duration(float64(cpu(t.pid())-before) * 1000 / max(1, float64(o.Asked)) / float64(b.Rounds))
+				row.CPU += time.Duration(float64(cpuTime(t.pid())-before) * 1000 / max(1, float64(o.Asked)) / float64(b.Rounds))
 				if tell != nil {
 					tell(t.name, rate, o)
 				}
@@ -166,34 +166,34 @@
 func (b Beside) start(d *door, list registry.List, backends []string) (at string, proxy *exec.Cmd, err error) {
 	raw, err := json.Marshal(d.config(list))
 	if err != nil {
-		return "", nil, &PartyError{"the door's configuration", "", err}
+		return "", nil, &ComponentError{"the door's configuration", "", err}
 	}
 	d.launch(raw)
-	if err := d.fault.Load(); err != nil {
+	if err := d.err.Load(); err != nil {
 		return "", nil, *err
 	}
 	if at, err = loopback.Free(); err != nil {
 		return "", nil, err
 	}
 	if len(b.Proxy) == 0 {
-		return "", nil, &PartyError{"reverse proxy", "no program", nil}
+		return "", nil, &ComponentError{"reverse proxy", "no program", nil}
 	}
 	proxy = exec.Command(b.Proxy[0], append(append(append([]string(nil), b.Proxy[1:]...), at), backends...)...)
 	proxy.Env = append(os.Environ(), "GOMAXPROCS=1")
 	proxy.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := proxy.Start(); err != nil {
-		return "", nil, &PartyError{"reverse proxy", "", err}
+		return "", nil, &ComponentError{"reverse proxy", "", err}
 	}
 	return at, proxy, nil
 }
 
-// onOneCore binds the calling thread to the last core that it may use; back undoes that.
-func onOneCore() (core int, back func(), err error) {
+// pinToOneCore binds the calling thread to the last core that it may use; back undoes that.
+func pinToOneCore() (core int, back func(), err error) {
 	runtime.LockOSThread()
 	var had, one unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &had); err != nil {
 		runtime.UnlockOSThread()
-		return 0, nil, &PartyError{"cores", "", err}
+		return 0, nil, &ComponentError{"cores", "", err}
 	}
 	core = -1
 	for i := range len(had) * 64 {
@@ -204,7 +204,7 @@
 	one.Set(core)
 	if err := unix.SchedSetaffinity(0, &one); err != nil {
 		runtime.UnlockOSThread()
-		return 0, nil, &PartyError{fmt.Sprintf("core %d", core), "", err}
+		return 0, nil, &ComponentError{fmt.Sprintf("core %d", core), "", err}
 	}
 	return core, func() {
 		_ = unix.SchedSetaffinity(0, &had)
@@ -212,9 +212,9 @@
 	}, nil
 }
 
-// answers waits until something answers at an address.
-func answers(ctx context.Context, at string) error {
-	client := http.Client{Timeout: dialPatience}
+// waitReady waits until something waitReady at an address.
+func waitReady(ctx context.Context, at string) error {
+	client := http.Client{Timeout: dialTimeout}
 	for range 200 {
 		resp, err := client.Get("http://" + at + "/health/ready")
 		if err == nil {
@@ -229,7 +229,7 @@
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	return &PartyError{at, "it does not answer", nil}
+	return &ComponentError{at, "it does not answer", nil}
 }
 
 // ServeProxy is the standard library's reverse proxy over some backends, taken in turn. It ends with ctx.
@@ -240,7 +240,7 @@
 		urls = append(urls, &url.URL{Scheme: "http", Host: b})
 	}
 	if len(urls) == 0 {
-		return &PartyError{"reverse proxy", "no backend", nil}
+		return &ComponentError{"reverse proxy", "no backend", nil}
 	}
 	proxy := &httputil.ReverseProxy{
 		Rewrite:   func(r *httputil.ProxyRequest) { r.SetURL(urls[next.Add(1)%uint64(len(urls))]) },
@@ -249,7 +249,7 @@
 	srv := &http.Server{Addr: at, Handler: proxy}
 	defer context.AfterFunc(ctx, func() { srv.Close() })()
 	if err := srv.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-		return &PartyError{"reverse proxy", "", err}
+		return &ComponentError{"reverse proxy", "", err}
 	}
 	return nil
 }
--- a/lab/stand/client.go
+++ b/lab/stand/client.go
@@ -15,24 +15,24 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// clients keeps connections to one door, as the front does: one request at a time on each, more when all are busy.
-type clients struct {
-	f    *fleet
-	to   string
-	mu   sync.Mutex
-	idle []*conn
-	out  map[int]context.CancelFunc // by try
+// clientConns keeps connections to one door, as the front does: one request at a time on each, more when all are busy.
+type clientConns struct {
+	f       *testbed
+	target  string
+	mu      sync.Mutex
+	idle    []*conn
+	cancels map[int]context.CancelFunc // by try
 }
 
 type conn struct {
-	nc   net.Conn
-	r    *bufio.Reader
-	used bool
+	nc     net.Conn
+	r      *bufio.Reader
+	reused bool
 }
 
-const dialPatience = 250 * time.Millisecond
+const dialTimeout = 250 * time.Millisecond
 
-func (c *clients) take() *conn {
+func (c *clientConns) get() *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n := len(c.idle); n > 0 {
@@ -43,14 +43,14 @@
 	return nil
 }
 
-func (c *clients) put(k *conn) {
-	k.used = true
+func (c *clientConns) put(k *conn) {
+	k.reused = true
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = append(c.idle, k)
 }
 
-func (c *clients) drop() {
+func (c *clientConns) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, k := range c.idle {
@@ -60,47 +60,47 @@
 }
 
 // submit sends a try. The world's goroutine calls it and is not kept waiting.
-func (c *clients) submit(t *model.Try, word model.Wording) {
+func (c *clientConns) submit(t *model.Try, word model.WireRequest) {
 	ctx, stop := context.WithCancel(c.f.ctx)
 	c.mu.Lock()
-	c.out[t.ID] = stop
+	c.cancels[t.ID] = stop
 	c.mu.Unlock()
-	c.f.later(func() {
+	c.f.spawn(func() {
 		defer func() {
 			stop()
 			c.mu.Lock()
-			delete(c.out, t.ID)
+			delete(c.cancels, t.ID)
 			c.mu.Unlock()
 		}()
-		c.ask(ctx, t, word)
+		c.send(ctx, t, word)
 	})
 }
 
-// leave closes the connection of a try whose client has gone.
-func (c *clients) leave(t *model.Try) {
+// clientLeft closes the connection of a try whose client has gone.
+func (c *clientConns) clientLeft(t *model.Try) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if stop := c.out[t.ID]; stop != nil {
+	if stop := c.cancels[t.ID]; stop != nil {
 		stop()
 	}
 }
 
-// ask carries one try. One that crosses the door's closing of an idle connection is sent once more.
-func (c *clients) ask(ctx context.Context, t *model.Try, word model.Wording) {
-	text := wording(c.to, t, word)
+// send carries one try. One that crosses the door's closing of an idle connection is sent once more.
+func (c *clientConns) send(ctx context.Context, t *model.Try, word model.WireRequest) {
+	text := requestText(c.target, t, word)
 	for {
-		k := c.take()
+		k := c.get()
 		if k == nil {
-			nc, err := (&net.Dialer{Timeout: dialPatience}).DialContext(ctx, "tcp", c.to)
+			nc, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", c.target)
 			if err != nil {
-				c.f.post(func() { c.f.w.NotReached(t) })
+				c.f.post(func() { c.f.world.TryNotAccepted(t) })
 				return
 			}
 			k = &conn{nc: nc, r: bufio.NewReader(nc)}
 		}
 		unwatch := context.AfterFunc(ctx, func() { k.nc.Close() })
 		_, err := io.WriteString(k.nc, text)
-		if err != nil && k.used {
+		if err != nil && k.reused {
 			unwatch()
 			k.nc.Close()
 			continue
@@ -108,12 +108,12 @@
 		if err != nil {
 			unwatch()
 			k.nc.Close()
-			c.f.post(func() { c.f.w.NotReached(t) })
+			c.f.post(func() { c.f.world.TryNotAccepted(t) })
 			return
 		}
-		used := k.used
-		c.f.post(func() { c.f.w.Taken(t) })
-		again := c.hear(ctx, t, k, used)
+		used := k.reused
+		c.f.post(func() { c.f.world.TryTaken(t) })
+		again := c.readAnswer(ctx, t, k, used)
 		unwatch()
 		if !again {
 			return
@@ -121,11 +121,11 @@
 	}
 }
 
-// hear reads the answer; again means that the connection had been closed before the try came.
-func (c *clients) hear(ctx context.Context, t *model.Try, k *conn, used bool) (again bool) {
+// readAnswer reads the answer; again means that the connection had been closed before the try came.
+func (c *clientConns) readAnswer(ctx context.Context, t *model.Try, k *conn, used bool) (again bool) {
 	if _, err := k.r.Peek(1); err != nil && used && ctx.Err() == nil {
 		k.nc.Close()
-		c.f.post(func() { c.f.w.Crossed(t) })
+		c.f.post(func() { c.f.world.TryNotRead(t) })
 		return true
 	}
 	resp, err := http.ReadResponse(k.r, nil)
@@ -135,7 +135,7 @@
 	if err != nil {
 		k.nc.Close()
 		if ctx.Err() == nil {
-			c.f.post(func() { c.f.w.Broken(t) })
+			c.f.post(func() { c.f.world.TryConnectionLost(t) })
 		}
 		return false
 	}
@@ -154,23 +154,23 @@
 	} else {
 		c.put(k)
 	}
-	c.f.post(func() { c.f.w.Answered(t, a, wait) })
+	c.f.post(func() { c.f.world.TryAnswered(t, a, wait) })
 	return false
 }
 
-// wording words a try.
-func wording(to string, t *model.Try, w model.Wording) string {
-	method, rest := http.MethodPost, fmt.Sprintf("Idempotency-Key: %032x\r\nContent-Length: 4\r\n", w.Want+1)
+// requestText words a try.
+func requestText(to string, t *model.Try, w model.WireRequest) string {
+	method, rest := http.MethodPost, fmt.Sprintf("Idempotency-Key: %032x\r\nContent-Length: 4\r\n", w.RequestID+1)
 	body := "ride"
 	if w.Idempotent {
 		method, rest, body = http.MethodGet, "", ""
 	}
-	if w.Repeat {
+	if w.Retry {
 		rest += "X-Resent: 1\r\n"
 	}
 	return fmt.Sprintf("%s /%s?key=%016x HTTP/1.1\r\nHost: %s\r\nX-Txn: %s\r\nX-Tariff: %s\r\nX-Remaining: %dm\r\n"+
-		"X-Weight: units=%g,spread=%d,first=%d\r\n%s\r\n%s", method, w.Class, w.Customer, to, txn(t.ID), w.Plan, int(w.TTL),
-		w.Units, w.Spread, w.First, rest, body)
+		"X-Weight: units=%g,spread=%d,first=%d\r\n%s\r\n%s", method, w.Class, w.Customer, to, txnID(t.ID), w.Plan, int(w.TTL),
+		w.Units, w.Spread, w.FirstDoor, rest, body)
 }
 
-func txn(try int) string { return fmt.Sprintf("%016x", try+1) }
+func txnID(try int) string { return fmt.Sprintf("%016x", try+1) }
--- a/lab/stand/counter.go
+++ b/lab/stand/counter.go
@@ -50,12 +50,12 @@
 	return strconv.Atoi(line[1:])
 }
 
-// count serves a door's connections to the counter. Answers keep the order of the calls.
-func (f *fleet) count(door int, nc net.Conn) {
+// serveCounter serves a door's connections to the counter. Answers keep the order of the calls.
+func (f *testbed) serveCounter(door int, nc net.Conn) {
 	defer nc.Close()
 	turns := make(chan chan string, 1024)
 	defer close(turns)
-	f.later(func() {
+	f.spawn(func() {
 		for turn := range turns {
 			select {
 			case text := <-turn:
@@ -91,7 +91,7 @@
 				continue
 			}
 			f.post(func() {
-				f.w.OutCall(door, words[1], add, keep, func(r gate.Result, total float64) {
+				f.world.ExternalCounterCall(door, words[1], add, keep, func(r gate.Result, total float64) {
 					if r != gate.Finished {
 						turn <- "-BUSY\r\n"
 						return
--- a/lab/stand/discovery.go
+++ b/lab/stand/discovery.go
@@ -18,17 +18,17 @@
 	version int64
 	entries map[int]registry.Entry
 	changes []registry.List // since the agent began
-	news    chan struct{}   // closed with each change
+	changed chan struct{}   // closed with each change
 }
 
 func newDiscovery() *discovery {
-	return &discovery{version: 1, entries: map[int]registry.Entry{}, news: make(chan struct{})}
+	return &discovery{version: 1, entries: map[int]registry.Entry{}, changed: make(chan struct{})}
 }
 
-var lifecycles = map[gate.Status]string{gate.Up: "Ready", gate.Draining: "Terminating", gate.Gone: "Gone"}
+var wireStates = map[gate.Status]string{gate.Up: "Ready", gate.Draining: "Terminating", gate.Gone: "Gone"}
 
-// tell takes what discovery sends: the whole list, or a change.
-func (d *discovery) tell(whole bool, entries []registry.Entry, of []model.Line) {
+// publish takes what discovery sends: the whole list, or a change.
+func (d *discovery) publish(whole bool, entries []registry.Entry, of []model.BackendEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if whole {
@@ -46,11 +46,11 @@
 		entries = []registry.Entry{}
 	}
 	d.changes = append(d.changes, registry.List{Version: d.version, Whole: whole, Backends: entries})
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-func (d *discovery) whole() registry.List {
+func (d *discovery) snapshot() registry.List {
 	l := registry.List{Version: d.version, Whole: true, Backends: []registry.Entry{}}
 	for _, e := range d.entries {
 		l.Backends = append(l.Backends, e)
@@ -66,7 +66,7 @@
 		return
 	}
 	d.mu.Lock()
-	next, at, news := d.whole(), len(d.changes), d.news
+	next, at, news := d.snapshot(), len(d.changes), d.changed
 	d.mu.Unlock()
 	enc := json.NewEncoder(w)
 	if r.URL.Query().Get("stream") != "1" {
@@ -93,7 +93,7 @@
 		case <-news:
 			d.mu.Lock()
 			more := d.changes[at:]
-			at, news = len(d.changes), d.news
+			at, news = len(d.changes), d.changed
 			d.mu.Unlock()
 			for _, l := range more {
 				if enc.Encode(l) != nil {
--- a/lab/stand/door.go
+++ b/lab/stand/door.go
@@ -28,98 +28,98 @@
 // door is one real door with all that it alone sees: its listener's address, its discovery, its addresses of backends and
 // of the counter.
 type door struct {
-	f         *fleet
-	number    int
-	listen    string
-	discovery *discovery
-	watched   string
-	counter   string
-	clients   *clients
-	backends  []*address
-	stop      context.CancelFunc // of an embedded door
-	cmd       *exec.Cmd
-	ending    *atomic.Bool // the program is meant to end; its waiter reads it
-	fault     atomic.Pointer[error]
-	life      int
+	f             *testbed
+	number        int
+	addr          string
+	discovery     *discovery
+	discoveryAddr string
+	counterAddr   string
+	clients       *clientConns
+	backends      []*backendListener
+	stop          context.CancelFunc // of an embedded door
+	cmd           *exec.Cmd
+	exitExpected  *atomic.Bool // the program is meant to end; its waiter reads it
+	err           atomic.Pointer[error]
+	incarnation   int
 }
 
-func newDoor(f *fleet, number int) (*door, error) {
+func newDoor(f *testbed, number int) (*door, error) {
 	d := &door{f: f, number: number, discovery: newDiscovery()}
 	var err error
-	if d.listen, err = loopback.Free(); err != nil { // it is taken only when the door starts, and again when it is restarted
+	if d.addr, err = loopback.Free(); err != nil { // it is taken only when the door starts, and again when it is restarted
 		return nil, err
 	}
-	d.clients = &clients{f: f, to: d.listen, out: map[int]context.CancelFunc{}}
+	d.clients = &clientConns{f: f, target: d.addr, cancels: map[int]context.CancelFunc{}}
 	ln, err := f.listen("127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d.watched = ln.Addr().String()
+	d.discoveryAddr = ln.Addr().String()
 	agent := &http.Server{Handler: d.discovery}
-	f.later(func() { _ = agent.Serve(ln) })
-	f.atEnd(func() { agent.Close() })
-	if f.play.Scenario.Counter.On {
+	f.spawn(func() { _ = agent.Serve(ln) })
+	f.onClose(func() { agent.Close() })
+	if f.cfg.Scenario.Counter.On {
 		cl, err := f.listen("127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		d.counter = cl.Addr().String()
-		f.atEnd(func() { cl.Close() })
-		f.later(func() {
+		d.counterAddr = cl.Addr().String()
+		f.onClose(func() { cl.Close() })
+		f.spawn(func() {
 			for {
 				nc, err := cl.Accept()
 				if err != nil {
 					return
 				}
-				f.atEnd(func() { nc.Close() })
-				f.later(func() { f.count(number, nc) })
+				f.onClose(func() { nc.Close() })
+				f.spawn(func() { f.serveCounter(number, nc) })
 			}
 		})
 	}
-	f.atEnd(d.clients.drop)
-	f.atEnd(d.Kill)
+	f.onClose(d.clients.closeIdle)
+	f.onClose(d.Kill)
 	return d, nil
 }
 
-// entries words lines of the list, with the addresses by which this door reaches the backends.
-func (d *door) entries(lines []model.Line) []registry.Entry {
+// registryEntries words lines of the list, with the addresses by which this door reaches the backends.
+func (d *door) registryEntries(lines []model.BackendEntry) []registry.Entry {
 	var out []registry.Entry
 	for _, l := range lines {
 		for len(d.backends) <= l.Backend {
-			a, err := newAddress(d.f, d.number, len(d.backends))
+			a, err := newBackendListener(d.f, d.number, len(d.backends))
 			if err != nil {
 				d.fail(err)
 				return out
 			}
 			d.backends = append(d.backends, a)
 		}
-		e := registry.Entry{ID: fmt.Sprintf("b-%d", l.Backend), Addr: d.backends[l.Backend].at, Zone: fmt.Sprintf("z%d", l.Zone),
-			Cell: int64(l.Cell), State: lifecycles[l.Status], Size: 1}
-		if l.Since >= 0 {
-			e.Started = float64(time.Now().UnixMilli()) - (d.f.w.Now() - l.Since)
+		e := registry.Entry{ID: fmt.Sprintf("b-%d", l.Backend), Addr: d.backends[l.Backend].addr, Zone: fmt.Sprintf("z%d", l.Zone),
+			Cell: int64(l.Cell), State: wireStates[l.Status], Size: 1}
+		if l.StartedAt >= 0 {
+			e.Started = float64(time.Now().UnixMilli()) - (d.f.world.Now() - l.StartedAt)
 		}
 		out = append(out, e)
 	}
 	return out
 }
 
-func (d *door) fail(err error) { d.fault.CompareAndSwap(nil, &err) }
+func (d *door) fail(err error) { d.err.CompareAndSwap(nil, &err) }
 
 // Start begins a life of the door.
-func (d *door) Start(known []model.Line) {
-	d.life++
-	list := registry.List{Version: d.discovery.version, Whole: true, Backends: d.entries(known)}
+func (d *door) Start(known []model.BackendEntry) {
+	d.incarnation++
+	list := registry.List{Version: d.discovery.version, Whole: true, Backends: d.registryEntries(known)}
 	if list.Backends == nil {
 		list.Backends = []registry.Entry{}
 	}
-	d.discovery.tell(true, list.Backends, known)
+	d.discovery.publish(true, list.Backends, known)
 	list.Version = d.discovery.version
 	raw, err := json.Marshal(d.config(list))
 	if err != nil {
 		d.fail(err)
 		return
 	}
-	if d.f.play.Binary != "" {
+	if d.f.cfg.Binary != "" {
 		d.launch(raw)
 		return
 	}
@@ -132,8 +132,8 @@
 	log.SetOutput(io.Discard)
 	ctx, stop := context.WithCancel(d.f.ctx)
 	d.stop = stop
-	decider := rival.Makers[d.f.play.Policy].New(cfg.Settings.Terms, cfg.Seed, nil)
-	d.f.later(func() {
+	decider := rival.Makers[d.f.cfg.Policy].New(cfg.Settings.Terms, cfg.Seed, nil)
+	d.f.spawn(func() {
 		if err := frontdoor.New(cfg, decider, log).Serve(ctx); err != nil {
 			d.fail(err)
 		}
@@ -151,12 +151,12 @@
 		d.fail(err)
 		return
 	}
-	d.f.atEnd(func() { os.Remove(file.Name()) })
-	cmd := exec.Command(d.f.play.Binary)
+	d.f.onClose(func() { os.Remove(file.Name()) })
+	cmd := exec.Command(d.f.cfg.Binary)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+file.Name())
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if d.f.play.Logs != "" {
-		if log, err := os.Create(filepath.Join(d.f.play.Logs, fmt.Sprintf("door-%d-%d.log", d.number, d.life))); err == nil {
+	if d.f.cfg.Logs != "" {
+		if log, err := os.Create(filepath.Join(d.f.cfg.Logs, fmt.Sprintf("door-%d-%d.log", d.number, d.incarnation))); err == nil {
 			cmd.Stdout, cmd.Stderr = log, log
 			defer log.Close()
 		}
@@ -166,10 +166,10 @@
 		return
 	}
 	ending := new(atomic.Bool)
-	d.cmd, d.ending = cmd, ending
-	d.f.later(func() {
+	d.cmd, d.exitExpected = cmd, ending
+	d.f.spawn(func() {
 		if err := cmd.Wait(); err != nil && !d.f.over.Load() && !ending.Load() {
-			d.fail(&PartyError{d.f.play.Binary, "its program ended", err})
+			d.fail(&ComponentError{d.f.cfg.Binary, "its program ended", err})
 		}
 	})
 }
@@ -181,10 +181,10 @@
 	}
 	if cmd := d.cmd; cmd != nil {
 		d.cmd = nil
-		d.ending.Store(true)
+		d.exitExpected.Store(true)
 		_ = cmd.Process.Kill()
 	}
-	d.clients.drop()
+	d.clients.closeIdle()
 }
 
 // Stop asks it to leave.
@@ -196,28 +196,28 @@
 
 func (d *door) Submit(t *model.Try) {
 	d.f.mu.Lock()
-	d.f.tries[txn(t.ID)] = t
+	d.f.tries[txnID(t.ID)] = t
 	d.f.mu.Unlock()
-	d.clients.submit(t, d.f.w.Word(t))
+	d.clients.submit(t, d.f.world.WireRequest(t))
 }
 
-func (d *door) Leave(t *model.Try) { d.clients.leave(t) }
+func (d *door) ClientLeft(t *model.Try) { d.clients.clientLeft(t) }
 
-func (d *door) List(whole bool, change []model.Line) {
-	d.discovery.tell(whole, d.entries(change), change)
+func (d *door) ListChanged(whole bool, change []model.BackendEntry) {
+	d.discovery.publish(whole, d.registryEntries(change), change)
 }
 
-// Process follows a backend's process at this door's address of it.
-func (d *door) Process(backend int, up bool) {
+// BackendProcess follows a backend's process at this door's address of it.
+func (d *door) BackendProcess(backend int, up bool) {
 	if backend < len(d.backends) {
-		d.backends[backend].set(up)
+		d.backends[backend].setUp(up)
 	}
 }
 
 // ready asks the door whether it can serve.
 func (d *door) ready() bool {
-	client := http.Client{Timeout: dialPatience}
-	resp, err := client.Get("http://" + d.listen + "/health/ready")
+	client := http.Client{Timeout: dialTimeout}
+	resp, err := client.Get("http://" + d.addr + "/health/ready")
 	if err != nil {
 		return false
 	}
@@ -227,14 +227,14 @@
 
 // config words the door's configuration as the platform does.
 func (d *door) config(known registry.List) map[string]any {
-	memory := d.f.play.MemoryMB
+	memory := d.f.cfg.MemoryMB
 	if memory == 0 {
 		memory = defaultMemoryMB
 	}
-	return map[string]any{"name": fmt.Sprintf("n%d", d.number), "listen": d.listen, "discovery": d.watched, "counter": d.counter,
-		"seed": fmt.Sprintf("%x", d.f.play.Seed<<16|uint64(d.number)<<8|uint64(d.life)), "known": known,
+	return map[string]any{"name": fmt.Sprintf("n%d", d.number), "listen": d.addr, "discovery": d.discoveryAddr, "counter": d.counterAddr,
+		"seed": fmt.Sprintf("%x", d.f.cfg.Seed<<16|uint64(d.number)<<8|uint64(d.incarnation)), "known": known,
 		"limits":   map[string]any{"cores": 1, "memory_mb": memory, "sockets": sockets},
-		"settings": settings(d.f.play.Scenario, d.number)}
+		"settings": settings(d.f.cfg.Scenario, d.number)}
 }
 
 var wireSemantics = map[string]string{"replayable": "idempotent", "tokened": "deduplicated", "single-use": "at_most_once"}
--- a/lab/stand/errors.go
+++ b/lab/stand/errors.go
@@ -6,40 +6,40 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// UnplayableError is a day that sockets can't play as it was told.
-type UnplayableError struct {
-	Fault string // the kind of fault that is in the way; empty where it is something else
-	Says  string
-	Do    string // what can be done
+// UnsupportedScenarioError is a day that sockets can't play as it was told.
+type UnsupportedScenarioError struct {
+	Fault  string // the kind of fault that is in the way; empty where it is something else
+	Reason string
+	Advice string // what can be done
 }
 
-func (e *UnplayableError) Error() string {
+func (e *UnsupportedScenarioError) Error() string {
 	if e.Fault != "" {
-		return fmt.Sprintf("fault %s: %s", e.Fault, e.Says)
+		return fmt.Sprintf("fault %s: %s", e.Fault, e.Reason)
 	}
-	return e.Says
+	return e.Reason
 }
-func (e *UnplayableError) Kind() remedy.Kind { return remedy.Usage }
+func (e *UnsupportedScenarioError) Kind() remedy.Kind { return remedy.Usage }
 
 // Remedy says how it can be played.
-func (e *UnplayableError) Remedy() string { return e.Do }
+func (e *UnsupportedScenarioError) Remedy() string { return e.Advice }
 
-const saysEmbedded = "a door within this process can't be killed: name its program with --door"
+const embeddedCannotCrash = "a door within this process can't be killed: name its program with --door"
 
-// PartyError is a stand-in, a door or a proxy that can't be started or doesn't answer.
-type PartyError struct {
-	Who   string
-	Says  string
-	Cause error
+// ComponentError is a stand-in, a door or a proxy that can't be started or doesn't answer.
+type ComponentError struct {
+	Name   string
+	Reason string
+	Cause  error
 }
 
-func (e *PartyError) Error() string     { return e.Who + ": " + remedy.WithCause(e.Says, e.Cause) }
-func (e *PartyError) Unwrap() error     { return e.Cause }
-func (e *PartyError) Kind() remedy.Kind { return remedy.Unreachable }
+func (e *ComponentError) Error() string     { return e.Name + ": " + remedy.WithCause(e.Reason, e.Cause) }
+func (e *ComponentError) Unwrap() error     { return e.Cause }
+func (e *ComponentError) Kind() remedy.Kind { return remedy.Unreachable }
 
 // Remedy names who it is.
-func (e *PartyError) Remedy() string {
-	return fmt.Sprintf("See that %s can start on this machine: its program built beside the laboratory (go build -o bin/ ./cmd/...), free loopback ports, and open files (ulimit -n); --logs DIR keeps the doors' logs.", e.Who)
+func (e *ComponentError) Remedy() string {
+	return fmt.Sprintf("See that %s can start on this machine: its program built beside the laboratory (go build -o bin/ ./cmd/...), free loopback ports, and open files (ulimit -n); --logs DIR keeps the doors' logs.", e.Name)
 }
 
 // CallError is a call of the counter that the stand-in can't read; it ends the connection.
--- a/lab/stand/site.go
+++ b/lab/stand/site.go
@@ -17,21 +17,21 @@
 type Site struct {
 	Discovery string // its address
 
-	list    registry.List
-	agent   *discovery
-	mu      sync.Mutex
-	servers []*http.Server
-	group   sync.WaitGroup
+	list      registry.List
+	discovery *discovery
+	mu        sync.Mutex
+	servers   []*http.Server
+	group     sync.WaitGroup
 }
 
 // NewSite starts one. came hears of each request that comes to a backend, named as its list has it; it may be nil.
 func NewSite(came func(backend string)) (*Site, error) {
 	s := &Site{}
 	agent := newDiscovery()
-	s.agent = agent
+	s.discovery = agent
 	var entries []registry.Entry
-	var lines []model.Line
-	for i := range besideBackends {
+	var lines []model.BackendEntry
+	for i := range comparedBackends {
 		id := fmt.Sprintf("b-%d", i)
 		at, err := s.serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			if came != nil {
@@ -44,9 +44,9 @@
 			return nil, err
 		}
 		entries = append(entries, registry.Entry{ID: id, Addr: at, Zone: "z", State: "Ready", Size: 1})
-		lines = append(lines, model.Line{Backend: i})
+		lines = append(lines, model.BackendEntry{Backend: i})
 	}
-	agent.tell(true, entries, lines)
+	agent.publish(true, entries, lines)
 	s.list = registry.List{Version: agent.version, Whole: true, Backends: entries}
 	at, err := s.serve(agent)
 	if err != nil {
@@ -60,7 +60,7 @@
 func (s *Site) serve(h http.Handler) (at string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", &PartyError{"stand-in", "", err}
+		return "", &ComponentError{"stand-in", "", err}
 	}
 	srv := &http.Server{Handler: h}
 	s.servers = append(s.servers, srv)
@@ -74,7 +74,7 @@
 	known := s.list
 	known.Backends = slices.Clone(s.list.Backends)
 	s.mu.Unlock()
-	world := instant
+	world := trivialScenario
 	world.Fleet.Doors = doors
 	return map[string]any{"name": name, "listen": listen, "discovery": s.Discovery, "seed": fmt.Sprintf("%x", number+1), "known": known,
 		"limits": map[string]any{"cores": 1, "memory_mb": defaultMemoryMB, "sockets": sockets}, "settings": settings(&world, number)}
@@ -83,7 +83,7 @@
 // Client is load on one door of the site.
 func (s *Site) Client(target string, seed uint64) load.Run {
 	return load.Run{Target: target, Conns: 8, Poisson: true, Seed: seed,
-		Word: load.Door{Host: target, Class: "look", Plan: "ample", Customers: 50, Wait: besideWait, Seed: seed}.Word}
+		Word: load.Door{Host: target, Class: "look", Plan: "ample", Customers: 50, Wait: clientTimeoutMs, Seed: seed}.Word}
 }
 
 // Close ends all of it.
@@ -104,7 +104,7 @@
 	for i := range s.list.Backends {
 		if e := &s.list.Backends[i]; e.ID == backend {
 			e.Started = float64(time.Now().UnixMilli())
-			s.agent.tell(false, []registry.Entry{*e}, []model.Line{{Backend: i}})
+			s.discovery.publish(false, []registry.Entry{*e}, []model.BackendEntry{{Backend: i}})
 		}
 	}
 }
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -27,24 +27,24 @@
 }
 
 const (
-	mostListeners   = 2000 // doors times backends: each door reaches each backend at an address of its own
+	maxListeners    = 2000 // doors times backends: each door reaches each backend at an address of its own
 	defaultMemoryMB = 192
 	sockets         = 1024 // descriptors that a door is told it may hold
 )
 
-// fleet is what all parties share.
-type fleet struct {
-	play  *Play
-	w     *model.World
+// testbed is what all parties share.
+type testbed struct {
+	cfg   *Play
+	world *model.World
 	doors []*door
 	ctx   context.Context
 
-	mu     sync.Mutex
-	tries  map[string]*model.Try // by the id on the wire
-	sends  map[int]int           // attempts that have come, by try
-	closer []func()
-	group  sync.WaitGroup
-	over   atomic.Bool
+	mu       sync.Mutex
+	tries    map[string]*model.Try // by the id on the wire
+	attempts map[int]int           // attempts that have come, by try
+	closers  []func()
+	group    sync.WaitGroup
+	over     atomic.Bool
 }
 
 // Run plays the day and judges it.
@@ -56,31 +56,31 @@
 			most *= 2
 		}
 		if (f.Kind == "door_deaths" || f.Kind == "door_roll") && p.Binary == "" {
-			return nil, &UnplayableError{f.Kind, saysEmbedded, "Give --door the path of the built swifthall."}
+			return nil, &UnsupportedScenarioError{f.Kind, embeddedCannotCrash, "Give --door the path of the built swifthall."}
 		}
 	}
-	if n := most * s.Fleet.Doors; n > mostListeners {
-		return nil, &UnplayableError{Says: fmt.Sprintf("%d doors and %d backends need %d addresses, more than %d", s.Fleet.Doors, most, n, mostListeners),
-			Do: "Play it with fewer doors (--doors), or simulated (--on sim)."}
+	if n := most * s.Fleet.Doors; n > maxListeners {
+		return nil, &UnsupportedScenarioError{Reason: fmt.Sprintf("%d doors and %d backends need %d addresses, more than %d", s.Fleet.Doors, most, n, maxListeners),
+			Advice: "Play it with fewer doors (--doors), or simulated (--on sim)."}
 	}
 	if p.Binary != "" && p.Policy != rival.Swifthall {
-		return nil, &UnplayableError{Says: fmt.Sprintf("policy %q: a door's program decides by itself", p.Policy), Do: "Leave --policy or --door out."}
+		return nil, &UnsupportedScenarioError{Reason: fmt.Sprintf("policy %q: a door's program decides by itself", p.Policy), Advice: "Leave --policy or --door out."}
 	}
 	if p.Binary == "" {
 		if p.Policy == rival.Oracle || p.Policy == rival.Late {
-			return nil, &UnplayableError{Says: "policy " + p.Policy + " sees the true state, which no door on sockets can", Do: "Play it with --on sim."}
+			return nil, &UnsupportedScenarioError{Reason: "policy " + p.Policy + " sees the true state, which no door on sockets can", Advice: "Play it with --on sim."}
 		}
 		if _, known := rival.Makers[p.Policy]; !known {
 			return nil, &run.PolicyError{Name: p.Policy, Known: rival.Names}
 		}
 	}
 	ctx, stop := context.WithCancel(ctx)
-	j := judge.New(model.Slack(model.Deal(s)))
-	f := &fleet{play: &p, ctx: ctx, tries: map[string]*model.Try{}, sends: map[int]int{}}
+	j := judge.New(model.WithSocketSlack(model.Deal(s)))
+	f := &testbed{cfg: &p, ctx: ctx, tries: map[string]*model.Try{}, attempts: map[int]int{}}
 	defer f.group.Wait()
 	defer f.close()
 	defer stop()
-	var outer []model.Outer
+	var outer []model.ExternalDoor
 	for i := range s.Fleet.Doors {
 		d, err := newDoor(f, i)
 		if err != nil {
@@ -89,8 +89,8 @@
 		f.doors = append(f.doors, d)
 		outer = append(outer, d)
 	}
-	f.w = model.NewOuter(s, p.Seed, outer, j)
-	behind, err := f.w.RunReal(ctx, f.ready, progress)
+	f.world = model.NewExternal(s, p.Seed, outer, j)
+	behind, err := f.world.RunRealTime(ctx, f.ready, progress)
 	f.over.Store(true)
 	if err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 	r := run.Sum(s, p.Seed, p.Policy, run.OnSockets, j)
 	r.Behind = behind
 	for _, d := range f.doors {
-		if err := d.fault.Load(); err != nil {
+		if err := d.err.Load(); err != nil {
 			r.Notes = append(r.Notes, fmt.Sprintf("door %d: %v", d.number, *err))
 		}
 	}
@@ -106,10 +106,10 @@
 }
 
 // ready tells whether all doors say that they can serve.
-func (f *fleet) ready() (bool, error) {
+func (f *testbed) ready() (bool, error) {
 	for _, d := range f.doors {
-		if err := d.fault.Load(); err != nil {
-			return false, &PartyError{fmt.Sprintf("door %d", d.number), "", *err}
+		if err := d.err.Load(); err != nil {
+			return false, &ComponentError{fmt.Sprintf("door %d", d.number), "", *err}
 		}
 		if !d.ready() {
 			return false, nil
@@ -118,21 +118,21 @@
 	return true, nil
 }
 
-// later runs something until the day is over.
-func (f *fleet) later(do func()) { f.group.Go(do) }
+// spawn runs something until the day is over.
+func (f *testbed) spawn(do func()) { f.group.Go(do) }
 
-// atEnd has something closed when the day is over.
-func (f *fleet) atEnd(do func()) {
+// onClose has something closed when the day is over.
+func (f *testbed) onClose(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.closer = append(f.closer, do)
+	f.closers = append(f.closers, do)
 }
 
 // close ends all parties; what they still post goes nowhere.
-func (f *fleet) close() {
+func (f *testbed) close() {
 	f.over.Store(true)
 	f.mu.Lock()
-	closers := f.closer
+	closers := f.closers
 	f.mu.Unlock()
 	for _, c := range closers {
 		c()
@@ -140,23 +140,23 @@
 }
 
 // post has the world do something, for as long as there is one that plays.
-func (f *fleet) post(do func()) {
-	if f.w != nil && !f.over.Load() {
-		f.w.Post(f.ctx, do)
+func (f *testbed) post(do func()) {
+	if f.world != nil && !f.over.Load() {
+		f.world.Post(f.ctx, do)
 	}
 }
 
-func (f *fleet) find(id string) *model.Try {
+func (f *testbed) findTry(id string) *model.Try {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.tries[id]
 }
 
 // listen opens an address on loopback that ends with the day.
-func (f *fleet) listen(addr string) (net.Listener, error) {
+func (f *testbed) listen(addr string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, &PartyError{"stand-in at " + addr, "", err}
+		return nil, &ComponentError{"stand-in at " + addr, "", err}
 	}
 	return ln, nil
 }
--- a/lab/stand/stand_test.go
+++ b/lab/stand/stand_test.go
@@ -23,7 +23,7 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-const town = `
+const baseScenario = `
 name = "town"
 [day]
 seconds = 3
@@ -55,12 +55,12 @@
 `
 
 func read(t *testing.T, more string) *scenario.Scenario {
-	s, err := scenario.Read([]byte(town + more))
+	s, err := scenario.Read([]byte(baseScenario + more))
 	require.NoError(t, err)
 	return &s
 }
 
-func TestOneScenarioIsAskedAlikeSimulatedAndOnSockets(t *testing.T) {
+func TestSimulatedAndSocketRunsMakeSameRequests(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	s := read(t, "")
 	here, err := run.One{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Play(context.Background(), nil)
@@ -74,14 +74,14 @@
 	assert.Equal(t, run.OnSockets, there.On)
 }
 
-func TestDoorsThatDieNeedAProgram(t *testing.T) {
+func TestDoorCrashesNeedAProgram(t *testing.T) {
 	_, err := Play{Scenario: read(t, "\n[[fault]]\nkind = \"door_deaths\"\nat_s = 1.0\nfor_s = 1.0"), Policy: rival.Swifthall}.Run(context.Background(), nil)
-	assert.ErrorContains(t, err, saysEmbedded)
+	assert.ErrorContains(t, err, embeddedCannotCrash)
 	_, err = Play{Scenario: read(t, ""), Policy: rival.Oracle}.Run(context.Background(), nil)
 	assert.ErrorContains(t, err, "oracle")
 }
 
-func TestBackendsThatDieRefuseAndComeBack(t *testing.T) {
+func TestCrashedBackendsRefuseAndComeBack(t *testing.T) {
 	s := read(t, "\n[[fault]]\nkind = \"death\"\nat_s = 0.5\nfor_s = 1.0\nshare = 0.4")
 	r, err := Play{Scenario: s, Seed: 1, Policy: rival.Swifthall}.Run(context.Background(), nil)
 	require.NoError(t, err)
@@ -90,13 +90,13 @@
 	assert.Greater(t, r.Whole.InTime, r.Whole.Asked/3)
 }
 
-func TestDiscoveryTellsTheWholeThenEachChange(t *testing.T) {
+func TestDiscoverySendsFullListThenEachChange(t *testing.T) {
 	d := newDiscovery()
-	line := func(b int, s gate.Status) ([]registry.Entry, []model.Line) {
-		return []registry.Entry{{ID: "b", Addr: "127.0.0.1:1", State: lifecycles[s]}}, []model.Line{{Backend: b, Status: s}}
+	line := func(b int, s gate.Status) ([]registry.Entry, []model.BackendEntry) {
+		return []registry.Entry{{ID: "b", Addr: "127.0.0.1:1", State: wireStates[s]}}, []model.BackendEntry{{Backend: b, Status: s}}
 	}
 	e, of := line(0, gate.Up)
-	d.tell(true, e, of)
+	d.publish(true, e, of)
 	srv := httptest.NewServer(d)
 	defer srv.Close()
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
@@ -114,7 +114,7 @@
 	assert.True(t, whole.Whole)
 	assert.Len(t, whole.Backends, 1)
 	e, of = line(0, gate.Gone)
-	d.tell(false, e, of)
+	d.publish(false, e, of)
 	text, err = r.ReadString('\n')
 	require.NoError(t, err)
 	change, err := registry.ReadList([]byte(text))
@@ -123,7 +123,7 @@
 	assert.Equal(t, whole.Version+1, change.Version)
 }
 
-func TestACallOfTheCounterIsReadAndNoiseIsNot(t *testing.T) {
+func TestCounterCallIsParsedAndMalformedInputRejected(t *testing.T) {
 	words, err := readCall(bufio.NewReader(strings.NewReader("*4\r\n$5\r\nTALLY\r\n$3\r\na/1\r\n$4\r\n-2.5\r\n$4\r\n4000\r\n")))
 	require.NoError(t, err)
 	assert.Equal(t, []string{"TALLY", "a/1", "-2.5", "4000"}, words)
@@ -133,18 +133,18 @@
 	}
 }
 
-func TestAnAddressWhoseProcessEndedRefuses(t *testing.T) {
+func TestListenerOfStoppedProcessRefuses(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
-	f := &fleet{ctx: ctx, play: &Play{}}
+	f := &testbed{ctx: ctx, cfg: &Play{}}
 	f.over.Store(true) // no world plays here
-	a, err := newAddress(f, 0, 0)
+	a, err := newBackendListener(f, 0, 0)
 	require.NoError(t, err)
-	a.set(false)
-	_, err = net.Dial("tcp", a.at)
+	a.setUp(false)
+	_, err = net.Dial("tcp", a.addr)
 	assert.Error(t, err)
 	f.over.Store(false)
-	a.set(true)
-	nc, err := net.Dial("tcp", a.at)
+	a.setUp(true)
+	nc, err := net.Dial("tcp", a.addr)
 	require.NoError(t, err)
 	f.over.Store(true)
 	nc.Close()
