--- a/lab/model/backend.go
+++ b/lab/model/backend.go
@@ -10,26 +10,26 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// Job is one attempt, from its sending until nobody waits for it and it does not run.
+// Job is one attempt in the network or at its backend. It exists until it no longer runs and its door no longer waits for it.
 type Job struct {
 	Try         *Try
 	Number      int
 	Backend     int
-	sentAt      float64 // sent, ms
-	startBy     float64 // clock after which it may not begin, ms; 0 is none
-	incarnation int     // of the backend that it was sent to
+	sentAt      float64 // ms
+	startBy     float64 // clock after which it must not start, ms; 0 means no bound
+	incarnation int     // incarnation of the backend to which it was sent
 	caller      Caller
-	work        float64 // of its own, with the handshake
-	virtualEnd  float64 // virtual clock of its backend at which it is done
-	heapIndex   int     // in the heap of those in work
+	work        float64 // its own work, including the handshake of a new connection, ms
+	virtualEnd  float64 // its backend's virtual clock at which it completes
+	heapIndex   int     // index in backend.running
 	state       jobState
-	takesEffect bool // it takes effect when it is done
-	failing     bool // it ends in an error
-	closed      bool // its door has been told how it ended, or has given it up
-	newConn     bool // it came over a connection of its own
+	takesEffect bool // takes effect on completion; false for a discarded repeat
+	failing     bool // will end in an error
+	closed      bool // the door has its result or has given it up
+	newConn     bool // sent on a new connection
 }
 
-// Caller is told how an attempt ended.
+// Caller is notified how an attempt ended.
 type Caller interface {
 	Ended(w *World, j *Job, r gate.Result)
 }
@@ -37,13 +37,13 @@
 type jobState uint8
 
 const (
-	jobInTransit jobState = iota // on its way, or over
+	jobInTransit jobState = iota // in the network, or over
 	jobQueued
 	jobRunning
-	jobHung // taken and never answered
+	jobHung // accepted and never answered
 )
 
-// jobHeap is the heap of the requests in work, by the virtual clock at which they are done.
+// jobHeap is a min-heap of running jobs by virtualEnd.
 type jobHeap []*Job
 
 func (h jobHeap) Len() int           { return len(h) }
@@ -58,39 +58,41 @@
 	return j
 }
 
-// backend shares its cores evenly among the requests in work. Its virtual clock runs as fast as one of them is served.
+// backend simulates a backend by processor sharing: its cores are shared evenly among the running jobs. Its virtual clock
+// advances at the rate at which a single one of them is served, so that virtualEnd never has to be recomputed.
 type backend struct {
 	id, zone, cell            int
 	cores                     int
-	speed                     float64 // of a core
-	slots, maxQueue, maxConns int     // requests in work, waiting, and connections that it may hold
+	speed                     float64 // of a core, ms of work per ms
+	slots, maxQueue, maxConns int     // limits of running jobs, queued jobs and open connections
 	machine                   *scenario.Machine
 
-	up          bool // its process runs
-	listed      bool // it belongs to the fleet
+	up          bool // the process runs
+	listed      bool // belongs to the fleet
 	status      gate.Status
-	startedAt   float64 // start of its process, ms; negative is long ago
+	startedAt   float64 // start of the process, ms; negative means long ago
 	incarnation int
-	collapsed   bool
-	coldBudget  *trace.ColdBudget
+	collapsed   bool              // overloaded while cold: the process stays up but serves nothing
+	coldBudget  *trace.ColdBudget // nil once warm
 	running     jobHeap
 	queue       []*Job
 	virtualTime float64
-	updatedAt   float64 // clock of that, ms
-	rate        float64 // of the virtual clock
-	finishStamp int
-	openConns   int            // connections
-	pending     int            // attempts whose doors wait for them
-	faults      []*activeFault // faults that strike it now
+	updatedAt   float64        // clock at which virtualTime was last brought up to date, ms
+	rate        float64        // of the virtual clock, per ms
+	finishStamp int            // invalidates finish events scheduled before the last change
+	openConns   int            // including idle ones
+	pending     int            // attempts for which a door still waits
+	faults      []*activeFault // active on this backend
 	paused      bool
 	rng         *rand.Rand
 }
 
-// capacity is what it does when warm, ms of work a ms.
+// capacity returns the work that the backend does when warm, ms of work per ms.
 func (b *backend) capacity() float64 { return float64(b.cores) * b.speed }
 
-// faultMagnitude returns how much a kind of fault strikes the backend for a class.
-func (b *backend) faultMagnitude(kind string, class int) (much float64, is bool) {
+// faultMagnitude returns the magnitude of the first active fault of a kind that applies to the class, and whether there is
+// one.
+func (b *backend) faultMagnitude(kind string, class int) (magnitude float64, active bool) {
 	for _, h := range b.faults {
 		if h.fault.Kind == kind && (h.class < 0 || h.class == class) {
 			return h.fault.Much, true
@@ -99,14 +101,16 @@
 	return 0, false
 }
 
+// faultOccurs draws whether a fault whose magnitude is a probability hits this request.
 func (b *backend) faultOccurs(kind string, class int) bool {
-	much, is := b.faultMagnitude(kind, class)
-	return is && b.rng.Float64() < much
+	magnitude, active := b.faultMagnitude(kind, class)
+	return active && b.rng.Float64() < magnitude
 }
 
-func (b *backend) silent() bool { _, is := b.faultMagnitude("silence", -1); return is }
+// silent reports whether the backend is unreachable and sends nothing.
+func (b *backend) silent() bool { _, active := b.faultMagnitude("silence", -1); return active }
 
-// currentRate is the speed at which one request is served now.
+// currentRate returns the rate at which each running job is served now.
 func (b *backend) currentRate(now float64) float64 {
 	n := len(b.running)
 	if n == 0 || b.paused || !b.up || b.collapsed || b.silent() {
@@ -127,13 +131,13 @@
 	return speed * min(1, float64(b.cores)/float64(n))
 }
 
-// advance brings the virtual clock up to now, before anything changes.
+// advance brings the virtual clock up to now. It must be called before anything that changes the rate.
 func (b *backend) advance(now float64) {
 	b.virtualTime += (now - b.updatedAt) * b.rate
 	b.updatedAt = now
 }
 
-// scheduleFinish works the speed out and says when the next request is done.
+// scheduleFinish updates the rate and schedules the completion of the next job.
 func (b *backend) scheduleFinish(w *World) {
 	b.finishStamp++
 	b.rate = b.currentRate(w.now)
@@ -142,7 +146,7 @@
 	}
 }
 
-// receive is an attempt that has receive whole.
+// receive handles an attempt whose request has arrived in full.
 func (b *backend) receive(w *World, j *Job) {
 	t := j.Try
 	if !b.up || j.incarnation != b.incarnation { // its connection was reset with the process
@@ -173,7 +177,7 @@
 		w.sendResult(b, j, gate.Full)
 		return
 	}
-	if _, is := b.faultMagnitude("hang", t.Class); is {
+	if _, active := b.faultMagnitude("hang", t.Class); active {
 		j.state = jobHung
 		return
 	}
@@ -195,16 +199,17 @@
 }
 
 const (
-	errorWorkShare  = 0.1  // share of its work that a request takes which ends in an error
-	repeatWorkShare = 0.05 // and one whose repeat is known
+	errorWorkShare  = 0.1  // share of its work that a request takes when it ends in an error
+	repeatWorkShare = 0.05 // share of its work that a discarded repeat takes
 )
 
+// startJob starts to run a job.
 func (b *backend) startJob(j *Job) {
 	j.state, j.virtualEnd = jobRunning, b.virtualTime+j.work
 	heap.Push(&b.running, j)
 }
 
-// fillSlots lets those that wait into the free slots.
+// fillSlots starts queued jobs in free slots.
 func (b *backend) fillSlots() {
 	for len(b.running) < b.slots && len(b.queue) > 0 {
 		j := b.queue[0]
@@ -214,9 +219,9 @@
 	}
 }
 
-const finishTolerance = 1e-6 // ms of virtual time within which requests are done together
+const finishTolerance = 1e-6 // ms of virtual time within which jobs complete together
 
-// finishDue ends what is done.
+// finishDue completes the jobs that are due.
 func (b *backend) finishDue(w *World) {
 	b.advance(w.now)
 	for len(b.running) > 0 && b.running[0].virtualEnd <= b.virtualTime+finishTolerance {
@@ -228,6 +233,7 @@
 	b.scheduleFinish(w)
 }
 
+// complete applies the effect of a finished job and sends its result, subject to faults.
 func (b *backend) complete(w *World, j *Job) {
 	t := j.Try
 	kind := trace.Worked
@@ -253,7 +259,7 @@
 	}
 }
 
-// cancel takes out a request that nobody waits for.
+// cancel removes a job for which no door waits any more, unless the machine finishes such jobs.
 func (b *backend) cancel(w *World, j *Job) {
 	if b.machine.GoesOn || j.incarnation != b.incarnation {
 		return
@@ -278,7 +284,7 @@
 	b.scheduleFinish(w)
 }
 
-// crash ends the process with all that it holds; those who wait hear of it.
+// crash ends the process. Waiting doors see their connections reset.
 func (b *backend) crash(w *World) {
 	b.advance(w.now)
 	b.up, b.finishStamp = false, b.finishStamp+1
@@ -292,7 +298,7 @@
 	w.notifyProcess(b)
 }
 
-// collapse has a cold backend fall over: it stays up and does nothing more.
+// collapse makes a cold backend fail under overload: its process stays up and serves nothing more.
 func (b *backend) collapse(w *World) {
 	b.advance(w.now)
 	b.collapsed = true
@@ -300,7 +306,7 @@
 	b.scheduleFinish(w)
 }
 
-// start begins the process, cold.
+// start starts the process, cold.
 func (b *backend) start(w *World) {
 	b.up, b.startedAt, b.status = true, w.now, gate.Up
 	b.updatedAt = w.now
@@ -311,18 +317,18 @@
 	w.notifyProcess(b)
 }
 
-const coldRefreshInterval = 100 // ms between looks at the speed of a cold backend, which rises evenly
+const coldRefreshInterval = 100 // ms between updates of the rate of a cold backend, whose capacity rises steadily
 
-// noiseFactor draws a factor of mean 1 around which an attempt's work varies.
-func noiseFactor(d *rand.Rand, cv float64) float64 {
+// noiseFactor draws the factor, of mean 1, by which the work of one attempt varies.
+func noiseFactor(rng *rand.Rand, cv float64) float64 {
 	if cv <= 0 {
 		return 1
 	}
-	return lognormal(d, cv)
+	return lognormal(rng, cv)
 }
 
-// lognormal draws from a distribution of mean 1.
-func lognormal(d *rand.Rand, cv float64) float64 {
+// lognormal draws from the lognormal distribution of mean 1 with coefficient of variation cv.
+func lognormal(rng *rand.Rand, cv float64) float64 {
 	s2 := math.Log(1 + cv*cv)
-	return math.Exp(d.NormFloat64()*math.Sqrt(s2) - s2/2)
+	return math.Exp(rng.NormFloat64()*math.Sqrt(s2) - s2/2)
 }
--- a/lab/model/counter.go
+++ b/lab/model/counter.go
@@ -10,29 +10,31 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// counterKey of a number: a customer's, of one epoch.
+// counterKey names a total: that of a customer in one epoch.
 type counterKey struct {
 	customer int
 	epoch    int64
 }
 
-func (n counterKey) shard(parts int) int {
+// shard returns the shard that holds the key.
+func (n counterKey) shard(shards int) int {
 	var raw [16]byte
 	for i := range 8 {
 		raw[i], raw[8+i] = byte(n.customer>>(8*i)), byte(n.epoch>>(8*i))
 	}
-	return int(xxhash.Sum64(raw[:]) % uint64(parts))
+	return int(xxhash.Sum64(raw[:]) % uint64(shards))
 }
 
+// counterValue is a total with the clock at which it expires, ms.
 type counterValue struct{ total, expiresAt float64 }
 
-// counter keeps numbers by name. Its parts serve calls in turn.
+// counter simulates the shared counter: totals by key, in shards that each serve one call at a time.
 type counter struct {
-	totals, splitTotals map[counterKey]counterValue // other is what odd doors see while it is split
-	busyUntil           []float64                   // clock until which a part serves, ms
+	totals, splitTotals map[counterKey]counterValue // splitTotals is what doors with odd numbers see during a split, else nil
+	busyUntil           []float64                   // by shard: clock until which it is busy, ms
 }
 
-// counterCall is one counterCall on its way.
+// counterCall is one call with its reply.
 type counterCall struct {
 	door, incarnation int
 	key               counterKey
@@ -40,7 +42,7 @@
 	sentAt            float64
 	result            gate.Result
 	total             float64
-	reply             func(r gate.Result, total float64) // of a call from outside
+	reply             func(r gate.Result, total float64) // set for calls of external doors
 }
 
 func (c *counter) init(s *scenario.Scenario) {
@@ -48,7 +50,7 @@
 	c.busyUntil = make([]float64, max(1, s.Counter.Parts))
 }
 
-// sendCounterCall makes a sendCounterCall from a door. The counter stands in zone 0.
+// sendCounterCall sends a call of a simulated door to the counter, which is in zone 0.
 func (w *World) sendCounterCall(d *door, a gate.Count) {
 	k := &counterCall{door: d.id, incarnation: d.incarnation, key: counterKey{d.customers.ID(a.Customer), a.Epoch}, add: a.Add, ttl: a.TTL, sentAt: w.now}
 	w.emit(trace.Event{Kind: trace.Counted, Door: d.id})
@@ -63,23 +65,24 @@
 	w.schedule(w.now+w.networkDelay(d.zone, 0), event{kind: eventCounterCall, payload: k})
 }
 
+// replyCounterCall schedules the reply to a call.
 func (w *World) replyCounterCall(k *counterCall, after float64, r gate.Result) {
 	k.result = r
 	w.schedule(w.now+after, event{kind: eventCounterReply, payload: k})
 }
 
-// serve serves a call in its turn. What it adds is added even if nobody waits for the answer.
+// serve serves a call after those before it on its shard. The amount is added even if the caller no longer waits for the reply.
 func (c *counter) serve(w *World, k *counterCall) {
 	cf := &w.s.Counter
-	part := k.key.shard(len(c.busyUntil))
-	begins := max(w.now, c.busyUntil[part])
+	shard := k.key.shard(len(c.busyUntil))
+	start := max(w.now, c.busyUntil[shard])
 	way := w.networkDelay(0, w.doors[k.door].zone)
 	busy, _ := w.faultMagnitude("counter_busy")
-	if begins-w.now > cf.QueueMs || busy > 0 && w.rng.net.Float64() < busy {
+	if start-w.now > cf.QueueMs || busy > 0 && w.rng.net.Float64() < busy {
 		w.replyCounterCall(k, way, gate.Full)
 		return
 	}
-	c.busyUntil[part] = begins + 1000*float64(len(c.busyUntil))/cf.PerS
+	c.busyUntil[shard] = start + 1000*float64(len(c.busyUntil))/cf.PerS
 	totals := c.totals
 	if c.splitTotals != nil && k.door%2 == 1 {
 		totals = c.splitTotals
@@ -91,22 +94,22 @@
 	n.total += k.add
 	totals[k.key] = n
 	k.total = n.total
-	if times, wrong := w.faultMagnitude("counter_wrong"); wrong {
-		k.total *= times
+	if factor, wrong := w.faultMagnitude("counter_wrong"); wrong {
+		k.total *= factor
 	}
 	late, _ := w.faultMagnitude("counter_late")
-	takes := begins - w.now + cf.ServeMs + way + late
+	duration := start - w.now + cf.ServeMs + way + late
 	lost, _ := w.faultMagnitude("counter_lost")
-	if patience := k.sentAt + cf.TimeoutMs - w.now; k.reply == nil && takes > patience || lost > 0 && w.rng.net.Float64() < lost {
-		if k.reply == nil { // a real caller waits by itself
-			w.replyCounterCall(k, max(0, patience), gate.TimedOut)
+	if timeout := k.sentAt + cf.TimeoutMs - w.now; k.reply == nil && duration > timeout || lost > 0 && w.rng.net.Float64() < lost {
+		if k.reply == nil { // an external caller has a timeout of its own
+			w.replyCounterCall(k, max(0, timeout), gate.TimedOut)
 		}
 		return
 	}
-	w.replyCounterCall(k, takes, gate.Finished)
+	w.replyCounterCall(k, duration, gate.Finished)
 }
 
-// deliver hands a call's end to its door, if that still lives.
+// deliver reports a call's result to its door, unless the door has restarted since.
 func (c *counter) deliver(w *World, k *counterCall) {
 	d := w.doors[k.door]
 	if k.reply != nil {
@@ -122,8 +125,10 @@
 	}
 }
 
+// clear loses all totals, except those that odd doors see during a split.
 func (c *counter) clear() { clear(c.totals) }
 
+// split gives doors with odd numbers totals of their own, equal at first.
 func (c *counter) split() {
 	c.splitTotals = make(map[counterKey]counterValue, len(c.totals))
 	for k, v := range c.totals {
@@ -131,8 +136,10 @@
 	}
 }
 
+// heal ends a split; the odd doors' totals are lost.
 func (c *counter) heal() { c.splitTotals = nil }
 
+// sweep drops expired values.
 func (c *counter) sweep(now float64) {
 	for k, v := range c.totals {
 		if v.expiresAt < now {
@@ -141,16 +148,18 @@
 	}
 }
 
-// meter adds up each customer's use over all doors, period by period.
+// meter totals each customer's use over all doors by period.
 type meter struct{ periods [][meterPeriods]period }
 
-const meterPeriods = 16 // periods remembered; a late meter tells one that long ago
+const meterPeriods = 16 // periods remembered for each customer; a late meter reports an old one
 
+// period is a customer's use in one period.
 type period struct {
 	number int
 	units  float64
 }
 
+// add counts units of the present period.
 func (m *meter) add(w *World, customer int, units float64) {
 	span := w.s.Meter.PeriodMs
 	if span == 0 {
@@ -167,7 +176,7 @@
 	p.units += units
 }
 
-// use is what answers tell of a customer, as a share of its rate; -1 where they tell nothing.
+// use returns the metered use of a customer that answers report at present, as a share of its rate; -1 if they report none.
 func (m *meter) use(w *World, customer int, rate float64) float64 {
 	span := w.s.Meter.PeriodMs
 	late, _ := w.faultMagnitude("meter_late")
--- a/lab/model/discovery.go
+++ b/lab/model/discovery.go
@@ -8,42 +8,42 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// listUpdate is what a door is told of the list.
+// listUpdate is a message of discovery to a door: the whole fleet list, or changes of it.
 type listUpdate struct {
 	complete bool
 	entries  []listEntry
 }
 
-// listEntry is one backend as the list has it.
+// listEntry is the entry of one backend on the fleet list.
 type listEntry struct {
 	backend   int
 	status    gate.Status
 	startedAt float64
 }
 
-// knownBackend is what a door was last told of a backend.
+// knownBackend is what a door last received about a backend.
 type knownBackend struct {
 	known     bool
 	status    gate.Status
 	startedAt float64
 }
 
-// announce sends a change of one backend to all doors, once the list has noticed it.
-func (w *World) announce(b *backend, status gate.Status, notice float64) {
-	one := listUpdate{entries: []listEntry{{b.id, status, b.startedAt}}}
-	w.schedule(w.now+notice, event{kind: eventFunc, payload: func() {
-		if status == gate.Gone && b.up && b.listed && b.startedAt > one.entries[0].startedAt {
-			return // it is back before anyone noticed
+// announce sends a change of one backend to all subscribed doors, after the delay with which discovery notices it.
+func (w *World) announce(b *backend, status gate.Status, noticeMs float64) {
+	update := listUpdate{entries: []listEntry{{b.id, status, b.startedAt}}}
+	w.schedule(w.now+noticeMs, event{kind: eventFunc, payload: func() {
+		if status == gate.Gone && b.up && b.listed && b.startedAt > update.entries[0].startedAt {
+			return // restarted before discovery noticed
 		}
 		for _, d := range w.doors {
 			if d.subscribed {
-				w.sendListUpdate(d, one)
+				w.sendListUpdate(d, update)
 			}
 		}
 	}})
 }
 
-// sendListUpdate sends news to one door, in order; while discovery is silent they wait.
+// sendListUpdate sends an update to one door. Updates arrive in order; while discovery is silent or partitioned off, they wait.
 func (w *World) sendListUpdate(d *door, n listUpdate) {
 	at := w.now + d.listDelay
 	late, _ := w.faultMagnitude("list_late")
@@ -57,7 +57,7 @@
 	w.schedule(d.lastListAt, event{kind: eventListUpdate, index: d.id, arg: d.incarnation, payload: n})
 }
 
-// fullList is the list as it stands.
+// fullList returns the present list.
 func (w *World) fullList() listUpdate {
 	n := listUpdate{complete: true}
 	for _, b := range w.backends {
@@ -74,9 +74,9 @@
 	return n
 }
 
-// receiveListUpdate takes news in.
-func (d *door) receiveListUpdate(w *World, life int, n listUpdate) {
-	if !d.up || d.incarnation != life {
+// receiveListUpdate handles an update that has reached the door.
+func (d *door) receiveListUpdate(w *World, incarnation int, n listUpdate) {
+	if !d.up || d.incarnation != incarnation {
 		return
 	}
 	if d.external != nil {
@@ -88,7 +88,7 @@
 	d.scheduleDecision(w, w.now)
 }
 
-// fleetUpdate words one piece of news for the decisions.
+// fleetUpdate returns an update as an event for the decider.
 func (d *door) fleetUpdate(w *World, n listUpdate) gate.FleetUpdate {
 	d.recordList(w, n)
 	f := gate.FleetUpdate{Complete: n.complete}
@@ -104,7 +104,7 @@
 	return f
 }
 
-// recordList books what the door knows from here on.
+// recordList updates what the door knows, and reports it to the sink.
 func (d *door) recordList(w *World, n listUpdate) {
 	if n.complete {
 		named := make(map[int]bool, len(n.entries))
--- a/lab/model/door.go
+++ b/lab/model/door.go
@@ -9,13 +9,13 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// door carries a decider: it words what comes as events, and has its actions done.
+// door simulates a door: it drives a decider, reporting what happens as events and carrying out its actions.
 type door struct {
 	id, zone, incarnation int
 	up                    bool
-	stopping              bool    // clients no longer come
+	stopping              bool    // shuts down; clients no longer choose it
 	crashedAt             float64 // ms
-	decideAt              float64 // clock at which it decides next; infinite where it has nothing to do
+	decideAt              float64 // clock of the next decision, ms; infinite if none is scheduled
 	decider               gate.Decider
 	inbox                 []gate.Event
 	submitted             []*Try
@@ -28,16 +28,16 @@
 	freeSlots             []int
 	slotsToFree           []int
 	customers             index.Table[int]
-	backendIDs            index.Table[int] // of backends
+	backendIDs            index.Table[int] // ids of backends by the decider's index
 	known                 []knownBackend   // by backend
 	idle                  []idleConns      // by backend
 	listDelay             float64
 	lastListAt            float64
 	subscribed            bool
-	external              ExternalDoor // carries a door outside of the world; nil where the world carries a decider
+	external              ExternalDoor // a door outside the simulation; nil if the door drives a decider
 }
 
-// op is a request that the door holds.
+// op is a request that the door holds, at the index that the decider knows as Op.
 type op struct {
 	try      *Try
 	jobs     []*Job
@@ -45,7 +45,7 @@
 	answered bool
 }
 
-// attemptEnd is an attempt's end that waits for the door to look.
+// attemptEnd is the end of an attempt, not yet reported to the decider.
 type attemptEnd struct {
 	job     *Job
 	result  gate.Result
@@ -53,18 +53,20 @@
 	use     float64
 }
 
-// idleConns are a door's free connections to a backend.
+// idleConns counts a door's idle connections to one incarnation of a backend.
 type idleConns struct {
 	n, incarnation int
-	lastUsed       float64 // when one was last, ms
+	lastUsed       float64 // clock at which one was last returned, ms
 }
 
+// probeResult is the outcome of a probe in flight.
 type probeResult struct {
 	sentAt      float64
 	incarnation int
 	result      gate.Result
 }
 
+// customerPhase returns the offset of a customer's counter windows, 0 to 1.
 func customerPhase(customer int) float64 { return index.Phase(uint64(customer) + 1) }
 
 func newDoor(w *World, id int) *door {
@@ -73,7 +75,8 @@
 	return d
 }
 
-// start begins a life: nothing is known but the list as it was last told.
+// start begins an incarnation. It knows only the fleet list that the door last received; the first incarnation knows the
+// present list.
 func (d *door) start(w *World) {
 	if d.up {
 		return
@@ -118,7 +121,7 @@
 	d.scheduleDecision(w, w.now)
 }
 
-// crash ends a life with all that it holds.
+// crash ends the incarnation and loses all its requests and connections.
 func (d *door) crash(w *World) {
 	if !d.up {
 		return
@@ -151,27 +154,27 @@
 	d.ops = nil
 }
 
-// restart has the door leave in order, and start again after a rest.
+// restart shuts the door down gracefully and starts it again rest ms after the shutdown.
 func (d *door) restart(w *World, rest float64) {
 	d.stopping = true
-	life := d.incarnation
+	incarnation := d.incarnation
 	if d.external != nil {
 		d.external.Stop()
 	}
 	w.schedule(w.now+maxShutdown, event{kind: eventFunc, payload: func() {
-		if d.incarnation == life {
+		if d.incarnation == incarnation {
 			d.crash(w)
 		}
 	}})
 	w.schedule(w.now+maxShutdown+rest, event{kind: eventFunc, payload: func() { d.start(w) }})
 }
 
-// seenUp tells whether clients take the door for one that serves.
-func (d *door) seenUp(now, notice float64) bool {
-	return d.up && !d.stopping || !d.up && now < d.crashedAt+notice
+// seenUp reports whether clients believe that the door serves. They notice a crash only after a while.
+func (d *door) seenUp(now, noticeMs float64) bool {
+	return d.up && !d.stopping || !d.up && now < d.crashedAt+noticeMs
 }
 
-// scheduleDecision has the door decide at the next look at or after a clock.
+// scheduleDecision makes the door decide at the first tick at or after a clock.
 func (d *door) scheduleDecision(w *World, at float64) {
 	if at = w.nextTick(max(at, w.now)); at < d.decideAt {
 		d.decideAt = at
@@ -179,7 +182,7 @@
 	}
 }
 
-// submit is a try that has come.
+// submit handles a try that has arrived at the door.
 func (d *door) submit(w *World, t *Try) {
 	if !d.up {
 		w.schedule(w.now+w.clientDelay(), event{kind: eventFunc, payload: func() { w.clients.unreachable(w, t) }})
@@ -198,7 +201,7 @@
 	d.scheduleDecision(w, w.now)
 }
 
-// markTaken marks a try as the door's own from here on.
+// markTaken records that the door has accepted a try and must answer it.
 func (w *World) markTaken(d *door, t *Try) {
 	k := &w.clients.customers[t.request.customer]
 	t.taken = true
@@ -206,7 +209,7 @@
 		Units: t.request.units, Until: t.deadline})
 }
 
-// clientLeft is the news that a client has left.
+// clientLeft handles the departure of a client.
 func (d *door) clientLeft(w *World, t *Try) {
 	if !t.taken || t.incarnation != d.incarnation || !d.up {
 		return
@@ -220,7 +223,7 @@
 		d.external.ClientLeft(t)
 		return
 	}
-	if t.slot < 0 { // it has not been looked at yet
+	if t.slot < 0 { // not reported to the decider yet
 		for i, c := range d.submitted {
 			if c == t {
 				d.submitted = append(d.submitted[:i:i], d.submitted[i+1:]...)
@@ -235,7 +238,7 @@
 	d.scheduleDecision(w, w.now)
 }
 
-// Ended is an attempt's end, as it reaches the door.
+// Ended implements Caller.
 func (d *door) Ended(w *World, j *Job, r gate.Result) {
 	if j.closed || !d.up || j.Try.incarnation != d.incarnation {
 		return
@@ -256,13 +259,13 @@
 	d.scheduleDecision(w, w.now)
 }
 
-// markClosed marks an attempt as one that its door no longer waits for.
+// markClosed records that the door no longer waits for an attempt.
 func (d *door) markClosed(w *World, j *Job) {
 	j.closed = true
 	w.backends[j.Backend].pending--
 }
 
-// closeConn ends an attempt's connection.
+// closeConn closes an attempt's connection, which the backend notices after the network delay.
 func (d *door) closeConn(w *World, j *Job) {
 	b := w.backends[j.Backend]
 	if j.incarnation == b.incarnation && b.openConns > 0 {
@@ -271,12 +274,14 @@
 	w.schedule(w.now+w.networkDelay(d.zone, b.zone), event{kind: eventCancel, job: j})
 }
 
+// attemptTimedOut ends an attempt whose timeout or deadline has passed.
 func (d *door) attemptTimedOut(w *World, j *Job) {
 	if !j.closed && d.up && j.Try.incarnation == d.incarnation {
 		d.Ended(w, j, gate.TimedOut)
 	}
 }
 
+// closeIdle closes the idle connections to a backend.
 func (d *door) closeIdle(w *World, b int) {
 	idle, be := &d.idle[b], w.backends[b]
 	if idle.incarnation == be.incarnation {
@@ -285,6 +290,7 @@
 	idle.n = 0
 }
 
+// dropIdle closes connections that have been idle for half of the timeout after which backends close them.
 func (d *door) dropIdle(w *World) {
 	for b := range d.idle {
 		if d.idle[b].n > 0 && d.idle[b].lastUsed+w.s.Net.IdleMs/2 < w.now {
@@ -293,7 +299,7 @@
 	}
 }
 
-// collectEvents words what has come, and hands out answers that need no decision.
+// collectEvents gathers the events for the decider. It gives successful answers to clients right away, as they need no decision.
 func (d *door) collectEvents(w *World) {
 	d.events = d.events[:0]
 	for _, n := range d.listUpdates {
@@ -337,10 +343,10 @@
 	}
 }
 
-// decide asks the decider. It touches nothing but this door.
+// decide calls the decider. It uses only state of this door, so doors may decide concurrently.
 func (d *door) decide(now float64) { d.actions = d.decider.Decide(now+epoch, d.events) }
 
-// carryOut carries the actions out.
+// carryOut carries out the actions of the last decision.
 func (d *door) carryOut(w *World) {
 	for _, a := range d.actions {
 		switch a := a.(type) {
@@ -355,7 +361,7 @@
 		case gate.Fail:
 			d.answer(w, a.Op, trace.Failed, 0, a.Why)
 		case gate.SetTimer:
-			d.timerAt = max(a.At-epoch, w.now+w.s.Day.TickMs) // a tick is the shortest rest
+			d.timerAt = max(a.At-epoch, w.now+w.s.Day.TickMs) // at least one tick
 			d.scheduleDecision(w, d.timerAt)
 		case gate.Count:
 			w.sendCounterCall(d, a)
@@ -372,7 +378,7 @@
 			d.backendIDs.Drop(a.Backend)
 		case gate.Log, gate.Differs:
 		default:
-			panic(fmt.Sprintf("no way to carry out %T", a))
+			panic(fmt.Sprintf("unsupported action %T", a))
 		}
 	}
 	for _, i := range d.slotsToFree {
@@ -382,15 +388,15 @@
 		}
 	}
 	d.slotsToFree = d.slotsToFree[:0]
-	if d.timerAt > 0 { // asked for before, with something due earlier
+	if d.timerAt > 0 { // a timer that is still pending must not be lost to an earlier decision
 		d.scheduleDecision(w, d.timerAt)
 	}
 }
 
-// answer gives a request its one answer.
+// answer gives a request its only final answer.
 func (d *door) answer(w *World, slot int, a trace.Answer, retryAfter float64, why gate.Cause) {
 	o := &d.ops[slot]
-	if o.try == nil || o.answered { // it is over: what a decider says of it no longer matters
+	if o.try == nil || o.answered { // late actions of the decider are ignored
 		return
 	}
 	t := o.try
@@ -401,7 +407,7 @@
 	w.schedule(w.now+w.clientDelay(), event{kind: eventAnswer, try: t})
 }
 
-// send starts an attempt, over a free connection where there is one.
+// send starts an attempt, over an idle connection if there is one.
 func (d *door) send(w *World, a gate.Send) {
 	o := &d.ops[a.Op]
 	if o.try == nil {
@@ -431,6 +437,7 @@
 	w.dial(j)
 }
 
+// probe sends a health probe to a backend.
 func (d *door) probe(w *World, a gate.Probe) {
 	b := w.backends[d.backendIDs.ID(a.Backend)]
 	w.emit(trace.Event{Kind: trace.Probed, Door: d.id, Backend: b.id})
@@ -445,6 +452,7 @@
 	w.schedule(w.now+took, event{kind: eventProbeEnd, index: b.id, arg: d.id, payload: p})
 }
 
+// probeEnded reports the result of a probe to the decider.
 func (d *door) probeEnded(w *World, backend int, p probeResult) {
 	if i, known := d.backendIDs.Find(backend); known && d.up && d.incarnation == p.incarnation {
 		d.inbox = append(d.inbox, gate.Probed{Backend: i, Result: p.result, Latency: w.now - p.sentAt})
--- a/lab/model/errors.go
+++ b/lab/model/errors.go
@@ -6,25 +6,25 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// StoppedError is a day that was ended before its time.
+// StoppedError is a run that was stopped before its end.
 type StoppedError struct {
-	AtS   float64
+	AtS   float64 // clock at which it was stopped, s
 	Cause error
 }
 
 func (e *StoppedError) Error() string {
-	return remedy.WithCause(fmt.Sprintf("day stopped at %.1f s", e.AtS), e.Cause)
+	return remedy.WithCause(fmt.Sprintf("run stopped at %.1f s", e.AtS), e.Cause)
 }
 func (e *StoppedError) Unwrap() error     { return e.Cause }
 func (e *StoppedError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says what became of the day.
+// Remedy says that the stopped run left nothing behind.
 func (e *StoppedError) Remedy() string {
-	return "Play the day again and let it end; nothing was written of this one."
+	return "Run the scenario again and let it end; nothing was written for this run."
 }
 
-// WaitError is a day that could not begin, as doors on sockets didn't get ready.
-type WaitError struct{ Cause error } // nil where the time was over
+// WaitError is a run that could not begin because the doors on sockets did not become ready.
+type WaitError struct{ Cause error } // nil after a timeout
 
 func (e *WaitError) Error() string {
 	if e.Cause == nil {
@@ -35,7 +35,7 @@
 func (e *WaitError) Unwrap() error     { return e.Cause }
 func (e *WaitError) Kind() remedy.Kind { return remedy.Unreachable }
 
-// Remedy names where doors say why.
+// Remedy points to the doors' logs.
 func (e *WaitError) Remedy() string {
 	return "Keep the doors' logs with --logs DIR and look for errors there; try fewer doors with --doors."
 }
--- a/lab/model/faults.go
+++ b/lab/model/faults.go
@@ -8,20 +8,20 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// activeFault is a fault that strikes now.
+// activeFault is a fault from its injection to its end.
 type activeFault struct {
 	fault    *scenario.Fault
 	index    int
-	class    int           // that it strikes alone; -1 for all
-	targets  []int         // backends or doors that it struck
-	stillOut []func() bool // of those that went one by one: whether one is out still
+	class    int           // the only class that it affects; -1 for all
+	targets  []int         // backends or doors into which it was injected
+	stillOut []func() bool // for faults that take out a few at a time: one check for each target taken out, whether it still is
 }
 
-// pickTargets draws the share of those from 0 to n-1 that may be struck, at least one where the share is above 0.
-func (w *World) pickTargets(n int, share float64, may func(i int) bool) []int {
+// pickTargets draws the given share of the eligible indices from 0 to n-1, at least one if there is any. A share of 0 means all.
+func (w *World) pickTargets(n int, share float64, eligible func(i int) bool) []int {
 	var all []int
 	for i := range n {
-		if may(i) {
+		if eligible(i) {
 			all = append(all, i)
 		}
 	}
@@ -34,7 +34,7 @@
 	return all
 }
 
-// toggleFault begins or ends a line of the schedule.
+// toggleFault begins or ends a fault of the scenario's schedule.
 func (w *World) toggleFault(n int, begins bool) {
 	f := &w.s.Faults[n]
 	if begins {
@@ -55,6 +55,7 @@
 	}
 }
 
+// injectFault applies the beginning of a fault to its targets.
 func (w *World) injectFault(h *activeFault) {
 	f := h.fault
 	switch scenario.Kinds[f.Kind].Whom {
@@ -81,6 +82,7 @@
 	}
 }
 
+// injectBackendFault injects a fault into the backends that it targets.
 func (w *World) injectBackendFault(h *activeFault) {
 	f := h.fault
 	switch f.Kind {
@@ -103,7 +105,7 @@
 	}
 }
 
-// attachFault has a fault strike its backends from now on.
+// attachFault makes a fault affect its target backends from now on.
 func (w *World) attachFault(h *activeFault) {
 	for _, i := range h.targets {
 		b := w.backends[i]
@@ -113,18 +115,20 @@
 	}
 }
 
+// crashBackend ends a backend's process, which discovery notices after a while.
 func (w *World) crashBackend(b *backend) {
 	b.crash(w)
 	w.announce(b, gate.Gone, w.s.Discovery.NoticeMs.At(w.rng.faults.Float64()))
 }
 
-// restartBackend starts a backend's process anew, where it is.
+// restartBackend starts a backend's process again in place.
 func (w *World) restartBackend(b *backend) {
 	b.start(w)
 	b.scheduleFinish(w)
 	w.announce(b, gate.Up, 0)
 }
 
+// injectDoorFault injects a fault into the doors that it targets.
 func (w *World) injectDoorFault(h *activeFault) {
 	if h.fault.Kind == "door_deaths" {
 		for _, i := range h.targets {
@@ -135,6 +139,7 @@
 	w.faultStep(h.index, 0, h)
 }
 
+// endFault undoes a fault at its end.
 func (w *World) endFault(h *activeFault) {
 	f := h.fault
 	for _, i := range h.targets {
@@ -148,12 +153,12 @@
 				if !b.up {
 					w.restartBackend(b)
 				}
-			case "silence": // the machine is back; what was open to it is reset
+			case "silence": // the machine is reachable again; connections to it are reset
 				b.crash(w)
 				w.restartBackend(b)
 			case "pauses":
 				b.paused = false
-			case "hang": // those that hung are cut loose, and nothing comes of them
+			case "hang": // requests that hung stay unanswered
 			}
 			b.scheduleFinish(w)
 		case scenario.Doors:
@@ -169,11 +174,11 @@
 }
 
 const (
-	maxShutdown    = 3700 // ms that a door which leaves is given to answer what it took
-	defaultBatches = 10   // batches where the fault names none
+	maxShutdown    = 3700 // ms in which a door that shuts down must answer its requests
+	defaultBatches = 10   // batches of a fault that sets no number
 )
 
-// faultStep goes on with a fault that goes in steps.
+// faultStep executes one step of a fault that proceeds in steps.
 func (w *World) faultStep(n, step int, h *activeFault) {
 	f := h.fault
 	if f.Kind == "pauses" {
@@ -202,11 +207,12 @@
 }
 
 const (
-	permitCheckInterval = 200.0  // ms between looks whether a place is free: sightings come twice a second
-	doorWarmup          = 1000.0 // ms that a door serves before it counts as back
+	permitCheckInterval = 200.0  // ms between checks for a free place; sightings come twice a second
+	doorWarmup          = 1000.0 // ms for which a door must serve before it counts as back
 )
 
-// stepWithinPermits has the next go as places are free, as permits would: a place is free once the one that went is back, ready and warm.
+// stepWithinPermits takes the next targets out as places become free, as permits would: at most MostOut are out at a time, and
+// a place becomes free once the target that occupied it is back, ready and warm.
 func (w *World) stepWithinPermits(n, step int, h *activeFault) {
 	f := h.fault
 	h.stillOut = slices.DeleteFunc(h.stillOut, func(out func() bool) bool { return !out() })
@@ -232,17 +238,17 @@
 	}
 }
 
-// togglePause stops the struck backends for a while, and lets them go on.
+// togglePause pauses the target backends or lets them continue, in turns until the fault ends.
 func (w *World) togglePause(step int, h *activeFault) {
 	f := h.fault
-	over := w.now >= f.End()*1000
+	ended := w.now >= f.End()*1000
 	for _, i := range h.targets {
 		b := w.backends[i]
 		b.advance(w.now)
-		b.paused = step%2 == 0 && !over
+		b.paused = step%2 == 0 && !ended
 		b.scheduleFinish(w)
 	}
-	if over {
+	if ended {
 		return
 	}
 	rest := f.Much
@@ -252,7 +258,8 @@
 	w.schedule(w.now+rest, event{kind: eventFaultStep, index: h.index, arg: step + 1, payload: h})
 }
 
-// replace drains a backend, ends it, and starts its successor on a machine of its own.
+// replace drains a backend and ends it, and starts its successor on a machine of its own right away. It returns the successor,
+// or nil if the backend is not up.
 func (w *World) replace(b *backend, drain float64) (next *backend) {
 	if !b.listed || b.status != gate.Up {
 		return nil
--- a/lab/model/members.go
+++ b/lab/model/members.go
@@ -6,10 +6,10 @@
 	"github.com/swifthall/swifthall/gate"
 )
 
-const updateBatchDelay = 50 // ms in which what doors come to know of others is told as one
+const updateBatchDelay = 50 // ms over which changes of the doors present are combined into one update
 
-// scheduleDoorsUpdate has all doors know, after the scenario's time for it, that one has come or gone. How they come to know is
-// lab/procs' matter; here they all know alike, and late.
+// scheduleDoorsUpdate notifies all doors that one has started or gone, after the delay that the scenario sets. The membership
+// protocol itself is simulated by lab/procs; here all doors have the same view, with that delay.
 func (w *World) scheduleDoorsUpdate(d *door) {
 	if w.s.Fleet.MembersMs == 0 || d.external != nil {
 		return
@@ -34,11 +34,11 @@
 	}})
 }
 
-// doorsUpdate words who is believed to be here.
+// doorsUpdate returns the event with the doors believed to be present.
 func (w *World) doorsUpdate() gate.DoorsUpdate {
 	e := gate.DoorsUpdate{Present: slices.Clone(w.present), PresentCount: len(w.doors)}
-	for _, here := range e.Present {
-		if !here {
+	for _, present := range e.Present {
+		if !present {
 			e.PresentCount--
 		}
 	}
--- a/lab/model/queue.go
+++ b/lab/model/queue.go
@@ -1,37 +1,37 @@
 package model
 
-// eventKind of what is due in the world.
+// eventKind is the kind of a scheduled event. The comments below name the fields of event that it uses.
 type eventKind uint8
 
 const (
-	eventArrival        eventKind = iota // customer n asks, if its stamp is m
-	eventSpike                           // customer n's session begins or ends
-	eventShift                           // customer n's doors are weighed anew
-	eventExtraRequest                    // generator n makes a request
-	eventSubmit                          // t reaches its door
-	eventClientTimeout                   // the client of t gives it up
-	eventClientGone                      // the door of t learns of that
-	eventAnswer                          // the client of t has its answer
-	eventRetry                           // the client of want w tries again
-	eventConnect                         // j's connection reaches its backend
-	eventBackendArrival                  // j reaches its backend
-	eventFinish                          // backend n's next request in work is done, if its stamp is m
-	eventRefreshSpeed                    // backend n's speed is worked out anew
-	eventResult                          // j's result reaches its door
-	eventCancel                          // j's backend learns that nobody waits
-	eventAttemptTimeout                  // j's door stops waiting
-	eventCounterCall                     // call c reaches the counter
-	eventCounterReply                    // its answer, or the end of the wait, reaches its door
-	eventProbeEnd                        // a probe of backend n by door m ends
-	eventListUpdate                      // news of the list reach door n of life m
-	eventFault                           // fault n begins (m is 1) or ends
-	eventFunc                            // door or backend starts again
-	eventFaultStep                       // step m of fault n
-	eventSweep                           // idle connections and old numbers are dropped
-	eventDecide                          // door n decides
+	eventArrival        eventKind = iota // customer index makes a request, if its arrivalStamp is arg
+	eventSpike                           // a spike of customer index begins or ends
+	eventShift                           // the door weights of customer index are drawn anew
+	eventExtraRequest                    // extra load index makes a request
+	eventSubmit                          // try reaches its door
+	eventClientTimeout                   // the client of try gives it up
+	eventClientGone                      // the door of try learns that the client left
+	eventAnswer                          // the client of try receives its answer
+	eventRetry                           // the client of request tries again
+	eventConnect                         // the connection of job reaches its backend
+	eventBackendArrival                  // the request of job reaches its backend
+	eventFinish                          // the next job of backend index completes, if its finishStamp is arg
+	eventRefreshSpeed                    // the rate of backend index is updated while it is cold, if its incarnation is arg
+	eventResult                          // the result of job, in payload, reaches its door
+	eventCancel                          // the backend of job learns that its door no longer waits
+	eventAttemptTimeout                  // the door of job stops waiting
+	eventCounterCall                     // the call in payload reaches the counter
+	eventCounterReply                    // the reply or timeout of the call in payload reaches its door
+	eventProbeEnd                        // a probe of backend index by door arg ends; payload is its probeResult
+	eventListUpdate                      // the listUpdate in payload reaches incarnation arg of door index
+	eventFault                           // fault index begins (arg is 1) or ends
+	eventFunc                            // calls the func() in payload
+	eventFaultStep                       // step arg of fault index; payload is its activeFault
+	eventSweep                           // closes idle connections and drops expired counter values
+	eventDecide                          // door index decides
 )
 
-// event is one thing that will happen. Doors decide after all else that happens at the same instant.
+// event is a scheduled event. Decisions come after all other events of the same instant.
 type event struct {
 	at         float64
 	seq        uint64
@@ -43,6 +43,7 @@
 	payload    any
 }
 
+// before reports whether a comes before b.
 func (a *event) before(b *event) bool {
 	if a.at != b.at {
 		return a.at < b.at
@@ -53,29 +54,30 @@
 	return a.seq < b.seq
 }
 
-// eventQueue is a heap with four children to a node, which keeps what is due soon near the top in few steps.
+// eventQueue is a 4-ary min-heap. It is shallower than a binary heap, so that a push needs fewer steps.
 type eventQueue struct {
 	heap []event
 	seq  uint64
 }
 
+// heapArity is the number of children of a node.
 const heapArity = 4
 
-func (q *eventQueue) push(d event) {
+func (q *eventQueue) push(e event) {
 	q.seq++
-	d.seq = q.seq
-	q.heap = append(q.heap, d)
+	e.seq = q.seq
+	q.heap = append(q.heap, e)
 	h := q.heap
 	i := len(h) - 1
 	for i > 0 {
-		up := (i - 1) / heapArity
-		if !d.before(&h[up]) {
+		parent := (i - 1) / heapArity
+		if !e.before(&h[parent]) {
 			break
 		}
-		h[i] = h[up]
-		i = up
+		h[i] = h[parent]
+		i = parent
 	}
-	h[i] = d
+	h[i] = e
 }
 
 func (q *eventQueue) pop() event {
--- a/lab/model/deal.go
+++ b/lab/model/terms.go
@@ -12,7 +12,7 @@
 
 var scopes = map[string]gate.Scope{"all": gate.ScopeAll, "zone": gate.ScopeZone, "cell": gate.ScopeCell}
 
-// Terms are what a door of the scenario is told.
+// Terms returns the terms of a door of the scenario.
 func Terms(s *scenario.Scenario, number int) gate.Terms {
 	t := gate.Terms{Doors: s.Fleet.Doors, DoorNumber: number, MaxAttempts: s.Allow.MaxAttempts, Hedging: s.Allow.Hedging,
 		MayCancel: s.Allow.Cancel, MeterPeriod: s.Meter.PeriodMs, Counter: s.Counter.On,
@@ -32,7 +32,7 @@
 	return t
 }
 
-// Deal is what the judge is told of the scenario.
+// Deal returns what the judge needs to know of the scenario.
 func Deal(s *scenario.Scenario) *judge.Deal {
 	t := Terms(s, 0)
 	d := &judge.Deal{Classes: t.Classes, Plans: t.Plans, MaxAttempts: t.MaxAttempts, Hedging: t.Hedging,
@@ -44,13 +44,13 @@
 	return d
 }
 
-// doorView is the true state as one door's indices name it.
+// doorView implements Sight for one door, translating its indices.
 type doorView struct {
 	w *World
 	d *door
 }
 
-// Wait works out what a backend would take, from its queue as it stands.
+// Wait implements Sight, from the attempts that the backend holds at present.
 func (s doorView) Wait(backend, class int) float64 {
 	w := s.w
 	b := w.backends[s.d.backendIDs.ID(backend)]
@@ -78,43 +78,48 @@
 	return max(alone, (held+1)*mean/now)
 }
 
-// Work is a class's mean work.
+// Work implements Sight.
 func (s doorView) Work(class int) float64 { return s.w.s.Classes[class].WorkMs }
 
-const minColdRequests = 2 // works that a cold backend must have room for before it is sent anything
+const minColdRequests = 2 // mean requests that a cold backend must be able to serve within the overload window; else Wait is infinite
 
+// Take implements Sight.
 func (s doorView) Take(customer, plan int, units float64) bool {
 	return s.w.quotas.take(s.w, s.d.customers.ID(customer), plan, units)
 }
 
+// TakeLate implements Sight.
 func (s doorView) TakeLate(customer, plan int, units, lateMs float64) bool {
 	return s.w.quotas.takeLate(s.w, s.d.id, s.d.customers.ID(customer), plan, units, lateMs)
 }
 
-// trueQuotas holds the customers' true quotas, for deciders that may see them.
+// trueQuotas holds the customers' true quotas, for deciders that use Sight. They are kept apart from what real doors know.
 type trueQuotas struct {
 	current map[int]quotaLevel
 	stale   map[int]*staleQuota
 }
 
-// staleQuota is a quota as it was some time ago, and what has been taken since.
+// staleQuota is a quota as it was some time ago, with the withdrawals since.
 type staleQuota struct {
 	base        quotaLevel
 	withdrawals []withdrawal
 }
 
+// withdrawal records the units that a door took at a clock.
 type withdrawal struct {
 	at, units float64
 	door      int
 }
 
+// quotaLevel is the level of a quota's token bucket at a clock, ms.
 type quotaLevel struct{ units, at float64 }
 
-// refilled is what a quota holds at a later time.
+// refilled returns the level at a later clock.
 func (l quotaLevel) refilled(p *scenario.Plan, at float64) float64 {
 	return min(p.Depth, l.units+p.PerS/1000*(at-l.at))
 }
 
+// take takes units from the present quota and reports whether it held them.
 func (t *trueQuotas) take(w *World, customer, plan int, units float64) bool {
 	p := &w.s.Plans[plan]
 	if t.current == nil {
@@ -133,6 +138,7 @@
 	return has
 }
 
+// takeLate takes units by the quota as it was lateMs ago, less what the door itself has taken since.
 func (t *trueQuotas) takeLate(w *World, door, customer, plan int, units, lateMs float64) bool {
 	p := &w.s.Plans[plan]
 	if t.stale == nil {
--- a/lab/model/world.go
+++ b/lab/model/world.go
@@ -1,6 +1,9 @@
-// Package model is the laboratory's emulator: a world of clients, doors, backends, discovery and counter in virtual time,
-// told by a scenario and a seed. The same two always give the same day. It tells all that happens to a trace.Sink, and
-// decides nothing: doors are gate.Deciders.
+// Package model is a discrete-event simulator of clients, doors, backends, discovery and the shared counter. A run is
+// determined by its scenario and seed: the same two always produce the same events. Everything that happens is reported to a
+// trace.Sink. The model makes no decisions of its own: each door drives a gate.Decider.
+//
+// Clocks and durations are in milliseconds of virtual time unless stated otherwise. With external doors the same model runs
+// in real time, see NewExternal.
 package model
 
 import (
@@ -17,28 +20,30 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// epoch is the doors' clock at the day's start, ms: to them, 0 is long ago.
+// epoch is the deciders' clock at the start of the run, ms. It is not 0 because 0 means long ago to a decider.
 const epoch = 1e6
 
-// Maker makes the decider of a door's life. Where Shared is true, its deciders share state and are asked one by one.
+// Maker creates a decider for each incarnation of a door. If Shared is set, the deciders share state and are called one at
+// a time.
 type Maker struct {
 	New    func(t gate.Terms, seed uint64, sight Sight) gate.Decider
 	Shared bool
 }
 
-// Sight is the true state, for deciders that no real door could be. Indices are the door's own.
+// Sight gives a decider the true state of the simulation, which no real door can know. Baselines such as an oracle use it.
+// Indices are those that the door assigned.
 type Sight interface {
-	// Wait is the time in ms until a request of the class sent now would be answered; infinite where it would not.
+	// Wait estimates the time until a request of the class that is sent now is answered, ms; infinite if it would not be.
 	Wait(backend, class int) float64
-	// Work is the mean work of a class, ms.
+	// Work returns the mean work of a class, ms.
 	Work(class int) float64
-	// Take takes units from the customer's true quota, if it holds them.
+	// Take takes units from the customer's true quota and reports whether the quota held them.
 	Take(customer, plan int, units float64) bool
-	// TakeLate does likewise, by what the quota truly held so many ms ago and what this door has taken since.
+	// TakeLate does the same with stale knowledge: the true quota as it was lateMs ago, less what this door has taken since.
 	TakeLate(customer, plan int, units, lateMs float64) bool
 }
 
-// Stream numbers of the world's chance; each party draws from its own, so that one's draws do not move another's.
+// Streams of random numbers. Each component draws from its own, so that the draws of one do not shift those of another.
 const (
 	streamWorkload = iota + 1
 	streamFleet
@@ -46,40 +51,41 @@
 	streamFaults
 	streamDoors
 	streamReactions
-	streamBackends // and one for each backend from here on
+	streamBackends // the first of one stream for each backend
 )
 
-// World is one day.
+// World is the state of one run.
 type World struct {
 	s     *scenario.Scenario
-	now   float64
+	now   float64 // clock, ms from the start of the run
 	queue eventQueue
 	sink  trace.Sink
 	seed  uint64
 
 	backends      []*backend
 	doors         []*door
-	present       []bool // the doors that all believe to be here, by number
-	updatePending bool   // they are about to hear of it
+	present       []bool // by door number: believed by all doors to be present
+	updatePending bool   // a DoorsUpdate is scheduled
 	clients       clients
 	counter       counter
 	meter         meter
 	quotas        trueQuotas
-	faults        []*activeFault // of the network, discovery, counter, meter and clients, that strike now
+	faults        []*activeFault // all that have a duration, those of backends included
 	rng           struct{ net, faults, fleet *rand.Rand }
-	deciding      []*door // that decide now
+	deciding      []*door // doors that decide at the present instant
 	maker         Maker
 	nextTryID     int
 	loadEnded     bool // no more requests arrive
-	openRequests  int  // clients' requests that are not over
+	openRequests  int  // client requests without a final outcome
 	steps         int
-	posted        chan func() // from outside, in real time
+	posted        chan func() // calls from other goroutines, in real time only
 	outJobs       int
 }
 
+// newRand returns the random source of a stream.
 func newRand(seed uint64, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
-// New builds the world of a day.
+// New returns the initial state of a run.
 func New(s *scenario.Scenario, seed uint64, maker Maker, sink trace.Sink) *World {
 	w := &World{s: s, seed: seed, sink: sink, maker: maker}
 	w.rng.net, w.rng.faults, w.rng.fleet = newRand(seed, streamNet), newRand(seed, streamFaults), newRand(seed, streamFleet)
@@ -97,7 +103,7 @@
 	return w
 }
 
-// machineFor deals the kinds out by their shares.
+// machineFor assigns machine types to the initial backends in proportion to their shares.
 func (w *World) machineFor(i int) *scenario.Machine {
 	sum := 0.0
 	for i := range w.s.Machines {
@@ -112,6 +118,7 @@
 	return &w.s.Machines[len(w.s.Machines)-1]
 }
 
+// addBackend adds a backend that is neither running nor listed yet.
 func (w *World) addBackend(zone, cell int, m *scenario.Machine) *backend {
 	b := &backend{id: len(w.backends), zone: zone, cell: cell, cores: m.Cores, machine: m, speed: m.Speed.At(w.rng.fleet.Float64()),
 		slots: max(1, int(m.SlotsPerCore*float64(m.Cores))), maxQueue: int(m.QueuePerCore * float64(m.Cores)),
@@ -120,28 +127,30 @@
 	return b
 }
 
-func (w *World) schedule(at float64, d event) {
-	d.at = at
-	w.queue.push(d)
+// schedule enqueues an event for a clock.
+func (w *World) schedule(at float64, e event) {
+	e.at = at
+	w.queue.push(e)
 }
 
+// emit reports an event of the present instant to the sink.
 func (w *World) emit(e trace.Event) {
 	e.At = w.now
 	w.sink.Take(&e)
 }
 
-// nextTick rounds a clock up to the next at which doors look.
+// nextTick rounds a clock up to the next tick; doors decide only at ticks.
 func (w *World) nextTick(at float64) float64 {
 	return math.Ceil(at/w.s.Day.TickMs-1e-9) * w.s.Day.TickMs
 }
 
 const (
-	drainTime     = 120e3 // ms after the last arrival by which a day must be over
-	stepsPerCheck = 4096  // steps between looks at whether the run is to stop
+	drainTime     = 120e3 // ms from the end of the load after which a run ends even with open requests
+	stepsPerCheck = 4096  // steps between checks of the context
 	sweepInterval = 1000  // ms
 )
 
-// Run plays the day. It reports progress, 0 to 1, now and then.
+// Run runs the scenario in virtual time. It reports progress, 0 to 1, from time to time.
 func (w *World) Run(ctx context.Context, progress func(done float64)) error {
 	end := w.s.Day.Seconds * 1000
 	w.begin()
@@ -154,28 +163,29 @@
 				progress(min(1, w.now/end))
 			}
 		}
-		d := w.queue.pop()
-		w.now = d.at
+		e := w.queue.pop()
+		w.now = e.at
 		if w.now >= end {
 			w.loadEnded = true
 			if w.openRequests == 0 || w.now > end+drainTime {
 				break
 			}
 		}
-		if d.kind == eventDecide {
-			w.deciding = append(w.deciding[:0], w.doors[d.index])
+		if e.kind == eventDecide {
+			w.deciding = append(w.deciding[:0], w.doors[e.index])
 			for len(w.queue.heap) > 0 && w.queue.heap[0].at == w.now && w.queue.heap[0].kind == eventDecide {
 				w.deciding = append(w.deciding, w.doors[w.queue.pop().index])
 			}
 			w.decide()
 			continue
 		}
-		w.dispatch(&d)
+		w.dispatch(&e)
 	}
 	w.emit(trace.Event{Kind: trace.Over})
 	return nil
 }
 
+// begin starts the doors and schedules the first arrivals, the faults and the sweep.
 func (w *World) begin() {
 	for _, d := range w.doors {
 		d.start(w)
@@ -187,62 +197,63 @@
 	w.schedule(sweepInterval, event{kind: eventSweep})
 }
 
-func (w *World) dispatch(d *event) {
-	switch d.kind {
+// dispatch handles one event.
+func (w *World) dispatch(e *event) {
+	switch e.kind {
 	case eventArrival, eventSpike, eventShift, eventExtraRequest, eventClientTimeout, eventAnswer, eventRetry:
-		w.clients.handle(w, d)
+		w.clients.handle(w, e)
 	case eventSubmit:
-		w.doors[d.try.Door].submit(w, d.try)
+		w.doors[e.try.Door].submit(w, e.try)
 	case eventClientGone:
-		w.doors[d.try.Door].clientLeft(w, d.try)
+		w.doors[e.try.Door].clientLeft(w, e.try)
 	case eventConnect:
-		w.connectionArrived(d.job)
+		w.connectionArrived(e.job)
 	case eventBackendArrival:
-		if b := w.backends[d.job.Backend]; !d.job.closed && !w.partitioned(w.doors[d.job.Try.Door].zone, b.zone) {
-			b.receive(w, d.job)
+		if b := w.backends[e.job.Backend]; !e.job.closed && !w.partitioned(w.doors[e.job.Try.Door].zone, b.zone) {
+			b.receive(w, e.job)
 		}
 	case eventFinish:
-		if b := w.backends[d.index]; b.finishStamp == d.arg {
+		if b := w.backends[e.index]; b.finishStamp == e.arg {
 			b.finishDue(w)
 		}
 	case eventRefreshSpeed:
-		if b := w.backends[d.index]; b.incarnation == d.arg && b.coldBudget != nil {
+		if b := w.backends[e.index]; b.incarnation == e.arg && b.coldBudget != nil {
 			b.advance(w.now)
 			b.scheduleFinish(w)
-			w.schedule(w.now+coldRefreshInterval, *d)
+			w.schedule(w.now+coldRefreshInterval, *e)
 		}
 	case eventResult:
-		d.job.caller.Ended(w, d.job, d.payload.(gate.Result))
+		e.job.caller.Ended(w, e.job, e.payload.(gate.Result))
 	case eventCancel:
-		if b := w.backends[d.job.Backend]; !w.partitioned(w.doors[d.job.Try.Door].zone, b.zone) {
-			b.cancel(w, d.job)
+		if b := w.backends[e.job.Backend]; !w.partitioned(w.doors[e.job.Try.Door].zone, b.zone) {
+			b.cancel(w, e.job)
 		}
 	case eventAttemptTimeout:
-		w.doors[d.job.Try.Door].attemptTimedOut(w, d.job)
+		w.doors[e.job.Try.Door].attemptTimedOut(w, e.job)
 	case eventCounterCall:
-		w.counter.serve(w, d.payload.(*counterCall))
+		w.counter.serve(w, e.payload.(*counterCall))
 	case eventCounterReply:
-		w.counter.deliver(w, d.payload.(*counterCall))
+		w.counter.deliver(w, e.payload.(*counterCall))
 	case eventProbeEnd:
-		w.doors[d.arg].probeEnded(w, d.index, d.payload.(probeResult))
+		w.doors[e.arg].probeEnded(w, e.index, e.payload.(probeResult))
 	case eventListUpdate:
-		w.doors[d.index].receiveListUpdate(w, d.arg, d.payload.(listUpdate))
+		w.doors[e.index].receiveListUpdate(w, e.arg, e.payload.(listUpdate))
 	case eventFault:
-		w.toggleFault(d.index, d.arg == 1)
+		w.toggleFault(e.index, e.arg == 1)
 	case eventFaultStep:
-		w.faultStep(d.index, d.arg, d.payload.(*activeFault))
+		w.faultStep(e.index, e.arg, e.payload.(*activeFault))
 	case eventFunc:
-		d.payload.(func())()
+		e.payload.(func())()
 	case eventSweep:
 		w.sweep()
 		w.schedule(w.now+sweepInterval, event{kind: eventSweep})
 	}
 }
 
-const parallelThreshold = 6 // doors at one instant from which it pays to ask them side by side
+const parallelThreshold = 6 // number of doors deciding at one instant from which goroutines pay off
 
-// decide has all doors that are due decide. They share nothing, so they are asked side by side; what they want is
-// carried out in the order of their numbers.
+// decide lets all doors that are due decide. The deciders share no state, so they run concurrently. Their actions are carried
+// out in the order of the door numbers, which keeps the run deterministic.
 func (w *World) decide() {
 	slices.SortFunc(w.deciding, func(a, b *door) int { return a.id - b.id })
 	w.deciding = slices.CompactFunc(w.deciding, func(a, b *door) bool { return a == b })
@@ -285,7 +296,7 @@
 
 // ---- The network ----
 
-// networkDelay draws the time from one zone to another, ms.
+// networkDelay draws the one-way delay from one zone to another, ms.
 func (w *World) networkDelay(from, to int) float64 {
 	span := w.s.Net.CrossMs
 	if from == to {
@@ -300,9 +311,10 @@
 	return max(0.01, d)
 }
 
+// clientDelay draws the one-way delay between a client and its door, ms.
 func (w *World) clientDelay() float64 { return max(0.01, w.s.Net.ClientMs.At(w.rng.net.Float64())) }
 
-// partitioned tells whether two zones are partitioned off from each other.
+// partitioned reports whether a network partition separates two zones.
 func (w *World) partitioned(a, b int) bool {
 	for _, h := range w.faults {
 		if h.fault.Kind == "zone_cut" && (a == *h.fault.Zone) != (b == *h.fault.Zone) {
@@ -312,30 +324,31 @@
 	return false
 }
 
-// faultMagnitude returns how much a kind of fault strikes those that are not backends.
-func (w *World) faultMagnitude(kind string) (much float64, is bool) {
+// faultMagnitude returns the greatest magnitude among the active faults of a kind, and whether there is one. Faults of
+// backends are looked up by backend.faultMagnitude.
+func (w *World) faultMagnitude(kind string) (magnitude float64, active bool) {
 	for _, h := range w.faults {
 		if h.fault.Kind == kind {
-			much, is = max(much, h.fault.Much), true
+			magnitude, active = max(magnitude, h.fault.Much), true
 		}
 	}
-	return much, is
+	return magnitude, active
 }
 
-// sendResult sends an attempt's result on its way.
+// sendResult sends an attempt's result to its door. The network may lose it.
 func (w *World) sendResult(b *backend, j *Job, r gate.Result) {
 	if j.closed || b.silent() {
 		return
 	}
 	z := w.doors[j.Try.Door].zone
-	much, lossy := w.faultMagnitude("loss")
-	if w.partitioned(z, b.zone) || r != gate.Unreachable && w.rng.net.Float64() < w.s.Net.Loss || lossy && w.rng.net.Float64() < much {
+	lossShare, lossy := w.faultMagnitude("loss")
+	if w.partitioned(z, b.zone) || r != gate.Unreachable && w.rng.net.Float64() < w.s.Net.Loss || lossy && w.rng.net.Float64() < lossShare {
 		return
 	}
 	w.schedule(w.now+w.networkDelay(b.zone, z), event{kind: eventResult, job: j, payload: r})
 }
 
-// dial opens a connection for an attempt.
+// dial starts to open a connection for an attempt.
 func (w *World) dial(j *Job) {
 	b := w.backends[j.Backend]
 	z := w.doors[j.Try.Door].zone
@@ -348,7 +361,7 @@
 	w.schedule(w.now+w.networkDelay(z, b.zone), event{kind: eventConnect, job: j})
 }
 
-// connectionArrived is a connection's beginning at the backend.
+// connectionArrived handles a connection attempt at the backend, which accepts or refuses it.
 func (w *World) connectionArrived(j *Job) {
 	b := w.backends[j.Backend]
 	if j.closed {
@@ -359,8 +372,8 @@
 		return
 	}
 	most := b.maxConns
-	if much, is := b.faultMagnitude("few_conns", -1); is {
-		most = int(much)
+	if magnitude, active := b.faultMagnitude("few_conns", -1); active {
+		most = int(magnitude)
 	}
 	if _, refuses := b.faultMagnitude("refuse", -1); refuses || !b.up || b.openConns >= most {
 		w.sendResult(b, j, gate.Unreachable)
@@ -368,7 +381,7 @@
 	}
 	z := w.doors[j.Try.Door].zone
 	if j.startBy > 0 {
-		if up := w.now + w.networkDelay(b.zone, z); up > j.startBy { // it may not begin any more
+		if up := w.now + w.networkDelay(b.zone, z); up > j.startBy { // too late to start
 			w.schedule(up, event{kind: eventResult, job: j, payload: gate.Skipped})
 			return
 		}
@@ -378,7 +391,7 @@
 	w.schedule(w.now+w.networkDelay(b.zone, z)+w.networkDelay(z, b.zone), event{kind: eventBackendArrival, job: j})
 }
 
-// knowsStart tells whether a door has been told of a backend's latest start.
+// knowsStart reports whether a door has been notified of a backend's latest start.
 func (w *World) knowsStart(door int, b *backend) bool {
 	d := w.doors[door]
 	return b.id < len(d.known) && d.known[b.id].known && d.known[b.id].startedAt == b.startedAt
@@ -386,12 +399,13 @@
 
 // ---- Effects ----
 
-// effect is where and when a request ran.
+// effect records the deduplication group in which a request took effect, and when.
 type effect struct {
 	group int
 	at    float64
 }
 
+// dedupGroup returns the group of backends that shares idempotency keys with the backend, for a class.
 func (w *World) dedupGroup(b *backend, p *scenario.Class) int {
 	switch p.Scope {
 	case "zone":
@@ -402,7 +416,7 @@
 	return 0
 }
 
-// isDuplicate tells whether the backend's group knows that the request ran, and will not let it run again.
+// isDuplicate reports whether the backend's group still remembers that the request ran, and so discards a repeat.
 func (w *World) isDuplicate(b *backend, t *Try) bool {
 	p := &w.s.Classes[t.Class]
 	if p.Semantics != "tokened" {
@@ -417,19 +431,20 @@
 	return false
 }
 
+// recordEffect records that a request took effect at a backend.
 func (w *World) recordEffect(b *backend, t *Try) {
 	p := &w.s.Classes[t.Class]
 	if p.Semantics == "replayable" {
 		return
 	}
-	if w.isDuplicate(b, t) { // another has run since this one began
+	if w.isDuplicate(b, t) { // another attempt has run since this one began
 		return
 	}
 	w.emit(trace.Event{Kind: trace.Ran, Want: t.request.id, Try: t.ID, Backend: b.id, Twice: len(t.request.effects) > 0})
 	t.request.effects = append(t.request.effects, effect{w.dedupGroup(b, p), w.now})
 }
 
-// sweep drops what is idle.
+// sweep closes idle connections and drops expired counter values.
 func (w *World) sweep() {
 	for _, d := range w.doors {
 		d.dropIdle(w)
