--- a/lab/model/clients.go
+++ b/lab/model/clients.go
@@ -10,66 +10,70 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// clientRequest is what a client wants: one request over all of its tries.
+// clientRequest is one request of a client, over all of its tries.
 type clientRequest struct {
 	id, customer, class int
 	units, work         float64
 	at                  float64
-	deadline            float64 // the client wants nothing after that, ms
+	deadline            float64 // the client has no use for an answer after it, ms
 	tries               int
-	door                int // of the latest try
+	door                int // door of the latest try
 	effects             []effect
 }
 
-// Try is one of a client's tries, at one door.
+// Try is one try of a client request, at one door.
 type Try struct {
 	ID, Door          int
 	Class             int
 	request           *clientRequest
-	madeAt, deadline  float64 // made, and given up by the client, ms
+	madeAt, deadline  float64 // ms
 	retry             bool
 	taken             bool
-	answered          bool // its door has answered
-	over              bool // its client has the answer, or has left
+	answered          bool // the door has sent the final answer or learned that the client left
+	over              bool // the client has the answer or has given the try up
 	incarnation, slot int  // of the door that holds it
 	answer            trace.Answer
 	retryAfter        float64
 }
 
-// customer comes through some doors, unevenly, at a rate that sessions move.
+// customer sends requests through spread doors from firstDoor on, in uneven shares, at a rate that a spike multiplies by
+// spikeFactor.
 type customer struct {
 	plan, firstDoor, spread int
-	rate                    float64 // requests a ms
-	spikeFactor             float64 // by which a session raises that; 0 where there are none
+	rate                    float64 // requests per ms outside spikes
+	spikeFactor             float64 // 0 if the customer has no spikes
 	inSpike                 bool
-	arrivalStamp            int
-	cumulativeWeights       []float64 // running sum, to 1
+	arrivalStamp            int       // invalidates arrivals scheduled before the last change of the rate
+	cumulativeWeights       []float64 // of its doors, up to 1
 }
 
-// clients are all of them, and how they behave.
+// clients generates the workload and simulates the clients' reactions. Both have random sources of their own, so that the
+// requests made do not depend on the answers.
 type clients struct {
 	s             *scenario.Scenario
-	workloadRand  *rand.Rand // what is asked, whatever becomes of it
-	reactionRand  *rand.Rand // what clients do then
+	workloadRand  *rand.Rand // for what is requested
+	reactionRand  *rand.Rand // for choice of doors, patience and retries
 	customers     []customer
 	extras        []extraLoad
 	nextRequestID int
-	totalRate     float64 // requests a ms of all customers together
-	meanUnits     float64 // mean of a request
-	classShares   []float64
-	planShares    []float64
+	totalRate     float64   // of all customers at full load, requests per ms
+	meanUnits     float64   // of a request
+	classShares   []float64 // cumulative
+	planShares    []float64 // cumulative
 	burstHigh     bool
 	burstUntil    float64
 }
 
-// extraLoad makes requests on top: of customers drawn at random, of a few, or of strangers.
+// extraLoad generates the additional requests of a fault: from customers drawn at random, from a few hot customers, or from
+// new customers.
 type extraLoad struct {
 	fault        *activeFault
-	rate         float64
+	rate         float64 // requests per ms
 	hotCustomers []int
 	active       bool
 }
 
+// cumulative normalizes shares to a sum of 1 and returns their running sums.
 func cumulative(shares []float64) []float64 {
 	sum := 0.0
 	out := make([]float64, len(shares))
@@ -84,10 +88,12 @@
 	return out
 }
 
-func drawIndex(d *rand.Rand, run []float64) int {
-	return min(len(run)-1, sort.SearchFloat64s(run, d.Float64()))
+// drawIndex draws an index by cumulative shares.
+func drawIndex(rng *rand.Rand, sums []float64) int {
+	return min(len(sums)-1, sort.SearchFloat64s(sums, rng.Float64()))
 }
 
+// init sets the total rate, from the scenario or from the fleet's capacity, and creates the customers.
 func (c *clients) init(w *World) {
 	c.s, c.workloadRand, c.reactionRand = w.s, newRand(w.seed, streamWorkload), newRand(w.seed, streamReactions)
 	var shares []float64
@@ -115,30 +121,30 @@
 			c.totalRate += b.capacity() * c.s.Load.Share / meanWork
 		}
 	}
-	asked := c.createCustomers(w)
-	if c.s.Load.PerSecond > 0 && asked > 0 { // what is asked beyond the quotas counts in it
-		c.totalRate *= c.totalRate / asked
+	meanRate := c.createCustomers(w)
+	if c.s.Load.PerSecond > 0 && meanRate > 0 { // a rate set by the scenario includes the load beyond the quotas
+		c.totalRate *= c.totalRate / meanRate
 		c.createCustomers(w)
 	}
 }
 
-// createCustomers makes the customers, and returns what they ask in the mean, requests a ms.
-func (c *clients) createCustomers(w *World) (asked float64) {
+// createCustomers creates the customers of all plans and returns their mean total rate, requests per ms.
+func (c *clients) createCustomers(w *World) (meanRate float64) {
 	l := &c.s.Load
 	c.customers = c.customers[:0]
-	calm := max(0.05, (l.PerCustomer-0.95*l.Full-l.Heavy)/max(0.05, 1-l.Full-l.Heavy))
-	high := l.SpikeS.At(0.5) / (l.SpikeS.At(0.5) + l.SpikeEveryS.At(0.5))
+	steadyUse := max(0.05, (l.PerCustomer-0.95*l.Full-l.Heavy)/max(0.05, 1-l.Full-l.Heavy))
+	spikeShare := l.SpikeS.At(0.5) / (l.SpikeS.At(0.5) + l.SpikeEveryS.At(0.5))
 	for plan, p := range c.s.Plans {
 		share := c.planShares[plan]
 		if plan > 0 {
 			share -= c.planShares[plan-1]
 		}
-		perMs := c.totalRate * c.meanUnits * share // units a ms
+		perMs := c.totalRate * c.meanUnits * share // units per ms
 		n := max(1, int(math.Round(perMs/(p.PerS/1000*l.PerCustomer))))
 		for i := range n {
 			k := customer{plan: plan, spread: min(p.Spread, w.s.Fleet.Doors), firstDoor: c.workloadRand.IntN(w.s.Fleet.Doors)}
 			x := (float64(i) + c.workloadRand.Float64()) / float64(n)
-			use, mean := calm*(0.5+c.workloadRand.Float64()), 1.0
+			use, mean := steadyUse*(0.5+c.workloadRand.Float64()), 1.0
 			switch {
 			case x < l.Heavy:
 				use = l.HeavyTimes
@@ -146,18 +152,18 @@
 				use = 0.95
 			case x < l.Heavy+l.Full+l.Spiky:
 				k.spikeFactor = l.SpikeTimes / use
-				mean = 1 + high*(k.spikeFactor-1)
+				mean = 1 + spikeShare*(k.spikeFactor-1)
 			}
 			k.rate = use * p.PerS / 1000 / c.meanUnits
-			asked += k.rate * mean
+			meanRate += k.rate * mean
 			c.drawWeights(&k)
 			c.customers = append(c.customers, k)
 		}
 	}
-	return asked
+	return meanRate
 }
 
-// drawWeights draws how a customer's requests come over its doors.
+// drawWeights draws how a customer's requests are distributed over its doors.
 func (c *clients) drawWeights(k *customer) {
 	var shares []float64
 	for range k.spread {
@@ -166,16 +172,17 @@
 	k.cumulativeWeights = cumulative(shares)
 }
 
-// drawSize draws a request's units, and its work, which grows with them.
-func (c *clients) drawSize(d *rand.Rand, p *scenario.Class) (units, work float64) {
-	x := d.ExpFloat64()
+// drawSize draws the units of a request and its work in ms, which are correlated.
+func (c *clients) drawSize(rng *rand.Rand, p *scenario.Class) (units, work float64) {
+	x := rng.ExpFloat64()
 	if p.Cv > 0 {
-		x = lognormal(d, p.Cv)
+		x = lognormal(rng, p.Cv)
 	}
-	most := float64(c.s.Load.MostUnits)
-	return max(1, min(most, math.Ceil(x*most/4))), max(0.01, x) * p.WorkMs
+	maxUnits := float64(c.s.Load.MostUnits)
+	return max(1, min(maxUnits, math.Ceil(x*maxUnits/4))), max(0.01, x) * p.WorkMs
 }
 
+// begin schedules the first arrival, spike and change of weights of each customer.
 func (c *clients) begin(w *World) {
 	for i := range c.customers {
 		c.scheduleArrival(w, i, w.now)
@@ -189,8 +196,8 @@
 	}
 }
 
-// scheduleArrival draws a customer's next arrival after a clock. In real time that is the intended one, however late the world runs:
-// arrivals wait for nothing.
+// scheduleArrival schedules a customer's next arrival after a clock, which is the intended one of the previous arrival. The load
+// is open-loop: arrivals keep their intended clocks even if a run in real time is behind.
 func (c *clients) scheduleArrival(w *World, i int, from float64) {
 	k := &c.customers[i]
 	rate := k.rate * (1 + c.s.Load.Swing)
@@ -203,12 +210,13 @@
 }
 
 const (
-	wavePeriod  = 20e3 // ms of a wave
-	minBurst    = 500. // ms that a burst of the shape lasts at least,
-	burstSpread = 2500 // and at most on top
+	wavePeriod  = 20e3 // ms
+	minBurst    = 500. // ms: shortest high or low phase of the shape "bursts"
+	burstSpread = 2500 // ms: by which such a phase may last longer
 )
 
-// loadShape is the share of the most that is asked at a clock. It is the arrival's own, not the world's, which may run late.
+// loadShape returns the load at a clock as a share of the peak. The clock is the intended one of the arrival, not the present
+// one, which in real time may be behind.
 func (c *clients) loadShape(at float64) float64 {
 	x := 0.0
 	switch l := &c.s.Load; l.Shape {
@@ -229,46 +237,47 @@
 	return (1 + x) / (1 + c.s.Load.Swing)
 }
 
-func (c *clients) handle(w *World, d *event) {
-	switch d.kind {
+// handle handles one event of the clients.
+func (c *clients) handle(w *World, e *event) {
+	switch e.kind {
 	case eventArrival:
-		k := &c.customers[d.index]
-		if w.loadEnded || k.arrivalStamp != d.arg {
+		k := &c.customers[e.index]
+		if w.loadEnded || k.arrivalStamp != e.arg {
 			return
 		}
-		if c.workloadRand.Float64() < c.loadShape(d.at) {
-			c.newRequest(w, d.index, d.at)
+		if c.workloadRand.Float64() < c.loadShape(e.at) {
+			c.newRequest(w, e.index, e.at)
 		}
-		c.scheduleArrival(w, d.index, d.at)
+		c.scheduleArrival(w, e.index, e.at)
 	case eventSpike:
-		k := &c.customers[d.index]
+		k := &c.customers[e.index]
 		k.inSpike = !k.inSpike
 		k.arrivalStamp++
-		c.scheduleArrival(w, d.index, d.at)
+		c.scheduleArrival(w, e.index, e.at)
 		span := c.s.Load.SpikeEveryS
 		if k.inSpike {
 			span = c.s.Load.SpikeS
 		}
 		if !w.loadEnded {
-			w.schedule(d.at+span.At(c.workloadRand.Float64())*1000, event{kind: eventSpike, index: d.index})
+			w.schedule(e.at+span.At(c.workloadRand.Float64())*1000, event{kind: eventSpike, index: e.index})
 		}
 	case eventShift:
-		c.drawWeights(&c.customers[d.index])
+		c.drawWeights(&c.customers[e.index])
 		if !w.loadEnded {
-			w.schedule(d.at+c.s.Load.ShiftS.At(c.workloadRand.Float64())*1000, event{kind: eventShift, index: d.index})
+			w.schedule(e.at+c.s.Load.ShiftS.At(c.workloadRand.Float64())*1000, event{kind: eventShift, index: e.index})
 		}
 	case eventExtraRequest:
-		c.extraRequest(w, d.index, d.at)
+		c.extraRequest(w, e.index, e.at)
 	case eventClientTimeout:
-		c.tryTimedOut(w, d.try)
+		c.tryTimedOut(w, e.try)
 	case eventAnswer:
-		c.receiveAnswer(w, d.try)
+		c.receiveAnswer(w, e.try)
 	case eventRetry:
-		c.sendTry(w, d.request, true)
+		c.sendTry(w, e.request, true)
 	}
 }
 
-// extraRequest makes one request on top, and plans the next.
+// extraRequest makes one additional request and schedules the next.
 func (c *clients) extraRequest(w *World, n int, at float64) {
 	x := &c.extras[n]
 	if !x.active || w.loadEnded {
@@ -289,9 +298,9 @@
 	w.schedule(at+c.workloadRand.ExpFloat64()/x.rate, event{kind: eventExtraRequest, index: n})
 }
 
-const hotCustomerCount = 3
+const hotCustomerCount = 3 // customers of a "hot_customers" fault
 
-// injectFault is told the clock at which the fault was due, which a late world has passed.
+// injectFault begins a fault of the workload. The clock is the one for which it was scheduled, which in real time may be past.
 func (c *clients) injectFault(w *World, h *activeFault, at float64) {
 	f := h.fault
 	switch f.Kind {
@@ -317,6 +326,7 @@
 	}
 }
 
+// endFault stops the additional load of a fault.
 func (c *clients) endFault(w *World, h *activeFault) {
 	for i := range c.extras {
 		if c.extras[i].fault == h {
@@ -325,7 +335,7 @@
 	}
 }
 
-// newRequest is a new request of a customer, meant to be made at a clock.
+// newRequest makes a new request of a customer, with its intended clock.
 func (c *clients) newRequest(w *World, customer int, at float64) {
 	class := drawIndex(c.workloadRand, c.classShares)
 	units, work := c.drawSize(c.workloadRand, &c.s.Classes[class])
@@ -338,10 +348,10 @@
 	c.sendTry(w, n, false)
 }
 
-// chooseDoor draws where a try goes. Doors that the front sees down are passed over.
+// chooseDoor draws the door of a try, skipping doors that the load balancer in front of them sees down.
 func (c *clients) chooseDoor(w *World, k *customer) int {
 	at := drawIndex(c.reactionRand, k.cumulativeWeights)
-	if much, gathers := w.faultMagnitude("gather"); gathers && c.reactionRand.Float64() < much {
+	if share, concentrated := w.faultMagnitude("gather"); concentrated && c.reactionRand.Float64() < share {
 		at = 0
 		for i := range k.cumulativeWeights {
 			if shareOf(k.cumulativeWeights, i) > shareOf(k.cumulativeWeights, at) {
@@ -355,7 +365,7 @@
 			return d
 		}
 	}
-	for i := range w.doors { // the whole set is down: the front turns to others
+	for i := range w.doors { // all doors of the customer are down: use any other
 		if d := (k.firstDoor + k.spread + i) % len(w.doors); w.doors[d].seenUp(w.now, c.s.Clients.NoticeMs) {
 			return d
 		}
@@ -363,14 +373,15 @@
 	return (k.firstDoor + at) % len(w.doors)
 }
 
-func shareOf(run []float64, i int) float64 {
+// shareOf returns one share out of cumulative ones.
+func shareOf(sums []float64, i int) float64 {
 	if i == 0 {
-		return run[0]
+		return sums[0]
 	}
-	return run[i] - run[i-1]
+	return sums[i] - sums[i-1]
 }
 
-// sendTry sends a want through a door.
+// sendTry sends a request, for the first time or as a retry.
 func (c *clients) sendTry(w *World, n *clientRequest, retry bool) {
 	if w.now >= n.deadline {
 		c.giveUp(w, n)
@@ -394,7 +405,7 @@
 	w.schedule(patience, event{kind: eventClientTimeout, try: t})
 }
 
-// tryTimedOut is the end of a client's patience with a try.
+// tryTimedOut ends a try for which the client no longer waits.
 func (c *clients) tryTimedOut(w *World, t *Try) {
 	if t.over {
 		return
@@ -404,7 +415,7 @@
 	c.retryOrGiveUp(w, t, trace.None)
 }
 
-// receiveAnswer is an answer at its client.
+// receiveAnswer handles an answer at the client.
 func (c *clients) receiveAnswer(w *World, t *Try) {
 	if t.over {
 		return
@@ -418,7 +429,7 @@
 	c.retryOrGiveUp(w, t, t.answer)
 }
 
-// unreachable is a try that found no door.
+// unreachable handles a try that no door accepted, like a rejection.
 func (c *clients) unreachable(w *World, t *Try) {
 	if !t.over {
 		t.over = true
@@ -426,7 +437,7 @@
 	}
 }
 
-// connectionLost is a try whose door has died under it.
+// connectionLost handles a try whose connection ended without an answer.
 func (c *clients) connectionLost(w *World, t *Try) {
 	if !t.over && !t.answered {
 		t.over = true
@@ -434,42 +445,44 @@
 	}
 }
 
-// retryOrGiveUp decides whether the client tries once more, and when.
+// retryOrGiveUp decides whether the client retries after a failed try, and when. Without a rejection it retries only requests
+// that can be repeated safely.
 func (c *clients) retryOrGiveUp(w *World, t *Try, a trace.Answer) {
 	n, p, cl := t.request, &c.s.Classes[t.Class], &c.s.Clients
-	most, wait := cl.Retries, cl.Wait
-	if much, storm := w.faultMagnitude("storm"); storm {
-		most, wait = max(most, int(much)), "none"
+	maxRetries, wait := cl.Retries, cl.Wait
+	if retries, storm := w.faultMagnitude("storm"); storm {
+		maxRetries, wait = max(maxRetries, int(retries)), "none"
 	}
-	may := a == trace.Rejected || p.Semantics == "replayable" || p.Semantics == "tokened" && p.Scope == "all" && w.now < n.at+p.WindowMs
-	if n.tries > most || !may {
+	retryable := a == trace.Rejected || p.Semantics == "replayable" || p.Semantics == "tokened" && p.Scope == "all" && w.now < n.at+p.WindowMs
+	if n.tries > maxRetries || !retryable {
 		c.giveUp(w, n)
 		return
 	}
-	rest := 0.0
+	delay := 0.0
 	switch wait {
 	case "fixed":
-		rest = cl.WaitMs
+		delay = cl.WaitMs
 	case "doubling":
-		rest = cl.WaitMs * math.Pow(2, float64(n.tries-1))
+		delay = cl.WaitMs * math.Pow(2, float64(n.tries-1))
 	}
-	rest *= 0.5 + c.reactionRand.Float64()
+	delay *= 0.5 + c.reactionRand.Float64()
 	if t.retryAfter > 0 && c.reactionRand.Float64() < cl.Honour {
-		rest = min(t.retryAfter, cl.MaxRetryAfterMs)
+		delay = min(t.retryAfter, cl.MaxRetryAfterMs)
 	}
-	if w.now+rest >= n.deadline {
+	if w.now+delay >= n.deadline {
 		c.giveUp(w, n)
 		return
 	}
-	w.schedule(w.now+rest, event{kind: eventRetry, request: n})
+	w.schedule(w.now+delay, event{kind: eventRetry, request: n})
 }
 
+// giveUp ends a request without success.
 func (c *clients) giveUp(w *World, n *clientRequest) {
 	w.openRequests--
 	w.emit(trace.Event{Kind: trace.GaveUp, Want: n.id})
 }
 
-// gateRequest puts a try in the terms of the decisions.
+// gateRequest returns a try as an event for the decider.
 func (t *Try) gateRequest(w *World, op, customer int) gate.Request {
 	k := &w.clients.customers[t.request.customer]
 	return gate.Request{Op: op, Class: t.Class, Plan: k.plan, Customer: customer, TTL: max(0, t.deadline-w.now), Units: t.request.units,
--- a/lab/model/door.go
+++ b/lab/model/door.go
@@ -154,7 +154,7 @@
 	d.ops = nil
 }
 
-// restart shuts the door down gracefully and starts it again rest ms after the shutdown.
+// restart shuts the door down gracefully, with maxShutdown ms for it, and starts it again rest ms later.
 func (d *door) restart(w *World, rest float64) {
 	d.stopping = true
 	incarnation := d.incarnation
@@ -290,7 +290,7 @@
 	idle.n = 0
 }
 
-// dropIdle closes connections that have been idle for half of the timeout after which backends close them.
+// dropIdle closes connections that have been idle for longer than half of the scenario's idle timeout.
 func (d *door) dropIdle(w *World) {
 	for b := range d.idle {
 		if d.idle[b].n > 0 && d.idle[b].lastUsed+w.s.Net.IdleMs/2 < w.now {
--- a/lab/model/outer.go
+++ b/lab/model/external.go
@@ -13,25 +13,26 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// ExternalDoor carries a door that is no part of the world: a real one, on sockets. The world calls it from its own goroutine,
-// and must not be kept waiting; what comes back is posted.
+// ExternalDoor is a door outside the simulation: a real one, on sockets. Its methods are called on the goroutine of RunRealTime
+// and must not block; results come back through World.Post.
 type ExternalDoor interface {
-	Start(known []BackendEntry)                    // a life begins; the list is what the door last had
-	Kill()                                         // it ends at once
-	Stop()                                         // it is asked to leave
-	Submit(t *Try)                                 // a client sends a request
-	ClientLeft(t *Try)                             // its client has closed the connection
-	ListChanged(whole bool, change []BackendEntry) // discovery tells
-	BackendProcess(backend int, up bool)           // a backend's process has ended, or begun
+	Start(known []BackendEntry)                    // starts an incarnation with the fleet list that the door last received
+	Kill()                                         // ends the incarnation at once
+	Stop()                                         // requests a graceful shutdown
+	Submit(t *Try)                                 // sends the try of a client
+	ClientLeft(t *Try)                             // closes the connection of a try whose client left
+	ListChanged(whole bool, change []BackendEntry) // passes on an update of discovery
+	BackendProcess(backend int, up bool)           // notifies that a backend's process has started or ended
 }
 
-// BackendEntry is a backend as discovery has it.
+// BackendEntry is the entry of one backend on the fleet list.
 type BackendEntry struct {
 	Backend, Zone, Cell int
 	Status              gate.Status
-	StartedAt           float64 // ms of the day; negative is long ago
+	StartedAt           float64 // clock of the run, ms; negative means long ago
 }
 
+// backendEntries returns an update's entries for an external door.
 func backendEntries(w *World, n listUpdate) []BackendEntry {
 	var out []BackendEntry
 	for _, l := range n.entries {
@@ -41,7 +42,7 @@
 	return out
 }
 
-// notifyProcess tells doors outside that a backend's notifyProcess has ended or begun.
+// notifyProcess notifies external doors that a backend's process has started or ended.
 func (w *World) notifyProcess(b *backend) {
 	for _, d := range w.doors {
 		if d.external != nil {
@@ -50,7 +51,7 @@
 	}
 }
 
-// WireRequest is a try as clients word it on the wire.
+// WireRequest holds what a client sends for a try.
 type WireRequest struct {
 	ID, RequestID     int
 	Class, Plan       string
@@ -58,20 +59,20 @@
 	Customer          int
 	Units             float64
 	FirstDoor, Spread int
-	TTL               float64 // ms from its making
-	MadeAt            float64 // ms of the day
+	TTL               float64 // ms from MadeAt
+	MadeAt            float64 // clock of the run, ms
 	Retry             bool
 }
 
-// WireRequest gives a try's wording.
+// WireRequest returns what the client sends for a try.
 func (w *World) WireRequest(t *Try) WireRequest {
 	k, p := &w.clients.customers[t.request.customer], &w.s.Classes[t.Class]
 	return WireRequest{t.ID, t.request.id, p.Name, w.s.Plans[k.plan].Name, p.Semantics == "replayable", t.request.customer, t.request.units, k.firstDoor,
 		k.spread, t.deadline - t.madeAt, t.madeAt, t.retry && w.s.Clients.Marks}
 }
 
-// NewExternal builds the world of a day whose doors are outside. On sockets the network is the machine's own, with the
-// scenario's delays on the backends' side.
+// NewExternal returns the initial state of a run whose doors are external. The network between doors and backends is then the
+// machine's own; the scenario's delays are added on the backends' side.
 func NewExternal(s *scenario.Scenario, seed uint64, doors []ExternalDoor, sink trace.Sink) *World {
 	w := New(s, seed, Maker{}, sink)
 	w.posted = make(chan func(), 1024)
@@ -81,14 +82,14 @@
 	return w
 }
 
-// WithSocketSlack widens a judge's limits as the platform's pages do for sockets.
+// WithSocketSlack widens the judge's limits for runs on sockets, by the amounts that the platform's documentation allows.
 func WithSocketSlack(d *judge.Deal) *judge.Deal {
-	const onSockets, ceiling = 50, 150 // ms
-	d.Slack, d.CeilingSlackMs = onSockets, ceiling
+	const answerSlack, ceilingSlack = 50, 150 // ms
+	d.Slack, d.CeilingSlackMs = answerSlack, ceilingSlack
 	return d
 }
 
-// Post has the world do something in its own time; it gives up with ctx.
+// Post runs a function on the goroutine of RunRealTime. It gives up when ctx ends.
 func (w *World) Post(ctx context.Context, do func()) {
 	select {
 	case w.posted <- do:
@@ -96,22 +97,22 @@
 	}
 }
 
-const startTimeout = 30 * time.Second // that doors may take to start, as on the platform
+const startTimeout = 30 * time.Second // within which all doors must be ready, as on the platform
 
-// RunRealTime plays the day by the clock. It returns how late the world itself was at the worst, ms; a day on which that is
-// much says little about the doors.
+// RunRealTime runs the scenario in real time, once ready reports that all doors are ready. It returns the greatest delay with
+// which it handled an event, ms; if that is large, the run says little about the doors.
 func (w *World) RunRealTime(ctx context.Context, ready func() (bool, error), progress func(done float64)) (behind float64, err error) {
 	w.begin()
-	for patience := time.After(startTimeout); ; {
-		is, err := ready()
+	for timeout := time.After(startTimeout); ; {
+		ok, err := ready()
 		if err != nil {
 			return 0, &WaitError{err}
 		}
-		if is {
+		if ok {
 			break
 		}
 		select {
-		case <-patience:
+		case <-timeout:
 			return 0, &WaitError{}
 		case do := <-w.posted:
 			do()
@@ -128,11 +129,11 @@
 	for {
 		now := clock()
 		for len(w.queue.heap) > 0 && w.queue.heap[0].at <= now {
-			d := w.queue.pop()
-			behind = max(behind, now-d.at)
-			w.now = max(w.now, d.at)
-			w.loadEnded = w.loadEnded || d.at >= end // while it runs late, what fell due past the end is popped with the day's own
-			w.dispatch(&d)
+			e := w.queue.pop()
+			behind = max(behind, now-e.at)
+			w.now = max(w.now, e.at)
+			w.loadEnded = w.loadEnded || e.at >= end // while the run is behind, events past the end are handled together with those before it
+			w.dispatch(&e)
 			now = clock()
 		}
 		if w.loadEnded = w.now >= end; w.loadEnded && (w.openRequests == 0 || w.now > end+drainTime) {
@@ -142,7 +143,7 @@
 			progress(min(1, now/end))
 		}
 		if len(w.queue.heap) > 0 {
-			timer.Reset(time.Duration(math.Ceil((w.queue.heap[0].at - now) * 1e6))) // cut down, it would fire before what is due
+			timer.Reset(time.Duration(math.Ceil((w.queue.heap[0].at - now) * 1e6))) // rounded down, the timer would fire before the event is due
 		}
 		select {
 		case do := <-w.posted:
@@ -157,17 +158,17 @@
 	return behind, nil
 }
 
-// Now is the day's clock, ms.
+// Now returns the clock of the run, ms.
 func (w *World) Now() float64 { return w.now }
 
-// TryTaken says that a try's last byte has been written to a connection that its door's machine accepted.
+// TryTaken reports that the last byte of a try was written to an accepted connection of its door.
 func (w *World) TryTaken(t *Try) {
 	if d := w.doors[t.Door]; d.up && d.incarnation == t.incarnation && !t.over && !t.taken {
 		w.markTaken(d, t)
 	}
 }
 
-// TryNotRead is a try that its door never read: it had closed the connection before.
+// TryNotRead reports that the door closed the connection before it read the try.
 func (w *World) TryNotRead(t *Try) {
 	if t.taken && !t.answered {
 		t.taken = false
@@ -175,7 +176,7 @@
 	}
 }
 
-// TryAnswered is a whole final answer at the client.
+// TryAnswered reports that the client has received a complete final answer.
 func (w *World) TryAnswered(t *Try, a trace.Answer, retryAfter float64) {
 	if t.taken && !t.answered {
 		w.emit(trace.Event{Kind: trace.Answered, Try: t.ID, Door: t.Door, Answer: a})
@@ -184,10 +185,11 @@
 	w.clients.receiveAnswer(w, t)
 }
 
-// TryNotAccepted is a try that no door accepted.
+// TryNotAccepted reports that the door did not accept the connection of a try.
 func (w *World) TryNotAccepted(t *Try) { w.clients.unreachable(w, t) }
 
-// TryConnectionLost is a try whose connection ended without a whole answer. A door that was killed owes nothing.
+// TryConnectionLost reports that the connection of a try ended without a complete answer. This is an error of the door unless it
+// was killed.
 func (w *World) TryConnectionLost(t *Try) {
 	if t.over {
 		return
@@ -198,12 +200,13 @@
 	w.clients.connectionLost(w, t)
 }
 
-// externalCaller answers an attempt that came from outside.
+// externalCaller passes the result of an attempt on to an external door.
 type externalCaller struct {
 	door  int
 	reply func(r gate.Result, use float64)
 }
 
+// Ended implements Caller.
 func (o externalCaller) Ended(w *World, j *Job, r gate.Result) {
 	if j.closed {
 		return
@@ -215,10 +218,11 @@
 	o.reply(r, w.meter.use(w, j.Try.request.customer, w.s.Plans[plan].PerS/1000))
 }
 
-// AttemptArrived is an attempt that has come whole to a backend. reply is called once, unless the backend stays silent.
+// AttemptArrived reports that the request of an attempt arrived in full at a backend. reply is called once, unless the backend
+// stays silent.
 func (w *World) AttemptArrived(door, backend int, t *Try, number int, connected bool, reply func(r gate.Result, use float64)) *Job {
 	b := w.backends[backend]
-	if !t.taken { // the news of its being taken comes another way, and may be behind
+	if !t.taken { // TryTaken is posted by another goroutine and may come later
 		w.TryTaken(t)
 	}
 	j := &Job{Try: t, Number: number, Backend: backend, sentAt: w.now, incarnation: b.incarnation, newConn: connected, caller: externalCaller{door, reply}}
@@ -232,7 +236,7 @@
 	return j
 }
 
-// AttemptAbandoned is an attempt whose door has ended the connection before its answer.
+// AttemptAbandoned reports that the door closed the connection of an attempt before its answer.
 func (w *World) AttemptAbandoned(j *Job) {
 	if j.closed {
 		return
@@ -244,12 +248,12 @@
 	b.cancel(w, j)
 }
 
-// Connected counts a new connection to a backend, and tells whether it takes it.
+// Connected reports a new connection to a backend. It returns whether the backend accepts it.
 func (w *World) Connected(door, backend int) bool {
 	b := w.backends[backend]
 	most := b.maxConns
-	if much, is := b.faultMagnitude("few_conns", -1); is {
-		most = int(much)
+	if magnitude, active := b.faultMagnitude("few_conns", -1); active {
+		most = int(magnitude)
 	}
 	_, refuses := b.faultMagnitude("refuse", -1)
 	if !b.up || refuses || b.openConns >= most {
@@ -260,17 +264,18 @@
 	return true
 }
 
-// Disconnected is its end.
-func (w *World) Disconnected(backend, life int) {
-	if b := w.backends[backend]; b.incarnation == life && b.openConns > 0 {
+// Disconnected reports the end of a connection to an incarnation of a backend.
+func (w *World) Disconnected(backend, incarnation int) {
+	if b := w.backends[backend]; b.incarnation == incarnation && b.openConns > 0 {
 		b.openConns--
 	}
 }
 
-// BackendIncarnation is the number of a backend's present process.
+// BackendIncarnation returns the number of a backend's present process.
 func (w *World) BackendIncarnation(backend int) int { return w.backends[backend].incarnation }
 
-// ExternalCounterCall is a call of the counter from outside; reply is called once, unless the call or its answer is lost.
+// ExternalCounterCall makes a call of an external door to the counter. reply is called once, unless the call or its reply is
+// lost.
 func (w *World) ExternalCounterCall(door int, id string, add, keep float64, reply func(r gate.Result, total float64)) {
 	w.emit(trace.Event{Kind: trace.Counted, Door: door})
 	if _, down := w.faultMagnitude("counter_down"); down || w.partitioned(w.doors[door].zone, 0) {
--- a/lab/model/outer_test.go
+++ b/lab/model/external_test.go
@@ -13,8 +13,8 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// stallingDoor holds a world up: between what is due and what is posted all day long, and at a submit near the day's end until
-// after it. It stands for every door outside, and answers nobody.
+// stallingDoor stalls a run: between events and posted calls all the time, and at a Submit near the end of the run until after
+// it. It stands in for every external door and never answers.
 type stallingDoor struct {
 	w     *World
 	began time.Time
@@ -29,7 +29,7 @@
 func (*stallingDoor) BackendProcess(int, bool)         {}
 
 const (
-	stall   = 90 * time.Millisecond // many arrivals of the town
+	stall   = 90 * time.Millisecond // time of many arrivals of the base scenario
 	nearEnd = 200 * time.Millisecond
 	pastEnd = 400 * time.Millisecond
 )
@@ -40,7 +40,7 @@
 	}
 }
 
-// progress stops the world where a crowded machine may: with its clock read, and something posted.
+// progress stalls the run at a point where an overloaded machine may: after it has read the clock, with a call posted.
 func (h *stallingDoor) progress(float64) {
 	if len(h.w.posted) == 0 {
 		h.w.posted <- func() {}
@@ -48,6 +48,7 @@
 	time.Sleep(stall)
 }
 
+// requestsOf returns the requests made in a run.
 func requestsOf(k *eventLog) (out []trace.Event) {
 	for _, e := range k.ofKind(trace.Asked) {
 		out = append(out, trace.Event{At: e.At, Want: e.Want, Customer: e.Customer, Plan: e.Plan, Class: e.Class, Units: e.Units})
@@ -55,6 +56,7 @@
 	return out
 }
 
+// requestsInRealTime returns the requests made in a real-time run that stalls.
 func requestsInRealTime(t *testing.T, s *scenario.Scenario, seed uint64) []trace.Event {
 	k := &eventLog{}
 	synctest.Test(t, func(t *testing.T) {
@@ -66,13 +68,14 @@
 		h.w = NewExternal(s, seed, doors, k)
 		behind, err := h.w.RunRealTime(t.Context(), func() (bool, error) { return true, nil }, h.progress)
 		require.NoError(t, err)
-		require.Greater(t, behind, float64((pastEnd - nearEnd).Milliseconds()), "the world was not held up past the end")
+		require.Greater(t, behind, float64((pastEnd - nearEnd).Milliseconds()), "the run was not stalled past its end")
 	})
 	return requestsOf(k)
 }
 
-// A crowded machine runs the world late. What fell due past the day's end while it was held up was asked all the same
-// (one request more than simulated), and bursts were drawn by the late clock instead of the arrival's own.
+// On an overloaded machine a real-time run falls behind its schedule. Two errors came of it: arrivals due past the end of the
+// run were still made if it was stalled there (one request more than simulated), and bursts followed the late clock instead of
+// the intended time of each arrival.
 func TestStalledRealTimeRunMakesSimulatedRequests(t *testing.T) {
 	load := func(shape string) func(*scenario.Scenario) {
 		return func(s *scenario.Scenario) { s.Load.Shape, s.Load.Swing = shape, 0.6 }
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -65,7 +65,7 @@
 	return &s
 }
 
-// eventLog keeps a day's events, and a sum of them.
+// eventLog records the events of a run, and a checksum of them.
 type eventLog struct {
 	events []trace.Event
 	sum    hash.Hash64
@@ -78,7 +78,7 @@
 	}
 }
 
-// ofKind lists the events ofKind a kind.
+// ofKind returns the events of a kind.
 func (k *eventLog) ofKind(kind trace.Kind) (out []trace.Event) {
 	for _, e := range k.events {
 		if e.Kind == kind {
@@ -98,7 +98,7 @@
 
 func TestSameSeedGivesSameRunOnAnyNumberOfCores(t *testing.T) {
 	s := read(t, "\n[[fault]]\nkind = \"door_deaths\"\nat_s = 2.0\nfor_s = 1.0\nshare = 0.5\n[[fault]]\nkind = \"replace\"\nat_s = 1.0\nfor_s = 2.0\nshare = 0.5\nmuch = 1.0")
-	s.Fleet.Doors = 12 // enough that they are asked side by side
+	s.Fleet.Doors = 12 // enough that deciders run concurrently
 	first := runScenario(t, s, 3, policyMaker)
 	before := runtime.GOMAXPROCS(1)
 	alone := runScenario(t, s, 3, policyMaker)
@@ -117,14 +117,14 @@
 
 func (rejecter) Decide(_ float64, events []gate.Event) (out []gate.Action) {
 	for _, e := range events {
-		if o, is := e.(gate.Request); is {
+		if o, ok := e.(gate.Request); ok {
 			out = append(out, gate.Reject{Op: o.Op})
 		}
 	}
 	return out
 }
 
-// timeoutDecider sends each request once with a cap, and counts its ends.
+// timeoutDecider sends each request once with a timeout, and counts the results.
 type timeoutDecider struct {
 	limit float64
 	ends  map[gate.Result]int
@@ -145,7 +145,7 @@
 	return out
 }
 
-// A request whose answer and time-out fall on the same instant ends once.
+// An attempt whose answer and timeout fall on the same instant must end once.
 func TestAnswerAndTimeoutAtSameInstantEndAttemptOnce(t *testing.T) {
 	s := read(t, "")
 	d := &timeoutDecider{ends: map[gate.Result]int{}}
@@ -176,7 +176,7 @@
 	assert.Equal(t, trace.Finished, try.answer)
 }
 
-// timerDecider asks once to be woken, and notes when it is.
+// timerDecider sets one timer and records when it fires.
 type timerDecider struct {
 	asked   bool
 	firedAt *float64
@@ -198,32 +198,32 @@
 	return out
 }
 
-// A hunt found a request answered 50 ms after its client's wait: its door's wake was lost where it decided on
-// something else before.
+// Guards against a lost timer: a door that decided for another reason before its timer was due forgot the timer, and a
+// randomized search found a request that was answered 50 ms after its client's timeout.
 func TestTimerSurvivesEarlierDecision(t *testing.T) {
 	s := read(t, "")
-	woken := 0.0
-	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return &timerDecider{firedAt: &woken} }}, &eventLog{})
+	firedAt := 0.0
+	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return &timerDecider{firedAt: &firedAt} }}, &eventLog{})
 	d := w.doors[0]
 	d.start(w)
-	turn := func(at float64) {
+	decideAt := func(at float64) {
 		w.now = at
 		w.deciding = append(w.deciding[:0], d)
 		w.decide()
 	}
-	turn(0)
+	decideAt(0)
 	w.now = 5
 	d.submit(w, &Try{request: &clientRequest{units: 1, deadline: 5000}, deadline: 1000})
-	turn(5)
-	for len(w.queue.heap) > 0 && woken == 0 {
+	decideAt(5)
+	for len(w.queue.heap) > 0 && firedAt == 0 {
 		if next := w.queue.pop(); next.kind == eventDecide && next.index == 0 {
-			turn(next.at)
+			decideAt(next.at)
 		}
 	}
-	assert.Equal(t, 20.0, woken)
+	assert.Equal(t, 20.0, firedAt)
 }
 
-// counterDecider makes one call of the counter for each request.
+// counterDecider makes one counter call for each request and counts the replies.
 type counterDecider struct{ replies *int }
 
 func (d counterDecider) Decide(_ float64, events []gate.Event) (out []gate.Action) {
@@ -238,11 +238,11 @@
 	return out
 }
 
-// A counter that answers after its caller is dead adds what it was told to, and nobody hears of it.
+// A counter call whose caller has crashed is still counted, but its reply is not delivered to the next incarnation.
 func TestCounterReplyToCrashedDoorIsDropped(t *testing.T) {
 	s := read(t, "")
-	heard := 0
-	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return counterDecider{&heard} }}, &eventLog{})
+	replies := 0
+	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return counterDecider{&replies} }}, &eventLog{})
 	d := w.doors[0]
 	d.start(w)
 	d.submit(w, &Try{request: &clientRequest{units: 1, deadline: 5000}, deadline: 1000})
@@ -261,10 +261,10 @@
 	}
 	assert.Equal(t, 1.0, w.counter.totals[counterKey{0, 1}].total)
 	assert.Empty(t, d.inbox)
-	assert.Zero(t, heard)
+	assert.Zero(t, replies)
 }
 
-// A group that forgets a mark a millisecond before its repeat comes lets the request run twice.
+// A group that forgets an idempotency key a millisecond before a repeat arrives lets the request run twice.
 func TestForgottenKeyLetsRequestRunTwice(t *testing.T) {
 	s := read(t, "\n[[fault]]\nkind = \"forget_tokens\"\nat_s = 0.0\nfor_s = 5.0\nmuch = 1.0")
 	k := &eventLog{}
@@ -273,7 +273,7 @@
 	w.now = 100
 	w.recordEffect(b, try)
 	w.now = 100 + 400
-	assert.True(t, w.isDuplicate(b, try), "within its window")
+	assert.True(t, w.isDuplicate(b, try), "within the deduplication window")
 	b.faults = []*activeFault{{fault: &s.Faults[0], class: -1}}
 	assert.False(t, w.isDuplicate(b, try), "forgotten a millisecond early")
 	w.recordEffect(b, try)
@@ -294,14 +294,14 @@
 		case trace.Asked:
 			open[e.Want] = true
 		case trace.Got, trace.GaveUp:
-			assert.True(t, open[e.Want], "each want ends once")
+			assert.True(t, open[e.Want], "each request ends once")
 			delete(open, e.Want)
 		}
 	}
-	assert.Empty(t, open, "and all end")
+	assert.Empty(t, open, "every request ends")
 }
 
-// A split counter shows even and odd doors totals of their own, and keeps the even ones' when it heals.
+// A split counter keeps separate totals for doors with even and odd numbers, and keeps those of the even ones when it heals.
 func TestSplitCounterKeepsSeparateTotals(t *testing.T) {
 	s := read(t, "")
 	w := New(s, 1, policyMaker, &eventLog{})
@@ -340,7 +340,7 @@
 	})
 }
 
-// Work is neither lost nor made: what a backend serves in a time is what its cores can do.
+// Work is conserved: a backend takes as long for a number of jobs as its cores need for their work.
 func TestBackendServesAtItsCapacity(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := read(t, "")
