--- a/lab/stand/backend.go
+++ b/lab/stand/backend.go
@@ -14,7 +14,8 @@
 	"github.com/swifthall/swifthall/lab/model"
 )
 
-// backendListener is where one door reaches one backend. While the backend's process does not run, nobody listens there.
+// backendListener is the address at which one door reaches one backend. It refuses connections while the backend's process does
+// not run.
 type backendListener struct {
 	f             *testbed
 	door, backend int
@@ -37,7 +38,7 @@
 	return a, nil
 }
 
-// serve takes connections in until the listener ends.
+// serve accepts connections until the listener is closed.
 func (a *backendListener) serve(ln net.Listener) {
 	a.mu.Lock()
 	a.ln = ln
@@ -56,7 +57,7 @@
 	})
 }
 
-// setUp has the address follow its backend's process: with a new life all connections are reset.
+// setUp follows the start or end of the backend's process, which resets all connections.
 func (a *backendListener) setUp(up bool) {
 	a.mu.Lock()
 	ln := a.ln
@@ -69,12 +70,13 @@
 	}
 	a.mu.Unlock()
 	if up && ln == nil && !a.f.over.Load() {
-		if again, err := a.f.listen(a.addr); err == nil {
-			a.serve(again)
+		if reopened, err := a.f.listen(a.addr); err == nil {
+			a.serve(reopened)
 		}
 	}
 }
 
+// close closes the listener and its connections.
 func (a *backendListener) close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -87,7 +89,7 @@
 	}
 }
 
-// reset ends a connection so that the other side sees it broken.
+// reset closes a connection with a TCP reset.
 func reset(nc net.Conn) {
 	if tcp, ok := nc.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -95,20 +97,20 @@
 	nc.Close()
 }
 
-// attemptResult is what a backend's stand-in sends, or does, for one attempt.
+// attemptResult is the result of an attempt as the model determined it, with the metered use to report.
 type attemptResult struct {
 	result gate.Result
 	use    float64
 }
 
-const maxBody = 64 << 10 // bytes of a request
+const maxBody = 64 << 10 // most bytes of a request
 
-// serveConn serves one connection. One that the backend does not take is reset.
+// serveConn serves one connection. It is reset if the backend does not accept it.
 func (a *backendListener) serveConn(nc net.Conn) {
-	taken, life := make(chan bool, 1), 0
+	accepted, incarnation := make(chan bool, 1), 0
 	a.f.post(func() {
-		life = a.f.world.BackendIncarnation(a.backend)
-		taken <- a.f.world.Connected(a.door, a.backend)
+		incarnation = a.f.world.BackendIncarnation(a.backend)
+		accepted <- a.f.world.Connected(a.door, a.backend)
 	})
 	defer func() {
 		a.mu.Lock()
@@ -117,7 +119,7 @@
 		nc.Close()
 	}()
 	select {
-	case ok := <-taken:
+	case ok := <-accepted:
 		if !ok {
 			reset(nc)
 			return
@@ -125,13 +127,13 @@
 	case <-a.f.ctx.Done():
 		return
 	}
-	defer a.f.post(func() { a.f.world.Disconnected(a.backend, life) })
-	ops, gone := make(chan request), make(chan struct{})
-	a.f.spawn(func() { a.readRequests(nc, ops, gone) })
-	for fresh := true; ; fresh = false {
+	defer a.f.post(func() { a.f.world.Disconnected(a.backend, incarnation) })
+	requests, gone := make(chan request), make(chan struct{})
+	a.f.spawn(func() { a.readRequests(nc, requests, gone) })
+	for newConn := true; ; newConn = false {
 		select {
-		case op := <-ops:
-			if !a.serveRequest(nc, op, gone, fresh) {
+		case req := <-requests:
+			if !a.serveRequest(nc, req, gone, newConn) {
 				return
 			}
 		case <-gone:
@@ -142,14 +144,14 @@
 	}
 }
 
-// request is one that has come whole.
+// request is a request that was received in full.
 type request struct {
 	id   string
 	body []byte
 }
 
-// readRequests takes requests off a connection, one by one, and notices when the door ends it.
-func (a *backendListener) readRequests(nc net.Conn, ops chan<- request, gone chan<- struct{}) {
+// readRequests reads the requests of a connection one by one, and closes gone when the door closes the connection.
+func (a *backendListener) readRequests(nc net.Conn, requests chan<- request, gone chan<- struct{}) {
 	defer close(gone)
 	for r := bufio.NewReader(nc); ; {
 		req, err := http.ReadRequest(r)
@@ -161,48 +163,48 @@
 			return
 		}
 		select {
-		case ops <- request{req.Header.Get("X-Txn"), body}:
+		case requests <- request{req.Header.Get("X-Txn"), body}:
 		case <-a.f.ctx.Done():
 			return
 		}
 	}
 }
 
-// serveRequest serves serveRequest request, and tells whether the connection goes on.
-func (a *backendListener) serveRequest(nc net.Conn, op request, gone <-chan struct{}, fresh bool) bool {
-	t := a.f.findTry(op.id)
+// serveRequest serves one request and reports whether the connection stays open.
+func (a *backendListener) serveRequest(nc net.Conn, req request, gone <-chan struct{}, newConn bool) bool {
+	t := a.f.findTry(req.id)
 	if t == nil {
 		fmt.Fprintf(nc, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	come := make(chan attemptResult, 1)
+	results := make(chan attemptResult, 1)
 	var job *model.Job
 	a.f.post(func() {
 		a.f.mu.Lock()
 		number := a.f.attempts[t.ID]
 		a.f.attempts[t.ID]++
 		a.f.mu.Unlock()
-		job = a.f.world.AttemptArrived(a.door, a.backend, t, number, fresh, func(res gate.Result, use float64) { come <- attemptResult{res, use} })
+		job = a.f.world.AttemptArrived(a.door, a.backend, t, number, newConn, func(result gate.Result, use float64) { results <- attemptResult{result, use} })
 	})
 	select {
 	case <-a.f.ctx.Done():
 		return false
-	case <-gone: // the door ends its connection when it gives the attempt up
+	case <-gone: // a door that gives an attempt up closes its connection
 		a.f.post(func() { a.f.world.AttemptAbandoned(job) })
 		return false
-	case got := <-come:
-		return a.writeResult(nc, got, op.id)
+	case res := <-results:
+		return a.writeResult(nc, res, req.id)
 	}
 }
 
-// writeResult words a result on the wire.
-func (a *backendListener) writeResult(nc net.Conn, got attemptResult, id string) bool {
+// writeResult writes a result to the connection and reports whether the connection stays open.
+func (a *backendListener) writeResult(nc net.Conn, res attemptResult, id string) bool {
 	head := ""
-	if got.use >= 0 {
-		head = "X-Allowance-Used: " + strconv.FormatFloat(100*got.use, 'f', 2, 64) + "\r\n"
+	if res.use >= 0 {
+		head = "X-Allowance-Used: " + strconv.FormatFloat(100*res.use, 'f', 2, 64) + "\r\n"
 	}
 	var err error
-	switch got.result {
+	switch res.result {
 	case gate.Finished:
 		text := "done " + id
 		_, err = fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", head, len(text), text)
--- a/lab/stand/beside.go
+++ b/lab/stand/beside.go
@@ -25,25 +25,26 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// Beside loads a door and the standard library's reverse proxy, each on one and the same core, in turns of one run.
+// ProxyComparison compares a door with the standard library's reverse proxy under load. Both are bound to the same core and
+// measured in turns.
 type Beside struct {
-	Binary string   // the door's program
-	Proxy  []string // the proxy's program with its arguments; backends' addresses follow
+	Binary string   // path of the door's program
+	Proxy  []string // the proxy's program and arguments; its address and the backends' are appended
 	Rates  []float64
-	For    time.Duration // of one turn
+	For    time.Duration // length of one turn
 	Rounds int
 	Conns  int
-	Knee   load.Knee // its rate, latency and steps; the rest is filled in
+	Knee   load.Knee // first rate, latency limit and steps of the search; Run fills in the rest
 }
 
-// Row is what one of the two did at one rate, over all rounds.
+// ComparisonRow is the result of one target at one rate, over all rounds.
 type Row struct {
 	Name    string
-	Rate    float64 // asked for
-	Served  float64 // finished a second
+	Rate    float64 // requested rate, per second
+	Served  float64 // finished requests per second
 	Lost    int     // rejected or failed
 	Latency *hdrhistogram.Histogram
-	CPU     time.Duration // used, a thousand requests
+	CPU     time.Duration // CPU time per thousand requests
 }
 
 const (
@@ -52,7 +53,7 @@
 	clientTimeoutMs   = 2000 // ms
 )
 
-// instant is a world in which a door has nothing to decide: ample quotas, short work.
+// trivialScenario leaves a door nothing to decide: ample quotas and short work.
 var trivialScenario = scenario.Scenario{
 	Name:    "beside",
 	Fleet:   scenario.Fleet{Doors: 1, Backends: comparedBackends, Zones: 1, CellSize: 1},
@@ -65,17 +66,18 @@
 	Plans:   []scenario.Plan{{Name: "ample", PerS: 1e6, Depth: 1e6, Price: 1}},
 }
 
-// Run plays the rounds, and searches each one's knee. tell hears each turn as it ends.
-func (b Beside) Run(ctx context.Context, tell func(name string, rate float64, o *load.Outcome)) (rows []Row, knees map[string]float64, err error) {
+// Run measures all rounds, then searches the knee of each target: the highest rate that it sustains. report, which may be nil,
+// is called after each turn.
+func (b Beside) Run(ctx context.Context, report func(name string, rate float64, o *load.Outcome)) (rows []Row, knees map[string]float64, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	f := &testbed{ctx: ctx, cfg: &Play{Scenario: &trivialScenario, Binary: b.Binary}}
-	f.over.Store(true) // no world plays: the backends here answer at once
+	f.over.Store(true) // there is no run of the model: the backends here answer at once
 	defer f.group.Wait()
 	defer f.close()
 	defer stop()
 	var addrs []string
 	var entries []registry.Entry
-	var lines []model.BackendEntry
+	var states []model.BackendEntry
 	for i := range comparedBackends {
 		ln, err := f.listen("127.0.0.1:0")
 		if err != nil {
@@ -86,20 +88,20 @@
 		f.onClose(func() { srv.Close() })
 		addrs = append(addrs, ln.Addr().String())
 		entries = append(entries, registry.Entry{ID: fmt.Sprintf("b-%d", i), Addr: addrs[i], Zone: "z", State: "Ready", Size: 1})
-		lines = append(lines, model.BackendEntry{Backend: i})
+		states = append(states, model.BackendEntry{Backend: i})
 	}
 	d, err := newDoor(f, 0)
 	if err != nil {
 		return nil, nil, err
 	}
-	d.discovery.publish(true, entries, lines)
+	d.discovery.publish(true, entries, states)
 	list := registry.List{Version: d.discovery.version, Whole: true, Backends: entries}
-	core, back, err := pinToOneCore()
+	core, restore, err := pinToOneCore()
 	if err != nil {
 		return nil, nil, err
 	}
 	proxyAt, proxy, err := b.start(d, list, addrs)
-	back()
+	restore()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -116,15 +118,15 @@
 	word := func(at string, seed uint64) func(int) string {
 		return load.Door{Host: at, Class: "look", Plan: "ample", Customers: comparedCustomers, Wait: clientTimeoutMs, Seed: seed}.Word
 	}
-	const patience = 5 * time.Second
+	const timeout = 5 * time.Second
 	for _, rate := range b.Rates {
-		here := make([]Row, len(targets))
+		rateRows := make([]Row, len(targets))
 		for round := range b.Rounds {
 			for i := range targets {
-				t := targets[(i+round)%len(targets)] // each goes first in turn
-				row := &here[(i+round)%len(targets)]
+				t := targets[(i+round)%len(targets)] // the targets take turns in going first
+				row := &rateRows[(i+round)%len(targets)]
 				before := cpuTime(t.pid())
-				r := load.Run{Target: t.at, Rate: rate, For: b.For, Conns: b.Conns, Patience: patience, Poisson: true, Seed: uint64(round) + 1,
+				r := load.Run{Target: t.at, Rate: rate, For: b.For, Conns: b.Conns, Patience: timeout, Poisson: true, Seed: uint64(round) + 1,
 					Word: word(t.at, uint64(round)+uint64(rate)<<8)}
 				o, err := r.Play(ctx, nil)
 				if err != nil {
@@ -138,20 +140,20 @@
 				row.Served += o.Rate() / float64(b.Rounds)
 				row.Lost += o.Rejected + o.Failed
 				row.CPU += time.Duration(float64(cpuTime(t.pid())-before) * 1000 / max(1, float64(o.Asked)) / float64(b.Rounds))
-				if tell != nil {
-					tell(t.name, rate, o)
+				if report != nil {
+					report(t.name, rate, o)
 				}
 			}
 		}
-		rows = append(rows, here...)
+		rows = append(rows, rateRows...)
 	}
 	knees = map[string]float64{}
 	for _, t := range targets {
 		k := b.Knee
-		k.Run.Target, k.Run.Conns, k.Run.For, k.Run.Patience, k.Run.Poisson, k.Run.Word = t.at, b.Conns, b.For, patience, true, word(t.at, 99)
+		k.Run.Target, k.Run.Conns, k.Run.For, k.Run.Patience, k.Run.Poisson, k.Run.Word = t.at, b.Conns, b.For, timeout, true, word(t.at, 99)
 		rate, _, err := k.Find(ctx, func(s load.Step) {
-			if tell != nil {
-				tell(t.name, s.Rate, s.Outcome)
+			if report != nil {
+				report(t.name, s.Rate, s.Outcome)
 			}
 		})
 		if err != nil {
@@ -162,7 +164,7 @@
 	return rows, knees, nil
 }
 
-// start starts both programs from a thread that is bound to one core, which they inherit.
+// start starts both programs. They inherit the CPU affinity of the calling thread.
 func (b Beside) start(d *door, list registry.List, backends []string) (at string, proxy *exec.Cmd, err error) {
 	raw, err := json.Marshal(d.config(list))
 	if err != nil {
@@ -187,17 +189,17 @@
 	return at, proxy, nil
 }
 
-// pinToOneCore binds the calling thread to the last core that it may use; back undoes that.
-func pinToOneCore() (core int, back func(), err error) {
+// pinToOneCore binds the calling thread to the last core that it may use. restore undoes that.
+func pinToOneCore() (core int, restore func(), err error) {
 	runtime.LockOSThread()
-	var had, one unix.CPUSet
-	if err := unix.SchedGetaffinity(0, &had); err != nil {
+	var allowed, one unix.CPUSet
+	if err := unix.SchedGetaffinity(0, &allowed); err != nil {
 		runtime.UnlockOSThread()
 		return 0, nil, &ComponentError{"cores", "", err}
 	}
 	core = -1
-	for i := range len(had) * 64 {
-		if had.IsSet(i) {
+	for i := range len(allowed) * 64 {
+		if allowed.IsSet(i) {
 			core = i
 		}
 	}
@@ -207,12 +209,12 @@
 		return 0, nil, &ComponentError{fmt.Sprintf("core %d", core), "", err}
 	}
 	return core, func() {
-		_ = unix.SchedSetaffinity(0, &had)
+		_ = unix.SchedSetaffinity(0, &allowed)
 		runtime.UnlockOSThread()
 	}, nil
 }
 
-// waitReady waits until something waitReady at an address.
+// waitReady waits until the server at an address is ready.
 func waitReady(ctx context.Context, at string) error {
 	client := http.Client{Timeout: dialTimeout}
 	for range 200 {
@@ -229,10 +231,10 @@
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	return &ComponentError{at, "it does not answer", nil}
+	return &ComponentError{at, "does not answer", nil}
 }
 
-// ServeProxy is the standard library's reverse proxy over some backends, taken in turn. It ends with ctx.
+// ServeProxy serves the standard library's reverse proxy, which uses the backends in turn, until ctx ends.
 func ServeProxy(ctx context.Context, at string, backends []string) error {
 	var next atomic.Uint64
 	var urls []*url.URL
--- a/lab/stand/client.go
+++ b/lab/stand/client.go
@@ -15,15 +15,17 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// clientConns keeps connections to one door, as the front does: one request at a time on each, more when all are busy.
+// clientConns is the pool of connections to one door, used as the load balancer in front of it does: one request at a time on
+// each, and a new connection when all are busy.
 type clientConns struct {
 	f       *testbed
 	target  string
 	mu      sync.Mutex
 	idle    []*conn
-	cancels map[int]context.CancelFunc // by try
+	cancels map[int]context.CancelFunc // by id of the try
 }
 
+// conn is a connection; reused is set once it has carried a request.
 type conn struct {
 	nc     net.Conn
 	r      *bufio.Reader
@@ -32,6 +34,7 @@
 
 const dialTimeout = 250 * time.Millisecond
 
+// get removes an idle connection from the pool, or returns nil.
 func (c *clientConns) get() *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,6 +46,7 @@
 	return nil
 }
 
+// put returns a connection to the pool.
 func (c *clientConns) put(k *conn) {
 	k.reused = true
 	c.mu.Lock()
@@ -50,6 +54,7 @@
 	c.idle = append(c.idle, k)
 }
 
+// closeIdle closes the idle connections.
 func (c *clientConns) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,8 +64,8 @@
 	c.idle = nil
 }
 
-// submit sends a try. The world's goroutine calls it and is not kept waiting.
-func (c *clientConns) submit(t *model.Try, word model.WireRequest) {
+// submit sends a try in the background. It is called on the model's goroutine and does not block.
+func (c *clientConns) submit(t *model.Try, req model.WireRequest) {
 	ctx, stop := context.WithCancel(c.f.ctx)
 	c.mu.Lock()
 	c.cancels[t.ID] = stop
@@ -72,11 +77,11 @@
 			delete(c.cancels, t.ID)
 			c.mu.Unlock()
 		}()
-		c.send(ctx, t, word)
+		c.send(ctx, t, req)
 	})
 }
 
-// clientLeft closes the connection of a try whose client has gone.
+// clientLeft closes the connection of a try whose client left.
 func (c *clientConns) clientLeft(t *model.Try) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,9 +90,10 @@
 	}
 }
 
-// send carries one try. One that crosses the door's closing of an idle connection is sent once more.
-func (c *clientConns) send(ctx context.Context, t *model.Try, word model.WireRequest) {
-	text := requestText(c.target, t, word)
+// send sends one try and reads its answer. If the door closed the idle connection in the meantime, the try is sent again on
+// another one.
+func (c *clientConns) send(ctx context.Context, t *model.Try, req model.WireRequest) {
+	text := requestText(c.target, t, req)
 	for {
 		k := c.get()
 		if k == nil {
@@ -121,7 +127,7 @@
 	}
 }
 
-// readAnswer reads the answer; again means that the connection had been closed before the try came.
+// readAnswer reads the answer. It returns again if the door closed the connection before it read the try.
 func (c *clientConns) readAnswer(ctx context.Context, t *model.Try, k *conn, used bool) (again bool) {
 	if _, err := k.r.Peek(1); err != nil && used && ctx.Err() == nil {
 		k.nc.Close()
@@ -158,19 +164,20 @@
 	return false
 }
 
-// requestText words a try.
-func requestText(to string, t *model.Try, w model.WireRequest) string {
-	method, rest := http.MethodPost, fmt.Sprintf("Idempotency-Key: %032x\r\nContent-Length: 4\r\n", w.RequestID+1)
+// requestText returns the HTTP request of a try.
+func requestText(to string, t *model.Try, req model.WireRequest) string {
+	method, headers := http.MethodPost, fmt.Sprintf("Idempotency-Key: %032x\r\nContent-Length: 4\r\n", req.RequestID+1)
 	body := "ride"
-	if w.Idempotent {
-		method, rest, body = http.MethodGet, "", ""
+	if req.Idempotent {
+		method, headers, body = http.MethodGet, "", ""
 	}
-	if w.Retry {
-		rest += "X-Resent: 1\r\n"
+	if req.Retry {
+		headers += "X-Resent: 1\r\n"
 	}
 	return fmt.Sprintf("%s /%s?key=%016x HTTP/1.1\r\nHost: %s\r\nX-Txn: %s\r\nX-Tariff: %s\r\nX-Remaining: %dm\r\n"+
-		"X-Weight: units=%g,spread=%d,first=%d\r\n%s\r\n%s", method, w.Class, w.Customer, to, txnID(t.ID), w.Plan, int(w.TTL),
-		w.Units, w.Spread, w.FirstDoor, rest, body)
+		"X-Weight: units=%g,spread=%d,first=%d\r\n%s\r\n%s", method, req.Class, req.Customer, to, txnID(t.ID), req.Plan, int(req.TTL),
+		req.Units, req.Spread, req.FirstDoor, headers, body)
 }
 
+// txnID returns the transaction id of a try.
 func txnID(try int) string { return fmt.Sprintf("%016x", try+1) }
--- a/lab/stand/counter.go
+++ b/lab/stand/counter.go
@@ -20,8 +20,8 @@
 	if n < 1 || n > 16 {
 		return nil, errCall
 	}
-	words := make([]string, n)
-	for i := range words {
+	args := make([]string, n)
+	for i := range args {
 		size, err := readCount(r, '$')
 		if err != nil {
 			return nil, err
@@ -33,11 +33,12 @@
 		if _, err := io.ReadFull(r, raw); err != nil {
 			return nil, err
 		}
-		words[i] = string(raw[:size])
+		args[i] = string(raw[:size])
 	}
-	return words, nil
+	return args, nil
 }
 
+// readCount reads the length line of an array or string.
 func readCount(r *bufio.Reader, kind byte) (int, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
@@ -50,15 +51,15 @@
 	return strconv.Atoi(line[1:])
 }
 
-// serveCounter serves a door's connections to the counter. Answers keep the order of the calls.
+// serveCounter serves one connection of a door to the counter. Replies are sent in the order of the calls.
 func (f *testbed) serveCounter(door int, nc net.Conn) {
 	defer nc.Close()
-	turns := make(chan chan string, 1024)
-	defer close(turns)
+	replies := make(chan chan string, 1024)
+	defer close(replies)
 	f.spawn(func() {
-		for turn := range turns {
+		for reply := range replies {
 			select {
-			case text := <-turn:
+			case text := <-reply:
 				if _, err := io.WriteString(nc, text); err != nil {
 					nc.Close()
 				}
@@ -68,40 +69,40 @@
 		}
 	})
 	for r := bufio.NewReader(nc); ; {
-		words, err := readCall(r)
+		args, err := readCall(r)
 		if err != nil {
 			return
 		}
-		turn := make(chan string, 1)
+		reply := make(chan string, 1)
 		select {
-		case turns <- turn:
+		case replies <- reply:
 		case <-f.ctx.Done():
 			return
 		}
 		switch {
-		case words[0] == "PING":
-			turn <- "+PONG\r\n"
-		case words[0] == "CLIENT" || words[0] == "SELECT":
-			turn <- "+OK\r\n"
-		case words[0] == "TALLY" && len(words) == 4:
-			add, err := strconv.ParseFloat(words[2], 64)
-			keep, err2 := strconv.ParseFloat(words[3], 64)
+		case args[0] == "PING":
+			reply <- "+PONG\r\n"
+		case args[0] == "CLIENT" || args[0] == "SELECT":
+			reply <- "+OK\r\n"
+		case args[0] == "TALLY" && len(args) == 4:
+			add, err := strconv.ParseFloat(args[2], 64)
+			keep, err2 := strconv.ParseFloat(args[3], 64)
 			if err != nil || err2 != nil {
-				turn <- "-ERR amount\r\n"
+				reply <- "-ERR amount\r\n"
 				continue
 			}
 			f.post(func() {
-				f.world.ExternalCounterCall(door, words[1], add, keep, func(r gate.Result, total float64) {
+				f.world.ExternalCounterCall(door, args[1], add, keep, func(r gate.Result, total float64) {
 					if r != gate.Finished {
-						turn <- "-BUSY\r\n"
+						reply <- "-BUSY\r\n"
 						return
 					}
 					text := strconv.FormatFloat(total, 'f', -1, 64)
-					turn <- fmt.Sprintf("$%d\r\n%s\r\n", len(text), text)
+					reply <- fmt.Sprintf("$%d\r\n%s\r\n", len(text), text)
 				})
 			})
 		default:
-			turn <- "-ERR no such call\r\n"
+			reply <- "-ERR no such call\r\n"
 		}
 	}
 }
--- a/lab/stand/cpu.go
+++ b/lab/stand/cpu.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	clockTick     = 10 * time.Millisecond // unit of the kernel's account of a process
-	userTimeField = 11                    // of it, counted behind the program's name
+	clockTick     = 10 * time.Millisecond // unit of the CPU times in /proc/PID/stat
+	userTimeField = 11                    // index of the user time among the fields after the program's name; the system time follows
 )
 
-// cpuTime is the processor time that a process has used, 0 where the kernel does not tell.
+// cpuTime returns the CPU time that a process has used, 0 if it is not available.
 func cpuTime(pid int) time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/lab/stand/discovery.go
+++ b/lab/stand/discovery.go
@@ -12,33 +12,34 @@
 	"github.com/swifthall/swifthall/lab/model"
 )
 
-// discovery is one door's agent: it tells what it has been sent, at once.
+// discovery is the discovery server of one door. It passes on what is published, without delay.
 type discovery struct {
 	mu      sync.Mutex
 	version int64
 	entries map[int]registry.Entry
-	changes []registry.List // since the agent began
-	changed chan struct{}   // closed with each change
+	changes []registry.List // all that were published
+	changed chan struct{}   // closed and replaced with each change
 }
 
 func newDiscovery() *discovery {
 	return &discovery{version: 1, entries: map[int]registry.Entry{}, changed: make(chan struct{})}
 }
 
+// wireStates are the backend states on the wire.
 var wireStates = map[gate.Status]string{gate.Up: "Ready", gate.Draining: "Terminating", gate.Gone: "Gone"}
 
-// publish takes what discovery sends: the whole list, or a change.
-func (d *discovery) publish(whole bool, entries []registry.Entry, of []model.BackendEntry) {
+// publish sends the whole list or a change to the door. states has the state of each entry.
+func (d *discovery) publish(whole bool, entries []registry.Entry, states []model.BackendEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if whole {
 		clear(d.entries)
 	}
 	for i, e := range entries {
-		if of[i].Status == gate.Gone {
-			delete(d.entries, of[i].Backend)
+		if states[i].Status == gate.Gone {
+			delete(d.entries, states[i].Backend)
 		} else {
-			d.entries[of[i].Backend] = e
+			d.entries[states[i].Backend] = e
 		}
 	}
 	d.version++
@@ -50,6 +51,7 @@
 	d.changed = make(chan struct{})
 }
 
+// snapshot returns the present list.
 func (d *discovery) snapshot() registry.List {
 	l := registry.List{Version: d.version, Whole: true, Backends: []registry.Entry{}}
 	for _, e := range d.entries {
@@ -58,15 +60,16 @@
 	return l
 }
 
-const heartbeat = 2 * time.Second // an empty line says that nothing has changed
+const heartbeat = 2 * time.Second // interval of empty lines, which mean no change
 
+// ServeHTTP serves the present list, or a stream of it and its changes.
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/registry/instances" {
 		http.NotFound(w, r)
 		return
 	}
 	d.mu.Lock()
-	next, at, news := d.snapshot(), len(d.changes), d.changed
+	next, at, changed := d.snapshot(), len(d.changes), d.changed
 	d.mu.Unlock()
 	enc := json.NewEncoder(w)
 	if r.URL.Query().Get("stream") != "1" {
@@ -77,8 +80,8 @@
 		next = registry.List{Version: next.Version, Backends: []registry.Entry{}}
 	}
 	flush := http.NewResponseController(w).Flush
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
+	ticker := time.NewTicker(heartbeat)
+	defer ticker.Stop()
 	if enc.Encode(next) != nil || flush() != nil {
 		return
 	}
@@ -86,14 +89,14 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-beat.C:
+		case <-ticker.C:
 			if _, err := w.Write([]byte("\n")); err != nil {
 				return
 			}
-		case <-news:
+		case <-changed:
 			d.mu.Lock()
 			more := d.changes[at:]
-			at, news = len(d.changes), d.changed
+			at, changed = len(d.changes), d.changed
 			d.mu.Unlock()
 			for _, l := range more {
 				if enc.Encode(l) != nil {
--- a/lab/stand/door.go
+++ b/lab/stand/door.go
@@ -25,8 +25,7 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// door is one real door with all that it alone sees: its listener's address, its discovery, its addresses of backends and
-// of the counter.
+// door is one real door with the stand-ins that only it uses: its discovery, its addresses of the backends and of the counter.
 type door struct {
 	f             *testbed
 	number        int
@@ -36,9 +35,9 @@
 	counterAddr   string
 	clients       *clientConns
 	backends      []*backendListener
-	stop          context.CancelFunc // of an embedded door
+	stop          context.CancelFunc // stops an embedded door
 	cmd           *exec.Cmd
-	exitExpected  *atomic.Bool // the program is meant to end; its waiter reads it
+	exitExpected  *atomic.Bool // set before the program is killed; the goroutine that waits for it reads it
 	err           atomic.Pointer[error]
 	incarnation   int
 }
@@ -46,7 +45,7 @@
 func newDoor(f *testbed, number int) (*door, error) {
 	d := &door{f: f, number: number, discovery: newDiscovery()}
 	var err error
-	if d.addr, err = loopback.Free(); err != nil { // it is taken only when the door starts, and again when it is restarted
+	if d.addr, err = loopback.Free(); err != nil { // the door itself listens on it, and again after a restart
 		return nil, err
 	}
 	d.clients = &clientConns{f: f, target: d.addr, cancels: map[int]context.CancelFunc{}}
@@ -55,9 +54,9 @@
 		return nil, err
 	}
 	d.discoveryAddr = ln.Addr().String()
-	agent := &http.Server{Handler: d.discovery}
-	f.spawn(func() { _ = agent.Serve(ln) })
-	f.onClose(func() { agent.Close() })
+	server := &http.Server{Handler: d.discovery}
+	f.spawn(func() { _ = server.Serve(ln) })
+	f.onClose(func() { server.Close() })
 	if f.cfg.Scenario.Counter.On {
 		cl, err := f.listen("127.0.0.1:0")
 		if err != nil {
@@ -81,10 +80,10 @@
 	return d, nil
 }
 
-// registryEntries words lines of the list, with the addresses by which this door reaches the backends.
-func (d *door) registryEntries(lines []model.BackendEntry) []registry.Entry {
+// registryEntries returns fleet list entries as discovery sends them, with this door's addresses of the backends.
+func (d *door) registryEntries(states []model.BackendEntry) []registry.Entry {
 	var out []registry.Entry
-	for _, l := range lines {
+	for _, l := range states {
 		for len(d.backends) <= l.Backend {
 			a, err := newBackendListener(d.f, d.number, len(d.backends))
 			if err != nil {
@@ -103,9 +102,10 @@
 	return out
 }
 
+// fail records the first error of the door.
 func (d *door) fail(err error) { d.err.CompareAndSwap(nil, &err) }
 
-// Start begins a life of the door.
+// Start starts an incarnation of the door.
 func (d *door) Start(known []model.BackendEntry) {
 	d.incarnation++
 	list := registry.List{Version: d.discovery.version, Whole: true, Backends: d.registryEntries(known)}
@@ -140,7 +140,7 @@
 	})
 }
 
-// launch starts the door's program.
+// launch starts the door's program with a configuration.
 func (d *door) launch(raw []byte) {
 	file, err := os.CreateTemp("", "door-*.json")
 	if err == nil {
@@ -169,12 +169,12 @@
 	d.cmd, d.exitExpected = cmd, ending
 	d.f.spawn(func() {
 		if err := cmd.Wait(); err != nil && !d.f.over.Load() && !ending.Load() {
-			d.fail(&ComponentError{d.f.cfg.Binary, "its program ended", err})
+			d.fail(&ComponentError{d.f.cfg.Binary, "its program exited", err})
 		}
 	})
 }
 
-// Kill ends the door at once; an embedded one can only be asked to leave.
+// Kill ends the door at once. An embedded door can only be asked to shut down.
 func (d *door) Kill() {
 	if d.stop != nil {
 		d.stop()
@@ -187,13 +187,14 @@
 	d.clients.closeIdle()
 }
 
-// Stop asks it to leave.
+// Stop asks the door's program to shut down gracefully.
 func (d *door) Stop() {
 	if d.cmd != nil {
 		_ = d.cmd.Process.Signal(syscall.SIGTERM)
 	}
 }
 
+// Submit sends the try of a client to the door.
 func (d *door) Submit(t *model.Try) {
 	d.f.mu.Lock()
 	d.f.tries[txnID(t.ID)] = t
@@ -201,20 +202,22 @@
 	d.clients.submit(t, d.f.world.WireRequest(t))
 }
 
+// ClientLeft closes the connection of a try whose client left.
 func (d *door) ClientLeft(t *model.Try) { d.clients.clientLeft(t) }
 
+// ListChanged passes an update of the fleet list to the door's discovery.
 func (d *door) ListChanged(whole bool, change []model.BackendEntry) {
 	d.discovery.publish(whole, d.registryEntries(change), change)
 }
 
-// BackendProcess follows a backend's process at this door's address of it.
+// BackendProcess makes this door's address of a backend follow the backend's process.
 func (d *door) BackendProcess(backend int, up bool) {
 	if backend < len(d.backends) {
 		d.backends[backend].setUp(up)
 	}
 }
 
-// ready asks the door whether it can serve.
+// ready queries the readiness of the door.
 func (d *door) ready() bool {
 	client := http.Client{Timeout: dialTimeout}
 	resp, err := client.Get("http://" + d.addr + "/health/ready")
@@ -225,7 +228,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// config words the door's configuration as the platform does.
+// config returns the door's configuration in the platform's format.
 func (d *door) config(known registry.List) map[string]any {
 	memory := d.f.cfg.MemoryMB
 	if memory == 0 {
@@ -239,7 +242,7 @@
 
 var wireSemantics = map[string]string{"replayable": "idempotent", "tokened": "deduplicated", "single-use": "at_most_once"}
 
-// settings words a scenario under the names of the wire.
+// settings returns a scenario's settings under the platform's names.
 func settings(s *scenario.Scenario, number int) map[string]any {
 	const sec = 1000
 	var classes, plans []map[string]any
--- a/lab/stand/errors.go
+++ b/lab/stand/errors.go
@@ -6,9 +6,9 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// UnsupportedScenarioError is a day that sockets can't play as it was told.
+// UnsupportedScenarioError is a scenario that cannot be run on sockets with the given options.
 type UnsupportedScenarioError struct {
-	Fault  string // the kind of fault that is in the way; empty where it is something else
+	Fault  string // kind of the unsupported fault; empty if the reason is another
 	Reason string
 	Advice string // what can be done
 }
@@ -21,12 +21,12 @@
 }
 func (e *UnsupportedScenarioError) Kind() remedy.Kind { return remedy.Usage }
 
-// Remedy says how it can be played.
+// Remedy says how the scenario can be run.
 func (e *UnsupportedScenarioError) Remedy() string { return e.Advice }
 
-const embeddedCannotCrash = "a door within this process can't be killed: name its program with --door"
+const embeddedCannotCrash = "doors embedded in this process cannot be killed; give the door's program with --door"
 
-// ComponentError is a stand-in, a door or a proxy that can't be started or doesn't answer.
+// ComponentError is a stand-in, a door or a proxy that cannot be started or does not answer.
 type ComponentError struct {
 	Name   string
 	Reason string
@@ -37,20 +37,20 @@
 func (e *ComponentError) Unwrap() error     { return e.Cause }
 func (e *ComponentError) Kind() remedy.Kind { return remedy.Unreachable }
 
-// Remedy names who it is.
+// Remedy names the component.
 func (e *ComponentError) Remedy() string {
-	return fmt.Sprintf("See that %s can start on this machine: its program built beside the laboratory (go build -o bin/ ./cmd/...), free loopback ports, and open files (ulimit -n); --logs DIR keeps the doors' logs.", e.Name)
+	return fmt.Sprintf("Check that %s can start on this machine: its program is built next to the laboratory (go build -o bin/ ./cmd/...), loopback ports are free, and enough files may be open (ulimit -n); --logs DIR keeps the doors' logs.", e.Name)
 }
 
-// CallError is a call of the counter that the stand-in can't read; it ends the connection.
+// CallError is a counter call that the stand-in cannot parse; it closes the connection.
 type CallError struct{}
 
-func (*CallError) Error() string     { return "malformed call" }
+func (*CallError) Error() string     { return "malformed counter call" }
 func (*CallError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy points to the door, which made the call.
 func (*CallError) Remedy() string {
-	return "Look at the door's side: the stand-in reads RESP2 arrays of up to 16 short strings."
+	return "Check the door that made the call: the stand-in accepts RESP2 arrays of up to 16 short strings."
 }
 
 var errCall = &CallError{}
--- a/lab/stand/site.go
+++ b/lab/stand/site.go
@@ -13,9 +13,9 @@
 	"github.com/swifthall/swifthall/lab/model"
 )
 
-// Site is the least that doors need to serve on loopback: backends that answer at once, and discovery that lists them.
+// Site is a minimal environment for doors on loopback: backends that answer at once, and a discovery that lists them.
 type Site struct {
-	Discovery string // its address
+	Discovery string // address of the discovery
 
 	list      registry.List
 	discovery *discovery
@@ -24,18 +24,18 @@
 	group     sync.WaitGroup
 }
 
-// NewSite starts one. came hears of each request that comes to a backend, named as its list has it; it may be nil.
-func NewSite(came func(backend string)) (*Site, error) {
+// NewSite starts a site. onRequest is called with the name of the backend for each request that it receives; it may be nil.
+func NewSite(onRequest func(backend string)) (*Site, error) {
 	s := &Site{}
 	agent := newDiscovery()
 	s.discovery = agent
 	var entries []registry.Entry
-	var lines []model.BackendEntry
+	var states []model.BackendEntry
 	for i := range comparedBackends {
 		id := fmt.Sprintf("b-%d", i)
 		at, err := s.serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			if came != nil {
-				came(id)
+			if onRequest != nil {
+				onRequest(id)
 			}
 			_, _ = w.Write([]byte("done"))
 		}))
@@ -44,9 +44,9 @@
 			return nil, err
 		}
 		entries = append(entries, registry.Entry{ID: id, Addr: at, Zone: "z", State: "Ready", Size: 1})
-		lines = append(lines, model.BackendEntry{Backend: i})
+		states = append(states, model.BackendEntry{Backend: i})
 	}
-	agent.publish(true, entries, lines)
+	agent.publish(true, entries, states)
 	s.list = registry.List{Version: agent.version, Whole: true, Backends: entries}
 	at, err := s.serve(agent)
 	if err != nil {
@@ -57,6 +57,7 @@
 	return s, nil
 }
 
+// serve starts a server and returns its address.
 func (s *Site) serve(h http.Handler) (at string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -68,25 +69,25 @@
 	return ln.Addr().String(), nil
 }
 
-// Config words the configuration of one of so many doors, without a counter.
+// Config returns the configuration of one of the given number of doors, without a counter.
 func (s *Site) Config(name, listen string, number, doors int) map[string]any {
 	s.mu.Lock()
 	known := s.list
 	known.Backends = slices.Clone(s.list.Backends)
 	s.mu.Unlock()
-	world := trivialScenario
-	world.Fleet.Doors = doors
+	scene := trivialScenario
+	scene.Fleet.Doors = doors
 	return map[string]any{"name": name, "listen": listen, "discovery": s.Discovery, "seed": fmt.Sprintf("%x", number+1), "known": known,
-		"limits": map[string]any{"cores": 1, "memory_mb": defaultMemoryMB, "sockets": sockets}, "settings": settings(&world, number)}
+		"limits": map[string]any{"cores": 1, "memory_mb": defaultMemoryMB, "sockets": sockets}, "settings": settings(&scene, number)}
 }
 
-// Client is load on one door of the site.
+// Client returns a load run for one door of the site.
 func (s *Site) Client(target string, seed uint64) load.Run {
 	return load.Run{Target: target, Conns: 8, Poisson: true, Seed: seed,
 		Word: load.Door{Host: target, Class: "look", Plan: "ample", Customers: 50, Wait: clientTimeoutMs, Seed: seed}.Word}
 }
 
-// Close ends all of it.
+// Close stops the servers.
 func (s *Site) Close() {
 	for _, srv := range s.servers {
 		srv.Close()
@@ -94,10 +95,10 @@
 	s.group.Wait()
 }
 
-// Backends is how many there are.
+// Backends returns the number of backends.
 func (s *Site) Backends() int { return len(s.list.Backends) }
 
-// Replace has a backend's process be another: discovery tells that it has just started.
+// Replace makes a backend appear as a new process: discovery reports that it has just started.
 func (s *Site) Replace(backend string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -1,5 +1,5 @@
-// Package stand plays a scenario's day against real doors on loopback: stand-ins for backends, discovery, counter and
-// clients that speak as the platform's protocol page says, driven by the emulator's world in real time.
+// Package stand runs scenarios against real doors on loopback. Stand-in servers for backends, discovery and the shared counter,
+// and clients, speak the platform's protocol; the model drives them in real time.
 package stand
 
 import (
@@ -16,23 +16,23 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// Play is one day on sockets.
+// SocketRun is one run of a scenario on sockets.
 type Play struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
-	Policy   string // of embedded doors
-	Binary   string // the door's program; empty for doors within this process
-	Logs     string // folder for the logs of the doors' programs; empty for none
-	MemoryMB int    // told to the doors; 0 for the default
+	Policy   string // policy of embedded doors
+	Binary   string // path of the door's program; empty for doors embedded in this process
+	Logs     string // directory for the logs of the doors' programs; empty for none
+	MemoryMB int    // memory limit configured for each door; 0 means the default
 }
 
 const (
-	maxListeners    = 2000 // doors times backends: each door reaches each backend at an address of its own
+	maxListeners    = 2000 // doors times backends, as each door reaches each backend at an address of its own
 	defaultMemoryMB = 192
-	sockets         = 1024 // descriptors that a door is told it may hold
+	sockets         = 1024 // socket limit configured for each door
 )
 
-// testbed is what all parties share.
+// testbed is the state shared by the doors, the stand-ins and the clients of a run.
 type testbed struct {
 	cfg   *Play
 	world *model.World
@@ -40,35 +40,35 @@
 	ctx   context.Context
 
 	mu       sync.Mutex
-	tries    map[string]*model.Try // by the id on the wire
-	attempts map[int]int           // attempts that have come, by try
+	tries    map[string]*model.Try // by transaction id
+	attempts map[int]int           // number of attempts that have arrived, by try
 	closers  []func()
 	group    sync.WaitGroup
 	over     atomic.Bool
 }
 
-// Run plays the day and judges it.
+// Run runs the scenario and returns the result of the judge.
 func (p Play) Run(ctx context.Context, progress func(done float64)) (*run.Result, error) {
 	s := p.Scenario
-	most := s.Fleet.Backends
+	maxBackends := s.Fleet.Backends
 	for _, f := range s.Faults {
 		if f.Kind == "replace" {
-			most *= 2
+			maxBackends *= 2
 		}
 		if (f.Kind == "door_deaths" || f.Kind == "door_roll") && p.Binary == "" {
 			return nil, &UnsupportedScenarioError{f.Kind, embeddedCannotCrash, "Give --door the path of the built swifthall."}
 		}
 	}
-	if n := most * s.Fleet.Doors; n > maxListeners {
-		return nil, &UnsupportedScenarioError{Reason: fmt.Sprintf("%d doors and %d backends need %d addresses, more than %d", s.Fleet.Doors, most, n, maxListeners),
-			Advice: "Play it with fewer doors (--doors), or simulated (--on sim)."}
+	if n := maxBackends * s.Fleet.Doors; n > maxListeners {
+		return nil, &UnsupportedScenarioError{Reason: fmt.Sprintf("%d doors and %d backends need %d addresses, more than %d", s.Fleet.Doors, maxBackends, n, maxListeners),
+			Advice: "Run it with fewer doors (--doors) or simulated (--on sim)."}
 	}
 	if p.Binary != "" && p.Policy != rival.Swifthall {
-		return nil, &UnsupportedScenarioError{Reason: fmt.Sprintf("policy %q: a door's program decides by itself", p.Policy), Advice: "Leave --policy or --door out."}
+		return nil, &UnsupportedScenarioError{Reason: fmt.Sprintf("policy %q: a door's program always uses its own policy", p.Policy), Advice: "Leave --policy or --door out."}
 	}
 	if p.Binary == "" {
 		if p.Policy == rival.Oracle || p.Policy == rival.Late {
-			return nil, &UnsupportedScenarioError{Reason: "policy " + p.Policy + " sees the true state, which no door on sockets can", Advice: "Play it with --on sim."}
+			return nil, &UnsupportedScenarioError{Reason: "policy " + p.Policy + " needs the true state, which doors on sockets do not know", Advice: "Run it with --on sim."}
 		}
 		if _, known := rival.Makers[p.Policy]; !known {
 			return nil, &run.PolicyError{Name: p.Policy, Known: rival.Names}
@@ -80,16 +80,16 @@
 	defer f.group.Wait()
 	defer f.close()
 	defer stop()
-	var outer []model.ExternalDoor
+	var external []model.ExternalDoor
 	for i := range s.Fleet.Doors {
 		d, err := newDoor(f, i)
 		if err != nil {
 			return nil, err
 		}
 		f.doors = append(f.doors, d)
-		outer = append(outer, d)
+		external = append(external, d)
 	}
-	f.world = model.NewExternal(s, p.Seed, outer, j)
+	f.world = model.NewExternal(s, p.Seed, external, j)
 	behind, err := f.world.RunRealTime(ctx, f.ready, progress)
 	f.over.Store(true)
 	if err != nil {
@@ -105,7 +105,7 @@
 	return r, nil
 }
 
-// ready tells whether all doors say that they can serve.
+// ready reports whether all doors are ready to serve.
 func (f *testbed) ready() (bool, error) {
 	for _, d := range f.doors {
 		if err := d.err.Load(); err != nil {
@@ -118,17 +118,17 @@
 	return true, nil
 }
 
-// spawn runs something until the day is over.
+// spawn runs a function in a goroutine. The run waits for it at its end.
 func (f *testbed) spawn(do func()) { f.group.Go(do) }
 
-// onClose has something closed when the day is over.
+// onClose registers a function to be called at the end of the run.
 func (f *testbed) onClose(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closers = append(f.closers, do)
 }
 
-// close ends all parties; what they still post goes nowhere.
+// close ends the doors, stand-ins and clients. Calls that they post from now on are dropped.
 func (f *testbed) close() {
 	f.over.Store(true)
 	f.mu.Lock()
@@ -139,20 +139,21 @@
 	}
 }
 
-// post has the world do something, for as long as there is one that plays.
+// post runs a function on the model's goroutine, if a run is in progress.
 func (f *testbed) post(do func()) {
 	if f.world != nil && !f.over.Load() {
 		f.world.Post(f.ctx, do)
 	}
 }
 
+// findTry returns the try with a transaction id, or nil.
 func (f *testbed) findTry(id string) *model.Try {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.tries[id]
 }
 
-// listen opens an address on loopback that ends with the day.
+// listen opens a listener on loopback.
 func (f *testbed) listen(addr string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/lab/stand/stand_test.go
+++ b/lab/stand/stand_test.go
@@ -63,15 +63,15 @@
 func TestSimulatedAndSocketRunsMakeSameRequests(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	s := read(t, "")
-	here, err := run.One{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Play(context.Background(), nil)
+	simulated, err := run.One{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Play(context.Background(), nil)
 	require.NoError(t, err)
-	there, err := Play{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Run(context.Background(), nil)
+	onSockets, err := Play{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Run(context.Background(), nil)
 	require.NoError(t, err)
-	assert.Equal(t, here.Whole.Asked, there.Whole.Asked)
-	assert.InDelta(t, here.Whole.Offered, there.Whole.Offered, 1e-6)
-	assert.Greater(t, there.Whole.InTime+there.Whole.Late, there.Whole.Asked/2)
-	assert.Empty(t, there.Notes)
-	assert.Equal(t, run.OnSockets, there.On)
+	assert.Equal(t, simulated.Whole.Asked, onSockets.Whole.Asked)
+	assert.InDelta(t, simulated.Whole.Offered, onSockets.Whole.Offered, 1e-6)
+	assert.Greater(t, onSockets.Whole.InTime+onSockets.Whole.Late, onSockets.Whole.Asked/2)
+	assert.Empty(t, onSockets.Notes)
+	assert.Equal(t, run.OnSockets, onSockets.On)
 }
 
 func TestDoorCrashesNeedAProgram(t *testing.T) {
@@ -92,10 +92,10 @@
 
 func TestDiscoverySendsFullListThenEachChange(t *testing.T) {
 	d := newDiscovery()
-	line := func(b int, s gate.Status) ([]registry.Entry, []model.BackendEntry) {
+	entry := func(b int, s gate.Status) ([]registry.Entry, []model.BackendEntry) {
 		return []registry.Entry{{ID: "b", Addr: "127.0.0.1:1", State: wireStates[s]}}, []model.BackendEntry{{Backend: b, Status: s}}
 	}
-	e, of := line(0, gate.Up)
+	e, of := entry(0, gate.Up)
 	d.publish(true, e, of)
 	srv := httptest.NewServer(d)
 	defer srv.Close()
@@ -113,7 +113,7 @@
 	require.NoError(t, err)
 	assert.True(t, whole.Whole)
 	assert.Len(t, whole.Backends, 1)
-	e, of = line(0, gate.Gone)
+	e, of = entry(0, gate.Gone)
 	d.publish(false, e, of)
 	text, err = r.ReadString('\n')
 	require.NoError(t, err)
@@ -124,19 +124,19 @@
 }
 
 func TestCounterCallIsParsedAndMalformedInputRejected(t *testing.T) {
-	words, err := readCall(bufio.NewReader(strings.NewReader("*4\r\n$5\r\nTALLY\r\n$3\r\na/1\r\n$4\r\n-2.5\r\n$4\r\n4000\r\n")))
+	args, err := readCall(bufio.NewReader(strings.NewReader("*4\r\n$5\r\nTALLY\r\n$3\r\na/1\r\n$4\r\n-2.5\r\n$4\r\n4000\r\n")))
 	require.NoError(t, err)
-	assert.Equal(t, []string{"TALLY", "a/1", "-2.5", "4000"}, words)
-	for _, noise := range []string{"GET / HTTP/1.1\r\n", "*0\r\n", "*99999\r\n", "*1\r\n$-1\r\n", "*1\r\n$9\r\nshort"} {
-		_, err := readCall(bufio.NewReader(strings.NewReader(noise)))
-		assert.Error(t, err, noise)
+	assert.Equal(t, []string{"TALLY", "a/1", "-2.5", "4000"}, args)
+	for _, malformed := range []string{"GET / HTTP/1.1\r\n", "*0\r\n", "*99999\r\n", "*1\r\n$-1\r\n", "*1\r\n$9\r\nshort"} {
+		_, err := readCall(bufio.NewReader(strings.NewReader(malformed)))
+		assert.Error(t, err, malformed)
 	}
 }
 
 func TestListenerOfStoppedProcessRefuses(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	f := &testbed{ctx: ctx, cfg: &Play{}}
-	f.over.Store(true) // no world plays here
+	f.over.Store(true) // no run is in progress
 	a, err := newBackendListener(f, 0, 0)
 	require.NoError(t, err)
 	a.setUp(false)
