--- a/lab/model/discovery.go
+++ b/lab/model/discovery.go
@@ -23,7 +23,7 @@
 
 // knownBackend is what a door last received about a backend.
 type knownBackend struct {
-	known     bool
+	received  bool
 	status    gate.Status
 	startedAt float64
 }
@@ -112,7 +112,7 @@
 			named[l.backend] = true
 		}
 		for i := range d.known {
-			if t := &d.known[i]; t.known && !named[i] && t.status != gate.Gone {
+			if t := &d.known[i]; t.received && !named[i] && t.status != gate.Gone {
 				t.status = gate.Gone
 				w.emit(trace.Event{Kind: trace.Told, Door: d.id, Backend: i, Status: gate.Gone})
 			}
--- a/lab/model/door.go
+++ b/lab/model/door.go
@@ -83,7 +83,7 @@
 	}
 	known := listUpdate{complete: true}
 	for i, t := range d.known {
-		if t.known && t.status != gate.Gone {
+		if t.received && t.status != gate.Gone {
 			known.entries = append(known.entries, listEntry{i, t.status, t.startedAt})
 		}
 	}
--- a/lab/model/world.go
+++ b/lab/model/world.go
@@ -394,7 +394,7 @@
 // knowsStart reports whether a door has been notified of a backend's latest start.
 func (w *World) knowsStart(door int, b *backend) bool {
 	d := w.doors[door]
-	return b.id < len(d.known) && d.known[b.id].known && d.known[b.id].startedAt == b.startedAt
+	return b.id < len(d.known) && d.known[b.id].received && d.known[b.id].startedAt == b.startedAt
 }
 
 // ---- Effects ----
--- a/lab/stand/backend.go
+++ b/lab/stand/backend.go
@@ -17,7 +17,7 @@
 // backendListener is the address at which one door reaches one backend. It refuses connections while the backend's process does
 // not run.
 type backendListener struct {
-	f             *testbed
+	tb            *testbed
 	door, backend int
 	addr          string
 
@@ -26,15 +26,15 @@
 	conns map[net.Conn]struct{}
 }
 
-func newBackendListener(f *testbed, door, backend int) (*backendListener, error) {
-	a := &backendListener{f: f, door: door, backend: backend, conns: map[net.Conn]struct{}{}}
-	ln, err := f.listen("127.0.0.1:0")
+func newBackendListener(tb *testbed, door, backend int) (*backendListener, error) {
+	a := &backendListener{tb: tb, door: door, backend: backend, conns: map[net.Conn]struct{}{}}
+	ln, err := tb.listen("127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	a.addr = ln.Addr().String()
 	a.serve(ln)
-	f.onClose(a.close)
+	tb.onClose(a.close)
 	return a, nil
 }
 
@@ -43,7 +43,7 @@
 	a.mu.Lock()
 	a.ln = ln
 	a.mu.Unlock()
-	a.f.spawn(func() {
+	a.tb.spawn(func() {
 		for {
 			nc, err := ln.Accept()
 			if err != nil {
@@ -52,7 +52,7 @@
 			a.mu.Lock()
 			a.conns[nc] = struct{}{}
 			a.mu.Unlock()
-			a.f.spawn(func() { a.serveConn(nc) })
+			a.tb.spawn(func() { a.serveConn(nc) })
 		}
 	})
 }
@@ -69,8 +69,8 @@
 		ln.Close()
 	}
 	a.mu.Unlock()
-	if up && ln == nil && !a.f.over.Load() {
-		if reopened, err := a.f.listen(a.addr); err == nil {
+	if up && ln == nil && !a.tb.over.Load() {
+		if reopened, err := a.tb.listen(a.addr); err == nil {
 			a.serve(reopened)
 		}
 	}
@@ -108,9 +108,9 @@
 // serveConn serves one connection. It is reset if the backend does not accept it.
 func (a *backendListener) serveConn(nc net.Conn) {
 	accepted, incarnation := make(chan bool, 1), 0
-	a.f.post(func() {
-		incarnation = a.f.world.BackendIncarnation(a.backend)
-		accepted <- a.f.world.Connected(a.door, a.backend)
+	a.tb.post(func() {
+		incarnation = a.tb.world.BackendIncarnation(a.backend)
+		accepted <- a.tb.world.Connected(a.door, a.backend)
 	})
 	defer func() {
 		a.mu.Lock()
@@ -124,12 +124,12 @@
 			reset(nc)
 			return
 		}
-	case <-a.f.ctx.Done():
+	case <-a.tb.ctx.Done():
 		return
 	}
-	defer a.f.post(func() { a.f.world.Disconnected(a.backend, incarnation) })
+	defer a.tb.post(func() { a.tb.world.Disconnected(a.backend, incarnation) })
 	requests, gone := make(chan request), make(chan struct{})
-	a.f.spawn(func() { a.readRequests(nc, requests, gone) })
+	a.tb.spawn(func() { a.readRequests(nc, requests, gone) })
 	for newConn := true; ; newConn = false {
 		select {
 		case req := <-requests:
@@ -138,7 +138,7 @@
 			}
 		case <-gone:
 			return
-		case <-a.f.ctx.Done():
+		case <-a.tb.ctx.Done():
 			return
 		}
 	}
@@ -164,7 +164,7 @@
 		}
 		select {
 		case requests <- request{req.Header.Get("X-Txn"), body}:
-		case <-a.f.ctx.Done():
+		case <-a.tb.ctx.Done():
 			return
 		}
 	}
@@ -172,25 +172,25 @@
 
 // serveRequest serves one request and reports whether the connection stays open.
 func (a *backendListener) serveRequest(nc net.Conn, req request, gone <-chan struct{}, newConn bool) bool {
-	t := a.f.findTry(req.id)
+	t := a.tb.findTry(req.id)
 	if t == nil {
 		fmt.Fprintf(nc, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
 	results := make(chan attemptResult, 1)
 	var job *model.Job
-	a.f.post(func() {
-		a.f.mu.Lock()
-		number := a.f.attempts[t.ID]
-		a.f.attempts[t.ID]++
-		a.f.mu.Unlock()
-		job = a.f.world.AttemptArrived(a.door, a.backend, t, number, newConn, func(result gate.Result, use float64) { results <- attemptResult{result, use} })
+	a.tb.post(func() {
+		a.tb.mu.Lock()
+		number := a.tb.attempts[t.ID]
+		a.tb.attempts[t.ID]++
+		a.tb.mu.Unlock()
+		job = a.tb.world.AttemptArrived(a.door, a.backend, t, number, newConn, func(result gate.Result, use float64) { results <- attemptResult{result, use} })
 	})
 	select {
-	case <-a.f.ctx.Done():
+	case <-a.tb.ctx.Done():
 		return false
 	case <-gone: // a door that gives an attempt up closes its connection
-		a.f.post(func() { a.f.world.AttemptAbandoned(job) })
+		a.tb.post(func() { a.tb.world.AttemptAbandoned(job) })
 		return false
 	case res := <-results:
 		return a.writeResult(nc, res, req.id)
--- a/lab/stand/beside.go
+++ b/lab/stand/beside.go
@@ -70,27 +70,27 @@
 // is called after each turn.
 func (b Beside) Run(ctx context.Context, report func(name string, rate float64, o *load.Outcome)) (rows []Row, knees map[string]float64, err error) {
 	ctx, stop := context.WithCancel(ctx)
-	f := &testbed{ctx: ctx, cfg: &Play{Scenario: &trivialScenario, Binary: b.Binary}}
-	f.over.Store(true) // there is no run of the model: the backends here answer at once
-	defer f.group.Wait()
-	defer f.close()
+	tb := &testbed{ctx: ctx, cfg: &Play{Scenario: &trivialScenario, Binary: b.Binary}}
+	tb.over.Store(true) // there is no run of the model: the backends here answer at once
+	defer tb.group.Wait()
+	defer tb.close()
 	defer stop()
 	var addrs []string
 	var entries []registry.Entry
 	var states []model.BackendEntry
 	for i := range comparedBackends {
-		ln, err := f.listen("127.0.0.1:0")
+		ln, err := tb.listen("127.0.0.1:0")
 		if err != nil {
 			return nil, nil, err
 		}
 		srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("done")) })}
-		f.spawn(func() { _ = srv.Serve(ln) })
-		f.onClose(func() { srv.Close() })
+		tb.spawn(func() { _ = srv.Serve(ln) })
+		tb.onClose(func() { srv.Close() })
 		addrs = append(addrs, ln.Addr().String())
 		entries = append(entries, registry.Entry{ID: fmt.Sprintf("b-%d", i), Addr: addrs[i], Zone: "z", State: "Ready", Size: 1})
 		states = append(states, model.BackendEntry{Backend: i})
 	}
-	d, err := newDoor(f, 0)
+	d, err := newDoor(tb, 0)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	f.onClose(func() { _ = proxy.Process.Kill(); _ = proxy.Wait() })
+	tb.onClose(func() { _ = proxy.Process.Kill(); _ = proxy.Wait() })
 	targets := []struct {
 		name, at string
 		pid      func() int
--- a/lab/stand/client.go
+++ b/lab/stand/client.go
@@ -18,7 +18,7 @@
 // clientConns is the pool of connections to one door, used as the load balancer in front of it does: one request at a time on
 // each, and a new connection when all are busy.
 type clientConns struct {
-	f       *testbed
+	tb      *testbed
 	target  string
 	mu      sync.Mutex
 	idle    []*conn
@@ -66,11 +66,11 @@
 
 // submit sends a try in the background. It is called on the model's goroutine and does not block.
 func (c *clientConns) submit(t *model.Try, req model.WireRequest) {
-	ctx, stop := context.WithCancel(c.f.ctx)
+	ctx, stop := context.WithCancel(c.tb.ctx)
 	c.mu.Lock()
 	c.cancels[t.ID] = stop
 	c.mu.Unlock()
-	c.f.spawn(func() {
+	c.tb.spawn(func() {
 		defer func() {
 			stop()
 			c.mu.Lock()
@@ -99,7 +99,7 @@
 		if k == nil {
 			nc, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", c.target)
 			if err != nil {
-				c.f.post(func() { c.f.world.TryNotAccepted(t) })
+				c.tb.post(func() { c.tb.world.TryNotAccepted(t) })
 				return
 			}
 			k = &conn{nc: nc, r: bufio.NewReader(nc)}
@@ -114,11 +114,11 @@
 		if err != nil {
 			unwatch()
 			k.nc.Close()
-			c.f.post(func() { c.f.world.TryNotAccepted(t) })
+			c.tb.post(func() { c.tb.world.TryNotAccepted(t) })
 			return
 		}
 		used := k.reused
-		c.f.post(func() { c.f.world.TryTaken(t) })
+		c.tb.post(func() { c.tb.world.TryTaken(t) })
 		again := c.readAnswer(ctx, t, k, used)
 		unwatch()
 		if !again {
@@ -131,7 +131,7 @@
 func (c *clientConns) readAnswer(ctx context.Context, t *model.Try, k *conn, used bool) (again bool) {
 	if _, err := k.r.Peek(1); err != nil && used && ctx.Err() == nil {
 		k.nc.Close()
-		c.f.post(func() { c.f.world.TryNotRead(t) })
+		c.tb.post(func() { c.tb.world.TryNotRead(t) })
 		return true
 	}
 	resp, err := http.ReadResponse(k.r, nil)
@@ -141,7 +141,7 @@
 	if err != nil {
 		k.nc.Close()
 		if ctx.Err() == nil {
-			c.f.post(func() { c.f.world.TryConnectionLost(t) })
+			c.tb.post(func() { c.tb.world.TryConnectionLost(t) })
 		}
 		return false
 	}
@@ -160,7 +160,7 @@
 	} else {
 		c.put(k)
 	}
-	c.f.post(func() { c.f.world.TryAnswered(t, a, wait) })
+	c.tb.post(func() { c.tb.world.TryAnswered(t, a, wait) })
 	return false
 }
 
--- a/lab/stand/counter.go
+++ b/lab/stand/counter.go
@@ -52,18 +52,18 @@
 }
 
 // serveCounter serves one connection of a door to the counter. Replies are sent in the order of the calls.
-func (f *testbed) serveCounter(door int, nc net.Conn) {
+func (tb *testbed) serveCounter(door int, nc net.Conn) {
 	defer nc.Close()
 	replies := make(chan chan string, 1024)
 	defer close(replies)
-	f.spawn(func() {
+	tb.spawn(func() {
 		for reply := range replies {
 			select {
 			case text := <-reply:
 				if _, err := io.WriteString(nc, text); err != nil {
 					nc.Close()
 				}
-			case <-f.ctx.Done():
+			case <-tb.ctx.Done():
 				return
 			}
 		}
@@ -76,7 +76,7 @@
 		reply := make(chan string, 1)
 		select {
 		case replies <- reply:
-		case <-f.ctx.Done():
+		case <-tb.ctx.Done():
 			return
 		}
 		switch {
@@ -91,8 +91,8 @@
 				reply <- "-ERR amount\r\n"
 				continue
 			}
-			f.post(func() {
-				f.world.ExternalCounterCall(door, args[1], add, keep, func(r gate.Result, total float64) {
+			tb.post(func() {
+				tb.world.ExternalCounterCall(door, args[1], add, keep, func(r gate.Result, total float64) {
 					if r != gate.Finished {
 						reply <- "-BUSY\r\n"
 						return
--- a/lab/stand/door.go
+++ b/lab/stand/door.go
@@ -27,7 +27,7 @@
 
 // door is one real door with the stand-ins that only it uses: its discovery, its addresses of the backends and of the counter.
 type door struct {
-	f             *testbed
+	tb            *testbed
 	number        int
 	addr          string
 	discovery     *discovery
@@ -42,41 +42,41 @@
 	incarnation   int
 }
 
-func newDoor(f *testbed, number int) (*door, error) {
-	d := &door{f: f, number: number, discovery: newDiscovery()}
+func newDoor(tb *testbed, number int) (*door, error) {
+	d := &door{tb: tb, number: number, discovery: newDiscovery()}
 	var err error
 	if d.addr, err = loopback.Free(); err != nil { // the door itself listens on it, and again after a restart
 		return nil, err
 	}
-	d.clients = &clientConns{f: f, target: d.addr, cancels: map[int]context.CancelFunc{}}
-	ln, err := f.listen("127.0.0.1:0")
+	d.clients = &clientConns{tb: tb, target: d.addr, cancels: map[int]context.CancelFunc{}}
+	ln, err := tb.listen("127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	d.discoveryAddr = ln.Addr().String()
 	server := &http.Server{Handler: d.discovery}
-	f.spawn(func() { _ = server.Serve(ln) })
-	f.onClose(func() { server.Close() })
-	if f.cfg.Scenario.Counter.On {
-		cl, err := f.listen("127.0.0.1:0")
+	tb.spawn(func() { _ = server.Serve(ln) })
+	tb.onClose(func() { server.Close() })
+	if tb.cfg.Scenario.Counter.On {
+		cl, err := tb.listen("127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
 		d.counterAddr = cl.Addr().String()
-		f.onClose(func() { cl.Close() })
-		f.spawn(func() {
+		tb.onClose(func() { cl.Close() })
+		tb.spawn(func() {
 			for {
 				nc, err := cl.Accept()
 				if err != nil {
 					return
 				}
-				f.onClose(func() { nc.Close() })
-				f.spawn(func() { f.serveCounter(number, nc) })
+				tb.onClose(func() { nc.Close() })
+				tb.spawn(func() { tb.serveCounter(number, nc) })
 			}
 		})
 	}
-	f.onClose(d.clients.closeIdle)
-	f.onClose(d.Kill)
+	tb.onClose(d.clients.closeIdle)
+	tb.onClose(d.Kill)
 	return d, nil
 }
 
@@ -85,7 +85,7 @@
 	var out []registry.Entry
 	for _, l := range states {
 		for len(d.backends) <= l.Backend {
-			a, err := newBackendListener(d.f, d.number, len(d.backends))
+			a, err := newBackendListener(d.tb, d.number, len(d.backends))
 			if err != nil {
 				d.fail(err)
 				return out
@@ -95,7 +95,7 @@
 		e := registry.Entry{ID: fmt.Sprintf("b-%d", l.Backend), Addr: d.backends[l.Backend].addr, Zone: fmt.Sprintf("z%d", l.Zone),
 			Cell: int64(l.Cell), State: wireStates[l.Status], Size: 1}
 		if l.StartedAt >= 0 {
-			e.Started = float64(time.Now().UnixMilli()) - (d.f.world.Now() - l.StartedAt)
+			e.Started = float64(time.Now().UnixMilli()) - (d.tb.world.Now() - l.StartedAt)
 		}
 		out = append(out, e)
 	}
@@ -119,7 +119,7 @@
 		d.fail(err)
 		return
 	}
-	if d.f.cfg.Binary != "" {
+	if d.tb.cfg.Binary != "" {
 		d.launch(raw)
 		return
 	}
@@ -130,10 +130,10 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	ctx, stop := context.WithCancel(d.f.ctx)
+	ctx, stop := context.WithCancel(d.tb.ctx)
 	d.stop = stop
-	decider := rival.Makers[d.f.cfg.Policy].New(cfg.Settings.Terms, cfg.Seed, nil)
-	d.f.spawn(func() {
+	decider := rival.Makers[d.tb.cfg.Policy].New(cfg.Settings.Terms, cfg.Seed, nil)
+	d.tb.spawn(func() {
 		if err := frontdoor.New(cfg, decider, log).Serve(ctx); err != nil {
 			d.fail(err)
 		}
@@ -151,12 +151,12 @@
 		d.fail(err)
 		return
 	}
-	d.f.onClose(func() { os.Remove(file.Name()) })
-	cmd := exec.Command(d.f.cfg.Binary)
+	d.tb.onClose(func() { os.Remove(file.Name()) })
+	cmd := exec.Command(d.tb.cfg.Binary)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+file.Name())
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if d.f.cfg.Logs != "" {
-		if log, err := os.Create(filepath.Join(d.f.cfg.Logs, fmt.Sprintf("door-%d-%d.log", d.number, d.incarnation))); err == nil {
+	if d.tb.cfg.Logs != "" {
+		if log, err := os.Create(filepath.Join(d.tb.cfg.Logs, fmt.Sprintf("door-%d-%d.log", d.number, d.incarnation))); err == nil {
 			cmd.Stdout, cmd.Stderr = log, log
 			defer log.Close()
 		}
@@ -165,11 +165,11 @@
 		d.fail(err)
 		return
 	}
-	ending := new(atomic.Bool)
-	d.cmd, d.exitExpected = cmd, ending
-	d.f.spawn(func() {
-		if err := cmd.Wait(); err != nil && !d.f.over.Load() && !ending.Load() {
-			d.fail(&ComponentError{d.f.cfg.Binary, "its program exited", err})
+	exitExpected := new(atomic.Bool)
+	d.cmd, d.exitExpected = cmd, exitExpected
+	d.tb.spawn(func() {
+		if err := cmd.Wait(); err != nil && !d.tb.over.Load() && !exitExpected.Load() {
+			d.fail(&ComponentError{d.tb.cfg.Binary, "its program exited", err})
 		}
 	})
 }
@@ -196,10 +196,10 @@
 
 // Submit sends the try of a client to the door.
 func (d *door) Submit(t *model.Try) {
-	d.f.mu.Lock()
-	d.f.tries[txnID(t.ID)] = t
-	d.f.mu.Unlock()
-	d.clients.submit(t, d.f.world.WireRequest(t))
+	d.tb.mu.Lock()
+	d.tb.tries[txnID(t.ID)] = t
+	d.tb.mu.Unlock()
+	d.clients.submit(t, d.tb.world.WireRequest(t))
 }
 
 // ClientLeft closes the connection of a try whose client left.
@@ -230,14 +230,14 @@
 
 // config returns the door's configuration in the platform's format.
 func (d *door) config(known registry.List) map[string]any {
-	memory := d.f.cfg.MemoryMB
+	memory := d.tb.cfg.MemoryMB
 	if memory == 0 {
 		memory = defaultMemoryMB
 	}
 	return map[string]any{"name": fmt.Sprintf("n%d", d.number), "listen": d.addr, "discovery": d.discoveryAddr, "counter": d.counterAddr,
-		"seed": fmt.Sprintf("%x", d.f.cfg.Seed<<16|uint64(d.number)<<8|uint64(d.incarnation)), "known": known,
+		"seed": fmt.Sprintf("%x", d.tb.cfg.Seed<<16|uint64(d.number)<<8|uint64(d.incarnation)), "known": known,
 		"limits":   map[string]any{"cores": 1, "memory_mb": memory, "sockets": sockets},
-		"settings": settings(d.f.cfg.Scenario, d.number)}
+		"settings": settings(d.tb.cfg.Scenario, d.number)}
 }
 
 var wireSemantics = map[string]string{"replayable": "idempotent", "tokened": "deduplicated", "single-use": "at_most_once"}
--- a/lab/stand/site.go
+++ b/lab/stand/site.go
@@ -75,10 +75,10 @@
 	known := s.list
 	known.Backends = slices.Clone(s.list.Backends)
 	s.mu.Unlock()
-	scene := trivialScenario
-	scene.Fleet.Doors = doors
+	scen := trivialScenario
+	scen.Fleet.Doors = doors
 	return map[string]any{"name": name, "listen": listen, "discovery": s.Discovery, "seed": fmt.Sprintf("%x", number+1), "known": known,
-		"limits": map[string]any{"cores": 1, "memory_mb": defaultMemoryMB, "sockets": sockets}, "settings": settings(&scene, number)}
+		"limits": map[string]any{"cores": 1, "memory_mb": defaultMemoryMB, "sockets": sockets}, "settings": settings(&scen, number)}
 }
 
 // Client returns a load run for one door of the site.
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -51,12 +51,12 @@
 func (p Play) Run(ctx context.Context, progress func(done float64)) (*run.Result, error) {
 	s := p.Scenario
 	maxBackends := s.Fleet.Backends
-	for _, f := range s.Faults {
-		if f.Kind == "replace" {
+	for _, fault := range s.Faults {
+		if fault.Kind == "replace" {
 			maxBackends *= 2
 		}
-		if (f.Kind == "door_deaths" || f.Kind == "door_roll") && p.Binary == "" {
-			return nil, &UnsupportedScenarioError{f.Kind, embeddedCannotCrash, "Give --door the path of the built swifthall."}
+		if (fault.Kind == "door_deaths" || fault.Kind == "door_roll") && p.Binary == "" {
+			return nil, &UnsupportedScenarioError{fault.Kind, embeddedCannotCrash, "Give --door the path of the built swifthall."}
 		}
 	}
 	if n := maxBackends * s.Fleet.Doors; n > maxListeners {
@@ -76,28 +76,28 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	j := judge.New(model.WithSocketSlack(model.Deal(s)))
-	f := &testbed{cfg: &p, ctx: ctx, tries: map[string]*model.Try{}, attempts: map[int]int{}}
-	defer f.group.Wait()
-	defer f.close()
+	tb := &testbed{cfg: &p, ctx: ctx, tries: map[string]*model.Try{}, attempts: map[int]int{}}
+	defer tb.group.Wait()
+	defer tb.close()
 	defer stop()
 	var external []model.ExternalDoor
 	for i := range s.Fleet.Doors {
-		d, err := newDoor(f, i)
+		d, err := newDoor(tb, i)
 		if err != nil {
 			return nil, err
 		}
-		f.doors = append(f.doors, d)
+		tb.doors = append(tb.doors, d)
 		external = append(external, d)
 	}
-	f.world = model.NewExternal(s, p.Seed, external, j)
-	behind, err := f.world.RunRealTime(ctx, f.ready, progress)
-	f.over.Store(true)
+	tb.world = model.NewExternal(s, p.Seed, external, j)
+	behind, err := tb.world.RunRealTime(ctx, tb.ready, progress)
+	tb.over.Store(true)
 	if err != nil {
 		return nil, err
 	}
 	r := run.Sum(s, p.Seed, p.Policy, run.OnSockets, j)
 	r.Behind = behind
-	for _, d := range f.doors {
+	for _, d := range tb.doors {
 		if err := d.err.Load(); err != nil {
 			r.Notes = append(r.Notes, fmt.Sprintf("door %d: %v", d.number, *err))
 		}
@@ -106,8 +106,8 @@
 }
 
 // ready reports whether all doors are ready to serve.
-func (f *testbed) ready() (bool, error) {
-	for _, d := range f.doors {
+func (tb *testbed) ready() (bool, error) {
+	for _, d := range tb.doors {
 		if err := d.err.Load(); err != nil {
 			return false, &ComponentError{fmt.Sprintf("door %d", d.number), "", *err}
 		}
@@ -119,42 +119,42 @@
 }
 
 // spawn runs a function in a goroutine. The run waits for it at its end.
-func (f *testbed) spawn(do func()) { f.group.Go(do) }
+func (tb *testbed) spawn(do func()) { tb.group.Go(do) }
 
 // onClose registers a function to be called at the end of the run.
-func (f *testbed) onClose(do func()) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.closers = append(f.closers, do)
+func (tb *testbed) onClose(do func()) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.closers = append(tb.closers, do)
 }
 
 // close ends the doors, stand-ins and clients. Calls that they post from now on are dropped.
-func (f *testbed) close() {
-	f.over.Store(true)
-	f.mu.Lock()
-	closers := f.closers
-	f.mu.Unlock()
+func (tb *testbed) close() {
+	tb.over.Store(true)
+	tb.mu.Lock()
+	closers := tb.closers
+	tb.mu.Unlock()
 	for _, c := range closers {
 		c()
 	}
 }
 
 // post runs a function on the model's goroutine, if a run is in progress.
-func (f *testbed) post(do func()) {
-	if f.world != nil && !f.over.Load() {
-		f.world.Post(f.ctx, do)
+func (tb *testbed) post(do func()) {
+	if tb.world != nil && !tb.over.Load() {
+		tb.world.Post(tb.ctx, do)
 	}
 }
 
 // findTry returns the try with a transaction id, or nil.
-func (f *testbed) findTry(id string) *model.Try {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.tries[id]
+func (tb *testbed) findTry(id string) *model.Try {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	return tb.tries[id]
 }
 
 // listen opens a listener on loopback.
-func (f *testbed) listen(addr string) (net.Listener, error) {
+func (tb *testbed) listen(addr string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, &ComponentError{"stand-in at " + addr, "", err}
--- a/lab/stand/stand_test.go
+++ b/lab/stand/stand_test.go
@@ -95,8 +95,8 @@
 	entry := func(b int, s gate.Status) ([]registry.Entry, []model.BackendEntry) {
 		return []registry.Entry{{ID: "b", Addr: "127.0.0.1:1", State: wireStates[s]}}, []model.BackendEntry{{Backend: b, Status: s}}
 	}
-	e, of := entry(0, gate.Up)
-	d.publish(true, e, of)
+	entries, states := entry(0, gate.Up)
+	d.publish(true, entries, states)
 	srv := httptest.NewServer(d)
 	defer srv.Close()
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
@@ -113,8 +113,8 @@
 	require.NoError(t, err)
 	assert.True(t, whole.Whole)
 	assert.Len(t, whole.Backends, 1)
-	e, of = entry(0, gate.Gone)
-	d.publish(false, e, of)
+	entries, states = entry(0, gate.Gone)
+	d.publish(false, entries, states)
 	text, err = r.ReadString('\n')
 	require.NoError(t, err)
 	change, err := registry.ReadList([]byte(text))
@@ -135,20 +135,20 @@
 
 func TestListenerOfStoppedProcessRefuses(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
-	f := &testbed{ctx: ctx, cfg: &Play{}}
-	f.over.Store(true) // no run is in progress
-	a, err := newBackendListener(f, 0, 0)
+	tb := &testbed{ctx: ctx, cfg: &Play{}}
+	tb.over.Store(true) // no run is in progress
+	a, err := newBackendListener(tb, 0, 0)
 	require.NoError(t, err)
 	a.setUp(false)
 	_, err = net.Dial("tcp", a.addr)
 	assert.Error(t, err)
-	f.over.Store(false)
+	tb.over.Store(false)
 	a.setUp(true)
 	nc, err := net.Dial("tcp", a.addr)
 	require.NoError(t, err)
-	f.over.Store(true)
+	tb.over.Store(true)
 	nc.Close()
 	stop()
-	f.close()
-	f.group.Wait()
+	tb.close()
+	tb.group.Wait()
 }
