--- a/lab/model/backend.go
+++ b/lab/model/backend.go
@@ -93,9 +93,9 @@
 // faultMagnitude returns the magnitude of the first active fault of a kind that applies to the class, and whether there is
 // one.
 func (b *backend) faultMagnitude(kind string, class int) (magnitude float64, active bool) {
-	for _, h := range b.faults {
-		if h.fault.Kind == kind && (h.class < 0 || h.class == class) {
-			return h.fault.Much, true
+	for _, af := range b.faults {
+		if af.spec.Kind == kind && (af.class < 0 || af.class == class) {
+			return af.spec.Much, true
 		}
 	}
 	return 0, false
@@ -120,9 +120,9 @@
 	if b.coldBudget != nil {
 		speed *= b.coldBudget.Now(now) / b.coldBudget.Capacity
 	}
-	for _, h := range b.faults {
-		if h.fault.Kind == "slow" {
-			speed /= max(1, h.fault.Much)
+	for _, af := range b.faults {
+		if af.spec.Kind == "slow" {
+			speed /= max(1, af.spec.Much)
 		}
 	}
 	if held := n + len(b.queue); b.machine.Thrash > 0 {
@@ -142,7 +142,8 @@
 	b.finishStamp++
 	b.rate = b.currentRate(w.now)
 	if b.rate > 0 {
-		w.schedule(w.now+max(0, b.running[0].virtualEnd-b.virtualTime)/b.rate, event{kind: eventFinish, index: b.id, arg: b.finishStamp})
+		w.schedule(w.now+max(0, b.running[0].virtualEnd-b.virtualTime)/b.rate,
+			event{kind: eventFinish, index: b.id, arg: b.finishStamp})
 	}
 }
 
@@ -161,7 +162,8 @@
 	if j.newConn {
 		j.work += b.machine.HandshakeMs
 	}
-	w.emit(trace.Event{Kind: trace.Came, Try: t.ID, Door: t.Door, Number: j.Number, Backend: b.id, Work: j.work, Told: w.knowsStart(t.Door, b)})
+	w.emit(trace.Event{Kind: trace.Came, Try: t.ID, Door: t.Door, Number: j.Number, Backend: b.id, Work: j.work,
+		Told: w.knowsStart(t.Door, b)})
 	if b.coldBudget != nil && !b.collapsed {
 		if !b.coldBudget.Cold(w.now) {
 			b.coldBudget = nil
--- a/lab/model/clients.go
+++ b/lab/model/clients.go
@@ -14,7 +14,7 @@
 type clientRequest struct {
 	id, customer, class int
 	units, work         float64
-	at                  float64
+	at                  float64 // intended clock, ms
 	deadline            float64 // the client has no use for an answer after it, ms
 	tries               int
 	door                int // door of the latest try
@@ -27,13 +27,13 @@
 	Class             int
 	request           *clientRequest
 	madeAt, deadline  float64 // ms
-	retry             bool
-	taken             bool
-	answered          bool // the door has sent the final answer or learned that the client left
-	over              bool // the client has the answer or has given the try up
-	incarnation, slot int  // of the door that holds it
+	retry             bool    // not the first try of the request
+	taken             bool    // the door has accepted it
+	answered          bool    // the door has sent the final answer or learned that the client left
+	over              bool    // the client has the answer or has given the try up
+	incarnation, slot int     // incarnation of the door that holds it, and its index in door.ops
 	answer            trace.Answer
-	retryAfter        float64
+	retryAfter        float64 // ms; 0 if the answer has none
 }
 
 // customer sends requests through spread doors from firstDoor on, in uneven shares, at a rate that a spike multiplies by
@@ -188,10 +188,12 @@
 		c.scheduleArrival(w, i, w.now)
 		k := &c.customers[i]
 		if k.spikeFactor > 0 {
-			w.schedule(w.now+c.s.Load.SpikeEveryS.At(c.workloadRand.Float64())*1000*c.workloadRand.Float64(), event{kind: eventSpike, index: i})
+			w.schedule(w.now+c.s.Load.SpikeEveryS.At(c.workloadRand.Float64())*1000*c.workloadRand.Float64(),
+				event{kind: eventSpike, index: i})
 		}
 		if k.spread > 1 {
-			w.schedule(w.now+c.s.Load.ShiftS.At(c.workloadRand.Float64())*1000*c.workloadRand.Float64(), event{kind: eventShift, index: i})
+			w.schedule(w.now+c.s.Load.ShiftS.At(c.workloadRand.Float64())*1000*c.workloadRand.Float64(),
+				event{kind: eventShift, index: i})
 		}
 	}
 }
@@ -283,10 +285,11 @@
 	if !x.active || w.loadEnded {
 		return
 	}
-	switch x.fault.fault.Kind {
+	switch x.fault.spec.Kind {
 	case "strangers":
 		plan := drawIndex(c.workloadRand, c.planShares)
-		k := customer{plan: plan, spread: min(c.s.Plans[plan].Spread, w.s.Fleet.Doors), firstDoor: c.workloadRand.IntN(w.s.Fleet.Doors)}
+		k := customer{plan: plan, spread: min(c.s.Plans[plan].Spread, w.s.Fleet.Doors),
+			firstDoor: c.workloadRand.IntN(w.s.Fleet.Doors)}
 		c.drawWeights(&k)
 		c.customers = append(c.customers, k)
 		c.newRequest(w, len(c.customers)-1, at)
@@ -301,11 +304,11 @@
 const hotCustomerCount = 3 // customers of a "hot_customers" fault
 
 // injectFault begins a fault of the workload. The clock is the one for which it was scheduled, which in real time may be past.
-func (c *clients) injectFault(w *World, h *activeFault, at float64) {
-	f := h.fault
+func (c *clients) injectFault(w *World, af *activeFault, at float64) {
+	f := af.spec
 	switch f.Kind {
 	case "burst", "strangers", "hot_customers":
-		x := extraLoad{fault: h, rate: c.totalRate * f.Much, active: true}
+		x := extraLoad{fault: af, rate: c.totalRate * f.Much, active: true}
 		for range hotCustomerCount {
 			x.hotCustomers = append(x.hotCustomers, c.workloadRand.IntN(len(c.customers)))
 		}
@@ -327,9 +330,9 @@
 }
 
 // endFault stops the additional load of a fault.
-func (c *clients) endFault(w *World, h *activeFault) {
+func (c *clients) endFault(w *World, af *activeFault) {
 	for i := range c.extras {
-		if c.extras[i].fault == h {
+		if c.extras[i].fault == af {
 			c.extras[i].active = false
 		}
 	}
@@ -340,12 +343,12 @@
 	class := drawIndex(c.workloadRand, c.classShares)
 	units, work := c.drawSize(c.workloadRand, &c.s.Classes[class])
 	k := &c.customers[customer]
-	n := &clientRequest{id: c.nextRequestID, customer: customer, class: class, units: units, work: work, at: at,
+	r := &clientRequest{id: c.nextRequestID, customer: customer, class: class, units: units, work: work, at: at,
 		deadline: at + c.s.Classes[class].OuterMs}
 	c.nextRequestID++
 	w.openRequests++
-	w.sink.Take(&trace.Event{Kind: trace.Asked, At: at, Want: n.id, Customer: customer, Plan: k.plan, Class: class, Units: units})
-	c.sendTry(w, n, false)
+	w.sink.Take(&trace.Event{Kind: trace.Asked, At: at, Want: r.id, Customer: customer, Plan: k.plan, Class: class, Units: units})
+	c.sendTry(w, r, false)
 }
 
 // chooseDoor draws the door of a try, skipping doors that the load balancer in front of them sees down.
@@ -382,19 +385,19 @@
 }
 
 // sendTry sends a request, for the first time or as a retry.
-func (c *clients) sendTry(w *World, n *clientRequest, retry bool) {
-	if w.now >= n.deadline {
-		c.giveUp(w, n)
+func (c *clients) sendTry(w *World, r *clientRequest, retry bool) {
+	if w.now >= r.deadline {
+		c.giveUp(w, r)
 		return
 	}
-	n.tries++
-	k := &c.customers[n.customer]
-	p := &c.s.Classes[n.class]
-	if !retry || c.reactionRand.Float64() < c.s.Clients.Elsewhere || !w.doors[n.door].seenUp(w.now, c.s.Clients.NoticeMs) {
-		n.door = c.chooseDoor(w, k)
+	r.tries++
+	k := &c.customers[r.customer]
+	p := &c.s.Classes[r.class]
+	if !retry || c.reactionRand.Float64() < c.s.Clients.Elsewhere || !w.doors[r.door].seenUp(w.now, c.s.Clients.NoticeMs) {
+		r.door = c.chooseDoor(w, k)
 	}
-	t := &Try{ID: w.nextTryID, Door: n.door, Class: n.class, request: n, madeAt: w.now, retry: retry,
-		deadline: min(n.deadline, w.now+p.OuterMs*c.s.Clients.TryShare)}
+	t := &Try{ID: w.nextTryID, Door: r.door, Class: r.class, request: r, madeAt: w.now, retry: retry,
+		deadline: min(r.deadline, w.now+p.OuterMs*c.s.Clients.TryShare)}
 	w.nextTryID++
 	patience := t.deadline + c.s.Rules.AnswerSlackMs
 	early, _ := w.faultMagnitude("leave_early")
@@ -448,14 +451,15 @@
 // retryOrGiveUp decides whether the client retries after a failed try, and when. Without a rejection it retries only requests
 // that can be repeated safely.
 func (c *clients) retryOrGiveUp(w *World, t *Try, a trace.Answer) {
-	n, p, cl := t.request, &c.s.Classes[t.Class], &c.s.Clients
+	r, p, cl := t.request, &c.s.Classes[t.Class], &c.s.Clients
 	maxRetries, wait := cl.Retries, cl.Wait
 	if retries, storm := w.faultMagnitude("storm"); storm {
 		maxRetries, wait = max(maxRetries, int(retries)), "none"
 	}
-	retryable := a == trace.Rejected || p.Semantics == "replayable" || p.Semantics == "tokened" && p.Scope == "all" && w.now < n.at+p.WindowMs
-	if n.tries > maxRetries || !retryable {
-		c.giveUp(w, n)
+	retryable := a == trace.Rejected || p.Semantics == "replayable" ||
+		p.Semantics == "tokened" && p.Scope == "all" && w.now < r.at+p.WindowMs
+	if r.tries > maxRetries || !retryable {
+		c.giveUp(w, r)
 		return
 	}
 	delay := 0.0
@@ -463,23 +467,23 @@
 	case "fixed":
 		delay = cl.WaitMs
 	case "doubling":
-		delay = cl.WaitMs * math.Pow(2, float64(n.tries-1))
+		delay = cl.WaitMs * math.Pow(2, float64(r.tries-1))
 	}
 	delay *= 0.5 + c.reactionRand.Float64()
 	if t.retryAfter > 0 && c.reactionRand.Float64() < cl.Honour {
 		delay = min(t.retryAfter, cl.MaxRetryAfterMs)
 	}
-	if w.now+delay >= n.deadline {
-		c.giveUp(w, n)
+	if w.now+delay >= r.deadline {
+		c.giveUp(w, r)
 		return
 	}
-	w.schedule(w.now+delay, event{kind: eventRetry, request: n})
+	w.schedule(w.now+delay, event{kind: eventRetry, request: r})
 }
 
 // giveUp ends a request without success.
-func (c *clients) giveUp(w *World, n *clientRequest) {
+func (c *clients) giveUp(w *World, r *clientRequest) {
 	w.openRequests--
-	w.emit(trace.Event{Kind: trace.GaveUp, Want: n.id})
+	w.emit(trace.Event{Kind: trace.GaveUp, Want: r.id})
 }
 
 // gateRequest returns a try as an event for the decider.
--- a/lab/model/counter.go
+++ b/lab/model/counter.go
@@ -52,7 +52,8 @@
 
 // sendCounterCall sends a call of a simulated door to the counter, which is in zone 0.
 func (w *World) sendCounterCall(d *door, a gate.Count) {
-	k := &counterCall{door: d.id, incarnation: d.incarnation, key: counterKey{d.customers.ID(a.Customer), a.Epoch}, add: a.Add, ttl: a.TTL, sentAt: w.now}
+	k := &counterCall{door: d.id, incarnation: d.incarnation, key: counterKey{d.customers.ID(a.Customer), a.Epoch},
+		add: a.Add, ttl: a.TTL, sentAt: w.now}
 	w.emit(trace.Event{Kind: trace.Counted, Door: d.id})
 	if _, down := w.faultMagnitude("counter_down"); down {
 		w.replyCounterCall(k, w.networkDelay(d.zone, 0)+w.networkDelay(0, d.zone), gate.Unreachable)
--- a/lab/model/discovery.go
+++ b/lab/model/discovery.go
@@ -48,9 +48,9 @@
 	at := w.now + d.listDelay
 	late, _ := w.faultMagnitude("list_late")
 	at += late
-	for _, h := range w.faults {
-		if h.fault.Kind == "list_silent" || h.fault.Kind == "zone_cut" && (d.zone == *h.fault.Zone) != (*h.fault.Zone == 0) {
-			at = max(at, h.fault.End()*1000+d.listDelay)
+	for _, af := range w.faults {
+		if af.spec.Kind == "list_silent" || af.spec.Kind == "zone_cut" && (d.zone == *af.spec.Zone) != (*af.spec.Zone == 0) {
+			at = max(at, af.spec.End()*1000+d.listDelay)
 		}
 	}
 	d.lastListAt = max(at, math.Nextafter(d.lastListAt, math.Inf(1)))
--- a/lab/model/door.go
+++ b/lab/model/door.go
@@ -205,8 +205,8 @@
 func (w *World) markTaken(d *door, t *Try) {
 	k := &w.clients.customers[t.request.customer]
 	t.taken = true
-	w.emit(trace.Event{Kind: trace.Taken, Try: t.ID, Want: t.request.id, Door: d.id, Customer: t.request.customer, Plan: k.plan, Class: t.Class,
-		Units: t.request.units, Until: t.deadline})
+	w.emit(trace.Event{Kind: trace.Taken, Try: t.ID, Want: t.request.id, Door: d.id, Customer: t.request.customer,
+		Plan: k.plan, Class: t.Class, Units: t.request.units, Until: t.deadline})
 }
 
 // clientLeft handles the departure of a client.
@@ -417,7 +417,8 @@
 	t := o.try
 	b := w.backends[d.backendIDs.ID(a.Backend)]
 	j := &Job{Try: t, Number: len(o.jobs), Backend: b.id, sentAt: w.now, startBy: a.StartBy, incarnation: b.incarnation, caller: d}
-	w.emit(trace.Event{Kind: trace.Sent, Try: t.ID, Door: d.id, Number: j.Number, Backend: b.id, Zone: b.zone, Cell: b.cell, Crosses: b.zone != d.zone})
+	w.emit(trace.Event{Kind: trace.Sent, Try: t.ID, Door: d.id, Number: j.Number, Backend: b.id, Zone: b.zone, Cell: b.cell,
+		Crosses: b.zone != d.zone})
 	if j.Number == 0 {
 		w.meter.add(w, t.request.customer, t.request.units)
 	}
--- a/lab/model/external.go
+++ b/lab/model/external.go
@@ -67,8 +67,8 @@
 // WireRequest returns what the client sends for a try.
 func (w *World) WireRequest(t *Try) WireRequest {
 	k, p := &w.clients.customers[t.request.customer], &w.s.Classes[t.Class]
-	return WireRequest{t.ID, t.request.id, p.Name, w.s.Plans[k.plan].Name, p.Semantics == "replayable", t.request.customer, t.request.units, k.firstDoor,
-		k.spread, t.deadline - t.madeAt, t.madeAt, t.retry && w.s.Clients.Marks}
+	return WireRequest{t.ID, t.request.id, p.Name, w.s.Plans[k.plan].Name, p.Semantics == "replayable", t.request.customer,
+		t.request.units, k.firstDoor, k.spread, t.deadline - t.madeAt, t.madeAt, t.retry && w.s.Clients.Marks}
 }
 
 // NewExternal returns the initial state of a run whose doors are external. The network between doors and backends is then the
@@ -132,7 +132,8 @@
 			e := w.queue.pop()
 			behind = max(behind, now-e.at)
 			w.now = max(w.now, e.at)
-			w.loadEnded = w.loadEnded || e.at >= end // while the run is behind, events past the end are handled together with those before it
+			// While the run is behind, events past the end are handled together with those before it.
+			w.loadEnded = w.loadEnded || e.at >= end
 			w.dispatch(&e)
 			now = clock()
 		}
@@ -143,7 +144,8 @@
 			progress(min(1, now/end))
 		}
 		if len(w.queue.heap) > 0 {
-			timer.Reset(time.Duration(math.Ceil((w.queue.heap[0].at - now) * 1e6))) // rounded down, the timer would fire before the event is due
+			// Rounded down, the timer would fire before the event is due.
+			timer.Reset(time.Duration(math.Ceil((w.queue.heap[0].at - now) * 1e6)))
 		}
 		select {
 		case do := <-w.posted:
@@ -220,12 +222,13 @@
 
 // AttemptArrived reports that the request of an attempt arrived in full at a backend. reply is called once, unless the backend
 // stays silent.
-func (w *World) AttemptArrived(door, backend int, t *Try, number int, connected bool, reply func(r gate.Result, use float64)) *Job {
+func (w *World) AttemptArrived(door, backend int, t *Try, number int, newConn bool, reply func(r gate.Result, use float64)) *Job {
 	b := w.backends[backend]
 	if !t.taken { // TryTaken is posted by another goroutine and may come later
 		w.TryTaken(t)
 	}
-	j := &Job{Try: t, Number: number, Backend: backend, sentAt: w.now, incarnation: b.incarnation, newConn: connected, caller: externalCaller{door, reply}}
+	j := &Job{Try: t, Number: number, Backend: backend, sentAt: w.now, incarnation: b.incarnation, newConn: newConn,
+		caller: externalCaller{door, reply}}
 	w.emit(trace.Event{Kind: trace.Sent, Try: t.ID, Door: door, Number: number, Backend: backend, Zone: b.zone, Cell: b.cell,
 		Crosses: b.zone != w.doors[door].zone})
 	if number == 0 {
@@ -251,12 +254,12 @@
 // Connected reports a new connection to a backend. It returns whether the backend accepts it.
 func (w *World) Connected(door, backend int) bool {
 	b := w.backends[backend]
-	most := b.maxConns
+	limit := b.maxConns
 	if magnitude, active := b.faultMagnitude("few_conns", -1); active {
-		most = int(magnitude)
+		limit = int(magnitude)
 	}
 	_, refuses := b.faultMagnitude("refuse", -1)
-	if !b.up || refuses || b.openConns >= most {
+	if !b.up || refuses || b.openConns >= limit {
 		return false
 	}
 	b.openConns++
@@ -276,11 +279,12 @@
 
 // ExternalCounterCall makes a call of an external door to the counter. reply is called once, unless the call or its reply is
 // lost.
-func (w *World) ExternalCounterCall(door int, id string, add, keep float64, reply func(r gate.Result, total float64)) {
+func (w *World) ExternalCounterCall(door int, id string, add, ttl float64, reply func(r gate.Result, total float64)) {
 	w.emit(trace.Event{Kind: trace.Counted, Door: door})
 	if _, down := w.faultMagnitude("counter_down"); down || w.partitioned(w.doors[door].zone, 0) {
 		return
 	}
-	k := &counterCall{door: door, key: counterKey{customer: int(xxhash.Sum64String(id) >> 1)}, add: add, ttl: keep, sentAt: w.now, reply: reply}
+	k := &counterCall{door: door, key: counterKey{customer: int(xxhash.Sum64String(id) >> 1)}, add: add, ttl: ttl, sentAt: w.now,
+		reply: reply}
 	w.schedule(w.now+w.networkDelay(w.doors[door].zone, 0), event{kind: eventCounterCall, payload: k})
 }
--- a/lab/model/faults.go
+++ b/lab/model/faults.go
@@ -10,7 +10,7 @@
 
 // activeFault is a fault from its injection to its end.
 type activeFault struct {
-	fault    *scenario.Fault
+	spec     *scenario.Fault
 	index    int
 	class    int           // the only class that it affects; -1 for all
 	targets  []int         // backends or doors into which it was injected
@@ -38,40 +38,40 @@
 func (w *World) toggleFault(n int, begins bool) {
 	f := &w.s.Faults[n]
 	if begins {
-		h := &activeFault{fault: f, index: n, class: slices.IndexFunc(w.s.Classes, func(p scenario.Class) bool { return p.Name == f.Class })}
+		af := &activeFault{spec: f, index: n, class: slices.IndexFunc(w.s.Classes, func(p scenario.Class) bool { return p.Name == f.Class })}
 		if f.ForS > 0 {
-			w.faults = append(w.faults, h)
+			w.faults = append(w.faults, af)
 			w.schedule(f.End()*1000, event{kind: eventFault, index: n})
 		}
-		w.injectFault(h)
+		w.injectFault(af)
 		return
 	}
-	for i, h := range w.faults {
-		if h.index == n {
+	for i, af := range w.faults {
+		if af.index == n {
 			w.faults = append(w.faults[:i:i], w.faults[i+1:]...)
-			w.endFault(h)
+			w.endFault(af)
 			return
 		}
 	}
 }
 
 // injectFault applies the beginning of a fault to its targets.
-func (w *World) injectFault(h *activeFault) {
-	f := h.fault
+func (w *World) injectFault(af *activeFault) {
+	f := af.spec
 	switch scenario.Kinds[f.Kind].Whom {
 	case scenario.Backends:
-		h.targets = w.pickTargets(len(w.backends), f.Share, func(i int) bool {
+		af.targets = w.pickTargets(len(w.backends), f.Share, func(i int) bool {
 			b := w.backends[i]
 			return b.listed && b.status == gate.Up && b.up && (f.Zone == nil || b.zone == *f.Zone)
 		})
-		w.injectBackendFault(h)
+		w.injectBackendFault(af)
 	case scenario.Doors:
-		h.targets = w.pickTargets(len(w.doors), f.Share, func(i int) bool {
+		af.targets = w.pickTargets(len(w.doors), f.Share, func(i int) bool {
 			return w.doors[i].up && (f.Zone == nil || w.doors[i].zone == *f.Zone)
 		})
-		w.injectDoorFault(h)
+		w.injectDoorFault(af)
 	case scenario.Clientele:
-		w.clients.injectFault(w, h, f.AtS*1000)
+		w.clients.injectFault(w, af, f.AtS*1000)
 	default:
 		if f.Kind == "counter_empty" {
 			w.counter.clear()
@@ -83,22 +83,22 @@
 }
 
 // injectBackendFault injects a fault into the backends that it targets.
-func (w *World) injectBackendFault(h *activeFault) {
-	f := h.fault
+func (w *World) injectBackendFault(af *activeFault) {
+	f := af.spec
 	switch f.Kind {
 	case "replace", "pauses":
 		if f.Kind == "pauses" {
-			w.attachFault(h)
+			w.attachFault(af)
 		}
-		w.faultStep(h.index, 0, h)
+		w.faultStep(af.index, 0, af)
 	case "death", "zone_loss":
-		for _, i := range h.targets {
+		for _, i := range af.targets {
 			w.crashBackend(w.backends[i])
 		}
 	default:
-		w.attachFault(h)
+		w.attachFault(af)
 		if f.Kind == "silence" {
-			for _, i := range h.targets {
+			for _, i := range af.targets {
 				w.announce(w.backends[i], gate.Gone, w.s.Discovery.SilentMs.At(w.rng.faults.Float64()))
 			}
 		}
@@ -106,11 +106,11 @@
 }
 
 // attachFault makes a fault affect its target backends from now on.
-func (w *World) attachFault(h *activeFault) {
-	for _, i := range h.targets {
+func (w *World) attachFault(af *activeFault) {
+	for _, i := range af.targets {
 		b := w.backends[i]
 		b.advance(w.now)
-		b.faults = append(b.faults, h)
+		b.faults = append(b.faults, af)
 		b.scheduleFinish(w)
 	}
 }
@@ -129,25 +129,25 @@
 }
 
 // injectDoorFault injects a fault into the doors that it targets.
-func (w *World) injectDoorFault(h *activeFault) {
-	if h.fault.Kind == "door_deaths" {
-		for _, i := range h.targets {
+func (w *World) injectDoorFault(af *activeFault) {
+	if af.spec.Kind == "door_deaths" {
+		for _, i := range af.targets {
 			w.doors[i].crash(w)
 		}
 		return
 	}
-	w.faultStep(h.index, 0, h)
+	w.faultStep(af.index, 0, af)
 }
 
 // endFault undoes a fault at its end.
-func (w *World) endFault(h *activeFault) {
-	f := h.fault
-	for _, i := range h.targets {
+func (w *World) endFault(af *activeFault) {
+	f := af.spec
+	for _, i := range af.targets {
 		switch scenario.Kinds[f.Kind].Whom {
 		case scenario.Backends:
 			b := w.backends[i]
 			b.advance(w.now)
-			b.faults = slices.DeleteFunc(slices.Clone(b.faults), func(x *activeFault) bool { return x == h })
+			b.faults = slices.DeleteFunc(slices.Clone(b.faults), func(x *activeFault) bool { return x == af })
 			switch f.Kind {
 			case "death", "zone_loss":
 				if !b.up {
@@ -170,7 +170,7 @@
 	if f.Kind == "counter_split" {
 		w.counter.heal()
 	}
-	w.clients.endFault(w, h)
+	w.clients.endFault(w, af)
 }
 
 const (
@@ -179,22 +179,22 @@
 )
 
 // faultStep executes one step of a fault that proceeds in steps.
-func (w *World) faultStep(n, step int, h *activeFault) {
-	f := h.fault
+func (w *World) faultStep(n, step int, af *activeFault) {
+	f := af.spec
 	if f.Kind == "pauses" {
-		w.togglePause(step, h)
+		w.togglePause(step, af)
 		return
 	}
 	if f.MostOut > 0 {
-		w.stepWithinPermits(n, step, h)
+		w.stepWithinPermits(n, step, af)
 		return
 	}
 	batches := f.Batches
 	if batches == 0 {
 		batches = defaultBatches
 	}
-	from, to := len(h.targets)*step/batches, len(h.targets)*(step+1)/batches
-	for _, i := range h.targets[from:to] {
+	from, to := len(af.targets)*step/batches, len(af.targets)*(step+1)/batches
+	for _, i := range af.targets[from:to] {
 		if f.Kind == "replace" {
 			w.replace(w.backends[i], f.Much*1000)
 		} else if d := w.doors[i]; d.up {
@@ -202,7 +202,7 @@
 		}
 	}
 	if step+1 < batches {
-		w.schedule(w.now+f.ForS*1000/float64(batches), event{kind: eventFaultStep, index: n, arg: step + 1, payload: h})
+		w.schedule(w.now+f.ForS*1000/float64(batches), event{kind: eventFaultStep, index: n, arg: step + 1, payload: af})
 	}
 }
 
@@ -213,18 +213,18 @@
 
 // stepWithinPermits takes the next targets out as places become free, as permits would: at most MostOut are out at a time, and
 // a place becomes free once the target that occupied it is back, ready and warm.
-func (w *World) stepWithinPermits(n, step int, h *activeFault) {
-	f := h.fault
-	h.stillOut = slices.DeleteFunc(h.stillOut, func(out func() bool) bool { return !out() })
-	for len(h.stillOut) < f.MostOut && step < len(h.targets) {
-		if i := h.targets[step]; f.Kind == "replace" {
+func (w *World) stepWithinPermits(n, step int, af *activeFault) {
+	f := af.spec
+	af.stillOut = slices.DeleteFunc(af.stillOut, func(out func() bool) bool { return !out() })
+	for len(af.stillOut) < f.MostOut && step < len(af.targets) {
+		if i := af.targets[step]; f.Kind == "replace" {
 			if next := w.replace(w.backends[i], f.Much*1000); next != nil {
-				h.stillOut = append(h.stillOut, func() bool { return !next.up || w.now < next.startedAt+next.machine.ColdS*1000 })
+				af.stillOut = append(af.stillOut, func() bool { return !next.up || w.now < next.startedAt+next.machine.ColdS*1000 })
 			}
 		} else if d := w.doors[i]; d.up {
 			d.restart(w, f.Much*1000)
 			back := 0.0
-			h.stillOut = append(h.stillOut, func() bool {
+			af.stillOut = append(af.stillOut, func() bool {
 				if !d.up || d.stopping {
 					back = w.now
 				}
@@ -233,16 +233,16 @@
 		}
 		step++
 	}
-	if step < len(h.targets) {
-		w.schedule(w.now+permitCheckInterval, event{kind: eventFaultStep, index: n, arg: step, payload: h})
+	if step < len(af.targets) {
+		w.schedule(w.now+permitCheckInterval, event{kind: eventFaultStep, index: n, arg: step, payload: af})
 	}
 }
 
 // togglePause pauses the target backends or lets them continue, in turns until the fault ends.
-func (w *World) togglePause(step int, h *activeFault) {
-	f := h.fault
+func (w *World) togglePause(step int, af *activeFault) {
+	f := af.spec
 	ended := w.now >= f.End()*1000
-	for _, i := range h.targets {
+	for _, i := range af.targets {
 		b := w.backends[i]
 		b.advance(w.now)
 		b.paused = step%2 == 0 && !ended
@@ -255,7 +255,7 @@
 	if step%2 == 1 {
 		rest = f.EveryMs - f.Much
 	}
-	w.schedule(w.now+rest, event{kind: eventFaultStep, index: h.index, arg: step + 1, payload: h})
+	w.schedule(w.now+rest, event{kind: eventFaultStep, index: af.index, arg: step + 1, payload: af})
 }
 
 // replace drains a backend and ends it, and starts its successor on a machine of its own right away. It returns the successor,
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -274,7 +274,7 @@
 	w.recordEffect(b, try)
 	w.now = 100 + 400
 	assert.True(t, w.isDuplicate(b, try), "within the deduplication window")
-	b.faults = []*activeFault{{fault: &s.Faults[0], class: -1}}
+	b.faults = []*activeFault{{spec: &s.Faults[0], class: -1}}
 	assert.False(t, w.isDuplicate(b, try), "forgotten a millisecond early")
 	w.recordEffect(b, try)
 	ran := k.ofKind(trace.Ran)
--- a/lab/model/terms.go
+++ b/lab/model/terms.go
@@ -68,9 +68,9 @@
 			return math.Inf(1)
 		}
 	}
-	for _, h := range b.faults {
-		if h.fault.Kind == "slow" {
-			now /= max(1, h.fault.Much)
+	for _, af := range b.faults {
+		if af.spec.Kind == "slow" {
+			now /= max(1, af.spec.Much)
 		}
 	}
 	held := float64(b.pending)
--- a/lab/model/world.go
+++ b/lab/model/world.go
@@ -303,9 +303,9 @@
 		span = w.s.Net.SameMs
 	}
 	d := span.At(w.rng.net.Float64()) * (1 + w.s.Net.Jitter*(2*w.rng.net.Float64()-1))
-	for _, h := range w.faults {
-		if h.fault.Kind == "delay" {
-			d += h.fault.Much
+	for _, af := range w.faults {
+		if af.spec.Kind == "delay" {
+			d += af.spec.Much
 		}
 	}
 	return max(0.01, d)
@@ -316,8 +316,8 @@
 
 // partitioned reports whether a network partition separates two zones.
 func (w *World) partitioned(a, b int) bool {
-	for _, h := range w.faults {
-		if h.fault.Kind == "zone_cut" && (a == *h.fault.Zone) != (b == *h.fault.Zone) {
+	for _, af := range w.faults {
+		if af.spec.Kind == "zone_cut" && (a == *af.spec.Zone) != (b == *af.spec.Zone) {
 			return true
 		}
 	}
@@ -327,9 +327,9 @@
 // faultMagnitude returns the greatest magnitude among the active faults of a kind, and whether there is one. Faults of
 // backends are looked up by backend.faultMagnitude.
 func (w *World) faultMagnitude(kind string) (magnitude float64, active bool) {
-	for _, h := range w.faults {
-		if h.fault.Kind == kind {
-			magnitude, active = max(magnitude, h.fault.Much), true
+	for _, af := range w.faults {
+		if af.spec.Kind == kind {
+			magnitude, active = max(magnitude, af.spec.Much), true
 		}
 	}
 	return magnitude, active
@@ -342,7 +342,8 @@
 	}
 	z := w.doors[j.Try.Door].zone
 	lossShare, lossy := w.faultMagnitude("loss")
-	if w.partitioned(z, b.zone) || r != gate.Unreachable && w.rng.net.Float64() < w.s.Net.Loss || lossy && w.rng.net.Float64() < lossShare {
+	if w.partitioned(z, b.zone) || r != gate.Unreachable && w.rng.net.Float64() < w.s.Net.Loss ||
+		lossy && w.rng.net.Float64() < lossShare {
 		return
 	}
 	w.schedule(w.now+w.networkDelay(b.zone, z), event{kind: eventResult, job: j, payload: r})
@@ -371,11 +372,11 @@
 		w.schedule(j.sentAt+w.s.Net.ConnectTimeoutMs, event{kind: eventResult, job: j, payload: gate.Unreachable})
 		return
 	}
-	most := b.maxConns
+	limit := b.maxConns
 	if magnitude, active := b.faultMagnitude("few_conns", -1); active {
-		most = int(magnitude)
+		limit = int(magnitude)
 	}
-	if _, refuses := b.faultMagnitude("refuse", -1); refuses || !b.up || b.openConns >= most {
+	if _, refuses := b.faultMagnitude("refuse", -1); refuses || !b.up || b.openConns >= limit {
 		w.sendResult(b, j, gate.Unreachable)
 		return
 	}
--- a/lab/stand/backend.go
+++ b/lab/stand/backend.go
@@ -184,7 +184,9 @@
 		number := a.tb.attempts[t.ID]
 		a.tb.attempts[t.ID]++
 		a.tb.mu.Unlock()
-		job = a.tb.world.AttemptArrived(a.door, a.backend, t, number, newConn, func(result gate.Result, use float64) { results <- attemptResult{result, use} })
+		job = a.tb.world.AttemptArrived(a.door, a.backend, t, number, newConn, func(result gate.Result, use float64) {
+			results <- attemptResult{result, use}
+		})
 	})
 	select {
 	case <-a.tb.ctx.Done():
--- a/lab/stand/counter.go
+++ b/lab/stand/counter.go
@@ -86,13 +86,13 @@
 			reply <- "+OK\r\n"
 		case args[0] == "TALLY" && len(args) == 4:
 			add, err := strconv.ParseFloat(args[2], 64)
-			keep, err2 := strconv.ParseFloat(args[3], 64)
+			ttl, err2 := strconv.ParseFloat(args[3], 64)
 			if err != nil || err2 != nil {
 				reply <- "-ERR amount\r\n"
 				continue
 			}
 			tb.post(func() {
-				tb.world.ExternalCounterCall(door, args[1], add, keep, func(r gate.Result, total float64) {
+				tb.world.ExternalCounterCall(door, args[1], add, ttl, func(r gate.Result, total float64) {
 					if r != gate.Finished {
 						reply <- "-BUSY\r\n"
 						return
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -60,15 +60,18 @@
 		}
 	}
 	if n := maxBackends * s.Fleet.Doors; n > maxListeners {
-		return nil, &UnsupportedScenarioError{Reason: fmt.Sprintf("%d doors and %d backends need %d addresses, more than %d", s.Fleet.Doors, maxBackends, n, maxListeners),
+		return nil, &UnsupportedScenarioError{Reason: fmt.Sprintf("%d doors and %d backends need %d addresses, more than %d",
+			s.Fleet.Doors, maxBackends, n, maxListeners),
 			Advice: "Run it with fewer doors (--doors) or simulated (--on sim)."}
 	}
 	if p.Binary != "" && p.Policy != rival.Swifthall {
-		return nil, &UnsupportedScenarioError{Reason: fmt.Sprintf("policy %q: a door's program always uses its own policy", p.Policy), Advice: "Leave --policy or --door out."}
+		return nil, &UnsupportedScenarioError{Reason: fmt.Sprintf("policy %q: a door's program always uses its own policy", p.Policy),
+			Advice: "Leave --policy or --door out."}
 	}
 	if p.Binary == "" {
 		if p.Policy == rival.Oracle || p.Policy == rival.Late {
-			return nil, &UnsupportedScenarioError{Reason: "policy " + p.Policy + " needs the true state, which doors on sockets do not know", Advice: "Run it with --on sim."}
+			return nil, &UnsupportedScenarioError{Reason: "policy " + p.Policy + " needs the true state, which doors on sockets do not know",
+				Advice: "Run it with --on sim."}
 		}
 		if _, known := rival.Makers[p.Policy]; !known {
 			return nil, &run.PolicyError{Name: p.Policy, Known: rival.Names}
