--- a/lab/model/counter.go
+++ b/lab/model/counter.go
@@ -45,6 +45,7 @@
 	reply             func(r gate.Result, total float64) // set for calls of external doors
 }
 
+// init creates the counter without totals.
 func (c *counter) init(s *scenario.Scenario) {
 	c.totals = map[counterKey]counterValue{}
 	c.busyUntil = make([]float64, max(1, s.Counter.Parts))
@@ -77,10 +78,10 @@
 	cf := &w.s.Counter
 	shard := k.key.shard(len(c.busyUntil))
 	start := max(w.now, c.busyUntil[shard])
-	way := w.networkDelay(0, w.doors[k.door].zone)
+	delay := w.networkDelay(0, w.doors[k.door].zone)
 	busy, _ := w.faultMagnitude("counter_busy")
 	if start-w.now > cf.QueueMs || busy > 0 && w.rng.net.Float64() < busy {
-		w.replyCounterCall(k, way, gate.Full)
+		w.replyCounterCall(k, delay, gate.Full)
 		return
 	}
 	c.busyUntil[shard] = start + 1000*float64(len(c.busyUntil))/cf.PerS
@@ -99,7 +100,7 @@
 		k.total *= factor
 	}
 	late, _ := w.faultMagnitude("counter_late")
-	duration := start - w.now + cf.ServeMs + way + late
+	duration := start - w.now + cf.ServeMs + delay + late
 	lost, _ := w.faultMagnitude("counter_lost")
 	if timeout := k.sentAt + cf.TimeoutMs - w.now; k.reply == nil && duration > timeout || lost > 0 && w.rng.net.Float64() < lost {
 		if k.reply == nil { // an external caller has a timeout of its own
--- a/lab/model/discovery.go
+++ b/lab/model/discovery.go
@@ -94,12 +94,12 @@
 	f := gate.FleetUpdate{Complete: n.complete}
 	for _, l := range n.entries {
 		b := w.backends[l.backend]
-		since := 0.0
+		startedAt := 0.0
 		if l.startedAt > -epoch {
-			since = l.startedAt + epoch
+			startedAt = l.startedAt + epoch
 		}
 		f.Entries = append(f.Entries, gate.Entry{Backend: d.backendIDs.Add(l.backend), Zone: b.zone, Cell: b.cell, Status: l.status,
-			StartedAt: since, Weight: 1, RingPosition: index.Phase(uint64(l.backend) + 1)})
+			StartedAt: startedAt, Weight: 1, RingPosition: index.Phase(uint64(l.backend) + 1)})
 	}
 	return f
 }
@@ -107,12 +107,12 @@
 // recordList updates what the door knows, and reports it to the sink.
 func (d *door) recordList(w *World, n listUpdate) {
 	if n.complete {
-		named := make(map[int]bool, len(n.entries))
+		present := make(map[int]bool, len(n.entries))
 		for _, l := range n.entries {
-			named[l.backend] = true
+			present[l.backend] = true
 		}
 		for i := range d.known {
-			if t := &d.known[i]; t.received && !named[i] && t.status != gate.Gone {
+			if t := &d.known[i]; t.received && !present[i] && t.status != gate.Gone {
 				t.status = gate.Gone
 				w.emit(trace.Event{Kind: trace.Told, Door: d.id, Backend: i, Status: gate.Gone})
 			}
--- a/lab/model/door.go
+++ b/lab/model/door.go
@@ -17,40 +17,40 @@
 	crashedAt             float64 // ms
 	decideAt              float64 // clock of the next decision, ms; infinite if none is scheduled
 	decider               gate.Decider
-	inbox                 []gate.Event
-	submitted             []*Try
-	ended                 []attemptEnd
-	listUpdates           []listUpdate
+	inbox                 []gate.Event // events for the next decision that need no translation
+	submitted             []*Try       // for the next decision
+	ended                 []attemptEnd // for the next decision
+	listUpdates           []listUpdate // for the next decision
 	events                []gate.Event
 	actions               []gate.Action
-	timerAt               float64
+	timerAt               float64 // clock of the decider's timer, ms; 0 if none is set
 	ops                   []op
-	freeSlots             []int
-	slotsToFree           []int
+	freeSlots             []int // unused indices of ops
+	slotsToFree           []int // indices of ops to check for completion after the decision
 	customers             index.Table[int]
 	backendIDs            index.Table[int] // ids of backends by the decider's index
 	known                 []knownBackend   // by backend
 	idle                  []idleConns      // by backend
-	listDelay             float64
-	lastListAt            float64
-	subscribed            bool
-	external              ExternalDoor // a door outside the simulation; nil if the door drives a decider
+	listDelay             float64          // of discovery updates to this door, ms
+	lastListAt            float64          // clock at which the latest update sent arrives, ms
+	subscribed            bool             // receives fleet list updates
+	external              ExternalDoor     // a door outside the simulation; nil if the door drives a decider
 }
 
 // op is a request that the door holds, at the index that the decider knows as Op.
 type op struct {
 	try      *Try
 	jobs     []*Job
-	inFlight int
-	answered bool
+	inFlight int  // attempts without a result
+	answered bool // has its final answer, or the client left
 }
 
 // attemptEnd is the end of an attempt, not yet reported to the decider.
 type attemptEnd struct {
 	job     *Job
 	result  gate.Result
-	latency float64
-	use     float64
+	latency float64 // ms
+	use     float64 // metered use; negative if not reported
 }
 
 // idleConns counts a door's idle connections to one incarnation of a backend.
@@ -69,6 +69,7 @@
 // customerPhase returns the offset of a customer's counter windows, 0 to 1.
 func customerPhase(customer int) float64 { return index.Phase(uint64(customer) + 1) }
 
+// newDoor returns a door that has not started yet.
 func newDoor(w *World, id int) *door {
 	d := &door{id: id, zone: id % w.s.Fleet.Zones, crashedAt: math.Inf(-1), decideAt: math.Inf(1)}
 	d.listDelay = w.s.Discovery.DelayMs.At(w.rng.net.Float64())
@@ -154,8 +155,8 @@
 	d.ops = nil
 }
 
-// restart shuts the door down gracefully, with maxShutdown ms for it, and starts it again rest ms later.
-func (d *door) restart(w *World, rest float64) {
+// restart shuts the door down gracefully, with maxShutdown ms for it, and starts it again pauseMs later.
+func (d *door) restart(w *World, pauseMs float64) {
 	d.stopping = true
 	incarnation := d.incarnation
 	if d.external != nil {
@@ -166,7 +167,7 @@
 			d.crash(w)
 		}
 	}})
-	w.schedule(w.now+maxShutdown+rest, event{kind: eventFunc, payload: func() { d.start(w) }})
+	w.schedule(w.now+maxShutdown+pauseMs, event{kind: eventFunc, payload: func() { d.start(w) }})
 }
 
 // seenUp reports whether clients believe that the door serves. They notice a crash only after a while.
@@ -443,14 +444,14 @@
 	b := w.backends[d.backendIDs.ID(a.Backend)]
 	w.emit(trace.Event{Kind: trace.Probed, Door: d.id, Backend: b.id})
 	p := probeResult{sentAt: w.now, incarnation: d.incarnation, result: gate.Finished}
-	took := w.networkDelay(d.zone, b.zone) + w.networkDelay(b.zone, d.zone) + w.s.Allow.ProbeMs
+	duration := w.networkDelay(d.zone, b.zone) + w.networkDelay(b.zone, d.zone) + w.s.Allow.ProbeMs
 	switch _, hangs := b.faultMagnitude("hang", -1); {
 	case b.silent() || w.partitioned(d.zone, b.zone) || hangs || b.paused:
-		p.result, took = gate.TimedOut, w.s.Net.ConnectTimeoutMs
+		p.result, duration = gate.TimedOut, w.s.Net.ConnectTimeoutMs
 	case !b.up:
 		p.result = gate.Unreachable
 	}
-	w.schedule(w.now+took, event{kind: eventProbeEnd, index: b.id, arg: d.id, payload: p})
+	w.schedule(w.now+duration, event{kind: eventProbeEnd, index: b.id, arg: d.id, payload: p})
 }
 
 // probeEnded reports the result of a probe to the decider.
--- a/lab/model/external.go
+++ b/lab/model/external.go
@@ -82,7 +82,7 @@
 	return w
 }
 
-// WithSocketSlack widens the judge's limits for runs on sockets, by the amounts that the platform's documentation allows.
+// WithSocketSlack widens the limits that the judge checks for runs on sockets, by the amounts that the platform's documentation allows.
 func WithSocketSlack(d *judge.Deal) *judge.Deal {
 	const answerSlack, ceilingSlack = 50, 150 // ms
 	d.Slack, d.CeilingSlackMs = answerSlack, ceilingSlack
--- a/lab/model/faults.go
+++ b/lab/model/faults.go
@@ -251,16 +251,16 @@
 	if ended {
 		return
 	}
-	rest := f.Much
+	duration := f.Much
 	if step%2 == 1 {
-		rest = f.EveryMs - f.Much
+		duration = f.EveryMs - f.Much
 	}
-	w.schedule(w.now+rest, event{kind: eventFaultStep, index: af.index, arg: step + 1, payload: af})
+	w.schedule(w.now+duration, event{kind: eventFaultStep, index: af.index, arg: step + 1, payload: af})
 }
 
 // replace drains a backend and ends it, and starts its successor on a machine of its own right away. It returns the successor,
 // or nil if the backend is not up.
-func (w *World) replace(b *backend, drain float64) (next *backend) {
+func (w *World) replace(b *backend, drainMs float64) (next *backend) {
 	if !b.listed || b.status != gate.Up {
 		return nil
 	}
@@ -270,7 +270,7 @@
 	next.listed = true
 	next.start(w)
 	w.announce(next, gate.Up, 0)
-	w.schedule(w.now+drain, event{kind: eventFunc, payload: func() {
+	w.schedule(w.now+drainMs, event{kind: eventFunc, payload: func() {
 		b.status, b.listed = gate.Gone, false
 		if b.up {
 			b.crash(w)
--- a/lab/model/terms.go
+++ b/lab/model/terms.go
@@ -8,6 +8,7 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
+// semantics and scopes map the names in scenario files.
 var semantics = map[string]gate.Semantics{"replayable": gate.Idempotent, "tokened": gate.Keyed, "single-use": gate.NonIdempotent}
 
 var scopes = map[string]gate.Scope{"all": gate.ScopeAll, "zone": gate.ScopeZone, "cell": gate.ScopeCell}
@@ -32,7 +33,7 @@
 	return t
 }
 
-// Deal returns what the judge needs to know of the scenario.
+// JudgeTerms returns what the judge needs to know of the scenario.
 func Deal(s *scenario.Scenario) *judge.Deal {
 	t := Terms(s, 0)
 	d := &judge.Deal{Classes: t.Classes, Plans: t.Plans, MaxAttempts: t.MaxAttempts, Hedging: t.Hedging,
@@ -44,13 +45,13 @@
 	return d
 }
 
-// doorView implements Sight for one door, translating its indices.
+// doorView implements TrueState for one door, translating its indices.
 type doorView struct {
 	w *World
 	d *door
 }
 
-// Wait implements Sight, from the attempts that the backend holds at present.
+// EstimateWait implements TrueState, from the attempts that the backend holds at present.
 func (s doorView) Wait(backend, class int) float64 {
 	w := s.w
 	b := w.backends[s.d.backendIDs.ID(backend)]
@@ -61,39 +62,41 @@
 		return math.Inf(1)
 	}
 	mean := w.s.Classes[class].WorkMs
-	now := b.capacity()
+	capacity := b.capacity()
 	if b.coldBudget != nil {
-		now = b.coldBudget.Now(w.now)
-		if now*w.s.Rules.FallMs < mean*minColdRequests {
+		capacity = b.coldBudget.Now(w.now)
+		if capacity*w.s.Rules.FallMs < mean*minColdRequests {
 			return math.Inf(1)
 		}
 	}
 	for _, af := range b.faults {
 		if af.spec.Kind == "slow" {
-			now /= max(1, af.spec.Much)
+			capacity /= max(1, af.spec.Much)
 		}
 	}
-	held := float64(b.pending)
-	alone := mean * float64(b.cores) / now
-	return max(alone, (held+1)*mean/now)
+	pending := float64(b.pending)
+	unloaded := mean * float64(b.cores) / capacity
+	return max(unloaded, (pending+1)*mean/capacity)
 }
 
-// Work implements Sight.
+// MeanWork implements TrueState.
 func (s doorView) Work(class int) float64 { return s.w.s.Classes[class].WorkMs }
 
-const minColdRequests = 2 // mean requests that a cold backend must be able to serve within the overload window; else Wait is infinite
+// minColdRequests is the number of mean requests that a cold backend must be able to serve within the overload window. If it is
+// not, its estimated wait is infinite.
+const minColdRequests = 2
 
-// Take implements Sight.
+// TakeQuota implements TrueState.
 func (s doorView) Take(customer, plan int, units float64) bool {
 	return s.w.quotas.take(s.w, s.d.customers.ID(customer), plan, units)
 }
 
-// TakeLate implements Sight.
+// TakeStaleQuota implements TrueState.
 func (s doorView) TakeLate(customer, plan int, units, lateMs float64) bool {
 	return s.w.quotas.takeLate(s.w, s.d.id, s.d.customers.ID(customer), plan, units, lateMs)
 }
 
-// trueQuotas holds the customers' true quotas, for deciders that use Sight. They are kept apart from what real doors know.
+// trueQuotas holds the customers' true quotas, for deciders that use TrueState. They are kept apart from what real doors know.
 type trueQuotas struct {
 	current map[int]quotaLevel
 	stale   map[int]*staleQuota
@@ -130,15 +133,15 @@
 		l = quotaLevel{p.Depth, w.now}
 	}
 	l.units, l.at = l.refilled(p, w.now), w.now
-	has := l.units >= units
-	if has {
+	sufficient := l.units >= units
+	if sufficient {
 		l.units -= units
 	}
 	t.current[customer] = l
-	return has
+	return sufficient
 }
 
-// takeLate takes units by the quota as it was lateMs ago, less what the door itself has taken since.
+// takeLate takes units by the quota as it was lateMs ago, less what the door itself sufficient taken since.
 func (t *trueQuotas) takeLate(w *World, door, customer, plan int, units, lateMs float64) bool {
 	p := &w.s.Plans[plan]
 	if t.stale == nil {
--- a/lab/model/world.go
+++ b/lab/model/world.go
@@ -30,16 +30,16 @@
 	Shared bool
 }
 
-// Sight gives a decider the true state of the simulation, which no real door can know. Baselines such as an oracle use it.
+// TrueState gives a decider the true state of the simulation, which no real door can know. Baselines such as an oracle use it.
 // Indices are those that the door assigned.
 type Sight interface {
-	// Wait estimates the time until a request of the class that is sent now is answered, ms; infinite if it would not be.
+	// EstimateWait estimates the time until a request of the class that is sent now is answered, ms; infinite if it would not be.
 	Wait(backend, class int) float64
-	// Work returns the mean work of a class, ms.
+	// MeanWork returns the mean work of a class, ms.
 	Work(class int) float64
-	// Take takes units from the customer's true quota and reports whether the quota held them.
+	// TakeQuota takes units from the customer's true quota and reports whether the quota held them.
 	Take(customer, plan int, units float64) bool
-	// TakeLate does the same with stale knowledge: the true quota as it was lateMs ago, less what this door has taken since.
+	// TakeStaleQuota does the same with stale knowledge: the true quota as it was lateMs ago, less what this door has taken since.
 	TakeLate(customer, plan int, units, lateMs float64) bool
 }
 
@@ -56,8 +56,8 @@
 
 // World is the state of one run.
 type World struct {
-	s     *scenario.Scenario
-	now   float64 // clock, ms from the start of the run
+	s     *scenario.Scenario // not modified
+	now   float64            // clock, ms from the start of the run
 	queue eventQueue
 	sink  trace.Sink
 	seed  uint64
--- a/lab/stand/beside.go
+++ b/lab/stand/beside.go
@@ -100,23 +100,23 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	proxyAt, proxy, err := b.start(d, list, addrs)
+	proxyAddr, proxy, err := b.start(d, list, addrs)
 	restore()
 	if err != nil {
 		return nil, nil, err
 	}
 	tb.onClose(func() { _ = proxy.Process.Kill(); _ = proxy.Wait() })
 	targets := []struct {
-		name, at string
-		pid      func() int
-	}{{"door", d.addr, func() int { return d.cmd.Process.Pid }}, {"reverse proxy", proxyAt, func() int { return proxy.Process.Pid }}}
+		name, addr string
+		pid        func() int
+	}{{"door", d.addr, func() int { return d.cmd.Process.Pid }}, {"reverse proxy", proxyAddr, func() int { return proxy.Process.Pid }}}
 	for _, t := range targets {
-		if err := waitReady(ctx, t.at); err != nil {
+		if err := waitReady(ctx, t.addr); err != nil {
 			return nil, nil, &ComponentError{fmt.Sprintf("%s on core %d", t.name, core), "", err}
 		}
 	}
-	word := func(at string, seed uint64) func(int) string {
-		return load.Door{Host: at, Class: "look", Plan: "ample", Customers: comparedCustomers, Wait: clientTimeoutMs, Seed: seed}.Word
+	word := func(addr string, seed uint64) func(int) string {
+		return load.Door{Host: addr, Class: "look", Plan: "ample", Customers: comparedCustomers, Wait: clientTimeoutMs, Seed: seed}.Word
 	}
 	const timeout = 5 * time.Second
 	for _, rate := range b.Rates {
@@ -126,8 +126,8 @@
 				t := targets[(i+round)%len(targets)] // the targets take turns in going first
 				row := &rateRows[(i+round)%len(targets)]
 				before := cpuTime(t.pid())
-				r := load.Run{Target: t.at, Rate: rate, For: b.For, Conns: b.Conns, Patience: timeout, Poisson: true, Seed: uint64(round) + 1,
-					Word: word(t.at, uint64(round)+uint64(rate)<<8)}
+				r := load.Run{Target: t.addr, Rate: rate, For: b.For, Conns: b.Conns, Patience: timeout, Poisson: true, Seed: uint64(round) + 1,
+					Word: word(t.addr, uint64(round)+uint64(rate)<<8)}
 				o, err := r.Play(ctx, nil)
 				if err != nil {
 					return nil, nil, err
@@ -150,7 +150,7 @@
 	knees = map[string]float64{}
 	for _, t := range targets {
 		k := b.Knee
-		k.Run.Target, k.Run.Conns, k.Run.For, k.Run.Patience, k.Run.Poisson, k.Run.Word = t.at, b.Conns, b.For, timeout, true, word(t.at, 99)
+		k.Run.Target, k.Run.Conns, k.Run.For, k.Run.Patience, k.Run.Poisson, k.Run.Word = t.addr, b.Conns, b.For, timeout, true, word(t.addr, 99)
 		rate, _, err := k.Find(ctx, func(s load.Step) {
 			if report != nil {
 				report(t.name, s.Rate, s.Outcome)
@@ -165,7 +165,7 @@
 }
 
 // start starts both programs. They inherit the CPU affinity of the calling thread.
-func (b Beside) start(d *door, list registry.List, backends []string) (at string, proxy *exec.Cmd, err error) {
+func (b Beside) start(d *door, list registry.List, backends []string) (addr string, proxy *exec.Cmd, err error) {
 	raw, err := json.Marshal(d.config(list))
 	if err != nil {
 		return "", nil, &ComponentError{"the door's configuration", "", err}
@@ -174,19 +174,19 @@
 	if err := d.err.Load(); err != nil {
 		return "", nil, *err
 	}
-	if at, err = loopback.Free(); err != nil {
+	if addr, err = loopback.Free(); err != nil {
 		return "", nil, err
 	}
 	if len(b.Proxy) == 0 {
-		return "", nil, &ComponentError{"reverse proxy", "no program", nil}
+		return "", nil, &ComponentError{"reverse proxy", "no program is given", nil}
 	}
-	proxy = exec.Command(b.Proxy[0], append(append(append([]string(nil), b.Proxy[1:]...), at), backends...)...)
+	proxy = exec.Command(b.Proxy[0], append(append(append([]string(nil), b.Proxy[1:]...), addr), backends...)...)
 	proxy.Env = append(os.Environ(), "GOMAXPROCS=1")
 	proxy.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := proxy.Start(); err != nil {
 		return "", nil, &ComponentError{"reverse proxy", "", err}
 	}
-	return at, proxy, nil
+	return addr, proxy, nil
 }
 
 // pinToOneCore binds the calling thread to the last core that it may use. restore undoes that.
@@ -215,10 +215,10 @@
 }
 
 // waitReady waits until the server at an address is ready.
-func waitReady(ctx context.Context, at string) error {
+func waitReady(ctx context.Context, addr string) error {
 	client := http.Client{Timeout: dialTimeout}
 	for range 200 {
-		resp, err := client.Get("http://" + at + "/health/ready")
+		resp, err := client.Get("http://" + addr + "/health/ready")
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -231,24 +231,24 @@
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	return &ComponentError{at, "does not answer", nil}
+	return &ComponentError{addr, "does not answer", nil}
 }
 
 // ServeProxy serves the standard library's reverse proxy, which uses the backends in turn, until ctx ends.
-func ServeProxy(ctx context.Context, at string, backends []string) error {
+func ServeProxy(ctx context.Context, addr string, backends []string) error {
 	var next atomic.Uint64
 	var urls []*url.URL
 	for _, b := range backends {
 		urls = append(urls, &url.URL{Scheme: "http", Host: b})
 	}
 	if len(urls) == 0 {
-		return &ComponentError{"reverse proxy", "no backend", nil}
+		return &ComponentError{"reverse proxy", "no backend is given", nil}
 	}
 	proxy := &httputil.ReverseProxy{
 		Rewrite:   func(r *httputil.ProxyRequest) { r.SetURL(urls[next.Add(1)%uint64(len(urls))]) },
 		Transport: &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true},
 	}
-	srv := &http.Server{Addr: at, Handler: proxy}
+	srv := &http.Server{Addr: addr, Handler: proxy}
 	defer context.AfterFunc(ctx, func() { srv.Close() })()
 	if err := srv.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 		return &ComponentError{"reverse proxy", "", err}
--- a/lab/stand/client.go
+++ b/lab/stand/client.go
@@ -15,7 +15,7 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// clientConns is the pool of connections to one door, used as the load balancer in front of it does: one request at a time on
+// clientConns is the pool of connections to one door, reused as the load balancer in front of it does: one request at a time on
 // each, and a new connection when all are busy.
 type clientConns struct {
 	tb      *testbed
@@ -32,6 +32,7 @@
 	reused bool
 }
 
+// dialTimeout limits connecting to a door, and a readiness query.
 const dialTimeout = 250 * time.Millisecond
 
 // get removes an idle connection from the pool, or returns nil.
@@ -117,9 +118,9 @@
 			c.tb.post(func() { c.tb.world.TryNotAccepted(t) })
 			return
 		}
-		used := k.reused
+		reused := k.reused
 		c.tb.post(func() { c.tb.world.TryTaken(t) })
-		again := c.readAnswer(ctx, t, k, used)
+		again := c.readAnswer(ctx, t, k, reused)
 		unwatch()
 		if !again {
 			return
@@ -128,8 +129,8 @@
 }
 
 // readAnswer reads the answer. It returns again if the door closed the connection before it read the try.
-func (c *clientConns) readAnswer(ctx context.Context, t *model.Try, k *conn, used bool) (again bool) {
-	if _, err := k.r.Peek(1); err != nil && used && ctx.Err() == nil {
+func (c *clientConns) readAnswer(ctx context.Context, t *model.Try, k *conn, reused bool) (again bool) {
+	if _, err := k.r.Peek(1); err != nil && reused && ctx.Err() == nil {
 		k.nc.Close()
 		c.tb.post(func() { c.tb.world.TryNotRead(t) })
 		return true
@@ -145,14 +146,14 @@
 		}
 		return false
 	}
-	a, wait := trace.Failed, 0.0
+	answer, retryAfter := trace.Failed, 0.0
 	switch resp.StatusCode {
 	case http.StatusOK:
-		a = trace.Finished
+		answer = trace.Finished
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		a = trace.Rejected
+		answer = trace.Rejected
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-			wait = s * 1000
+			retryAfter = s * 1000
 		}
 	}
 	if resp.Close {
@@ -160,12 +161,12 @@
 	} else {
 		c.put(k)
 	}
-	c.tb.post(func() { c.tb.world.TryAnswered(t, a, wait) })
+	c.tb.post(func() { c.tb.world.TryAnswered(t, answer, retryAfter) })
 	return false
 }
 
 // requestText returns the HTTP request of a try.
-func requestText(to string, t *model.Try, req model.WireRequest) string {
+func requestText(host string, t *model.Try, req model.WireRequest) string {
 	method, headers := http.MethodPost, fmt.Sprintf("Idempotency-Key: %032x\r\nContent-Length: 4\r\n", req.RequestID+1)
 	body := "ride"
 	if req.Idempotent {
@@ -175,7 +176,7 @@
 		headers += "X-Resent: 1\r\n"
 	}
 	return fmt.Sprintf("%s /%s?key=%016x HTTP/1.1\r\nHost: %s\r\nX-Txn: %s\r\nX-Tariff: %s\r\nX-Remaining: %dm\r\n"+
-		"X-Weight: units=%g,spread=%d,first=%d\r\n%s\r\n%s", method, req.Class, req.Customer, to, txnID(t.ID), req.Plan, int(req.TTL),
+		"X-Weight: units=%g,spread=%d,first=%d\r\n%s\r\n%s", method, req.Class, req.Customer, host, txnID(t.ID), req.Plan, int(req.TTL),
 		req.Units, req.Spread, req.FirstDoor, headers, body)
 }
 
--- a/lab/stand/cpu.go
+++ b/lab/stand/cpu.go
@@ -10,7 +10,7 @@
 
 const (
 	clockTick     = 10 * time.Millisecond // unit of the CPU times in /proc/PID/stat
-	userTimeField = 11                    // index of the user time among the fields after the program's name; the system time follows
+	userTimeField = 11                    // of the fields after the program's name; the system time follows
 )
 
 // cpuTime returns the CPU time that a process has used, 0 if it is not available.
--- a/lab/stand/site.go
+++ b/lab/stand/site.go
@@ -33,7 +33,7 @@
 	var states []model.BackendEntry
 	for i := range comparedBackends {
 		id := fmt.Sprintf("b-%d", i)
-		at, err := s.serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		addr, err := s.serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			if onRequest != nil {
 				onRequest(id)
 			}
@@ -43,22 +43,22 @@
 			s.Close()
 			return nil, err
 		}
-		entries = append(entries, registry.Entry{ID: id, Addr: at, Zone: "z", State: "Ready", Size: 1})
+		entries = append(entries, registry.Entry{ID: id, Addr: addr, Zone: "z", State: "Ready", Size: 1})
 		states = append(states, model.BackendEntry{Backend: i})
 	}
 	agent.publish(true, entries, states)
 	s.list = registry.List{Version: agent.version, Whole: true, Backends: entries}
-	at, err := s.serve(agent)
+	addr, err := s.serve(agent)
 	if err != nil {
 		s.Close()
 		return nil, err
 	}
-	s.Discovery = at
+	s.Discovery = addr
 	return s, nil
 }
 
 // serve starts a server and returns its address.
-func (s *Site) serve(h http.Handler) (at string, err error) {
+func (s *Site) serve(h http.Handler) (addr string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", &ComponentError{"stand-in", "", err}
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -42,9 +42,9 @@
 	mu       sync.Mutex
 	tries    map[string]*model.Try // by transaction id
 	attempts map[int]int           // number of attempts that have arrived, by try
-	closers  []func()
+	closers  []func()              // called by close
 	group    sync.WaitGroup
-	over     atomic.Bool
+	over     atomic.Bool // set when no run is in progress
 }
 
 // Run runs the scenario and returns the result of the judge.
