--- a/lab/model/backend.go
+++ b/lab/model/backend.go
@@ -31,7 +31,7 @@
 
 // Caller is notified how an attempt ended.
 type Caller interface {
-	Ended(w *World, j *Job, r gate.Result)
+	Ended(sim *Simulation, j *Job, r gate.Result)
 }
 
 type jobState uint8
@@ -138,37 +138,37 @@
 }
 
 // scheduleFinish updates the rate and schedules the completion of the next job.
-func (b *backend) scheduleFinish(w *World) {
+func (b *backend) scheduleFinish(sim *Simulation) {
 	b.finishStamp++
-	b.rate = b.currentRate(w.now)
+	b.rate = b.currentRate(sim.now)
 	if b.rate > 0 {
-		w.schedule(w.now+max(0, b.running[0].virtualEnd-b.virtualTime)/b.rate,
+		sim.schedule(sim.now+max(0, b.running[0].virtualEnd-b.virtualTime)/b.rate,
 			event{kind: eventFinish, index: b.id, arg: b.finishStamp})
 	}
 }
 
 // receive handles an attempt whose request has arrived in full.
-func (b *backend) receive(w *World, j *Job) {
+func (b *backend) receive(sim *Simulation, j *Job) {
 	t := j.Try
 	if !b.up || j.incarnation != b.incarnation { // its connection was reset with the process
-		w.sendResult(b, j, gate.Reset)
+		sim.sendResult(b, j, gate.Reset)
 		return
 	}
 	if b.silent() {
 		return
 	}
-	p := &w.s.Classes[t.Class]
+	p := &sim.s.Classes[t.Class]
 	j.work = t.request.work * noiseFactor(b.rng, p.Noise)
 	if j.newConn {
 		j.work += b.machine.HandshakeMs
 	}
-	w.emit(trace.Event{Kind: trace.Came, Try: t.ID, Door: t.Door, Number: j.Number, Backend: b.id, Work: j.work,
-		Told: w.knowsStart(t.Door, b)})
+	sim.emit(trace.Event{Kind: trace.Came, Try: t.ID, Door: t.Door, Number: j.Number, Backend: b.id, Work: j.work,
+		Told: sim.knowsStart(t.Door, b)})
 	if b.coldBudget != nil && !b.collapsed {
-		if !b.coldBudget.Cold(w.now) {
+		if !b.coldBudget.Cold(sim.now) {
 			b.coldBudget = nil
-		} else if over, _ := b.coldBudget.Take(w.now, j.work, w.knowsStart(t.Door, b)); over {
-			b.collapse(w)
+		} else if over, _ := b.coldBudget.Take(sim.now, j.work, sim.knowsStart(t.Door, b)); over {
+			b.collapse(sim)
 			return
 		}
 	}
@@ -176,28 +176,28 @@
 	case b.collapsed:
 		return
 	case b.faultOccurs("full", t.Class) || len(b.running) >= b.slots && len(b.queue) >= b.maxQueue:
-		w.sendResult(b, j, gate.Full)
+		sim.sendResult(b, j, gate.Full)
 		return
 	}
 	if _, active := b.faultMagnitude("hang", t.Class); active {
 		j.state = jobHung
 		return
 	}
-	j.takesEffect = !w.isDuplicate(b, t)
+	j.takesEffect = !sim.isDuplicate(b, t)
 	j.failing = b.faultOccurs("errors", t.Class) || b.rng.Float64() < b.machine.ErrorRate
 	if j.failing {
 		j.work *= errorWorkShare
 	} else if !j.takesEffect {
 		j.work *= repeatWorkShare
 	}
-	b.advance(w.now)
+	b.advance(sim.now)
 	if len(b.running) < b.slots {
 		b.startJob(j)
 	} else {
 		j.state = jobQueued
 		b.queue = append(b.queue, j)
 	}
-	b.scheduleFinish(w)
+	b.scheduleFinish(sim)
 }
 
 const (
@@ -224,49 +224,49 @@
 const finishTolerance = 1e-6 // ms of virtual time within which jobs complete together
 
 // finishDue completes the jobs that are due.
-func (b *backend) finishDue(w *World) {
-	b.advance(w.now)
+func (b *backend) finishDue(sim *Simulation) {
+	b.advance(sim.now)
 	for len(b.running) > 0 && b.running[0].virtualEnd <= b.virtualTime+finishTolerance {
 		j := heap.Pop(&b.running).(*Job)
 		j.state = jobInTransit
-		b.complete(w, j)
+		b.complete(sim, j)
 	}
 	b.fillSlots()
-	b.scheduleFinish(w)
+	b.scheduleFinish(sim)
 }
 
 // complete applies the effect of a finished job and sends its result, subject to faults.
-func (b *backend) complete(w *World, j *Job) {
+func (b *backend) complete(sim *Simulation, j *Job) {
 	t := j.Try
 	kind := trace.Worked
 	if j.closed || t.over {
 		kind = trace.Wasted
 	}
-	w.emit(trace.Event{Kind: kind, Backend: b.id, Work: j.work})
+	sim.emit(trace.Event{Kind: kind, Backend: b.id, Work: j.work})
 	if j.failing {
-		w.sendResult(b, j, gate.Errored)
+		sim.sendResult(b, j, gate.Errored)
 		return
 	}
 	if j.takesEffect {
-		w.recordEffect(b, t)
+		sim.recordEffect(b, t)
 	}
 	switch {
 	case b.faultOccurs("lost_answers", t.Class):
 	case b.faultOccurs("resets", t.Class):
-		w.sendResult(b, j, gate.Reset)
+		sim.sendResult(b, j, gate.Reset)
 	case b.faultOccurs("spoilt", t.Class):
-		w.sendResult(b, j, gate.Malformed)
+		sim.sendResult(b, j, gate.Malformed)
 	default:
-		w.sendResult(b, j, gate.Finished)
+		sim.sendResult(b, j, gate.Finished)
 	}
 }
 
 // cancel removes a job for which no door waits any more, unless the machine finishes such jobs.
-func (b *backend) cancel(w *World, j *Job) {
+func (b *backend) cancel(sim *Simulation, j *Job) {
 	if b.machine.GoesOn || j.incarnation != b.incarnation {
 		return
 	}
-	b.advance(w.now)
+	b.advance(sim.now)
 	switch j.state {
 	case jobQueued:
 		for i, q := range b.queue {
@@ -277,46 +277,46 @@
 		}
 	case jobRunning:
 		heap.Remove(&b.running, j.heapIndex)
-		w.emit(trace.Event{Kind: trace.Wasted, Backend: b.id, Work: max(0, j.work-(j.virtualEnd-b.virtualTime))})
+		sim.emit(trace.Event{Kind: trace.Wasted, Backend: b.id, Work: max(0, j.work-(j.virtualEnd-b.virtualTime))})
 		b.fillSlots()
 	default:
 		return
 	}
 	j.state = jobInTransit
-	b.scheduleFinish(w)
+	b.scheduleFinish(sim)
 }
 
 // crash ends the process. Waiting doors see their connections reset.
-func (b *backend) crash(w *World) {
-	b.advance(w.now)
+func (b *backend) crash(sim *Simulation) {
+	b.advance(sim.now)
 	b.up, b.finishStamp = false, b.finishStamp+1
 	b.incarnation++
 	for _, j := range append(append([]*Job(nil), b.running...), b.queue...) {
 		j.state = jobInTransit
-		w.sendResult(b, j, gate.Reset)
+		sim.sendResult(b, j, gate.Reset)
 	}
 	b.running, b.queue, b.openConns, b.rate = nil, nil, 0, 0
 	b.coldBudget, b.collapsed = nil, false
-	w.notifyProcess(b)
+	sim.notifyProcess(b)
 }
 
 // collapse makes a cold backend fail under overload: its process stays up and serves nothing more.
-func (b *backend) collapse(w *World) {
-	b.advance(w.now)
+func (b *backend) collapse(sim *Simulation) {
+	b.advance(sim.now)
 	b.collapsed = true
-	w.emit(trace.Event{Kind: trace.Fell, Backend: b.id})
-	b.scheduleFinish(w)
+	sim.emit(trace.Event{Kind: trace.Fell, Backend: b.id})
+	b.scheduleFinish(sim)
 }
 
 // start starts the process, cold.
-func (b *backend) start(w *World) {
-	b.up, b.startedAt, b.status = true, w.now, gate.Up
-	b.updatedAt = w.now
-	b.coldBudget = &trace.ColdBudget{Capacity: b.capacity(), From: b.machine.ColdFrom, Span: b.machine.ColdS * 1000, Began: w.now,
-		Multiple: w.s.Rules.FallMultiple, Window: w.s.Rules.FallMs}
-	w.emit(trace.Event{Kind: trace.Began, Backend: b.id, Work: b.capacity(), Cold: b.machine.ColdFrom, Span: b.machine.ColdS * 1000})
-	w.schedule(w.now+coldRefreshInterval, event{kind: eventRefreshSpeed, index: b.id, arg: b.incarnation})
-	w.notifyProcess(b)
+func (b *backend) start(sim *Simulation) {
+	b.up, b.startedAt, b.status = true, sim.now, gate.Up
+	b.updatedAt = sim.now
+	b.coldBudget = &trace.ColdBudget{Capacity: b.capacity(), From: b.machine.ColdFrom, Span: b.machine.ColdS * 1000, Began: sim.now,
+		Multiple: sim.s.Rules.FallMultiple, Window: sim.s.Rules.FallMs}
+	sim.emit(trace.Event{Kind: trace.Began, Backend: b.id, Work: b.capacity(), Cold: b.machine.ColdFrom, Span: b.machine.ColdS * 1000})
+	sim.schedule(sim.now+coldRefreshInterval, event{kind: eventRefreshSpeed, index: b.id, arg: b.incarnation})
+	sim.notifyProcess(b)
 }
 
 const coldRefreshInterval = 100 // ms between updates of the rate of a cold backend, whose capacity rises steadily
--- a/lab/model/clients.go
+++ b/lab/model/clients.go
@@ -94,8 +94,8 @@
 }
 
 // init sets the total rate, from the scenario or from the fleet's capacity, and creates the customers.
-func (c *clients) init(w *World) {
-	c.s, c.workloadRand, c.reactionRand = w.s, newRand(w.seed, streamWorkload), newRand(w.seed, streamReactions)
+func (c *clients) init(sim *Simulation) {
+	c.s, c.workloadRand, c.reactionRand = sim.s, newRand(sim.seed, streamWorkload), newRand(sim.seed, streamReactions)
 	var shares []float64
 	meanWork := 0.0
 	for _, p := range c.s.Classes {
@@ -108,7 +108,7 @@
 	}
 	c.planShares = cumulative(shares)
 	const samples = 4000
-	sample := newRand(w.seed, streamWorkload<<8)
+	sample := newRand(sim.seed, streamWorkload<<8)
 	for range samples {
 		p := &c.s.Classes[drawIndex(sample, c.classShares)]
 		units, work := c.drawSize(sample, p)
@@ -117,19 +117,19 @@
 	}
 	c.totalRate = c.s.Load.PerSecond / 1000
 	if c.totalRate == 0 {
-		for _, b := range w.backends {
+		for _, b := range sim.backends {
 			c.totalRate += b.capacity() * c.s.Load.Share / meanWork
 		}
 	}
-	meanRate := c.createCustomers(w)
+	meanRate := c.createCustomers(sim)
 	if c.s.Load.PerSecond > 0 && meanRate > 0 { // a rate set by the scenario includes the load beyond the quotas
 		c.totalRate *= c.totalRate / meanRate
-		c.createCustomers(w)
+		c.createCustomers(sim)
 	}
 }
 
 // createCustomers creates the customers of all plans and returns their mean total rate, requests per ms.
-func (c *clients) createCustomers(w *World) (meanRate float64) {
+func (c *clients) createCustomers(sim *Simulation) (meanRate float64) {
 	l := &c.s.Load
 	c.customers = c.customers[:0]
 	steadyUse := max(0.05, (l.PerCustomer-0.95*l.Full-l.Heavy)/max(0.05, 1-l.Full-l.Heavy))
@@ -142,7 +142,7 @@
 		perMs := c.totalRate * c.meanUnits * share // units per ms
 		n := max(1, int(math.Round(perMs/(p.PerS/1000*l.PerCustomer))))
 		for i := range n {
-			k := customer{plan: plan, spread: min(p.Spread, w.s.Fleet.Doors), firstDoor: c.workloadRand.IntN(w.s.Fleet.Doors)}
+			k := customer{plan: plan, spread: min(p.Spread, sim.s.Fleet.Doors), firstDoor: c.workloadRand.IntN(sim.s.Fleet.Doors)}
 			x := (float64(i) + c.workloadRand.Float64()) / float64(n)
 			use, mean := steadyUse*(0.5+c.workloadRand.Float64()), 1.0
 			switch {
@@ -183,16 +183,16 @@
 }
 
 // begin schedules the first arrival, spike and change of weights of each customer.
-func (c *clients) begin(w *World) {
+func (c *clients) begin(sim *Simulation) {
 	for i := range c.customers {
-		c.scheduleArrival(w, i, w.now)
+		c.scheduleArrival(sim, i, sim.now)
 		k := &c.customers[i]
 		if k.spikeFactor > 0 {
-			w.schedule(w.now+c.s.Load.SpikeEveryS.At(c.workloadRand.Float64())*1000*c.workloadRand.Float64(),
+			sim.schedule(sim.now+c.s.Load.SpikeEveryS.At(c.workloadRand.Float64())*1000*c.workloadRand.Float64(),
 				event{kind: eventSpike, index: i})
 		}
 		if k.spread > 1 {
-			w.schedule(w.now+c.s.Load.ShiftS.At(c.workloadRand.Float64())*1000*c.workloadRand.Float64(),
+			sim.schedule(sim.now+c.s.Load.ShiftS.At(c.workloadRand.Float64())*1000*c.workloadRand.Float64(),
 				event{kind: eventShift, index: i})
 		}
 	}
@@ -200,14 +200,14 @@
 
 // scheduleArrival schedules a customer's next arrival after a clock, which is the intended one of the previous arrival. The load
 // is open-loop: arrivals keep their intended clocks even if a run in real time is behind.
-func (c *clients) scheduleArrival(w *World, i int, from float64) {
+func (c *clients) scheduleArrival(sim *Simulation, i int, from float64) {
 	k := &c.customers[i]
 	rate := k.rate * (1 + c.s.Load.Swing)
 	if k.inSpike {
 		rate *= k.spikeFactor
 	}
 	if rate > 0 {
-		w.schedule(from+c.workloadRand.ExpFloat64()/rate, event{kind: eventArrival, index: i, arg: k.arrivalStamp})
+		sim.schedule(from+c.workloadRand.ExpFloat64()/rate, event{kind: eventArrival, index: i, arg: k.arrivalStamp})
 	}
 }
 
@@ -240,71 +240,71 @@
 }
 
 // handle handles one event of the clients.
-func (c *clients) handle(w *World, e *event) {
+func (c *clients) handle(sim *Simulation, e *event) {
 	switch e.kind {
 	case eventArrival:
 		k := &c.customers[e.index]
-		if w.loadEnded || k.arrivalStamp != e.arg {
+		if sim.loadEnded || k.arrivalStamp != e.arg {
 			return
 		}
 		if c.workloadRand.Float64() < c.loadShape(e.at) {
-			c.newRequest(w, e.index, e.at)
+			c.newRequest(sim, e.index, e.at)
 		}
-		c.scheduleArrival(w, e.index, e.at)
+		c.scheduleArrival(sim, e.index, e.at)
 	case eventSpike:
 		k := &c.customers[e.index]
 		k.inSpike = !k.inSpike
 		k.arrivalStamp++
-		c.scheduleArrival(w, e.index, e.at)
+		c.scheduleArrival(sim, e.index, e.at)
 		span := c.s.Load.SpikeEveryS
 		if k.inSpike {
 			span = c.s.Load.SpikeS
 		}
-		if !w.loadEnded {
-			w.schedule(e.at+span.At(c.workloadRand.Float64())*1000, event{kind: eventSpike, index: e.index})
+		if !sim.loadEnded {
+			sim.schedule(e.at+span.At(c.workloadRand.Float64())*1000, event{kind: eventSpike, index: e.index})
 		}
 	case eventShift:
 		c.drawWeights(&c.customers[e.index])
-		if !w.loadEnded {
-			w.schedule(e.at+c.s.Load.ShiftS.At(c.workloadRand.Float64())*1000, event{kind: eventShift, index: e.index})
+		if !sim.loadEnded {
+			sim.schedule(e.at+c.s.Load.ShiftS.At(c.workloadRand.Float64())*1000, event{kind: eventShift, index: e.index})
 		}
 	case eventExtraRequest:
-		c.extraRequest(w, e.index, e.at)
+		c.extraRequest(sim, e.index, e.at)
 	case eventClientTimeout:
-		c.tryTimedOut(w, e.try)
+		c.tryTimedOut(sim, e.try)
 	case eventAnswer:
-		c.receiveAnswer(w, e.try)
+		c.receiveAnswer(sim, e.try)
 	case eventRetry:
-		c.sendTry(w, e.request, true)
+		c.sendTry(sim, e.request, true)
 	}
 }
 
 // extraRequest makes one additional request and schedules the next.
-func (c *clients) extraRequest(w *World, n int, at float64) {
+func (c *clients) extraRequest(sim *Simulation, n int, at float64) {
 	x := &c.extras[n]
-	if !x.active || w.loadEnded {
+	if !x.active || sim.loadEnded {
 		return
 	}
 	switch x.fault.spec.Kind {
 	case "strangers":
 		plan := drawIndex(c.workloadRand, c.planShares)
-		k := customer{plan: plan, spread: min(c.s.Plans[plan].Spread, w.s.Fleet.Doors),
-			firstDoor: c.workloadRand.IntN(w.s.Fleet.Doors)}
+		k := customer{plan: plan, spread: min(c.s.Plans[plan].Spread, sim.s.Fleet.Doors),
+			firstDoor: c.workloadRand.IntN(sim.s.Fleet.Doors)}
 		c.drawWeights(&k)
 		c.customers = append(c.customers, k)
-		c.newRequest(w, len(c.customers)-1, at)
+		c.newRequest(sim, len(c.customers)-1, at)
 	case "hot_customers":
-		c.newRequest(w, x.hotCustomers[c.workloadRand.IntN(len(x.hotCustomers))], at)
+		c.newRequest(sim, x.hotCustomers[c.workloadRand.IntN(len(x.hotCustomers))], at)
 	default:
-		c.newRequest(w, c.workloadRand.IntN(len(c.customers)), at)
+		c.newRequest(sim, c.workloadRand.IntN(len(c.customers)), at)
 	}
-	w.schedule(at+c.workloadRand.ExpFloat64()/x.rate, event{kind: eventExtraRequest, index: n})
+	sim.schedule(at+c.workloadRand.ExpFloat64()/x.rate, event{kind: eventExtraRequest, index: n})
 }
 
 const hotCustomerCount = 3 // customers of a "hot_customers" fault
 
 // injectFault begins a fault of the workload. The clock is the one for which it was scheduled, which in real time may be past.
-func (c *clients) injectFault(w *World, af *activeFault, at float64) {
+func (c *clients) injectFault(sim *Simulation, af *activeFault, at float64) {
 	f := af.spec
 	switch f.Kind {
 	case "burst", "strangers", "hot_customers":
@@ -314,7 +314,7 @@
 		}
 		if x.rate > 0 {
 			c.extras = append(c.extras, x)
-			w.schedule(at+c.workloadRand.ExpFloat64()/x.rate, event{kind: eventExtraRequest, index: len(c.extras) - 1})
+			sim.schedule(at+c.workloadRand.ExpFloat64()/x.rate, event{kind: eventExtraRequest, index: len(c.extras) - 1})
 		}
 	case "shift":
 		share := f.Share
@@ -330,7 +330,7 @@
 }
 
 // endFault stops the additional load of a fault.
-func (c *clients) endFault(w *World, af *activeFault) {
+func (c *clients) endFault(sim *Simulation, af *activeFault) {
 	for i := range c.extras {
 		if c.extras[i].fault == af {
 			c.extras[i].active = false
@@ -339,22 +339,22 @@
 }
 
 // newRequest makes a new request of a customer, with its intended clock.
-func (c *clients) newRequest(w *World, customer int, at float64) {
+func (c *clients) newRequest(sim *Simulation, customer int, at float64) {
 	class := drawIndex(c.workloadRand, c.classShares)
 	units, work := c.drawSize(c.workloadRand, &c.s.Classes[class])
 	k := &c.customers[customer]
 	r := &clientRequest{id: c.nextRequestID, customer: customer, class: class, units: units, work: work, at: at,
 		deadline: at + c.s.Classes[class].OuterMs}
 	c.nextRequestID++
-	w.openRequests++
-	w.sink.Take(&trace.Event{Kind: trace.Asked, At: at, Want: r.id, Customer: customer, Plan: k.plan, Class: class, Units: units})
-	c.sendTry(w, r, false)
+	sim.openRequests++
+	sim.sink.Take(&trace.Event{Kind: trace.Asked, At: at, Want: r.id, Customer: customer, Plan: k.plan, Class: class, Units: units})
+	c.sendTry(sim, r, false)
 }
 
 // chooseDoor draws the door of a try, skipping doors that the load balancer in front of them sees down.
-func (c *clients) chooseDoor(w *World, k *customer) int {
+func (c *clients) chooseDoor(sim *Simulation, k *customer) int {
 	at := drawIndex(c.reactionRand, k.cumulativeWeights)
-	if share, concentrated := w.faultMagnitude("gather"); concentrated && c.reactionRand.Float64() < share {
+	if share, concentrated := sim.faultMagnitude("gather"); concentrated && c.reactionRand.Float64() < share {
 		at = 0
 		for i := range k.cumulativeWeights {
 			if shareOf(k.cumulativeWeights, i) > shareOf(k.cumulativeWeights, at) {
@@ -363,17 +363,17 @@
 		}
 	}
 	for i := range k.spread {
-		d := (k.firstDoor + (at+i)%k.spread) % len(w.doors)
-		if w.doors[d].seenUp(w.now, c.s.Clients.NoticeMs) {
+		d := (k.firstDoor + (at+i)%k.spread) % len(sim.doors)
+		if sim.doors[d].seenUp(sim.now, c.s.Clients.NoticeMs) {
 			return d
 		}
 	}
-	for i := range w.doors { // all doors of the customer are down: use any other
-		if d := (k.firstDoor + k.spread + i) % len(w.doors); w.doors[d].seenUp(w.now, c.s.Clients.NoticeMs) {
+	for i := range sim.doors { // all doors of the customer are down: use any other
+		if d := (k.firstDoor + k.spread + i) % len(sim.doors); sim.doors[d].seenUp(sim.now, c.s.Clients.NoticeMs) {
 			return d
 		}
 	}
-	return (k.firstDoor + at) % len(w.doors)
+	return (k.firstDoor + at) % len(sim.doors)
 }
 
 // shareOf returns one share out of cumulative ones.
@@ -385,81 +385,81 @@
 }
 
 // sendTry sends a request, for the first time or as a retry.
-func (c *clients) sendTry(w *World, r *clientRequest, retry bool) {
-	if w.now >= r.deadline {
-		c.giveUp(w, r)
+func (c *clients) sendTry(sim *Simulation, r *clientRequest, retry bool) {
+	if sim.now >= r.deadline {
+		c.giveUp(sim, r)
 		return
 	}
 	r.tries++
 	k := &c.customers[r.customer]
 	p := &c.s.Classes[r.class]
-	if !retry || c.reactionRand.Float64() < c.s.Clients.Elsewhere || !w.doors[r.door].seenUp(w.now, c.s.Clients.NoticeMs) {
-		r.door = c.chooseDoor(w, k)
+	if !retry || c.reactionRand.Float64() < c.s.Clients.Elsewhere || !sim.doors[r.door].seenUp(sim.now, c.s.Clients.NoticeMs) {
+		r.door = c.chooseDoor(sim, k)
 	}
-	t := &Try{ID: w.nextTryID, Door: r.door, Class: r.class, request: r, madeAt: w.now, retry: retry,
-		deadline: min(r.deadline, w.now+p.OuterMs*c.s.Clients.TryShare)}
-	w.nextTryID++
+	t := &Try{ID: sim.nextTryID, Door: r.door, Class: r.class, request: r, madeAt: sim.now, retry: retry,
+		deadline: min(r.deadline, sim.now+p.OuterMs*c.s.Clients.TryShare)}
+	sim.nextTryID++
 	patience := t.deadline + c.s.Rules.AnswerSlackMs
-	early, _ := w.faultMagnitude("leave_early")
+	early, _ := sim.faultMagnitude("leave_early")
 	if early = max(early, c.s.Clients.Impatient); early > 0 && c.reactionRand.Float64() < early {
 		patience = t.madeAt + (t.deadline-t.madeAt)*c.reactionRand.Float64()
 	}
-	w.schedule(w.now+w.clientDelay(), event{kind: eventSubmit, try: t})
-	w.schedule(patience, event{kind: eventClientTimeout, try: t})
+	sim.schedule(sim.now+sim.clientDelay(), event{kind: eventSubmit, try: t})
+	sim.schedule(patience, event{kind: eventClientTimeout, try: t})
 }
 
 // tryTimedOut ends a try for which the client no longer waits.
-func (c *clients) tryTimedOut(w *World, t *Try) {
+func (c *clients) tryTimedOut(sim *Simulation, t *Try) {
 	if t.over {
 		return
 	}
 	t.over = true
-	w.schedule(w.now+w.clientDelay(), event{kind: eventClientGone, try: t})
-	c.retryOrGiveUp(w, t, trace.None)
+	sim.schedule(sim.now+sim.clientDelay(), event{kind: eventClientGone, try: t})
+	c.retryOrGiveUp(sim, t, trace.None)
 }
 
 // receiveAnswer handles an answer at the client.
-func (c *clients) receiveAnswer(w *World, t *Try) {
+func (c *clients) receiveAnswer(sim *Simulation, t *Try) {
 	if t.over {
 		return
 	}
 	t.over = true
 	if t.answer == trace.Finished {
-		w.emit(trace.Event{Kind: trace.Got, Want: t.request.id, Try: t.ID, Answer: t.answer})
-		w.openRequests--
+		sim.emit(trace.Event{Kind: trace.Got, Want: t.request.id, Try: t.ID, Answer: t.answer})
+		sim.openRequests--
 		return
 	}
-	c.retryOrGiveUp(w, t, t.answer)
+	c.retryOrGiveUp(sim, t, t.answer)
 }
 
 // unreachable handles a try that no door accepted, like a rejection.
-func (c *clients) unreachable(w *World, t *Try) {
+func (c *clients) unreachable(sim *Simulation, t *Try) {
 	if !t.over {
 		t.over = true
-		c.retryOrGiveUp(w, t, trace.Rejected)
+		c.retryOrGiveUp(sim, t, trace.Rejected)
 	}
 }
 
 // connectionLost handles a try whose connection ended without an answer.
-func (c *clients) connectionLost(w *World, t *Try) {
+func (c *clients) connectionLost(sim *Simulation, t *Try) {
 	if !t.over && !t.answered {
 		t.over = true
-		c.retryOrGiveUp(w, t, trace.None)
+		c.retryOrGiveUp(sim, t, trace.None)
 	}
 }
 
 // retryOrGiveUp decides whether the client retries after a failed try, and when. Without a rejection it retries only requests
 // that can be repeated safely.
-func (c *clients) retryOrGiveUp(w *World, t *Try, a trace.Answer) {
+func (c *clients) retryOrGiveUp(sim *Simulation, t *Try, a trace.Answer) {
 	r, p, cl := t.request, &c.s.Classes[t.Class], &c.s.Clients
 	maxRetries, wait := cl.Retries, cl.Wait
-	if retries, storm := w.faultMagnitude("storm"); storm {
+	if retries, storm := sim.faultMagnitude("storm"); storm {
 		maxRetries, wait = max(maxRetries, int(retries)), "none"
 	}
 	retryable := a == trace.Rejected || p.Semantics == "replayable" ||
-		p.Semantics == "tokened" && p.Scope == "all" && w.now < r.at+p.WindowMs
+		p.Semantics == "tokened" && p.Scope == "all" && sim.now < r.at+p.WindowMs
 	if r.tries > maxRetries || !retryable {
-		c.giveUp(w, r)
+		c.giveUp(sim, r)
 		return
 	}
 	delay := 0.0
@@ -473,22 +473,22 @@
 	if t.retryAfter > 0 && c.reactionRand.Float64() < cl.Honour {
 		delay = min(t.retryAfter, cl.MaxRetryAfterMs)
 	}
-	if w.now+delay >= r.deadline {
-		c.giveUp(w, r)
+	if sim.now+delay >= r.deadline {
+		c.giveUp(sim, r)
 		return
 	}
-	w.schedule(w.now+delay, event{kind: eventRetry, request: r})
+	sim.schedule(sim.now+delay, event{kind: eventRetry, request: r})
 }
 
 // giveUp ends a request without success.
-func (c *clients) giveUp(w *World, r *clientRequest) {
-	w.openRequests--
-	w.emit(trace.Event{Kind: trace.GaveUp, Want: r.id})
+func (c *clients) giveUp(sim *Simulation, r *clientRequest) {
+	sim.openRequests--
+	sim.emit(trace.Event{Kind: trace.GaveUp, Want: r.id})
 }
 
 // gateRequest returns a try as an event for the decider.
-func (t *Try) gateRequest(w *World, op, customer int) gate.Request {
-	k := &w.clients.customers[t.request.customer]
-	return gate.Request{Op: op, Class: t.Class, Plan: k.plan, Customer: customer, TTL: max(0, t.deadline-w.now), Units: t.request.units,
-		ClientRetry: t.retry && w.s.Clients.Marks, FirstDoor: k.firstDoor, Spread: k.spread, Phase: customerPhase(t.request.customer)}
+func (t *Try) gateRequest(sim *Simulation, op, customer int) gate.Request {
+	k := &sim.clients.customers[t.request.customer]
+	return gate.Request{Op: op, Class: t.Class, Plan: k.plan, Customer: customer, TTL: max(0, t.deadline-sim.now), Units: t.request.units,
+		ClientRetry: t.retry && sim.s.Clients.Marks, FirstDoor: k.firstDoor, Spread: k.spread, Phase: customerPhase(t.request.customer)}
 }
--- a/lab/model/counter.go
+++ b/lab/model/counter.go
@@ -52,36 +52,36 @@
 }
 
 // sendCounterCall sends a call of a simulated door to the counter, which is in zone 0.
-func (w *World) sendCounterCall(d *door, a gate.Count) {
+func (sim *Simulation) sendCounterCall(d *door, a gate.Count) {
 	k := &counterCall{door: d.id, incarnation: d.incarnation, key: counterKey{d.customers.ID(a.Customer), a.Epoch},
-		add: a.Add, ttl: a.TTL, sentAt: w.now}
-	w.emit(trace.Event{Kind: trace.Counted, Door: d.id})
-	if _, down := w.faultMagnitude("counter_down"); down {
-		w.replyCounterCall(k, w.networkDelay(d.zone, 0)+w.networkDelay(0, d.zone), gate.Unreachable)
+		add: a.Add, ttl: a.TTL, sentAt: sim.now}
+	sim.emit(trace.Event{Kind: trace.Counted, Door: d.id})
+	if _, down := sim.faultMagnitude("counter_down"); down {
+		sim.replyCounterCall(k, sim.networkDelay(d.zone, 0)+sim.networkDelay(0, d.zone), gate.Unreachable)
 		return
 	}
-	if w.partitioned(d.zone, 0) {
-		w.replyCounterCall(k, w.s.Counter.TimeoutMs, gate.TimedOut)
+	if sim.partitioned(d.zone, 0) {
+		sim.replyCounterCall(k, sim.s.Counter.TimeoutMs, gate.TimedOut)
 		return
 	}
-	w.schedule(w.now+w.networkDelay(d.zone, 0), event{kind: eventCounterCall, payload: k})
+	sim.schedule(sim.now+sim.networkDelay(d.zone, 0), event{kind: eventCounterCall, payload: k})
 }
 
 // replyCounterCall schedules the reply to a call.
-func (w *World) replyCounterCall(k *counterCall, after float64, r gate.Result) {
+func (sim *Simulation) replyCounterCall(k *counterCall, after float64, r gate.Result) {
 	k.result = r
-	w.schedule(w.now+after, event{kind: eventCounterReply, payload: k})
+	sim.schedule(sim.now+after, event{kind: eventCounterReply, payload: k})
 }
 
 // serve serves a call after those before it on its shard. The amount is added even if the caller no longer waits for the reply.
-func (c *counter) serve(w *World, k *counterCall) {
-	cf := &w.s.Counter
+func (c *counter) serve(sim *Simulation, k *counterCall) {
+	cf := &sim.s.Counter
 	shard := k.key.shard(len(c.busyUntil))
-	start := max(w.now, c.busyUntil[shard])
-	delay := w.networkDelay(0, w.doors[k.door].zone)
-	busy, _ := w.faultMagnitude("counter_busy")
-	if start-w.now > cf.QueueMs || busy > 0 && w.rng.net.Float64() < busy {
-		w.replyCounterCall(k, delay, gate.Full)
+	start := max(sim.now, c.busyUntil[shard])
+	delay := sim.networkDelay(0, sim.doors[k.door].zone)
+	busy, _ := sim.faultMagnitude("counter_busy")
+	if start-sim.now > cf.QueueMs || busy > 0 && sim.rng.net.Float64() < busy {
+		sim.replyCounterCall(k, delay, gate.Full)
 		return
 	}
 	c.busyUntil[shard] = start + 1000*float64(len(c.busyUntil))/cf.PerS
@@ -90,30 +90,30 @@
 		totals = c.splitTotals
 	}
 	n, known := totals[k.key]
-	if !known || n.expiresAt < w.now {
-		n = counterValue{expiresAt: w.now + min(60e3, max(1, k.ttl))}
+	if !known || n.expiresAt < sim.now {
+		n = counterValue{expiresAt: sim.now + min(60e3, max(1, k.ttl))}
 	}
 	n.total += k.add
 	totals[k.key] = n
 	k.total = n.total
-	if factor, wrong := w.faultMagnitude("counter_wrong"); wrong {
+	if factor, wrong := sim.faultMagnitude("counter_wrong"); wrong {
 		k.total *= factor
 	}
-	late, _ := w.faultMagnitude("counter_late")
-	duration := start - w.now + cf.ServeMs + delay + late
-	lost, _ := w.faultMagnitude("counter_lost")
-	if timeout := k.sentAt + cf.TimeoutMs - w.now; k.reply == nil && duration > timeout || lost > 0 && w.rng.net.Float64() < lost {
+	late, _ := sim.faultMagnitude("counter_late")
+	duration := start - sim.now + cf.ServeMs + delay + late
+	lost, _ := sim.faultMagnitude("counter_lost")
+	if timeout := k.sentAt + cf.TimeoutMs - sim.now; k.reply == nil && duration > timeout || lost > 0 && sim.rng.net.Float64() < lost {
 		if k.reply == nil { // an external caller has a timeout of its own
-			w.replyCounterCall(k, max(0, timeout), gate.TimedOut)
+			sim.replyCounterCall(k, max(0, timeout), gate.TimedOut)
 		}
 		return
 	}
-	w.replyCounterCall(k, duration, gate.Finished)
+	sim.replyCounterCall(k, duration, gate.Finished)
 }
 
 // deliver reports a call's result to its door, unless the door has restarted since.
-func (c *counter) deliver(w *World, k *counterCall) {
-	d := w.doors[k.door]
+func (c *counter) deliver(sim *Simulation, k *counterCall) {
+	d := sim.doors[k.door]
 	if k.reply != nil {
 		k.reply(k.result, k.total)
 		return
@@ -123,7 +123,7 @@
 	}
 	if i, known := d.customers.Find(k.key.customer); known {
 		d.inbox = append(d.inbox, gate.Counted{Customer: i, Epoch: k.key.epoch, Result: k.result, Total: k.total})
-		d.scheduleDecision(w, w.now)
+		d.scheduleDecision(sim, sim.now)
 	}
 }
 
@@ -162,15 +162,15 @@
 }
 
 // add counts units of the present period.
-func (m *meter) add(w *World, customer int, units float64) {
-	span := w.s.Meter.PeriodMs
+func (m *meter) add(sim *Simulation, customer int, units float64) {
+	span := sim.s.Meter.PeriodMs
 	if span == 0 {
 		return
 	}
 	for len(m.periods) <= customer {
 		m.periods = append(m.periods, [meterPeriods]period{})
 	}
-	n := int(w.now / span)
+	n := int(sim.now / span)
 	p := &m.periods[customer][n%meterPeriods]
 	if p.number != n {
 		*p = period{number: n}
@@ -179,10 +179,10 @@
 }
 
 // use returns the metered use of a customer that answers report at present, as a share of its rate; -1 if they report none.
-func (m *meter) use(w *World, customer int, rate float64) float64 {
-	span := w.s.Meter.PeriodMs
-	late, _ := w.faultMagnitude("meter_late")
-	n := int(math.Floor((w.now-w.s.Meter.LateMs-late)/span)) - 1
+func (m *meter) use(sim *Simulation, customer int, rate float64) float64 {
+	span := sim.s.Meter.PeriodMs
+	late, _ := sim.faultMagnitude("meter_late")
+	n := int(math.Floor((sim.now-sim.s.Meter.LateMs-late)/span)) - 1
 	if span == 0 || rate == 0 || n < 0 {
 		return -1
 	}
--- a/lab/model/discovery.go
+++ b/lab/model/discovery.go
@@ -29,38 +29,38 @@
 }
 
 // announce sends a change of one backend to all subscribed doors, after the delay with which discovery notices it.
-func (w *World) announce(b *backend, status gate.Status, noticeMs float64) {
+func (sim *Simulation) announce(b *backend, status gate.Status, noticeMs float64) {
 	update := listUpdate{entries: []listEntry{{b.id, status, b.startedAt}}}
-	w.schedule(w.now+noticeMs, event{kind: eventFunc, payload: func() {
+	sim.schedule(sim.now+noticeMs, event{kind: eventFunc, payload: func() {
 		if status == gate.Gone && b.up && b.listed && b.startedAt > update.entries[0].startedAt {
 			return // restarted before discovery noticed
 		}
-		for _, d := range w.doors {
+		for _, d := range sim.doors {
 			if d.subscribed {
-				w.sendListUpdate(d, update)
+				sim.sendListUpdate(d, update)
 			}
 		}
 	}})
 }
 
 // sendListUpdate sends an update to one door. Updates arrive in order; while discovery is silent or partitioned off, they wait.
-func (w *World) sendListUpdate(d *door, n listUpdate) {
-	at := w.now + d.listDelay
-	late, _ := w.faultMagnitude("list_late")
+func (sim *Simulation) sendListUpdate(d *door, n listUpdate) {
+	at := sim.now + d.listDelay
+	late, _ := sim.faultMagnitude("list_late")
 	at += late
-	for _, af := range w.faults {
+	for _, af := range sim.faults {
 		if af.spec.Kind == "list_silent" || af.spec.Kind == "zone_cut" && (d.zone == *af.spec.Zone) != (*af.spec.Zone == 0) {
 			at = max(at, af.spec.End()*1000+d.listDelay)
 		}
 	}
 	d.lastListAt = max(at, math.Nextafter(d.lastListAt, math.Inf(1)))
-	w.schedule(d.lastListAt, event{kind: eventListUpdate, index: d.id, arg: d.incarnation, payload: n})
+	sim.schedule(d.lastListAt, event{kind: eventListUpdate, index: d.id, arg: d.incarnation, payload: n})
 }
 
 // fullList returns the present list.
-func (w *World) fullList() listUpdate {
+func (sim *Simulation) fullList() listUpdate {
 	n := listUpdate{complete: true}
-	for _, b := range w.backends {
+	for _, b := range sim.backends {
 		if b.listed {
 			status := b.status
 			if !b.up {
@@ -75,25 +75,25 @@
 }
 
 // receiveListUpdate handles an update that has reached the door.
-func (d *door) receiveListUpdate(w *World, incarnation int, n listUpdate) {
+func (d *door) receiveListUpdate(sim *Simulation, incarnation int, n listUpdate) {
 	if !d.up || d.incarnation != incarnation {
 		return
 	}
 	if d.external != nil {
-		d.recordList(w, n)
-		d.external.ListChanged(n.complete, backendEntries(w, n))
+		d.recordList(sim, n)
+		d.external.ListChanged(n.complete, backendEntries(sim, n))
 		return
 	}
 	d.listUpdates = append(d.listUpdates, n)
-	d.scheduleDecision(w, w.now)
+	d.scheduleDecision(sim, sim.now)
 }
 
 // fleetUpdate returns an update as an event for the decider.
-func (d *door) fleetUpdate(w *World, n listUpdate) gate.FleetUpdate {
-	d.recordList(w, n)
+func (d *door) fleetUpdate(sim *Simulation, n listUpdate) gate.FleetUpdate {
+	d.recordList(sim, n)
 	f := gate.FleetUpdate{Complete: n.complete}
 	for _, l := range n.entries {
-		b := w.backends[l.backend]
+		b := sim.backends[l.backend]
 		startedAt := 0.0
 		if l.startedAt > -epoch {
 			startedAt = l.startedAt + epoch
@@ -105,7 +105,7 @@
 }
 
 // recordList updates what the door knows, and reports it to the sink.
-func (d *door) recordList(w *World, n listUpdate) {
+func (d *door) recordList(sim *Simulation, n listUpdate) {
 	if n.complete {
 		present := make(map[int]bool, len(n.entries))
 		for _, l := range n.entries {
@@ -114,7 +114,7 @@
 		for i := range d.known {
 			if t := &d.known[i]; t.received && !present[i] && t.status != gate.Gone {
 				t.status = gate.Gone
-				w.emit(trace.Event{Kind: trace.Told, Door: d.id, Backend: i, Status: gate.Gone})
+				sim.emit(trace.Event{Kind: trace.Told, Door: d.id, Backend: i, Status: gate.Gone})
 			}
 		}
 	}
@@ -124,6 +124,6 @@
 			d.idle = append(d.idle, idleConns{})
 		}
 		d.known[l.backend] = knownBackend{true, l.status, l.startedAt}
-		w.emit(trace.Event{Kind: trace.Told, Door: d.id, Backend: l.backend, Status: l.status})
+		sim.emit(trace.Event{Kind: trace.Told, Door: d.id, Backend: l.backend, Status: l.status})
 	}
 }
--- a/lab/model/door.go
+++ b/lab/model/door.go
@@ -70,15 +70,15 @@
 func customerPhase(customer int) float64 { return index.Phase(uint64(customer) + 1) }
 
 // newDoor returns a door that has not started yet.
-func newDoor(w *World, id int) *door {
-	d := &door{id: id, zone: id % w.s.Fleet.Zones, crashedAt: math.Inf(-1), decideAt: math.Inf(1)}
-	d.listDelay = w.s.Discovery.DelayMs.At(w.rng.net.Float64())
+func newDoor(sim *Simulation, id int) *door {
+	d := &door{id: id, zone: id % sim.s.Fleet.Zones, crashedAt: math.Inf(-1), decideAt: math.Inf(1)}
+	d.listDelay = sim.s.Discovery.DelayMs.At(sim.rng.net.Float64())
 	return d
 }
 
 // start begins an incarnation. It knows only the fleet list that the door last received; the first incarnation knows the
 // present list.
-func (d *door) start(w *World) {
+func (d *door) start(sim *Simulation) {
 	if d.up {
 		return
 	}
@@ -89,15 +89,15 @@
 		}
 	}
 	if d.incarnation == 0 {
-		known = w.fullList()
+		known = sim.fullList()
 	}
 	if d.external != nil {
 		d.incarnation++
 		d.up, d.stopping, d.subscribed = true, false, true
-		w.emit(trace.Event{Kind: trace.Started, Door: d.id})
-		d.recordList(w, known)
-		d.external.Start(backendEntries(w, known))
-		w.sendListUpdate(d, w.fullList())
+		sim.emit(trace.Event{Kind: trace.Started, Door: d.id})
+		d.recordList(sim, known)
+		d.external.Start(backendEntries(sim, known))
+		sim.sendListUpdate(d, sim.fullList())
 		return
 	}
 	d.incarnation++
@@ -107,29 +107,29 @@
 	d.inbox, d.submitted, d.ended, d.listUpdates = nil, nil, nil, nil
 	d.timerAt, d.decideAt = 0, math.Inf(1)
 	d.idle = make([]idleConns, len(d.known))
-	seed := newRand(w.seed, streamDoors<<16|uint64(d.id)<<32|uint64(d.incarnation)).Uint64()
-	d.decider = w.maker.New(Terms(w.s, d.id), seed, doorView{w, d})
-	d.subscribed = !w.s.Discovery.Ask
-	w.emit(trace.Event{Kind: trace.Started, Door: d.id})
+	seed := newRand(sim.seed, streamDoors<<16|uint64(d.id)<<32|uint64(d.incarnation)).Uint64()
+	d.decider = sim.maker.New(Terms(sim.s, d.id), seed, doorView{sim, d})
+	d.subscribed = !sim.s.Discovery.Ask
+	sim.emit(trace.Event{Kind: trace.Started, Door: d.id})
 	d.listUpdates = append(d.listUpdates, known)
-	w.scheduleDoorsUpdate(d)
-	if w.s.Fleet.MembersMs > 0 && d.incarnation > 1 {
-		d.inbox = append(d.inbox, w.doorsUpdate())
+	sim.scheduleDoorsUpdate(d)
+	if sim.s.Fleet.MembersMs > 0 && d.incarnation > 1 {
+		d.inbox = append(d.inbox, sim.doorsUpdate())
 	}
 	if d.incarnation > 1 && d.subscribed {
-		w.sendListUpdate(d, w.fullList())
+		sim.sendListUpdate(d, sim.fullList())
 	}
-	d.scheduleDecision(w, w.now)
+	d.scheduleDecision(sim, sim.now)
 }
 
 // crash ends the incarnation and loses all its requests and connections.
-func (d *door) crash(w *World) {
+func (d *door) crash(sim *Simulation) {
 	if !d.up {
 		return
 	}
-	d.up, d.crashedAt = false, w.now
-	w.emit(trace.Event{Kind: trace.Died, Door: d.id})
-	w.scheduleDoorsUpdate(d)
+	d.up, d.crashedAt = false, sim.now
+	sim.emit(trace.Event{Kind: trace.Died, Door: d.id})
+	sim.scheduleDoorsUpdate(d)
 	if d.external != nil {
 		d.external.Kill()
 	}
@@ -140,34 +140,34 @@
 		}
 		for _, j := range o.jobs {
 			if !j.closed {
-				d.markClosed(w, j)
-				d.closeConn(w, j)
+				d.markClosed(sim, j)
+				d.closeConn(sim, j)
 			}
 		}
-		w.clients.connectionLost(w, o.try)
+		sim.clients.connectionLost(sim, o.try)
 	}
 	for _, t := range d.submitted {
-		w.clients.connectionLost(w, t)
+		sim.clients.connectionLost(sim, t)
 	}
 	for b := range d.idle {
-		d.closeIdle(w, b)
+		d.closeIdle(sim, b)
 	}
 	d.ops = nil
 }
 
 // restart shuts the door down gracefully, with maxShutdown ms for it, and starts it again pauseMs later.
-func (d *door) restart(w *World, pauseMs float64) {
+func (d *door) restart(sim *Simulation, pauseMs float64) {
 	d.stopping = true
 	incarnation := d.incarnation
 	if d.external != nil {
 		d.external.Stop()
 	}
-	w.schedule(w.now+maxShutdown, event{kind: eventFunc, payload: func() {
+	sim.schedule(sim.now+maxShutdown, event{kind: eventFunc, payload: func() {
 		if d.incarnation == incarnation {
-			d.crash(w)
+			d.crash(sim)
 		}
 	}})
-	w.schedule(w.now+maxShutdown+pauseMs, event{kind: eventFunc, payload: func() { d.start(w) }})
+	sim.schedule(sim.now+maxShutdown+pauseMs, event{kind: eventFunc, payload: func() { d.start(sim) }})
 }
 
 // seenUp reports whether clients believe that the door serves. They notice a crash only after a while.
@@ -176,17 +176,17 @@
 }
 
 // scheduleDecision makes the door decide at the first tick at or after a clock.
-func (d *door) scheduleDecision(w *World, at float64) {
-	if at = w.nextTick(max(at, w.now)); at < d.decideAt {
+func (d *door) scheduleDecision(sim *Simulation, at float64) {
+	if at = sim.nextTick(max(at, sim.now)); at < d.decideAt {
 		d.decideAt = at
-		w.schedule(at, event{kind: eventDecide, index: d.id})
+		sim.schedule(at, event{kind: eventDecide, index: d.id})
 	}
 }
 
 // submit handles a try that has arrived at the door.
-func (d *door) submit(w *World, t *Try) {
+func (d *door) submit(sim *Simulation, t *Try) {
 	if !d.up {
-		w.schedule(w.now+w.clientDelay(), event{kind: eventFunc, payload: func() { w.clients.unreachable(w, t) }})
+		sim.schedule(sim.now+sim.clientDelay(), event{kind: eventFunc, payload: func() { sim.clients.unreachable(sim, t) }})
 		return
 	}
 	if t.over {
@@ -197,25 +197,25 @@
 		d.external.Submit(t)
 		return
 	}
-	w.markTaken(d, t)
+	sim.markTaken(d, t)
 	d.submitted = append(d.submitted, t)
-	d.scheduleDecision(w, w.now)
+	d.scheduleDecision(sim, sim.now)
 }
 
 // markTaken records that the door has accepted a try and must answer it.
-func (w *World) markTaken(d *door, t *Try) {
-	k := &w.clients.customers[t.request.customer]
+func (sim *Simulation) markTaken(d *door, t *Try) {
+	k := &sim.clients.customers[t.request.customer]
 	t.taken = true
-	w.emit(trace.Event{Kind: trace.Taken, Try: t.ID, Want: t.request.id, Door: d.id, Customer: t.request.customer,
+	sim.emit(trace.Event{Kind: trace.Taken, Try: t.ID, Want: t.request.id, Door: d.id, Customer: t.request.customer,
 		Plan: k.plan, Class: t.Class, Units: t.request.units, Until: t.deadline})
 }
 
 // clientLeft handles the departure of a client.
-func (d *door) clientLeft(w *World, t *Try) {
+func (d *door) clientLeft(sim *Simulation, t *Try) {
 	if !t.taken || t.incarnation != d.incarnation || !d.up {
 		return
 	}
-	w.emit(trace.Event{Kind: trace.Left, Try: t.ID, Door: d.id})
+	sim.emit(trace.Event{Kind: trace.Left, Try: t.ID, Door: d.id})
 	if t.answered {
 		return
 	}
@@ -236,55 +236,55 @@
 	d.ops[t.slot].answered = true
 	d.slotsToFree = append(d.slotsToFree, t.slot)
 	d.inbox = append(d.inbox, gate.ClientGone{Op: t.slot})
-	d.scheduleDecision(w, w.now)
+	d.scheduleDecision(sim, sim.now)
 }
 
 // Ended implements Caller.
-func (d *door) Ended(w *World, j *Job, r gate.Result) {
+func (d *door) Ended(sim *Simulation, j *Job, r gate.Result) {
 	if j.closed || !d.up || j.Try.incarnation != d.incarnation {
 		return
 	}
-	d.markClosed(w, j)
+	d.markClosed(sim, j)
 	use := -1.0
 	if r == gate.Finished || r == gate.Errored || r == gate.Full {
-		use = w.meter.use(w, j.Try.request.customer, w.s.Plans[w.clients.customers[j.Try.request.customer].plan].PerS/1000)
+		use = sim.meter.use(sim, j.Try.request.customer, sim.s.Plans[sim.clients.customers[j.Try.request.customer].plan].PerS/1000)
 		idle := &d.idle[j.Backend]
-		if b := w.backends[j.Backend]; idle.incarnation != b.incarnation {
+		if b := sim.backends[j.Backend]; idle.incarnation != b.incarnation {
 			*idle = idleConns{incarnation: b.incarnation}
 		}
-		idle.n, idle.lastUsed = idle.n+1, w.now
+		idle.n, idle.lastUsed = idle.n+1, sim.now
 	} else if r != gate.Unreachable && r != gate.Skipped {
-		d.closeConn(w, j)
+		d.closeConn(sim, j)
 	}
-	d.ended = append(d.ended, attemptEnd{j, r, w.now - j.sentAt, use})
-	d.scheduleDecision(w, w.now)
+	d.ended = append(d.ended, attemptEnd{j, r, sim.now - j.sentAt, use})
+	d.scheduleDecision(sim, sim.now)
 }
 
 // markClosed records that the door no longer waits for an attempt.
-func (d *door) markClosed(w *World, j *Job) {
+func (d *door) markClosed(sim *Simulation, j *Job) {
 	j.closed = true
-	w.backends[j.Backend].pending--
+	sim.backends[j.Backend].pending--
 }
 
 // closeConn closes an attempt's connection, which the backend notices after the network delay.
-func (d *door) closeConn(w *World, j *Job) {
-	b := w.backends[j.Backend]
+func (d *door) closeConn(sim *Simulation, j *Job) {
+	b := sim.backends[j.Backend]
 	if j.incarnation == b.incarnation && b.openConns > 0 {
 		b.openConns--
 	}
-	w.schedule(w.now+w.networkDelay(d.zone, b.zone), event{kind: eventCancel, job: j})
+	sim.schedule(sim.now+sim.networkDelay(d.zone, b.zone), event{kind: eventCancel, job: j})
 }
 
 // attemptTimedOut ends an attempt whose timeout or deadline has passed.
-func (d *door) attemptTimedOut(w *World, j *Job) {
+func (d *door) attemptTimedOut(sim *Simulation, j *Job) {
 	if !j.closed && d.up && j.Try.incarnation == d.incarnation {
-		d.Ended(w, j, gate.TimedOut)
+		d.Ended(sim, j, gate.TimedOut)
 	}
 }
 
 // closeIdle closes the idle connections to a backend.
-func (d *door) closeIdle(w *World, b int) {
-	idle, be := &d.idle[b], w.backends[b]
+func (d *door) closeIdle(sim *Simulation, b int) {
+	idle, be := &d.idle[b], sim.backends[b]
 	if idle.incarnation == be.incarnation {
 		be.openConns = max(0, be.openConns-idle.n)
 	}
@@ -292,19 +292,19 @@
 }
 
 // dropIdle closes connections that have been idle for longer than half of the scenario's idle timeout.
-func (d *door) dropIdle(w *World) {
+func (d *door) dropIdle(sim *Simulation) {
 	for b := range d.idle {
-		if d.idle[b].n > 0 && d.idle[b].lastUsed+w.s.Net.IdleMs/2 < w.now {
-			d.closeIdle(w, b)
+		if d.idle[b].n > 0 && d.idle[b].lastUsed+sim.s.Net.IdleMs/2 < sim.now {
+			d.closeIdle(sim, b)
 		}
 	}
 }
 
 // collectEvents gathers the events for the decider. It gives successful answers to clients right away, as they need no decision.
-func (d *door) collectEvents(w *World) {
+func (d *door) collectEvents(sim *Simulation) {
 	d.events = d.events[:0]
 	for _, n := range d.listUpdates {
-		d.events = append(d.events, d.fleetUpdate(w, n))
+		d.events = append(d.events, d.fleetUpdate(sim, n))
 	}
 	d.listUpdates = nil
 	d.events = append(d.events, d.inbox...)
@@ -316,9 +316,9 @@
 		o.inFlight--
 		d.slotsToFree = append(d.slotsToFree, t.slot)
 		if e.result == gate.Finished && !o.answered {
-			d.answer(w, t.slot, trace.Finished, 0, gate.Unspecified)
+			d.answer(sim, t.slot, trace.Finished, 0, gate.Unspecified)
 		}
-		w.emit(trace.Event{Kind: trace.Closed, Try: t.ID, Door: d.id, Number: e.job.Number, Backend: e.job.Backend, Result: e.result})
+		sim.emit(trace.Event{Kind: trace.Closed, Try: t.ID, Door: d.id, Number: e.job.Number, Backend: e.job.Backend, Result: e.result})
 		b, _ := d.backendIDs.Find(e.job.Backend)
 		d.events = append(d.events, gate.AttemptEnded{Op: t.slot, Attempt: e.job.Number, Backend: b, Result: e.result, Latency: e.latency,
 			Answered: o.answered, MeteredUse: e.use, Queue: -1})
@@ -334,11 +334,11 @@
 		d.freeSlots = d.freeSlots[:len(d.freeSlots)-1]
 		o := &d.ops[t.slot]
 		*o = op{try: t, jobs: o.jobs[:0]}
-		d.events = append(d.events, t.gateRequest(w, t.slot, d.customers.Add(t.request.customer)))
+		d.events = append(d.events, t.gateRequest(sim, t.slot, d.customers.Add(t.request.customer)))
 	}
 	clear(d.submitted)
 	d.submitted = d.submitted[:0]
-	if d.timerAt > 0 && w.now >= d.timerAt {
+	if d.timerAt > 0 && sim.now >= d.timerAt {
 		d.timerAt = 0
 		d.events = append(d.events, gate.TimerFired{})
 	}
@@ -348,30 +348,30 @@
 func (d *door) decide(now float64) { d.actions = d.decider.Decide(now+epoch, d.events) }
 
 // carryOut carries out the actions of the last decision.
-func (d *door) carryOut(w *World) {
+func (d *door) carryOut(sim *Simulation) {
 	for _, a := range d.actions {
 		switch a := a.(type) {
 		case gate.Send:
-			d.send(w, a)
+			d.send(sim, a)
 		case gate.Cancel:
 			if j := d.ops[a.Op].jobs[a.Attempt]; !j.closed {
-				d.Ended(w, j, gate.Cancelled)
+				d.Ended(sim, j, gate.Cancelled)
 			}
 		case gate.Reject:
-			d.answer(w, a.Op, trace.Rejected, a.RetryAfter, a.Why)
+			d.answer(sim, a.Op, trace.Rejected, a.RetryAfter, a.Why)
 		case gate.Fail:
-			d.answer(w, a.Op, trace.Failed, 0, a.Why)
+			d.answer(sim, a.Op, trace.Failed, 0, a.Why)
 		case gate.SetTimer:
-			d.timerAt = max(a.At-epoch, w.now+w.s.Day.TickMs) // at least one tick
-			d.scheduleDecision(w, d.timerAt)
+			d.timerAt = max(a.At-epoch, sim.now+sim.s.Day.TickMs) // at least one tick
+			d.scheduleDecision(sim, d.timerAt)
 		case gate.Count:
-			w.sendCounterCall(d, a)
+			sim.sendCounterCall(d, a)
 		case gate.Probe:
-			d.probe(w, a)
+			d.probe(sim, a)
 		case gate.SubscribeFleet:
 			if !d.subscribed {
 				d.subscribed = true
-				w.sendListUpdate(d, w.fullList())
+				sim.sendListUpdate(d, sim.fullList())
 			}
 		case gate.FreeCustomer:
 			d.customers.Drop(a.Customer)
@@ -390,74 +390,74 @@
 	}
 	d.slotsToFree = d.slotsToFree[:0]
 	if d.timerAt > 0 { // a timer that is still pending must not be lost to an earlier decision
-		d.scheduleDecision(w, d.timerAt)
+		d.scheduleDecision(sim, d.timerAt)
 	}
 }
 
 // answer gives a request its only final answer.
-func (d *door) answer(w *World, slot int, a trace.Answer, retryAfter float64, why gate.Cause) {
+func (d *door) answer(sim *Simulation, slot int, a trace.Answer, retryAfter float64, why gate.Cause) {
 	o := &d.ops[slot]
 	if o.try == nil || o.answered { // late actions of the decider are ignored
 		return
 	}
 	t := o.try
-	w.emit(trace.Event{Kind: trace.Answered, Try: t.ID, Door: d.id, Answer: a, Why: why})
+	sim.emit(trace.Event{Kind: trace.Answered, Try: t.ID, Door: d.id, Answer: a, Why: why})
 	t.answered, o.answered = true, true
 	t.answer, t.retryAfter = a, retryAfter
 	d.slotsToFree = append(d.slotsToFree, slot)
-	w.schedule(w.now+w.clientDelay(), event{kind: eventAnswer, try: t})
+	sim.schedule(sim.now+sim.clientDelay(), event{kind: eventAnswer, try: t})
 }
 
 // send starts an attempt, over an idle connection if there is one.
-func (d *door) send(w *World, a gate.Send) {
+func (d *door) send(sim *Simulation, a gate.Send) {
 	o := &d.ops[a.Op]
 	if o.try == nil {
-		w.emit(trace.Event{Kind: trace.Sent, Try: -1, Door: d.id, Backend: d.backendIDs.ID(a.Backend)})
+		sim.emit(trace.Event{Kind: trace.Sent, Try: -1, Door: d.id, Backend: d.backendIDs.ID(a.Backend)})
 		return
 	}
 	t := o.try
-	b := w.backends[d.backendIDs.ID(a.Backend)]
-	j := &Job{Try: t, Number: len(o.jobs), Backend: b.id, sentAt: w.now, startBy: a.StartBy, incarnation: b.incarnation, caller: d}
-	w.emit(trace.Event{Kind: trace.Sent, Try: t.ID, Door: d.id, Number: j.Number, Backend: b.id, Zone: b.zone, Cell: b.cell,
+	b := sim.backends[d.backendIDs.ID(a.Backend)]
+	j := &Job{Try: t, Number: len(o.jobs), Backend: b.id, sentAt: sim.now, startBy: a.StartBy, incarnation: b.incarnation, caller: d}
+	sim.emit(trace.Event{Kind: trace.Sent, Try: t.ID, Door: d.id, Number: j.Number, Backend: b.id, Zone: b.zone, Cell: b.cell,
 		Crosses: b.zone != d.zone})
 	if j.Number == 0 {
-		w.meter.add(w, t.request.customer, t.request.units)
+		sim.meter.add(sim, t.request.customer, t.request.units)
 	}
 	o.jobs = append(o.jobs, j)
 	o.inFlight++
 	b.pending++
 	until := t.deadline
 	if a.Timeout > 0 {
-		until = min(until, w.now+a.Timeout)
+		until = min(until, sim.now+a.Timeout)
 	}
-	w.schedule(max(w.now, until), event{kind: eventAttemptTimeout, job: j})
+	sim.schedule(max(sim.now, until), event{kind: eventAttemptTimeout, job: j})
 	if idle := &d.idle[b.id]; idle.n > 0 && idle.incarnation == b.incarnation {
 		idle.n--
-		w.schedule(w.now+w.networkDelay(d.zone, b.zone), event{kind: eventBackendArrival, job: j})
+		sim.schedule(sim.now+sim.networkDelay(d.zone, b.zone), event{kind: eventBackendArrival, job: j})
 		return
 	}
-	w.dial(j)
+	sim.dial(j)
 }
 
 // probe sends a health probe to a backend.
-func (d *door) probe(w *World, a gate.Probe) {
-	b := w.backends[d.backendIDs.ID(a.Backend)]
-	w.emit(trace.Event{Kind: trace.Probed, Door: d.id, Backend: b.id})
-	p := probeResult{sentAt: w.now, incarnation: d.incarnation, result: gate.Finished}
-	duration := w.networkDelay(d.zone, b.zone) + w.networkDelay(b.zone, d.zone) + w.s.Allow.ProbeMs
+func (d *door) probe(sim *Simulation, a gate.Probe) {
+	b := sim.backends[d.backendIDs.ID(a.Backend)]
+	sim.emit(trace.Event{Kind: trace.Probed, Door: d.id, Backend: b.id})
+	p := probeResult{sentAt: sim.now, incarnation: d.incarnation, result: gate.Finished}
+	duration := sim.networkDelay(d.zone, b.zone) + sim.networkDelay(b.zone, d.zone) + sim.s.Allow.ProbeMs
 	switch _, hangs := b.faultMagnitude("hang", -1); {
-	case b.silent() || w.partitioned(d.zone, b.zone) || hangs || b.paused:
-		p.result, duration = gate.TimedOut, w.s.Net.ConnectTimeoutMs
+	case b.silent() || sim.partitioned(d.zone, b.zone) || hangs || b.paused:
+		p.result, duration = gate.TimedOut, sim.s.Net.ConnectTimeoutMs
 	case !b.up:
 		p.result = gate.Unreachable
 	}
-	w.schedule(w.now+duration, event{kind: eventProbeEnd, index: b.id, arg: d.id, payload: p})
+	sim.schedule(sim.now+duration, event{kind: eventProbeEnd, index: b.id, arg: d.id, payload: p})
 }
 
 // probeEnded reports the result of a probe to the decider.
-func (d *door) probeEnded(w *World, backend int, p probeResult) {
+func (d *door) probeEnded(sim *Simulation, backend int, p probeResult) {
 	if i, known := d.backendIDs.Find(backend); known && d.up && d.incarnation == p.incarnation {
-		d.inbox = append(d.inbox, gate.Probed{Backend: i, Result: p.result, Latency: w.now - p.sentAt})
-		d.scheduleDecision(w, w.now)
+		d.inbox = append(d.inbox, gate.Probed{Backend: i, Result: p.result, Latency: sim.now - p.sentAt})
+		d.scheduleDecision(sim, sim.now)
 	}
 }
--- a/lab/model/external_test.go
+++ b/lab/model/external_test.go
@@ -16,7 +16,7 @@
 // stallingDoor stalls a run: between events and posted calls all the time, and at a Submit near the end of the run until after
 // it. It stands in for every external door and never answers.
 type stallingDoor struct {
-	w     *World
+	sim   *Simulation
 	began time.Time
 	end   time.Duration
 }
@@ -42,8 +42,8 @@
 
 // progress stalls the run at a point where an overloaded machine may: after it has read the clock, with a call posted.
 func (h *stallingDoor) progress(float64) {
-	if len(h.w.posted) == 0 {
-		h.w.posted <- func() {}
+	if len(h.sim.posted) == 0 {
+		h.sim.posted <- func() {}
 	}
 	time.Sleep(stall)
 }
@@ -65,8 +65,8 @@
 		for range s.Fleet.Doors {
 			doors = append(doors, h)
 		}
-		h.w = NewExternal(s, seed, doors, k)
-		behind, err := h.w.RunRealTime(t.Context(), func() (bool, error) { return true, nil }, h.progress)
+		h.sim = NewExternal(s, seed, doors, k)
+		behind, err := h.sim.RunRealTime(t.Context(), func() (bool, error) { return true, nil }, h.progress)
 		require.NoError(t, err)
 		require.Greater(t, behind, float64((pastEnd - nearEnd).Milliseconds()), "the run was not stalled past its end")
 	})
--- a/lab/model/faults.go
+++ b/lab/model/faults.go
@@ -18,7 +18,7 @@
 }
 
 // pickTargets draws the given share of the eligible indices from 0 to n-1, at least one if there is any. A share of 0 means all.
-func (w *World) pickTargets(n int, share float64, eligible func(i int) bool) []int {
+func (sim *Simulation) pickTargets(n int, share float64, eligible func(i int) bool) []int {
 	var all []int
 	for i := range n {
 		if eligible(i) {
@@ -28,149 +28,149 @@
 	if share == 0 {
 		share = 1
 	}
-	w.rng.faults.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	sim.rng.faults.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	all = all[:min(len(all), max(1, int(math.Round(share*float64(len(all))))))]
 	slices.Sort(all)
 	return all
 }
 
 // toggleFault begins or ends a fault of the scenario's schedule.
-func (w *World) toggleFault(n int, begins bool) {
-	f := &w.s.Faults[n]
+func (sim *Simulation) toggleFault(n int, begins bool) {
+	f := &sim.s.Faults[n]
 	if begins {
-		af := &activeFault{spec: f, index: n, class: slices.IndexFunc(w.s.Classes, func(p scenario.Class) bool { return p.Name == f.Class })}
+		af := &activeFault{spec: f, index: n, class: slices.IndexFunc(sim.s.Classes, func(p scenario.Class) bool { return p.Name == f.Class })}
 		if f.ForS > 0 {
-			w.faults = append(w.faults, af)
-			w.schedule(f.End()*1000, event{kind: eventFault, index: n})
+			sim.faults = append(sim.faults, af)
+			sim.schedule(f.End()*1000, event{kind: eventFault, index: n})
 		}
-		w.injectFault(af)
+		sim.injectFault(af)
 		return
 	}
-	for i, af := range w.faults {
+	for i, af := range sim.faults {
 		if af.index == n {
-			w.faults = append(w.faults[:i:i], w.faults[i+1:]...)
-			w.endFault(af)
+			sim.faults = append(sim.faults[:i:i], sim.faults[i+1:]...)
+			sim.endFault(af)
 			return
 		}
 	}
 }
 
 // injectFault applies the beginning of a fault to its targets.
-func (w *World) injectFault(af *activeFault) {
+func (sim *Simulation) injectFault(af *activeFault) {
 	f := af.spec
 	switch scenario.Kinds[f.Kind].Whom {
 	case scenario.Backends:
-		af.targets = w.pickTargets(len(w.backends), f.Share, func(i int) bool {
-			b := w.backends[i]
+		af.targets = sim.pickTargets(len(sim.backends), f.Share, func(i int) bool {
+			b := sim.backends[i]
 			return b.listed && b.status == gate.Up && b.up && (f.Zone == nil || b.zone == *f.Zone)
 		})
-		w.injectBackendFault(af)
+		sim.injectBackendFault(af)
 	case scenario.Doors:
-		af.targets = w.pickTargets(len(w.doors), f.Share, func(i int) bool {
-			return w.doors[i].up && (f.Zone == nil || w.doors[i].zone == *f.Zone)
+		af.targets = sim.pickTargets(len(sim.doors), f.Share, func(i int) bool {
+			return sim.doors[i].up && (f.Zone == nil || sim.doors[i].zone == *f.Zone)
 		})
-		w.injectDoorFault(af)
+		sim.injectDoorFault(af)
 	case scenario.Clientele:
-		w.clients.injectFault(w, af, f.AtS*1000)
+		sim.clients.injectFault(sim, af, f.AtS*1000)
 	default:
 		if f.Kind == "counter_empty" {
-			w.counter.clear()
+			sim.counter.clear()
 		}
 		if f.Kind == "counter_split" {
-			w.counter.split()
+			sim.counter.split()
 		}
 	}
 }
 
 // injectBackendFault injects a fault into the backends that it targets.
-func (w *World) injectBackendFault(af *activeFault) {
+func (sim *Simulation) injectBackendFault(af *activeFault) {
 	f := af.spec
 	switch f.Kind {
 	case "replace", "pauses":
 		if f.Kind == "pauses" {
-			w.attachFault(af)
+			sim.attachFault(af)
 		}
-		w.faultStep(af.index, 0, af)
+		sim.faultStep(af.index, 0, af)
 	case "death", "zone_loss":
 		for _, i := range af.targets {
-			w.crashBackend(w.backends[i])
+			sim.crashBackend(sim.backends[i])
 		}
 	default:
-		w.attachFault(af)
+		sim.attachFault(af)
 		if f.Kind == "silence" {
 			for _, i := range af.targets {
-				w.announce(w.backends[i], gate.Gone, w.s.Discovery.SilentMs.At(w.rng.faults.Float64()))
+				sim.announce(sim.backends[i], gate.Gone, sim.s.Discovery.SilentMs.At(sim.rng.faults.Float64()))
 			}
 		}
 	}
 }
 
 // attachFault makes a fault affect its target backends from now on.
-func (w *World) attachFault(af *activeFault) {
+func (sim *Simulation) attachFault(af *activeFault) {
 	for _, i := range af.targets {
-		b := w.backends[i]
-		b.advance(w.now)
+		b := sim.backends[i]
+		b.advance(sim.now)
 		b.faults = append(b.faults, af)
-		b.scheduleFinish(w)
+		b.scheduleFinish(sim)
 	}
 }
 
 // crashBackend ends a backend's process, which discovery notices after a while.
-func (w *World) crashBackend(b *backend) {
-	b.crash(w)
-	w.announce(b, gate.Gone, w.s.Discovery.NoticeMs.At(w.rng.faults.Float64()))
+func (sim *Simulation) crashBackend(b *backend) {
+	b.crash(sim)
+	sim.announce(b, gate.Gone, sim.s.Discovery.NoticeMs.At(sim.rng.faults.Float64()))
 }
 
 // restartBackend starts a backend's process again in place.
-func (w *World) restartBackend(b *backend) {
-	b.start(w)
-	b.scheduleFinish(w)
-	w.announce(b, gate.Up, 0)
+func (sim *Simulation) restartBackend(b *backend) {
+	b.start(sim)
+	b.scheduleFinish(sim)
+	sim.announce(b, gate.Up, 0)
 }
 
 // injectDoorFault injects a fault into the doors that it targets.
-func (w *World) injectDoorFault(af *activeFault) {
+func (sim *Simulation) injectDoorFault(af *activeFault) {
 	if af.spec.Kind == "door_deaths" {
 		for _, i := range af.targets {
-			w.doors[i].crash(w)
+			sim.doors[i].crash(sim)
 		}
 		return
 	}
-	w.faultStep(af.index, 0, af)
+	sim.faultStep(af.index, 0, af)
 }
 
 // endFault undoes a fault at its end.
-func (w *World) endFault(af *activeFault) {
+func (sim *Simulation) endFault(af *activeFault) {
 	f := af.spec
 	for _, i := range af.targets {
 		switch scenario.Kinds[f.Kind].Whom {
 		case scenario.Backends:
-			b := w.backends[i]
-			b.advance(w.now)
+			b := sim.backends[i]
+			b.advance(sim.now)
 			b.faults = slices.DeleteFunc(slices.Clone(b.faults), func(x *activeFault) bool { return x == af })
 			switch f.Kind {
 			case "death", "zone_loss":
 				if !b.up {
-					w.restartBackend(b)
+					sim.restartBackend(b)
 				}
 			case "silence": // the machine is reachable again; connections to it are reset
-				b.crash(w)
-				w.restartBackend(b)
+				b.crash(sim)
+				sim.restartBackend(b)
 			case "pauses":
 				b.paused = false
 			case "hang": // requests that hung stay unanswered
 			}
-			b.scheduleFinish(w)
+			b.scheduleFinish(sim)
 		case scenario.Doors:
 			if f.Kind == "door_deaths" {
-				w.doors[i].start(w)
+				sim.doors[i].start(sim)
 			}
 		}
 	}
 	if f.Kind == "counter_split" {
-		w.counter.heal()
+		sim.counter.heal()
 	}
-	w.clients.endFault(w, af)
+	sim.clients.endFault(sim, af)
 }
 
 const (
@@ -179,14 +179,14 @@
 )
 
 // faultStep executes one step of a fault that proceeds in steps.
-func (w *World) faultStep(n, step int, af *activeFault) {
+func (sim *Simulation) faultStep(n, step int, af *activeFault) {
 	f := af.spec
 	if f.Kind == "pauses" {
-		w.togglePause(step, af)
+		sim.togglePause(step, af)
 		return
 	}
 	if f.MostOut > 0 {
-		w.stepWithinPermits(n, step, af)
+		sim.stepWithinPermits(n, step, af)
 		return
 	}
 	batches := f.Batches
@@ -196,13 +196,13 @@
 	from, to := len(af.targets)*step/batches, len(af.targets)*(step+1)/batches
 	for _, i := range af.targets[from:to] {
 		if f.Kind == "replace" {
-			w.replace(w.backends[i], f.Much*1000)
-		} else if d := w.doors[i]; d.up {
-			d.restart(w, f.Much*1000)
+			sim.replace(sim.backends[i], f.Much*1000)
+		} else if d := sim.doors[i]; d.up {
+			d.restart(sim, f.Much*1000)
 		}
 	}
 	if step+1 < batches {
-		w.schedule(w.now+f.ForS*1000/float64(batches), event{kind: eventFaultStep, index: n, arg: step + 1, payload: af})
+		sim.schedule(sim.now+f.ForS*1000/float64(batches), event{kind: eventFaultStep, index: n, arg: step + 1, payload: af})
 	}
 }
 
@@ -213,40 +213,40 @@
 
 // stepWithinPermits takes the next targets out as places become free, as permits would: at most MostOut are out at a time, and
 // a place becomes free once the target that occupied it is back, ready and warm.
-func (w *World) stepWithinPermits(n, step int, af *activeFault) {
+func (sim *Simulation) stepWithinPermits(n, step int, af *activeFault) {
 	f := af.spec
 	af.stillOut = slices.DeleteFunc(af.stillOut, func(out func() bool) bool { return !out() })
 	for len(af.stillOut) < f.MostOut && step < len(af.targets) {
 		if i := af.targets[step]; f.Kind == "replace" {
-			if next := w.replace(w.backends[i], f.Much*1000); next != nil {
-				af.stillOut = append(af.stillOut, func() bool { return !next.up || w.now < next.startedAt+next.machine.ColdS*1000 })
+			if next := sim.replace(sim.backends[i], f.Much*1000); next != nil {
+				af.stillOut = append(af.stillOut, func() bool { return !next.up || sim.now < next.startedAt+next.machine.ColdS*1000 })
 			}
-		} else if d := w.doors[i]; d.up {
-			d.restart(w, f.Much*1000)
+		} else if d := sim.doors[i]; d.up {
+			d.restart(sim, f.Much*1000)
 			back := 0.0
 			af.stillOut = append(af.stillOut, func() bool {
 				if !d.up || d.stopping {
-					back = w.now
+					back = sim.now
 				}
-				return w.now < back+doorWarmup
+				return sim.now < back+doorWarmup
 			})
 		}
 		step++
 	}
 	if step < len(af.targets) {
-		w.schedule(w.now+permitCheckInterval, event{kind: eventFaultStep, index: n, arg: step, payload: af})
+		sim.schedule(sim.now+permitCheckInterval, event{kind: eventFaultStep, index: n, arg: step, payload: af})
 	}
 }
 
 // togglePause pauses the target backends or lets them continue, in turns until the fault ends.
-func (w *World) togglePause(step int, af *activeFault) {
+func (sim *Simulation) togglePause(step int, af *activeFault) {
 	f := af.spec
-	ended := w.now >= f.End()*1000
+	ended := sim.now >= f.End()*1000
 	for _, i := range af.targets {
-		b := w.backends[i]
-		b.advance(w.now)
+		b := sim.backends[i]
+		b.advance(sim.now)
 		b.paused = step%2 == 0 && !ended
-		b.scheduleFinish(w)
+		b.scheduleFinish(sim)
 	}
 	if ended {
 		return
@@ -255,27 +255,27 @@
 	if step%2 == 1 {
 		duration = f.EveryMs - f.Much
 	}
-	w.schedule(w.now+duration, event{kind: eventFaultStep, index: af.index, arg: step + 1, payload: af})
+	sim.schedule(sim.now+duration, event{kind: eventFaultStep, index: af.index, arg: step + 1, payload: af})
 }
 
 // replace drains a backend and ends it, and starts its successor on a machine of its own right away. It returns the successor,
 // or nil if the backend is not up.
-func (w *World) replace(b *backend, drainMs float64) (next *backend) {
+func (sim *Simulation) replace(b *backend, drainMs float64) (next *backend) {
 	if !b.listed || b.status != gate.Up {
 		return nil
 	}
 	b.status = gate.Draining
-	w.announce(b, gate.Draining, 0)
-	next = w.addBackend(b.zone, b.cell, b.machine)
+	sim.announce(b, gate.Draining, 0)
+	next = sim.addBackend(b.zone, b.cell, b.machine)
 	next.listed = true
-	next.start(w)
-	w.announce(next, gate.Up, 0)
-	w.schedule(w.now+drainMs, event{kind: eventFunc, payload: func() {
+	next.start(sim)
+	sim.announce(next, gate.Up, 0)
+	sim.schedule(sim.now+drainMs, event{kind: eventFunc, payload: func() {
 		b.status, b.listed = gate.Gone, false
 		if b.up {
-			b.crash(w)
+			b.crash(sim)
 		}
-		w.announce(b, gate.Gone, 0)
+		sim.announce(b, gate.Gone, 0)
 	}})
 	return next
 }
--- a/lab/model/members.go
+++ b/lab/model/members.go
@@ -10,24 +10,24 @@
 
 // scheduleDoorsUpdate notifies all doors that one has started or gone, after the delay that the scenario sets. The membership
 // protocol itself is simulated by lab/procs; here all doors have the same view, with that delay.
-func (w *World) scheduleDoorsUpdate(d *door) {
-	if w.s.Fleet.MembersMs == 0 || d.external != nil {
+func (sim *Simulation) scheduleDoorsUpdate(d *door) {
+	if sim.s.Fleet.MembersMs == 0 || d.external != nil {
 		return
 	}
-	w.schedule(w.now+w.s.Fleet.MembersMs, event{kind: eventFunc, payload: func() {
-		for len(w.present) < len(w.doors) {
-			w.present = append(w.present, true)
+	sim.schedule(sim.now+sim.s.Fleet.MembersMs, event{kind: eventFunc, payload: func() {
+		for len(sim.present) < len(sim.doors) {
+			sim.present = append(sim.present, true)
 		}
-		if w.present[d.id] = d.up && !d.stopping; w.updatePending {
+		if sim.present[d.id] = d.up && !d.stopping; sim.updatePending {
 			return
 		}
-		w.updatePending = true
-		w.schedule(w.now+updateBatchDelay, event{kind: eventFunc, payload: func() {
-			w.updatePending = false
-			for _, o := range w.doors {
+		sim.updatePending = true
+		sim.schedule(sim.now+updateBatchDelay, event{kind: eventFunc, payload: func() {
+			sim.updatePending = false
+			for _, o := range sim.doors {
 				if o.up {
-					o.inbox = append(o.inbox, w.doorsUpdate())
-					o.scheduleDecision(w, w.now)
+					o.inbox = append(o.inbox, sim.doorsUpdate())
+					o.scheduleDecision(sim, sim.now)
 				}
 			}
 		}})
@@ -35,8 +35,8 @@
 }
 
 // doorsUpdate returns the event with the doors believed to be present.
-func (w *World) doorsUpdate() gate.DoorsUpdate {
-	e := gate.DoorsUpdate{Present: slices.Clone(w.present), PresentCount: len(w.doors)}
+func (sim *Simulation) doorsUpdate() gate.DoorsUpdate {
+	e := gate.DoorsUpdate{Present: slices.Clone(sim.present), PresentCount: len(sim.doors)}
 	for _, present := range e.Present {
 		if !present {
 			e.PresentCount--
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -149,29 +149,29 @@
 func TestAnswerAndTimeoutAtSameInstantEndAttemptOnce(t *testing.T) {
 	s := read(t, "")
 	d := &timeoutDecider{ends: map[gate.Result]int{}}
-	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return d }}, &eventLog{})
-	door := w.doors[0]
-	door.start(w)
-	w.now = 10
+	sim := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return d }}, &eventLog{})
+	door := sim.doors[0]
+	door.start(sim)
+	sim.now = 10
 	try := &Try{request: &clientRequest{units: 1, deadline: 5000}, deadline: 1000}
-	door.submit(w, try)
-	door.collectEvents(w)
-	door.decide(w.now)
+	door.submit(sim, try)
+	door.collectEvents(sim)
+	door.decide(sim.now)
 	d.limit = 0
-	door.carryOut(w)
+	door.carryOut(sim)
 	job := door.ops[0].jobs[0]
-	w.now = 200
-	w.schedule(200, event{kind: eventResult, job: job, payload: gate.Finished})
-	w.schedule(200, event{kind: eventAttemptTimeout, job: job})
-	for len(w.queue.heap) > 0 && w.queue.heap[0].at <= 200 {
-		if next := w.queue.pop(); next.kind == eventResult || next.kind == eventAttemptTimeout {
-			w.dispatch(&next)
+	sim.now = 200
+	sim.schedule(200, event{kind: eventResult, job: job, payload: gate.Finished})
+	sim.schedule(200, event{kind: eventAttemptTimeout, job: job})
+	for len(sim.queue.heap) > 0 && sim.queue.heap[0].at <= 200 {
+		if next := sim.queue.pop(); next.kind == eventResult || next.kind == eventAttemptTimeout {
+			sim.dispatch(&next)
 		}
 	}
 	require.Len(t, door.ended, 1)
-	door.collectEvents(w)
-	door.decide(w.now)
-	door.carryOut(w)
+	door.collectEvents(sim)
+	door.decide(sim.now)
+	door.carryOut(sim)
 	assert.Equal(t, map[gate.Result]int{gate.Finished: 1}, d.ends)
 	assert.Equal(t, trace.Finished, try.answer)
 }
@@ -203,20 +203,20 @@
 func TestTimerSurvivesEarlierDecision(t *testing.T) {
 	s := read(t, "")
 	firedAt := 0.0
-	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return &timerDecider{firedAt: &firedAt} }}, &eventLog{})
-	d := w.doors[0]
-	d.start(w)
+	sim := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return &timerDecider{firedAt: &firedAt} }}, &eventLog{})
+	d := sim.doors[0]
+	d.start(sim)
 	decideAt := func(at float64) {
-		w.now = at
-		w.deciding = append(w.deciding[:0], d)
-		w.decide()
+		sim.now = at
+		sim.deciding = append(sim.deciding[:0], d)
+		sim.decide()
 	}
 	decideAt(0)
-	w.now = 5
-	d.submit(w, &Try{request: &clientRequest{units: 1, deadline: 5000}, deadline: 1000})
+	sim.now = 5
+	d.submit(sim, &Try{request: &clientRequest{units: 1, deadline: 5000}, deadline: 1000})
 	decideAt(5)
-	for len(w.queue.heap) > 0 && firedAt == 0 {
-		if next := w.queue.pop(); next.kind == eventDecide && next.index == 0 {
+	for len(sim.queue.heap) > 0 && firedAt == 0 {
+		if next := sim.queue.pop(); next.kind == eventDecide && next.index == 0 {
 			decideAt(next.at)
 		}
 	}
@@ -242,24 +242,24 @@
 func TestCounterReplyToCrashedDoorIsDropped(t *testing.T) {
 	s := read(t, "")
 	replies := 0
-	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return counterDecider{&replies} }}, &eventLog{})
-	d := w.doors[0]
-	d.start(w)
-	d.submit(w, &Try{request: &clientRequest{units: 1, deadline: 5000}, deadline: 1000})
-	d.collectEvents(w)
-	d.decide(w.now)
-	d.carryOut(w)
-	d.crash(w)
-	w.now = 0.5
-	d.start(w)
-	for len(w.queue.heap) > 0 && w.queue.heap[0].at < 100 {
-		next := w.queue.pop()
-		w.now = next.at
+	sim := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return counterDecider{&replies} }}, &eventLog{})
+	d := sim.doors[0]
+	d.start(sim)
+	d.submit(sim, &Try{request: &clientRequest{units: 1, deadline: 5000}, deadline: 1000})
+	d.collectEvents(sim)
+	d.decide(sim.now)
+	d.carryOut(sim)
+	d.crash(sim)
+	sim.now = 0.5
+	d.start(sim)
+	for len(sim.queue.heap) > 0 && sim.queue.heap[0].at < 100 {
+		next := sim.queue.pop()
+		sim.now = next.at
 		if next.kind == eventCounterCall || next.kind == eventCounterReply {
-			w.dispatch(&next)
+			sim.dispatch(&next)
 		}
 	}
-	assert.Equal(t, 1.0, w.counter.totals[counterKey{0, 1}].total)
+	assert.Equal(t, 1.0, sim.counter.totals[counterKey{0, 1}].total)
 	assert.Empty(t, d.inbox)
 	assert.Zero(t, replies)
 }
@@ -268,15 +268,15 @@
 func TestForgottenKeyLetsRequestRunTwice(t *testing.T) {
 	s := read(t, "\n[[fault]]\nkind = \"forget_tokens\"\nat_s = 0.0\nfor_s = 5.0\nmuch = 1.0")
 	k := &eventLog{}
-	w := New(s, 1, policyMaker, k)
-	b, try := w.backends[0], &Try{Class: 1, request: &clientRequest{units: 1}}
-	w.now = 100
-	w.recordEffect(b, try)
-	w.now = 100 + 400
-	assert.True(t, w.isDuplicate(b, try), "within the deduplication window")
+	sim := New(s, 1, policyMaker, k)
+	b, try := sim.backends[0], &Try{Class: 1, request: &clientRequest{units: 1}}
+	sim.now = 100
+	sim.recordEffect(b, try)
+	sim.now = 100 + 400
+	assert.True(t, sim.isDuplicate(b, try), "within the deduplication window")
 	b.faults = []*activeFault{{spec: &s.Faults[0], class: -1}}
-	assert.False(t, w.isDuplicate(b, try), "forgotten a millisecond early")
-	w.recordEffect(b, try)
+	assert.False(t, sim.isDuplicate(b, try), "forgotten a millisecond early")
+	sim.recordEffect(b, try)
 	ran := k.ofKind(trace.Ran)
 	require.Len(t, ran, 2)
 	assert.True(t, ran[1].Twice)
@@ -304,18 +304,18 @@
 // A split counter keeps separate totals for doors with even and odd numbers, and keeps those of the even ones when it heals.
 func TestSplitCounterKeepsSeparateTotals(t *testing.T) {
 	s := read(t, "")
-	w := New(s, 1, policyMaker, &eventLog{})
+	sim := New(s, 1, policyMaker, &eventLog{})
 	count := func(door int) float64 {
 		k := &counterCall{door: door, key: counterKey{7, 1}, add: 1, ttl: 1e4}
-		w.counter.serve(w, k)
+		sim.counter.serve(sim, k)
 		return k.total
 	}
 	assert.Equal(t, 1.0, count(0))
-	w.counter.split()
+	sim.counter.split()
 	assert.Equal(t, 2.0, count(0))
 	assert.Equal(t, 2.0, count(1))
 	assert.Equal(t, 3.0, count(2))
-	w.counter.heal()
+	sim.counter.heal()
 	assert.Equal(t, 4.0, count(1))
 }
 
@@ -345,27 +345,27 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		s := read(t, "")
 		s.Machines[0].Thrash, s.Machines[0].ErrorRate = 0, 0
-		w := New(s, 1, policyMaker, &eventLog{})
-		b := w.backends[0]
+		sim := New(s, 1, policyMaker, &eventLog{})
+		b := sim.backends[0]
 		n := rapid.IntRange(1, b.slots).Draw(rt, "operations")
 		total := 0.0
 		for i := range n {
 			work := rapid.Float64Range(1, 100).Draw(rt, "work")
 			total += work
-			j := &Job{Try: &Try{ID: i, request: &clientRequest{work: work}}, incarnation: b.incarnation, caller: w.doors[0]}
+			j := &Job{Try: &Try{ID: i, request: &clientRequest{work: work}}, incarnation: b.incarnation, caller: sim.doors[0]}
 			j.work = work
 			b.startJob(j)
 		}
-		b.scheduleFinish(w)
+		b.scheduleFinish(sim)
 		for len(b.running) > 0 {
-			next := w.queue.pop()
-			if w.now = next.at; next.kind == eventFinish {
-				w.dispatch(&next)
+			next := sim.queue.pop()
+			if sim.now = next.at; next.kind == eventFinish {
+				sim.dispatch(&next)
 			}
 		}
 		least, most := total/b.capacity(), total/b.speed
-		if w.now < least-1e-6 || w.now > most+1e-6 {
-			rt.Fatalf("done after %g ms, between %g and %g is possible", w.now, least, most)
+		if sim.now < least-1e-6 || sim.now > most+1e-6 {
+			rt.Fatalf("done after %g ms, between %g and %g is possible", sim.now, least, most)
 		}
 	})
 }
--- a/lab/model/world.go
+++ b/lab/model/simulation.go
@@ -54,8 +54,8 @@
 	streamBackends // the first of one stream for each backend
 )
 
-// World is the state of one run.
-type World struct {
+// Simulation is the state of one run.
+type Simulation struct {
 	s     *scenario.Scenario // not modified
 	now   float64            // clock, ms from the start of the run
 	queue eventQueue
@@ -86,62 +86,62 @@
 func newRand(seed uint64, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
 // New returns the initial state of a run.
-func New(s *scenario.Scenario, seed uint64, maker Maker, sink trace.Sink) *World {
-	w := &World{s: s, seed: seed, sink: sink, maker: maker}
-	w.rng.net, w.rng.faults, w.rng.fleet = newRand(seed, streamNet), newRand(seed, streamFaults), newRand(seed, streamFleet)
+func New(s *scenario.Scenario, seed uint64, maker Maker, sink trace.Sink) *Simulation {
+	sim := &Simulation{s: s, seed: seed, sink: sink, maker: maker}
+	sim.rng.net, sim.rng.faults, sim.rng.fleet = newRand(seed, streamNet), newRand(seed, streamFaults), newRand(seed, streamFleet)
 	for i := range s.Fleet.Backends {
-		w.addBackend(i%s.Fleet.Zones, i/s.Fleet.CellSize, w.machineFor(i))
+		sim.addBackend(i%s.Fleet.Zones, i/s.Fleet.CellSize, sim.machineFor(i))
 	}
-	for _, b := range w.backends {
+	for _, b := range sim.backends {
 		b.up, b.listed, b.status, b.startedAt = true, true, gate.Up, -epoch
 	}
-	w.counter.init(s)
-	w.clients.init(w)
+	sim.counter.init(s)
+	sim.clients.init(sim)
 	for i := range s.Fleet.Doors {
-		w.doors = append(w.doors, newDoor(w, i))
+		sim.doors = append(sim.doors, newDoor(sim, i))
 	}
-	return w
+	return sim
 }
 
 // machineFor assigns machine types to the initial backends in proportion to their shares.
-func (w *World) machineFor(i int) *scenario.Machine {
+func (sim *Simulation) machineFor(i int) *scenario.Machine {
 	sum := 0.0
-	for i := range w.s.Machines {
-		sum += w.s.Machines[i].Share
+	for i := range sim.s.Machines {
+		sum += sim.s.Machines[i].Share
 	}
-	x := (float64(i) + 0.5) / float64(w.s.Fleet.Backends) * sum
-	for i := range w.s.Machines {
-		if x -= w.s.Machines[i].Share; x < 0 {
-			return &w.s.Machines[i]
+	x := (float64(i) + 0.5) / float64(sim.s.Fleet.Backends) * sum
+	for i := range sim.s.Machines {
+		if x -= sim.s.Machines[i].Share; x < 0 {
+			return &sim.s.Machines[i]
 		}
 	}
-	return &w.s.Machines[len(w.s.Machines)-1]
+	return &sim.s.Machines[len(sim.s.Machines)-1]
 }
 
 // addBackend adds a backend that is neither running nor listed yet.
-func (w *World) addBackend(zone, cell int, m *scenario.Machine) *backend {
-	b := &backend{id: len(w.backends), zone: zone, cell: cell, cores: m.Cores, machine: m, speed: m.Speed.At(w.rng.fleet.Float64()),
+func (sim *Simulation) addBackend(zone, cell int, m *scenario.Machine) *backend {
+	b := &backend{id: len(sim.backends), zone: zone, cell: cell, cores: m.Cores, machine: m, speed: m.Speed.At(sim.rng.fleet.Float64()),
 		slots: max(1, int(m.SlotsPerCore*float64(m.Cores))), maxQueue: int(m.QueuePerCore * float64(m.Cores)),
-		maxConns: max(1, int(m.ConnsPerCore*float64(m.Cores))), rng: newRand(w.seed, streamBackends+uint64(len(w.backends)))}
-	w.backends = append(w.backends, b)
+		maxConns: max(1, int(m.ConnsPerCore*float64(m.Cores))), rng: newRand(sim.seed, streamBackends+uint64(len(sim.backends)))}
+	sim.backends = append(sim.backends, b)
 	return b
 }
 
 // schedule enqueues an event for a clock.
-func (w *World) schedule(at float64, e event) {
+func (sim *Simulation) schedule(at float64, e event) {
 	e.at = at
-	w.queue.push(e)
+	sim.queue.push(e)
 }
 
 // emit reports an event of the present instant to the sink.
-func (w *World) emit(e trace.Event) {
-	e.At = w.now
-	w.sink.Take(&e)
+func (sim *Simulation) emit(e trace.Event) {
+	e.At = sim.now
+	sim.sink.Take(&e)
 }
 
 // nextTick rounds a clock up to the next tick; doors decide only at ticks.
-func (w *World) nextTick(at float64) float64 {
-	return math.Ceil(at/w.s.Day.TickMs-1e-9) * w.s.Day.TickMs
+func (sim *Simulation) nextTick(at float64) float64 {
+	return math.Ceil(at/sim.s.Day.TickMs-1e-9) * sim.s.Day.TickMs
 }
 
 const (
@@ -151,102 +151,102 @@
 )
 
 // Run runs the scenario in virtual time. It reports progress, 0 to 1, from time to time.
-func (w *World) Run(ctx context.Context, progress func(done float64)) error {
-	end := w.s.Day.Seconds * 1000
-	w.begin()
-	for len(w.queue.heap) > 0 {
-		if w.steps++; w.steps%stepsPerCheck == 0 {
+func (sim *Simulation) Run(ctx context.Context, progress func(done float64)) error {
+	end := sim.s.Day.Seconds * 1000
+	sim.begin()
+	for len(sim.queue.heap) > 0 {
+		if sim.steps++; sim.steps%stepsPerCheck == 0 {
 			if err := ctx.Err(); err != nil {
-				return &StoppedError{w.now / 1000, err}
+				return &StoppedError{sim.now / 1000, err}
 			}
 			if progress != nil {
-				progress(min(1, w.now/end))
+				progress(min(1, sim.now/end))
 			}
 		}
-		e := w.queue.pop()
-		w.now = e.at
-		if w.now >= end {
-			w.loadEnded = true
-			if w.openRequests == 0 || w.now > end+drainTime {
+		e := sim.queue.pop()
+		sim.now = e.at
+		if sim.now >= end {
+			sim.loadEnded = true
+			if sim.openRequests == 0 || sim.now > end+drainTime {
 				break
 			}
 		}
 		if e.kind == eventDecide {
-			w.deciding = append(w.deciding[:0], w.doors[e.index])
-			for len(w.queue.heap) > 0 && w.queue.heap[0].at == w.now && w.queue.heap[0].kind == eventDecide {
-				w.deciding = append(w.deciding, w.doors[w.queue.pop().index])
+			sim.deciding = append(sim.deciding[:0], sim.doors[e.index])
+			for len(sim.queue.heap) > 0 && sim.queue.heap[0].at == sim.now && sim.queue.heap[0].kind == eventDecide {
+				sim.deciding = append(sim.deciding, sim.doors[sim.queue.pop().index])
 			}
-			w.decide()
+			sim.decide()
 			continue
 		}
-		w.dispatch(&e)
+		sim.dispatch(&e)
 	}
-	w.emit(trace.Event{Kind: trace.Over})
+	sim.emit(trace.Event{Kind: trace.Over})
 	return nil
 }
 
 // begin starts the doors and schedules the first arrivals, the faults and the sweep.
-func (w *World) begin() {
-	for _, d := range w.doors {
-		d.start(w)
+func (sim *Simulation) begin() {
+	for _, d := range sim.doors {
+		d.start(sim)
 	}
-	w.clients.begin(w)
-	for i := range w.s.Faults {
-		w.schedule(w.s.Faults[i].AtS*1000, event{kind: eventFault, index: i, arg: 1})
+	sim.clients.begin(sim)
+	for i := range sim.s.Faults {
+		sim.schedule(sim.s.Faults[i].AtS*1000, event{kind: eventFault, index: i, arg: 1})
 	}
-	w.schedule(sweepInterval, event{kind: eventSweep})
+	sim.schedule(sweepInterval, event{kind: eventSweep})
 }
 
 // dispatch handles one event.
-func (w *World) dispatch(e *event) {
+func (sim *Simulation) dispatch(e *event) {
 	switch e.kind {
 	case eventArrival, eventSpike, eventShift, eventExtraRequest, eventClientTimeout, eventAnswer, eventRetry:
-		w.clients.handle(w, e)
+		sim.clients.handle(sim, e)
 	case eventSubmit:
-		w.doors[e.try.Door].submit(w, e.try)
+		sim.doors[e.try.Door].submit(sim, e.try)
 	case eventClientGone:
-		w.doors[e.try.Door].clientLeft(w, e.try)
+		sim.doors[e.try.Door].clientLeft(sim, e.try)
 	case eventConnect:
-		w.connectionArrived(e.job)
+		sim.connectionArrived(e.job)
 	case eventBackendArrival:
-		if b := w.backends[e.job.Backend]; !e.job.closed && !w.partitioned(w.doors[e.job.Try.Door].zone, b.zone) {
-			b.receive(w, e.job)
+		if b := sim.backends[e.job.Backend]; !e.job.closed && !sim.partitioned(sim.doors[e.job.Try.Door].zone, b.zone) {
+			b.receive(sim, e.job)
 		}
 	case eventFinish:
-		if b := w.backends[e.index]; b.finishStamp == e.arg {
-			b.finishDue(w)
+		if b := sim.backends[e.index]; b.finishStamp == e.arg {
+			b.finishDue(sim)
 		}
 	case eventRefreshSpeed:
-		if b := w.backends[e.index]; b.incarnation == e.arg && b.coldBudget != nil {
-			b.advance(w.now)
-			b.scheduleFinish(w)
-			w.schedule(w.now+coldRefreshInterval, *e)
+		if b := sim.backends[e.index]; b.incarnation == e.arg && b.coldBudget != nil {
+			b.advance(sim.now)
+			b.scheduleFinish(sim)
+			sim.schedule(sim.now+coldRefreshInterval, *e)
 		}
 	case eventResult:
-		e.job.caller.Ended(w, e.job, e.payload.(gate.Result))
+		e.job.caller.Ended(sim, e.job, e.payload.(gate.Result))
 	case eventCancel:
-		if b := w.backends[e.job.Backend]; !w.partitioned(w.doors[e.job.Try.Door].zone, b.zone) {
-			b.cancel(w, e.job)
+		if b := sim.backends[e.job.Backend]; !sim.partitioned(sim.doors[e.job.Try.Door].zone, b.zone) {
+			b.cancel(sim, e.job)
 		}
 	case eventAttemptTimeout:
-		w.doors[e.job.Try.Door].attemptTimedOut(w, e.job)
+		sim.doors[e.job.Try.Door].attemptTimedOut(sim, e.job)
 	case eventCounterCall:
-		w.counter.serve(w, e.payload.(*counterCall))
+		sim.counter.serve(sim, e.payload.(*counterCall))
 	case eventCounterReply:
-		w.counter.deliver(w, e.payload.(*counterCall))
+		sim.counter.deliver(sim, e.payload.(*counterCall))
 	case eventProbeEnd:
-		w.doors[e.arg].probeEnded(w, e.index, e.payload.(probeResult))
+		sim.doors[e.arg].probeEnded(sim, e.index, e.payload.(probeResult))
 	case eventListUpdate:
-		w.doors[e.index].receiveListUpdate(w, e.arg, e.payload.(listUpdate))
+		sim.doors[e.index].receiveListUpdate(sim, e.arg, e.payload.(listUpdate))
 	case eventFault:
-		w.toggleFault(e.index, e.arg == 1)
+		sim.toggleFault(e.index, e.arg == 1)
 	case eventFaultStep:
-		w.faultStep(e.index, e.arg, e.payload.(*activeFault))
+		sim.faultStep(e.index, e.arg, e.payload.(*activeFault))
 	case eventFunc:
 		e.payload.(func())()
 	case eventSweep:
-		w.sweep()
-		w.schedule(w.now+sweepInterval, event{kind: eventSweep})
+		sim.sweep()
+		sim.schedule(sim.now+sweepInterval, event{kind: eventSweep})
 	}
 }
 
@@ -254,24 +254,24 @@
 
 // decide lets all doors that are due decide. The deciders share no state, so they run concurrently. Their actions are carried
 // out in the order of the door numbers, which keeps the run deterministic.
-func (w *World) decide() {
-	slices.SortFunc(w.deciding, func(a, b *door) int { return a.id - b.id })
-	w.deciding = slices.CompactFunc(w.deciding, func(a, b *door) bool { return a == b })
+func (sim *Simulation) decide() {
+	slices.SortFunc(sim.deciding, func(a, b *door) int { return a.id - b.id })
+	sim.deciding = slices.CompactFunc(sim.deciding, func(a, b *door) bool { return a == b })
 	n := 0
-	for _, d := range w.deciding {
-		if d.decideAt == w.now && d.up {
+	for _, d := range sim.deciding {
+		if d.decideAt == sim.now && d.up {
 			d.decideAt = math.Inf(1)
-			d.collectEvents(w)
-			w.deciding[n] = d
+			d.collectEvents(sim)
+			sim.deciding[n] = d
 			n++
 		}
 	}
-	w.deciding = w.deciding[:n]
+	sim.deciding = sim.deciding[:n]
 	workers := min(runtime.GOMAXPROCS(0), n/2)
-	if w.maker.Shared || n < parallelThreshold || workers < 2 {
-		for _, d := range w.deciding {
-			d.decide(w.now)
-			d.carryOut(w)
+	if sim.maker.Shared || n < parallelThreshold || workers < 2 {
+		for _, d := range sim.deciding {
+			d.decide(sim.now)
+			d.carryOut(sim)
 		}
 		return
 	}
@@ -284,26 +284,26 @@
 				if i >= n {
 					return
 				}
-				w.deciding[i].decide(w.now)
+				sim.deciding[i].decide(sim.now)
 			}
 		})
 	}
 	done.Wait()
-	for _, d := range w.deciding {
-		d.carryOut(w)
+	for _, d := range sim.deciding {
+		d.carryOut(sim)
 	}
 }
 
 // ---- The network ----
 
 // networkDelay draws the one-way delay from one zone to another, ms.
-func (w *World) networkDelay(from, to int) float64 {
-	span := w.s.Net.CrossMs
+func (sim *Simulation) networkDelay(from, to int) float64 {
+	span := sim.s.Net.CrossMs
 	if from == to {
-		span = w.s.Net.SameMs
+		span = sim.s.Net.SameMs
 	}
-	d := span.At(w.rng.net.Float64()) * (1 + w.s.Net.Jitter*(2*w.rng.net.Float64()-1))
-	for _, af := range w.faults {
+	d := span.At(sim.rng.net.Float64()) * (1 + sim.s.Net.Jitter*(2*sim.rng.net.Float64()-1))
+	for _, af := range sim.faults {
 		if af.spec.Kind == "delay" {
 			d += af.spec.Much
 		}
@@ -312,11 +312,13 @@
 }
 
 // clientDelay draws the one-way delay between a client and its door, ms.
-func (w *World) clientDelay() float64 { return max(0.01, w.s.Net.ClientMs.At(w.rng.net.Float64())) }
+func (sim *Simulation) clientDelay() float64 {
+	return max(0.01, sim.s.Net.ClientMs.At(sim.rng.net.Float64()))
+}
 
 // partitioned reports whether a network partition separates two zones.
-func (w *World) partitioned(a, b int) bool {
-	for _, af := range w.faults {
+func (sim *Simulation) partitioned(a, b int) bool {
+	for _, af := range sim.faults {
 		if af.spec.Kind == "zone_cut" && (a == *af.spec.Zone) != (b == *af.spec.Zone) {
 			return true
 		}
@@ -326,8 +328,8 @@
 
 // faultMagnitude returns the greatest magnitude among the active faults of a kind, and whether there is one. Faults of
 // backends are looked up by backend.faultMagnitude.
-func (w *World) faultMagnitude(kind string) (magnitude float64, active bool) {
-	for _, af := range w.faults {
+func (sim *Simulation) faultMagnitude(kind string) (magnitude float64, active bool) {
+	for _, af := range sim.faults {
 		if af.spec.Kind == kind {
 			magnitude, active = max(magnitude, af.spec.Much), true
 		}
@@ -336,40 +338,40 @@
 }
 
 // sendResult sends an attempt's result to its door. The network may lose it.
-func (w *World) sendResult(b *backend, j *Job, r gate.Result) {
+func (sim *Simulation) sendResult(b *backend, j *Job, r gate.Result) {
 	if j.closed || b.silent() {
 		return
 	}
-	z := w.doors[j.Try.Door].zone
-	lossShare, lossy := w.faultMagnitude("loss")
-	if w.partitioned(z, b.zone) || r != gate.Unreachable && w.rng.net.Float64() < w.s.Net.Loss ||
-		lossy && w.rng.net.Float64() < lossShare {
+	z := sim.doors[j.Try.Door].zone
+	lossShare, lossy := sim.faultMagnitude("loss")
+	if sim.partitioned(z, b.zone) || r != gate.Unreachable && sim.rng.net.Float64() < sim.s.Net.Loss ||
+		lossy && sim.rng.net.Float64() < lossShare {
 		return
 	}
-	w.schedule(w.now+w.networkDelay(b.zone, z), event{kind: eventResult, job: j, payload: r})
+	sim.schedule(sim.now+sim.networkDelay(b.zone, z), event{kind: eventResult, job: j, payload: r})
 }
 
 // dial starts to open a connection for an attempt.
-func (w *World) dial(j *Job) {
-	b := w.backends[j.Backend]
-	z := w.doors[j.Try.Door].zone
+func (sim *Simulation) dial(j *Job) {
+	b := sim.backends[j.Backend]
+	z := sim.doors[j.Try.Door].zone
 	j.newConn = true
-	w.emit(trace.Event{Kind: trace.Connected, Door: j.Try.Door, Backend: b.id})
-	if b.silent() || w.partitioned(z, b.zone) {
-		w.schedule(w.now+w.s.Net.ConnectTimeoutMs, event{kind: eventResult, job: j, payload: gate.Unreachable})
+	sim.emit(trace.Event{Kind: trace.Connected, Door: j.Try.Door, Backend: b.id})
+	if b.silent() || sim.partitioned(z, b.zone) {
+		sim.schedule(sim.now+sim.s.Net.ConnectTimeoutMs, event{kind: eventResult, job: j, payload: gate.Unreachable})
 		return
 	}
-	w.schedule(w.now+w.networkDelay(z, b.zone), event{kind: eventConnect, job: j})
+	sim.schedule(sim.now+sim.networkDelay(z, b.zone), event{kind: eventConnect, job: j})
 }
 
 // connectionArrived handles a connection attempt at the backend, which accepts or refuses it.
-func (w *World) connectionArrived(j *Job) {
-	b := w.backends[j.Backend]
+func (sim *Simulation) connectionArrived(j *Job) {
+	b := sim.backends[j.Backend]
 	if j.closed {
 		return
 	}
 	if b.silent() {
-		w.schedule(j.sentAt+w.s.Net.ConnectTimeoutMs, event{kind: eventResult, job: j, payload: gate.Unreachable})
+		sim.schedule(j.sentAt+sim.s.Net.ConnectTimeoutMs, event{kind: eventResult, job: j, payload: gate.Unreachable})
 		return
 	}
 	limit := b.maxConns
@@ -377,24 +379,24 @@
 		limit = int(magnitude)
 	}
 	if _, refuses := b.faultMagnitude("refuse", -1); refuses || !b.up || b.openConns >= limit {
-		w.sendResult(b, j, gate.Unreachable)
+		sim.sendResult(b, j, gate.Unreachable)
 		return
 	}
-	z := w.doors[j.Try.Door].zone
+	z := sim.doors[j.Try.Door].zone
 	if j.startBy > 0 {
-		if up := w.now + w.networkDelay(b.zone, z); up > j.startBy { // too late to start
-			w.schedule(up, event{kind: eventResult, job: j, payload: gate.Skipped})
+		if up := sim.now + sim.networkDelay(b.zone, z); up > j.startBy { // too late to start
+			sim.schedule(up, event{kind: eventResult, job: j, payload: gate.Skipped})
 			return
 		}
 	}
 	b.openConns++
 	j.incarnation = b.incarnation
-	w.schedule(w.now+w.networkDelay(b.zone, z)+w.networkDelay(z, b.zone), event{kind: eventBackendArrival, job: j})
+	sim.schedule(sim.now+sim.networkDelay(b.zone, z)+sim.networkDelay(z, b.zone), event{kind: eventBackendArrival, job: j})
 }
 
 // knowsStart reports whether a door has been notified of a backend's latest start.
-func (w *World) knowsStart(door int, b *backend) bool {
-	d := w.doors[door]
+func (sim *Simulation) knowsStart(door int, b *backend) bool {
+	d := sim.doors[door]
 	return b.id < len(d.known) && d.known[b.id].received && d.known[b.id].startedAt == b.startedAt
 }
 
@@ -407,7 +409,7 @@
 }
 
 // dedupGroup returns the group of backends that shares idempotency keys with the backend, for a class.
-func (w *World) dedupGroup(b *backend, p *scenario.Class) int {
+func (sim *Simulation) dedupGroup(b *backend, p *scenario.Class) int {
 	switch p.Scope {
 	case "zone":
 		return b.zone
@@ -418,14 +420,14 @@
 }
 
 // isDuplicate reports whether the backend's group still remembers that the request ran, and so discards a repeat.
-func (w *World) isDuplicate(b *backend, t *Try) bool {
-	p := &w.s.Classes[t.Class]
+func (sim *Simulation) isDuplicate(b *backend, t *Try) bool {
+	p := &sim.s.Classes[t.Class]
 	if p.Semantics != "tokened" {
 		return false
 	}
 	early, _ := b.faultMagnitude("forget_tokens", t.Class)
 	for _, e := range t.request.effects {
-		if e.group == w.dedupGroup(b, p) && w.now <= e.at+p.WindowMs-early {
+		if e.group == sim.dedupGroup(b, p) && sim.now <= e.at+p.WindowMs-early {
 			return true
 		}
 	}
@@ -433,22 +435,22 @@
 }
 
 // recordEffect records that a request took effect at a backend.
-func (w *World) recordEffect(b *backend, t *Try) {
-	p := &w.s.Classes[t.Class]
+func (sim *Simulation) recordEffect(b *backend, t *Try) {
+	p := &sim.s.Classes[t.Class]
 	if p.Semantics == "replayable" {
 		return
 	}
-	if w.isDuplicate(b, t) { // another attempt has run since this one began
+	if sim.isDuplicate(b, t) { // another attempt has run since this one began
 		return
 	}
-	w.emit(trace.Event{Kind: trace.Ran, Want: t.request.id, Try: t.ID, Backend: b.id, Twice: len(t.request.effects) > 0})
-	t.request.effects = append(t.request.effects, effect{w.dedupGroup(b, p), w.now})
+	sim.emit(trace.Event{Kind: trace.Ran, Want: t.request.id, Try: t.ID, Backend: b.id, Twice: len(t.request.effects) > 0})
+	t.request.effects = append(t.request.effects, effect{sim.dedupGroup(b, p), sim.now})
 }
 
 // sweep closes idle connections and drops expired counter values.
-func (w *World) sweep() {
-	for _, d := range w.doors {
-		d.dropIdle(w)
+func (sim *Simulation) sweep() {
+	for _, d := range sim.doors {
+		d.dropIdle(sim)
 	}
-	w.counter.sweep(w.now)
+	sim.counter.sweep(sim.now)
 }
--- a/lab/model/terms.go
+++ b/lab/model/terms.go
@@ -47,25 +47,25 @@
 
 // doorView implements TrueState for one door, translating its indices.
 type doorView struct {
-	w *World
-	d *door
+	sim *Simulation
+	d   *door
 }
 
 // EstimateWait implements TrueState, from the attempts that the backend holds at present.
 func (s doorView) Wait(backend, class int) float64 {
-	w := s.w
-	b := w.backends[s.d.backendIDs.ID(backend)]
+	sim := s.sim
+	b := sim.backends[s.d.backendIDs.ID(backend)]
 	_, hangs := b.faultMagnitude("hang", class)
 	_, refuses := b.faultMagnitude("refuse", -1)
-	if !b.up || b.collapsed || b.status != gate.Up || hangs || refuses || b.silent() || b.paused || w.partitioned(s.d.zone, b.zone) ||
+	if !b.up || b.collapsed || b.status != gate.Up || hangs || refuses || b.silent() || b.paused || sim.partitioned(s.d.zone, b.zone) ||
 		len(b.running) >= b.slots && len(b.queue) >= b.maxQueue {
 		return math.Inf(1)
 	}
-	mean := w.s.Classes[class].WorkMs
+	mean := sim.s.Classes[class].WorkMs
 	capacity := b.capacity()
 	if b.coldBudget != nil {
-		capacity = b.coldBudget.Now(w.now)
-		if capacity*w.s.Rules.FallMs < mean*minColdRequests {
+		capacity = b.coldBudget.Now(sim.now)
+		if capacity*sim.s.Rules.FallMs < mean*minColdRequests {
 			return math.Inf(1)
 		}
 	}
@@ -80,7 +80,7 @@
 }
 
 // MeanWork implements TrueState.
-func (s doorView) Work(class int) float64 { return s.w.s.Classes[class].WorkMs }
+func (s doorView) Work(class int) float64 { return s.sim.s.Classes[class].WorkMs }
 
 // minColdRequests is the number of mean requests that a cold backend must be able to serve within the overload window. If it is
 // not, its estimated wait is infinite.
@@ -88,12 +88,12 @@
 
 // TakeQuota implements TrueState.
 func (s doorView) Take(customer, plan int, units float64) bool {
-	return s.w.quotas.take(s.w, s.d.customers.ID(customer), plan, units)
+	return s.sim.quotas.take(s.sim, s.d.customers.ID(customer), plan, units)
 }
 
 // TakeStaleQuota implements TrueState.
 func (s doorView) TakeLate(customer, plan int, units, lateMs float64) bool {
-	return s.w.quotas.takeLate(s.w, s.d.id, s.d.customers.ID(customer), plan, units, lateMs)
+	return s.sim.quotas.takeLate(s.sim, s.d.id, s.d.customers.ID(customer), plan, units, lateMs)
 }
 
 // trueQuotas holds the customers' true quotas, for deciders that use TrueState. They are kept apart from what real doors know.
@@ -123,16 +123,16 @@
 }
 
 // take takes units from the present quota and reports whether it held them.
-func (t *trueQuotas) take(w *World, customer, plan int, units float64) bool {
-	p := &w.s.Plans[plan]
+func (t *trueQuotas) take(sim *Simulation, customer, plan int, units float64) bool {
+	p := &sim.s.Plans[plan]
 	if t.current == nil {
 		t.current = map[int]quotaLevel{}
 	}
 	l, known := t.current[customer]
 	if !known {
-		l = quotaLevel{p.Depth, w.now}
+		l = quotaLevel{p.Depth, sim.now}
 	}
-	l.units, l.at = l.refilled(p, w.now), w.now
+	l.units, l.at = l.refilled(p, sim.now), sim.now
 	sufficient := l.units >= units
 	if sufficient {
 		l.units -= units
@@ -142,21 +142,21 @@
 }
 
 // takeLate takes units by the quota as it was lateMs ago, less what the door itself sufficient taken since.
-func (t *trueQuotas) takeLate(w *World, door, customer, plan int, units, lateMs float64) bool {
-	p := &w.s.Plans[plan]
+func (t *trueQuotas) takeLate(sim *Simulation, door, customer, plan int, units, lateMs float64) bool {
+	p := &sim.s.Plans[plan]
 	if t.stale == nil {
 		t.stale = map[int]*staleQuota{}
 	}
 	k := t.stale[customer]
 	if k == nil {
-		k = &staleQuota{base: quotaLevel{p.Depth, w.now - lateMs}}
+		k = &staleQuota{base: quotaLevel{p.Depth, sim.now - lateMs}}
 		t.stale[customer] = k
 	}
-	for len(k.withdrawals) > 0 && k.withdrawals[0].at <= w.now-lateMs {
+	for len(k.withdrawals) > 0 && k.withdrawals[0].at <= sim.now-lateMs {
 		k.base = quotaLevel{k.base.refilled(p, k.withdrawals[0].at) - k.withdrawals[0].units, k.withdrawals[0].at}
 		k.withdrawals = k.withdrawals[1:]
 	}
-	left := k.base.refilled(p, w.now)
+	left := k.base.refilled(p, sim.now)
 	for _, n := range k.withdrawals {
 		if n.door == door {
 			left -= n.units
@@ -165,6 +165,6 @@
 	if left < units {
 		return false
 	}
-	k.withdrawals = append(k.withdrawals, withdrawal{w.now, units, door})
+	k.withdrawals = append(k.withdrawals, withdrawal{sim.now, units, door})
 	return true
 }
--- a/lab/stand/backend.go
+++ b/lab/stand/backend.go
@@ -27,64 +27,64 @@
 }
 
 func newBackendListener(tb *testbed, door, backend int) (*backendListener, error) {
-	a := &backendListener{tb: tb, door: door, backend: backend, conns: map[net.Conn]struct{}{}}
+	bl := &backendListener{tb: tb, door: door, backend: backend, conns: map[net.Conn]struct{}{}}
 	ln, err := tb.listen("127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	a.addr = ln.Addr().String()
-	a.serve(ln)
-	tb.onClose(a.close)
-	return a, nil
+	bl.addr = ln.Addr().String()
+	bl.serve(ln)
+	tb.onClose(bl.close)
+	return bl, nil
 }
 
 // serve accepts connections until the listener is closed.
-func (a *backendListener) serve(ln net.Listener) {
-	a.mu.Lock()
-	a.ln = ln
-	a.mu.Unlock()
-	a.tb.spawn(func() {
+func (bl *backendListener) serve(ln net.Listener) {
+	bl.mu.Lock()
+	bl.ln = ln
+	bl.mu.Unlock()
+	bl.tb.spawn(func() {
 		for {
 			nc, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			a.mu.Lock()
-			a.conns[nc] = struct{}{}
-			a.mu.Unlock()
-			a.tb.spawn(func() { a.serveConn(nc) })
+			bl.mu.Lock()
+			bl.conns[nc] = struct{}{}
+			bl.mu.Unlock()
+			bl.tb.spawn(func() { bl.serveConn(nc) })
 		}
 	})
 }
 
 // setUp follows the start or end of the backend's process, which resets all connections.
-func (a *backendListener) setUp(up bool) {
-	a.mu.Lock()
-	ln := a.ln
-	for nc := range a.conns {
+func (bl *backendListener) setUp(up bool) {
+	bl.mu.Lock()
+	ln := bl.ln
+	for nc := range bl.conns {
 		reset(nc)
 	}
 	if !up && ln != nil {
-		a.ln = nil
+		bl.ln = nil
 		ln.Close()
 	}
-	a.mu.Unlock()
-	if up && ln == nil && !a.tb.over.Load() {
-		if reopened, err := a.tb.listen(a.addr); err == nil {
-			a.serve(reopened)
+	bl.mu.Unlock()
+	if up && ln == nil && !bl.tb.over.Load() {
+		if reopened, err := bl.tb.listen(bl.addr); err == nil {
+			bl.serve(reopened)
 		}
 	}
 }
 
 // close closes the listener and its connections.
-func (a *backendListener) close() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.ln != nil {
-		a.ln.Close()
-		a.ln = nil
+func (bl *backendListener) close() {
+	bl.mu.Lock()
+	defer bl.mu.Unlock()
+	if bl.ln != nil {
+		bl.ln.Close()
+		bl.ln = nil
 	}
-	for nc := range a.conns {
+	for nc := range bl.conns {
 		nc.Close()
 	}
 }
@@ -106,16 +106,16 @@
 const maxBody = 64 << 10 // most bytes of a request
 
 // serveConn serves one connection. It is reset if the backend does not accept it.
-func (a *backendListener) serveConn(nc net.Conn) {
+func (bl *backendListener) serveConn(nc net.Conn) {
 	accepted, incarnation := make(chan bool, 1), 0
-	a.tb.post(func() {
-		incarnation = a.tb.world.BackendIncarnation(a.backend)
-		accepted <- a.tb.world.Connected(a.door, a.backend)
+	bl.tb.post(func() {
+		incarnation = bl.tb.sim.BackendIncarnation(bl.backend)
+		accepted <- bl.tb.sim.Connected(bl.door, bl.backend)
 	})
 	defer func() {
-		a.mu.Lock()
-		delete(a.conns, nc)
-		a.mu.Unlock()
+		bl.mu.Lock()
+		delete(bl.conns, nc)
+		bl.mu.Unlock()
 		nc.Close()
 	}()
 	select {
@@ -124,21 +124,21 @@
 			reset(nc)
 			return
 		}
-	case <-a.tb.ctx.Done():
+	case <-bl.tb.ctx.Done():
 		return
 	}
-	defer a.tb.post(func() { a.tb.world.Disconnected(a.backend, incarnation) })
+	defer bl.tb.post(func() { bl.tb.sim.Disconnected(bl.backend, incarnation) })
 	requests, gone := make(chan request), make(chan struct{})
-	a.tb.spawn(func() { a.readRequests(nc, requests, gone) })
+	bl.tb.spawn(func() { bl.readRequests(nc, requests, gone) })
 	for newConn := true; ; newConn = false {
 		select {
 		case req := <-requests:
-			if !a.serveRequest(nc, req, gone, newConn) {
+			if !bl.serveRequest(nc, req, gone, newConn) {
 				return
 			}
 		case <-gone:
 			return
-		case <-a.tb.ctx.Done():
+		case <-bl.tb.ctx.Done():
 			return
 		}
 	}
@@ -151,7 +151,7 @@
 }
 
 // readRequests reads the requests of a connection one by one, and closes gone when the door closes the connection.
-func (a *backendListener) readRequests(nc net.Conn, requests chan<- request, gone chan<- struct{}) {
+func (bl *backendListener) readRequests(nc net.Conn, requests chan<- request, gone chan<- struct{}) {
 	defer close(gone)
 	for r := bufio.NewReader(nc); ; {
 		req, err := http.ReadRequest(r)
@@ -164,43 +164,43 @@
 		}
 		select {
 		case requests <- request{req.Header.Get("X-Txn"), body}:
-		case <-a.tb.ctx.Done():
+		case <-bl.tb.ctx.Done():
 			return
 		}
 	}
 }
 
 // serveRequest serves one request and reports whether the connection stays open.
-func (a *backendListener) serveRequest(nc net.Conn, req request, gone <-chan struct{}, newConn bool) bool {
-	t := a.tb.findTry(req.id)
+func (bl *backendListener) serveRequest(nc net.Conn, req request, gone <-chan struct{}, newConn bool) bool {
+	t := bl.tb.findTry(req.id)
 	if t == nil {
 		fmt.Fprintf(nc, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
 	results := make(chan attemptResult, 1)
 	var job *model.Job
-	a.tb.post(func() {
-		a.tb.mu.Lock()
-		number := a.tb.attempts[t.ID]
-		a.tb.attempts[t.ID]++
-		a.tb.mu.Unlock()
-		job = a.tb.world.AttemptArrived(a.door, a.backend, t, number, newConn, func(result gate.Result, use float64) {
+	bl.tb.post(func() {
+		bl.tb.mu.Lock()
+		number := bl.tb.attempts[t.ID]
+		bl.tb.attempts[t.ID]++
+		bl.tb.mu.Unlock()
+		job = bl.tb.sim.AttemptArrived(bl.door, bl.backend, t, number, newConn, func(result gate.Result, use float64) {
 			results <- attemptResult{result, use}
 		})
 	})
 	select {
-	case <-a.tb.ctx.Done():
+	case <-bl.tb.ctx.Done():
 		return false
 	case <-gone: // a door that gives an attempt up closes its connection
-		a.tb.post(func() { a.tb.world.AttemptAbandoned(job) })
+		bl.tb.post(func() { bl.tb.sim.AttemptAbandoned(job) })
 		return false
 	case res := <-results:
-		return a.writeResult(nc, res, req.id)
+		return bl.writeResult(nc, res, req.id)
 	}
 }
 
 // writeResult writes a result to the connection and reports whether the connection stays open.
-func (a *backendListener) writeResult(nc net.Conn, res attemptResult, id string) bool {
+func (bl *backendListener) writeResult(nc net.Conn, res attemptResult, id string) bool {
 	head := ""
 	if res.use >= 0 {
 		head = "X-Allowance-Used: " + strconv.FormatFloat(100*res.use, 'f', 2, 64) + "\r\n"
--- a/lab/stand/client.go
+++ b/lab/stand/client.go
@@ -100,7 +100,7 @@
 		if k == nil {
 			nc, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", c.target)
 			if err != nil {
-				c.tb.post(func() { c.tb.world.TryNotAccepted(t) })
+				c.tb.post(func() { c.tb.sim.TryNotAccepted(t) })
 				return
 			}
 			k = &conn{nc: nc, r: bufio.NewReader(nc)}
@@ -115,11 +115,11 @@
 		if err != nil {
 			unwatch()
 			k.nc.Close()
-			c.tb.post(func() { c.tb.world.TryNotAccepted(t) })
+			c.tb.post(func() { c.tb.sim.TryNotAccepted(t) })
 			return
 		}
 		reused := k.reused
-		c.tb.post(func() { c.tb.world.TryTaken(t) })
+		c.tb.post(func() { c.tb.sim.TryTaken(t) })
 		again := c.readAnswer(ctx, t, k, reused)
 		unwatch()
 		if !again {
@@ -132,7 +132,7 @@
 func (c *clientConns) readAnswer(ctx context.Context, t *model.Try, k *conn, reused bool) (again bool) {
 	if _, err := k.r.Peek(1); err != nil && reused && ctx.Err() == nil {
 		k.nc.Close()
-		c.tb.post(func() { c.tb.world.TryNotRead(t) })
+		c.tb.post(func() { c.tb.sim.TryNotRead(t) })
 		return true
 	}
 	resp, err := http.ReadResponse(k.r, nil)
@@ -142,7 +142,7 @@
 	if err != nil {
 		k.nc.Close()
 		if ctx.Err() == nil {
-			c.tb.post(func() { c.tb.world.TryConnectionLost(t) })
+			c.tb.post(func() { c.tb.sim.TryConnectionLost(t) })
 		}
 		return false
 	}
@@ -161,7 +161,7 @@
 	} else {
 		c.put(k)
 	}
-	c.tb.post(func() { c.tb.world.TryAnswered(t, answer, retryAfter) })
+	c.tb.post(func() { c.tb.sim.TryAnswered(t, answer, retryAfter) })
 	return false
 }
 
--- a/lab/stand/counter.go
+++ b/lab/stand/counter.go
@@ -92,7 +92,7 @@
 				continue
 			}
 			tb.post(func() {
-				tb.world.ExternalCounterCall(door, args[1], add, ttl, func(r gate.Result, total float64) {
+				tb.sim.ExternalCounterCall(door, args[1], add, ttl, func(r gate.Result, total float64) {
 					if r != gate.Finished {
 						reply <- "-BUSY\r\n"
 						return
--- a/lab/stand/door.go
+++ b/lab/stand/door.go
@@ -95,7 +95,7 @@
 		e := registry.Entry{ID: fmt.Sprintf("b-%d", l.Backend), Addr: d.backends[l.Backend].addr, Zone: fmt.Sprintf("z%d", l.Zone),
 			Cell: int64(l.Cell), State: wireStates[l.Status], Size: 1}
 		if l.StartedAt >= 0 {
-			e.Started = float64(time.Now().UnixMilli()) - (d.tb.world.Now() - l.StartedAt)
+			e.Started = float64(time.Now().UnixMilli()) - (d.tb.sim.Now() - l.StartedAt)
 		}
 		out = append(out, e)
 	}
@@ -199,7 +199,7 @@
 	d.tb.mu.Lock()
 	d.tb.tries[txnID(t.ID)] = t
 	d.tb.mu.Unlock()
-	d.clients.submit(t, d.tb.world.WireRequest(t))
+	d.clients.submit(t, d.tb.sim.WireRequest(t))
 }
 
 // ClientLeft closes the connection of a try whose client left.
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -35,7 +35,7 @@
 // testbed is the state shared by the doors, the stand-ins and the clients of a run.
 type testbed struct {
 	cfg   *Play
-	world *model.World
+	sim   *model.Simulation
 	doors []*door
 	ctx   context.Context
 
@@ -92,8 +92,8 @@
 		tb.doors = append(tb.doors, d)
 		external = append(external, d)
 	}
-	tb.world = model.NewExternal(s, p.Seed, external, j)
-	behind, err := tb.world.RunRealTime(ctx, tb.ready, progress)
+	tb.sim = model.NewExternal(s, p.Seed, external, j)
+	behind, err := tb.sim.RunRealTime(ctx, tb.ready, progress)
 	tb.over.Store(true)
 	if err != nil {
 		return nil, err
@@ -144,8 +144,8 @@
 
 // post runs a function on the model's goroutine, if a run is in progress.
 func (tb *testbed) post(do func()) {
-	if tb.world != nil && !tb.over.Load() {
-		tb.world.Post(tb.ctx, do)
+	if tb.sim != nil && !tb.over.Load() {
+		tb.sim.Post(tb.ctx, do)
 	}
 }
 
