--- a/lab/model/simulation.go
+++ b/lab/model/simulation.go
@@ -79,7 +79,7 @@
 	openRequests  int  // client requests without a final outcome
 	steps         int
 	posted        chan func() // calls from other goroutines, in real time only
-	outJobs       int
+	outJobs       int         // unused
 }
 
 // newRand returns the random source of a stream.
--- a/lab/stand/door.go
+++ b/lab/stand/door.go
@@ -29,19 +29,20 @@
 type door struct {
 	tb            *testbed
 	number        int
-	addr          string
+	addr          string // on which the door listens
 	discovery     *discovery
-	discoveryAddr string
-	counterAddr   string
+	discoveryAddr string // address at which the door reaches its discovery
+	counterAddr   string // address at which it reaches the counter; empty if there is none
 	clients       *clientConns
-	backends      []*backendListener
-	stop          context.CancelFunc // stops an embedded door
-	cmd           *exec.Cmd
-	exitExpected  *atomic.Bool // set before the program is killed; the goroutine that waits for it reads it
-	err           atomic.Pointer[error]
+	backends      []*backendListener    // by backend
+	stop          context.CancelFunc    // stops an embedded door
+	cmd           *exec.Cmd             // the running program of the door; nil for an embedded door
+	exitExpected  *atomic.Bool          // set before the program is killed; the goroutine that waits for it reads it
+	err           atomic.Pointer[error] // the first error, see fail
 	incarnation   int
 }
 
+// newDoor starts the stand-ins of a door. The door itself is started by Start.
 func newDoor(tb *testbed, number int) (*door, error) {
 	d := &door{tb: tb, number: number, discovery: newDiscovery()}
 	var err error
@@ -240,6 +241,7 @@
 		"settings": settings(d.tb.cfg.Scenario, d.number)}
 }
 
+// wireSemantics maps the semantics in scenario files to those on the wire.
 var wireSemantics = map[string]string{"replayable": "idempotent", "tokened": "deduplicated", "single-use": "at_most_once"}
 
 // settings returns a scenario's settings under the platform's names.
