--- a/lab/model/backend.go
+++ b/lab/model/backend.go
@@ -118,7 +118,7 @@
 	}
 	speed := b.speed
 	if b.coldBudget != nil {
-		speed *= b.coldBudget.Now(now) / b.coldBudget.Capacity
+		speed *= b.coldBudget.CapacityAt(now) / b.coldBudget.Capacity
 	}
 	for _, af := range b.faults {
 		if af.spec.Kind == "slow" {
@@ -162,12 +162,12 @@
 	if j.newConn {
 		j.work += b.machine.HandshakeMs
 	}
-	sim.emit(trace.Event{Kind: trace.Came, Try: t.ID, Door: t.Door, Number: j.Number, Backend: b.id, Work: j.work,
-		Told: sim.knowsStart(t.Door, b)})
+	sim.emit(trace.Event{Kind: trace.Arrived, Try: t.ID, Door: t.Door, Attempt: j.Number, Backend: b.id, Work: j.work,
+		KnowsStart: sim.knowsStart(t.Door, b)})
 	if b.coldBudget != nil && !b.collapsed {
 		if !b.coldBudget.Cold(sim.now) {
 			b.coldBudget = nil
-		} else if over, _ := b.coldBudget.Take(sim.now, j.work, sim.knowsStart(t.Door, b)); over {
+		} else if over, _ := b.coldBudget.Add(sim.now, j.work, sim.knowsStart(t.Door, b)); over {
 			b.collapse(sim)
 			return
 		}
@@ -304,7 +304,7 @@
 func (b *backend) collapse(sim *Simulation) {
 	b.advance(sim.now)
 	b.collapsed = true
-	sim.emit(trace.Event{Kind: trace.Fell, Backend: b.id})
+	sim.emit(trace.Event{Kind: trace.Collapsed, Backend: b.id})
 	b.scheduleFinish(sim)
 }
 
@@ -312,9 +312,9 @@
 func (b *backend) start(sim *Simulation) {
 	b.up, b.startedAt, b.status = true, sim.now, gate.Up
 	b.updatedAt = sim.now
-	b.coldBudget = &trace.ColdBudget{Capacity: b.capacity(), From: b.machine.ColdFrom, Span: b.machine.ColdS * 1000, Began: sim.now,
+	b.coldBudget = &trace.ColdBudget{Capacity: b.capacity(), ColdShare: b.machine.ColdFrom, WarmupTime: b.machine.ColdS * 1000, StartedAt: sim.now,
 		Multiple: sim.s.Rules.FallMultiple, Window: sim.s.Rules.FallMs}
-	sim.emit(trace.Event{Kind: trace.Began, Backend: b.id, Work: b.capacity(), Cold: b.machine.ColdFrom, Span: b.machine.ColdS * 1000})
+	sim.emit(trace.Event{Kind: trace.BackendStarted, Backend: b.id, Work: b.capacity(), ColdShare: b.machine.ColdFrom, WarmupTime: b.machine.ColdS * 1000})
 	sim.schedule(sim.now+coldRefreshInterval, event{kind: eventRefreshSpeed, index: b.id, arg: b.incarnation})
 	sim.notifyProcess(b)
 }
--- a/lab/model/clients.go
+++ b/lab/model/clients.go
@@ -347,7 +347,7 @@
 		deadline: at + c.s.Classes[class].OuterMs}
 	c.nextRequestID++
 	sim.openRequests++
-	sim.sink.Take(&trace.Event{Kind: trace.Asked, At: at, Want: r.id, Customer: customer, Plan: k.plan, Class: class, Units: units})
+	sim.sink.Take(&trace.Event{Kind: trace.Asked, At: at, Request: r.id, Customer: customer, Plan: k.plan, Class: class, Units: units})
 	c.sendTry(sim, r, false)
 }
 
@@ -425,7 +425,7 @@
 	}
 	t.over = true
 	if t.answer == trace.Finished {
-		sim.emit(trace.Event{Kind: trace.Got, Want: t.request.id, Try: t.ID, Answer: t.answer})
+		sim.emit(trace.Event{Kind: trace.Received, Request: t.request.id, Try: t.ID, Answer: t.answer})
 		sim.openRequests--
 		return
 	}
@@ -483,7 +483,7 @@
 // giveUp ends a request without success.
 func (c *clients) giveUp(sim *Simulation, r *clientRequest) {
 	sim.openRequests--
-	sim.emit(trace.Event{Kind: trace.GaveUp, Want: r.id})
+	sim.emit(trace.Event{Kind: trace.GaveUp, Request: r.id})
 }
 
 // gateRequest returns a try as an event for the decider.
--- a/lab/model/counter.go
+++ b/lab/model/counter.go
@@ -55,7 +55,7 @@
 func (sim *Simulation) sendCounterCall(d *door, a gate.Count) {
 	k := &counterCall{door: d.id, incarnation: d.incarnation, key: counterKey{d.customers.ID(a.Customer), a.Epoch},
 		add: a.Add, ttl: a.TTL, sentAt: sim.now}
-	sim.emit(trace.Event{Kind: trace.Counted, Door: d.id})
+	sim.emit(trace.Event{Kind: trace.CounterCalled, Door: d.id})
 	if _, down := sim.faultMagnitude("counter_down"); down {
 		sim.replyCounterCall(k, sim.networkDelay(d.zone, 0)+sim.networkDelay(0, d.zone), gate.Unreachable)
 		return
--- a/lab/model/discovery.go
+++ b/lab/model/discovery.go
@@ -114,7 +114,7 @@
 		for i := range d.known {
 			if t := &d.known[i]; t.received && !present[i] && t.status != gate.Gone {
 				t.status = gate.Gone
-				sim.emit(trace.Event{Kind: trace.Told, Door: d.id, Backend: i, Status: gate.Gone})
+				sim.emit(trace.Event{Kind: trace.StatusSeen, Door: d.id, Backend: i, Status: gate.Gone})
 			}
 		}
 	}
@@ -124,6 +124,6 @@
 			d.idle = append(d.idle, idleConns{})
 		}
 		d.known[l.backend] = knownBackend{true, l.status, l.startedAt}
-		sim.emit(trace.Event{Kind: trace.Told, Door: d.id, Backend: l.backend, Status: l.status})
+		sim.emit(trace.Event{Kind: trace.StatusSeen, Door: d.id, Backend: l.backend, Status: l.status})
 	}
 }
--- a/lab/model/door.go
+++ b/lab/model/door.go
@@ -94,7 +94,7 @@
 	if d.external != nil {
 		d.incarnation++
 		d.up, d.stopping, d.subscribed = true, false, true
-		sim.emit(trace.Event{Kind: trace.Started, Door: d.id})
+		sim.emit(trace.Event{Kind: trace.DoorStarted, Door: d.id})
 		d.recordList(sim, known)
 		d.external.Start(backendEntries(sim, known))
 		sim.sendListUpdate(d, sim.fullList())
@@ -110,7 +110,7 @@
 	seed := newRand(sim.seed, streamDoors<<16|uint64(d.id)<<32|uint64(d.incarnation)).Uint64()
 	d.decider = sim.maker.New(Terms(sim.s, d.id), seed, doorView{sim, d})
 	d.subscribed = !sim.s.Discovery.Ask
-	sim.emit(trace.Event{Kind: trace.Started, Door: d.id})
+	sim.emit(trace.Event{Kind: trace.DoorStarted, Door: d.id})
 	d.listUpdates = append(d.listUpdates, known)
 	sim.scheduleDoorsUpdate(d)
 	if sim.s.Fleet.MembersMs > 0 && d.incarnation > 1 {
@@ -128,7 +128,7 @@
 		return
 	}
 	d.up, d.crashedAt = false, sim.now
-	sim.emit(trace.Event{Kind: trace.Died, Door: d.id})
+	sim.emit(trace.Event{Kind: trace.DoorDied, Door: d.id})
 	sim.scheduleDoorsUpdate(d)
 	if d.external != nil {
 		d.external.Kill()
@@ -206,8 +206,8 @@
 func (sim *Simulation) markTaken(d *door, t *Try) {
 	k := &sim.clients.customers[t.request.customer]
 	t.taken = true
-	sim.emit(trace.Event{Kind: trace.Taken, Try: t.ID, Want: t.request.id, Door: d.id, Customer: t.request.customer,
-		Plan: k.plan, Class: t.Class, Units: t.request.units, Until: t.deadline})
+	sim.emit(trace.Event{Kind: trace.Accepted, Try: t.ID, Request: t.request.id, Door: d.id, Customer: t.request.customer,
+		Plan: k.plan, Class: t.Class, Units: t.request.units, Deadline: t.deadline})
 }
 
 // clientLeft handles the departure of a client.
@@ -215,7 +215,7 @@
 	if !t.taken || t.incarnation != d.incarnation || !d.up {
 		return
 	}
-	sim.emit(trace.Event{Kind: trace.Left, Try: t.ID, Door: d.id})
+	sim.emit(trace.Event{Kind: trace.ClientLeft, Try: t.ID, Door: d.id})
 	if t.answered {
 		return
 	}
@@ -318,7 +318,7 @@
 		if e.result == gate.Finished && !o.answered {
 			d.answer(sim, t.slot, trace.Finished, 0, gate.Unspecified)
 		}
-		sim.emit(trace.Event{Kind: trace.Closed, Try: t.ID, Door: d.id, Number: e.job.Number, Backend: e.job.Backend, Result: e.result})
+		sim.emit(trace.Event{Kind: trace.Closed, Try: t.ID, Door: d.id, Attempt: e.job.Number, Backend: e.job.Backend, Result: e.result})
 		b, _ := d.backendIDs.Find(e.job.Backend)
 		d.events = append(d.events, gate.AttemptEnded{Op: t.slot, Attempt: e.job.Number, Backend: b, Result: e.result, Latency: e.latency,
 			Answered: o.answered, MeteredUse: e.use, Queue: -1})
@@ -401,7 +401,7 @@
 		return
 	}
 	t := o.try
-	sim.emit(trace.Event{Kind: trace.Answered, Try: t.ID, Door: d.id, Answer: a, Why: why})
+	sim.emit(trace.Event{Kind: trace.Answered, Try: t.ID, Door: d.id, Answer: a, Cause: why})
 	t.answered, o.answered = true, true
 	t.answer, t.retryAfter = a, retryAfter
 	d.slotsToFree = append(d.slotsToFree, slot)
@@ -418,7 +418,7 @@
 	t := o.try
 	b := sim.backends[d.backendIDs.ID(a.Backend)]
 	j := &Job{Try: t, Number: len(o.jobs), Backend: b.id, sentAt: sim.now, startBy: a.StartBy, incarnation: b.incarnation, caller: d}
-	sim.emit(trace.Event{Kind: trace.Sent, Try: t.ID, Door: d.id, Number: j.Number, Backend: b.id, Zone: b.zone, Cell: b.cell,
+	sim.emit(trace.Event{Kind: trace.Sent, Try: t.ID, Door: d.id, Attempt: j.Number, Backend: b.id, Zone: b.zone, Cell: b.cell,
 		Crosses: b.zone != d.zone})
 	if j.Number == 0 {
 		sim.meter.add(sim, t.request.customer, t.request.units)
--- a/lab/model/external.go
+++ b/lab/model/external.go
@@ -83,7 +83,7 @@
 }
 
 // WithSocketSlack widens the limits that the judge checks for runs on sockets, by the amounts that the platform's documentation allows.
-func WithSocketSlack(d *judge.Deal) *judge.Deal {
+func WithSocketSlack(d *judge.Params) *judge.Params {
 	const answerSlack, ceilingSlack = 50, 150 // ms
 	d.Slack, d.CeilingSlackMs = answerSlack, ceilingSlack
 	return d
@@ -156,7 +156,7 @@
 			return behind, &StoppedError{sim.now / 1000, ctx.Err()}
 		}
 	}
-	sim.emit(trace.Event{Kind: trace.Over})
+	sim.emit(trace.Event{Kind: trace.Ended})
 	return behind, nil
 }
 
@@ -174,7 +174,7 @@
 func (sim *Simulation) TryNotRead(t *Try) {
 	if t.taken && !t.answered {
 		t.taken = false
-		sim.emit(trace.Event{Kind: trace.Left, Try: t.ID, Door: t.Door})
+		sim.emit(trace.Event{Kind: trace.ClientLeft, Try: t.ID, Door: t.Door})
 	}
 }
 
@@ -215,7 +215,7 @@
 	}
 	j.closed = true
 	sim.backends[j.Backend].pending--
-	sim.emit(trace.Event{Kind: trace.Closed, Try: j.Try.ID, Door: o.door, Number: j.Number, Backend: j.Backend, Result: r})
+	sim.emit(trace.Event{Kind: trace.Closed, Try: j.Try.ID, Door: o.door, Attempt: j.Number, Backend: j.Backend, Result: r})
 	plan := sim.clients.customers[j.Try.request.customer].plan
 	o.reply(r, sim.meter.use(sim, j.Try.request.customer, sim.s.Plans[plan].PerS/1000))
 }
@@ -229,7 +229,7 @@
 	}
 	j := &Job{Try: t, Number: number, Backend: backend, sentAt: sim.now, incarnation: b.incarnation, newConn: newConn,
 		caller: externalCaller{door, reply}}
-	sim.emit(trace.Event{Kind: trace.Sent, Try: t.ID, Door: door, Number: number, Backend: backend, Zone: b.zone, Cell: b.cell,
+	sim.emit(trace.Event{Kind: trace.Sent, Try: t.ID, Door: door, Attempt: number, Backend: backend, Zone: b.zone, Cell: b.cell,
 		Crosses: b.zone != sim.doors[door].zone})
 	if number == 0 {
 		sim.meter.add(sim, t.request.customer, t.request.units)
@@ -247,7 +247,7 @@
 	j.closed = true
 	b := sim.backends[j.Backend]
 	b.pending--
-	sim.emit(trace.Event{Kind: trace.Closed, Try: j.Try.ID, Door: j.Try.Door, Number: j.Number, Backend: b.id, Result: gate.Cancelled})
+	sim.emit(trace.Event{Kind: trace.Closed, Try: j.Try.ID, Door: j.Try.Door, Attempt: j.Number, Backend: b.id, Result: gate.Cancelled})
 	b.cancel(sim, j)
 }
 
@@ -280,7 +280,7 @@
 // ExternalCounterCall makes a call of an external door to the counter. reply is called once, unless the call or its reply is
 // lost.
 func (sim *Simulation) ExternalCounterCall(door int, id string, add, ttl float64, reply func(r gate.Result, total float64)) {
-	sim.emit(trace.Event{Kind: trace.Counted, Door: door})
+	sim.emit(trace.Event{Kind: trace.CounterCalled, Door: door})
 	if _, down := sim.faultMagnitude("counter_down"); down || sim.partitioned(sim.doors[door].zone, 0) {
 		return
 	}
--- a/lab/model/external_test.go
+++ b/lab/model/external_test.go
@@ -51,7 +51,7 @@
 // requestsOf returns the requests made in a run.
 func requestsOf(k *eventLog) (out []trace.Event) {
 	for _, e := range k.ofKind(trace.Asked) {
-		out = append(out, trace.Event{At: e.At, Want: e.Want, Customer: e.Customer, Plan: e.Plan, Class: e.Class, Units: e.Units})
+		out = append(out, trace.Event{At: e.At, Request: e.Request, Customer: e.Customer, Plan: e.Plan, Class: e.Class, Units: e.Units})
 	}
 	return out
 }
--- a/lab/model/simulation.go
+++ b/lab/model/simulation.go
@@ -181,7 +181,7 @@
 		}
 		sim.dispatch(&e)
 	}
-	sim.emit(trace.Event{Kind: trace.Over})
+	sim.emit(trace.Event{Kind: trace.Ended})
 	return nil
 }
 
@@ -443,7 +443,7 @@
 	if sim.isDuplicate(b, t) { // another attempt has run since this one began
 		return
 	}
-	sim.emit(trace.Event{Kind: trace.Ran, Want: t.request.id, Try: t.ID, Backend: b.id, Twice: len(t.request.effects) > 0})
+	sim.emit(trace.Event{Kind: trace.Ran, Request: t.request.id, Try: t.ID, Backend: b.id, Twice: len(t.request.effects) > 0})
 	t.request.effects = append(t.request.effects, effect{sim.dedupGroup(b, p), sim.now})
 }
 
--- a/lab/model/terms.go
+++ b/lab/model/terms.go
@@ -34,13 +34,13 @@
 }
 
 // JudgeTerms returns what the judge needs to know of the scenario.
-func Deal(s *scenario.Scenario) *judge.Deal {
+func Deal(s *scenario.Scenario) *judge.Params {
 	t := Terms(s, 0)
-	d := &judge.Deal{Classes: t.Classes, Plans: t.Plans, MaxAttempts: t.MaxAttempts, Hedging: t.Hedging,
-		AnswerSlack: s.Rules.AnswerSlackMs, DrainGrace: s.Rules.DrainGraceMs, FallMultiple: s.Rules.FallMultiple,
-		FallWindow: s.Rules.FallMs, Seconds: s.Day.Seconds, Goal: judge.Goal(s.Goal), Prices: judge.Prices(s.Prices)}
+	d := &judge.Params{Classes: t.Classes, Plans: t.Plans, MaxAttempts: t.MaxAttempts, Hedging: t.Hedging,
+		AnswerSlack: s.Rules.AnswerSlackMs, DrainGrace: s.Rules.DrainGraceMs, OverloadMultiple: s.Rules.FallMultiple,
+		OverloadWindow: s.Rules.FallMs, Seconds: s.Day.Seconds, Goal: judge.Goal(s.Goal), Prices: judge.Prices(s.Prices)}
 	for _, p := range s.Plans {
-		d.OverCost, d.CeilingSlack = append(d.OverCost, p.OverCost), append(d.CeilingSlack, p.CeilingSlack)
+		d.OverQuotaCost, d.CeilingSlack = append(d.OverQuotaCost, p.OverCost), append(d.CeilingSlack, p.CeilingSlack)
 	}
 	return d
 }
@@ -64,7 +64,7 @@
 	mean := sim.s.Classes[class].WorkMs
 	capacity := b.capacity()
 	if b.coldBudget != nil {
-		capacity = b.coldBudget.Now(sim.now)
+		capacity = b.coldBudget.CapacityAt(sim.now)
 		if capacity*sim.s.Rules.FallMs < mean*minColdRequests {
 			return math.Inf(1)
 		}
--- a/lab/stand/beside.go
+++ b/lab/stand/beside.go
@@ -116,7 +116,7 @@
 		}
 	}
 	word := func(addr string, seed uint64) func(int) string {
-		return load.Door{Host: addr, Class: "look", Plan: "ample", Customers: comparedCustomers, Wait: clientTimeoutMs, Seed: seed}.Word
+		return load.DoorRequests{Host: addr, Class: "look", Plan: "ample", Customers: comparedCustomers, Wait: clientTimeoutMs, Seed: seed}.Format
 	}
 	const timeout = 5 * time.Second
 	for _, rate := range b.Rates {
@@ -126,9 +126,9 @@
 				t := targets[(i+round)%len(targets)] // the targets take turns in going first
 				row := &rateRows[(i+round)%len(targets)]
 				before := cpuTime(t.pid())
-				r := load.Run{Target: t.addr, Rate: rate, For: b.For, Conns: b.Conns, Patience: timeout, Poisson: true, Seed: uint64(round) + 1,
-					Word: word(t.addr, uint64(round)+uint64(rate)<<8)}
-				o, err := r.Play(ctx, nil)
+				r := load.Run{Target: t.addr, Rate: rate, Duration: b.For, Conns: b.Conns, Timeout: timeout, Poisson: true, Seed: uint64(round) + 1,
+					Request: word(t.addr, uint64(round)+uint64(rate)<<8)}
+				o, err := r.Execute(ctx, nil)
 				if err != nil {
 					return nil, nil, err
 				}
@@ -150,7 +150,7 @@
 	knees = map[string]float64{}
 	for _, t := range targets {
 		k := b.Knee
-		k.Run.Target, k.Run.Conns, k.Run.For, k.Run.Patience, k.Run.Poisson, k.Run.Word = t.addr, b.Conns, b.For, timeout, true, word(t.addr, 99)
+		k.Run.Target, k.Run.Conns, k.Run.Duration, k.Run.Timeout, k.Run.Poisson, k.Run.Request = t.addr, b.Conns, b.For, timeout, true, word(t.addr, 99)
 		rate, _, err := k.Find(ctx, func(s load.Step) {
 			if report != nil {
 				report(t.name, s.Rate, s.Outcome)
