--- a/lab/model/clients.go
+++ b/lab/model/clients.go
@@ -10,67 +10,71 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// want is what a client wants: one request over all of its tries.
-type want struct {
+// clientRequest is one request of a client, over all of its tries.
+type clientRequest struct {
 	id, customer, class int
 	units, work         float64
-	at                  float64
-	until               float64 // the client wants nothing after that, ms
+	at                  float64 // intended clock, ms
+	deadline            float64 // the client has no use for an answer after it, ms
 	tries               int
-	door                int // of the latest try
+	door                int // door of the latest try
 	effects             []effect
 }
 
-// Try is one of a client's tries, at one door.
+// Try is one try of a client request, at one door.
 type Try struct {
-	ID, Door   int
-	Class      int
-	want       *want
-	at, until  float64 // made, and given up by the client, ms
-	retry      bool
-	taken      bool
-	answered   bool // its door has answered
-	over       bool // its client has the answer, or has left
-	life, slot int  // of the door that holds it
-	answer     trace.Answer
-	retryAfter float64
+	ID, Door          int
+	Class             int
+	request           *clientRequest
+	madeAt, deadline  float64 // ms
+	retry             bool    // not the first try of the request
+	taken             bool    // the door has accepted it
+	answered          bool    // the door has sent the final answer or learned that the client left
+	over              bool    // the client has the answer or has given the try up
+	incarnation, slot int     // incarnation of the door that holds it, and its index in door.ops
+	answer            trace.Answer
+	retryAfter        float64 // ms; 0 if the answer has none
 }
 
-// customer comes through some doors, unevenly, at a rate that sessions move.
+// customer sends requests through spread doors from firstDoor on, in uneven shares, at a rate that a spike multiplies by
+// spikeFactor.
 type customer struct {
-	plan, first, spread int
-	rate                float64 // requests a ms
-	times               float64 // by which a session raises that; 0 where there are none
-	high                bool
-	stamp               int
-	weights             []float64 // running sum, to 1
+	plan, firstDoor, spread int
+	rate                    float64 // requests per ms outside spikes
+	spikeFactor             float64 // 0 if the customer has no spikes
+	inSpike                 bool
+	arrivalStamp            int       // invalidates arrivals scheduled before the last change of the rate
+	cumulativeWeights       []float64 // of its doors, up to 1
 }
 
-// clients are all of them, and how they behave.
+// clients generates the workload and simulates the clients' reactions. Both have random sources of their own, so that the
+// requests made do not depend on the answers.
 type clients struct {
-	s         *scenario.Scenario
-	dice      *rand.Rand // what is asked, whatever becomes of it
-	mood      *rand.Rand // what clients do then
-	customers []customer
-	extras    []extra
-	nextWant  int
-	total     float64 // requests a ms of all customers together
-	units     float64 // mean of a request
-	classes   []float64
-	plans     []float64
-	burstHigh bool
-	burstTill float64
+	s             *scenario.Scenario
+	workloadRand  *rand.Rand // for what is requested
+	reactionRand  *rand.Rand // for choice of doors, patience and retries
+	customers     []customer
+	extras        []extraLoad
+	nextRequestID int
+	totalRate     float64   // of all customers at full load, requests per ms
+	meanUnits     float64   // of a request
+	classShares   []float64 // cumulative
+	planShares    []float64 // cumulative
+	burstHigh     bool
+	burstUntil    float64
 }
 
-// extra makes requests on top: of customers drawn at random, of a few, or of strangers.
-type extra struct {
-	hurt *hurt
-	rate float64
-	few  []int
-	on   bool
+// extraLoad generates the additional requests of a fault: from customers drawn at random, from a few hot customers, or from
+// new customers.
+type extraLoad struct {
+	fault        *activeFault
+	rate         float64 // requests per ms
+	hotCustomers []int
+	active       bool
 }
 
-func running(shares []float64) []float64 {
+// cumulative normalizes shares to a sum of 1 and returns their running sums.
+func cumulative(shares []float64) []float64 {
 	sum := 0.0
 	out := make([]float64, len(shares))
 	for _, s := range shares {
@@ -84,142 +88,148 @@
 	return out
 }
 
-func draw(d *rand.Rand, run []float64) int {
-	return min(len(run)-1, sort.SearchFloat64s(run, d.Float64()))
+// drawIndex draws an index by cumulative shares.
+func drawIndex(rng *rand.Rand, sums []float64) int {
+	return min(len(sums)-1, sort.SearchFloat64s(sums, rng.Float64()))
 }
 
-func (c *clients) init(w *World) {
-	c.s, c.dice, c.mood = w.s, chance(w.seed, chanceClients), chance(w.seed, chanceMoods)
+// init sets the total rate, from the scenario or from the fleet's capacity, and creates the customers.
+func (c *clients) init(sim *Simulation) {
+	c.s, c.workloadRand, c.reactionRand = sim.s, newRand(sim.seed, streamWorkload), newRand(sim.seed, streamReactions)
 	var shares []float64
 	meanWork := 0.0
 	for _, p := range c.s.Classes {
 		shares = append(shares, p.Share)
 	}
-	c.classes = running(shares)
+	c.classShares = cumulative(shares)
 	shares = shares[:0]
 	for _, p := range c.s.Plans {
 		shares = append(shares, p.Share)
 	}
-	c.plans = running(shares)
+	c.planShares = cumulative(shares)
 	const samples = 4000
-	sample := chance(w.seed, chanceClients<<8)
+	sample := newRand(sim.seed, streamWorkload<<8)
 	for range samples {
-		p := &c.s.Classes[draw(sample, c.classes)]
-		units, work := c.size(sample, p)
-		c.units += units / samples
+		p := &c.s.Classes[drawIndex(sample, c.classShares)]
+		units, work := c.drawSize(sample, p)
+		c.meanUnits += units / samples
 		meanWork += work / samples
 	}
-	c.total = c.s.Load.PerSecond / 1000
-	if c.total == 0 {
-		for _, b := range w.backends {
-			c.total += b.capacity() * c.s.Load.Share / meanWork
+	c.totalRate = c.s.Load.PerSecond / 1000
+	if c.totalRate == 0 {
+		for _, b := range sim.backends {
+			c.totalRate += b.capacity() * c.s.Load.Share / meanWork
 		}
 	}
-	asked := c.people(w)
-	if c.s.Load.PerSecond > 0 && asked > 0 { // what is asked beyond the quotas counts in it
-		c.total *= c.total / asked
-		c.people(w)
+	meanRate := c.createCustomers(sim)
+	if c.s.Load.PerSecond > 0 && meanRate > 0 { // a rate set by the scenario includes the load beyond the quotas
+		c.totalRate *= c.totalRate / meanRate
+		c.createCustomers(sim)
 	}
 }
 
-// people makes the customers, and returns what they ask in the mean, requests a ms.
-func (c *clients) people(w *World) (asked float64) {
+// createCustomers creates the customers of all plans and returns their mean total rate, requests per ms.
+func (c *clients) createCustomers(sim *Simulation) (meanRate float64) {
 	l := &c.s.Load
 	c.customers = c.customers[:0]
-	calm := max(0.05, (l.PerCustomer-0.95*l.Full-l.Heavy)/max(0.05, 1-l.Full-l.Heavy))
-	high := l.SpikeS.At(0.5) / (l.SpikeS.At(0.5) + l.SpikeEveryS.At(0.5))
+	steadyUse := max(0.05, (l.PerCustomer-0.95*l.Full-l.Heavy)/max(0.05, 1-l.Full-l.Heavy))
+	spikeShare := l.SpikeS.At(0.5) / (l.SpikeS.At(0.5) + l.SpikeEveryS.At(0.5))
 	for plan, p := range c.s.Plans {
-		share := c.plans[plan]
+		share := c.planShares[plan]
 		if plan > 0 {
-			share -= c.plans[plan-1]
+			share -= c.planShares[plan-1]
 		}
-		perMs := c.total * c.units * share // units a ms
+		perMs := c.totalRate * c.meanUnits * share // units per ms
 		n := max(1, int(math.Round(perMs/(p.PerS/1000*l.PerCustomer))))
 		for i := range n {
-			k := customer{plan: plan, spread: min(p.Spread, w.s.Fleet.Doors), first: c.dice.IntN(w.s.Fleet.Doors)}
-			x := (float64(i) + c.dice.Float64()) / float64(n)
-			use, mean := calm*(0.5+c.dice.Float64()), 1.0
+			k := customer{plan: plan, spread: min(p.Spread, sim.s.Fleet.Doors), firstDoor: c.workloadRand.IntN(sim.s.Fleet.Doors)}
+			x := (float64(i) + c.workloadRand.Float64()) / float64(n)
+			use, mean := steadyUse*(0.5+c.workloadRand.Float64()), 1.0
 			switch {
 			case x < l.Heavy:
 				use = l.HeavyTimes
 			case x < l.Heavy+l.Full:
 				use = 0.95
 			case x < l.Heavy+l.Full+l.Spiky:
-				k.times = l.SpikeTimes / use
-				mean = 1 + high*(k.times-1)
+				k.spikeFactor = l.SpikeTimes / use
+				mean = 1 + spikeShare*(k.spikeFactor-1)
 			}
-			k.rate = use * p.PerS / 1000 / c.units
-			asked += k.rate * mean
-			c.weigh(&k)
+			k.rate = use * p.PerS / 1000 / c.meanUnits
+			meanRate += k.rate * mean
+			c.drawWeights(&k)
 			c.customers = append(c.customers, k)
 		}
 	}
-	return asked
+	return meanRate
 }
 
-// weigh draws how a customer's requests come over its doors.
-func (c *clients) weigh(k *customer) {
+// drawWeights draws how a customer's requests are distributed over its doors.
+func (c *clients) drawWeights(k *customer) {
 	var shares []float64
 	for range k.spread {
-		shares = append(shares, math.Exp(c.s.Load.Skew*c.dice.NormFloat64()))
+		shares = append(shares, math.Exp(c.s.Load.Skew*c.workloadRand.NormFloat64()))
 	}
-	k.weights = running(shares)
+	k.cumulativeWeights = cumulative(shares)
 }
 
-// size draws a request's units, and its work, which grows with them.
-func (c *clients) size(d *rand.Rand, p *scenario.Class) (units, work float64) {
-	x := d.ExpFloat64()
+// drawSize draws the units of a request and its work in ms, which are correlated.
+func (c *clients) drawSize(rng *rand.Rand, p *scenario.Class) (units, work float64) {
+	x := rng.ExpFloat64()
 	if p.Cv > 0 {
-		x = lognormal(d, p.Cv)
+		x = lognormal(rng, p.Cv)
 	}
-	most := float64(c.s.Load.MostUnits)
-	return max(1, min(most, math.Ceil(x*most/4))), max(0.01, x) * p.WorkMs
+	maxUnits := float64(c.s.Load.MostUnits)
+	return max(1, min(maxUnits, math.Ceil(x*maxUnits/4))), max(0.01, x) * p.WorkMs
 }
 
-func (c *clients) begin(w *World) {
+// begin schedules the first arrival, spike and change of weights of each customer.
+func (c *clients) begin(sim *Simulation) {
 	for i := range c.customers {
-		c.plan(w, i, w.now)
+		c.scheduleArrival(sim, i, sim.now)
 		k := &c.customers[i]
-		if k.times > 0 {
-			w.at(w.now+c.s.Load.SpikeEveryS.At(c.dice.Float64())*1000*c.dice.Float64(), due{kind: dueSpike, n: i})
+		if k.spikeFactor > 0 {
+			sim.schedule(sim.now+c.s.Load.SpikeEveryS.At(c.workloadRand.Float64())*1000*c.workloadRand.Float64(),
+				event{kind: eventSpike, index: i})
 		}
 		if k.spread > 1 {
-			w.at(w.now+c.s.Load.ShiftS.At(c.dice.Float64())*1000*c.dice.Float64(), due{kind: dueShift, n: i})
+			sim.schedule(sim.now+c.s.Load.ShiftS.At(c.workloadRand.Float64())*1000*c.workloadRand.Float64(),
+				event{kind: eventShift, index: i})
 		}
 	}
 }
 
-// plan draws a customer's next arrival after a clock. In real time that is the intended one, however late the world runs:
-// arrivals wait for nothing.
-func (c *clients) plan(w *World, i int, from float64) {
+// scheduleArrival schedules a customer's next arrival after a clock, which is the intended one of the previous arrival. The load
+// is open-loop: arrivals keep their intended clocks even if a run in real time is behind.
+func (c *clients) scheduleArrival(sim *Simulation, i int, from float64) {
 	k := &c.customers[i]
 	rate := k.rate * (1 + c.s.Load.Swing)
-	if k.high {
-		rate *= k.times
+	if k.inSpike {
+		rate *= k.spikeFactor
 	}
 	if rate > 0 {
-		w.at(from+c.dice.ExpFloat64()/rate, due{kind: dueArrival, n: i, m: k.stamp})
+		sim.schedule(from+c.workloadRand.ExpFloat64()/rate, event{kind: eventArrival, index: i, arg: k.arrivalStamp})
 	}
 }
 
 const (
-	waveSpan  = 20e3 // ms of a wave
-	burstLow  = 500. // ms that a burst of the shape lasts at least,
-	burstMore = 2500 // and at most on top
+	wavePeriod  = 20e3 // ms
+	minBurst    = 500. // ms: shortest high or low phase of the shape "bursts"
+	burstSpread = 2500 // ms: by which such a phase may last longer
 )
 
-// shape is the share of the most that is asked at a clock. It is the arrival's own, not the world's, which may run late.
-func (c *clients) shape(at float64) float64 {
+// loadShape returns the load at a clock as a share of the peak. The clock is the intended one of the arrival, not the present
+// one, which in real time may be behind.
+func (c *clients) loadShape(at float64) float64 {
 	x := 0.0
 	switch l := &c.s.Load; l.Shape {
 	case "wave":
-		x = l.Swing * math.Sin(2*math.Pi*at/waveSpan)
+		x = l.Swing * math.Sin(2*math.Pi*at/wavePeriod)
 	case "ramp":
 		x = l.Swing * (2*at/(c.s.Day.Seconds*1000) - 1)
 	case "bursts":
-		if at >= c.burstTill {
+		if at >= c.burstUntil {
 			c.burstHigh = !c.burstHigh
-			c.burstTill = at + burstLow + burstMore*c.dice.Float64()
+			c.burstUntil = at + minBurst + burstSpread*c.workloadRand.Float64()
 		}
 		x = -l.Swing
 		if c.burstHigh {
@@ -229,80 +239,82 @@
 	return (1 + x) / (1 + c.s.Load.Swing)
 }
 
-func (c *clients) step(w *World, d *due) {
-	switch d.kind {
-	case dueArrival:
-		k := &c.customers[d.n]
-		if w.closing || k.stamp != d.m {
+// handle handles one event of the clients.
+func (c *clients) handle(sim *Simulation, e *event) {
+	switch e.kind {
+	case eventArrival:
+		k := &c.customers[e.index]
+		if sim.loadEnded || k.arrivalStamp != e.arg {
 			return
 		}
-		if c.dice.Float64() < c.shape(d.at) {
-			c.ask(w, d.n, d.at)
+		if c.workloadRand.Float64() < c.loadShape(e.at) {
+			c.newRequest(sim, e.index, e.at)
 		}
-		c.plan(w, d.n, d.at)
-	case dueSpike:
-		k := &c.customers[d.n]
-		k.high = !k.high
-		k.stamp++
-		c.plan(w, d.n, d.at)
+		c.scheduleArrival(sim, e.index, e.at)
+	case eventSpike:
+		k := &c.customers[e.index]
+		k.inSpike = !k.inSpike
+		k.arrivalStamp++
+		c.scheduleArrival(sim, e.index, e.at)
 		span := c.s.Load.SpikeEveryS
-		if k.high {
+		if k.inSpike {
 			span = c.s.Load.SpikeS
 		}
-		if !w.closing {
-			w.at(d.at+span.At(c.dice.Float64())*1000, due{kind: dueSpike, n: d.n})
+		if !sim.loadEnded {
+			sim.schedule(e.at+span.At(c.workloadRand.Float64())*1000, event{kind: eventSpike, index: e.index})
 		}
-	case dueShift:
-		c.weigh(&c.customers[d.n])
-		if !w.closing {
-			w.at(d.at+c.s.Load.ShiftS.At(c.dice.Float64())*1000, due{kind: dueShift, n: d.n})
+	case eventShift:
+		c.drawWeights(&c.customers[e.index])
+		if !sim.loadEnded {
+			sim.schedule(e.at+c.s.Load.ShiftS.At(c.workloadRand.Float64())*1000, event{kind: eventShift, index: e.index})
 		}
-	case dueExtra:
-		c.extra(w, d.n, d.at)
-	case dueLeave:
-		c.leave(w, d.t)
-	case dueGot:
-		c.got(w, d.t)
-	case dueAgain:
-		c.try(w, d.w, true)
+	case eventExtraRequest:
+		c.extraRequest(sim, e.index, e.at)
+	case eventClientTimeout:
+		c.tryTimedOut(sim, e.try)
+	case eventAnswer:
+		c.receiveAnswer(sim, e.try)
+	case eventRetry:
+		c.sendTry(sim, e.request, true)
 	}
 }
 
-// extra makes one request on top, and plans the next.
-func (c *clients) extra(w *World, n int, at float64) {
+// extraRequest makes one additional request and schedules the next.
+func (c *clients) extraRequest(sim *Simulation, n int, at float64) {
 	x := &c.extras[n]
-	if !x.on || w.closing {
+	if !x.active || sim.loadEnded {
 		return
 	}
-	switch x.hurt.fault.Kind {
+	switch x.fault.spec.Kind {
 	case "strangers":
-		plan := draw(c.dice, c.plans)
-		k := customer{plan: plan, spread: min(c.s.Plans[plan].Spread, w.s.Fleet.Doors), first: c.dice.IntN(w.s.Fleet.Doors)}
-		c.weigh(&k)
+		plan := drawIndex(c.workloadRand, c.planShares)
+		k := customer{plan: plan, spread: min(c.s.Plans[plan].Spread, sim.s.Fleet.Doors),
+			firstDoor: c.workloadRand.IntN(sim.s.Fleet.Doors)}
+		c.drawWeights(&k)
 		c.customers = append(c.customers, k)
-		c.ask(w, len(c.customers)-1, at)
+		c.newRequest(sim, len(c.customers)-1, at)
 	case "hot_customers":
-		c.ask(w, x.few[c.dice.IntN(len(x.few))], at)
+		c.newRequest(sim, x.hotCustomers[c.workloadRand.IntN(len(x.hotCustomers))], at)
 	default:
-		c.ask(w, c.dice.IntN(len(c.customers)), at)
+		c.newRequest(sim, c.workloadRand.IntN(len(c.customers)), at)
 	}
-	w.at(at+c.dice.ExpFloat64()/x.rate, due{kind: dueExtra, n: n})
+	sim.schedule(at+c.workloadRand.ExpFloat64()/x.rate, event{kind: eventExtraRequest, index: n})
 }
 
-const hotCustomers = 3
+const hotCustomerCount = 3 // customers of a "hot_customers" fault
 
-// strike is told the clock at which the fault was due, which a late world has passed.
-func (c *clients) strike(w *World, h *hurt, at float64) {
-	f := h.fault
+// injectFault begins a fault of the workload. The clock is the one for which it was scheduled, which in real time may be past.
+func (c *clients) injectFault(sim *Simulation, af *activeFault, at float64) {
+	f := af.spec
 	switch f.Kind {
 	case "burst", "strangers", "hot_customers":
-		x := extra{hurt: h, rate: c.total * f.Much, on: true}
-		for range hotCustomers {
-			x.few = append(x.few, c.dice.IntN(len(c.customers)))
+		x := extraLoad{fault: af, rate: c.totalRate * f.Much, active: true}
+		for range hotCustomerCount {
+			x.hotCustomers = append(x.hotCustomers, c.workloadRand.IntN(len(c.customers)))
 		}
 		if x.rate > 0 {
 			c.extras = append(c.extras, x)
-			w.at(at+c.dice.ExpFloat64()/x.rate, due{kind: dueExtra, n: len(c.extras) - 1})
+			sim.schedule(at+c.workloadRand.ExpFloat64()/x.rate, event{kind: eventExtraRequest, index: len(c.extras) - 1})
 		}
 	case "shift":
 		share := f.Share
@@ -310,168 +322,173 @@
 			share = 1
 		}
 		for i := range c.customers {
-			if c.dice.Float64() < share {
-				c.weigh(&c.customers[i])
+			if c.workloadRand.Float64() < share {
+				c.drawWeights(&c.customers[i])
 			}
 		}
 	}
 }
 
-func (c *clients) relieve(w *World, h *hurt) {
+// endFault stops the additional load of a fault.
+func (c *clients) endFault(sim *Simulation, af *activeFault) {
 	for i := range c.extras {
-		if c.extras[i].hurt == h {
-			c.extras[i].on = false
+		if c.extras[i].fault == af {
+			c.extras[i].active = false
 		}
 	}
 }
 
-// ask is a new request of a customer, meant to be made at a clock.
-func (c *clients) ask(w *World, customer int, at float64) {
-	class := draw(c.dice, c.classes)
-	units, work := c.size(c.dice, &c.s.Classes[class])
+// newRequest makes a new request of a customer, with its intended clock.
+func (c *clients) newRequest(sim *Simulation, customer int, at float64) {
+	class := drawIndex(c.workloadRand, c.classShares)
+	units, work := c.drawSize(c.workloadRand, &c.s.Classes[class])
 	k := &c.customers[customer]
-	n := &want{id: c.nextWant, customer: customer, class: class, units: units, work: work, at: at,
-		until: at + c.s.Classes[class].OuterMs}
-	c.nextWant++
-	w.waiting++
-	w.sink.Take(&trace.Event{Kind: trace.Asked, At: at, Request: n.id, Customer: customer, Plan: k.plan, Class: class, Units: units})
-	c.try(w, n, false)
+	r := &clientRequest{id: c.nextRequestID, customer: customer, class: class, units: units, work: work, at: at,
+		deadline: at + c.s.Classes[class].OuterMs}
+	c.nextRequestID++
+	sim.openRequests++
+	sim.sink.Take(&trace.Event{Kind: trace.Asked, At: at, Request: r.id, Customer: customer, Plan: k.plan, Class: class, Units: units})
+	c.sendTry(sim, r, false)
 }
 
-// door draws where a try goes. Doors that the front sees down are passed over.
-func (c *clients) door(w *World, k *customer) int {
-	at := draw(c.mood, k.weights)
-	if much, gathers := w.hurting("gather"); gathers && c.mood.Float64() < much {
+// chooseDoor draws the door of a try, skipping doors that the load balancer in front of them sees down.
+func (c *clients) chooseDoor(sim *Simulation, k *customer) int {
+	at := drawIndex(c.reactionRand, k.cumulativeWeights)
+	if share, concentrated := sim.faultMagnitude("gather"); concentrated && c.reactionRand.Float64() < share {
 		at = 0
-		for i := range k.weights {
-			if weight(k.weights, i) > weight(k.weights, at) {
+		for i := range k.cumulativeWeights {
+			if shareOf(k.cumulativeWeights, i) > shareOf(k.cumulativeWeights, at) {
 				at = i
 			}
 		}
 	}
 	for i := range k.spread {
-		d := (k.first + (at+i)%k.spread) % len(w.doors)
-		if w.doors[d].seen(w.now, c.s.Clients.NoticeMs) {
+		d := (k.firstDoor + (at+i)%k.spread) % len(sim.doors)
+		if sim.doors[d].seenUp(sim.now, c.s.Clients.NoticeMs) {
 			return d
 		}
 	}
-	for i := range w.doors { // the whole set is down: the front turns to others
-		if d := (k.first + k.spread + i) % len(w.doors); w.doors[d].seen(w.now, c.s.Clients.NoticeMs) {
+	for i := range sim.doors { // all doors of the customer are down: use any other
+		if d := (k.firstDoor + k.spread + i) % len(sim.doors); sim.doors[d].seenUp(sim.now, c.s.Clients.NoticeMs) {
 			return d
 		}
 	}
-	return (k.first + at) % len(w.doors)
+	return (k.firstDoor + at) % len(sim.doors)
 }
 
-func weight(run []float64, i int) float64 {
+// shareOf returns one share out of cumulative ones.
+func shareOf(sums []float64, i int) float64 {
 	if i == 0 {
-		return run[0]
+		return sums[0]
 	}
-	return run[i] - run[i-1]
+	return sums[i] - sums[i-1]
 }
 
-// try sends a want through a door.
-func (c *clients) try(w *World, n *want, retry bool) {
-	if w.now >= n.until {
-		c.giveUp(w, n)
+// sendTry sends a request, for the first time or as a retry.
+func (c *clients) sendTry(sim *Simulation, r *clientRequest, retry bool) {
+	if sim.now >= r.deadline {
+		c.giveUp(sim, r)
 		return
 	}
-	n.tries++
-	k := &c.customers[n.customer]
-	p := &c.s.Classes[n.class]
-	if !retry || c.mood.Float64() < c.s.Clients.Elsewhere || !w.doors[n.door].seen(w.now, c.s.Clients.NoticeMs) {
-		n.door = c.door(w, k)
-	}
-	t := &Try{ID: w.tries, Door: n.door, Class: n.class, want: n, at: w.now, retry: retry,
-		until: min(n.until, w.now+p.OuterMs*c.s.Clients.TryShare)}
-	w.tries++
-	patience := t.until + c.s.Rules.AnswerSlackMs
-	early, _ := w.hurting("leave_early")
-	if early = max(early, c.s.Clients.Impatient); early > 0 && c.mood.Float64() < early {
-		patience = t.at + (t.until-t.at)*c.mood.Float64()
-	}
-	w.at(w.now+w.clientWay(), due{kind: dueSubmit, t: t})
-	w.at(patience, due{kind: dueLeave, t: t})
+	r.tries++
+	k := &c.customers[r.customer]
+	p := &c.s.Classes[r.class]
+	if !retry || c.reactionRand.Float64() < c.s.Clients.Elsewhere || !sim.doors[r.door].seenUp(sim.now, c.s.Clients.NoticeMs) {
+		r.door = c.chooseDoor(sim, k)
+	}
+	t := &Try{ID: sim.nextTryID, Door: r.door, Class: r.class, request: r, madeAt: sim.now, retry: retry,
+		deadline: min(r.deadline, sim.now+p.OuterMs*c.s.Clients.TryShare)}
+	sim.nextTryID++
+	patience := t.deadline + c.s.Rules.AnswerSlackMs
+	early, _ := sim.faultMagnitude("leave_early")
+	if early = max(early, c.s.Clients.Impatient); early > 0 && c.reactionRand.Float64() < early {
+		patience = t.madeAt + (t.deadline-t.madeAt)*c.reactionRand.Float64()
+	}
+	sim.schedule(sim.now+sim.clientDelay(), event{kind: eventSubmit, try: t})
+	sim.schedule(patience, event{kind: eventClientTimeout, try: t})
 }
 
-// leave is the end of a client's patience with a try.
-func (c *clients) leave(w *World, t *Try) {
+// tryTimedOut ends a try for which the client no longer waits.
+func (c *clients) tryTimedOut(sim *Simulation, t *Try) {
 	if t.over {
 		return
 	}
 	t.over = true
-	w.at(w.now+w.clientWay(), due{kind: dueGone, t: t})
-	c.again(w, t, trace.None)
+	sim.schedule(sim.now+sim.clientDelay(), event{kind: eventClientGone, try: t})
+	c.retryOrGiveUp(sim, t, trace.None)
 }
 
-// got is an answer at its client.
-func (c *clients) got(w *World, t *Try) {
+// receiveAnswer handles an answer at the client.
+func (c *clients) receiveAnswer(sim *Simulation, t *Try) {
 	if t.over {
 		return
 	}
 	t.over = true
 	if t.answer == trace.Finished {
-		w.tell(trace.Event{Kind: trace.Received, Request: t.want.id, Try: t.ID, Answer: t.answer})
-		w.waiting--
+		sim.emit(trace.Event{Kind: trace.Received, Request: t.request.id, Try: t.ID, Answer: t.answer})
+		sim.openRequests--
 		return
 	}
-	c.again(w, t, t.answer)
+	c.retryOrGiveUp(sim, t, t.answer)
 }
 
-// unreachable is a try that found no door.
-func (c *clients) unreachable(w *World, t *Try) {
+// unreachable handles a try that no door accepted, like a rejection.
+func (c *clients) unreachable(sim *Simulation, t *Try) {
 	if !t.over {
 		t.over = true
-		c.again(w, t, trace.Rejected)
+		c.retryOrGiveUp(sim, t, trace.Rejected)
 	}
 }
 
-// broken is a try whose door has died under it.
-func (c *clients) broken(w *World, t *Try) {
+// connectionLost handles a try whose connection ended without an answer.
+func (c *clients) connectionLost(sim *Simulation, t *Try) {
 	if !t.over && !t.answered {
 		t.over = true
-		c.again(w, t, trace.None)
+		c.retryOrGiveUp(sim, t, trace.None)
 	}
 }
 
-// again decides whether the client tries once more, and when.
-func (c *clients) again(w *World, t *Try, a trace.Answer) {
-	n, p, cl := t.want, &c.s.Classes[t.Class], &c.s.Clients
-	most, wait := cl.Retries, cl.Wait
-	if much, storm := w.hurting("storm"); storm {
-		most, wait = max(most, int(much)), "none"
-	}
-	may := a == trace.Rejected || p.Semantics == "replayable" || p.Semantics == "tokened" && p.Scope == "all" && w.now < n.at+p.WindowMs
-	if n.tries > most || !may {
-		c.giveUp(w, n)
+// retryOrGiveUp decides whether the client retries after a failed try, and when. Without a rejection it retries only requests
+// that can be repeated safely.
+func (c *clients) retryOrGiveUp(sim *Simulation, t *Try, a trace.Answer) {
+	r, p, cl := t.request, &c.s.Classes[t.Class], &c.s.Clients
+	maxRetries, wait := cl.Retries, cl.Wait
+	if retries, storm := sim.faultMagnitude("storm"); storm {
+		maxRetries, wait = max(maxRetries, int(retries)), "none"
+	}
+	retryable := a == trace.Rejected || p.Semantics == "replayable" ||
+		p.Semantics == "tokened" && p.Scope == "all" && sim.now < r.at+p.WindowMs
+	if r.tries > maxRetries || !retryable {
+		c.giveUp(sim, r)
 		return
 	}
-	rest := 0.0
+	delay := 0.0
 	switch wait {
 	case "fixed":
-		rest = cl.WaitMs
+		delay = cl.WaitMs
 	case "doubling":
-		rest = cl.WaitMs * math.Pow(2, float64(n.tries-1))
+		delay = cl.WaitMs * math.Pow(2, float64(r.tries-1))
 	}
-	rest *= 0.5 + c.mood.Float64()
-	if t.retryAfter > 0 && c.mood.Float64() < cl.Honour {
-		rest = min(t.retryAfter, cl.MaxRetryAfterMs)
+	delay *= 0.5 + c.reactionRand.Float64()
+	if t.retryAfter > 0 && c.reactionRand.Float64() < cl.Honour {
+		delay = min(t.retryAfter, cl.MaxRetryAfterMs)
 	}
-	if w.now+rest >= n.until {
-		c.giveUp(w, n)
+	if sim.now+delay >= r.deadline {
+		c.giveUp(sim, r)
 		return
 	}
-	w.at(w.now+rest, due{kind: dueAgain, w: n})
+	sim.schedule(sim.now+delay, event{kind: eventRetry, request: r})
 }
 
-func (c *clients) giveUp(w *World, n *want) {
-	w.waiting--
-	w.tell(trace.Event{Kind: trace.GaveUp, Request: n.id})
+// giveUp ends a request without success.
+func (c *clients) giveUp(sim *Simulation, r *clientRequest) {
+	sim.openRequests--
+	sim.emit(trace.Event{Kind: trace.GaveUp, Request: r.id})
 }
 
-// word puts a try in the terms of the decisions.
-func (t *Try) word(w *World, op, customer int) gate.Request {
-	k := &w.clients.customers[t.want.customer]
-	return gate.Request{Op: op, Class: t.Class, Plan: k.plan, Customer: customer, TTL: max(0, t.until-w.now), Units: t.want.units,
-		ClientRetry: t.retry && w.s.Clients.Marks, FirstDoor: k.first, Spread: k.spread, Phase: phase(t.want.customer)}
+// gateRequest returns a try as an event for the decider.
+func (t *Try) gateRequest(sim *Simulation, op, customer int) gate.Request {
+	k := &sim.clients.customers[t.request.customer]
+	return gate.Request{Op: op, Class: t.Class, Plan: k.plan, Customer: customer, TTL: max(0, t.deadline-sim.now), Units: t.request.units,
+		ClientRetry: t.retry && sim.s.Clients.Marks, FirstDoor: k.firstDoor, Spread: k.spread, Phase: customerPhase(t.request.customer)}
 }
--- a/lab/model/counter.go
+++ b/lab/model/counter.go
@@ -10,175 +10,186 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// name of a number: a customer's, of one epoch.
-type name struct {
+// counterKey names a total: that of a customer in one epoch.
+type counterKey struct {
 	customer int
 	epoch    int64
 }
 
-func (n name) part(parts int) int {
+// shard returns the shard that holds the key.
+func (n counterKey) shard(shards int) int {
 	var raw [16]byte
 	for i := range 8 {
 		raw[i], raw[8+i] = byte(n.customer>>(8*i)), byte(n.epoch>>(8*i))
 	}
-	return int(xxhash.Sum64(raw[:]) % uint64(parts))
+	return int(xxhash.Sum64(raw[:]) % uint64(shards))
 }
 
-type number struct{ total, until float64 }
+// counterValue is a total with the clock at which it expires, ms.
+type counterValue struct{ total, expiresAt float64 }
 
-// counter keeps numbers by name. Its parts serve calls in turn.
+// counter simulates the shared counter: totals by key, in shards that each serve one call at a time.
 type counter struct {
-	totals, other map[name]number // other is what odd doors see while it is split
-	busy          []float64       // clock until which a part serves, ms
+	totals, splitTotals map[counterKey]counterValue // splitTotals is what doors with odd numbers see during a split, else nil
+	busyUntil           []float64                   // by shard: clock until which it is busy, ms
 }
 
-// call is one call on its way.
-type call struct {
-	door, life int
-	name       name
-	add, keep  float64
-	at         float64
-	result     gate.Result
-	total      float64
-	reply      func(r gate.Result, total float64) // of a call from outside
+// counterCall is one call with its reply.
+type counterCall struct {
+	door, incarnation int
+	key               counterKey
+	add, ttl          float64
+	sentAt            float64
+	result            gate.Result
+	total             float64
+	reply             func(r gate.Result, total float64) // set for calls of external doors
 }
 
+// init creates the counter without totals.
 func (c *counter) init(s *scenario.Scenario) {
-	c.totals = map[name]number{}
-	c.busy = make([]float64, max(1, s.Counter.Parts))
+	c.totals = map[counterKey]counterValue{}
+	c.busyUntil = make([]float64, max(1, s.Counter.Parts))
 }
 
-// call makes a call from a door. The counter stands in zone 0.
-func (w *World) call(d *door, a gate.Count) {
-	k := &call{door: d.id, life: d.life, name: name{d.customers.ID(a.Customer), a.Epoch}, add: a.Add, keep: a.TTL, at: w.now}
-	w.tell(trace.Event{Kind: trace.CounterCalled, Door: d.id})
-	if _, down := w.hurting("counter_down"); down {
-		w.reply(k, w.way(d.zone, 0)+w.way(0, d.zone), gate.Unreachable)
+// sendCounterCall sends a call of a simulated door to the counter, which is in zone 0.
+func (sim *Simulation) sendCounterCall(d *door, a gate.Count) {
+	k := &counterCall{door: d.id, incarnation: d.incarnation, key: counterKey{d.customers.ID(a.Customer), a.Epoch},
+		add: a.Add, ttl: a.TTL, sentAt: sim.now}
+	sim.emit(trace.Event{Kind: trace.CounterCalled, Door: d.id})
+	if _, down := sim.faultMagnitude("counter_down"); down {
+		sim.replyCounterCall(k, sim.networkDelay(d.zone, 0)+sim.networkDelay(0, d.zone), gate.Unreachable)
 		return
 	}
-	if w.cut(d.zone, 0) {
-		w.reply(k, w.s.Counter.TimeoutMs, gate.TimedOut)
+	if sim.partitioned(d.zone, 0) {
+		sim.replyCounterCall(k, sim.s.Counter.TimeoutMs, gate.TimedOut)
 		return
 	}
-	w.at(w.now+w.way(d.zone, 0), due{kind: dueCount, p: k})
+	sim.schedule(sim.now+sim.networkDelay(d.zone, 0), event{kind: eventCounterCall, payload: k})
 }
 
-func (w *World) reply(k *call, after float64, r gate.Result) {
+// replyCounterCall schedules the reply to a call.
+func (sim *Simulation) replyCounterCall(k *counterCall, after float64, r gate.Result) {
 	k.result = r
-	w.at(w.now+after, due{kind: dueCounted, p: k})
+	sim.schedule(sim.now+after, event{kind: eventCounterReply, payload: k})
 }
 
-// come serves a call in its turn. What it adds is added even if nobody waits for the answer.
-func (c *counter) come(w *World, k *call) {
-	cf := &w.s.Counter
-	part := k.name.part(len(c.busy))
-	begins := max(w.now, c.busy[part])
-	way := w.way(0, w.doors[k.door].zone)
-	busy, _ := w.hurting("counter_busy")
-	if begins-w.now > cf.QueueMs || busy > 0 && w.dice.net.Float64() < busy {
-		w.reply(k, way, gate.Full)
+// serve serves a call after those before it on its shard. The amount is added even if the caller no longer waits for the reply.
+func (c *counter) serve(sim *Simulation, k *counterCall) {
+	cf := &sim.s.Counter
+	shard := k.key.shard(len(c.busyUntil))
+	start := max(sim.now, c.busyUntil[shard])
+	delay := sim.networkDelay(0, sim.doors[k.door].zone)
+	busy, _ := sim.faultMagnitude("counter_busy")
+	if start-sim.now > cf.QueueMs || busy > 0 && sim.rng.net.Float64() < busy {
+		sim.replyCounterCall(k, delay, gate.Full)
 		return
 	}
-	c.busy[part] = begins + 1000*float64(len(c.busy))/cf.PerS
+	c.busyUntil[shard] = start + 1000*float64(len(c.busyUntil))/cf.PerS
 	totals := c.totals
-	if c.other != nil && k.door%2 == 1 {
-		totals = c.other
+	if c.splitTotals != nil && k.door%2 == 1 {
+		totals = c.splitTotals
 	}
-	n, known := totals[k.name]
-	if !known || n.until < w.now {
-		n = number{until: w.now + min(60e3, max(1, k.keep))}
+	n, known := totals[k.key]
+	if !known || n.expiresAt < sim.now {
+		n = counterValue{expiresAt: sim.now + min(60e3, max(1, k.ttl))}
 	}
 	n.total += k.add
-	totals[k.name] = n
+	totals[k.key] = n
 	k.total = n.total
-	if times, wrong := w.hurting("counter_wrong"); wrong {
-		k.total *= times
-	}
-	late, _ := w.hurting("counter_late")
-	takes := begins - w.now + cf.ServeMs + way + late
-	lost, _ := w.hurting("counter_lost")
-	if patience := k.at + cf.TimeoutMs - w.now; k.reply == nil && takes > patience || lost > 0 && w.dice.net.Float64() < lost {
-		if k.reply == nil { // a real caller waits by itself
-			w.reply(k, max(0, patience), gate.TimedOut)
+	if factor, wrong := sim.faultMagnitude("counter_wrong"); wrong {
+		k.total *= factor
+	}
+	late, _ := sim.faultMagnitude("counter_late")
+	duration := start - sim.now + cf.ServeMs + delay + late
+	lost, _ := sim.faultMagnitude("counter_lost")
+	if timeout := k.sentAt + cf.TimeoutMs - sim.now; k.reply == nil && duration > timeout || lost > 0 && sim.rng.net.Float64() < lost {
+		if k.reply == nil { // an external caller has a timeout of its own
+			sim.replyCounterCall(k, max(0, timeout), gate.TimedOut)
 		}
 		return
 	}
-	w.reply(k, takes, gate.Finished)
+	sim.replyCounterCall(k, duration, gate.Finished)
 }
 
-// answer hands a call's end to its door, if that still lives.
-func (c *counter) answer(w *World, k *call) {
-	d := w.doors[k.door]
+// deliver reports a call's result to its door, unless the door has restarted since.
+func (c *counter) deliver(sim *Simulation, k *counterCall) {
+	d := sim.doors[k.door]
 	if k.reply != nil {
 		k.reply(k.result, k.total)
 		return
 	}
-	if !d.up || d.life != k.life {
+	if !d.up || d.incarnation != k.incarnation {
 		return
 	}
-	if i, known := d.customers.Find(k.name.customer); known {
-		d.inbox = append(d.inbox, gate.Counted{Customer: i, Epoch: k.name.epoch, Result: k.result, Total: k.total})
-		d.wake(w, w.now)
+	if i, known := d.customers.Find(k.key.customer); known {
+		d.inbox = append(d.inbox, gate.Counted{Customer: i, Epoch: k.key.epoch, Result: k.result, Total: k.total})
+		d.scheduleDecision(sim, sim.now)
 	}
 }
 
-func (c *counter) empty() { clear(c.totals) }
+// clear loses all totals, except those that odd doors see during a split.
+func (c *counter) clear() { clear(c.totals) }
 
+// split gives doors with odd numbers totals of their own, equal at first.
 func (c *counter) split() {
-	c.other = make(map[name]number, len(c.totals))
+	c.splitTotals = make(map[counterKey]counterValue, len(c.totals))
 	for k, v := range c.totals {
-		c.other[k] = v
+		c.splitTotals[k] = v
 	}
 }
 
-func (c *counter) heal() { c.other = nil }
+// heal ends a split; the odd doors' totals are lost.
+func (c *counter) heal() { c.splitTotals = nil }
 
+// sweep drops expired values.
 func (c *counter) sweep(now float64) {
 	for k, v := range c.totals {
-		if v.until < now {
+		if v.expiresAt < now {
 			delete(c.totals, k)
 		}
 	}
 }
 
-// meter adds up each customer's use over all doors, period by period.
-type meter struct{ of [][meterKept]period }
+// meter totals each customer's use over all doors by period.
+type meter struct{ periods [][meterPeriods]period }
 
-const meterKept = 16 // periods remembered; a late meter tells one that long ago
+const meterPeriods = 16 // periods remembered for each customer; a late meter reports an old one
 
+// period is a customer's use in one period.
 type period struct {
 	number int
 	units  float64
 }
 
-func (m *meter) add(w *World, customer int, units float64) {
-	span := w.s.Meter.PeriodMs
+// add counts units of the present period.
+func (m *meter) add(sim *Simulation, customer int, units float64) {
+	span := sim.s.Meter.PeriodMs
 	if span == 0 {
 		return
 	}
-	for len(m.of) <= customer {
-		m.of = append(m.of, [meterKept]period{})
+	for len(m.periods) <= customer {
+		m.periods = append(m.periods, [meterPeriods]period{})
 	}
-	n := int(w.now / span)
-	p := &m.of[customer][n%meterKept]
+	n := int(sim.now / span)
+	p := &m.periods[customer][n%meterPeriods]
 	if p.number != n {
 		*p = period{number: n}
 	}
 	p.units += units
 }
 
-// use is what answers tell of a customer, as a share of its rate; -1 where they tell nothing.
-func (m *meter) use(w *World, customer int, rate float64) float64 {
-	span := w.s.Meter.PeriodMs
-	late, _ := w.hurting("meter_late")
-	n := int(math.Floor((w.now-w.s.Meter.LateMs-late)/span)) - 1
+// use returns the metered use of a customer that answers report at present, as a share of its rate; -1 if they report none.
+func (m *meter) use(sim *Simulation, customer int, rate float64) float64 {
+	span := sim.s.Meter.PeriodMs
+	late, _ := sim.faultMagnitude("meter_late")
+	n := int(math.Floor((sim.now-sim.s.Meter.LateMs-late)/span)) - 1
 	if span == 0 || rate == 0 || n < 0 {
 		return -1
 	}
-	if customer >= len(m.of) {
+	if customer >= len(m.periods) {
 		return 0
 	}
-	if p := m.of[customer][n%meterKept]; p.number == n {
+	if p := m.periods[customer][n%meterPeriods]; p.number == n {
 		return p.units / (rate * span)
 	}
 	return 0
--- a/lab/model/discovery.go
+++ b/lab/model/discovery.go
@@ -8,122 +8,122 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// news is what a door is told of the list.
-type news struct {
-	whole   bool
-	entries []line
+// listUpdate is a message of discovery to a door: the whole fleet list, or changes of it.
+type listUpdate struct {
+	complete bool
+	entries  []listEntry
 }
 
-// line is one backend as the list has it.
-type line struct {
-	backend int
-	status  gate.Status
-	since   float64
+// listEntry is the entry of one backend on the fleet list.
+type listEntry struct {
+	backend   int
+	status    gate.Status
+	startedAt float64
 }
 
-// telling is what a door was last told of a backend.
-type telling struct {
-	known  bool
-	status gate.Status
-	since  float64
+// knownBackend is what a door last received about a backend.
+type knownBackend struct {
+	received  bool
+	status    gate.Status
+	startedAt float64
 }
 
-// announce sends a change of one backend to all doors, once the list has noticed it.
-func (w *World) announce(b *backend, status gate.Status, notice float64) {
-	one := news{entries: []line{{b.id, status, b.since}}}
-	w.at(w.now+notice, due{kind: dueStart, p: func() {
-		if status == gate.Gone && b.up && b.listed && b.since > one.entries[0].since {
-			return // it is back before anyone noticed
+// announce sends a change of one backend to all subscribed doors, after the delay with which discovery notices it.
+func (sim *Simulation) announce(b *backend, status gate.Status, noticeMs float64) {
+	update := listUpdate{entries: []listEntry{{b.id, status, b.startedAt}}}
+	sim.schedule(sim.now+noticeMs, event{kind: eventFunc, payload: func() {
+		if status == gate.Gone && b.up && b.listed && b.startedAt > update.entries[0].startedAt {
+			return // restarted before discovery noticed
 		}
-		for _, d := range w.doors {
-			if d.tracking {
-				w.pass(d, one)
+		for _, d := range sim.doors {
+			if d.subscribed {
+				sim.sendListUpdate(d, update)
 			}
 		}
 	}})
 }
 
-// pass sends news to one door, in order; while discovery is silent they wait.
-func (w *World) pass(d *door, n news) {
-	at := w.now + d.listDelay
-	late, _ := w.hurting("list_late")
+// sendListUpdate sends an update to one door. Updates arrive in order; while discovery is silent or partitioned off, they wait.
+func (sim *Simulation) sendListUpdate(d *door, n listUpdate) {
+	at := sim.now + d.listDelay
+	late, _ := sim.faultMagnitude("list_late")
 	at += late
-	for _, h := range w.hurts {
-		if h.fault.Kind == "list_silent" || h.fault.Kind == "zone_cut" && (d.zone == *h.fault.Zone) != (*h.fault.Zone == 0) {
-			at = max(at, h.fault.End()*1000+d.listDelay)
+	for _, af := range sim.faults {
+		if af.spec.Kind == "list_silent" || af.spec.Kind == "zone_cut" && (d.zone == *af.spec.Zone) != (*af.spec.Zone == 0) {
+			at = max(at, af.spec.End()*1000+d.listDelay)
 		}
 	}
-	d.listAt = max(at, math.Nextafter(d.listAt, math.Inf(1)))
-	w.at(d.listAt, due{kind: dueList, n: d.id, m: d.life, p: n})
+	d.lastListAt = max(at, math.Nextafter(d.lastListAt, math.Inf(1)))
+	sim.schedule(d.lastListAt, event{kind: eventListUpdate, index: d.id, arg: d.incarnation, payload: n})
 }
 
-// whole is the list as it stands.
-func (w *World) whole() news {
-	n := news{whole: true}
-	for _, b := range w.backends {
+// fullList returns the present list.
+func (sim *Simulation) fullList() listUpdate {
+	n := listUpdate{complete: true}
+	for _, b := range sim.backends {
 		if b.listed {
 			status := b.status
 			if !b.up {
 				status = gate.Gone
 			}
 			if status != gate.Gone {
-				n.entries = append(n.entries, line{b.id, status, b.since})
+				n.entries = append(n.entries, listEntry{b.id, status, b.startedAt})
 			}
 		}
 	}
 	return n
 }
 
-// list takes news in.
-func (d *door) list(w *World, life int, n news) {
-	if !d.up || d.life != life {
+// receiveListUpdate handles an update that has reached the door.
+func (d *door) receiveListUpdate(sim *Simulation, incarnation int, n listUpdate) {
+	if !d.up || d.incarnation != incarnation {
 		return
 	}
-	if d.outer != nil {
-		d.note(w, n)
-		d.outer.List(n.whole, lines(w, n))
+	if d.external != nil {
+		d.recordList(sim, n)
+		d.external.ListChanged(n.complete, backendEntries(sim, n))
 		return
 	}
-	d.listed = append(d.listed, n)
-	d.wake(w, w.now)
+	d.listUpdates = append(d.listUpdates, n)
+	d.scheduleDecision(sim, sim.now)
 }
 
-// hear words one piece of news for the decisions.
-func (d *door) hear(w *World, n news) gate.FleetUpdate {
-	d.note(w, n)
-	f := gate.FleetUpdate{Complete: n.whole}
+// fleetUpdate returns an update as an event for the decider.
+func (d *door) fleetUpdate(sim *Simulation, n listUpdate) gate.FleetUpdate {
+	d.recordList(sim, n)
+	f := gate.FleetUpdate{Complete: n.complete}
 	for _, l := range n.entries {
-		b := w.backends[l.backend]
-		since := 0.0
-		if l.since > -epoch {
-			since = l.since + epoch
+		b := sim.backends[l.backend]
+		startedAt := 0.0
+		if l.startedAt > -epoch {
+			startedAt = l.startedAt + epoch
 		}
-		f.Entries = append(f.Entries, gate.Entry{Backend: d.names.Add(l.backend), Zone: b.zone, Cell: b.cell, Status: l.status,
-			StartedAt: since, Weight: 1, RingPosition: index.Phase(uint64(l.backend) + 1)})
+		f.Entries = append(f.Entries, gate.Entry{Backend: d.backendIDs.Add(l.backend), Zone: b.zone, Cell: b.cell, Status: l.status,
+			StartedAt: startedAt, Weight: 1, RingPosition: index.Phase(uint64(l.backend) + 1)})
 	}
 	return f
 }
 
-// note books what the door knows from here on.
-func (d *door) note(w *World, n news) {
-	if n.whole {
-		named := make(map[int]bool, len(n.entries))
+// recordList updates what the door knows, and reports it to the sink.
+func (d *door) recordList(sim *Simulation, n listUpdate) {
+	if n.complete {
+		present := make(map[int]bool, len(n.entries))
 		for _, l := range n.entries {
-			named[l.backend] = true
+			present[l.backend] = true
 		}
-		for i := range d.told {
-			if t := &d.told[i]; t.known && !named[i] && t.status != gate.Gone {
+		for i := range d.known {
+			if t := &d.known[i]; t.received && !present[i] && t.status != gate.Gone {
 				t.status = gate.Gone
-				w.tell(trace.Event{Kind: trace.StatusSeen, Door: d.id, Backend: i, Status: gate.Gone})
+				sim.emit(trace.Event{Kind: trace.StatusSeen, Door: d.id, Backend: i, Status: gate.Gone})
 			}
 		}
 	}
 	for _, l := range n.entries {
-		for len(d.told) <= l.backend {
-			d.told = append(d.told, telling{})
+		for len(d.known) <= l.backend {
+			d.known = append(d.known, knownBackend{})
 			d.idle = append(d.idle, idleConns{})
 		}
-		d.told[l.backend] = telling{true, l.status, l.since}
-		w.tell(trace.Event{Kind: trace.StatusSeen, Door: d.id, Backend: l.backend, Status: l.status})
+		d.known[l.backend] = knownBackend{true, l.status, l.startedAt}
+		sim.emit(trace.Event{Kind: trace.StatusSeen, Door: d.id, Backend: l.backend, Status: l.status})
 	}
 }
--- a/lab/model/faults.go
+++ b/lab/model/faults.go
@@ -8,267 +8,274 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// hurt is a fault that strikes now.
-type hurt struct {
-	fault *scenario.Fault
-	index int
-	class int           // that it strikes alone; -1 for all
-	whom  []int         // backends or doors that it struck
-	out   []func() bool // of those that went one by one: whether one is out still
+// activeFault is a fault from its injection to its end.
+type activeFault struct {
+	spec     *scenario.Fault
+	index    int
+	class    int           // the only class that it affects; -1 for all
+	targets  []int         // backends or doors into which it was injected
+	stillOut []func() bool // for faults that take out a few at a time: one check for each target taken out, whether it still is
 }
 
-// pick draws the share of those from 0 to n-1 that may be struck, at least one where the share is above 0.
-func (w *World) pick(n int, share float64, may func(i int) bool) []int {
+// pickTargets draws the given share of the eligible indices from 0 to n-1, at least one if there is any. A share of 0 means all.
+func (sim *Simulation) pickTargets(n int, share float64, eligible func(i int) bool) []int {
 	var all []int
 	for i := range n {
-		if may(i) {
+		if eligible(i) {
 			all = append(all, i)
 		}
 	}
 	if share == 0 {
 		share = 1
 	}
-	w.dice.faults.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	sim.rng.faults.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	all = all[:min(len(all), max(1, int(math.Round(share*float64(len(all))))))]
 	slices.Sort(all)
 	return all
 }
 
-// fault begins or ends a line of the schedule.
-func (w *World) fault(n int, begins bool) {
-	f := &w.s.Faults[n]
+// toggleFault begins or ends a fault of the scenario's schedule.
+func (sim *Simulation) toggleFault(n int, begins bool) {
+	f := &sim.s.Faults[n]
 	if begins {
-		h := &hurt{fault: f, index: n, class: slices.IndexFunc(w.s.Classes, func(p scenario.Class) bool { return p.Name == f.Class })}
+		af := &activeFault{spec: f, index: n, class: slices.IndexFunc(sim.s.Classes, func(p scenario.Class) bool { return p.Name == f.Class })}
 		if f.ForS > 0 {
-			w.hurts = append(w.hurts, h)
-			w.at(f.End()*1000, due{kind: dueFault, n: n})
+			sim.faults = append(sim.faults, af)
+			sim.schedule(f.End()*1000, event{kind: eventFault, index: n})
 		}
-		w.strike(h)
+		sim.injectFault(af)
 		return
 	}
-	for i, h := range w.hurts {
-		if h.index == n {
-			w.hurts = append(w.hurts[:i:i], w.hurts[i+1:]...)
-			w.relieve(h)
+	for i, af := range sim.faults {
+		if af.index == n {
+			sim.faults = append(sim.faults[:i:i], sim.faults[i+1:]...)
+			sim.endFault(af)
 			return
 		}
 	}
 }
 
-func (w *World) strike(h *hurt) {
-	f := h.fault
+// injectFault applies the beginning of a fault to its targets.
+func (sim *Simulation) injectFault(af *activeFault) {
+	f := af.spec
 	switch scenario.Kinds[f.Kind].Whom {
 	case scenario.Backends:
-		h.whom = w.pick(len(w.backends), f.Share, func(i int) bool {
-			b := w.backends[i]
+		af.targets = sim.pickTargets(len(sim.backends), f.Share, func(i int) bool {
+			b := sim.backends[i]
 			return b.listed && b.status == gate.Up && b.up && (f.Zone == nil || b.zone == *f.Zone)
 		})
-		w.strikeBackends(h)
+		sim.injectBackendFault(af)
 	case scenario.Doors:
-		h.whom = w.pick(len(w.doors), f.Share, func(i int) bool {
-			return w.doors[i].up && (f.Zone == nil || w.doors[i].zone == *f.Zone)
+		af.targets = sim.pickTargets(len(sim.doors), f.Share, func(i int) bool {
+			return sim.doors[i].up && (f.Zone == nil || sim.doors[i].zone == *f.Zone)
 		})
-		w.strikeDoors(h)
+		sim.injectDoorFault(af)
 	case scenario.Clientele:
-		w.clients.strike(w, h, f.AtS*1000)
+		sim.clients.injectFault(sim, af, f.AtS*1000)
 	default:
 		if f.Kind == "counter_empty" {
-			w.counter.empty()
+			sim.counter.clear()
 		}
 		if f.Kind == "counter_split" {
-			w.counter.split()
+			sim.counter.split()
 		}
 	}
 }
 
-func (w *World) strikeBackends(h *hurt) {
-	f := h.fault
+// injectBackendFault injects a fault into the backends that it targets.
+func (sim *Simulation) injectBackendFault(af *activeFault) {
+	f := af.spec
 	switch f.Kind {
 	case "replace", "pauses":
 		if f.Kind == "pauses" {
-			w.join(h)
+			sim.attachFault(af)
 		}
-		w.faultStep(h.index, 0, h)
+		sim.faultStep(af.index, 0, af)
 	case "death", "zone_loss":
-		for _, i := range h.whom {
-			w.kill(w.backends[i])
+		for _, i := range af.targets {
+			sim.crashBackend(sim.backends[i])
 		}
 	default:
-		w.join(h)
+		sim.attachFault(af)
 		if f.Kind == "silence" {
-			for _, i := range h.whom {
-				w.announce(w.backends[i], gate.Gone, w.s.Discovery.SilentMs.At(w.dice.faults.Float64()))
+			for _, i := range af.targets {
+				sim.announce(sim.backends[i], gate.Gone, sim.s.Discovery.SilentMs.At(sim.rng.faults.Float64()))
 			}
 		}
 	}
 }
 
-// join has a fault strike its backends from now on.
-func (w *World) join(h *hurt) {
-	for _, i := range h.whom {
-		b := w.backends[i]
-		b.settle(w.now)
-		b.hurts = append(b.hurts, h)
-		b.plan(w)
+// attachFault makes a fault affect its target backends from now on.
+func (sim *Simulation) attachFault(af *activeFault) {
+	for _, i := range af.targets {
+		b := sim.backends[i]
+		b.advance(sim.now)
+		b.faults = append(b.faults, af)
+		b.scheduleFinish(sim)
 	}
 }
 
-func (w *World) kill(b *backend) {
-	b.die(w)
-	w.announce(b, gate.Gone, w.s.Discovery.NoticeMs.At(w.dice.faults.Float64()))
+// crashBackend ends a backend's process, which discovery notices after a while.
+func (sim *Simulation) crashBackend(b *backend) {
+	b.crash(sim)
+	sim.announce(b, gate.Gone, sim.s.Discovery.NoticeMs.At(sim.rng.faults.Float64()))
 }
 
-// revive starts a backend's process anew, where it is.
-func (w *World) revive(b *backend) {
-	b.start(w)
-	b.plan(w)
-	w.announce(b, gate.Up, 0)
+// restartBackend starts a backend's process again in place.
+func (sim *Simulation) restartBackend(b *backend) {
+	b.start(sim)
+	b.scheduleFinish(sim)
+	sim.announce(b, gate.Up, 0)
 }
 
-func (w *World) strikeDoors(h *hurt) {
-	if h.fault.Kind == "door_deaths" {
-		for _, i := range h.whom {
-			w.doors[i].die(w)
+// injectDoorFault injects a fault into the doors that it targets.
+func (sim *Simulation) injectDoorFault(af *activeFault) {
+	if af.spec.Kind == "door_deaths" {
+		for _, i := range af.targets {
+			sim.doors[i].crash(sim)
 		}
 		return
 	}
-	w.faultStep(h.index, 0, h)
+	sim.faultStep(af.index, 0, af)
 }
 
-func (w *World) relieve(h *hurt) {
-	f := h.fault
-	for _, i := range h.whom {
+// endFault undoes a fault at its end.
+func (sim *Simulation) endFault(af *activeFault) {
+	f := af.spec
+	for _, i := range af.targets {
 		switch scenario.Kinds[f.Kind].Whom {
 		case scenario.Backends:
-			b := w.backends[i]
-			b.settle(w.now)
-			b.hurts = slices.DeleteFunc(slices.Clone(b.hurts), func(x *hurt) bool { return x == h })
+			b := sim.backends[i]
+			b.advance(sim.now)
+			b.faults = slices.DeleteFunc(slices.Clone(b.faults), func(x *activeFault) bool { return x == af })
 			switch f.Kind {
 			case "death", "zone_loss":
 				if !b.up {
-					w.revive(b)
+					sim.restartBackend(b)
 				}
-			case "silence": // the machine is back; what was open to it is reset
-				b.die(w)
-				w.revive(b)
+			case "silence": // the machine is reachable again; connections to it are reset
+				b.crash(sim)
+				sim.restartBackend(b)
 			case "pauses":
 				b.paused = false
-			case "hang": // those that hung are cut loose, and nothing comes of them
+			case "hang": // requests that hung stay unanswered
 			}
-			b.plan(w)
+			b.scheduleFinish(sim)
 		case scenario.Doors:
 			if f.Kind == "door_deaths" {
-				w.doors[i].start(w)
+				sim.doors[i].start(sim)
 			}
 		}
 	}
 	if f.Kind == "counter_split" {
-		w.counter.heal()
+		sim.counter.heal()
 	}
-	w.clients.relieve(w, h)
+	sim.clients.endFault(sim, af)
 }
 
 const (
-	leaveMost = 3700 // ms that a door which leaves is given to answer what it took
-	rollSteps = 10   // batches where the fault names none
+	maxShutdown    = 3700 // ms in which a door that shuts down must answer its requests
+	defaultBatches = 10   // batches of a fault that sets no number
 )
 
-// faultStep goes on with a fault that goes in steps.
-func (w *World) faultStep(n, step int, h *hurt) {
-	f := h.fault
+// faultStep executes one step of a fault that proceeds in steps.
+func (sim *Simulation) faultStep(n, step int, af *activeFault) {
+	f := af.spec
 	if f.Kind == "pauses" {
-		w.pause(step, h)
+		sim.togglePause(step, af)
 		return
 	}
 	if f.MostOut > 0 {
-		w.agreed(n, step, h)
+		sim.stepWithinPermits(n, step, af)
 		return
 	}
 	batches := f.Batches
 	if batches == 0 {
-		batches = rollSteps
+		batches = defaultBatches
 	}
-	from, to := len(h.whom)*step/batches, len(h.whom)*(step+1)/batches
-	for _, i := range h.whom[from:to] {
+	from, to := len(af.targets)*step/batches, len(af.targets)*(step+1)/batches
+	for _, i := range af.targets[from:to] {
 		if f.Kind == "replace" {
-			w.replace(w.backends[i], f.Much*1000)
-		} else if d := w.doors[i]; d.up {
-			d.withdraw(w, f.Much*1000)
+			sim.replace(sim.backends[i], f.Much*1000)
+		} else if d := sim.doors[i]; d.up {
+			d.restart(sim, f.Much*1000)
 		}
 	}
 	if step+1 < batches {
-		w.at(w.now+f.ForS*1000/float64(batches), due{kind: dueStep, n: n, m: step + 1, p: h})
+		sim.schedule(sim.now+f.ForS*1000/float64(batches), event{kind: eventFaultStep, index: n, arg: step + 1, payload: af})
 	}
 }
 
 const (
-	agreedEvery = 200.0  // ms between looks whether a place is free: sightings come twice a second
-	warmDoor    = 1000.0 // ms that a door serves before it counts as back
+	permitCheckInterval = 200.0  // ms between checks for a free place; sightings come twice a second
+	doorWarmup          = 1000.0 // ms for which a door must serve before it counts as back
 )
 
-// agreed has the next go as places are free, as permits would: a place is free once the one that went is back, ready and warm.
-func (w *World) agreed(n, step int, h *hurt) {
-	f := h.fault
-	h.out = slices.DeleteFunc(h.out, func(out func() bool) bool { return !out() })
-	for len(h.out) < f.MostOut && step < len(h.whom) {
-		if i := h.whom[step]; f.Kind == "replace" {
-			if next := w.replace(w.backends[i], f.Much*1000); next != nil {
-				h.out = append(h.out, func() bool { return !next.up || w.now < next.since+next.machine.ColdS*1000 })
+// stepWithinPermits takes the next targets out as places become free, as permits would: at most MostOut are out at a time, and
+// a place becomes free once the target that occupied it is back, ready and warm.
+func (sim *Simulation) stepWithinPermits(n, step int, af *activeFault) {
+	f := af.spec
+	af.stillOut = slices.DeleteFunc(af.stillOut, func(out func() bool) bool { return !out() })
+	for len(af.stillOut) < f.MostOut && step < len(af.targets) {
+		if i := af.targets[step]; f.Kind == "replace" {
+			if next := sim.replace(sim.backends[i], f.Much*1000); next != nil {
+				af.stillOut = append(af.stillOut, func() bool { return !next.up || sim.now < next.startedAt+next.machine.ColdS*1000 })
 			}
-		} else if d := w.doors[i]; d.up {
-			d.withdraw(w, f.Much*1000)
+		} else if d := sim.doors[i]; d.up {
+			d.restart(sim, f.Much*1000)
 			back := 0.0
-			h.out = append(h.out, func() bool {
-				if !d.up || d.leaving {
-					back = w.now
+			af.stillOut = append(af.stillOut, func() bool {
+				if !d.up || d.stopping {
+					back = sim.now
 				}
-				return w.now < back+warmDoor
+				return sim.now < back+doorWarmup
 			})
 		}
 		step++
 	}
-	if step < len(h.whom) {
-		w.at(w.now+agreedEvery, due{kind: dueStep, n: n, m: step, p: h})
+	if step < len(af.targets) {
+		sim.schedule(sim.now+permitCheckInterval, event{kind: eventFaultStep, index: n, arg: step, payload: af})
 	}
 }
 
-// pause stops the struck backends for a while, and lets them go on.
-func (w *World) pause(step int, h *hurt) {
-	f := h.fault
-	over := w.now >= f.End()*1000
-	for _, i := range h.whom {
-		b := w.backends[i]
-		b.settle(w.now)
-		b.paused = step%2 == 0 && !over
-		b.plan(w)
+// togglePause pauses the target backends or lets them continue, in turns until the fault ends.
+func (sim *Simulation) togglePause(step int, af *activeFault) {
+	f := af.spec
+	ended := sim.now >= f.End()*1000
+	for _, i := range af.targets {
+		b := sim.backends[i]
+		b.advance(sim.now)
+		b.paused = step%2 == 0 && !ended
+		b.scheduleFinish(sim)
 	}
-	if over {
+	if ended {
 		return
 	}
-	rest := f.Much
+	duration := f.Much
 	if step%2 == 1 {
-		rest = f.EveryMs - f.Much
+		duration = f.EveryMs - f.Much
 	}
-	w.at(w.now+rest, due{kind: dueStep, n: h.index, m: step + 1, p: h})
+	sim.schedule(sim.now+duration, event{kind: eventFaultStep, index: af.index, arg: step + 1, payload: af})
 }
 
-// replace drains a backend, ends it, and starts its successor on a machine of its own.
-func (w *World) replace(b *backend, drain float64) (next *backend) {
+// replace drains a backend and ends it, and starts its successor on a machine of its own right away. It returns the successor,
+// or nil if the backend is not up.
+func (sim *Simulation) replace(b *backend, drainMs float64) (next *backend) {
 	if !b.listed || b.status != gate.Up {
 		return nil
 	}
 	b.status = gate.Draining
-	w.announce(b, gate.Draining, 0)
-	next = w.addBackend(b.zone, b.cell, b.machine)
+	sim.announce(b, gate.Draining, 0)
+	next = sim.addBackend(b.zone, b.cell, b.machine)
 	next.listed = true
-	next.start(w)
-	w.announce(next, gate.Up, 0)
-	w.at(w.now+drain, due{kind: dueStart, p: func() {
+	next.start(sim)
+	sim.announce(next, gate.Up, 0)
+	sim.schedule(sim.now+drainMs, event{kind: eventFunc, payload: func() {
 		b.status, b.listed = gate.Gone, false
 		if b.up {
-			b.die(w)
+			b.crash(sim)
 		}
-		w.announce(b, gate.Gone, 0)
+		sim.announce(b, gate.Gone, 0)
 	}})
 	return next
 }
--- a/lab/model/members.go
+++ b/lab/model/members.go
@@ -6,39 +6,39 @@
 	"github.com/swifthall/swifthall/gate"
 )
 
-const togetherFor = 50 // ms in which what doors come to know of others is told as one
+const updateBatchDelay = 50 // ms over which changes of the doors present are combined into one update
 
-// moved has all doors know, after the scenario's time for it, that one has come or gone. How they come to know is
-// lab/procs' matter; here they all know alike, and late.
-func (w *World) moved(d *door) {
-	if w.s.Fleet.MembersMs == 0 || d.outer != nil {
+// scheduleDoorsUpdate notifies all doors that one has started or gone, after the delay that the scenario sets. The membership
+// protocol itself is simulated by lab/procs; here all doors have the same view, with that delay.
+func (sim *Simulation) scheduleDoorsUpdate(d *door) {
+	if sim.s.Fleet.MembersMs == 0 || d.external != nil {
 		return
 	}
-	w.at(w.now+w.s.Fleet.MembersMs, due{kind: dueStart, p: func() {
-		for len(w.here) < len(w.doors) {
-			w.here = append(w.here, true)
+	sim.schedule(sim.now+sim.s.Fleet.MembersMs, event{kind: eventFunc, payload: func() {
+		for len(sim.present) < len(sim.doors) {
+			sim.present = append(sim.present, true)
 		}
-		if w.here[d.id] = d.up && !d.leaving; w.telling {
+		if sim.present[d.id] = d.up && !d.stopping; sim.updatePending {
 			return
 		}
-		w.telling = true
-		w.at(w.now+togetherFor, due{kind: dueStart, p: func() {
-			w.telling = false
-			for _, o := range w.doors {
+		sim.updatePending = true
+		sim.schedule(sim.now+updateBatchDelay, event{kind: eventFunc, payload: func() {
+			sim.updatePending = false
+			for _, o := range sim.doors {
 				if o.up {
-					o.inbox = append(o.inbox, w.present())
-					o.wake(w, w.now)
+					o.inbox = append(o.inbox, sim.doorsUpdate())
+					o.scheduleDecision(sim, sim.now)
 				}
 			}
 		}})
 	}})
 }
 
-// present words who is believed to be here.
-func (w *World) present() gate.DoorsUpdate {
-	e := gate.DoorsUpdate{Present: slices.Clone(w.here), PresentCount: len(w.doors)}
-	for _, here := range e.Present {
-		if !here {
+// doorsUpdate returns the event with the doors believed to be present.
+func (sim *Simulation) doorsUpdate() gate.DoorsUpdate {
+	e := gate.DoorsUpdate{Present: slices.Clone(sim.present), PresentCount: len(sim.doors)}
+	for _, present := range e.Present {
+		if !present {
 			e.PresentCount--
 		}
 	}
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -19,7 +19,7 @@
 	"github.com/swifthall/swifthall/policy"
 )
 
-const town = `
+const baseScenario = `
 name = "town"
 [day]
 seconds = 5
@@ -60,26 +60,26 @@
 `
 
 func read(t *testing.T, more string) *scenario.Scenario {
-	s, err := scenario.Read([]byte(town + more))
+	s, err := scenario.Read([]byte(baseScenario + more))
 	require.NoError(t, err)
 	return &s
 }
 
-// kept keeps a day's events, and a sum of them.
-type kept struct {
+// eventLog records the events of a run, and a checksum of them.
+type eventLog struct {
 	events []trace.Event
 	sum    hash.Hash64
 }
 
-func (k *kept) Take(e *trace.Event) {
+func (k *eventLog) Take(e *trace.Event) {
 	k.events = append(k.events, *e)
 	if k.sum != nil {
 		_ = binary.Write(k.sum, binary.LittleEndian, []int64{int64(e.Kind), int64(math.Float64bits(e.At)), int64(e.Try), int64(e.Door), int64(e.Backend)})
 	}
 }
 
-// of lists the events of a kind.
-func (k *kept) of(kind trace.Kind) (out []trace.Event) {
+// ofKind returns the events of a kind.
+func (k *eventLog) ofKind(kind trace.Kind) (out []trace.Event) {
 	for _, e := range k.events {
 		if e.Kind == kind {
 			out = append(out, e)
@@ -88,49 +88,49 @@
 	return out
 }
 
-var ours = Maker{New: func(t gate.Terms, seed uint64, _ Sight) gate.Decider { return policy.New(t, seed) }}
+var policyMaker = Maker{New: func(t gate.Terms, seed uint64, _ Sight) gate.Decider { return policy.New(t, seed) }}
 
-func play(t *testing.T, s *scenario.Scenario, seed uint64, m Maker) *kept {
-	k := &kept{sum: xxhash.New()}
+func runScenario(t *testing.T, s *scenario.Scenario, seed uint64, m Maker) *eventLog {
+	k := &eventLog{sum: xxhash.New()}
 	require.NoError(t, New(s, seed, m, k).Run(context.Background(), nil))
 	return k
 }
 
-func TestTheSameSeedIsTheSameDayOnAnyNumberOfCores(t *testing.T) {
+func TestSameSeedGivesSameRunOnAnyNumberOfCores(t *testing.T) {
 	s := read(t, "\n[[fault]]\nkind = \"door_deaths\"\nat_s = 2.0\nfor_s = 1.0\nshare = 0.5\n[[fault]]\nkind = \"replace\"\nat_s = 1.0\nfor_s = 2.0\nshare = 0.5\nmuch = 1.0")
-	s.Fleet.Doors = 12 // enough that they are asked side by side
-	first := play(t, s, 3, ours)
+	s.Fleet.Doors = 12 // enough that deciders run concurrently
+	first := runScenario(t, s, 3, policyMaker)
 	before := runtime.GOMAXPROCS(1)
-	alone := play(t, s, 3, ours)
+	alone := runScenario(t, s, 3, policyMaker)
 	runtime.GOMAXPROCS(before)
 	assert.Equal(t, first.sum.Sum64(), alone.sum.Sum64())
-	assert.NotEqual(t, first.sum.Sum64(), play(t, s, 4, ours).sum.Sum64())
+	assert.NotEqual(t, first.sum.Sum64(), runScenario(t, s, 4, policyMaker).sum.Sum64())
 }
 
-func TestWhatIsAskedDoesNotHangOnTheDecisions(t *testing.T) {
+func TestWorkloadIsIndependentOfDecisions(t *testing.T) {
 	s := read(t, "")
 	rejects := Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return rejecter{} }}
-	assert.Equal(t, play(t, s, 1, ours).of(trace.Asked), play(t, s, 1, rejects).of(trace.Asked))
+	assert.Equal(t, runScenario(t, s, 1, policyMaker).ofKind(trace.Asked), runScenario(t, s, 1, rejects).ofKind(trace.Asked))
 }
 
 type rejecter struct{}
 
 func (rejecter) Decide(_ float64, events []gate.Event) (out []gate.Action) {
 	for _, e := range events {
-		if o, is := e.(gate.Request); is {
+		if o, ok := e.(gate.Request); ok {
 			out = append(out, gate.Reject{Op: o.Op})
 		}
 	}
 	return out
 }
 
-// timed sends each request once with a cap, and counts its ends.
-type timed struct {
+// timeoutDecider sends each request once with a timeout, and counts the results.
+type timeoutDecider struct {
 	limit float64
 	ends  map[gate.Result]int
 }
 
-func (d *timed) Decide(_ float64, events []gate.Event) (out []gate.Action) {
+func (d *timeoutDecider) Decide(_ float64, events []gate.Event) (out []gate.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case gate.Request:
@@ -145,50 +145,50 @@
 	return out
 }
 
-// A request whose answer and time-out fall on the same instant ends once.
-func TestAnAnswerAndATimeOutAtTheSameInstantAreOneEnd(t *testing.T) {
+// An attempt whose answer and timeout fall on the same instant must end once.
+func TestAnswerAndTimeoutAtSameInstantEndAttemptOnce(t *testing.T) {
 	s := read(t, "")
-	d := &timed{ends: map[gate.Result]int{}}
-	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return d }}, &kept{})
-	door := w.doors[0]
-	door.start(w)
-	w.now = 10
-	try := &Try{want: &want{units: 1, until: 5000}, until: 1000}
-	door.submit(w, try)
-	door.gather(w)
-	door.think(w.now)
+	d := &timeoutDecider{ends: map[gate.Result]int{}}
+	sim := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return d }}, &eventLog{})
+	door := sim.doors[0]
+	door.start(sim)
+	sim.now = 10
+	try := &Try{request: &clientRequest{units: 1, deadline: 5000}, deadline: 1000}
+	door.submit(sim, try)
+	door.collectEvents(sim)
+	door.decide(sim.now)
 	d.limit = 0
-	door.act(w)
+	door.carryOut(sim)
 	job := door.ops[0].jobs[0]
-	w.now = 200
-	w.at(200, due{kind: dueBack, j: job, p: gate.Finished})
-	w.at(200, due{kind: dueExpire, j: job})
-	for len(w.q.heap) > 0 && w.q.heap[0].at <= 200 {
-		if next := w.q.pop(); next.kind == dueBack || next.kind == dueExpire {
-			w.step(&next)
+	sim.now = 200
+	sim.schedule(200, event{kind: eventResult, job: job, payload: gate.Finished})
+	sim.schedule(200, event{kind: eventAttemptTimeout, job: job})
+	for len(sim.queue.heap) > 0 && sim.queue.heap[0].at <= 200 {
+		if next := sim.queue.pop(); next.kind == eventResult || next.kind == eventAttemptTimeout {
+			sim.dispatch(&next)
 		}
 	}
-	require.Len(t, door.back, 1)
-	door.gather(w)
-	door.think(w.now)
-	door.act(w)
+	require.Len(t, door.ended, 1)
+	door.collectEvents(sim)
+	door.decide(sim.now)
+	door.carryOut(sim)
 	assert.Equal(t, map[gate.Result]int{gate.Finished: 1}, d.ends)
 	assert.Equal(t, trace.Finished, try.answer)
 }
 
-// sleeper asks once to be woken, and notes when it is.
-type sleeper struct {
-	asked bool
-	woken *float64
+// timerDecider sets one timer and records when it fires.
+type timerDecider struct {
+	asked   bool
+	firedAt *float64
 }
 
-func (d *sleeper) Decide(now float64, events []gate.Event) (out []gate.Action) {
+func (d *timerDecider) Decide(now float64, events []gate.Event) (out []gate.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case gate.Request:
 			out = append(out, gate.Reject{Op: e.Op})
 		case gate.TimerFired:
-			*d.woken = now - epoch
+			*d.firedAt = now - epoch
 		}
 	}
 	if !d.asked {
@@ -198,138 +198,138 @@
 	return out
 }
 
-// A hunt found a request answered 50 ms after its client's wait: its door's wake was lost where it decided on
-// something else before.
-func TestAWakeOutlivesADecisionBeforeIt(t *testing.T) {
+// Guards against a lost timer: a door that decided for another reason before its timer was due forgot the timer, and a
+// randomized search found a request that was answered 50 ms after its client's timeout.
+func TestTimerSurvivesEarlierDecision(t *testing.T) {
 	s := read(t, "")
-	woken := 0.0
-	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return &sleeper{woken: &woken} }}, &kept{})
-	d := w.doors[0]
-	d.start(w)
-	turn := func(at float64) {
-		w.now = at
-		w.ready = append(w.ready[:0], d)
-		w.decide()
+	firedAt := 0.0
+	sim := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return &timerDecider{firedAt: &firedAt} }}, &eventLog{})
+	d := sim.doors[0]
+	d.start(sim)
+	decideAt := func(at float64) {
+		sim.now = at
+		sim.deciding = append(sim.deciding[:0], d)
+		sim.decide()
 	}
-	turn(0)
-	w.now = 5
-	d.submit(w, &Try{want: &want{units: 1, until: 5000}, until: 1000})
-	turn(5)
-	for len(w.q.heap) > 0 && woken == 0 {
-		if next := w.q.pop(); next.kind == dueDoor && next.n == 0 {
-			turn(next.at)
+	decideAt(0)
+	sim.now = 5
+	d.submit(sim, &Try{request: &clientRequest{units: 1, deadline: 5000}, deadline: 1000})
+	decideAt(5)
+	for len(sim.queue.heap) > 0 && firedAt == 0 {
+		if next := sim.queue.pop(); next.kind == eventDecide && next.index == 0 {
+			decideAt(next.at)
 		}
 	}
-	assert.Equal(t, 20.0, woken)
+	assert.Equal(t, 20.0, firedAt)
 }
 
-// caller makes one call of the counter for each request.
-type caller struct{ heard *int }
+// counterDecider makes one counter call for each request and counts the replies.
+type counterDecider struct{ replies *int }
 
-func (d caller) Decide(_ float64, events []gate.Event) (out []gate.Action) {
+func (d counterDecider) Decide(_ float64, events []gate.Event) (out []gate.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case gate.Request:
 			out = append(out, gate.Count{Customer: e.Customer, Epoch: 1, Add: 1, TTL: 1e4}, gate.Reject{Op: e.Op})
 		case gate.Counted:
-			*d.heard++
+			*d.replies++
 		}
 	}
 	return out
 }
 
-// A counter that answers after its caller is dead adds what it was told to, and nobody hears of it.
-func TestTheCounterAnswersADeadCaller(t *testing.T) {
+// A counter call whose caller has crashed is still counted, but its reply is not delivered to the next incarnation.
+func TestCounterReplyToCrashedDoorIsDropped(t *testing.T) {
 	s := read(t, "")
-	heard := 0
-	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return caller{&heard} }}, &kept{})
-	d := w.doors[0]
-	d.start(w)
-	d.submit(w, &Try{want: &want{units: 1, until: 5000}, until: 1000})
-	d.gather(w)
-	d.think(w.now)
-	d.act(w)
-	d.die(w)
-	w.now = 0.5
-	d.start(w)
-	for len(w.q.heap) > 0 && w.q.heap[0].at < 100 {
-		next := w.q.pop()
-		w.now = next.at
-		if next.kind == dueCount || next.kind == dueCounted {
-			w.step(&next)
+	replies := 0
+	sim := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return counterDecider{&replies} }}, &eventLog{})
+	d := sim.doors[0]
+	d.start(sim)
+	d.submit(sim, &Try{request: &clientRequest{units: 1, deadline: 5000}, deadline: 1000})
+	d.collectEvents(sim)
+	d.decide(sim.now)
+	d.carryOut(sim)
+	d.crash(sim)
+	sim.now = 0.5
+	d.start(sim)
+	for len(sim.queue.heap) > 0 && sim.queue.heap[0].at < 100 {
+		next := sim.queue.pop()
+		sim.now = next.at
+		if next.kind == eventCounterCall || next.kind == eventCounterReply {
+			sim.dispatch(&next)
 		}
 	}
-	assert.Equal(t, 1.0, w.counter.totals[name{0, 1}].total)
+	assert.Equal(t, 1.0, sim.counter.totals[counterKey{0, 1}].total)
 	assert.Empty(t, d.inbox)
-	assert.Zero(t, heard)
+	assert.Zero(t, replies)
 }
 
-// A group that forgets a mark a millisecond before its repeat comes lets the request run twice.
-func TestAForgottenMarkLetsARequestRunTwice(t *testing.T) {
+// A group that forgets an idempotency key a millisecond before a repeat arrives lets the request run twice.
+func TestForgottenKeyLetsRequestRunTwice(t *testing.T) {
 	s := read(t, "\n[[fault]]\nkind = \"forget_tokens\"\nat_s = 0.0\nfor_s = 5.0\nmuch = 1.0")
-	k := &kept{}
-	w := New(s, 1, ours, k)
-	b, try := w.backends[0], &Try{Class: 1, want: &want{units: 1}}
-	w.now = 100
-	w.ran(b, try)
-	w.now = 100 + 400
-	assert.True(t, w.remembers(b, try), "within its window")
-	b.hurts = []*hurt{{fault: &s.Faults[0], class: -1}}
-	assert.False(t, w.remembers(b, try), "forgotten a millisecond early")
-	w.ran(b, try)
-	ran := k.of(trace.Ran)
+	k := &eventLog{}
+	sim := New(s, 1, policyMaker, k)
+	b, try := sim.backends[0], &Try{Class: 1, request: &clientRequest{units: 1}}
+	sim.now = 100
+	sim.recordEffect(b, try)
+	sim.now = 100 + 400
+	assert.True(t, sim.isDuplicate(b, try), "within the deduplication window")
+	b.faults = []*activeFault{{spec: &s.Faults[0], class: -1}}
+	assert.False(t, sim.isDuplicate(b, try), "forgotten a millisecond early")
+	sim.recordEffect(b, try)
+	ran := k.ofKind(trace.Ran)
 	require.Len(t, ran, 2)
 	assert.True(t, ran[1].Twice)
 }
 
-func TestSeventyInAHundredDoorsDieAtOnce(t *testing.T) {
+func TestSeventyPercentOfDoorsCrashAtOnce(t *testing.T) {
 	s := read(t, "\n[[fault]]\nkind = \"door_deaths\"\nat_s = 2.0\nfor_s = 1.0\nshare = 0.7")
 	s.Fleet.Doors, s.Day.TickMs = 300, 4
-	k := play(t, s, 1, ours)
-	assert.Len(t, k.of(trace.DoorDied), 210)
-	assert.Len(t, k.of(trace.DoorStarted), 510)
+	k := runScenario(t, s, 1, policyMaker)
+	assert.Len(t, k.ofKind(trace.DoorDied), 210)
+	assert.Len(t, k.ofKind(trace.DoorStarted), 510)
 	open := map[int]bool{}
 	for _, e := range k.events {
 		switch e.Kind {
 		case trace.Asked:
 			open[e.Request] = true
 		case trace.Received, trace.GaveUp:
-			assert.True(t, open[e.Request], "each want ends once")
+			assert.True(t, open[e.Request], "each request ends once")
 			delete(open, e.Request)
 		}
 	}
-	assert.Empty(t, open, "and all end")
+	assert.Empty(t, open, "every request ends")
 }
 
-// A split counter shows even and odd doors totals of their own, and keeps the even ones' when it heals.
-func TestASplitCounterCountsApart(t *testing.T) {
+// A split counter keeps separate totals for doors with even and odd numbers, and keeps those of the even ones when it heals.
+func TestSplitCounterKeepsSeparateTotals(t *testing.T) {
 	s := read(t, "")
-	w := New(s, 1, ours, &kept{})
+	sim := New(s, 1, policyMaker, &eventLog{})
 	count := func(door int) float64 {
-		k := &call{door: door, name: name{7, 1}, add: 1, keep: 1e4}
-		w.counter.come(w, k)
+		k := &counterCall{door: door, key: counterKey{7, 1}, add: 1, ttl: 1e4}
+		sim.counter.serve(sim, k)
 		return k.total
 	}
 	assert.Equal(t, 1.0, count(0))
-	w.counter.split()
+	sim.counter.split()
 	assert.Equal(t, 2.0, count(0))
 	assert.Equal(t, 2.0, count(1))
 	assert.Equal(t, 3.0, count(2))
-	w.counter.heal()
+	sim.counter.heal()
 	assert.Equal(t, 4.0, count(1))
 }
 
-func TestTheQueueGivesBackInOrder(t *testing.T) {
+func TestEventQueuePopsInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var q queue
+		var q eventQueue
 		for _, at := range rapid.SliceOfN(rapid.IntRange(0, 20), 1, 300).Draw(t, "times") {
-			kind := dueCome
+			kind := eventBackendArrival
 			if rapid.Bool().Draw(t, "door") {
-				kind = dueDoor
+				kind = eventDecide
 			}
-			q.push(due{at: float64(at), kind: kind})
+			q.push(event{at: float64(at), kind: kind})
 		}
-		last := due{at: -1}
+		last := event{at: -1}
 		for len(q.heap) > 0 {
 			next := q.pop()
 			if next.before(&last) {
@@ -340,32 +340,32 @@
 	})
 }
 
-// Work is neither lost nor made: what a backend serves in a time is what its cores can do.
-func TestABackendServesAtItsCapacity(t *testing.T) {
+// Work is conserved: a backend takes as long for a number of jobs as its cores need for their work.
+func TestBackendServesAtItsCapacity(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := read(t, "")
 		s.Machines[0].Thrash, s.Machines[0].ErrorRate = 0, 0
-		w := New(s, 1, ours, &kept{})
-		b := w.backends[0]
+		sim := New(s, 1, policyMaker, &eventLog{})
+		b := sim.backends[0]
 		n := rapid.IntRange(1, b.slots).Draw(rt, "operations")
 		total := 0.0
 		for i := range n {
 			work := rapid.Float64Range(1, 100).Draw(rt, "work")
 			total += work
-			j := &Job{Try: &Try{ID: i, want: &want{work: work}}, life: b.life, caller: w.doors[0]}
+			j := &Job{Try: &Try{ID: i, request: &clientRequest{work: work}}, incarnation: b.incarnation, caller: sim.doors[0]}
 			j.work = work
-			b.begin(j)
+			b.startJob(j)
 		}
-		b.plan(w)
-		for len(b.work) > 0 {
-			next := w.q.pop()
-			if w.now = next.at; next.kind == dueFinish {
-				w.step(&next)
+		b.scheduleFinish(sim)
+		for len(b.running) > 0 {
+			next := sim.queue.pop()
+			if sim.now = next.at; next.kind == eventFinish {
+				sim.dispatch(&next)
 			}
 		}
 		least, most := total/b.capacity(), total/b.speed
-		if w.now < least-1e-6 || w.now > most+1e-6 {
-			rt.Fatalf("done after %g ms, between %g and %g is possible", w.now, least, most)
+		if sim.now < least-1e-6 || sim.now > most+1e-6 {
+			rt.Fatalf("done after %g ms, between %g and %g is possible", sim.now, least, most)
 		}
 	})
 }
--- a/lab/model/queue.go
+++ b/lab/model/queue.go
@@ -1,89 +1,91 @@
 package model
 
-// kind of what is due in the world.
-type kind uint8
+// eventKind is the kind of a scheduled event. The comments below name the fields of event that it uses.
+type eventKind uint8
 
 const (
-	dueArrival kind = iota // customer n asks, if its stamp is m
-	dueSpike               // customer n's session begins or ends
-	dueShift               // customer n's doors are weighed anew
-	dueExtra               // generator n makes a request
-	dueSubmit              // t reaches its door
-	dueLeave               // the client of t gives it up
-	dueGone                // the door of t learns of that
-	dueGot                 // the client of t has its answer
-	dueAgain               // the client of want w tries again
-	dueDial                // j's connection reaches its backend
-	dueCome                // j reaches its backend
-	dueFinish              // backend n's next request in work is done, if its stamp is m
-	dueRefresh             // backend n's speed is worked out anew
-	dueBack                // j's result reaches its door
-	dueCancel              // j's backend learns that nobody waits
-	dueExpire              // j's door stops waiting
-	dueCount               // call c reaches the counter
-	dueCounted             // its answer, or the end of the wait, reaches its door
-	dueProbe               // a probe of backend n by door m ends
-	dueList                // news of the list reach door n of life m
-	dueFault               // fault n begins (m is 1) or ends
-	dueStart               // door or backend starts again
-	dueStep                // step m of fault n
-	dueSweep               // idle connections and old numbers are dropped
-	dueDoor                // door n decides
+	eventArrival        eventKind = iota // customer index makes a request, if its arrivalStamp is arg
+	eventSpike                           // a spike of customer index begins or ends
+	eventShift                           // the door weights of customer index are drawn anew
+	eventExtraRequest                    // extra load index makes a request
+	eventSubmit                          // try reaches its door
+	eventClientTimeout                   // the client of try gives it up
+	eventClientGone                      // the door of try learns that the client left
+	eventAnswer                          // the client of try receives its answer
+	eventRetry                           // the client of request tries again
+	eventConnect                         // the connection of job reaches its backend
+	eventBackendArrival                  // the request of job reaches its backend
+	eventFinish                          // the next job of backend index completes, if its finishStamp is arg
+	eventRefreshSpeed                    // the rate of backend index is updated while it is cold, if its incarnation is arg
+	eventResult                          // the result of job, in payload, reaches its door
+	eventCancel                          // the backend of job learns that its door no longer waits
+	eventAttemptTimeout                  // the door of job stops waiting
+	eventCounterCall                     // the call in payload reaches the counter
+	eventCounterReply                    // the reply or timeout of the call in payload reaches its door
+	eventProbeEnd                        // a probe of backend index by door arg ends; payload is its probeResult
+	eventListUpdate                      // the listUpdate in payload reaches incarnation arg of door index
+	eventFault                           // fault index begins (arg is 1) or ends
+	eventFunc                            // calls the func() in payload
+	eventFaultStep                       // step arg of fault index; payload is its activeFault
+	eventSweep                           // closes idle connections and drops expired counter values
+	eventDecide                          // door index decides
 )
 
-// due is one thing that will happen. Doors decide after all else that happens at the same instant.
-type due struct {
-	at   float64
-	seq  uint64
-	kind kind
-	n, m int
-	t    *Try
-	j    *Job
-	w    *want
-	p    any
+// event is a scheduled event. Decisions come after all other events of the same instant.
+type event struct {
+	at         float64
+	seq        uint64
+	kind       eventKind
+	index, arg int
+	try        *Try
+	job        *Job
+	request    *clientRequest
+	payload    any
 }
 
-func (a *due) before(b *due) bool {
+// before reports whether a comes before b.
+func (a *event) before(b *event) bool {
 	if a.at != b.at {
 		return a.at < b.at
 	}
-	if last, lastB := a.kind == dueDoor, b.kind == dueDoor; last != lastB {
+	if last, lastB := a.kind == eventDecide, b.kind == eventDecide; last != lastB {
 		return lastB
 	}
 	return a.seq < b.seq
 }
 
-// queue is a heap with four children to a node, which keeps what is due soon near the top in few steps.
-type queue struct {
-	heap []due
+// eventQueue is a 4-ary min-heap. It is shallower than a binary heap, so that a push needs fewer steps.
+type eventQueue struct {
+	heap []event
 	seq  uint64
 }
 
-const children = 4
+// heapArity is the number of children of a node.
+const heapArity = 4
 
-func (q *queue) push(d due) {
+func (q *eventQueue) push(e event) {
 	q.seq++
-	d.seq = q.seq
-	q.heap = append(q.heap, d)
+	e.seq = q.seq
+	q.heap = append(q.heap, e)
 	h := q.heap
 	i := len(h) - 1
 	for i > 0 {
-		up := (i - 1) / children
-		if !d.before(&h[up]) {
+		parent := (i - 1) / heapArity
+		if !e.before(&h[parent]) {
 			break
 		}
-		h[i] = h[up]
-		i = up
+		h[i] = h[parent]
+		i = parent
 	}
-	h[i] = d
+	h[i] = e
 }
 
-func (q *queue) pop() due {
+func (q *eventQueue) pop() event {
 	h := q.heap
 	top := h[0]
 	n := len(h) - 1
 	last := h[n]
-	h[n] = due{}
+	h[n] = event{}
 	q.heap = h[:n]
 	if n == 0 {
 		return top
@@ -91,12 +93,12 @@
 	h = q.heap
 	i := 0
 	for {
-		first := i*children + 1
+		first := i*heapArity + 1
 		if first >= n {
 			break
 		}
 		least := first
-		for c := first + 1; c < min(first+children, n); c++ {
+		for c := first + 1; c < min(first+heapArity, n); c++ {
 			if h[c].before(&h[least]) {
 				least = c
 			}
--- a/lab/stand/backend.go
+++ b/lab/stand/backend.go
@@ -14,80 +14,82 @@
 	"github.com/swifthall/swifthall/lab/model"
 )
 
-// address is where one door reaches one backend. While the backend's process does not run, nobody listens there.
-type address struct {
-	f             *fleet
+// backendListener is the address at which one door reaches one backend. It refuses connections while the backend's process does
+// not run.
+type backendListener struct {
+	tb            *testbed
 	door, backend int
-	at            string
+	addr          string
 
 	mu    sync.Mutex
 	ln    net.Listener
 	conns map[net.Conn]struct{}
 }
 
-func newAddress(f *fleet, door, backend int) (*address, error) {
-	a := &address{f: f, door: door, backend: backend, conns: map[net.Conn]struct{}{}}
-	ln, err := f.listen("127.0.0.1:0")
+func newBackendListener(tb *testbed, door, backend int) (*backendListener, error) {
+	bl := &backendListener{tb: tb, door: door, backend: backend, conns: map[net.Conn]struct{}{}}
+	ln, err := tb.listen("127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	a.at = ln.Addr().String()
-	a.serve(ln)
-	f.atEnd(a.end)
-	return a, nil
+	bl.addr = ln.Addr().String()
+	bl.serve(ln)
+	tb.onClose(bl.close)
+	return bl, nil
 }
 
-// serve takes connections in until the listener ends.
-func (a *address) serve(ln net.Listener) {
-	a.mu.Lock()
-	a.ln = ln
-	a.mu.Unlock()
-	a.f.later(func() {
+// serve accepts connections until the listener is closed.
+func (bl *backendListener) serve(ln net.Listener) {
+	bl.mu.Lock()
+	bl.ln = ln
+	bl.mu.Unlock()
+	bl.tb.spawn(func() {
 		for {
 			nc, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			a.mu.Lock()
-			a.conns[nc] = struct{}{}
-			a.mu.Unlock()
-			a.f.later(func() { a.talk(nc) })
+			bl.mu.Lock()
+			bl.conns[nc] = struct{}{}
+			bl.mu.Unlock()
+			bl.tb.spawn(func() { bl.serveConn(nc) })
 		}
 	})
 }
 
-// set has the address follow its backend's process: with a new life all connections are reset.
-func (a *address) set(up bool) {
-	a.mu.Lock()
-	ln := a.ln
-	for nc := range a.conns {
+// setUp follows the start or end of the backend's process, which resets all connections.
+func (bl *backendListener) setUp(up bool) {
+	bl.mu.Lock()
+	ln := bl.ln
+	for nc := range bl.conns {
 		reset(nc)
 	}
 	if !up && ln != nil {
-		a.ln = nil
+		bl.ln = nil
 		ln.Close()
 	}
-	a.mu.Unlock()
-	if up && ln == nil && !a.f.over.Load() {
-		if again, err := a.f.listen(a.at); err == nil {
-			a.serve(again)
+	bl.mu.Unlock()
+	if up && ln == nil && !bl.tb.over.Load() {
+		if reopened, err := bl.tb.listen(bl.addr); err == nil {
+			bl.serve(reopened)
 		}
 	}
 }
 
-func (a *address) end() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.ln != nil {
-		a.ln.Close()
-		a.ln = nil
+// close closes the listener and its connections.
+func (bl *backendListener) close() {
+	bl.mu.Lock()
+	defer bl.mu.Unlock()
+	if bl.ln != nil {
+		bl.ln.Close()
+		bl.ln = nil
 	}
-	for nc := range a.conns {
+	for nc := range bl.conns {
 		nc.Close()
 	}
 }
 
-// reset ends a connection so that the other side sees it broken.
+// reset closes a connection with a TCP reset.
 func reset(nc net.Conn) {
 	if tcp, ok := nc.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -95,111 +97,116 @@
 	nc.Close()
 }
 
-// answer is what a backend's stand-in sends, or does, for one attempt.
-type answer struct {
+// attemptResult is the result of an attempt as the model determined it, with the metered use to report.
+type attemptResult struct {
 	result gate.Result
 	use    float64
 }
 
-const mostBody = 64 << 10 // bytes of a request
+const maxBody = 64 << 10 // most bytes of a request
 
-// talk serves one connection. One that the backend does not take is reset.
-func (a *address) talk(nc net.Conn) {
-	taken, life := make(chan bool, 1), 0
-	a.f.post(func() { life = a.f.w.Life(a.backend); taken <- a.f.w.Connected(a.door, a.backend) })
+// serveConn serves one connection. It is reset if the backend does not accept it.
+func (bl *backendListener) serveConn(nc net.Conn) {
+	accepted, incarnation := make(chan bool, 1), 0
+	bl.tb.post(func() {
+		incarnation = bl.tb.sim.BackendIncarnation(bl.backend)
+		accepted <- bl.tb.sim.Connected(bl.door, bl.backend)
+	})
 	defer func() {
-		a.mu.Lock()
-		delete(a.conns, nc)
-		a.mu.Unlock()
+		bl.mu.Lock()
+		delete(bl.conns, nc)
+		bl.mu.Unlock()
 		nc.Close()
 	}()
 	select {
-	case ok := <-taken:
+	case ok := <-accepted:
 		if !ok {
 			reset(nc)
 			return
 		}
-	case <-a.f.ctx.Done():
+	case <-bl.tb.ctx.Done():
 		return
 	}
-	defer a.f.post(func() { a.f.w.Disconnected(a.backend, life) })
-	ops, gone := make(chan request), make(chan struct{})
-	a.f.later(func() { a.read(nc, ops, gone) })
-	for fresh := true; ; fresh = false {
+	defer bl.tb.post(func() { bl.tb.sim.Disconnected(bl.backend, incarnation) })
+	requests, gone := make(chan request), make(chan struct{})
+	bl.tb.spawn(func() { bl.readRequests(nc, requests, gone) })
+	for newConn := true; ; newConn = false {
 		select {
-		case op := <-ops:
-			if !a.one(nc, op, gone, fresh) {
+		case req := <-requests:
+			if !bl.serveRequest(nc, req, gone, newConn) {
 				return
 			}
 		case <-gone:
 			return
-		case <-a.f.ctx.Done():
+		case <-bl.tb.ctx.Done():
 			return
 		}
 	}
 }
 
-// request is one that has come whole.
+// request is a request that was received in full.
 type request struct {
 	id   string
 	body []byte
 }
 
-// read takes requests off a connection, one by one, and notices when the door ends it.
-func (a *address) read(nc net.Conn, ops chan<- request, gone chan<- struct{}) {
+// readRequests reads the requests of a connection one by one, and closes gone when the door closes the connection.
+func (bl *backendListener) readRequests(nc net.Conn, requests chan<- request, gone chan<- struct{}) {
 	defer close(gone)
 	for r := bufio.NewReader(nc); ; {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(req.Body, mostBody))
+		body, err := io.ReadAll(io.LimitReader(req.Body, maxBody))
 		if err != nil {
 			return
 		}
 		select {
-		case ops <- request{req.Header.Get("X-Txn"), body}:
-		case <-a.f.ctx.Done():
+		case requests <- request{req.Header.Get("X-Txn"), body}:
+		case <-bl.tb.ctx.Done():
 			return
 		}
 	}
 }
 
-// one serves one request, and tells whether the connection goes on.
-func (a *address) one(nc net.Conn, op request, gone <-chan struct{}, fresh bool) bool {
-	t := a.f.find(op.id)
+// serveRequest serves one request and reports whether the connection stays open.
+func (bl *backendListener) serveRequest(nc net.Conn, req request, gone <-chan struct{}, newConn bool) bool {
+	t := bl.tb.findTry(req.id)
 	if t == nil {
 		fmt.Fprintf(nc, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	come := make(chan answer, 1)
+	results := make(chan attemptResult, 1)
 	var job *model.Job
-	a.f.post(func() {
-		a.f.mu.Lock()
-		number := a.f.sends[t.ID]
-		a.f.sends[t.ID]++
-		a.f.mu.Unlock()
-		job = a.f.w.Arrive(a.door, a.backend, t, number, fresh, func(res gate.Result, use float64) { come <- answer{res, use} })
+	bl.tb.post(func() {
+		bl.tb.mu.Lock()
+		number := bl.tb.attempts[t.ID]
+		bl.tb.attempts[t.ID]++
+		bl.tb.mu.Unlock()
+		job = bl.tb.sim.AttemptArrived(bl.door, bl.backend, t, number, newConn, func(result gate.Result, use float64) {
+			results <- attemptResult{result, use}
+		})
 	})
 	select {
-	case <-a.f.ctx.Done():
+	case <-bl.tb.ctx.Done():
 		return false
-	case <-gone: // the door ends its connection when it gives the attempt up
-		a.f.post(func() { a.f.w.Abandon(job) })
+	case <-gone: // a door that gives an attempt up closes its connection
+		bl.tb.post(func() { bl.tb.sim.AttemptAbandoned(job) })
 		return false
-	case got := <-come:
-		return a.say(nc, got, op.id)
+	case res := <-results:
+		return bl.writeResult(nc, res, req.id)
 	}
 }
 
-// say words a result on the wire.
-func (a *address) say(nc net.Conn, got answer, id string) bool {
+// writeResult writes a result to the connection and reports whether the connection stays open.
+func (bl *backendListener) writeResult(nc net.Conn, res attemptResult, id string) bool {
 	head := ""
-	if got.use >= 0 {
-		head = "X-Allowance-Used: " + strconv.FormatFloat(100*got.use, 'f', 2, 64) + "\r\n"
+	if res.use >= 0 {
+		head = "X-Allowance-Used: " + strconv.FormatFloat(100*res.use, 'f', 2, 64) + "\r\n"
 	}
 	var err error
-	switch got.result {
+	switch res.result {
 	case gate.Finished:
 		text := "done " + id
 		_, err = fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", head, len(text), text)
--- a/lab/stand/beside.go
+++ b/lab/stand/beside.go
@@ -25,107 +25,109 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// Beside loads a door and the standard library's reverse proxy, each on one and the same core, in turns of one run.
+// ProxyComparison compares a door with the standard library's reverse proxy under load. Both are bound to the same core and
+// measured in turns.
 type Beside struct {
-	Binary string   // the door's program
-	Proxy  []string // the proxy's program with its arguments; backends' addresses follow
+	Binary string   // path of the door's program
+	Proxy  []string // the proxy's program and arguments; its address and the backends' are appended
 	Rates  []float64
-	For    time.Duration // of one turn
+	For    time.Duration // length of one turn
 	Rounds int
 	Conns  int
-	Knee   load.Knee // its rate, latency and steps; the rest is filled in
+	Knee   load.Knee // first rate, latency limit and steps of the search; Run fills in the rest
 }
 
-// Row is what one of the two did at one rate, over all rounds.
+// ComparisonRow is the result of one target at one rate, over all rounds.
 type Row struct {
 	Name    string
-	Rate    float64 // asked for
-	Served  float64 // finished a second
+	Rate    float64 // requested rate, per second
+	Served  float64 // finished requests per second
 	Lost    int     // rejected or failed
 	Latency *hdrhistogram.Histogram
-	CPU     time.Duration // used, a thousand requests
+	CPU     time.Duration // CPU time per thousand requests
 }
 
 const (
-	besideBackends  = 4
-	besideCustomers = 500
-	besideWait      = 2000 // ms
+	comparedBackends  = 4
+	comparedCustomers = 500
+	clientTimeoutMs   = 2000 // ms
 )
 
-// instant is a world in which a door has nothing to decide: ample quotas, short work.
-var instant = scenario.Scenario{
+// trivialScenario leaves a door nothing to decide: ample quotas and short work.
+var trivialScenario = scenario.Scenario{
 	Name:    "beside",
-	Fleet:   scenario.Fleet{Doors: 1, Backends: besideBackends, Zones: 1, CellSize: 1},
+	Fleet:   scenario.Fleet{Doors: 1, Backends: comparedBackends, Zones: 1, CellSize: 1},
 	Load:    scenario.Load{MostUnits: 1},
 	Net:     scenario.Net{ConnectTimeoutMs: 250, IdleMs: 15e3},
 	Allow:   scenario.Allow{MaxAttempts: 3, Cancel: true, Hedging: true, RetryAfter: true},
 	Clients: scenario.Clients{MaxRetryAfterMs: 500},
 	Rules:   scenario.Rules{ColdFrom: 0.3, ColdS: 5, FallMultiple: 4, FallMs: 1500},
-	Classes: []scenario.Class{{Name: "look", ContractMs: 500, OuterMs: besideWait, Gain: 1, Semantics: "replayable", Scope: "all"}},
+	Classes: []scenario.Class{{Name: "look", ContractMs: 500, OuterMs: clientTimeoutMs, Gain: 1, Semantics: "replayable", Scope: "all"}},
 	Plans:   []scenario.Plan{{Name: "ample", PerS: 1e6, Depth: 1e6, Price: 1}},
 }
 
-// Run plays the rounds, and searches each one's knee. tell hears each turn as it ends.
-func (b Beside) Run(ctx context.Context, tell func(name string, rate float64, o *load.Outcome)) (rows []Row, knees map[string]float64, err error) {
+// Run measures all rounds, then searches the knee of each target: the highest rate that it sustains. report, which may be nil,
+// is called after each turn.
+func (b Beside) Run(ctx context.Context, report func(name string, rate float64, o *load.Outcome)) (rows []Row, knees map[string]float64, err error) {
 	ctx, stop := context.WithCancel(ctx)
-	f := &fleet{ctx: ctx, play: &Play{Scenario: &instant, Binary: b.Binary}}
-	f.over.Store(true) // no world plays: the backends here answer at once
-	defer f.group.Wait()
-	defer f.close()
+	tb := &testbed{ctx: ctx, cfg: &Play{Scenario: &trivialScenario, Binary: b.Binary}}
+	tb.over.Store(true) // there is no run of the model: the backends here answer at once
+	defer tb.group.Wait()
+	defer tb.close()
 	defer stop()
 	var addrs []string
 	var entries []registry.Entry
-	var lines []model.Line
-	for i := range besideBackends {
-		ln, err := f.listen("127.0.0.1:0")
+	var states []model.BackendEntry
+	for i := range comparedBackends {
+		ln, err := tb.listen("127.0.0.1:0")
 		if err != nil {
 			return nil, nil, err
 		}
 		srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("done")) })}
-		f.later(func() { _ = srv.Serve(ln) })
-		f.atEnd(func() { srv.Close() })
+		tb.spawn(func() { _ = srv.Serve(ln) })
+		tb.onClose(func() { srv.Close() })
 		addrs = append(addrs, ln.Addr().String())
 		entries = append(entries, registry.Entry{ID: fmt.Sprintf("b-%d", i), Addr: addrs[i], Zone: "z", State: "Ready", Size: 1})
-		lines = append(lines, model.Line{Backend: i})
+		states = append(states, model.BackendEntry{Backend: i})
 	}
-	d, err := newDoor(f, 0)
+	d, err := newDoor(tb, 0)
 	if err != nil {
 		return nil, nil, err
 	}
-	d.discovery.tell(true, entries, lines)
+	d.discovery.publish(true, entries, states)
 	list := registry.List{Version: d.discovery.version, Whole: true, Backends: entries}
-	core, back, err := onOneCore()
+	core, restore, err := pinToOneCore()
 	if err != nil {
 		return nil, nil, err
 	}
-	proxyAt, proxy, err := b.start(d, list, addrs)
-	back()
+	proxyAddr, proxy, err := b.start(d, list, addrs)
+	restore()
 	if err != nil {
 		return nil, nil, err
 	}
-	f.atEnd(func() { _ = proxy.Process.Kill(); _ = proxy.Wait() })
+	tb.onClose(func() { _ = proxy.Process.Kill(); _ = proxy.Wait() })
 	targets := []struct {
-		name, at string
-		pid      func() int
-	}{{"door", d.listen, func() int { return d.cmd.Process.Pid }}, {"reverse proxy", proxyAt, func() int { return proxy.Process.Pid }}}
+		name, addr string
+		pid        func() int
+	}{{"door", d.addr, func() int { return d.cmd.Process.Pid }}, {"reverse proxy", proxyAddr, func() int { return proxy.Process.Pid }}}
 	for _, t := range targets {
-		if err := answers(ctx, t.at); err != nil {
-			return nil, nil, &PartyError{fmt.Sprintf("%s on core %d", t.name, core), "", err}
+		if err := waitReady(ctx, t.addr); err != nil {
+			return nil, nil, &ComponentError{fmt.Sprintf("%s on core %d", t.name, core), "", err}
 		}
 	}
-	word := func(at string, seed uint64) func(int) string {
-		return load.DoorRequests{Host: at, Class: "look", Plan: "ample", Customers: besideCustomers, Wait: besideWait, Seed: seed}.Format
+	word := func(addr string, seed uint64) func(int) string {
+		return load.DoorRequests{Host: addr, Class: "look", Plan: "ample", Customers: comparedCustomers, Wait: clientTimeoutMs, Seed: seed}.Format
 	}
-	const patience = 5 * time.Second
+	const timeout = 5 * time.Second
 	for _, rate := range b.Rates {
-		here := make([]Row, len(targets))
+		rateRows := make([]Row, len(targets))
 		for round := range b.Rounds {
 			for i := range targets {
-				t := targets[(i+round)%len(targets)] // each goes first in turn
-				row := &here[(i+round)%len(targets)]
-				before := cpu(t.pid())
-				r := load.Run{Target: t.at, Rate: rate, Duration: b.For, Conns: b.Conns, Timeout: patience, Poisson: true, Seed: uint64(round) + 1,
-					Request: word(t.at, uint64(round)+uint64(rate)<<8)}
+				t := targets[(i+round)%len(targets)] // the targets take turns in going first
+				row := &rateRows[(i+round)%len(targets)]
+				before := cpuTime(t.pid())
+				r := load.Run{Target: t.addr, Rate: rate, Duration: b.For, Conns: b.Conns, Timeout: timeout, Poisson: true, Seed: uint64(round) + 1,
+					Request: word(t.addr, uint64(round)+uint64(rate)<<8)}
 				o, err := r.Execute(ctx, nil)
 				if err != nil {
 					return nil, nil, err
@@ -137,21 +139,21 @@
 				}
 				row.Served += o.Rate() / float64(b.Rounds)
 				row.Lost += o.Rejected + o.Failed
-				row.CPU += time.Duration(float64(cpu(t.pid())-before) * 1000 / max(1, float64(o.Asked)) / float64(b.Rounds))
-				if tell != nil {
-					tell(t.name, rate, o)
+				row.CPU += time.Duration(float64(cpuTime(t.pid())-before) * 1000 / max(1, float64(o.Asked)) / float64(b.Rounds))
+				if report != nil {
+					report(t.name, rate, o)
 				}
 			}
 		}
-		rows = append(rows, here...)
+		rows = append(rows, rateRows...)
 	}
 	knees = map[string]float64{}
 	for _, t := range targets {
 		k := b.Knee
-		k.Run.Target, k.Run.Conns, k.Run.Duration, k.Run.Timeout, k.Run.Poisson, k.Run.Request = t.at, b.Conns, b.For, patience, true, word(t.at, 99)
+		k.Run.Target, k.Run.Conns, k.Run.Duration, k.Run.Timeout, k.Run.Poisson, k.Run.Request = t.addr, b.Conns, b.For, timeout, true, word(t.addr, 99)
 		rate, _, err := k.Find(ctx, func(s load.Step) {
-			if tell != nil {
-				tell(t.name, s.Rate, s.Outcome)
+			if report != nil {
+				report(t.name, s.Rate, s.Outcome)
 			}
 		})
 		if err != nil {
@@ -162,61 +164,61 @@
 	return rows, knees, nil
 }
 
-// start starts both programs from a thread that is bound to one core, which they inherit.
-func (b Beside) start(d *door, list registry.List, backends []string) (at string, proxy *exec.Cmd, err error) {
+// start starts both programs. They inherit the CPU affinity of the calling thread.
+func (b Beside) start(d *door, list registry.List, backends []string) (addr string, proxy *exec.Cmd, err error) {
 	raw, err := json.Marshal(d.config(list))
 	if err != nil {
-		return "", nil, &PartyError{"the door's configuration", "", err}
+		return "", nil, &ComponentError{"the door's configuration", "", err}
 	}
 	d.launch(raw)
-	if err := d.fault.Load(); err != nil {
+	if err := d.err.Load(); err != nil {
 		return "", nil, *err
 	}
-	if at, err = loopback.Free(); err != nil {
+	if addr, err = loopback.Free(); err != nil {
 		return "", nil, err
 	}
 	if len(b.Proxy) == 0 {
-		return "", nil, &PartyError{"reverse proxy", "no program", nil}
+		return "", nil, &ComponentError{"reverse proxy", "no program is given", nil}
 	}
-	proxy = exec.Command(b.Proxy[0], append(append(append([]string(nil), b.Proxy[1:]...), at), backends...)...)
+	proxy = exec.Command(b.Proxy[0], append(append(append([]string(nil), b.Proxy[1:]...), addr), backends...)...)
 	proxy.Env = append(os.Environ(), "GOMAXPROCS=1")
 	proxy.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := proxy.Start(); err != nil {
-		return "", nil, &PartyError{"reverse proxy", "", err}
+		return "", nil, &ComponentError{"reverse proxy", "", err}
 	}
-	return at, proxy, nil
+	return addr, proxy, nil
 }
 
-// onOneCore binds the calling thread to the last core that it may use; back undoes that.
-func onOneCore() (core int, back func(), err error) {
+// pinToOneCore binds the calling thread to the last core that it may use. restore undoes that.
+func pinToOneCore() (core int, restore func(), err error) {
 	runtime.LockOSThread()
-	var had, one unix.CPUSet
-	if err := unix.SchedGetaffinity(0, &had); err != nil {
+	var allowed, one unix.CPUSet
+	if err := unix.SchedGetaffinity(0, &allowed); err != nil {
 		runtime.UnlockOSThread()
-		return 0, nil, &PartyError{"cores", "", err}
+		return 0, nil, &ComponentError{"cores", "", err}
 	}
 	core = -1
-	for i := range len(had) * 64 {
-		if had.IsSet(i) {
+	for i := range len(allowed) * 64 {
+		if allowed.IsSet(i) {
 			core = i
 		}
 	}
 	one.Set(core)
 	if err := unix.SchedSetaffinity(0, &one); err != nil {
 		runtime.UnlockOSThread()
-		return 0, nil, &PartyError{fmt.Sprintf("core %d", core), "", err}
+		return 0, nil, &ComponentError{fmt.Sprintf("core %d", core), "", err}
 	}
 	return core, func() {
-		_ = unix.SchedSetaffinity(0, &had)
+		_ = unix.SchedSetaffinity(0, &allowed)
 		runtime.UnlockOSThread()
 	}, nil
 }
 
-// answers waits until something answers at an address.
-func answers(ctx context.Context, at string) error {
-	client := http.Client{Timeout: dialPatience}
+// waitReady waits until the server at an address is ready.
+func waitReady(ctx context.Context, addr string) error {
+	client := http.Client{Timeout: dialTimeout}
 	for range 200 {
-		resp, err := client.Get("http://" + at + "/health/ready")
+		resp, err := client.Get("http://" + addr + "/health/ready")
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -229,27 +231,27 @@
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	return &PartyError{at, "it does not answer", nil}
+	return &ComponentError{addr, "does not answer", nil}
 }
 
-// ServeProxy is the standard library's reverse proxy over some backends, taken in turn. It ends with ctx.
-func ServeProxy(ctx context.Context, at string, backends []string) error {
+// ServeProxy serves the standard library's reverse proxy, which uses the backends in turn, until ctx ends.
+func ServeProxy(ctx context.Context, addr string, backends []string) error {
 	var next atomic.Uint64
 	var urls []*url.URL
 	for _, b := range backends {
 		urls = append(urls, &url.URL{Scheme: "http", Host: b})
 	}
 	if len(urls) == 0 {
-		return &PartyError{"reverse proxy", "no backend", nil}
+		return &ComponentError{"reverse proxy", "no backend is given", nil}
 	}
 	proxy := &httputil.ReverseProxy{
 		Rewrite:   func(r *httputil.ProxyRequest) { r.SetURL(urls[next.Add(1)%uint64(len(urls))]) },
 		Transport: &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true},
 	}
-	srv := &http.Server{Addr: at, Handler: proxy}
+	srv := &http.Server{Addr: addr, Handler: proxy}
 	defer context.AfterFunc(ctx, func() { srv.Close() })()
 	if err := srv.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-		return &PartyError{"reverse proxy", "", err}
+		return &ComponentError{"reverse proxy", "", err}
 	}
 	return nil
 }
--- a/lab/stand/client.go
+++ b/lab/stand/client.go
@@ -15,24 +15,28 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// clients keeps connections to one door, as the front does: one request at a time on each, more when all are busy.
-type clients struct {
-	f    *fleet
-	to   string
-	mu   sync.Mutex
-	idle []*conn
-	out  map[int]context.CancelFunc // by try
+// clientConns is the pool of connections to one door, reused as the load balancer in front of it does: one request at a time on
+// each, and a new connection when all are busy.
+type clientConns struct {
+	tb      *testbed
+	target  string
+	mu      sync.Mutex
+	idle    []*conn
+	cancels map[int]context.CancelFunc // by id of the try
 }
 
+// conn is a connection; reused is set once it has carried a request.
 type conn struct {
-	nc   net.Conn
-	r    *bufio.Reader
-	used bool
+	nc     net.Conn
+	r      *bufio.Reader
+	reused bool
 }
 
-const dialPatience = 250 * time.Millisecond
+// dialTimeout limits connecting to a door, and a readiness query.
+const dialTimeout = 250 * time.Millisecond
 
-func (c *clients) take() *conn {
+// get removes an idle connection from the pool, or returns nil.
+func (c *clientConns) get() *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n := len(c.idle); n > 0 {
@@ -43,14 +47,16 @@
 	return nil
 }
 
-func (c *clients) put(k *conn) {
-	k.used = true
+// put returns a connection to the pool.
+func (c *clientConns) put(k *conn) {
+	k.reused = true
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = append(c.idle, k)
 }
 
-func (c *clients) drop() {
+// closeIdle closes the idle connections.
+func (c *clientConns) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, k := range c.idle {
@@ -59,48 +65,49 @@
 	c.idle = nil
 }
 
-// submit sends a try. The world's goroutine calls it and is not kept waiting.
-func (c *clients) submit(t *model.Try, word model.Wording) {
-	ctx, stop := context.WithCancel(c.f.ctx)
+// submit sends a try in the background. It is called on the model's goroutine and does not block.
+func (c *clientConns) submit(t *model.Try, req model.WireRequest) {
+	ctx, stop := context.WithCancel(c.tb.ctx)
 	c.mu.Lock()
-	c.out[t.ID] = stop
+	c.cancels[t.ID] = stop
 	c.mu.Unlock()
-	c.f.later(func() {
+	c.tb.spawn(func() {
 		defer func() {
 			stop()
 			c.mu.Lock()
-			delete(c.out, t.ID)
+			delete(c.cancels, t.ID)
 			c.mu.Unlock()
 		}()
-		c.ask(ctx, t, word)
+		c.send(ctx, t, req)
 	})
 }
 
-// leave closes the connection of a try whose client has gone.
-func (c *clients) leave(t *model.Try) {
+// clientLeft closes the connection of a try whose client left.
+func (c *clientConns) clientLeft(t *model.Try) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if stop := c.out[t.ID]; stop != nil {
+	if stop := c.cancels[t.ID]; stop != nil {
 		stop()
 	}
 }
 
-// ask carries one try. One that crosses the door's closing of an idle connection is sent once more.
-func (c *clients) ask(ctx context.Context, t *model.Try, word model.Wording) {
-	text := wording(c.to, t, word)
+// send sends one try and reads its answer. If the door closed the idle connection in the meantime, the try is sent again on
+// another one.
+func (c *clientConns) send(ctx context.Context, t *model.Try, req model.WireRequest) {
+	text := requestText(c.target, t, req)
 	for {
-		k := c.take()
+		k := c.get()
 		if k == nil {
-			nc, err := (&net.Dialer{Timeout: dialPatience}).DialContext(ctx, "tcp", c.to)
+			nc, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", c.target)
 			if err != nil {
-				c.f.post(func() { c.f.w.NotReached(t) })
+				c.tb.post(func() { c.tb.sim.TryNotAccepted(t) })
 				return
 			}
 			k = &conn{nc: nc, r: bufio.NewReader(nc)}
 		}
 		unwatch := context.AfterFunc(ctx, func() { k.nc.Close() })
 		_, err := io.WriteString(k.nc, text)
-		if err != nil && k.used {
+		if err != nil && k.reused {
 			unwatch()
 			k.nc.Close()
 			continue
@@ -108,12 +115,12 @@
 		if err != nil {
 			unwatch()
 			k.nc.Close()
-			c.f.post(func() { c.f.w.NotReached(t) })
+			c.tb.post(func() { c.tb.sim.TryNotAccepted(t) })
 			return
 		}
-		used := k.used
-		c.f.post(func() { c.f.w.Taken(t) })
-		again := c.hear(ctx, t, k, used)
+		reused := k.reused
+		c.tb.post(func() { c.tb.sim.TryTaken(t) })
+		again := c.readAnswer(ctx, t, k, reused)
 		unwatch()
 		if !again {
 			return
@@ -121,11 +128,11 @@
 	}
 }
 
-// hear reads the answer; again means that the connection had been closed before the try came.
-func (c *clients) hear(ctx context.Context, t *model.Try, k *conn, used bool) (again bool) {
-	if _, err := k.r.Peek(1); err != nil && used && ctx.Err() == nil {
+// readAnswer reads the answer. It returns again if the door closed the connection before it read the try.
+func (c *clientConns) readAnswer(ctx context.Context, t *model.Try, k *conn, reused bool) (again bool) {
+	if _, err := k.r.Peek(1); err != nil && reused && ctx.Err() == nil {
 		k.nc.Close()
-		c.f.post(func() { c.f.w.Crossed(t) })
+		c.tb.post(func() { c.tb.sim.TryNotRead(t) })
 		return true
 	}
 	resp, err := http.ReadResponse(k.r, nil)
@@ -135,18 +142,18 @@
 	if err != nil {
 		k.nc.Close()
 		if ctx.Err() == nil {
-			c.f.post(func() { c.f.w.Broken(t) })
+			c.tb.post(func() { c.tb.sim.TryConnectionLost(t) })
 		}
 		return false
 	}
-	a, wait := trace.Failed, 0.0
+	answer, retryAfter := trace.Failed, 0.0
 	switch resp.StatusCode {
 	case http.StatusOK:
-		a = trace.Finished
+		answer = trace.Finished
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		a = trace.Rejected
+		answer = trace.Rejected
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-			wait = s * 1000
+			retryAfter = s * 1000
 		}
 	}
 	if resp.Close {
@@ -154,23 +161,24 @@
 	} else {
 		c.put(k)
 	}
-	c.f.post(func() { c.f.w.Answered(t, a, wait) })
+	c.tb.post(func() { c.tb.sim.TryAnswered(t, answer, retryAfter) })
 	return false
 }
 
-// wording words a try.
-func wording(to string, t *model.Try, w model.Wording) string {
-	method, rest := http.MethodPost, fmt.Sprintf("Idempotency-Key: %032x\r\nContent-Length: 4\r\n", w.Want+1)
+// requestText returns the HTTP request of a try.
+func requestText(host string, t *model.Try, req model.WireRequest) string {
+	method, headers := http.MethodPost, fmt.Sprintf("Idempotency-Key: %032x\r\nContent-Length: 4\r\n", req.RequestID+1)
 	body := "ride"
-	if w.Idempotent {
-		method, rest, body = http.MethodGet, "", ""
+	if req.Idempotent {
+		method, headers, body = http.MethodGet, "", ""
 	}
-	if w.Repeat {
-		rest += "X-Resent: 1\r\n"
+	if req.Retry {
+		headers += "X-Resent: 1\r\n"
 	}
 	return fmt.Sprintf("%s /%s?key=%016x HTTP/1.1\r\nHost: %s\r\nX-Txn: %s\r\nX-Tariff: %s\r\nX-Remaining: %dm\r\n"+
-		"X-Weight: units=%g,spread=%d,first=%d\r\n%s\r\n%s", method, w.Class, w.Customer, to, txn(t.ID), w.Plan, int(w.TTL),
-		w.Units, w.Spread, w.First, rest, body)
+		"X-Weight: units=%g,spread=%d,first=%d\r\n%s\r\n%s", method, req.Class, req.Customer, host, txnID(t.ID), req.Plan, int(req.TTL),
+		req.Units, req.Spread, req.FirstDoor, headers, body)
 }
 
-func txn(try int) string { return fmt.Sprintf("%016x", try+1) }
+// txnID returns the transaction id of a try.
+func txnID(try int) string { return fmt.Sprintf("%016x", try+1) }
--- a/lab/stand/door.go
+++ b/lab/stand/door.go
@@ -25,101 +25,102 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// door is one real door with all that it alone sees: its listener's address, its discovery, its addresses of backends and
-// of the counter.
+// door is one real door with the stand-ins that only it uses: its discovery, its addresses of the backends and of the counter.
 type door struct {
-	f         *fleet
-	number    int
-	listen    string
-	discovery *discovery
-	watched   string
-	counter   string
-	clients   *clients
-	backends  []*address
-	stop      context.CancelFunc // of an embedded door
-	cmd       *exec.Cmd
-	ending    *atomic.Bool // the program is meant to end; its waiter reads it
-	fault     atomic.Pointer[error]
-	life      int
+	tb            *testbed
+	number        int
+	addr          string // on which the door listens
+	discovery     *discovery
+	discoveryAddr string // address at which the door reaches its discovery
+	counterAddr   string // address at which it reaches the counter; empty if there is none
+	clients       *clientConns
+	backends      []*backendListener    // by backend
+	stop          context.CancelFunc    // stops an embedded door
+	cmd           *exec.Cmd             // the running program of the door; nil for an embedded door
+	exitExpected  *atomic.Bool          // set before the program is killed; the goroutine that waits for it reads it
+	err           atomic.Pointer[error] // the first error, see fail
+	incarnation   int
 }
 
-func newDoor(f *fleet, number int) (*door, error) {
-	d := &door{f: f, number: number, discovery: newDiscovery()}
+// newDoor starts the stand-ins of a door. The door itself is started by Start.
+func newDoor(tb *testbed, number int) (*door, error) {
+	d := &door{tb: tb, number: number, discovery: newDiscovery()}
 	var err error
-	if d.listen, err = loopback.Free(); err != nil { // it is taken only when the door starts, and again when it is restarted
+	if d.addr, err = loopback.Free(); err != nil { // the door itself listens on it, and again after a restart
 		return nil, err
 	}
-	d.clients = &clients{f: f, to: d.listen, out: map[int]context.CancelFunc{}}
-	ln, err := f.listen("127.0.0.1:0")
+	d.clients = &clientConns{tb: tb, target: d.addr, cancels: map[int]context.CancelFunc{}}
+	ln, err := tb.listen("127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d.watched = ln.Addr().String()
-	agent := &http.Server{Handler: d.discovery}
-	f.later(func() { _ = agent.Serve(ln) })
-	f.atEnd(func() { agent.Close() })
-	if f.play.Scenario.Counter.On {
-		cl, err := f.listen("127.0.0.1:0")
+	d.discoveryAddr = ln.Addr().String()
+	server := &http.Server{Handler: d.discovery}
+	tb.spawn(func() { _ = server.Serve(ln) })
+	tb.onClose(func() { server.Close() })
+	if tb.cfg.Scenario.Counter.On {
+		cl, err := tb.listen("127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		d.counter = cl.Addr().String()
-		f.atEnd(func() { cl.Close() })
-		f.later(func() {
+		d.counterAddr = cl.Addr().String()
+		tb.onClose(func() { cl.Close() })
+		tb.spawn(func() {
 			for {
 				nc, err := cl.Accept()
 				if err != nil {
 					return
 				}
-				f.atEnd(func() { nc.Close() })
-				f.later(func() { f.count(number, nc) })
+				tb.onClose(func() { nc.Close() })
+				tb.spawn(func() { tb.serveCounter(number, nc) })
 			}
 		})
 	}
-	f.atEnd(d.clients.drop)
-	f.atEnd(d.Kill)
+	tb.onClose(d.clients.closeIdle)
+	tb.onClose(d.Kill)
 	return d, nil
 }
 
-// entries words lines of the list, with the addresses by which this door reaches the backends.
-func (d *door) entries(lines []model.Line) []registry.Entry {
+// registryEntries returns fleet list entries as discovery sends them, with this door's addresses of the backends.
+func (d *door) registryEntries(states []model.BackendEntry) []registry.Entry {
 	var out []registry.Entry
-	for _, l := range lines {
+	for _, l := range states {
 		for len(d.backends) <= l.Backend {
-			a, err := newAddress(d.f, d.number, len(d.backends))
+			a, err := newBackendListener(d.tb, d.number, len(d.backends))
 			if err != nil {
 				d.fail(err)
 				return out
 			}
 			d.backends = append(d.backends, a)
 		}
-		e := registry.Entry{ID: fmt.Sprintf("b-%d", l.Backend), Addr: d.backends[l.Backend].at, Zone: fmt.Sprintf("z%d", l.Zone),
-			Cell: int64(l.Cell), State: lifecycles[l.Status], Size: 1}
-		if l.Since >= 0 {
-			e.Started = float64(time.Now().UnixMilli()) - (d.f.w.Now() - l.Since)
+		e := registry.Entry{ID: fmt.Sprintf("b-%d", l.Backend), Addr: d.backends[l.Backend].addr, Zone: fmt.Sprintf("z%d", l.Zone),
+			Cell: int64(l.Cell), State: wireStates[l.Status], Size: 1}
+		if l.StartedAt >= 0 {
+			e.Started = float64(time.Now().UnixMilli()) - (d.tb.sim.Now() - l.StartedAt)
 		}
 		out = append(out, e)
 	}
 	return out
 }
 
-func (d *door) fail(err error) { d.fault.CompareAndSwap(nil, &err) }
+// fail records the first error of the door.
+func (d *door) fail(err error) { d.err.CompareAndSwap(nil, &err) }
 
-// Start begins a life of the door.
-func (d *door) Start(known []model.Line) {
-	d.life++
-	list := registry.List{Version: d.discovery.version, Whole: true, Backends: d.entries(known)}
+// Start starts an incarnation of the door.
+func (d *door) Start(known []model.BackendEntry) {
+	d.incarnation++
+	list := registry.List{Version: d.discovery.version, Whole: true, Backends: d.registryEntries(known)}
 	if list.Backends == nil {
 		list.Backends = []registry.Entry{}
 	}
-	d.discovery.tell(true, list.Backends, known)
+	d.discovery.publish(true, list.Backends, known)
 	list.Version = d.discovery.version
 	raw, err := json.Marshal(d.config(list))
 	if err != nil {
 		d.fail(err)
 		return
 	}
-	if d.f.play.Binary != "" {
+	if d.tb.cfg.Binary != "" {
 		d.launch(raw)
 		return
 	}
@@ -130,17 +131,17 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	ctx, stop := context.WithCancel(d.f.ctx)
+	ctx, stop := context.WithCancel(d.tb.ctx)
 	d.stop = stop
-	decider := rival.Makers[d.f.play.Policy].New(cfg.Settings.Terms, cfg.Seed, nil)
-	d.f.later(func() {
+	decider := rival.Makers[d.tb.cfg.Policy].New(cfg.Settings.Terms, cfg.Seed, nil)
+	d.tb.spawn(func() {
 		if err := frontdoor.New(cfg, decider, log).Serve(ctx); err != nil {
 			d.fail(err)
 		}
 	})
 }
 
-// launch starts the door's program.
+// launch starts the door's program with a configuration.
 func (d *door) launch(raw []byte) {
 	file, err := os.CreateTemp("", "door-*.json")
 	if err == nil {
@@ -151,12 +152,12 @@
 		d.fail(err)
 		return
 	}
-	d.f.atEnd(func() { os.Remove(file.Name()) })
-	cmd := exec.Command(d.f.play.Binary)
+	d.tb.onClose(func() { os.Remove(file.Name()) })
+	cmd := exec.Command(d.tb.cfg.Binary)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+file.Name())
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if d.f.play.Logs != "" {
-		if log, err := os.Create(filepath.Join(d.f.play.Logs, fmt.Sprintf("door-%d-%d.log", d.number, d.life))); err == nil {
+	if d.tb.cfg.Logs != "" {
+		if log, err := os.Create(filepath.Join(d.tb.cfg.Logs, fmt.Sprintf("door-%d-%d.log", d.number, d.incarnation))); err == nil {
 			cmd.Stdout, cmd.Stderr = log, log
 			defer log.Close()
 		}
@@ -165,59 +166,62 @@
 		d.fail(err)
 		return
 	}
-	ending := new(atomic.Bool)
-	d.cmd, d.ending = cmd, ending
-	d.f.later(func() {
-		if err := cmd.Wait(); err != nil && !d.f.over.Load() && !ending.Load() {
-			d.fail(&PartyError{d.f.play.Binary, "its program ended", err})
+	exitExpected := new(atomic.Bool)
+	d.cmd, d.exitExpected = cmd, exitExpected
+	d.tb.spawn(func() {
+		if err := cmd.Wait(); err != nil && !d.tb.over.Load() && !exitExpected.Load() {
+			d.fail(&ComponentError{d.tb.cfg.Binary, "its program exited", err})
 		}
 	})
 }
 
-// Kill ends the door at once; an embedded one can only be asked to leave.
+// Kill ends the door at once. An embedded door can only be asked to shut down.
 func (d *door) Kill() {
 	if d.stop != nil {
 		d.stop()
 	}
 	if cmd := d.cmd; cmd != nil {
 		d.cmd = nil
-		d.ending.Store(true)
+		d.exitExpected.Store(true)
 		_ = cmd.Process.Kill()
 	}
-	d.clients.drop()
+	d.clients.closeIdle()
 }
 
-// Stop asks it to leave.
+// Stop asks the door's program to shut down gracefully.
 func (d *door) Stop() {
 	if d.cmd != nil {
 		_ = d.cmd.Process.Signal(syscall.SIGTERM)
 	}
 }
 
+// Submit sends the try of a client to the door.
 func (d *door) Submit(t *model.Try) {
-	d.f.mu.Lock()
-	d.f.tries[txn(t.ID)] = t
-	d.f.mu.Unlock()
-	d.clients.submit(t, d.f.w.Word(t))
+	d.tb.mu.Lock()
+	d.tb.tries[txnID(t.ID)] = t
+	d.tb.mu.Unlock()
+	d.clients.submit(t, d.tb.sim.WireRequest(t))
 }
 
-func (d *door) Leave(t *model.Try) { d.clients.leave(t) }
+// ClientLeft closes the connection of a try whose client left.
+func (d *door) ClientLeft(t *model.Try) { d.clients.clientLeft(t) }
 
-func (d *door) List(whole bool, change []model.Line) {
-	d.discovery.tell(whole, d.entries(change), change)
+// ListChanged passes an update of the fleet list to the door's discovery.
+func (d *door) ListChanged(whole bool, change []model.BackendEntry) {
+	d.discovery.publish(whole, d.registryEntries(change), change)
 }
 
-// Process follows a backend's process at this door's address of it.
-func (d *door) Process(backend int, up bool) {
+// BackendProcess makes this door's address of a backend follow the backend's process.
+func (d *door) BackendProcess(backend int, up bool) {
 	if backend < len(d.backends) {
-		d.backends[backend].set(up)
+		d.backends[backend].setUp(up)
 	}
 }
 
-// ready asks the door whether it can serve.
+// ready queries the readiness of the door.
 func (d *door) ready() bool {
-	client := http.Client{Timeout: dialPatience}
-	resp, err := client.Get("http://" + d.listen + "/health/ready")
+	client := http.Client{Timeout: dialTimeout}
+	resp, err := client.Get("http://" + d.addr + "/health/ready")
 	if err != nil {
 		return false
 	}
@@ -225,21 +229,22 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// config words the door's configuration as the platform does.
+// config returns the door's configuration in the platform's format.
 func (d *door) config(known registry.List) map[string]any {
-	memory := d.f.play.MemoryMB
+	memory := d.tb.cfg.MemoryMB
 	if memory == 0 {
 		memory = defaultMemoryMB
 	}
-	return map[string]any{"name": fmt.Sprintf("n%d", d.number), "listen": d.listen, "discovery": d.watched, "counter": d.counter,
-		"seed": fmt.Sprintf("%x", d.f.play.Seed<<16|uint64(d.number)<<8|uint64(d.life)), "known": known,
+	return map[string]any{"name": fmt.Sprintf("n%d", d.number), "listen": d.addr, "discovery": d.discoveryAddr, "counter": d.counterAddr,
+		"seed": fmt.Sprintf("%x", d.tb.cfg.Seed<<16|uint64(d.number)<<8|uint64(d.incarnation)), "known": known,
 		"limits":   map[string]any{"cores": 1, "memory_mb": memory, "sockets": sockets},
-		"settings": settings(d.f.play.Scenario, d.number)}
+		"settings": settings(d.tb.cfg.Scenario, d.number)}
 }
 
+// wireSemantics maps the semantics in scenario files to those on the wire.
 var wireSemantics = map[string]string{"replayable": "idempotent", "tokened": "deduplicated", "single-use": "at_most_once"}
 
-// settings words a scenario under the names of the wire.
+// settings returns a scenario's settings under the platform's names.
 func settings(s *scenario.Scenario, number int) map[string]any {
 	const sec = 1000
 	var classes, plans []map[string]any
--- a/lab/stand/errors.go
+++ b/lab/stand/errors.go
@@ -6,51 +6,51 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// UnplayableError is a day that sockets can't play as it was told.
-type UnplayableError struct {
-	Fault string // the kind of fault that is in the way; empty where it is something else
-	Says  string
-	Do    string // what can be done
+// UnsupportedScenarioError is a scenario that cannot be run on sockets with the given options.
+type UnsupportedScenarioError struct {
+	Fault  string // kind of the unsupported fault; empty if the reason is another
+	Reason string
+	Advice string // what can be done
 }
 
-func (e *UnplayableError) Error() string {
+func (e *UnsupportedScenarioError) Error() string {
 	if e.Fault != "" {
-		return fmt.Sprintf("fault %s: %s", e.Fault, e.Says)
+		return fmt.Sprintf("fault %s: %s", e.Fault, e.Reason)
 	}
-	return e.Says
+	return e.Reason
 }
-func (e *UnplayableError) Kind() remedy.Kind { return remedy.Usage }
+func (e *UnsupportedScenarioError) Kind() remedy.Kind { return remedy.Usage }
 
-// Remedy says how it can be played.
-func (e *UnplayableError) Remedy() string { return e.Do }
+// Remedy says how the scenario can be run.
+func (e *UnsupportedScenarioError) Remedy() string { return e.Advice }
 
-const saysEmbedded = "a door within this process can't be killed: name its program with --door"
+const embeddedCannotCrash = "doors embedded in this process cannot be killed; give the door's program with --door"
 
-// PartyError is a stand-in, a door or a proxy that can't be started or doesn't answer.
-type PartyError struct {
-	Who   string
-	Says  string
-	Cause error
+// ComponentError is a stand-in, a door or a proxy that cannot be started or does not answer.
+type ComponentError struct {
+	Name   string
+	Reason string
+	Cause  error
 }
 
-func (e *PartyError) Error() string     { return e.Who + ": " + remedy.WithCause(e.Says, e.Cause) }
-func (e *PartyError) Unwrap() error     { return e.Cause }
-func (e *PartyError) Kind() remedy.Kind { return remedy.Unreachable }
+func (e *ComponentError) Error() string     { return e.Name + ": " + remedy.WithCause(e.Reason, e.Cause) }
+func (e *ComponentError) Unwrap() error     { return e.Cause }
+func (e *ComponentError) Kind() remedy.Kind { return remedy.Unreachable }
 
-// Remedy names who it is.
-func (e *PartyError) Remedy() string {
-	return fmt.Sprintf("See that %s can start on this machine: its program built beside the laboratory (go build -o bin/ ./cmd/...), free loopback ports, and open files (ulimit -n); --logs DIR keeps the doors' logs.", e.Who)
+// Remedy names the component.
+func (e *ComponentError) Remedy() string {
+	return fmt.Sprintf("Check that %s can start on this machine: its program is built next to the laboratory (go build -o bin/ ./cmd/...), loopback ports are free, and enough files may be open (ulimit -n); --logs DIR keeps the doors' logs.", e.Name)
 }
 
-// CallError is a call of the counter that the stand-in can't read; it ends the connection.
+// CallError is a counter call that the stand-in cannot parse; it closes the connection.
 type CallError struct{}
 
-func (*CallError) Error() string     { return "malformed call" }
+func (*CallError) Error() string     { return "malformed counter call" }
 func (*CallError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy points to the door, which made the call.
 func (*CallError) Remedy() string {
-	return "Look at the door's side: the stand-in reads RESP2 arrays of up to 16 short strings."
+	return "Check the door that made the call: the stand-in accepts RESP2 arrays of up to 16 short strings."
 }
 
 var errCall = &CallError{}
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -1,5 +1,5 @@
-// Package stand plays a scenario's day against real doors on loopback: stand-ins for backends, discovery, counter and
-// clients that speak as the platform's protocol page says, driven by the emulator's world in real time.
+// Package stand runs scenarios against real doors on loopback. Stand-in servers for backends, discovery and the shared counter,
+// and clients, speak the platform's protocol; the model drives them in real time.
 package stand
 
 import (
@@ -16,100 +16,103 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// Play is one day on sockets.
+// SocketRun is one run of a scenario on sockets.
 type Play struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
-	Policy   string // of embedded doors
-	Binary   string // the door's program; empty for doors within this process
-	Logs     string // folder for the logs of the doors' programs; empty for none
-	MemoryMB int    // told to the doors; 0 for the default
+	Policy   string // policy of embedded doors
+	Binary   string // path of the door's program; empty for doors embedded in this process
+	Logs     string // directory for the logs of the doors' programs; empty for none
+	MemoryMB int    // memory limit configured for each door; 0 means the default
 }
 
 const (
-	mostListeners   = 2000 // doors times backends: each door reaches each backend at an address of its own
+	maxListeners    = 2000 // doors times backends, as each door reaches each backend at an address of its own
 	defaultMemoryMB = 192
-	sockets         = 1024 // descriptors that a door is told it may hold
+	sockets         = 1024 // socket limit configured for each door
 )
 
-// fleet is what all parties share.
-type fleet struct {
-	play  *Play
-	w     *model.World
+// testbed is the state shared by the doors, the stand-ins and the clients of a run.
+type testbed struct {
+	cfg   *Play
+	sim   *model.Simulation
 	doors []*door
 	ctx   context.Context
 
-	mu     sync.Mutex
-	tries  map[string]*model.Try // by the id on the wire
-	sends  map[int]int           // attempts that have come, by try
-	closer []func()
-	group  sync.WaitGroup
-	over   atomic.Bool
+	mu       sync.Mutex
+	tries    map[string]*model.Try // by transaction id
+	attempts map[int]int           // number of attempts that have arrived, by try
+	closers  []func()              // called by close
+	group    sync.WaitGroup
+	over     atomic.Bool // set when no run is in progress
 }
 
-// Run plays the day and judges it.
+// Run runs the scenario and returns the result of the judge.
 func (p Play) Run(ctx context.Context, progress func(done float64)) (*run.Result, error) {
 	s := p.Scenario
-	most := s.Fleet.Backends
-	for _, f := range s.Faults {
-		if f.Kind == "replace" {
-			most *= 2
+	maxBackends := s.Fleet.Backends
+	for _, fault := range s.Faults {
+		if fault.Kind == "replace" {
+			maxBackends *= 2
 		}
-		if (f.Kind == "door_deaths" || f.Kind == "door_roll") && p.Binary == "" {
-			return nil, &UnplayableError{f.Kind, saysEmbedded, "Give --door the path of the built swifthall."}
+		if (fault.Kind == "door_deaths" || fault.Kind == "door_roll") && p.Binary == "" {
+			return nil, &UnsupportedScenarioError{fault.Kind, embeddedCannotCrash, "Give --door the path of the built swifthall."}
 		}
 	}
-	if n := most * s.Fleet.Doors; n > mostListeners {
-		return nil, &UnplayableError{Says: fmt.Sprintf("%d doors and %d backends need %d addresses, more than %d", s.Fleet.Doors, most, n, mostListeners),
-			Do: "Play it with fewer doors (--doors), or simulated (--on sim)."}
+	if n := maxBackends * s.Fleet.Doors; n > maxListeners {
+		return nil, &UnsupportedScenarioError{Reason: fmt.Sprintf("%d doors and %d backends need %d addresses, more than %d",
+			s.Fleet.Doors, maxBackends, n, maxListeners),
+			Advice: "Run it with fewer doors (--doors) or simulated (--on sim)."}
 	}
 	if p.Binary != "" && p.Policy != rival.Swifthall {
-		return nil, &UnplayableError{Says: fmt.Sprintf("policy %q: a door's program decides by itself", p.Policy), Do: "Leave --policy or --door out."}
+		return nil, &UnsupportedScenarioError{Reason: fmt.Sprintf("policy %q: a door's program always uses its own policy", p.Policy),
+			Advice: "Leave --policy or --door out."}
 	}
 	if p.Binary == "" {
 		if p.Policy == rival.Oracle || p.Policy == rival.Late {
-			return nil, &UnplayableError{Says: "policy " + p.Policy + " sees the true state, which no door on sockets can", Do: "Play it with --on sim."}
+			return nil, &UnsupportedScenarioError{Reason: "policy " + p.Policy + " needs the true state, which doors on sockets do not know",
+				Advice: "Run it with --on sim."}
 		}
 		if _, known := rival.Makers[p.Policy]; !known {
 			return nil, &run.PolicyError{Name: p.Policy, Known: rival.Names}
 		}
 	}
 	ctx, stop := context.WithCancel(ctx)
-	j := judge.New(model.Slack(model.Deal(s)))
-	f := &fleet{play: &p, ctx: ctx, tries: map[string]*model.Try{}, sends: map[int]int{}}
-	defer f.group.Wait()
-	defer f.close()
+	j := judge.New(model.WithSocketSlack(model.Deal(s)))
+	tb := &testbed{cfg: &p, ctx: ctx, tries: map[string]*model.Try{}, attempts: map[int]int{}}
+	defer tb.group.Wait()
+	defer tb.close()
 	defer stop()
-	var outer []model.Outer
+	var external []model.ExternalDoor
 	for i := range s.Fleet.Doors {
-		d, err := newDoor(f, i)
+		d, err := newDoor(tb, i)
 		if err != nil {
 			return nil, err
 		}
-		f.doors = append(f.doors, d)
-		outer = append(outer, d)
+		tb.doors = append(tb.doors, d)
+		external = append(external, d)
 	}
-	f.w = model.NewOuter(s, p.Seed, outer, j)
-	behind, err := f.w.RunReal(ctx, f.ready, progress)
-	f.over.Store(true)
+	tb.sim = model.NewExternal(s, p.Seed, external, j)
+	behind, err := tb.sim.RunRealTime(ctx, tb.ready, progress)
+	tb.over.Store(true)
 	if err != nil {
 		return nil, err
 	}
 	r := run.Sum(s, p.Seed, p.Policy, run.OnSockets, j)
 	r.Behind = behind
-	for _, d := range f.doors {
-		if err := d.fault.Load(); err != nil {
+	for _, d := range tb.doors {
+		if err := d.err.Load(); err != nil {
 			r.Notes = append(r.Notes, fmt.Sprintf("door %d: %v", d.number, *err))
 		}
 	}
 	return r, nil
 }
 
-// ready tells whether all doors say that they can serve.
-func (f *fleet) ready() (bool, error) {
-	for _, d := range f.doors {
-		if err := d.fault.Load(); err != nil {
-			return false, &PartyError{fmt.Sprintf("door %d", d.number), "", *err}
+// ready reports whether all doors are ready to serve.
+func (tb *testbed) ready() (bool, error) {
+	for _, d := range tb.doors {
+		if err := d.err.Load(); err != nil {
+			return false, &ComponentError{fmt.Sprintf("door %d", d.number), "", *err}
 		}
 		if !d.ready() {
 			return false, nil
@@ -118,45 +121,46 @@
 	return true, nil
 }
 
-// later runs something until the day is over.
-func (f *fleet) later(do func()) { f.group.Go(do) }
+// spawn runs a function in a goroutine. The run waits for it at its end.
+func (tb *testbed) spawn(do func()) { tb.group.Go(do) }
 
-// atEnd has something closed when the day is over.
-func (f *fleet) atEnd(do func()) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.closer = append(f.closer, do)
+// onClose registers a function to be called at the end of the run.
+func (tb *testbed) onClose(do func()) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.closers = append(tb.closers, do)
 }
 
-// close ends all parties; what they still post goes nowhere.
-func (f *fleet) close() {
-	f.over.Store(true)
-	f.mu.Lock()
-	closers := f.closer
-	f.mu.Unlock()
+// close ends the doors, stand-ins and clients. Calls that they post from now on are dropped.
+func (tb *testbed) close() {
+	tb.over.Store(true)
+	tb.mu.Lock()
+	closers := tb.closers
+	tb.mu.Unlock()
 	for _, c := range closers {
 		c()
 	}
 }
 
-// post has the world do something, for as long as there is one that plays.
-func (f *fleet) post(do func()) {
-	if f.w != nil && !f.over.Load() {
-		f.w.Post(f.ctx, do)
+// post runs a function on the model's goroutine, if a run is in progress.
+func (tb *testbed) post(do func()) {
+	if tb.sim != nil && !tb.over.Load() {
+		tb.sim.Post(tb.ctx, do)
 	}
 }
 
-func (f *fleet) find(id string) *model.Try {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.tries[id]
+// findTry returns the try with a transaction id, or nil.
+func (tb *testbed) findTry(id string) *model.Try {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	return tb.tries[id]
 }
 
-// listen opens an address on loopback that ends with the day.
-func (f *fleet) listen(addr string) (net.Listener, error) {
+// listen opens a listener on loopback.
+func (tb *testbed) listen(addr string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, &PartyError{"stand-in at " + addr, "", err}
+		return nil, &ComponentError{"stand-in at " + addr, "", err}
 	}
 	return ln, nil
 }
