--- a/lab/command/load.go
+++ b/lab/command/load.go
@@ -114,7 +114,7 @@
 }
 
 func beside() *cobra.Command {
-	var b stand.Beside
+	var b stand.ProxyComparison
 	cmd := &cobra.Command{Use: "beside", Short: "Load a door and the standard library's reverse proxy side by side, on one core", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			self, err := os.Executable()
--- a/lab/model/external_test.go
+++ b/lab/model/external_test.go
@@ -85,7 +85,7 @@
 			s.Faults = append(s.Faults, scenario.Fault{Kind: kind, AtS: 1, ForS: 2, Much: 1, Share: 0.5})
 		}
 	}
-	rejects := Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return rejecter{} }}
+	rejects := Maker{New: func(gate.Terms, uint64, TrueState) gate.Decider { return rejecter{} }}
 	for name, change := range map[string]func(*scenario.Scenario){
 		"steady": load("steady"), "wave": load("wave"), "ramp": load("ramp"), "bursts": load("bursts"),
 		"burst": fault("burst"), "strangers": fault("strangers"), "hot customers": fault("hot_customers"), "shift": fault("shift"),
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -88,7 +88,7 @@
 	return out
 }
 
-var policyMaker = Maker{New: func(t gate.Terms, seed uint64, _ Sight) gate.Decider { return policy.New(t, seed) }}
+var policyMaker = Maker{New: func(t gate.Terms, seed uint64, _ TrueState) gate.Decider { return policy.New(t, seed) }}
 
 func runScenario(t *testing.T, s *scenario.Scenario, seed uint64, m Maker) *eventLog {
 	k := &eventLog{sum: xxhash.New()}
@@ -109,7 +109,7 @@
 
 func TestWorkloadIsIndependentOfDecisions(t *testing.T) {
 	s := read(t, "")
-	rejects := Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return rejecter{} }}
+	rejects := Maker{New: func(gate.Terms, uint64, TrueState) gate.Decider { return rejecter{} }}
 	assert.Equal(t, runScenario(t, s, 1, policyMaker).ofKind(trace.Asked), runScenario(t, s, 1, rejects).ofKind(trace.Asked))
 }
 
@@ -149,7 +149,7 @@
 func TestAnswerAndTimeoutAtSameInstantEndAttemptOnce(t *testing.T) {
 	s := read(t, "")
 	d := &timeoutDecider{ends: map[gate.Result]int{}}
-	sim := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return d }}, &eventLog{})
+	sim := New(s, 1, Maker{New: func(gate.Terms, uint64, TrueState) gate.Decider { return d }}, &eventLog{})
 	door := sim.doors[0]
 	door.start(sim)
 	sim.now = 10
@@ -203,7 +203,7 @@
 func TestTimerSurvivesEarlierDecision(t *testing.T) {
 	s := read(t, "")
 	firedAt := 0.0
-	sim := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return &timerDecider{firedAt: &firedAt} }}, &eventLog{})
+	sim := New(s, 1, Maker{New: func(gate.Terms, uint64, TrueState) gate.Decider { return &timerDecider{firedAt: &firedAt} }}, &eventLog{})
 	d := sim.doors[0]
 	d.start(sim)
 	decideAt := func(at float64) {
@@ -242,7 +242,7 @@
 func TestCounterReplyToCrashedDoorIsDropped(t *testing.T) {
 	s := read(t, "")
 	replies := 0
-	sim := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return counterDecider{&replies} }}, &eventLog{})
+	sim := New(s, 1, Maker{New: func(gate.Terms, uint64, TrueState) gate.Decider { return counterDecider{&replies} }}, &eventLog{})
 	d := sim.doors[0]
 	d.start(sim)
 	d.submit(sim, &Try{request: &clientRequest{units: 1, deadline: 5000}, deadline: 1000})
--- a/lab/model/simulation.go
+++ b/lab/model/simulation.go
@@ -26,21 +26,21 @@
 // Maker creates a decider for each incarnation of a door. If Shared is set, the deciders share state and are called one at
 // a time.
 type Maker struct {
-	New    func(t gate.Terms, seed uint64, sight Sight) gate.Decider
+	New    func(t gate.Terms, seed uint64, sight TrueState) gate.Decider
 	Shared bool
 }
 
 // TrueState gives a decider the true state of the simulation, which no real door can know. Baselines such as an oracle use it.
 // Indices are those that the door assigned.
-type Sight interface {
+type TrueState interface {
 	// EstimateWait estimates the time until a request of the class that is sent now is answered, ms; infinite if it would not be.
-	Wait(backend, class int) float64
+	EstimateWait(backend, class int) float64
 	// MeanWork returns the mean work of a class, ms.
-	Work(class int) float64
+	MeanWork(class int) float64
 	// TakeQuota takes units from the customer's true quota and reports whether the quota held them.
-	Take(customer, plan int, units float64) bool
+	TakeQuota(customer, plan int, units float64) bool
 	// TakeStaleQuota does the same with stale knowledge: the true quota as it was lateMs ago, less what this door has taken since.
-	TakeLate(customer, plan int, units, lateMs float64) bool
+	TakeStaleQuota(customer, plan int, units, lateMs float64) bool
 }
 
 // Streams of random numbers. Each component draws from its own, so that the draws of one do not shift those of another.
--- a/lab/model/terms.go
+++ b/lab/model/terms.go
@@ -34,7 +34,7 @@
 }
 
 // JudgeTerms returns what the judge needs to know of the scenario.
-func Deal(s *scenario.Scenario) *judge.Params {
+func JudgeTerms(s *scenario.Scenario) *judge.Params {
 	t := Terms(s, 0)
 	d := &judge.Params{Classes: t.Classes, Plans: t.Plans, MaxAttempts: t.MaxAttempts, Hedging: t.Hedging,
 		AnswerSlack: s.Rules.AnswerSlackMs, DrainGrace: s.Rules.DrainGraceMs, OverloadMultiple: s.Rules.FallMultiple,
@@ -52,7 +52,7 @@
 }
 
 // EstimateWait implements TrueState, from the attempts that the backend holds at present.
-func (s doorView) Wait(backend, class int) float64 {
+func (s doorView) EstimateWait(backend, class int) float64 {
 	sim := s.sim
 	b := sim.backends[s.d.backendIDs.ID(backend)]
 	_, hangs := b.faultMagnitude("hang", class)
@@ -80,19 +80,19 @@
 }
 
 // MeanWork implements TrueState.
-func (s doorView) Work(class int) float64 { return s.sim.s.Classes[class].WorkMs }
+func (s doorView) MeanWork(class int) float64 { return s.sim.s.Classes[class].WorkMs }
 
 // minColdRequests is the number of mean requests that a cold backend must be able to serve within the overload window. If it is
 // not, its estimated wait is infinite.
 const minColdRequests = 2
 
 // TakeQuota implements TrueState.
-func (s doorView) Take(customer, plan int, units float64) bool {
+func (s doorView) TakeQuota(customer, plan int, units float64) bool {
 	return s.sim.quotas.take(s.sim, s.d.customers.ID(customer), plan, units)
 }
 
 // TakeStaleQuota implements TrueState.
-func (s doorView) TakeLate(customer, plan int, units, lateMs float64) bool {
+func (s doorView) TakeStaleQuota(customer, plan int, units, lateMs float64) bool {
 	return s.sim.quotas.takeLate(s.sim, s.d.id, s.d.customers.ID(customer), plan, units, lateMs)
 }
 
--- a/lab/run/rolls_test.go
+++ b/lab/run/rolls_test.go
@@ -91,7 +91,7 @@
 					require.NoError(t, err)
 					s = &next
 				}
-				deal := model.Deal(s)
+				deal := model.JudgeTerms(s)
 				r := &rolled{judge: judge.New(deal), down: map[int]bool{}}
 				require.NoError(t, model.New(s, seed+1, rival.Makers[rival.Swifthall], r).Run(context.Background(), nil))
 				res := Sum(s, seed+1, rival.Swifthall, Simulated, r.judge)
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -117,7 +117,7 @@
 	if !known {
 		return nil, &PolicyError{o.Policy, rival.Names}
 	}
-	deal := model.Deal(o.Scenario)
+	deal := model.JudgeTerms(o.Scenario)
 	j, book := judge.New(deal), account.NewCollector(deal)
 	if err := model.New(o.Scenario, o.Seed, maker, both{j, book}).Run(ctx, progress); err != nil {
 		return nil, &DayError{o.Scenario.Name, err}
--- a/lab/stand/beside.go
+++ b/lab/stand/beside.go
@@ -27,7 +27,7 @@
 
 // ProxyComparison compares a door with the standard library's reverse proxy under load. Both are bound to the same core and
 // measured in turns.
-type Beside struct {
+type ProxyComparison struct {
 	Binary string   // path of the door's program
 	Proxy  []string // the proxy's program and arguments; its address and the backends' are appended
 	Rates  []float64
@@ -38,7 +38,7 @@
 }
 
 // ComparisonRow is the result of one target at one rate, over all rounds.
-type Row struct {
+type ComparisonRow struct {
 	Name    string
 	Rate    float64 // requested rate, per second
 	Served  float64 // finished requests per second
@@ -68,9 +68,9 @@
 
 // Run measures all rounds, then searches the knee of each target: the highest rate that it sustains. report, which may be nil,
 // is called after each turn.
-func (b Beside) Run(ctx context.Context, report func(name string, rate float64, o *load.Outcome)) (rows []Row, knees map[string]float64, err error) {
+func (b ProxyComparison) Run(ctx context.Context, report func(name string, rate float64, o *load.Outcome)) (rows []ComparisonRow, knees map[string]float64, err error) {
 	ctx, stop := context.WithCancel(ctx)
-	tb := &testbed{ctx: ctx, cfg: &Play{Scenario: &trivialScenario, Binary: b.Binary}}
+	tb := &testbed{ctx: ctx, cfg: &SocketRun{Scenario: &trivialScenario, Binary: b.Binary}}
 	tb.over.Store(true) // there is no run of the model: the backends here answer at once
 	defer tb.group.Wait()
 	defer tb.close()
@@ -120,7 +120,7 @@
 	}
 	const timeout = 5 * time.Second
 	for _, rate := range b.Rates {
-		rateRows := make([]Row, len(targets))
+		rateRows := make([]ComparisonRow, len(targets))
 		for round := range b.Rounds {
 			for i := range targets {
 				t := targets[(i+round)%len(targets)] // the targets take turns in going first
@@ -133,7 +133,7 @@
 					return nil, nil, err
 				}
 				if row.Latency == nil {
-					*row = Row{Name: t.name, Rate: rate, Latency: o.Latency}
+					*row = ComparisonRow{Name: t.name, Rate: rate, Latency: o.Latency}
 				} else {
 					row.Latency.Merge(o.Latency)
 				}
@@ -165,7 +165,7 @@
 }
 
 // start starts both programs. They inherit the CPU affinity of the calling thread.
-func (b Beside) start(d *door, list registry.List, backends []string) (addr string, proxy *exec.Cmd, err error) {
+func (b ProxyComparison) start(d *door, list registry.List, backends []string) (addr string, proxy *exec.Cmd, err error) {
 	raw, err := json.Marshal(d.config(list))
 	if err != nil {
 		return "", nil, &ComponentError{"the door's configuration", "", err}
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -17,7 +17,7 @@
 )
 
 // SocketRun is one run of a scenario on sockets.
-type Play struct {
+type SocketRun struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
 	Policy   string // policy of embedded doors
@@ -34,7 +34,7 @@
 
 // testbed is the state shared by the doors, the stand-ins and the clients of a run.
 type testbed struct {
-	cfg   *Play
+	cfg   *SocketRun
 	sim   *model.Simulation
 	doors []*door
 	ctx   context.Context
@@ -48,7 +48,7 @@
 }
 
 // Run runs the scenario and returns the result of the judge.
-func (p Play) Run(ctx context.Context, progress func(done float64)) (*run.Result, error) {
+func (p SocketRun) Run(ctx context.Context, progress func(done float64)) (*run.Result, error) {
 	s := p.Scenario
 	maxBackends := s.Fleet.Backends
 	for _, fault := range s.Faults {
@@ -78,7 +78,7 @@
 		}
 	}
 	ctx, stop := context.WithCancel(ctx)
-	j := judge.New(model.WithSocketSlack(model.Deal(s)))
+	j := judge.New(model.WithSocketSlack(model.JudgeTerms(s)))
 	tb := &testbed{cfg: &p, ctx: ctx, tries: map[string]*model.Try{}, attempts: map[int]int{}}
 	defer tb.group.Wait()
 	defer tb.close()
--- a/lab/stand/stand_test.go
+++ b/lab/stand/stand_test.go
@@ -65,7 +65,7 @@
 	s := read(t, "")
 	simulated, err := run.One{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Play(context.Background(), nil)
 	require.NoError(t, err)
-	onSockets, err := Play{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Run(context.Background(), nil)
+	onSockets, err := SocketRun{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Run(context.Background(), nil)
 	require.NoError(t, err)
 	assert.Equal(t, simulated.Whole.Asked, onSockets.Whole.Asked)
 	assert.InDelta(t, simulated.Whole.Offered, onSockets.Whole.Offered, 1e-6)
@@ -75,15 +75,15 @@
 }
 
 func TestDoorCrashesNeedAProgram(t *testing.T) {
-	_, err := Play{Scenario: read(t, "\n[[fault]]\nkind = \"door_deaths\"\nat_s = 1.0\nfor_s = 1.0"), Policy: rival.Swifthall}.Run(context.Background(), nil)
+	_, err := SocketRun{Scenario: read(t, "\n[[fault]]\nkind = \"door_deaths\"\nat_s = 1.0\nfor_s = 1.0"), Policy: rival.Swifthall}.Run(context.Background(), nil)
 	assert.ErrorContains(t, err, embeddedCannotCrash)
-	_, err = Play{Scenario: read(t, ""), Policy: rival.Oracle}.Run(context.Background(), nil)
+	_, err = SocketRun{Scenario: read(t, ""), Policy: rival.Oracle}.Run(context.Background(), nil)
 	assert.ErrorContains(t, err, "oracle")
 }
 
 func TestCrashedBackendsRefuseAndComeBack(t *testing.T) {
 	s := read(t, "\n[[fault]]\nkind = \"death\"\nat_s = 0.5\nfor_s = 1.0\nshare = 0.4")
-	r, err := Play{Scenario: s, Seed: 1, Policy: rival.Swifthall}.Run(context.Background(), nil)
+	r, err := SocketRun{Scenario: s, Seed: 1, Policy: rival.Swifthall}.Run(context.Background(), nil)
 	require.NoError(t, err)
 	assert.Zero(t, r.Broken[judge.NoneTwice])
 	assert.Zero(t, r.Broken[judge.DrainsKept])
@@ -135,7 +135,7 @@
 
 func TestListenerOfStoppedProcessRefuses(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
-	tb := &testbed{ctx: ctx, cfg: &Play{}}
+	tb := &testbed{ctx: ctx, cfg: &SocketRun{}}
 	tb.over.Store(true) // no run is in progress
 	a, err := newBackendListener(tb, 0, 0)
 	require.NoError(t, err)
