--- a/lab/cold/check.go
+++ b/lab/cold/check.go
@@ -13,45 +13,45 @@
 // Excess is a window in which more was started at a cold backend than it may get.
 type Excess struct {
 	Start
-	Count int     // in the window that ends with it
-	Most  float64 // that it might have got
+	Count   int     // in the window that ends with it
+	Allowed float64 // that it might have got
 }
 
 // Checker counts by true times, and knows nothing of doors or decisions.
 type Checker struct {
-	Window, Multiple    float64 // of the rule: so many times what a backend can do, over so many ms
-	ColdFrom, ColdFor   float64 // share that a backend can do at its start, and ms after which it does all
-	Work                float64 // that warm backends take each, attempts per ms
-	Since               []float64
-	recent              map[int][]float64
-	Excesses            []Excess
-	Cold                int     // starts at cold backends
-	MostShare, MostOver float64 // of a budget that a window took, and attempts beyond it
+	WindowMs, OverloadMultiple float64 // of the rule: so many times what a backend can do, over so many ms
+	ColdCapacity, WarmupMs     float64 // share that a backend can do at its start, and ms after which it does all
+	WarmRate                   float64 // that warm backends take each, attempts per ms
+	StartedAt                  []float64
+	recent                     map[int][]float64
+	Excesses                   []Excess
+	ColdStarts                 int     // starts at cold backends
+	MaxShare, MaxOver          float64 // of a budget that a window took, and attempts beyond it
 }
 
 // Budget is N: what the rule allows a backend in a window that ends at a time.
 func (c *Checker) Budget(backend int, at float64) float64 {
-	share := min(1, c.ColdFrom+(1-c.ColdFrom)*max(0, at-c.Since[backend])/c.ColdFor)
-	return c.Multiple * share * c.Work * c.Window
+	share := min(1, c.ColdCapacity+(1-c.ColdCapacity)*max(0, at-c.StartedAt[backend])/c.WarmupMs)
+	return c.OverloadMultiple * share * c.WarmRate * c.WindowMs
 }
 
-// Takes takes a start in, in order of time.
-func (c *Checker) Takes(s Start) {
-	if c.Since[s.Backend] == 0 || s.At < c.Since[s.Backend] || s.At > c.Since[s.Backend]+c.ColdFor {
+// Record takes a start in, in order of time.
+func (c *Checker) Record(s Start) {
+	if c.StartedAt[s.Backend] == 0 || s.At < c.StartedAt[s.Backend] || s.At > c.StartedAt[s.Backend]+c.WarmupMs {
 		return
 	}
 	if c.recent == nil {
 		c.recent = map[int][]float64{}
 	}
-	c.Cold++
+	c.ColdStarts++
 	window := append(c.recent[s.Backend], s.At)
-	for window[0] <= s.At-c.Window {
+	for window[0] <= s.At-c.WindowMs {
 		window = window[1:]
 	}
 	c.recent[s.Backend] = window
 	n := c.Budget(s.Backend, s.At)
-	c.MostShare = max(c.MostShare, float64(len(window))/n)
-	c.MostOver = max(c.MostOver, float64(len(window))-n)
+	c.MaxShare = max(c.MaxShare, float64(len(window))/n)
+	c.MaxOver = max(c.MaxOver, float64(len(window))-n)
 	if most := n + 2*math.Sqrt(n) + 2; float64(len(window)) > most {
 		c.Excesses = append(c.Excesses, Excess{s, len(window), most})
 	}
--- a/lab/cold/cold_test.go
+++ b/lab/cold/cold_test.go
@@ -16,13 +16,13 @@
 var seeds = flag.Int("seeds", 6, "days of each kind")
 
 // day is one where a fifth of the backends start anew, each warm one taking so many requests in a window.
-func day(doors int, inWindow float64, seed uint64) Day {
+func day(doors int, inWindow float64, seed uint64) Simulation {
 	const backends, window = 20, 1500.0
-	return Day{Doors: doors, Told: doors, Backends: backends, Starting: 4, PerMs: inWindow * backends / window, Burst: 1, StartMs: 20e3, Ms: 36e3,
-		NoticeMs: 1500, LatencyMs: 60, Window: window, Multiple: 2, ColdFrom: 0.16, ColdForMs: 12e3, Seed: seed}
+	return Simulation{Doors: doors, AssumedDoors: doors, Backends: backends, ColdBackends: 4, RequestsPerMs: inWindow * backends / window, MeanBurst: 1, StartMs: 20e3, DurationMs: 36e3,
+		NoticeMs: 1500, LatencyMs: 60, WindowMs: window, OverloadMultiple: 2, ColdCapacity: 0.16, WarmupMs: 12e3, Seed: seed}
 }
 
-func decided(d *Day) func(int, uint64) gate.Decider {
+func decided(d *Simulation) func(int, uint64) gate.Decider {
 	return func(number int, seed uint64) gate.Decider { return policy.New(d.Terms(number), seed) }
 }
 
@@ -33,7 +33,7 @@
 	first                  string
 }
 
-func plays(of func(seed uint64) Day, with func(*Day) func(int, uint64) gate.Decider) (all sum) {
+func plays(of func(seed uint64) Simulation, with func(*Simulation) func(int, uint64) gate.Decider) (all sum) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	next := make(chan uint64)
@@ -41,10 +41,10 @@
 		wait.Go(func() {
 			for seed := range next {
 				d, c := of(seed), Checker{}
-				d.Play(&c, with(&d))
+				d.Run(&c, with(&d))
 				mu.Lock()
-				all.starts, all.excesses = all.starts+c.Cold, all.excesses+len(c.Excesses)
-				all.share, all.over = max(all.share, c.MostShare), max(all.over, c.MostOver)
+				all.starts, all.excesses = all.starts+c.ColdStarts, all.excesses+len(c.Excesses)
+				all.share, all.over = max(all.share, c.MaxShare), max(all.over, c.MaxOver)
 				if len(c.Excesses) > 0 {
 					all.days++
 					all.first = fmt.Sprintf("seed %d: %+v", seed, c.Excesses[0])
@@ -68,22 +68,24 @@
 		for _, c := range []struct {
 			name     string
 			inWindow float64
-			change   func(*Day)
+			change   func(*Simulation)
 		}{
 			{"many in a window", 30, nil},
 			{"less than one a door", float64(doors) / 40, nil},
-			{"doors restart amid the ramp", 30, func(d *Day) { d.Restarts, d.RestartMs = 0.7, 8e3 }},
-			{"told a tenth of the fleet", 30, func(d *Day) { d.Told = max(1, d.Doors/10) }},
-			{"told ten times the fleet", 30, func(d *Day) { d.Told = d.Doors * 10 }},
-			{"bursts", 30, func(d *Day) { d.Burst = 5 }},
-			{"none is warm", 30, func(d *Day) { d.Starting = d.Backends }},
-			{"none is warm, told half of the fleet", 30, func(d *Day) { d.Starting, d.Told = d.Backends, d.Doors/2 }},
-			{"none is warm, told a tenth of the fleet", 30, func(d *Day) { d.Starting, d.Told = d.Backends, max(1, d.Doors/10) }},
-			{"none is warm, told a tenth, members known", 30, func(d *Day) { d.Starting, d.Told, d.Members = d.Backends, max(1, d.Doors/10), true }},
-			{"all restart amid the ramp, told a tenth", 30, func(d *Day) { d.Restarts, d.RestartMs, d.Told = 1, 500, max(1, d.Doors/10) }},
+			{"doors restart amid the ramp", 30, func(d *Simulation) { d.RestartShare, d.RestartMs = 0.7, 8e3 }},
+			{"told a tenth of the fleet", 30, func(d *Simulation) { d.AssumedDoors = max(1, d.Doors/10) }},
+			{"told ten times the fleet", 30, func(d *Simulation) { d.AssumedDoors = d.Doors * 10 }},
+			{"bursts", 30, func(d *Simulation) { d.MeanBurst = 5 }},
+			{"none is warm", 30, func(d *Simulation) { d.ColdBackends = d.Backends }},
+			{"none is warm, told half of the fleet", 30, func(d *Simulation) { d.ColdBackends, d.AssumedDoors = d.Backends, d.Doors/2 }},
+			{"none is warm, told a tenth of the fleet", 30, func(d *Simulation) { d.ColdBackends, d.AssumedDoors = d.Backends, max(1, d.Doors/10) }},
+			{"none is warm, told a tenth, members known", 30, func(d *Simulation) {
+				d.ColdBackends, d.AssumedDoors, d.MembersKnown = d.Backends, max(1, d.Doors/10), true
+			}},
+			{"all restart amid the ramp, told a tenth", 30, func(d *Simulation) { d.RestartShare, d.RestartMs, d.AssumedDoors = 1, 500, max(1, d.Doors/10) }},
 		} {
 			t.Run(fmt.Sprint(doors, " doors, ", c.name), func(t *testing.T) {
-				s := plays(func(seed uint64) Day {
+				s := plays(func(seed uint64) Simulation {
 					d := day(doors, c.inWindow, seed)
 					if c.change != nil {
 						c.change(&d)
@@ -102,7 +104,7 @@
 // A door that thinks a cold backend warm is the planted fault, and the checker finds it.
 func TestAPlantedFaultIsFound(t *testing.T) {
 	for _, doors := range []int{6, 300} {
-		s := plays(func(seed uint64) Day { return day(doors, 30, seed) }, func(d *Day) func(int, uint64) gate.Decider {
+		s := plays(func(seed uint64) Simulation { return day(doors, 30, seed) }, func(d *Simulation) func(int, uint64) gate.Decider {
 			return func(number int, seed uint64) gate.Decider {
 				terms := d.Terms(number)
 				terms.ColdCapacity, terms.OverloadMultiple = 1, 20
--- a/lab/command/command.go
+++ b/lab/command/command.go
@@ -30,7 +30,7 @@
 func New() *cobra.Command {
 	root := &cobra.Command{Use: "lab", Short: "The laboratory: play scenarios, compare, sweep, hunt, load", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
-	root.AddCommand(play(), list(), accounts(), tallies(), compare(), sweep(), hunt(), loads(), beside(), proxy(), processes(), drills(), coordinators(), rollouts(), migrations(), rehearsal())
+	root.AddCommand(playCommand(), listCommand(), accountCommand(), tallyCommand(), compareCommand(), sweepCommand(), huntCommand(), loadCommand(), besideCommand(), proxyCommand(), procsCommand(), drillsCommand(), coordinatorsCommand(), rolloutsCommand(), migrationsCommand(), rehearseCommand())
 	return root
 }
 
@@ -41,16 +41,16 @@
 	return cli.Main(ctx, root, errs)
 }
 
-// bar shows long work on a terminal or a log alike; it writes to standard error.
-func bar(cmd *cobra.Command, what string) (tell func(done, all float64), end func()) {
+// progressBar shows long work on a terminal or a log alike; it writes to standard error.
+func progressBar(cmd *cobra.Command, what string) (tell func(done, all float64), end func()) {
 	const steps = 1000
 	b := progressbar.NewOptions(steps, progressbar.OptionSetWriter(cmd.ErrOrStderr()), progressbar.OptionSetDescription(what),
 		progressbar.OptionThrottle(200*time.Millisecond), progressbar.OptionClearOnFinish(), progressbar.OptionSetPredictTime(true))
 	return func(done, all float64) { _ = b.Set(int(steps * done / max(1, all))) }, func() { _ = b.Finish() }
 }
 
-// changed opens a scenario and changes what the flags say.
-func changed(name string, doors int, sets []string) (*scenario.Scenario, error) {
+// openScenario opens a scenario and changes what the flags say.
+func openScenario(name string, doors int, sets []string) (*scenario.Scenario, error) {
 	s, err := scenarios.Open(name)
 	if err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 	for _, set := range sets {
 		key, value, ok := strings.Cut(set, "=")
 		if !ok {
-			return nil, &FlagError{Flag: fmt.Sprintf("--set %q", set), Says: "KEY=VALUE is wanted"}
+			return nil, &FlagError{Flag: fmt.Sprintf("--set %q", set), Reason: "KEY=VALUE is wanted"}
 		}
 		if s, err = s.Set(key, value); err != nil {
 			return nil, &FlagError{Flag: "--set", Cause: err}
@@ -70,7 +70,7 @@
 	return &s, nil
 }
 
-func play() *cobra.Command {
+func playCommand() *cobra.Command {
 	var seed uint64
 	var doors int
 	var on, policy, out, door, logs string
@@ -81,23 +81,23 @@
 		Long: "Plays a scenario, a file or the name of one that ships, and writes DIR/result.json and DIR/report.html.\n" +
 			"Beside it the floor, the textbook and the oracle play the same day, unless --alone. Exits with 4 if a rule broke.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := changed(args[0], doors, sets)
+			s, err := openScenario(args[0], doors, sets)
 			if err != nil {
 				return err
 			}
-			tell, end := bar(cmd, s.Name)
+			tell, end := progressBar(cmd, s.Name)
 			began := time.Now()
 			day := run.One{Scenario: s, Seed: seed, Policy: policy}
 			var r *run.Result
 			switch progress := func(done float64) { tell(done, 1) }; {
 			case on == "sockets":
-				r, err = playOnSockets(cmd.Context(), s, seed, policy, door, logs, progress)
+				r, err = runOnSockets(cmd.Context(), s, seed, policy, door, logs, progress)
 			case on != "sim":
-				err = &FlagError{Flag: fmt.Sprintf("--on %q", on), Says: "sim or sockets is wanted"}
+				err = &FlagError{Flag: fmt.Sprintf("--on %q", on), Reason: "sim or sockets is wanted"}
 			case alone:
 				r, err = day.Play(cmd.Context(), progress)
 			default:
-				r, err = day.Marked(cmd.Context(), progress)
+				r, err = day.RunScored(cmd.Context(), progress)
 			}
 			end()
 			if err != nil {
@@ -109,9 +109,9 @@
 			if err := report.Write(r, out); err != nil {
 				return err
 			}
-			summary(cmd.OutOrStdout(), r, time.Since(began))
+			printSummary(cmd.OutOrStdout(), r, time.Since(began))
 			fmt.Fprintf(cmd.OutOrStdout(), "written: %s, %s\n", filepath.Join(out, run.ResultFile), filepath.Join(out, "report.html"))
-			if rule := r.FirstBroken(); rule != "" {
+			if rule := r.FirstBrokenRule(); rule != "" {
 				return &BrokenError{rule, r.Broken[rule], r.Breaches[0].Text}
 			}
 			return nil
@@ -130,7 +130,7 @@
 	return cmd
 }
 
-func summary(w io.Writer, r *run.Result, took time.Duration) {
+func printSummary(w io.Writer, r *run.Result, took time.Duration) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s (%s, %s)\tseed %d, %d doors, %d backends, %g s, %d events, played in %.1f s\n", r.Scenario, r.On, r.Policy, r.Seed,
 		r.Doors, r.Backends, r.Length, r.Events, took.Seconds())
@@ -143,13 +143,13 @@
 	for _, p := range r.Classes {
 		fmt.Fprintf(t, "%s\t%d asked\t%d in time, p50 %.0f ms, p99 %.0f ms\n", p.Name, p.Asked, p.InTime, p.Latency.P50, p.Latency.P99)
 	}
-	if r.Kept() {
+	if r.RulesKept() {
 		fmt.Fprintf(t, "rules\tkept\n")
 	}
 	t.Flush()
 }
 
-func accounts() *cobra.Command {
+func accountCommand() *cobra.Command {
 	return &cobra.Command{Use: "account DIR", Short: "Say where the gain of a played day went: how much, when, at which doors", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			r, err := run.Load(args[0])
@@ -157,14 +157,14 @@
 				return err
 			}
 			if r.Account == nil {
-				return &FileError{Path: args[0], Says: "a day on sockets has no account"}
+				return &FileError{Path: args[0], Reason: "a day on sockets has no account"}
 			}
 			r.Account.Print(cmd.OutOrStdout())
 			return nil
 		}}
 }
 
-func list() *cobra.Command {
+func listCommand() *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "List the scenarios that ship, and the kinds of fault", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
@@ -184,25 +184,25 @@
 			slices.Sort(kinds)
 			for _, name := range kinds {
 				k := scenario.Kinds[name]
-				fmt.Fprintf(t, "%s\t%s\t%s\t\t%s\n", name, k.Whom, k.Unit, k.Says)
+				fmt.Fprintf(t, "%s\t%s\t%s\t\t%s\n", name, k.Whom, k.Unit, k.Description)
 			}
 			return nil
 		}}
 }
 
-func compare() *cobra.Command {
+func compareCommand() *cobra.Command {
 	return &cobra.Command{Use: "compare DIR DIR...", Short: "Set played days side by side, with the noise over their seeds", Args: cobra.MinimumNArgs(2),
 		Long: "Each DIR holds one day, or many below it (as sweep leaves them). Days are paired by seed; a difference of over two\n" +
 			"standard errors is marked with *. One pair has no noise to tell.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			first, err := run.Find(args[0])
+			first, err := run.LoadAll(args[0])
 			if err != nil {
 				return err
 			}
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			defer t.Flush()
 			for _, dir := range args[1:] {
-				other, err := run.Find(dir)
+				other, err := run.LoadAll(dir)
 				if err != nil {
 					return err
 				}
@@ -213,12 +213,12 @@
 				fmt.Fprintf(t, "figure\t%s\t%s\tdifference\tnoise\t\n", args[0], dir)
 				for i := range rows {
 					row, mark := &rows[i], ""
-					if row.Clear() {
+					if row.Significant() {
 						mark = "*"
 					}
 					noise := "unknown"
 					if row.Diff.N > 1 {
-						noise = fmt.Sprintf("%.4f over %d", row.Diff.Err(), row.Diff.N)
+						noise = fmt.Sprintf("%.4f over %d", row.Diff.StdErr(), row.Diff.N)
 					}
 					fmt.Fprintf(t, "%s\t%.4f\t%.4f\t%+.4f\t%s\t%s\n", row.Name, row.First.Mean, row.Other.Mean, row.Diff.Mean, noise, mark)
 				}
@@ -227,29 +227,29 @@
 		}}
 }
 
-func sweep() *cobra.Command {
+func sweepCommand() *cobra.Command {
 	var seeds, jobs int
 	var key, out string
 	var values, policies, sets []string
 	cmd := &cobra.Command{Use: "sweep SCENARIO", Short: "Play a scenario over seeds, or over the values of one key, on all cores",
 		Args: cobra.ExactArgs(1), ValidArgs: scenarios.Names(),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := changed(args[0], 0, sets)
+			s, err := openScenario(args[0], 0, sets)
 			if err != nil {
 				return err
 			}
 			if seeds < 1 {
-				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Says: "at least one is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Reason: "at least one is wanted"}
 			}
 			if (key == "") != (len(values) == 0) {
-				return &FlagError{Flag: "--key, --values", Says: "they go together"}
+				return &FlagError{Flag: "--key, --values", Reason: "they go together"}
 			}
 			w := run.Sweep{Scenario: s, Key: key, Values: values, Policies: policies, Jobs: jobs}
 			for i := range seeds {
 				w.Seeds = append(w.Seeds, uint64(i+1))
 			}
-			tell, end := bar(cmd, s.Name)
-			cells, err := w.Play(cmd.Context(), tell)
+			tell, end := progressBar(cmd, s.Name)
+			cells, err := w.Run(cmd.Context(), tell)
 			end()
 			if err != nil {
 				return err
@@ -264,7 +264,7 @@
 					}
 				}
 				g := c.G()
-				fmt.Fprintf(t, "%s\t%s\t%.4f\t%.4f\t%d\t%d\n", c.Value, c.Policy, g.Mean, g.Err(), g.N, c.Broken())
+				fmt.Fprintf(t, "%s\t%s\t%.4f\t%.4f\t%d\t%d\n", c.Value, c.Policy, g.Mean, g.StdErr(), g.N, c.BrokenRuns())
 			}
 			return nil
 		}}
@@ -279,7 +279,7 @@
 	return cmd
 }
 
-func hunt() *cobra.Command {
+func huntCommand() *cobra.Command {
 	var h run.Hunt
 	var doors int
 	var sets []string
@@ -287,12 +287,12 @@
 	cmd := &cobra.Command{Use: "hunt SCENARIO", Short: "Search the faults for the worst day or a broken rule, cut it down, write it as a scenario",
 		Args: cobra.ExactArgs(1), ValidArgs: scenarios.Names(),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := changed(args[0], doors, sets)
+			s, err := openScenario(args[0], doors, sets)
 			if err != nil {
 				return err
 			}
 			h.Scenario = s
-			tell, end := bar(cmd, "hunting")
+			tell, end := progressBar(cmd, "hunting")
 			found, err := h.Run(cmd.Context(), tell)
 			end()
 			if err != nil {
@@ -305,7 +305,7 @@
 			if err := os.WriteFile(out, raw, 0o644); err != nil {
 				return &FileError{Path: out, Cause: err}
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d days played; %s: %s\n", found.Played, out, found.Scenario.Shows)
+			fmt.Fprintf(cmd.OutOrStdout(), "%d days played; %s: %s\n", found.Runs, out, found.Scenario.Shows)
 			fmt.Fprintf(cmd.OutOrStdout(), "again: swifthall lab play %s --seed %d --policy %s --out DIR\n", out, found.Seed, h.Policy)
 			if found.Rule != "" {
 				return &BrokenError{Rule: found.Rule}
@@ -314,10 +314,10 @@
 		}}
 	f := cmd.Flags()
 	f.Uint64Var(&h.Seed, "seed", 1, "of the hunt")
-	f.IntVar(&h.Days, "days", 200, "to be played while searching")
-	f.IntVar(&h.Most, "faults", 3, "of a schedule at most")
-	f.BoolVar(&h.Rules, "rules", false, "look for a broken rule only")
-	f.StringSliceVar(&h.Only, "only", nil, "kinds of fault to try")
+	f.IntVar(&h.Runs, "days", 200, "to be played while searching")
+	f.IntVar(&h.MaxFaults, "faults", 3, "of a schedule at most")
+	f.BoolVar(&h.RulesOnly, "rules", false, "look for a broken rule only")
+	f.StringSliceVar(&h.Kinds, "only", nil, "kinds of fault to try")
 	f.StringVar(&h.Policy, "policy", rival.Swifthall, strings.Join(rival.Names, ", "))
 	f.StringVar(&out, "out", "found.toml", "file for the scenario")
 	f.IntVar(&doors, "doors", 0, "number of doors in place of the scenario's")
--- a/lab/command/drills.go
+++ b/lab/command/drills.go
@@ -15,8 +15,8 @@
 	"github.com/swifthall/swifthall/lab/procs/check"
 )
 
-// besides names the program that lies beside this one, where a flag has named none.
-func besides(binary *string) error {
+// defaultBinary names the program that lies beside this one, where a flag has named none.
+func defaultBinary(binary *string) error {
 	if *binary != "" {
 		return nil
 	}
@@ -28,7 +28,7 @@
 	return nil
 }
 
-func drills() *cobra.Command {
+func drillsCommand() *cobra.Command {
 	var d procs.Drill
 	var seeds, jobs int
 	var out string
@@ -37,9 +37,9 @@
 			"doors are stopped, killed, cut off, and lose their disks. Judges by what truly was. Exits with 4 if a rule broke.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 {
-				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Says: "at least one is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Reason: "at least one is wanted"}
 			}
-			if err := besides(&d.Binary); err != nil {
+			if err := defaultBinary(&d.Binary); err != nil {
 				return err
 			}
 			var plays []procs.Drill
@@ -58,7 +58,7 @@
 			fmt.Fprintln(t, "seed\tbroken\tstrikes\twent\tcame back\tcalls\trefused\tlost\tdrained\tafter a halt, ms\tall back, ms\toperations\tfinished")
 			var sum procs.DrillResult
 			var broken *procs.DrillResult
-			err := sideBySide(cmd.Context(), plays, jobs, procs.Drill.Play, func(p procs.Drill, r *procs.DrillResult) error {
+			err := runParallel(cmd.Context(), plays, jobs, procs.Drill.Play, func(p procs.Drill, r *procs.DrillResult) error {
 				fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%d\n", r.Seed, len(r.Breaches), len(r.Strikes), r.Went, r.Returned, r.Calls,
 					r.Refused, r.Lost, r.Drained, r.HaltMs, r.BackMs, r.Asked, r.Finished)
 				for _, b := range r.Breaches {
@@ -105,11 +105,11 @@
 	return cmd
 }
 
-func coordinators() *cobra.Command {
+func coordinatorsCommand() *cobra.Command {
 	var p procs.Pace
 	cmd := &cobra.Command{Use: "coordinators", Short: "Measure coordinators: permits a second, and how long it is until another leads", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := besides(&p.Binary); err != nil {
+			if err := defaultBinary(&p.Binary); err != nil {
 				return err
 			}
 			r, err := p.Measure(cmd.Context())
@@ -131,13 +131,13 @@
 	return cmd
 }
 
-func rollouts() *cobra.Command {
+func rolloutsCommand() *cobra.Command {
 	var p procs.Rollout
 	var jobs int
 	cmd := &cobra.Command{Use: "rollouts [KIND...]", Short: "Play releases on real coordinators and doors, with clients at every door",
 		Long: "Each KIND is a release that goes well or doesn't; all where none is named. Exits with 4 if a rule broke.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := besides(&p.Binary); err != nil {
+			if err := defaultBinary(&p.Binary); err != nil {
 				return err
 			}
 			if len(args) == 0 {
@@ -158,7 +158,7 @@
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "release\tbroken\tended\ttook, s\tdecided after, s\tback after, s\tmost out\ttouched, door-s/doors\toperations\tfinished\trejected\tfailed\tsays")
 			var broken *procs.RolloutResult
-			err := sideBySide(cmd.Context(), plays, jobs, procs.Rollout.Play, func(_ procs.Rollout, r *procs.RolloutResult) error {
+			err := runParallel(cmd.Context(), plays, jobs, procs.Rollout.Play, func(_ procs.Rollout, r *procs.RolloutResult) error {
 				fmt.Fprintf(t, "%s\t%d\t%s\t%.1f\t%.1f\t%.1f\t%d\t%.2f\t%d\t%d\t%d\t%d\t%s\n", r.Kind, len(r.Breaches), r.Stage, r.TookS, r.DecidedS, r.BackS, r.MostOut, r.Touched,
 					r.Asked, r.Finished, r.Rejected, r.Failed, r.Says)
 				for _, b := range r.Breaches {
@@ -190,7 +190,7 @@
 	return cmd
 }
 
-func migrations() *cobra.Command {
+func migrationsCommand() *cobra.Command {
 	var p procs.Migration
 	var seeds, jobs int
 	var steps []int
@@ -199,9 +199,9 @@
 			"their clocks is ten minutes ahead: whole, and halted at each step and taken back. Exits with 4 if a rule broke.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 {
-				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Says: "at least one is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Reason: "at least one is wanted"}
 			}
-			if err := besides(&p.Binary); err != nil {
+			if err := defaultBinary(&p.Binary); err != nil {
 				return err
 			}
 			var plays []procs.Migration
@@ -222,7 +222,7 @@
 			fmt.Fprintln(t, "seed\thalted at\tbroken\tended\ttook, s\tback after, s\tstrikes\tchanges\tmost out\toperations\tfinished\trejected\tfailed")
 			var broken *procs.MigrationResult
 			var of procs.Migration
-			err := sideBySide(cmd.Context(), plays, jobs, procs.Migration.Play, func(one procs.Migration, r *procs.MigrationResult) error {
+			err := runParallel(cmd.Context(), plays, jobs, procs.Migration.Play, func(one procs.Migration, r *procs.MigrationResult) error {
 				fmt.Fprintf(t, "%d\t%d\t%d\t%s\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", one.Seed, r.HaltAt, len(r.Breaches), r.Stage, r.TookS, r.BackS, len(r.Strikes), r.Changes, r.MostOut,
 					r.Asked, r.Finished, r.Rejected, r.Failed)
 				for _, b := range r.Breaches {
--- a/lab/command/errors.go
+++ b/lab/command/errors.go
@@ -29,12 +29,12 @@
 
 // FlagError is a flag whose value can't be used.
 type FlagError struct {
-	Flag  string // with its value, where that helps
-	Says  string
-	Cause error
+	Flag   string // with its value, where that helps
+	Reason string
+	Cause  error
 }
 
-func (e *FlagError) Error() string     { return e.Flag + ": " + remedy.WithCause(e.Says, e.Cause) }
+func (e *FlagError) Error() string     { return e.Flag + ": " + remedy.WithCause(e.Reason, e.Cause) }
 func (e *FlagError) Unwrap() error     { return e.Cause }
 func (e *FlagError) Kind() remedy.Kind { return remedy.Usage }
 
@@ -45,14 +45,14 @@
 
 // FileError is a file or folder that a command needs or writes.
 type FileError struct {
-	Path  string
-	Says  string
-	Cause error
+	Path   string
+	Reason string
+	Cause  error
 }
 
 func (e *FileError) Error() string {
-	if e.Says != "" {
-		return remedy.WithCause(e.Path+": "+e.Says, e.Cause)
+	if e.Reason != "" {
+		return remedy.WithCause(e.Path+": "+e.Reason, e.Cause)
 	}
 	return remedy.WithCause(e.Path, e.Cause)
 }
@@ -95,9 +95,9 @@
 }
 
 // RehearsalError is a rehearsal on which a rule broke.
-type RehearsalError struct{ Says string }
+type RehearsalError struct{ Broken string }
 
-func (e *RehearsalError) Error() string     { return "rules broke at " + e.Says }
+func (e *RehearsalError) Error() string     { return "rules broke at " + e.Broken }
 func (e *RehearsalError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says what to look at.
--- a/lab/command/load.go
+++ b/lab/command/load.go
@@ -14,19 +14,19 @@
 	"github.com/swifthall/swifthall/lab/stand"
 )
 
-// loopback tells whether an address is on this machine.
-func loopback(target string) error {
+// checkLoopback tells whether an address is on this machine.
+func checkLoopback(target string) error {
 	host, _, err := net.SplitHostPort(target)
 	if err != nil {
 		return &FlagError{Flag: "--target", Cause: err}
 	}
 	if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-		return &FlagError{Flag: "--target " + target, Says: "is not on this machine; --anywhere loads it all the same"}
+		return &FlagError{Flag: "--target " + target, Reason: "is not on this machine; --anywhere loads it all the same"}
 	}
 	return nil
 }
 
-func loads() *cobra.Command {
+func loadCommand() *cobra.Command {
 	var r load.Run
 	var k load.Knee
 	var d load.Door
@@ -36,7 +36,7 @@
 		Long: "Operations start when they are due and each latency counts from then (no coordinated omission).\n" +
 			"--knee raises the rate until the p99 is over --p99 or under --least of the operations are finished, then halves the gap.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := loopback(r.Target); err != nil && !anywhere {
+			if err := checkLoopback(r.Target); err != nil && !anywhere {
 				return err
 			}
 			d.Host, d.Seed = r.Target, r.Seed
@@ -70,7 +70,7 @@
 				fmt.Fprintf(t, "knee: %.0f operations a second\n", best)
 				return nil
 			}
-			tell, end := bar(cmd, r.Target)
+			tell, end := progressBar(cmd, r.Target)
 			o, err := r.Play(cmd.Context(), func(done float64) { tell(done, 1) })
 			end()
 			if err != nil {
@@ -113,7 +113,7 @@
 	return cmd
 }
 
-func beside() *cobra.Command {
+func besideCommand() *cobra.Command {
 	var b stand.Beside
 	cmd := &cobra.Command{Use: "beside", Short: "Load a door and the standard library's reverse proxy side by side, on one core", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -157,7 +157,7 @@
 	return cmd
 }
 
-func proxy() *cobra.Command {
+func proxyCommand() *cobra.Command {
 	return &cobra.Command{Use: "proxy LISTEN BACKEND...", Hidden: true, Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return stand.ServeProxy(cmd.Context(), args[0], args[1:])
--- a/lab/command/procs.go
+++ b/lab/command/procs.go
@@ -16,7 +16,7 @@
 	"github.com/swifthall/swifthall/lab/procs/check"
 )
 
-func processes() *cobra.Command {
+func procsCommand() *cobra.Command {
 	var seed uint64
 	var seeds, doors, jobs int
 	var on, who, door, out, logs string
@@ -38,14 +38,14 @@
 				return nil
 			}
 			if seeds < 1 {
-				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Says: "at least one is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Reason: "at least one is wanted"}
 			}
 			makers := map[string]procs.Maker{"module": procs.Module, "heartbeats": procs.Heartbeats}
 			if makers[who] == nil || on == "processes" && who != "module" {
-				return &FlagError{Flag: fmt.Sprintf("--who %q", who), Says: "module or, with --on sim, heartbeats is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--who %q", who), Reason: "module or, with --on sim, heartbeats is wanted"}
 			}
 			if on != "sim" && on != "processes" {
-				return &FlagError{Flag: fmt.Sprintf("--on %q", on), Says: "sim or processes is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--on %q", on), Reason: "sim or processes is wanted"}
 			}
 			if door == "" {
 				self, err := os.Executable()
@@ -91,7 +91,7 @@
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "schedule\tdoors\tseed\tbroken\twrongly away\tchanges\tknown p99, ms\tback, ms\tone view, ms\tdoubted, ms\tmessages/s\tbytes/s\tCPU ms/s\tresident MB\ttook")
 			var broken *procs.Result
-			err := sideBySide(cmd.Context(), plays, jobs, play, func(p *procs.Plan, r timed) error {
+			err := runParallel(cmd.Context(), plays, jobs, play, func(p *procs.Plan, r timed) error {
 				f := &r.Figures
 				if len(r.Breaches) > 0 && broken == nil {
 					broken = r.Result
@@ -137,8 +137,8 @@
 	return cmd
 }
 
-// sideBySide plays plays, so many at once, and tells of each as it ends, in order.
-func sideBySide[P, R any](ctx context.Context, plays []P, most int, play func(P, context.Context) (R, error), tell func(P, R) error) error {
+// runParallel plays plays, so many at once, and tells of each as it ends, in order.
+func runParallel[P, R any](ctx context.Context, plays []P, most int, play func(P, context.Context) (R, error), tell func(P, R) error) error {
 	type outcome struct {
 		r   R
 		err error
--- a/lab/command/rehearse.go
+++ b/lab/command/rehearse.go
@@ -11,7 +11,7 @@
 	"github.com/swifthall/swifthall/permits/planfile"
 )
 
-func rehearsal() *cobra.Command {
+func rehearseCommand() *cobra.Command {
 	var name string
 	var sets []string
 	var seed uint64
@@ -22,13 +22,13 @@
 			"other; what people do by hand is not played. Exits with 4 if a rule broke.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if seeds < 1 || places < 1 {
-				return &FlagError{Flag: fmt.Sprintf("--seeds %d --most-out %d", seeds, places), Says: "at least one of each is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--seeds %d --most-out %d", seeds, places), Reason: "at least one of each is wanted"}
 			}
 			var m planfile.Migration
 			if err := planfile.Read(args[0], cmd.InOrStdin(), &m); err != nil {
 				return err
 			}
-			s, err := changed(name, 0, sets)
+			s, err := openScenario(name, 0, sets)
 			if err != nil {
 				return err
 			}
@@ -40,7 +40,7 @@
 			for i := range seeds {
 				all = append(all, seed+uint64(i))
 			}
-			rows, err := rehearse.Play(cmd.Context(), s, steps, all, jobs)
+			rows, err := rehearse.Run(cmd.Context(), s, steps, all, jobs)
 			if err != nil {
 				return err
 			}
@@ -49,7 +49,7 @@
 			fmt.Fprintln(t, "step\tG\tleast\tcosts\tlate\tunserved\tof 1000 operations; what is played")
 			broken := ""
 			for _, r := range rows {
-				fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f\t%.1f\t%.1f\t%s\n", r.Name, r.G, r.Least, r.Cost, r.Late, r.Unserved, r.Says)
+				fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f\t%.1f\t%.1f\t%s\n", r.Name, r.G, r.MinG, r.Cost, r.Late, r.Unserved, r.Detail)
 				if r.Broken != "" && broken == "" {
 					broken = r.Name + ": " + r.Broken
 				}
--- a/lab/command/tally.go
+++ b/lab/command/tally.go
@@ -10,20 +10,20 @@
 	"github.com/swifthall/swifthall/lab/tally"
 )
 
-func tallies() *cobra.Command {
+func tallyCommand() *cobra.Command {
 	return &cobra.Command{Use: "tally DIR|LOG...",
 		Short: "Add up the accounts in the logs of a fleet's doors: operations arrived, sent, rejected and scrapped by cause",
 		Long: "Reads each LOG, or every *.log in DIR, as one door's log, and adds up the accounts that doors write every " +
 			"5 s: over the whole day and for each window of the doors' own clocks.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			logs, err := named(args)
+			logs, err := expandLogs(args)
 			if err != nil {
 				return err
 			}
 			var f tally.Fleet
 			for _, name := range logs {
-				if err := door(&f, name); err != nil {
+				if err := addDoorLog(&f, name); err != nil {
 					return err
 				}
 			}
@@ -32,8 +32,8 @@
 		}}
 }
 
-// named lists the logs that the arguments name: files as they are, and the *.log files of a folder.
-func named(args []string) ([]string, error) {
+// expandLogs lists the logs that the arguments name: files as they are, and the *.log files of a folder.
+func expandLogs(args []string) ([]string, error) {
 	var logs []string
 	for _, a := range args {
 		info, err := os.Stat(a)
@@ -49,20 +49,20 @@
 			return nil, err
 		}
 		if len(in) == 0 {
-			return nil, &FileError{Path: a, Says: "no *.log in it"}
+			return nil, &FileError{Path: a, Reason: "no *.log in it"}
 		}
 		logs = append(logs, in...)
 	}
 	return logs, nil
 }
 
-func door(f *tally.Fleet, name string) error {
+func addDoorLog(f *tally.Fleet, name string) error {
 	r, err := os.Open(name)
 	if err != nil {
 		return &FileError{Path: name, Cause: err}
 	}
 	defer r.Close()
-	if err := f.Door(r); err != nil {
+	if err := f.AddLog(r); err != nil {
 		return &FileError{Path: name, Cause: err}
 	}
 	return nil
--- a/lab/outs/check.go
+++ b/lab/outs/check.go
@@ -33,14 +33,14 @@
 
 // Rules.
 const (
-	PlanWithin = "no more out by plan than the budget"
-	LetOut     = "nobody let out while the budget is full"
-	Halted     = "nobody goes out after a halt"
+	PlannedWithinBudget = "no more out by plan than the budget"
+	NoneBeyondBudget    = "nobody let out while the budget is full"
+	NoneAfterHalt       = "nobody goes out after a halt"
 )
 
 const (
-	foundFor = 6000.0 // ms in which a failure becomes known everywhere: it can't be counted before
-	haltFor  = 1000.0 // ms after which a halt holds
+	detectionGraceMs = 6000.0 // ms in which a failure becomes known everywhere: it can't be counted before
+	haltGraceMs      = 1000.0 // ms after which a halt holds
 )
 
 // Judge holds what truly happened against the bounds. It knows no permit and asks nobody.
@@ -52,8 +52,8 @@
 			continue
 		}
 		for _, s := range stops {
-			if g.From > s.From+haltFor && g.From < s.To {
-				breaches = append(breaches, Breach{Halted, g.From, fmt.Sprintf("door %d went out %.0f ms after a halt", g.Door, g.From-s.From)})
+			if g.From > s.From+haltGraceMs && g.From < s.To {
+				breaches = append(breaches, Breach{NoneAfterHalt, g.From, fmt.Sprintf("door %d went out %.0f ms after a halt", g.Door, g.From-s.From)})
 			}
 		}
 		for _, b := range bounds {
@@ -65,14 +65,14 @@
 				}
 				if o.ByPlan {
 					plan[o.Door], all[o.Door] = true, true
-				} else if g.From-o.From > foundFor {
+				} else if g.From-o.From > detectionGraceMs {
 					all[o.Door] = true
 				}
 			}
 			if len(plan) > b.MostOut {
-				breaches = append(breaches, Breach{PlanWithin, g.From, fmt.Sprintf("%d doors out by plan, %d may be (each zone: %v)", len(plan), b.MostOut, b.EachZone)})
+				breaches = append(breaches, Breach{PlannedWithinBudget, g.From, fmt.Sprintf("%d doors out by plan, %d may be (each zone: %v)", len(plan), b.MostOut, b.EachZone)})
 			} else if len(all) > b.MostOut {
-				breaches = append(breaches, Breach{LetOut, g.From, fmt.Sprintf("door %d let out as the %dth with failures, %d may be (each zone: %v)", g.Door, len(all), b.MostOut, b.EachZone)})
+				breaches = append(breaches, Breach{NoneBeyondBudget, g.From, fmt.Sprintf("door %d let out as the %dth with failures, %d may be (each zone: %v)", g.Door, len(all), b.MostOut, b.EachZone)})
 			}
 		}
 	}
--- /dev/null
+++ b/lab/outs/drains.go
@@ -0,0 +1,432 @@
+package outs
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+
+	"github.com/swifthall/swifthall/lab/outs/history"
+	"github.com/swifthall/swifthall/permits"
+)
+
+// DrainSimulation is a fleet whose operators order doors and backends out and back, in virtual time: its doors are keepers, its leader
+// a watch over the state. Words and answers are lost, late and doubled; doors are stopped, killed and told to end; leaders
+// change, and are gone for a while.
+type DrainSimulation struct {
+	Seed       uint64
+	Doors      int
+	Backends   int
+	DurationMs float64
+	NewState   func() ReplicatedState
+}
+
+// ReplicatedState is the state that coordinators agree on, or one with a planted fault.
+type ReplicatedState interface {
+	Machine
+	Withheld() (names []string, change uint64)
+	Waiting(p *permits.Permit) []string
+	Needs(w *permits.DoorReport) []any
+	Reply(w *permits.DoorReport, full bool) permits.Reply
+	Places() map[uint64]*permits.Permit
+}
+
+// Rules of orders, besides those of fleets.
+const (
+	NoSendsToDrained     = "no door sends to a backend that is said to be drained"
+	BackendsWithinBudget = "no more backends out than the budget"
+)
+
+// DrainResult is what a play came to.
+type DrainResult struct {
+	Result
+	Drained  int // times that a backend was said to be drained
+	Returned int // doors that came back
+	History  []history.Op
+}
+
+const (
+	backendBudget  = 2    // budget of backends
+	quietTailMs    = 15e3 // ms at the end in which nothing more is ordered or fails
+	maxStepDelayMs = 40.0 // ms from a keeper's decision to the door's step at most
+	maxLeaderGapMs = 4e3  // ms for which there is no leader at most
+	maxRestartMs   = 6e3  // ms until a door that failed starts again at most
+	leaderChanges  = 5    // changes of the leader in a play
+)
+
+type agentDoor struct {
+	number        int
+	zone          int
+	agent         *permits.DoorAgent
+	incarnation   int // of the process, as it truly is
+	up            bool
+	readyAt       float64 // of this process
+	pausedUntil   float64
+	outOfService  bool
+	withheld      map[string]bool
+	answered      bool // it has been answered in this life
+	plannedOutage int  // place in gone of the time in which it is out by plan, or nobody
+	failureOutage int  // and by failure
+	diedAt        float64
+}
+
+type drainWorld struct {
+	DrainSimulation
+	scheduler
+	machine   ReplicatedState
+	collector *permits.ReportCollector
+	hasLeader bool
+	caller    string
+	seq       uint64
+	doors     []*agentDoor
+	zones     []int
+	outages   []Gone
+	halts     []Stop
+	result    DrainResult
+	drainedAt map[string]float64 // backends that are surely out, by operators' answers
+	lastID    uint64
+	callers   uint64
+}
+
+// Run plays it and judges it.
+func (o DrainSimulation) Run() DrainResult {
+	w := &drainWorld{DrainSimulation: o, scheduler: scheduler{random: rand.New(rand.NewPCG(o.Seed, 6))}, machine: o.NewState(), drainedAt: map[string]float64{}}
+	most, zone := 1+w.random.IntN(max(1, o.Doors/10)), 1+w.random.IntN(max(1, o.Doors/20))
+	w.electLeader()
+	w.applyAsOperator(permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MaxOut: most}, {Kind: permits.Door, Zone: permits.EachZone, MaxOut: zone},
+		{Kind: permits.Backend, MaxOut: backendBudget}}})
+	for i := range o.Doors {
+		d := &agentDoor{number: i, zone: i % 3, plannedOutage: noOutage, failureOutage: noOutage}
+		w.doors, w.zones = append(w.doors, d), append(w.zones, d.zone)
+		w.at(w.between(0, 500), func() { w.start(d) })
+		for range 2 {
+			w.at(w.between(5e3, o.DurationMs-quietTailMs), func() { d.pausedUntil = w.now + w.between(100, 6000) })
+		}
+		if w.random.Float64() < 0.15 {
+			w.at(w.between(8e3, o.DurationMs-quietTailMs), func() { w.stopDoor(d, w.random.IntN(2) == 0) })
+		}
+	}
+	w.repeat(500, func() { w.observe() })
+	for range max(12, o.Doors/4) {
+		w.at(w.between(6e3, o.DurationMs-quietTailMs), func() { w.drainRandomDoor() })
+	}
+	for range 6 {
+		w.at(w.between(6e3, o.DurationMs-quietTailMs), func() { w.drainBackend(fmt.Sprint("b", w.random.IntN(o.Backends))) })
+	}
+	for range leaderChanges {
+		w.at(w.between(5e3, o.DurationMs-quietTailMs), func() {
+			w.hasLeader = false
+			w.at(w.now+w.between(0, maxLeaderGapMs), w.electLeader)
+		})
+	}
+	halt := w.between(o.DurationMs/3, o.DurationMs/2)
+	w.at(halt-w.between(50, 400), func() { // some are on their way out when the halt comes, and are stopped
+		for range 4 {
+			d := w.doors[w.random.IntN(len(w.doors))]
+			w.drainDoor(d)
+			w.at(w.now+w.between(100, 1500), func() { d.pausedUntil = max(d.pausedUntil, w.now+w.between(1000, 5000)) })
+		}
+	})
+	w.at(halt, func() {
+		w.applyAsOperator(permits.Halt{Who: "operator", Why: "drawn"})
+		w.halts = append(w.halts, Stop{w.now, halt + 8e3})
+	})
+	w.at(halt+8e3, func() { w.applyAsOperator(permits.Resume{Who: "operator"}) })
+	w.runUntil(o.DurationMs)
+	w.result.Breaches = append(w.result.Breaches, Judge(w.zones, w.outages, w.halts, []Bound{{false, most}, {true, zone}})...)
+	return w.result
+}
+
+func (w *drainWorld) repeat(ms float64, do func()) {
+	w.at(w.now+ms, func() { do(); w.repeat(ms, do) })
+}
+
+// ---- Coordinators ----
+
+// electLeader is a new leader: it knows what is agreed on, and no door.
+func (w *drainWorld) electLeader() {
+	w.callers++
+	w.collector, w.hasLeader, w.caller, w.seq = permits.NewReportCollector(), true, fmt.Sprint("leader-", w.callers), 0
+	w.applyAsLeader(permits.Leadership{Name: w.caller, Epoch: 1})
+}
+
+func (w *drainWorld) applyAsLeader(do any) {
+	w.seq++
+	w.apply(w.caller, w.seq, do)
+}
+
+func (w *drainWorld) apply(caller string, seq uint64, do any) permits.Answer {
+	w.result.Commands++
+	return w.machine.Apply(permits.Command{Caller: caller, Seq: seq, AtMs: w.now, WallMs: w.now + w.between(-2500, 2500), Do: do})
+}
+
+// applyAsOperator is an operator's, who has a new name for each.
+func (w *drainWorld) applyAsOperator(do any) permits.Answer {
+	w.callers++
+	return w.apply(fmt.Sprint("operator-", w.callers), 1, do)
+}
+
+func (w *drainWorld) observe() {
+	if w.hasLeader {
+		w.applyAsLeader(permits.RecordSightings{Sightings: w.collector.ChangedSightings(w.now)})
+	}
+	for _, p := range w.machine.Places() {
+		if p.Unit.Kind != permits.Backend || !p.Order || p.Over || len(w.machine.Waiting(p)) > 0 {
+			continue
+		}
+		w.result.Drained++
+		for _, d := range w.doors { // as it truly is, whatever anybody holds
+			if d.up && d.answered && !d.withheld[p.Unit.Name] { // one that nobody has told anything so far is known to nobody
+				w.result.Breaches = append(w.result.Breaches, Breach{NoSendsToDrained, w.now, fmt.Sprintf("door %d may send to %s", d.number, p.Unit.Name)})
+			}
+		}
+	}
+}
+
+// ---- Doors ----
+
+func (w *drainWorld) start(d *agentDoor) {
+	d.incarnation++
+	d.up, d.outOfService, d.answered, d.pausedUntil, d.withheld = true, false, false, 0, map[string]bool{}
+	d.readyAt = w.now + w.between(200, 1500)
+	d.agent = permits.NewDoorAgent(permits.Unit{Kind: permits.Door, Name: name(d.number), Zone: fmt.Sprint("z", d.zone), Size: 1}, func() uint64 { w.lastID++; return w.lastID })
+	life := d.incarnation
+	w.at(d.readyAt, func() {
+		if d.up && d.incarnation == life {
+			w.markReturned(d)
+		}
+	})
+	var tick func()
+	tick = func() {
+		if d.up && d.incarnation == life {
+			if w.now >= d.pausedUntil {
+				w.stepAgent(d, permits.DoorStatus{Ready: w.now >= d.readyAt && !d.outOfService, Away: w.awayPeers(d), Backends: w.fleetList()})
+			}
+			w.at(w.now+w.between(40, 60), tick)
+		}
+	}
+	tick()
+}
+
+// markReturned notes that a door serves again.
+func (w *drainWorld) markReturned(d *agentDoor) {
+	for _, open := range []*int{&d.plannedOutage, &d.failureOutage} {
+		if *open != noOutage {
+			w.outages[*open].To = w.now
+			*open = noOutage
+		}
+	}
+}
+
+// awayPeers is whom a door holds to be awayPeers: those known to have died.
+func (w *drainWorld) awayPeers(d *agentDoor) (names []string) {
+	for _, o := range w.doors {
+		if o != d && !o.up && o.incarnation > 0 && w.now-o.diedAt > detectionMs {
+			names = append(names, name(o.number))
+		}
+	}
+	return names
+}
+
+func (w *drainWorld) fleetList() (all []permits.Sighting) {
+	for i := range w.Backends {
+		all = append(all, permits.Sighting{Unit: permits.Unit{Kind: permits.Backend, Name: fmt.Sprint("b", i), Zone: "z", Size: 1}, Standing: permits.Ready})
+	}
+	return all
+}
+
+// whenRunning does something at a door once it isn't stopped, where its process still runs.
+func (w *drainWorld) whenRunning(d *agentDoor, do func()) {
+	life := d.incarnation
+	var now func()
+	now = func() {
+		switch {
+		case !d.up || d.incarnation != life:
+		case w.now < d.pausedUntil:
+			w.at(d.pausedUntil, now)
+		default:
+			do()
+		}
+	}
+	now()
+}
+
+func (w *drainWorld) stepAgent(d *agentDoor, e any) {
+	for _, a := range d.agent.Step(w.now, e) {
+		switch a := a.(type) {
+		case permits.Post:
+			w.deliver(d, a)
+		case permits.Withhold:
+			w.at(w.now+w.between(0, 30), func() {
+				w.whenRunning(d, func() {
+					d.withheld = map[string]bool{}
+					for _, n := range a.Names {
+						d.withheld[n] = true
+					}
+					w.stepAgent(d, permits.WithholdApplied{Change: a.Change})
+				})
+			})
+		case permits.SetOut: // the way to the step takes a moment, in which the door may be stopped
+			w.at(w.now+w.between(0, maxStepDelayMs), func() { w.whenRunning(d, func() { w.setOut(d, a) }) })
+		}
+	}
+}
+
+func (w *drainWorld) setOut(d *agentDoor, a permits.SetOut) {
+	if !a.Out {
+		d.outOfService = false
+		w.result.Returned++
+		w.markReturned(d)
+		return
+	}
+	taken := w.now <= a.UntilMs
+	if taken {
+		d.outOfService = true
+		w.result.WentOut++
+		if d.plannedOutage == noOutage {
+			d.plannedOutage = len(w.outages)
+			w.outages = append(w.outages, Gone{d.number, w.now, math.Inf(1), true})
+		}
+	}
+	w.stepAgent(d, permits.SetOutDone{Done: taken})
+}
+
+// deliver has a question go over the network: it may be lost, come twice or late, and so may its answer.
+func (w *drainWorld) deliver(d *agentDoor, q permits.Post) {
+	if w.random.Float64() < lossRate {
+		return
+	}
+	copies := 1
+	if w.random.Float64() < duplicateRate {
+		copies = 2
+	}
+	for range copies {
+		w.at(w.now+w.between(2, 60)+w.between(0, 100)*float64(w.random.IntN(2)), func() {
+			if !w.hasLeader {
+				return
+			}
+			e, ok := w.serve(q)
+			if ok && w.random.Float64() >= lossRate {
+				w.at(w.now+w.between(2, 60), func() { w.whenRunning(d, func() { d.answered = true; w.stepAgent(d, e) }) })
+			}
+		})
+	}
+}
+
+// serve is what the one that leads does with a question.
+func (w *drainWorld) serve(q permits.Post) (e any, ok bool) {
+	if q.Report == nil {
+		return permits.Answered{Seq: q.Seq, Answer: w.apply(q.Caller, q.Seq, q.Do)}, true
+	}
+	if w.collector.Record(w.now, *q.Report) {
+		for i, do := range w.machine.Needs(q.Report) {
+			caller := q.Caller
+			if _, own := do.(permits.SelfReport); !own {
+				caller = fmt.Sprint(caller, "/hand/", i)
+			}
+			w.apply(caller, q.Seq, do)
+		}
+	}
+	return permits.Replied{Seq: q.Seq, Reply: w.machine.Reply(q.Report, w.collector.WantsBackends(w.now, q.Report.Name))}, true
+}
+
+// stopDoor kills a door, or tells it to stopDoor.
+func (w *drainWorld) stopDoor(d *agentDoor, told bool) {
+	if !d.up || w.now < d.readyAt {
+		return
+	}
+	last := 0.0
+	if told {
+		w.whenRunning(d, func() { w.stepAgent(d, permits.Terminating{}) })
+		last = w.between(200, 900)
+	}
+	life := d.incarnation
+	d.failureOutage = len(w.outages)
+	w.outages = append(w.outages, Gone{d.number, w.now, math.Inf(1), false})
+	w.result.Failed++
+	w.at(w.now+last, func() {
+		if !d.up || d.incarnation != life {
+			return
+		}
+		if told && w.now >= d.pausedUntil {
+			w.stepAgent(d, permits.Terminated{}) // it has said all it will before it is gone
+		}
+		d.up, d.diedAt = false, w.now
+		w.at(w.now+w.between(300, maxRestartMs), func() { w.start(d) })
+	})
+}
+
+// ---- Operators ----
+
+func (w *drainWorld) drainRandomDoor() { w.drainDoor(w.doors[w.random.IntN(len(w.doors))]) }
+
+func (w *drainWorld) drainDoor(d *agentDoor) {
+	if !w.hasLeader {
+		return
+	}
+	if a := w.applyAsOperator(permits.Drain{Kind: permits.Door, Name: name(d.number), Who: "operator", Why: "drawn"}); a.Err != nil {
+		w.result.Denied++
+		return
+	}
+	w.undrain(permits.Door, name(d.number), w.now+w.between(1000, 6000), nil)
+}
+
+// undrain ends an order, as soon as somebody leads.
+func (w *drainWorld) undrain(k permits.Kind, unit string, at float64, then func(from float64)) {
+	w.at(at, func() {
+		if !w.hasLeader {
+			w.undrain(k, unit, w.now+200, then)
+			return
+		}
+		from := w.now
+		w.applyAsOperator(permits.Undrain{Kind: k, Name: unit, Who: "operator", Why: "drawn"})
+		if then != nil {
+			then(from)
+		}
+	})
+}
+
+func (w *drainWorld) drainBackend(unit string) {
+	if !w.hasLeader {
+		return
+	}
+	op := history.Op{Call: history.Drain, Unit: unit, From: w.now, To: w.now + 1e-3}
+	if a := w.applyAsOperator(permits.Drain{Kind: permits.Backend, Name: unit, Who: "operator", Why: "drawn"}); a.Err != nil {
+		w.result.Denied++
+		op.Outcome = history.Refused
+		w.result.History = append(w.result.History, op)
+		return
+	}
+	w.result.History = append(w.result.History, op)
+	if w.drainedAt[unit] = w.now; len(w.drainedAt) > backendBudget {
+		w.result.Breaches = append(w.result.Breaches, Breach{BackendsWithinBudget, w.now, fmt.Sprintf("%d backends are out", len(w.drainedAt))})
+	}
+	var read func()
+	read = func() {
+		if _, out := w.drainedAt[unit]; out {
+			w.recordRead()
+			w.at(w.now+w.between(200, 900), read)
+		}
+	}
+	read()
+	w.undrain(permits.Backend, unit, w.now+w.between(1500, 7000), func(from float64) {
+		delete(w.drainedAt, unit)
+		w.result.History = append(w.result.History, history.Op{Call: history.Undrain, Unit: unit, From: from, To: from + 1e-3})
+	})
+}
+
+// recordRead writes down what is told to be out.
+func (w *drainWorld) recordRead() {
+	op := history.Op{Call: history.Read, From: w.now, To: w.now + 1e-3}
+	for _, p := range w.machine.Places() {
+		switch {
+		case p.Unit.Kind != permits.Backend:
+		case p.Over:
+			op.Back = append(op.Back, p.Unit.Name)
+		default:
+			op.Out = append(op.Out, p.Unit.Name)
+		}
+	}
+	slices.Sort(op.Out)
+	w.result.History = append(w.result.History, op)
+}
--- a/lab/outs/orders_test.go
+++ b/lab/outs/drains_test.go
@@ -20,7 +20,7 @@
 	smallSizes = []int{10, 20, 40}
 )
 
-func playOrders(n int, sizes []int, make func() Agreed) (sum OrdersResult) {
+func playOrders(n int, sizes []int, make func() ReplicatedState) (sum DrainResult) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	slots := slotsOf(4)
@@ -28,15 +28,15 @@
 		group.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			r := Orders{Seed: uint64(i), Doors: sizes[i%len(sizes)], Backends: 6, Ms: 60e3, Make: make}.Play()
-			if ok, says := history.Check(backendsOut, r.History, 20*time.Second); !ok {
+			r := DrainSimulation{Seed: uint64(i), Doors: sizes[i%len(sizes)], Backends: 6, DurationMs: 60e3, NewState: make}.Run()
+			if ok, says := history.Check(backendBudget, r.History, 20*time.Second); !ok {
 				r.Breaches = append(r.Breaches, Breach{asOne, 0, says})
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			sum.Breaches = append(sum.Breaches, r.Breaches...)
-			sum.Went, sum.Denied, sum.Failed, sum.Commands = sum.Went+r.Went, sum.Denied+r.Denied, sum.Failed+r.Failed, sum.Commands+r.Commands
-			sum.Drained, sum.Back, sum.History = sum.Drained+r.Drained, sum.Back+r.Back, append(sum.History, r.History...)
+			sum.WentOut, sum.Denied, sum.Failed, sum.Commands = sum.WentOut+r.WentOut, sum.Denied+r.Denied, sum.Failed+r.Failed, sum.Commands+r.Commands
+			sum.Drained, sum.Returned, sum.History = sum.Drained+r.Drained, sum.Returned+r.Returned, append(sum.History, r.History...)
 		})
 	}
 	group.Wait()
@@ -48,13 +48,13 @@
 	if testing.Verbose() {
 		n, sizes = 500, allSizes
 	}
-	r := playOrders(n, sizes, func() Agreed { return permits.New() })
+	r := playOrders(n, sizes, func() ReplicatedState { return permits.New() })
 	assert.Empty(t, r.Breaches)
-	assert.Greater(t, r.Went, n, "they do go")
-	assert.Greater(t, r.Back, n, "and come back")
+	assert.Greater(t, r.WentOut, n, "they do go")
+	assert.Greater(t, r.Returned, n, "and come back")
 	assert.Greater(t, r.Drained, n)
 	t.Logf("%d fleets: doors went %d times and came back %d times, %d failed, backends were drained at %d looks, %d orders denied, %d calls about backends, %d commands, %d breaches",
-		n, r.Went, r.Back, r.Failed, r.Drained, r.Denied, len(r.History), r.Commands, len(r.Breaches))
+		n, r.WentOut, r.Returned, r.Failed, r.Drained, r.Denied, len(r.History), r.Commands, len(r.Breaches))
 }
 
 // hasty says that a backend is drained while some doors have not confirmed.
@@ -122,14 +122,14 @@
 
 func TestPlantedFaultsOfOrdersAreFound(t *testing.T) {
 	for name, c := range map[string]struct {
-		make func() Agreed
+		make func() ReplicatedState
 		rule string
 	}{
-		"drained before all have confirmed":  {func() Agreed { return hasty{permits.New()} }, StillSends},
-		"one that is away taken for ended":   {func() Agreed { return careless{permits.New()} }, StillSends},
-		"a backend's place freed by time":    {func() Agreed { return eager{permits.New()} }, asOne},
-		"a leader that is stale reads":       {func() Agreed { return &late{State: permits.New()} }, asOne},
-		"no look at the last step by orders": {func() Agreed { return loose{permits.New()} }, Halted},
+		"drained before all have confirmed":  {func() ReplicatedState { return hasty{permits.New()} }, NoSendsToDrained},
+		"one that is away taken for ended":   {func() ReplicatedState { return careless{permits.New()} }, NoSendsToDrained},
+		"a backend's place freed by time":    {func() ReplicatedState { return eager{permits.New()} }, asOne},
+		"a leader that is stale reads":       {func() ReplicatedState { return &late{State: permits.New()} }, asOne},
+		"no look at the last step by orders": {func() ReplicatedState { return loose{permits.New()} }, NoneAfterHalt},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/lab/outs/verdicts_test.go
+++ b/lab/outs/releases_test.go
@@ -10,16 +10,16 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-func compared(now, watch float64) Rule { return release.NewComparison(now, watch) }
-func plain(late float64) func(now, watch float64) Rule {
-	return func(now, watch float64) Rule { return NewThreshold(now, watch, late) }
+func compared(now, watch float64) Evaluator { return release.NewComparison(now, watch) }
+func plain(late float64) func(now, watch float64) Evaluator {
+	return func(now, watch float64) Evaluator { return NewThreshold(now, watch, late) }
 }
 
 // score plays releases, half of them harmless, and tells false halts, missed ones and seconds to each verdict.
-func score(t *testing.T, n int, rule func(now, watch float64) Rule) (falseHalts, missed int) {
+func score(t *testing.T, n int, rule func(now, watch float64) Evaluator) (falseHalts, missed int) {
 	type one struct {
 		harm string
-		Judged
+		ReleaseResult
 	}
 	all := make([]one, n)
 	var group sync.WaitGroup
@@ -30,9 +30,9 @@
 			defer func() { <-slots }()
 			harm := ""
 			if i%2 == 1 {
-				harm = Harms[i/2%len(Harms)]
+				harm = Defects[i/2%len(Defects)]
 			}
-			all[i] = one{harm, Verdicts{uint64(i), harm}.Play(rule)}
+			all[i] = one{harm, ReleaseSimulation{uint64(i), harm}.Run(rule)}
 		})
 	}
 	group.Wait()
@@ -46,10 +46,10 @@
 			missed++
 			misses[o.harm]++
 		case o.harm != "":
-			times[o.harm], reached[o.harm] = append(times[o.harm], o.AtS), append(reached[o.harm], o.Reached)
+			times[o.harm], reached[o.harm] = append(times[o.harm], o.AtS), append(reached[o.harm], o.ChangedShare)
 		}
 	}
-	for _, h := range Harms {
+	for _, h := range Defects {
 		slices.Sort(times[h])
 		slices.Sort(reached[h])
 		if k := len(times[h]); k > 0 {
--- a/lab/outs/outs_test.go
+++ b/lab/outs/restarts_test.go
@@ -20,11 +20,11 @@
 		group.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			r := Fleet{Seed: uint64(i), Doors: []int{10, 20, 40, 100, 300}[min(4, i%20/4)], Ms: 60e3, Make: make}.Play()
+			r := RestartSimulation{Seed: uint64(i), Doors: []int{10, 20, 40, 100, 300}[min(4, i%20/4)], DurationMs: 60e3, NewMachine: make}.Run()
 			mu.Lock()
 			defer mu.Unlock()
 			sum.Breaches = append(sum.Breaches, r.Breaches...)
-			sum.Went, sum.Denied, sum.Failed, sum.Commands = sum.Went+r.Went, sum.Denied+r.Denied, sum.Failed+r.Failed, sum.Commands+r.Commands
+			sum.WentOut, sum.Denied, sum.Failed, sum.Commands = sum.WentOut+r.WentOut, sum.Denied+r.Denied, sum.Failed+r.Failed, sum.Commands+r.Commands
 		})
 	}
 	group.Wait()
@@ -40,9 +40,9 @@
 	}
 	r := play(n, machine)
 	assert.Empty(t, r.Breaches)
-	assert.Greater(t, r.Went, 5*n, "they do go out")
+	assert.Greater(t, r.WentOut, 5*n, "they do go out")
 	assert.Greater(t, r.Denied, n)
-	t.Logf("%d fleets: %d went out by plan, %d denied, %d failed, %d commands, %d breaches", n, r.Went, r.Denied, r.Failed, r.Commands, len(r.Breaches))
+	t.Logf("%d fleets: %d went out by plan, %d denied, %d failed, %d commands, %d breaches", n, r.WentOut, r.Denied, r.Failed, r.Commands, len(r.Breaches))
 }
 
 // leased frees places as time goes by: a planted fault.
@@ -123,11 +123,11 @@
 		make func() Machine
 		rule string
 	}{
-		"a permit freed by time":        {func() Machine { return leased{permits.New()} }, PlanWithin},
-		"a number that nobody looks at": {func() Machine { return unfenced{permits.New()} }, PlanWithin},
-		"a leader that is stale":        {func() Machine { return &stale{now: permits.New(), old: permits.New()} }, PlanWithin},
-		"no look at the last step":      {func() Machine { return lax{permits.New()} }, Halted},
-		"failures that nobody counts":   {func() Machine { return blind{permits.New()} }, LetOut},
+		"a permit freed by time":        {func() Machine { return leased{permits.New()} }, PlannedWithinBudget},
+		"a number that nobody looks at": {func() Machine { return unfenced{permits.New()} }, PlannedWithinBudget},
+		"a leader that is stale":        {func() Machine { return &stale{now: permits.New(), old: permits.New()} }, PlannedWithinBudget},
+		"no look at the last step":      {func() Machine { return lax{permits.New()} }, NoneAfterHalt},
+		"failures that nobody counts":   {func() Machine { return blind{permits.New()} }, NoneBeyondBudget},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- /dev/null
+++ b/lab/outs/scheduler.go
@@ -0,0 +1,52 @@
+package outs
+
+import (
+	"container/heap"
+	"math/rand/v2"
+)
+
+// scheduler is virtual time: what is due, in order, and chance by a seed.
+type scheduler struct {
+	queue    eventQueue
+	now      float64
+	sequence int
+	random   *rand.Rand
+}
+
+type event struct {
+	at       float64
+	sequence int
+	do       func()
+}
+
+type eventQueue []event
+
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(a, b int) bool {
+	return q[a].at < q[b].at || q[a].at == q[b].at && q[a].sequence < q[b].sequence
+}
+func (q eventQueue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
+func (q *eventQueue) Push(d any)   { *q = append(*q, d.(event)) }
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	d := (*q)[last]
+	*q = (*q)[:last]
+	return d
+}
+
+// at has something done at a time; what is due at once is done in the order in which it was said.
+func (g *scheduler) at(t float64, do func()) {
+	g.sequence++
+	heap.Push(&g.queue, event{t, g.sequence, do})
+}
+
+func (g *scheduler) between(a, b float64) float64 { return a + (b-a)*g.random.Float64() }
+
+// runUntil does all that is due until a time.
+func (g *scheduler) runUntil(end float64) {
+	for len(g.queue) > 0 && g.queue[0].at <= end {
+		d := heap.Pop(&g.queue).(event)
+		g.now = d.at
+		d.do()
+	}
+}
--- a/lab/rehearse/errors.go
+++ b/lab/rehearse/errors.go
@@ -34,16 +34,16 @@
 	return "One of drain, release and manual is wanted, as docs/calendar.md tells."
 }
 
-// DayError is a scenario whose day has no room for what is rehearsed.
-type DayError struct{ Cause error }
+// ScenarioError is a scenario whose day has no room for what is rehearsed.
+type ScenarioError struct{ Cause error }
 
-func (e *DayError) Error() string {
+func (e *ScenarioError) Error() string {
 	return remedy.WithCause("the steps on the scenario's day", e.Cause)
 }
-func (e *DayError) Unwrap() error     { return e.Cause }
-func (e *DayError) Kind() remedy.Kind { return remedy.Configuration }
+func (e *ScenarioError) Unwrap() error     { return e.Cause }
+func (e *ScenarioError) Kind() remedy.Kind { return remedy.Configuration }
 
 // Remedy says what to change.
-func (e *DayError) Remedy() string {
+func (e *ScenarioError) Remedy() string {
 	return "Take a scenario without faults of the same kind, as --scenario calm, or a longer day with --set day.seconds=120."
 }
--- a/lab/rehearse/rehearse.go
+++ b/lab/rehearse/rehearse.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	lead     = 0.1  // share of the day before the first step, in which doors come to know the fleet,
-	tail     = 0.1  // and after the last, in which the fleet comes back
-	used     = 0.8  // share of a step's part of the day in which it goes; the rest is for its last units to come back
-	doorDown = 1.0  // s that a door is away while it changes: the holder has its listener, its answer comes a start later
-	most     = 1000 // operations that figures are told for
+	leadShare   = 0.1  // share of the day before the first step, in which doors come to know the fleet,
+	tailShare   = 0.1  // and after the last, in which the fleet comes back
+	activeShare = 0.8  // share of a step's part of the day in which it goes; the rest is for its last units to come back
+	doorDownS   = 1.0  // s that a door is away while it changes: the holder has its listener, its answer comes a start later
+	perRequests = 1000 // operations that figures are told for
 )
 
 // Step is a step of a migration, as the laboratory has it.
 type Step struct {
-	Name  string
-	Fault *scenario.Fault // nil where nothing of it can be played
-	Says  string          // what is played, or why nothing is
+	Name   string
+	Fault  *scenario.Fault // nil where nothing of it can be played
+	Detail string          // what is played, or why nothing is
 }
 
 // Steps words the steps as faults of a scenario's day, one after the other. Places are what may be out at once.
@@ -35,48 +35,48 @@
 	if len(entries) == 0 {
 		return nil, &StepsError{}
 	}
-	part := s.Day.Seconds * (1 - lead - tail) / float64(len(entries))
+	part := s.Day.Seconds * (1 - leadShare - tailShare) / float64(len(entries))
 	for i := range entries {
 		do, err := permits.ReadAction(entries[i].Do)
 		if err != nil {
 			return nil, &ActionError{i + 1, err}
 		}
 		step := Step{Name: entries[i].Name}
-		f := scenario.Fault{AtS: s.Day.Seconds*lead + part*float64(i), ForS: part * used, MostOut: places}
+		f := scenario.Fault{AtS: s.Day.Seconds*leadShare + part*float64(i), ForS: part * activeShare, MostOut: places}
 		doors := func(n int) {
-			f.Kind, f.Much, f.Share = "door_roll", doorDown, share(n, s.Fleet.Doors)
-			step.Fault, step.Says = &f, fmt.Sprintf("%d of %d doors change, %d at once, each away for %g s", n, s.Fleet.Doors, places, doorDown)
+			f.Kind, f.Much, f.Share = "door_roll", doorDownS, fleetShare(n, s.Fleet.Doors)
+			step.Fault, step.Detail = &f, fmt.Sprintf("%d of %d doors change, %d at once, each away for %g s", n, s.Fleet.Doors, places, doorDownS)
 		}
 		backends := func(n int, away float64) {
-			f.Kind, f.Much, f.Share = "replace", math.Min(away, part*used/2), share(n, s.Fleet.Backends)
-			step.Fault, step.Says = &f, fmt.Sprintf("%d of %d backends are drained for %.0f s, %d at once, and come back cold", n, s.Fleet.Backends, f.Much, places)
+			f.Kind, f.Much, f.Share = "replace", math.Min(away, part*activeShare/2), fleetShare(n, s.Fleet.Backends)
+			step.Fault, step.Detail = &f, fmt.Sprintf("%d of %d backends are drained for %.0f s, %d at once, and come back cold", n, s.Fleet.Backends, f.Much, places)
 		}
 		switch {
 		case do.Manual != "":
-			step.Says = "not played: people do it"
+			step.Detail = "not played: people do it"
 		case do.Release != nil && do.Release.Changes == release.Backends:
-			backends(count(do.Release.Doors, s.Fleet.Backends), doorDown)
+			backends(count(do.Release.Doors, s.Fleet.Backends), doorDownS)
 		case do.Release != nil:
 			doors(count(do.Release.Doors, s.Fleet.Doors))
 		case do.Drain != nil && do.Drain.Kind == permits.Door:
 			doors(1)
 		case do.Drain != nil && do.Drain.Kind == permits.Backend:
-			backends(1, away(do.Drain, part))
+			backends(1, drainSeconds(do.Drain, part))
 		case do.Drain != nil: // a zone goes whole; its doors go on sending to the others
 			f.MostOut, f.Batches = 0, 1
 			f.Zone = new(int)
-			f.Kind, f.Much, f.Share = "replace", math.Min(away(do.Drain, part), part*used/2), 1
-			step.Fault, step.Says = &f, fmt.Sprintf("all backends of one zone are drained for %.0f s at once, and come back cold", f.Much)
+			f.Kind, f.Much, f.Share = "replace", math.Min(drainSeconds(do.Drain, part), part*activeShare/2), 1
+			step.Fault, step.Detail = &f, fmt.Sprintf("all backends of one zone are drained for %.0f s at once, and come back cold", f.Much)
 		default:
-			step.Says = "not played: nothing is known of what it does"
+			step.Detail = "not played: nothing is known of what it does"
 		}
 		steps = append(steps, step)
 	}
 	return steps, nil
 }
 
-// away is for how long a drain lasts in a day that is far shorter than the real one.
-func away(d *permits.DrainAction, part float64) float64 {
+// drainSeconds is for how long a drain lasts in a day that is far shorter than the real one.
+func drainSeconds(d *permits.DrainAction, part float64) float64 {
 	if d.ForS > 0 {
 		return d.ForS
 	}
@@ -90,28 +90,28 @@
 	return min(len(named), all)
 }
 
-// share of a fleet that has so many, rounded as the laboratory does.
-func share(n, of int) float64 { return float64(min(n, of)) / float64(max(1, of)) }
+// fleetShare of a fleet that has so many, rounded as the laboratory does.
+func fleetShare(n, of int) float64 { return float64(min(n, of)) / float64(max(1, of)) }
 
-// Row is what a day came to, over all seeds: with nothing, one step alone, or all of them.
-type Row struct {
+// Estimate is what a day came to, over all seeds: with nothing, one step alone, or all of them.
+type Estimate struct {
 	Name     string
-	Says     string
+	Detail   string
 	G        float64 // mean
-	Least    float64 // of the seeds
+	MinG     float64 // of the seeds
 	Cost     float64 // G that it takes, in the mean, against the same days with nothing
 	Late     float64 // of a thousand operations
 	Unserved float64
 	Broken   string // rules that broke on any seed
 }
 
-// Play plays the day with nothing, with each step alone, and with all of them, on each seed.
-func Play(ctx context.Context, s *scenario.Scenario, steps []Step, seeds []uint64, jobs int) (rows []Row, err error) {
-	rows = []Row{{Name: "nothing", Says: "the day as it is"}}
+// Run plays the day with nothing, with each step alone, and with all of them, on each seed.
+func Run(ctx context.Context, s *scenario.Scenario, steps []Step, seeds []uint64, jobs int) (rows []Estimate, err error) {
+	rows = []Estimate{{Name: "nothing", Detail: "the day as it is"}}
 	days := [][]scenario.Fault{nil}
 	var all []scenario.Fault
 	for _, step := range steps {
-		row := Row{Name: step.Name, Says: step.Says}
+		row := Estimate{Name: step.Name, Detail: step.Detail}
 		if step.Fault == nil {
 			rows, days = append(rows, row), append(days, nil)
 			continue
@@ -119,10 +119,10 @@
 		all = append(all, *step.Fault)
 		rows, days = append(rows, row), append(days, []scenario.Fault{*step.Fault})
 	}
-	rows, days = append(rows, Row{Name: "all", Says: "one after the other"}), append(days, all)
+	rows, days = append(rows, Estimate{Name: "all", Detail: "one after the other"}), append(days, all)
 	var ones []run.One
 	for _, faults := range days {
-		with, err := with(s, faults)
+		with, err := withFaults(s, faults)
 		if err != nil {
 			return nil, err
 		}
@@ -130,22 +130,22 @@
 			ones = append(ones, run.One{Scenario: with, Seed: seed, Policy: rival.Swifthall})
 		}
 	}
-	results, err := run.All(ctx, ones, jobs, nil)
+	results, err := run.RunAll(ctx, ones, jobs, nil)
 	if err != nil {
 		return nil, err
 	}
 	n := float64(len(seeds))
 	for i := range rows {
 		row := &rows[i]
-		row.Least = math.Inf(1)
+		row.MinG = math.Inf(1)
 		broken := map[string]bool{}
 		for j, r := range results[i*len(seeds) : (i+1)*len(seeds)] {
 			row.G += r.Parts.G / n
-			row.Least = min(row.Least, r.Parts.G)
+			row.MinG = min(row.MinG, r.Parts.G)
 			row.Cost += (results[j].Parts.G - r.Parts.G) / n
-			row.Late += most * float64(r.Whole.Late) / math.Max(1, float64(r.Whole.Asked)) / n
-			row.Unserved += most * float64(r.Whole.Unserved) / math.Max(1, float64(r.Whole.Asked)) / n
-			if rule := string(r.FirstBroken()); rule != "" && !broken[rule] {
+			row.Late += perRequests * float64(r.Whole.Late) / math.Max(1, float64(r.Whole.Asked)) / n
+			row.Unserved += perRequests * float64(r.Whole.Unserved) / math.Max(1, float64(r.Whole.Asked)) / n
+			if rule := string(r.FirstBrokenRule()); rule != "" && !broken[rule] {
 				broken[rule] = true
 				row.Broken = strings.TrimSpace(row.Broken + " " + rule)
 			}
@@ -154,8 +154,8 @@
 	return rows, nil
 }
 
-// with is a scenario with more faults, checked as if it were read.
-func with(s *scenario.Scenario, faults []scenario.Fault) (*scenario.Scenario, error) {
+// withFaults is a scenario withFaults more faults, checked as if it were read.
+func withFaults(s *scenario.Scenario, faults []scenario.Fault) (*scenario.Scenario, error) {
 	c, err := s.Clone()
 	if err != nil {
 		return nil, err
@@ -167,7 +167,7 @@
 	}
 	c, err = scenario.Read(raw)
 	if err != nil {
-		return nil, &DayError{err}
+		return nil, &ScenarioError{err}
 	}
 	return &c, nil
 }
--- a/lab/rehearse/rehearse_test.go
+++ b/lab/rehearse/rehearse_test.go
@@ -55,7 +55,7 @@
 	assert.InDelta(t, 1/float64(s.Fleet.Doors), steps[5].Fault.Share, 1e-9)
 	for _, x := range steps {
 		if x.Fault != nil {
-			_, err := with(s, []scenario.Fault{*x.Fault})
+			_, err := withFaults(s, []scenario.Fault{*x.Fault})
 			assert.NoError(t, err, x.Name)
 		}
 	}
@@ -73,8 +73,8 @@
 	s.Faults = append(s.Faults, scenario.Fault{Kind: "door_deaths", AtS: 1, ForS: 18, Share: 0.5})
 	steps, err := Steps(s, []planfile.Entry{step("a", `{"drain":{"kind":"door","name":"n1"}}`)}, 1)
 	require.NoError(t, err)
-	_, err = Play(context.Background(), s, steps, []uint64{1}, 1)
-	var day *DayError
+	_, err = Run(context.Background(), s, steps, []uint64{1}, 1)
+	var day *ScenarioError
 	assert.ErrorAs(t, err, &day)
 }
 
@@ -85,15 +85,15 @@
 		step("all at once", `{"release":{"name":"q","changes":"backends","waves":[{"rest":true}]}}`),
 		step("one", `{"drain":{"kind":"backend","name":"b-1","for_s":1}}`)}, 1000)
 	require.NoError(t, err)
-	rows, err := Play(context.Background(), s, steps, []uint64{1, 2}, 0)
+	rows, err := Run(context.Background(), s, steps, []uint64{1, 2}, 0)
 	require.NoError(t, err)
 	require.Len(t, rows, 5)
 	assert.Zero(t, rows[0].Cost)
 	assert.Zero(t, rows[1].Cost, "it is not played")
 	assert.Greater(t, rows[2].Cost, 0.01)
 	assert.Greater(t, rows[2].Cost, 2*rows[3].Cost)
-	assert.LessOrEqual(t, rows[2].Least, rows[2].G)
-	again, err := Play(context.Background(), s, steps, []uint64{1, 2}, 1)
+	assert.LessOrEqual(t, rows[2].MinG, rows[2].G)
+	again, err := Run(context.Background(), s, steps, []uint64{1, 2}, 1)
 	require.NoError(t, err)
 	assert.Equal(t, rows, again)
 }
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -24,10 +24,10 @@
 //go:embed report.html
 var page string
 
-var shape = template.Must(template.New("report").Funcs(template.FuncMap{
+var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"share": func(x float64) string { return fmt.Sprintf("%.3f", x) },
 	"ms":    func(x float64) string { return fmt.Sprintf("%.1f", x) },
-	"says":  func(kind string) string { return scenario.Kinds[kind].Says },
+	"says":  func(kind string) string { return scenario.Kinds[kind].Description },
 	"part": func(a, b int) string {
 		if b == 0 {
 			return "0%"
@@ -38,24 +38,24 @@
 
 // Colours of the plots; they differ in brightness as well, for print.
 var (
-	blue   = color.RGBA{0x1f, 0x5a, 0xa6, 0xff}
-	green  = color.RGBA{0x2b, 0x8a, 0x3e, 0xff}
-	orange = color.RGBA{0xd9, 0x77, 0x06, 0xff}
-	red    = color.RGBA{0xb9, 0x1c, 0x1c, 0xff}
-	grey   = color.RGBA{0x88, 0x88, 0x88, 0xff}
-	band   = color.NRGBA{0xd0, 0x80, 0x20, 0x30}
+	blue      = color.RGBA{0x1f, 0x5a, 0xa6, 0xff}
+	green     = color.RGBA{0x2b, 0x8a, 0x3e, 0xff}
+	orange    = color.RGBA{0xd9, 0x77, 0x06, 0xff}
+	red       = color.RGBA{0xb9, 0x1c, 0x1c, 0xff}
+	grey      = color.RGBA{0x88, 0x88, 0x88, 0xff}
+	bandColor = color.NRGBA{0xd0, 0x80, 0x20, 0x30}
 )
 
 const (
-	wide = 9 * vg.Inch
-	high = 2.6 * vg.Inch
+	plotWidth  = 9 * vg.Inch
+	plotHeight = 2.6 * vg.Inch
 )
 
-// line is one curve over the day's seconds.
-type line struct {
-	name string
-	ink  color.Color
-	of   func(s *judge.Second) float64
+// series is one curve over the day's seconds.
+type series struct {
+	name  string
+	color color.Color
+	value func(s *judge.Second) float64
 }
 
 type figure struct {
@@ -65,18 +65,18 @@
 
 // Write puts the page into the day's folder.
 func Write(r *run.Result, dir string) error {
-	figures, err := plots(r)
+	figures, err := makeFigures(r)
 	if err != nil {
 		return err
 	}
 	var out bytes.Buffer
-	err = shape.Execute(&out, struct {
+	err = pageTemplate.Execute(&out, struct {
 		*run.Result
 		Figures  []figure
 		Rules    []judge.Rule
 		KeptAll  bool
 		HasScore bool
-	}{r, figures, judge.AllRules, r.Kept(), r.Score != nil})
+	}{r, figures, judge.AllRules, r.RulesKept(), r.Score != nil})
 	if err != nil {
 		return &WriteError{"the page", err}
 	}
@@ -87,30 +87,30 @@
 	return nil
 }
 
-func plots(r *run.Result) ([]figure, error) {
+func makeFigures(r *run.Result) ([]figure, error) {
 	var figures []figure
 	for _, f := range []struct {
 		title, unit string
 		log         bool
-		lines       []line
+		lines       []series
 	}{
-		{"Gain asked inside the quotas, and earned", "gain a second", false, []line{
+		{"Gain asked inside the quotas, and earned", "gain a second", false, []series{
 			{"asked", grey, func(s *judge.Second) float64 { return s.Offered }},
 			{"earned", green, func(s *judge.Second) float64 { return s.Earned }},
 			{"cost beyond quotas", red, func(s *judge.Second) float64 { return s.Over }}}},
-		{"What became of the operations asked in each second", "operations a second", false, []line{
+		{"What became of the operations asked in each second", "operations a second", false, []series{
 			{"asked", grey, func(s *judge.Second) float64 { return float64(s.Asked) }},
 			{"in contract time", green, func(s *judge.Second) float64 { return float64(s.InTime) }},
 			{"late", orange, func(s *judge.Second) float64 { return float64(s.Late) }},
 			{"never served", red, func(s *judge.Second) float64 { return float64(s.Unserved) }}}},
-		{"Answers that gave a try up", "tries a second", false, []line{
+		{"Answers that gave a try up", "tries a second", false, []series{
 			{"rejected", blue, func(s *judge.Second) float64 { return float64(s.Rejected) }},
 			{"scrapped", red, func(s *judge.Second) float64 { return float64(s.Failed) }}}},
-		{"Time from the first try to the answer", "ms", true, []line{
+		{"Time from the first try to the answer", "ms", true, []series{
 			{"p50", blue, func(s *judge.Second) float64 { return s.P50 }},
 			{"p99", orange, func(s *judge.Second) float64 { return s.P99 }}}},
 	} {
-		svg, err := curve(r, f.unit, f.log, f.lines)
+		svg, err := plotSeries(r, f.unit, f.log, f.lines)
 		if err != nil {
 			return nil, &WriteError{fmt.Sprintf("the figure %q", f.title), err}
 		}
@@ -119,8 +119,8 @@
 	return figures, nil
 }
 
-// curve draws lines over the seconds, with the faults as bands behind them.
-func curve(r *run.Result, unit string, log bool, lines []line) (template.HTML, error) {
+// plotSeries draws lines over the seconds, with the faults as bands behind them.
+func plotSeries(r *run.Result, unit string, log bool, lines []series) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "s", unit
 	p.X.Min, p.X.Max = 0, math.Max(1, float64(len(r.Seconds)))
@@ -134,7 +134,7 @@
 	for _, l := range lines {
 		var xy plotter.XYs
 		for i := range r.Seconds {
-			y := l.of(&r.Seconds[i])
+			y := l.value(&r.Seconds[i])
 			if log && y <= 0 {
 				continue
 			}
@@ -148,7 +148,7 @@
 		if err != nil {
 			return "", err
 		}
-		c.Color, c.Width = l.ink, vg.Points(1.4)
+		c.Color, c.Width = l.color, vg.Points(1.4)
 		curves = append(curves, c)
 		p.Legend.Add(l.name, c)
 	}
@@ -160,14 +160,14 @@
 		low = 1
 	}
 	for _, f := range r.Faults {
-		p.Add(strip{f.AtS, math.Max(f.End(), f.AtS+0.2)})
+		p.Add(faultBand{f.AtS, math.Max(f.End(), f.AtS+0.2)})
 	}
 	p.Add(curves...)
 	p.Y.Min, p.Y.Max = math.Min(low, p.Y.Min), top*1.15
 	if log {
 		p.Y.Min = 1
 	}
-	w, err := p.WriterTo(wide, high, "svg")
+	w, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
 		return "", err
 	}
@@ -182,14 +182,14 @@
 	return template.HTML(raw), nil
 }
 
-// strip is a band over the whole height, from one second to another.
-type strip struct{ from, to float64 }
+// faultBand is a band over the whole height, from one second to another.
+type faultBand struct{ from, to float64 }
 
-func (s strip) Plot(c draw.Canvas, p *plot.Plot) {
+func (s faultBand) Plot(c draw.Canvas, p *plot.Plot) {
 	x, _ := p.Transforms(&c)
 	left, right := math.Max(s.from, p.X.Min), math.Min(s.to, p.X.Max)
 	if left >= right {
 		return
 	}
-	c.FillPolygon(band, []vg.Point{{X: x(left), Y: c.Min.Y}, {X: x(right), Y: c.Min.Y}, {X: x(right), Y: c.Max.Y}, {X: x(left), Y: c.Max.Y}})
+	c.FillPolygon(bandColor, []vg.Point{{X: x(left), Y: c.Min.Y}, {X: x(right), Y: c.Min.Y}, {X: x(right), Y: c.Max.Y}, {X: x(left), Y: c.Max.Y}})
 }
--- a/lab/rival/rival.go
+++ b/lab/rival/rival.go
@@ -46,54 +46,54 @@
 	open        bool
 	class, plan int
 	units       float64
-	until       float64
-	sends       []sending
+	deadline    float64
+	attempts    []attempt
 }
 
-type sending struct {
-	backend int
-	at      float64
-	out     bool
-	never   bool
+type attempt struct {
+	backend  int
+	at       float64
+	pending  bool
+	neverRan bool
 }
 
 // base keeps the list and the requests, and the book of what may be sent again.
 type base struct {
-	terms   gate.Terms
-	dice    *rand.Rand
-	ops     []request
-	up      []bool
-	zone    []int
-	cell    []int
-	out     []int // own attempts, by backend
-	listed  []int // those that are up
-	actions []gate.Action
-	asked   bool
+	terms       gate.Terms
+	random      *rand.Rand
+	ops         []request
+	up          []bool
+	zone        []int
+	cell        []int
+	outstanding []int // own attempts, by backend
+	listed      []int // those that are up
+	actions     []gate.Action
+	subscribed  bool
 }
 
 func newBase(t gate.Terms, seed uint64) base {
-	return base{terms: t, dice: rand.New(rand.NewPCG(seed, 0))}
+	return base{terms: t, random: rand.New(rand.NewPCG(seed, 0))}
 }
 
 func (b *base) begin() {
 	b.actions = b.actions[:0]
-	if b.terms.MustSubscribe && !b.asked {
-		b.asked = true
+	if b.terms.MustSubscribe && !b.subscribed {
+		b.subscribed = true
 		b.actions = append(b.actions, gate.SubscribeFleet{})
 	}
 }
 
-// hear takes in what every rival takes alike.
-func (b *base) hear(e gate.Event) {
+// handleCommon takes in what every rival takes alike.
+func (b *base) handleCommon(e gate.Event) {
 	switch e := e.(type) {
 	case gate.FleetUpdate:
-		b.list(e)
+		b.updateFleet(e)
 	case gate.ClientGone:
 		b.ops[e.Op].open = false
 	}
 }
 
-func (b *base) list(e gate.FleetUpdate) {
+func (b *base) updateFleet(e gate.FleetUpdate) {
 	if e.Failed {
 		return
 	}
@@ -102,7 +102,7 @@
 	}
 	for _, n := range e.Entries {
 		for len(b.up) <= n.Backend {
-			b.up, b.zone, b.cell, b.out = append(b.up, false), append(b.zone, 0), append(b.cell, 0), append(b.out, 0)
+			b.up, b.zone, b.cell, b.outstanding = append(b.up, false), append(b.zone, 0), append(b.cell, 0), append(b.outstanding, 0)
 		}
 		b.up[n.Backend], b.zone[n.Backend], b.cell[n.Backend] = n.Status == gate.Up, n.Zone, n.Cell
 	}
@@ -114,40 +114,40 @@
 	}
 }
 
-func (b *base) arrive(now float64, e gate.Request) *request {
+func (b *base) addRequest(now float64, e gate.Request) *request {
 	for len(b.ops) <= e.Op {
 		b.ops = append(b.ops, request{})
 	}
-	b.ops[e.Op] = request{open: true, class: e.Class, plan: e.Plan, units: e.Units, until: now + e.TTL, sends: b.ops[e.Op].sends[:0]}
+	b.ops[e.Op] = request{open: true, class: e.Class, plan: e.Plan, units: e.Units, deadline: now + e.TTL, attempts: b.ops[e.Op].attempts[:0]}
 	return &b.ops[e.Op]
 }
 
 func (b *base) send(now float64, op, backend int, limit float64) {
-	b.ops[op].sends = append(b.ops[op].sends, sending{backend: backend, at: now, out: true})
-	b.out[backend]++
+	b.ops[op].attempts = append(b.ops[op].attempts, attempt{backend: backend, at: now, pending: true})
+	b.outstanding[backend]++
 	b.actions = append(b.actions, gate.Send{Op: op, Backend: backend, Timeout: limit})
 }
 
-// ended books an attempt's end, and tells whether the request still waits for something.
-func (b *base) ended(e gate.AttemptEnded) (open bool) {
+// recordEnd books an attempt's end, and tells whether the request still waits for something.
+func (b *base) recordEnd(e gate.AttemptEnded) (open bool) {
 	o := &b.ops[e.Op]
-	s := &o.sends[e.Attempt]
-	s.out, s.never = false, e.Result.NeverRan()
-	b.out[s.backend]--
+	s := &o.attempts[e.Attempt]
+	s.pending, s.neverRan = false, e.Result.NeverRan()
+	b.outstanding[s.backend]--
 	if e.Answered {
 		o.open = false
 	}
 	return o.open
 }
 
-// end gives a request up: a rejection where the rules let it, else a failure.
-func (b *base) end(op int, retryAfter float64) {
+// giveUp gives a request up: a rejection where the rules let it, else a failure.
+func (b *base) giveUp(op int, retryAfter float64) {
 	o := &b.ops[op]
 	o.open = false
 	p := &b.terms.Classes[o.class]
 	if p.Semantics != gate.Idempotent && !(p.Semantics == gate.Keyed && p.Scope == gate.ScopeAll) {
-		for i := range o.sends {
-			if !o.sends[i].never {
+		for i := range o.attempts {
+			if !o.attempts[i].neverRan {
 				b.actions = append(b.actions, gate.Fail{Op: op})
 				return
 			}
@@ -156,18 +156,18 @@
 	b.actions = append(b.actions, gate.Reject{Op: op, RetryAfter: min(retryAfter, b.terms.MaxRetryAfter)})
 }
 
-// may tells whether a request may be sent to a backend now.
-func (b *base) may(now float64, o *request, backend int) bool {
+// mayAttempt tells whether a request mayAttempt be sent to a backend now.
+func (b *base) mayAttempt(now float64, o *request, backend int) bool {
 	p := &b.terms.Classes[o.class]
-	if len(o.sends) >= b.terms.MaxAttempts {
+	if len(o.attempts) >= b.terms.MaxAttempts {
 		return false
 	}
-	for i := range o.sends {
-		s := &o.sends[i]
+	for i := range o.attempts {
+		s := &o.attempts[i]
 		switch {
-		case s.out && !b.terms.Hedging:
+		case s.pending && !b.terms.Hedging:
 			return false
-		case s.never || p.Semantics == gate.Idempotent:
+		case s.neverRan || p.Semantics == gate.Idempotent:
 		case p.Semantics == gate.NonIdempotent,
 			p.Scope == gate.ScopeZone && b.zone[s.backend] != b.zone[backend],
 			p.Scope == gate.ScopeCell && b.cell[s.backend] != b.cell[backend],
@@ -184,18 +184,18 @@
 func (f *floor) Decide(now float64, events []gate.Event) []gate.Action {
 	f.begin()
 	for _, e := range events {
-		f.hear(e)
+		f.handleCommon(e)
 		switch e := e.(type) {
 		case gate.Request:
-			f.arrive(now, e)
+			f.addRequest(now, e)
 			if len(f.listed) == 0 {
-				f.end(e.Op, 0)
+				f.giveUp(e.Op, 0)
 				continue
 			}
-			f.send(now, e.Op, f.listed[f.dice.IntN(len(f.listed))], 0)
+			f.send(now, e.Op, f.listed[f.random.IntN(len(f.listed))], 0)
 		case gate.AttemptEnded:
-			if f.ended(e) {
-				f.end(e.Op, 0)
+			if f.recordEnd(e) {
+				f.giveUp(e.Op, 0)
 			}
 		}
 	}
@@ -206,9 +206,9 @@
 // choices by own work out, time-outs at the contract time, retries within a budget.
 type textbook struct {
 	base
-	buckets []bucket
-	retries float64     // that the budget still holds
-	sight   model.Sight // where it sees the true quotas late, in place of an even slice
+	buckets     []bucket
+	retryBudget float64     // that the budget still holds
+	sight       model.Sight // where it sees the true quotas late, in place of an even slice
 }
 
 type bucket struct {
@@ -218,35 +218,35 @@
 }
 
 const (
-	budgetShare = 0.1 // retries for each request
-	budgetMost  = 10  // retries that the budget holds at most
-	lateSight   = 2e3 // ms by which the true state is seen late: as a meter's word with a common period
+	retryBudgetShare = 0.1 // retries for each request
+	maxRetryBudget   = 10  // retries that the budget holds at most
+	quotaDelayMs     = 2e3 // ms by which the true state is seen late: as a meter's word with a common period
 )
 
 func (t *textbook) Decide(now float64, events []gate.Event) []gate.Action {
 	t.begin()
 	for _, e := range events {
-		t.hear(e)
+		t.handleCommon(e)
 		switch e := e.(type) {
 		case gate.Request:
-			t.arrive(now, e)
-			t.retries = min(budgetMost, t.retries+budgetShare)
-			if rest := t.take(now, e); rest > 0 {
-				t.end(e.Op, rest)
+			t.addRequest(now, e)
+			t.retryBudget = min(maxRetryBudget, t.retryBudget+retryBudgetShare)
+			if rest := t.takeQuota(now, e); rest > 0 {
+				t.giveUp(e.Op, rest)
 			} else {
-				t.first(now, e.Op)
+				t.sendFirst(now, e.Op)
 			}
 		case gate.AttemptEnded:
-			if t.ended(e) && !t.again(now, e.Op) {
-				t.end(e.Op, 0)
+			if t.recordEnd(e) && !t.retry(now, e.Op) {
+				t.giveUp(e.Op, 0)
 			}
 		}
 	}
 	return t.actions
 }
 
-// take draws on the customer's slice; it returns the time until there may be room, 0 where there was.
-func (t *textbook) take(now float64, e gate.Request) float64 {
+// takeQuota draws on the customer's slice; it returns the time until there may be room, 0 where there was.
+func (t *textbook) takeQuota(now float64, e gate.Request) float64 {
 	for len(t.buckets) <= e.Customer {
 		t.buckets = append(t.buckets, bucket{})
 	}
@@ -255,7 +255,7 @@
 		return 0
 	}
 	if t.sight != nil {
-		if t.sight.TakeLate(e.Customer, e.Plan, e.Units, lateSight) {
+		if t.sight.TakeLate(e.Customer, e.Plan, e.Units, quotaDelayMs) {
 			return 0
 		}
 		return e.Units / p.Rate
@@ -273,45 +273,45 @@
 	return (e.Units - k.level) / (p.Rate * part)
 }
 
-// pick is the better of two random choices among those that may have the request; -1 where there is none.
-func (t *textbook) pick(now float64, o *request) int {
+// pickBackend is the better of two random choices among those that may have the request; -1 where there is none.
+func (t *textbook) pickBackend(now float64, o *request) int {
 	best := -1
 	for range 2 {
 		if len(t.listed) == 0 {
 			return -1
 		}
-		b := t.listed[t.dice.IntN(len(t.listed))]
-		if t.may(now, o, b) && (best < 0 || t.out[b] < t.out[best]) {
+		b := t.listed[t.random.IntN(len(t.listed))]
+		if t.mayAttempt(now, o, b) && (best < 0 || t.outstanding[b] < t.outstanding[best]) {
 			best = b
 		}
 	}
 	return best
 }
 
-func (t *textbook) first(now float64, op int) {
+func (t *textbook) sendFirst(now float64, op int) {
 	o := &t.ops[op]
-	if b := t.pick(now, o); b >= 0 {
-		t.send(now, op, b, t.limit(now, o))
+	if b := t.pickBackend(now, o); b >= 0 {
+		t.send(now, op, b, t.attemptTimeout(now, o))
 		return
 	}
-	t.end(op, t.terms.MaxRetryAfter)
+	t.giveUp(op, t.terms.MaxRetryAfter)
 }
 
-func (t *textbook) limit(now float64, o *request) float64 {
-	return max(1, min(o.until-now, t.terms.Classes[o.class].Contract))
+func (t *textbook) attemptTimeout(now float64, o *request) float64 {
+	return max(1, min(o.deadline-now, t.terms.Classes[o.class].Contract))
 }
 
-func (t *textbook) again(now float64, op int) bool {
+func (t *textbook) retry(now float64, op int) bool {
 	o := &t.ops[op]
-	if t.retries < 1 || now >= o.until {
+	if t.retryBudget < 1 || now >= o.deadline {
 		return false
 	}
-	b := t.pick(now, o)
+	b := t.pickBackend(now, o)
 	if b < 0 {
 		return false
 	}
-	t.retries--
-	t.send(now, op, b, t.limit(now, o))
+	t.retryBudget--
+	t.send(now, op, b, t.attemptTimeout(now, o))
 	return true
 }
 
@@ -324,8 +324,8 @@
 }
 
 const (
-	poorWait = 0.15 // share of the contract time that the poorest request may be expected to take,
-	richWait = 0.5  // and the richest: works vary, so that a mean nearer to the contract time comes late too often
+	lowestRankWait  = 0.15 // share of the contract time that the poorest request may be expected to take,
+	highestRankWait = 0.5  // and the richest: works vary, so that a mean nearer to the contract time comes late too often
 )
 
 func newOracle(t gate.Terms, seed uint64, s model.Sight) *oracle {
@@ -350,44 +350,44 @@
 func (o *oracle) Decide(now float64, events []gate.Event) []gate.Action {
 	o.begin()
 	for _, e := range events {
-		o.hear(e)
+		o.handleCommon(e)
 		switch e := e.(type) {
 		case gate.Request:
-			op := o.arrive(now, e)
+			op := o.addRequest(now, e)
 			contract, alone := o.terms.Classes[op.class].Contract, o.sight.Work(op.class)
-			most := max(alone, contract*(poorWait+(richWait-poorWait)*o.ranks[op.class][op.plan]))
-			if b, wait := o.best(now, op); b < 0 || now+wait > op.until || wait > most {
-				o.end(e.Op, o.terms.MaxRetryAfter)
+			most := max(alone, contract*(lowestRankWait+(highestRankWait-lowestRankWait)*o.ranks[op.class][op.plan]))
+			if b, wait := o.fastestBackend(now, op); b < 0 || now+wait > op.deadline || wait > most {
+				o.giveUp(e.Op, o.terms.MaxRetryAfter)
 			} else if !o.sight.Take(e.Customer, e.Plan, e.Units) {
-				o.end(e.Op, e.Units/max(1e-9, o.terms.Plans[e.Plan].Rate))
+				o.giveUp(e.Op, e.Units/max(1e-9, o.terms.Plans[e.Plan].Rate))
 			} else {
 				o.send(now, e.Op, b, 0)
 			}
 		case gate.AttemptEnded:
-			if !o.ended(e) {
+			if !o.recordEnd(e) {
 				continue
 			}
 			op := &o.ops[e.Op]
-			if b, wait := o.best(now, op); b >= 0 && now+wait <= op.until {
+			if b, wait := o.fastestBackend(now, op); b >= 0 && now+wait <= op.deadline {
 				o.send(now, e.Op, b, 0)
 			} else {
-				o.end(e.Op, 0)
+				o.giveUp(e.Op, 0)
 			}
 		}
 	}
 	return o.actions
 }
 
-// best is the backend that would answer soonest, and when.
-func (o *oracle) best(now float64, op *request) (backend int, wait float64) {
+// fastestBackend is the backend that would answer soonest, and when.
+func (o *oracle) fastestBackend(now float64, op *request) (backend int, wait float64) {
 	backend, wait = -1, math.Inf(1)
 	from := 0
 	if len(o.listed) > 0 {
-		from = o.dice.IntN(len(o.listed)) // equals are taken in turn
+		from = o.random.IntN(len(o.listed)) // equals are taken in turn
 	}
 	for i := range o.listed {
 		b := o.listed[(from+i)%len(o.listed)]
-		if w := o.sight.Wait(b, op.class); w < wait && o.may(now, op, b) {
+		if w := o.sight.Wait(b, op.class); w < wait && o.mayAttempt(now, op, b) {
 			backend, wait = b, w
 		}
 	}
--- a/lab/run/errors.go
+++ b/lab/run/errors.go
@@ -23,38 +23,38 @@
 	return "Give --policy one of " + strings.Join(e.Known, ", ") + "."
 }
 
-// DayError is a day that could not be played to its end.
-type DayError struct {
+// RunError is a day that could not be played to its end.
+type RunError struct {
 	Scenario string
 	Cause    error
 }
 
-func (e *DayError) Error() string     { return remedy.WithCause("playing "+e.Scenario, e.Cause) }
-func (e *DayError) Unwrap() error     { return e.Cause }
-func (e *DayError) Kind() remedy.Kind { return remedy.Refused }
+func (e *RunError) Error() string     { return remedy.WithCause("playing "+e.Scenario, e.Cause) }
+func (e *RunError) Unwrap() error     { return e.Cause }
+func (e *RunError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy holds where the cause has none.
-func (e *DayError) Remedy() string {
+func (e *RunError) Remedy() string {
 	return fmt.Sprintf("Play %s alone with swifthall lab play to see what it stops at.", e.Scenario)
 }
 
 // ResultsError is a folder of results that can't be read, written or compared.
 type ResultsError struct {
-	Doing string
-	Dir   string // empty where no folder is to blame
-	Says  string
-	Cause error
+	Operation string
+	Dir       string // empty where no folder is to blame
+	Detail    string
+	Cause     error
 }
 
 func (e *ResultsError) Error() string {
-	doing := e.Doing
-	if e.Dir != "" && e.Cause != nil && doing == doingLoad {
+	doing := e.Operation
+	if e.Dir != "" && e.Cause != nil && doing == opLoad {
 		doing += " " + e.Dir
 	}
 	if doing == "" {
-		return remedy.WithCause(e.Says, e.Cause)
+		return remedy.WithCause(e.Detail, e.Cause)
 	}
-	return doing + ": " + remedy.WithCause(e.Says, e.Cause)
+	return doing + ": " + remedy.WithCause(e.Detail, e.Cause)
 }
 func (e *ResultsError) Unwrap() error     { return e.Cause }
 func (e *ResultsError) Kind() remedy.Kind { return remedy.Configuration }
@@ -62,7 +62,7 @@
 // Remedy names the folder and the command that fills one.
 func (e *ResultsError) Remedy() string {
 	switch {
-	case e.Doing == doingSave:
+	case e.Operation == opSave:
 		return fmt.Sprintf("Give --out a folder that can be written in place of %s.", e.Dir)
 	case e.Dir == "":
 		return "Compare folders that swifthall lab sweep filled over the same seeds."
@@ -71,15 +71,15 @@
 }
 
 const (
-	doingLoad = "loading"
-	doingSave = "saving"
-	doingFind = "looking for results"
+	opLoad = "loading"
+	opSave = "saving"
+	opFind = "looking for results"
 )
 
-var errNoPair = &ResultsError{Says: "no seed is in both"}
+var errNoCommonSeed = &ResultsError{Detail: "no seed is in both"}
 
 // HuntError is a hunt with nothing to try.
-type HuntError struct{ Only []string }
+type HuntError struct{ Kinds []string }
 
 func (e *HuntError) Error() string     { return "hunt: no kind of fault is left to try" }
 func (e *HuntError) Kind() remedy.Kind { return remedy.Usage }
--- a/lab/run/hunt.go
+++ b/lab/run/hunt.go
@@ -15,32 +15,32 @@
 
 // Hunt searches schedules of faults for the day on which a policy breaks a rule or falls furthest behind the oracle.
 type Hunt struct {
-	Scenario *scenario.Scenario
-	Seed     uint64
-	Policy   string
-	Maker    *model.Maker // in place of Policy's
-	Days     int          // to be played while searching
-	Most     int          // faults of a schedule
-	Rules    bool         // only a broken rule counts
-	Only     []string     // kinds of fault; all that the scenario allows where empty
-	Jobs     int
+	Scenario  *scenario.Scenario
+	Seed      uint64
+	Policy    string
+	Maker     *model.Maker // in place of Policy's
+	Runs      int          // to be played while searching
+	MaxFaults int          // faults of a schedule
+	RulesOnly bool         // only a broken rule counts
+	Kinds     []string     // kinds of fault; all that the scenario allows where empty
+	Jobs      int
 }
 
-// Found is the worst day found, cut down.
-type Found struct {
+// HuntResult is the worst day found, cut down.
+type HuntResult struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
 	Rule     judge.Rule // broken; empty where none is
-	Behind   float64    // G that the oracle had more
-	Played   int
+	Gap      float64    // G that the oracle had more
+	Runs     int
 }
 
 // candidate is a schedule, and how bad it was.
 type candidate struct {
-	sc     *scenario.Scenario
-	seed   uint64
-	rule   judge.Rule
-	behind float64
+	sc   *scenario.Scenario
+	seed uint64
+	rule judge.Rule
+	gap  float64
 }
 
 // worse orders candidates: a broken rule first, then what is lost.
@@ -48,38 +48,38 @@
 	if (c.rule != "") != (d.rule != "") {
 		return c.rule != ""
 	}
-	return c.behind > d.behind
+	return c.gap > d.gap
 }
 
 const (
-	huntKeeps   = 4    // worst schedules that are varied further
-	huntFresh   = 0.4  // share of the days drawn anew
-	shrinkKeeps = 0.8  // share of the loss that a cut must keep
-	shrinkLeast = 0.05 // loss under which there is nothing to cut down
+	survivors    = 4    // worst schedules that are varied further
+	freshShare   = 0.4  // share of the days drawn anew
+	minKeptShare = 0.8  // share of the loss that a cut must keep
+	minShrinkGap = 0.05 // loss under which there is nothing to cut down
 )
 
 // Run hunts.
-func (h *Hunt) Run(ctx context.Context, progress func(done, all float64)) (*Found, error) {
+func (h *Hunt) Run(ctx context.Context, progress func(done, all float64)) (*HuntResult, error) {
 	dice := rand.New(rand.NewPCG(h.Seed, 0))
-	kinds := h.kinds()
+	kinds := h.applicableKinds()
 	if len(kinds) == 0 {
-		return nil, &HuntError{h.Only}
+		return nil, &HuntError{h.Kinds}
 	}
-	batch := huntKeeps * 2 // a fixed number, so that a seed hunts alike on any machine
+	batch := survivors * 2 // a fixed number, so that a seed hunts alike on any machine
 	var best []*candidate
 	played := 0
-	for played < h.Days {
+	for played < h.Runs {
 		var next []*candidate
-		for range min(batch, h.Days-played) {
+		for range min(batch, h.Runs-played) {
 			var sc *scenario.Scenario
-			if len(best) == 0 || dice.Float64() < huntFresh {
-				sc = h.draw(dice, kinds)
+			if len(best) == 0 || dice.Float64() < freshShare {
+				sc = h.randomSchedule(dice, kinds)
 			} else {
-				sc = h.vary(dice, best[dice.IntN(len(best))].sc, kinds)
+				sc = h.mutate(dice, best[dice.IntN(len(best))].sc, kinds)
 			}
 			next = append(next, &candidate{sc: sc, seed: h.Seed + dice.Uint64N(64)})
 		}
-		if err := h.play(ctx, next); err != nil {
+		if err := h.evaluate(ctx, next); err != nil {
 			return nil, err
 		}
 		played += len(next)
@@ -93,11 +93,11 @@
 			}
 			return 0
 		})
-		best = best[:min(len(best), huntKeeps)]
+		best = best[:min(len(best), survivors)]
 		if progress != nil {
-			progress(float64(played), float64(h.Days))
+			progress(float64(played), float64(h.Runs))
 		}
-		if h.Rules && best[0].rule != "" {
+		if h.RulesOnly && best[0].rule != "" {
 			break
 		}
 	}
@@ -106,20 +106,20 @@
 		return nil, err
 	}
 	worst.sc.Name = h.Scenario.Name + "-found"
-	worst.sc.Shows = fmt.Sprintf("found by a hunt from %s with seed %d: the oracle's G is %.2f higher", h.Scenario.Name, h.Seed, worst.behind)
+	worst.sc.Shows = fmt.Sprintf("found by a hunt from %s with seed %d: the oracle's G is %.2f higher", h.Scenario.Name, h.Seed, worst.gap)
 	if worst.rule != "" {
 		worst.sc.Shows = fmt.Sprintf("found by a hunt from %s with seed %d: breaks %s on seed %d", h.Scenario.Name, h.Seed, worst.rule, worst.seed)
 	}
-	return &Found{Scenario: worst.sc, Seed: worst.seed, Rule: worst.rule, Behind: worst.behind, Played: played + more}, nil
+	return &HuntResult{Scenario: worst.sc, Seed: worst.seed, Rule: worst.rule, Gap: worst.gap, Runs: played + more}, nil
 }
 
-// kinds lists what the scenario lets strike, in a fixed order.
-func (h *Hunt) kinds() []string {
+// applicableKinds lists what the scenario lets strike, in a fixed order.
+func (h *Hunt) applicableKinds() []string {
 	var kinds []string
 	for _, name := range slices.Sorted(maps.Keys(scenario.Kinds)) {
 		k := scenario.Kinds[name]
 		switch {
-		case len(h.Only) > 0 && !slices.Contains(h.Only, name):
+		case len(h.Kinds) > 0 && !slices.Contains(h.Kinds, name):
 		case k.Whom == scenario.Counters && !h.Scenario.Counter.On:
 		case k.Whom == scenario.Meters && h.Scenario.Meter.PeriodMs == 0:
 		case name == "zone_cut" && h.Scenario.Fleet.Zones < 2:
@@ -131,7 +131,7 @@
 }
 
 // worth is how much of a kind a hunt tries, at the mildest and at the worst.
-var worth = map[string][2]float64{
+var amountRanges = map[string][2]float64{
 	"pauses": {50, 800}, "slow": {1.3, 6}, "errors": {0.1, 1}, "resets": {0.1, 1}, "spoilt": {0.1, 1}, "lost_answers": {0.05, 1},
 	"full": {0.1, 1}, "few_conns": {1, 50}, "forget_tokens": {1, 2000}, "replace": {0.5, 6}, "delay": {5, 300}, "loss": {0.01, 0.3},
 	"door_roll": {0.2, 3}, "list_late": {200, 8000}, "counter_late": {10, 300}, "counter_lost": {0.05, 0.9}, "counter_busy": {0.1, 1},
@@ -139,54 +139,54 @@
 	"strangers": {0.1, 1}, "storm": {1, 6}, "leave_early": {0.05, 0.6},
 }
 
-func (h *Hunt) draw(dice *rand.Rand, kinds []string) *scenario.Scenario {
+func (h *Hunt) randomSchedule(dice *rand.Rand, kinds []string) *scenario.Scenario {
 	for {
 		sc := *h.Scenario
 		sc.Faults = slices.Clone(sc.Faults)
-		for range 1 + dice.IntN(max(1, h.Most)) {
-			sc.Faults = append(sc.Faults, h.fault(dice, kinds))
+		for range 1 + dice.IntN(max(1, h.MaxFaults)) {
+			sc.Faults = append(sc.Faults, h.randomFault(dice, kinds))
 		}
-		if sound(&sc) {
+		if isValid(&sc) {
 			return &sc
 		}
 	}
 }
 
-// sound tells whether a schedule can be played: drawn faults may contradict each other.
-func sound(sc *scenario.Scenario) bool {
+// isValid tells whether a schedule can be played: drawn faults may contradict each other.
+func isValid(sc *scenario.Scenario) bool {
 	_, err := sc.Clone()
 	return err == nil
 }
 
-func (h *Hunt) fault(dice *rand.Rand, kinds []string) scenario.Fault {
+func (h *Hunt) randomFault(dice *rand.Rand, kinds []string) scenario.Fault {
 	name := kinds[dice.IntN(len(kinds))]
 	k, day := scenario.Kinds[name], h.Scenario.Day.Seconds
-	f := scenario.Fault{Kind: name, AtS: round(day * 0.7 * dice.Float64())}
+	f := scenario.Fault{Kind: name, AtS: truncate(day * 0.7 * dice.Float64())}
 	if !k.Instant {
-		f.ForS = round(max(0.5, day*(0.05+0.4*dice.Float64())))
+		f.ForS = truncate(max(0.5, day*(0.05+0.4*dice.Float64())))
 	}
 	if k.Unit != "" {
-		span := worth[name]
-		f.Much = round(max(k.Least, min(k.Most, span[0]+(span[1]-span[0])*dice.Float64())))
+		span := amountRanges[name]
+		f.Much = truncate(max(k.Min, min(k.Max, span[0]+(span[1]-span[0])*dice.Float64())))
 	}
 	switch k.Whom {
 	case scenario.Backends, scenario.Doors:
-		f.Share = round(0.05 + 0.6*dice.Float64())
+		f.Share = truncate(0.05 + 0.6*dice.Float64())
 	}
 	if name == "zone_loss" || name == "zone_cut" {
 		zone := dice.IntN(h.Scenario.Fleet.Zones)
 		f.Zone, f.Share = &zone, 0
 	}
 	if name == "pauses" {
-		f.EveryMs = round(f.Much * (1.5 + 4*dice.Float64()))
+		f.EveryMs = truncate(f.Much * (1.5 + 4*dice.Float64()))
 	}
 	return f
 }
 
-func round(x float64) float64 { return float64(int(x*100)) / 100 }
+func truncate(x float64) float64 { return float64(int(x*100)) / 100 }
 
-// vary changes one fault of a schedule, or adds or drops one.
-func (h *Hunt) vary(dice *rand.Rand, from *scenario.Scenario, kinds []string) *scenario.Scenario {
+// mutate changes one fault of a schedule, or adds or drops one.
+func (h *Hunt) mutate(dice *rand.Rand, from *scenario.Scenario, kinds []string) *scenario.Scenario {
 	for range 20 {
 		sc := *from
 		sc.Faults = slices.Clone(from.Faults)
@@ -197,39 +197,39 @@
 			sc.Faults = slices.Delete(sc.Faults, i, i+1)
 		case n > 0 && dice.IntN(2) == 0:
 			f := &sc.Faults[fixed+dice.IntN(n)]
-			f.AtS = round(min(0.8*sc.Day.Seconds, max(0, f.AtS+sc.Day.Seconds*0.1*dice.NormFloat64())))
-			f.ForS = round(f.ForS * (0.6 + 0.9*dice.Float64()))
-		case n < h.Most:
-			sc.Faults = append(sc.Faults, h.fault(dice, kinds))
+			f.AtS = truncate(min(0.8*sc.Day.Seconds, max(0, f.AtS+sc.Day.Seconds*0.1*dice.NormFloat64())))
+			f.ForS = truncate(f.ForS * (0.6 + 0.9*dice.Float64()))
+		case n < h.MaxFaults:
+			sc.Faults = append(sc.Faults, h.randomFault(dice, kinds))
 		}
-		if sound(&sc) {
+		if isValid(&sc) {
 			return &sc
 		}
 	}
-	return h.draw(dice, kinds)
+	return h.randomSchedule(dice, kinds)
 }
 
-// play plays candidates, with the oracle beside each where what is lost counts.
-func (h *Hunt) play(ctx context.Context, cs []*candidate) error {
+// evaluate plays candidates, with the oracle beside each where what is lost counts.
+func (h *Hunt) evaluate(ctx context.Context, cs []*candidate) error {
 	var days []One
 	for _, c := range cs {
 		days = append(days, One{Scenario: c.sc, Seed: c.seed, Policy: h.Policy, Maker: h.Maker})
-		if !h.Rules {
+		if !h.RulesOnly {
 			days = append(days, One{Scenario: c.sc, Seed: c.seed, Policy: rival.Oracle})
 		}
 	}
-	results, err := All(ctx, days, h.Jobs, nil)
+	results, err := RunAll(ctx, days, h.Jobs, nil)
 	if err != nil {
 		return err
 	}
 	step := len(days) / len(cs)
 	for i, c := range cs {
 		r := results[i*step]
-		c.rule = r.FirstBroken()
-		if h.Rules {
-			c.behind = 1 - r.Parts.G
+		c.rule = r.FirstBrokenRule()
+		if h.RulesOnly {
+			c.gap = 1 - r.Parts.G
 		} else {
-			c.behind = results[i*step+1].Parts.G - r.Parts.G
+			c.gap = results[i*step+1].Parts.G - r.Parts.G
 		}
 	}
 	return nil
@@ -238,19 +238,19 @@
 // shrink cuts faults out and down for as long as the day stays about as bad.
 func (h *Hunt) shrink(ctx context.Context, worst *candidate) (*candidate, int, error) {
 	played := 0
-	if worst.rule == "" && worst.behind < shrinkLeast {
+	if worst.rule == "" && worst.gap < minShrinkGap {
 		return worst, played, nil
 	}
-	least := worst.behind * shrinkKeeps
+	least := worst.gap * minKeptShare
 	for again := true; again; {
 		again = false
-		for _, cut := range h.cuts(worst.sc) {
+		for _, cut := range h.reductions(worst.sc) {
 			c := &candidate{sc: cut, seed: worst.seed}
-			if err := h.play(ctx, []*candidate{c}); err != nil {
+			if err := h.evaluate(ctx, []*candidate{c}); err != nil {
 				return nil, played, err
 			}
 			played++
-			if c.rule == worst.rule && (worst.rule != "" || c.behind >= least) {
+			if c.rule == worst.rule && (worst.rule != "" || c.gap >= least) {
 				worst, again = c, true
 				break
 			}
@@ -259,10 +259,10 @@
 	return worst, played, nil
 }
 
-const shortest = 0.5 // s, of a fault that is not cut shorter
+const minFaultS = 0.5 // s, of a fault that is not cut shorter
 
-// cuts lists smaller schedules: one fault less, or one half as long.
-func (h *Hunt) cuts(sc *scenario.Scenario) []*scenario.Scenario {
+// reductions lists smaller schedules: one fault less, or one half as long.
+func (h *Hunt) reductions(sc *scenario.Scenario) []*scenario.Scenario {
 	var cuts []*scenario.Scenario
 	for i := len(h.Scenario.Faults); i < len(sc.Faults); i++ {
 		less := *sc
@@ -270,11 +270,11 @@
 		cuts = append(cuts, &less)
 	}
 	for i := len(h.Scenario.Faults); i < len(sc.Faults); i++ {
-		if sc.Faults[i].ForS >= 2*shortest {
+		if sc.Faults[i].ForS >= 2*minFaultS {
 			shorter := *sc
 			shorter.Faults = slices.Clone(sc.Faults)
-			shorter.Faults[i].ForS = round(sc.Faults[i].ForS / 2)
-			if sound(&shorter) {
+			shorter.Faults[i].ForS = truncate(sc.Faults[i].ForS / 2)
+			if isValid(&shorter) {
 				cuts = append(cuts, &shorter)
 			}
 		}
--- /dev/null
+++ b/lab/run/progress.go
@@ -0,0 +1,25 @@
+package run
+
+import "sync"
+
+// progressSum adds up how far several days are.
+type progressSum struct {
+	mu     sync.Mutex
+	done   []float64
+	report func(done, all float64)
+}
+
+func newProgressSum(n int, tell func(done, all float64)) *progressSum {
+	return &progressSum{done: make([]float64, n), report: tell}
+}
+
+func (g *progressSum) set(i int, done float64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.done[i] = max(g.done[i], done)
+	sum := 0.0
+	for _, d := range g.done {
+		sum += d
+	}
+	g.report(sum, float64(len(g.done)))
+}
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -41,8 +41,8 @@
 	Broken   map[judge.Rule]int `json:"broken"`
 	Breaches []judge.Breach     `json:"breaches"`
 	Whole    judge.Tally        `json:"whole"`
-	Plans    []Named            `json:"plans"`
-	Classes  []Named            `json:"profiles"`
+	Plans    []NamedTally       `json:"plans"`
+	Classes  []NamedTally       `json:"profiles"`
 	Costs    judge.Costs        `json:"costs"`
 	Seconds  []judge.Second     `json:"by_second"`
 	Faults   []scenario.Fault   `json:"faults"`
@@ -51,8 +51,8 @@
 	Notes    []string           `json:"notes,omitempty"`
 }
 
-// Named is the tally of a plan or a class.
-type Named struct {
+// NamedTally is the tally of a plan or a class.
+type NamedTally struct {
 	Name string `json:"name"`
 	judge.Tally
 	Latency *Latency `json:"latency,omitempty"`
@@ -65,7 +65,7 @@
 	P90   float64 `json:"p90_ms"`
 	P99   float64 `json:"p99_ms"`
 	P999  float64 `json:"p999_ms"`
-	Most  float64 `json:"most_ms"`
+	Max   float64 `json:"most_ms"`
 }
 
 // Score places a day's G between a floor, which lets all in, and an oracle, which sees the true state.
@@ -76,22 +76,22 @@
 	Oracle   float64 `json:"oracle_g"`
 }
 
-const leastApart = 0.10 // divisor of a score at least; on a day that anyone serves, small differences mean little
+const minScoreSpan = 0.10 // divisor of a score at least; on a day that anyone serves, small differences mean little
 
-// Place works the score out; a broken rule makes it 0.
-func Place(g float64, broken bool, floor, oracle float64) float64 {
+// ScoreValue works the score out; a broken rule makes it 0.
+func ScoreValue(g float64, broken bool, floor, oracle float64) float64 {
 	if broken {
 		return 0
 	}
 	top := max(oracle, g)
-	return 1 - (top-g)/max(leastApart, top-floor)
+	return 1 - (top-g)/max(minScoreSpan, top-floor)
 }
 
-// Kept tells whether all rules were.
-func (r *Result) Kept() bool { return len(r.Broken) == 0 }
+// RulesKept tells whether all rules were.
+func (r *Result) RulesKept() bool { return len(r.Broken) == 0 }
 
-// FirstBroken names the first broken rule, in the order of the rules.
-func (r *Result) FirstBroken() judge.Rule {
+// FirstBrokenRule names the first broken rule, in the order of the rules.
+func (r *Result) FirstBrokenRule() judge.Rule {
 	for _, rule := range judge.AllRules {
 		if r.Broken[rule] > 0 {
 			return rule
@@ -119,21 +119,21 @@
 	}
 	deal := model.Deal(o.Scenario)
 	j, book := judge.New(deal), account.NewBook(deal)
-	if err := model.New(o.Scenario, o.Seed, maker, both{j, book}).Run(ctx, progress); err != nil {
-		return nil, &DayError{o.Scenario.Name, err}
+	if err := model.New(o.Scenario, o.Seed, maker, observers{j, book}).Run(ctx, progress); err != nil {
+		return nil, &RunError{o.Scenario.Name, err}
 	}
 	r := Sum(o.Scenario, o.Seed, o.Policy, Simulated, j)
 	r.Account = book.Sum()
 	return r, nil
 }
 
-// both hands a day's events to the judge and to the account.
-type both struct {
+// observers hands a day's events to the judge and to the account.
+type observers struct {
 	judge *judge.Judge
 	book  *account.Book
 }
 
-func (b both) Take(e *trace.Event) { b.judge.Take(e); b.book.Take(e) }
+func (b observers) Take(e *trace.Event) { b.judge.Take(e); b.book.Take(e) }
 
 // Sum puts a judged day together.
 func Sum(s *scenario.Scenario, seed uint64, policy, on string, j *judge.Judge) *Result {
@@ -141,10 +141,10 @@
 		Length: s.Day.Seconds, Events: j.Events, Parts: j.Service.Parts(), Broken: j.Rules.Count, Breaches: j.Rules.Breaches,
 		Whole: j.Service.Whole, Costs: j.Service.Costs, Seconds: j.Service.Seconds, Faults: s.Faults}
 	for i, p := range s.Plans {
-		r.Plans = append(r.Plans, Named{Name: p.Name, Tally: j.Service.Plans[i]})
+		r.Plans = append(r.Plans, NamedTally{Name: p.Name, Tally: j.Service.Plans[i]})
 	}
 	for i, p := range s.Classes {
-		r.Classes = append(r.Classes, Named{Name: p.Name, Tally: j.Service.Profs[i], Latency: Quantiles(j.Service.Latency[i])})
+		r.Classes = append(r.Classes, NamedTally{Name: p.Name, Tally: j.Service.Profs[i], Latency: Quantiles(j.Service.Latency[i])})
 	}
 	return r
 }
@@ -152,16 +152,16 @@
 // Quantiles reads a histogram of µs.
 func Quantiles(h *hdrhistogram.Histogram) *Latency {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	return &Latency{Count: h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Most: float64(h.Max()) / 1000}
+	return &Latency{Count: h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: float64(h.Max()) / 1000}
 }
 
-// Marked plays a day and, beside it, the floor, the textbook and the oracle, and scores the day between them.
-func (o One) Marked(ctx context.Context, progress func(float64)) (*Result, error) {
+// RunScored plays a day and, beside it, the floor, the textbook and the oracle, and scores the day between them.
+func (o One) RunScored(ctx context.Context, progress func(float64)) (*Result, error) {
 	days := []One{o, o, o, o}
 	for i, name := range []string{rival.Floor, rival.Textbook, rival.Oracle} {
 		days[i+1].Policy, days[i+1].Maker = name, nil
 	}
-	results, err := All(ctx, days, 0, func(i int, done float64) {
+	results, err := RunAll(ctx, days, 0, func(i int, done float64) {
 		if i == 0 && progress != nil {
 			progress(done)
 		}
@@ -170,21 +170,21 @@
 		return nil, err
 	}
 	r := results[0]
-	r.Score = Mark(r, results[1], results[2], results[3])
+	r.Score = NewScore(r, results[1], results[2], results[3])
 	return r, nil
 }
 
-// Mark scores a day by its marks. A floor that broke a rule counts as none served.
-func Mark(r, floor, textbook, oracle *Result) *Score {
+// NewScore scores a day by its marks. A floor that broke a rule counts as none served.
+func NewScore(r, floor, textbook, oracle *Result) *Score {
 	f := max(0, floor.Parts.G)
-	if !floor.Kept() {
+	if !floor.RulesKept() {
 		f = 0
 	}
-	return &Score{Value: Place(r.Parts.G, !r.Kept(), f, oracle.Parts.G), Floor: f, Textbook: textbook.Parts.G, Oracle: oracle.Parts.G}
+	return &Score{Value: ScoreValue(r.Parts.G, !r.RulesKept(), f, oracle.Parts.G), Floor: f, Textbook: textbook.Parts.G, Oracle: oracle.Parts.G}
 }
 
-// All plays days side by side, at most so many at once (0 for one a core), and returns their results in order.
-func All(ctx context.Context, days []One, most int, progress func(i int, done float64)) ([]*Result, error) {
+// RunAll plays days side by side, at most so many at once (0 for one a core), and returns their results in order.
+func RunAll(ctx context.Context, days []One, most int, progress func(i int, done float64)) ([]*Result, error) {
 	if most <= 0 {
 		most = runtime.GOMAXPROCS(0)
 	}
@@ -225,14 +225,14 @@
 // Save writes a day's figures into a folder, which is made.
 func (r *Result) Save(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return &ResultsError{Doing: doingSave, Dir: dir, Cause: err}
+		return &ResultsError{Operation: opSave, Dir: dir, Cause: err}
 	}
 	raw, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
-		return &ResultsError{Doing: doingSave, Dir: dir, Cause: err}
+		return &ResultsError{Operation: opSave, Dir: dir, Cause: err}
 	}
 	if err := os.WriteFile(filepath.Join(dir, ResultFile), append(raw, '\n'), 0o644); err != nil {
-		return &ResultsError{Doing: doingSave, Dir: dir, Cause: err}
+		return &ResultsError{Operation: opSave, Dir: dir, Cause: err}
 	}
 	return nil
 }
@@ -241,11 +241,11 @@
 func Load(dir string) (*Result, error) {
 	raw, err := os.ReadFile(filepath.Join(dir, ResultFile))
 	if err != nil {
-		return nil, &ResultsError{Doing: doingLoad, Dir: dir, Cause: err}
+		return nil, &ResultsError{Operation: opLoad, Dir: dir, Cause: err}
 	}
 	var r Result
 	if err := json.Unmarshal(raw, &r); err != nil {
-		return nil, &ResultsError{Doing: doingLoad, Dir: dir, Cause: err}
+		return nil, &ResultsError{Operation: opLoad, Dir: dir, Cause: err}
 	}
 	return &r, nil
 }
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -45,7 +45,7 @@
 func TestTheSameSeedGivesTheSameBytes(t *testing.T) {
 	var last []byte
 	for range 3 {
-		r, err := One{Scenario: read(t), Seed: 5, Policy: rival.Swifthall}.Marked(context.Background(), nil)
+		r, err := One{Scenario: read(t), Seed: 5, Policy: rival.Swifthall}.RunScored(context.Background(), nil)
 		require.NoError(t, err)
 		raw, err := json.Marshal(r)
 		require.NoError(t, err)
@@ -57,11 +57,11 @@
 }
 
 func TestADayIsPlacedBetweenItsMarks(t *testing.T) {
-	assert.Equal(t, 1.0, Place(0.9, false, 0.1, 0.9))
-	assert.InDelta(t, 0.5, Place(0.5, false, 0.1, 0.9), 1e-9)
-	assert.InDelta(t, 0.8, Place(0.93, false, 0.94, 0.95), 1e-9, "marks close together")
-	assert.Zero(t, Place(0.9, true, 0.1, 0.9), "a rule broke")
-	r, err := One{Scenario: read(t), Seed: 1, Policy: rival.Oracle}.Marked(context.Background(), nil)
+	assert.Equal(t, 1.0, ScoreValue(0.9, false, 0.1, 0.9))
+	assert.InDelta(t, 0.5, ScoreValue(0.5, false, 0.1, 0.9), 1e-9)
+	assert.InDelta(t, 0.8, ScoreValue(0.93, false, 0.94, 0.95), 1e-9, "marks close together")
+	assert.Zero(t, ScoreValue(0.9, true, 0.1, 0.9), "a rule broke")
+	r, err := One{Scenario: read(t), Seed: 1, Policy: rival.Oracle}.RunScored(context.Background(), nil)
 	require.NoError(t, err)
 	assert.Greater(t, r.Score.Oracle, r.Score.Floor)
 	assert.Equal(t, 1.0, r.Score.Value, "the oracle against itself")
@@ -69,30 +69,30 @@
 
 func TestASweepPairsItsSeedsAndTellsTheNoise(t *testing.T) {
 	w := Sweep{Scenario: read(t), Seeds: []uint64{1, 2, 3, 4}, Key: "load.share", Values: []string{"0.3", "1.5"}, Policies: []string{rival.Swifthall}}
-	cells, err := w.Play(context.Background(), nil)
+	cells, err := w.Run(context.Background(), nil)
 	require.NoError(t, err)
 	require.Len(t, cells, 2)
 	assert.Greater(t, cells[0].G().Mean, cells[1].G().Mean, "more load, less service")
 	dir := t.TempDir()
 	require.NoError(t, cells[0].Save(dir, w.Key))
-	found, err := Find(dir)
+	found, err := LoadAll(dir)
 	require.NoError(t, err)
 	rows, err := Compare(found, cells[1].Results)
 	require.NoError(t, err)
 	assert.Equal(t, "G", rows[0].Name)
-	assert.True(t, rows[0].Clear())
+	assert.True(t, rows[0].Significant())
 	assert.Negative(t, rows[0].Diff.Mean)
 	same, err := Compare(found, found)
 	require.NoError(t, err)
-	assert.False(t, same[0].Clear())
+	assert.False(t, same[0].Significant())
 	one, err := Compare(found[:1], cells[1].Results[:1])
 	require.NoError(t, err)
-	assert.True(t, math.IsNaN(one[0].Diff.Err()), "one pair has no noise to tell")
+	assert.True(t, math.IsNaN(one[0].Diff.StdErr()), "one pair has no noise to tell")
 }
 
 func TestASweepNamesAKeyThatIsNone(t *testing.T) {
 	w := Sweep{Scenario: read(t), Seeds: []uint64{1}, Key: "load.shore", Values: []string{"1"}, Policies: []string{rival.Swifthall}}
-	_, err := w.Play(context.Background(), nil)
+	_, err := w.Run(context.Background(), nil)
 	assert.ErrorContains(t, err, "load.shore")
 }
 
@@ -115,7 +115,7 @@
 }
 
 func TestAHuntFindsThePlantedFaultAndCutsItDown(t *testing.T) {
-	h := Hunt{Scenario: read(t), Seed: 1, Days: 24, Most: 3, Rules: true, Only: []string{"errors", "slow", "delay"},
+	h := Hunt{Scenario: read(t), Seed: 1, Runs: 24, MaxFaults: 3, RulesOnly: true, Kinds: []string{"errors", "slow", "delay"},
 		Maker: &model.Maker{New: func(terms gate.Terms, seed uint64, s model.Sight) gate.Decider {
 			return &sulky{Decider: rival.Makers[rival.Floor].New(terms, seed, s)}
 		}}}
--- a/lab/run/sweep.go
+++ b/lab/run/sweep.go
@@ -36,15 +36,15 @@
 	N               int
 }
 
-// Err is the standard error of the mean.
-func (f Figure) Err() float64 {
+// StdErr is the standard error of the mean.
+func (f Figure) StdErr() float64 {
 	if f.N < 2 {
 		return math.NaN()
 	}
 	return f.Deviation / math.Sqrt(float64(f.N))
 }
 
-func figureOf(xs []float64) Figure {
+func newFigure(xs []float64) Figure {
 	if len(xs) == 0 {
 		return Figure{Mean: math.NaN(), Deviation: math.NaN()}
 	}
@@ -61,21 +61,21 @@
 	for _, r := range c.Results {
 		xs = append(xs, r.Parts.G)
 	}
-	return figureOf(xs)
+	return newFigure(xs)
 }
 
-// Broken counts the days on which a rule broke.
-func (c *Cell) Broken() (n int) {
+// BrokenRuns counts the days on which a rule broke.
+func (c *Cell) BrokenRuns() (n int) {
 	for _, r := range c.Results {
-		if !r.Kept() {
+		if !r.RulesKept() {
 			n++
 		}
 	}
 	return n
 }
 
-// Play plays all days of the sweep.
-func (s *Sweep) Play(ctx context.Context, progress func(done, all float64)) ([]*Cell, error) {
+// Run plays all days of the sweep.
+func (s *Sweep) Run(ctx context.Context, progress func(done, all float64)) ([]*Cell, error) {
 	var days []One
 	var cells []*Cell
 	values := s.Values
@@ -97,7 +97,7 @@
 			}
 		}
 	}
-	results, err := All(ctx, days, s.Jobs, together(len(days), progress))
+	results, err := RunAll(ctx, days, s.Jobs, combineProgress(len(days), progress))
 	if err != nil {
 		return nil, err
 	}
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// Find reads all results in a folder and below it, by seed.
-func Find(dir string) ([]*Result, error) {
+// LoadAll reads all results in a folder and below it, by seed.
+func LoadAll(dir string) ([]*Result, error) {
 	var results []*Result
 	err := filepath.WalkDir(dir, func(path string, e fs.DirEntry, err error) error {
 		if err != nil {
@@ -139,27 +139,29 @@
 		return err
 	})
 	if err != nil {
-		return nil, &ResultsError{Doing: doingFind, Dir: dir, Cause: err}
+		return nil, &ResultsError{Operation: opFind, Dir: dir, Cause: err}
 	}
 	if len(results) == 0 {
-		return nil, &ResultsError{Doing: doingFind, Dir: dir, Says: "no " + ResultFile + " in " + dir + " or below it"}
+		return nil, &ResultsError{Operation: opFind, Dir: dir, Detail: "no " + ResultFile + " in " + dir + " or below it"}
 	}
 	slices.SortFunc(results, func(a, b *Result) int { return int(a.Seed) - int(b.Seed) })
 	return results, nil
 }
 
-// Row compares one figure of two folders.
-type Row struct {
+// Comparison compares one figure of two folders.
+type Comparison struct {
 	Name         string
 	First, Other Figure
 	Diff         Figure // over the seeds that both have, pair by pair
 }
 
-// Clear tells whether the difference stands out of its noise: over two standard errors.
-func (r *Row) Clear() bool { return r.Diff.N > 1 && math.Abs(r.Diff.Mean) > 2*r.Diff.Err() }
+// Significant tells whether the difference stands out of its noise: over two standard errors.
+func (r *Comparison) Significant() bool {
+	return r.Diff.N > 1 && math.Abs(r.Diff.Mean) > 2*r.Diff.StdErr()
+}
 
 // Compare sets two sets of days side by side.
-func Compare(first, other []*Result) ([]Row, error) {
+func Compare(first, other []*Result) ([]Comparison, error) {
 	figures := []struct {
 		name string
 		of   func(r *Result) float64
@@ -179,9 +181,9 @@
 	for _, r := range first {
 		bySeed[r.Seed] = r
 	}
-	var rows []Row
+	var rows []Comparison
 	for _, f := range figures {
-		row := Row{Name: f.name}
+		row := Comparison{Name: f.name}
 		var a, b, diff []float64
 		for _, r := range first {
 			a = append(a, f.of(r))
@@ -193,9 +195,9 @@
 			}
 		}
 		if len(diff) == 0 {
-			return nil, errNoPair
+			return nil, errNoCommonSeed
 		}
-		row.First, row.Other, row.Diff = figureOf(a), figureOf(b), figureOf(diff)
+		row.First, row.Other, row.Diff = newFigure(a), newFigure(b), newFigure(diff)
 		rows = append(rows, row)
 	}
 	return rows, nil
@@ -208,11 +210,11 @@
 	return a / b
 }
 
-// together turns the progress of days side by side into one.
-func together(n int, progress func(done, all float64)) func(i int, done float64) {
+// combineProgress turns the progress of days side by side into one.
+func combineProgress(n int, progress func(done, all float64)) func(i int, done float64) {
 	if progress == nil {
 		return nil
 	}
-	state := newGauge(n, progress)
+	state := newProgressSum(n, progress)
 	return state.set
 }
--- a/lab/scenario/errors.go
+++ b/lab/scenario/errors.go
@@ -40,21 +40,21 @@
 	return "Mend the scenario, which is TOML; docs/lab.md lists the keys."
 }
 
-// ClashError is two faults that strike the same at the same time and can't both.
-type ClashError struct {
+// ConflictError is two faults that strike the same at the same time and can't both.
+type ConflictError struct {
 	First, Second int // places in the schedule
 	Kinds         [2]string
 	FromS, ToS    float64
 }
 
-func (e *ClashError) Error() string {
+func (e *ConflictError) Error() string {
 	return fmt.Sprintf("keys \"fault[%d]\" and \"fault[%d]\": %s and %s strike the same at the same time, from %g to %g s",
 		e.First, e.Second, e.Kinds[0], e.Kinds[1], e.FromS, e.ToS)
 }
-func (e *ClashError) Kind() remedy.Kind { return remedy.Configuration }
+func (e *ConflictError) Kind() remedy.Kind { return remedy.Configuration }
 
 // Remedy names both faults.
-func (e *ClashError) Remedy() string {
+func (e *ConflictError) Remedy() string {
 	return fmt.Sprintf("Move \"fault[%d].at_s\" or \"fault[%d].at_s\", shorten one, or give each a zone of its own.", e.First, e.Second)
 }
 
--- a/lab/scenario/faults.go
+++ b/lab/scenario/faults.go
@@ -34,54 +34,54 @@
 
 // Kind describes a kind of fault.
 type Kind struct {
-	Whom    string
-	Unit    string   // of much; empty where it has none
-	Least   float64  // of much
-	Most    float64  // of much
-	Instant bool     // for_s has no meaning
-	Versus  []string // kinds that cannot strike the same at the same time
-	Says    string
+	Whom          string
+	Unit          string   // of much; empty where it has none
+	Min           float64  // of much
+	Max           float64  // of much
+	Instant       bool     // for_s has no meaning
+	ConflictsWith []string // kinds that cannot strike the same at the same time
+	Description   string
 }
 
 // Kinds lists every kind of fault by its name.
 var Kinds = map[string]Kind{
-	"hang":          {Whom: Backends, Says: "takes operations and answers none"},
-	"silence":       {Whom: Backends, Versus: []string{"death", "refuse"}, Says: "the machine vanishes: nothing comes back, connections stay open"},
-	"death":         {Whom: Backends, Versus: []string{"silence", "refuse", "replace"}, Says: "the process dies and starts again, cold, when the time is over"},
-	"refuse":        {Whom: Backends, Versus: []string{"silence", "death"}, Says: "new connections are refused"},
-	"pauses":        {Whom: Backends, Unit: "ms of a pause", Least: 1, Most: 60e3, Says: "stops for a while, every every_ms"},
-	"slow":          {Whom: Backends, Unit: "times slower", Least: 1, Most: 1000, Says: "works slower"},
-	"errors":        {Whom: Backends, Unit: "chance", Most: 1, Says: "answers with an error"},
-	"resets":        {Whom: Backends, Unit: "chance", Most: 1, Says: "the connection is reset under an operation that has run"},
-	"spoilt":        {Whom: Backends, Unit: "chance", Most: 1, Says: "answers with what cannot be read"},
-	"lost_answers":  {Whom: Backends, Unit: "chance", Most: 1, Says: "the answer never arrives"},
-	"full":          {Whom: Backends, Unit: "chance", Most: 1, Says: "turns operations away"},
-	"few_conns":     {Whom: Backends, Unit: "connections", Least: 1, Most: 1e6, Says: "holds only so many connections"},
-	"forget_tokens": {Whom: Backends, Unit: "ms before the window ends", Most: 60e3, Says: "forgets the marks of tokened operations too early"},
-	"replace":       {Whom: Backends, Unit: "s of a drain", Most: 600, Versus: []string{"death"}, Says: "replaced in batches: drained, gone, a cold successor"},
-	"zone_loss":     {Whom: Backends, Versus: []string{"zone_cut"}, Says: "all backends of a zone die and come back cold"},
-	"zone_cut":      {Whom: Network, Versus: []string{"zone_loss"}, Says: "a zone is cut off from the others"},
-	"delay":         {Whom: Network, Unit: "ms", Most: 60e3, Says: "every way takes longer"},
-	"loss":          {Whom: Network, Unit: "chance", Most: 1, Says: "answers are lost on the way"},
-	"door_deaths":   {Whom: Doors, Versus: []string{"door_roll"}, Says: "doors are killed at once and start again when the time is over"},
-	"door_roll":     {Whom: Doors, Unit: "s down", Most: 600, Versus: []string{"door_deaths"}, Says: "doors are restarted in batches"},
-	"list_late":     {Whom: Discovers, Unit: "ms", Most: 600e3, Versus: []string{"list_silent"}, Says: "changes of the list come later"},
-	"list_silent":   {Whom: Discovers, Versus: []string{"list_late"}, Says: "no change of the list comes until the time is over"},
-	"counter_down":  {Whom: Counters, Versus: []string{"counter_late", "counter_wrong", "counter_split", "counter_busy"}, Says: "calls find no connection"},
-	"counter_late":  {Whom: Counters, Unit: "ms", Most: 600e3, Versus: []string{"counter_down"}, Says: "answers come later; the callers may have given up"},
-	"counter_lost":  {Whom: Counters, Unit: "chance", Most: 1, Says: "answers are lost, what they added is not"},
-	"counter_busy":  {Whom: Counters, Unit: "chance", Most: 1, Versus: []string{"counter_down"}, Says: "calls are turned away"},
-	"counter_wrong": {Whom: Counters, Unit: "times", Most: 1000, Versus: []string{"counter_down"}, Says: "totals are told that many times too large"},
-	"counter_split": {Whom: Counters, Versus: []string{"counter_down"}, Says: "even and odd doors see a counter of their own; the even one's totals stay"},
-	"counter_empty": {Whom: Counters, Instant: true, Says: "replaced by one that starts at nothing"},
-	"meter_late":    {Whom: Meters, Unit: "ms", Most: 600e3, Says: "use is told later"},
-	"burst":         {Whom: Clientele, Unit: "times", Most: 100, Says: "that many times the load comes on top"},
-	"hot_customers": {Whom: Clientele, Unit: "share of the load on top", Most: 100, Says: "three customers ask far more"},
-	"gather":        {Whom: Clientele, Unit: "share of the operations", Most: 1, Says: "operations gather on each customer's busiest door"},
-	"shift":         {Whom: Clientele, Instant: true, Says: "a share of the customers moves to others of its doors at once"},
-	"strangers":     {Whom: Clientele, Unit: "share of the load on top", Most: 100, Says: "customers that come once and never again"},
-	"storm":         {Whom: Clientele, Unit: "retries", Least: 1, Most: 20, Says: "clients retry that many times, at once"},
-	"leave_early":   {Whom: Clientele, Unit: "share of the tries", Most: 1, Says: "clients leave before they are answered"},
+	"hang":          {Whom: Backends, Description: "takes operations and answers none"},
+	"silence":       {Whom: Backends, ConflictsWith: []string{"death", "refuse"}, Description: "the machine vanishes: nothing comes back, connections stay open"},
+	"death":         {Whom: Backends, ConflictsWith: []string{"silence", "refuse", "replace"}, Description: "the process dies and starts again, cold, when the time is over"},
+	"refuse":        {Whom: Backends, ConflictsWith: []string{"silence", "death"}, Description: "new connections are refused"},
+	"pauses":        {Whom: Backends, Unit: "ms of a pause", Min: 1, Max: 60e3, Description: "stops for a while, every every_ms"},
+	"slow":          {Whom: Backends, Unit: "times slower", Min: 1, Max: 1000, Description: "works slower"},
+	"errors":        {Whom: Backends, Unit: "chance", Max: 1, Description: "answers with an error"},
+	"resets":        {Whom: Backends, Unit: "chance", Max: 1, Description: "the connection is reset under an operation that has run"},
+	"spoilt":        {Whom: Backends, Unit: "chance", Max: 1, Description: "answers with what cannot be read"},
+	"lost_answers":  {Whom: Backends, Unit: "chance", Max: 1, Description: "the answer never arrives"},
+	"full":          {Whom: Backends, Unit: "chance", Max: 1, Description: "turns operations away"},
+	"few_conns":     {Whom: Backends, Unit: "connections", Min: 1, Max: 1e6, Description: "holds only so many connections"},
+	"forget_tokens": {Whom: Backends, Unit: "ms before the window ends", Max: 60e3, Description: "forgets the marks of tokened operations too early"},
+	"replace":       {Whom: Backends, Unit: "s of a drain", Max: 600, ConflictsWith: []string{"death"}, Description: "replaced in batches: drained, gone, a cold successor"},
+	"zone_loss":     {Whom: Backends, ConflictsWith: []string{"zone_cut"}, Description: "all backends of a zone die and come back cold"},
+	"zone_cut":      {Whom: Network, ConflictsWith: []string{"zone_loss"}, Description: "a zone is cut off from the others"},
+	"delay":         {Whom: Network, Unit: "ms", Max: 60e3, Description: "every way takes longer"},
+	"loss":          {Whom: Network, Unit: "chance", Max: 1, Description: "answers are lost on the way"},
+	"door_deaths":   {Whom: Doors, ConflictsWith: []string{"door_roll"}, Description: "doors are killed at once and start again when the time is over"},
+	"door_roll":     {Whom: Doors, Unit: "s down", Max: 600, ConflictsWith: []string{"door_deaths"}, Description: "doors are restarted in batches"},
+	"list_late":     {Whom: Discovers, Unit: "ms", Max: 600e3, ConflictsWith: []string{"list_silent"}, Description: "changes of the list come later"},
+	"list_silent":   {Whom: Discovers, ConflictsWith: []string{"list_late"}, Description: "no change of the list comes until the time is over"},
+	"counter_down":  {Whom: Counters, ConflictsWith: []string{"counter_late", "counter_wrong", "counter_split", "counter_busy"}, Description: "calls find no connection"},
+	"counter_late":  {Whom: Counters, Unit: "ms", Max: 600e3, ConflictsWith: []string{"counter_down"}, Description: "answers come later; the callers may have given up"},
+	"counter_lost":  {Whom: Counters, Unit: "chance", Max: 1, Description: "answers are lost, what they added is not"},
+	"counter_busy":  {Whom: Counters, Unit: "chance", Max: 1, ConflictsWith: []string{"counter_down"}, Description: "calls are turned away"},
+	"counter_wrong": {Whom: Counters, Unit: "times", Max: 1000, ConflictsWith: []string{"counter_down"}, Description: "totals are told that many times too large"},
+	"counter_split": {Whom: Counters, ConflictsWith: []string{"counter_down"}, Description: "even and odd doors see a counter of their own; the even one's totals stay"},
+	"counter_empty": {Whom: Counters, Instant: true, Description: "replaced by one that starts at nothing"},
+	"meter_late":    {Whom: Meters, Unit: "ms", Max: 600e3, Description: "use is told later"},
+	"burst":         {Whom: Clientele, Unit: "times", Max: 100, Description: "that many times the load comes on top"},
+	"hot_customers": {Whom: Clientele, Unit: "share of the load on top", Max: 100, Description: "three customers ask far more"},
+	"gather":        {Whom: Clientele, Unit: "share of the operations", Max: 1, Description: "operations gather on each customer's busiest door"},
+	"shift":         {Whom: Clientele, Instant: true, Description: "a share of the customers moves to others of its doors at once"},
+	"strangers":     {Whom: Clientele, Unit: "share of the load on top", Max: 100, Description: "customers that come once and never again"},
+	"storm":         {Whom: Clientele, Unit: "retries", Min: 1, Max: 20, Description: "clients retry that many times, at once"},
+	"leave_early":   {Whom: Clientele, Unit: "share of the tries", Max: 1, Description: "clients leave before they are answered"},
 }
 
 // End is when the fault is over, s.
@@ -95,7 +95,7 @@
 	return f.Zone == nil || g.Zone == nil || *f.Zone == *g.Zone
 }
 
-func (s *Scenario) checkFaults() error {
+func (s *Scenario) validateFaults() error {
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		under := fmt.Sprintf("fault[%d].", i)
@@ -104,40 +104,40 @@
 		case !known:
 			return oneOf(under+"kind", f.Kind, slices.Sorted(maps.Keys(Kinds))...)
 		case !(f.AtS >= 0 && f.AtS <= s.Day.Seconds):
-			return fault(under+"at_s", "%g, not within the day of %g s", f.AtS, s.Day.Seconds)
+			return keyErrorf(under+"at_s", "%g, not within the day of %g s", f.AtS, s.Day.Seconds)
 		case !k.Instant && !(f.ForS > 0):
-			return fault(under+"for_s", "%g, though %s lasts", f.ForS, f.Kind)
+			return keyErrorf(under+"for_s", "%g, though %s lasts", f.ForS, f.Kind)
 		case k.Instant && f.ForS != 0:
-			return fault(under+"for_s", "%g, though %s lasts no time", f.ForS, f.Kind)
+			return keyErrorf(under+"for_s", "%g, though %s lasts no time", f.ForS, f.Kind)
 		case k.Unit == "" && f.Much != 0:
-			return fault(under+"much", "%g, though %s knows no more or less", f.Much, f.Kind)
-		case !(f.Much >= k.Least && f.Much <= k.Most) && k.Unit != "":
-			return fault(under+"much", "%g %s, %g to %g is wanted", f.Much, k.Unit, k.Least, k.Most)
+			return keyErrorf(under+"much", "%g, though %s knows no more or less", f.Much, f.Kind)
+		case !(f.Much >= k.Min && f.Much <= k.Max) && k.Unit != "":
+			return keyErrorf(under+"much", "%g %s, %g to %g is wanted", f.Much, k.Unit, k.Min, k.Max)
 		case !(f.Share >= 0 && f.Share <= 1):
-			return fault(under+"share", "%g, 0 to 1 is wanted", f.Share)
+			return keyErrorf(under+"share", "%g, 0 to 1 is wanted", f.Share)
 		case f.Zone != nil && (*f.Zone < 0 || *f.Zone >= s.Fleet.Zones):
-			return fault(under+"zone", "%d of %d zones", *f.Zone, s.Fleet.Zones)
+			return keyErrorf(under+"zone", "%d of %d zones", *f.Zone, s.Fleet.Zones)
 		case (f.Kind == "zone_loss" || f.Kind == "zone_cut") && f.Zone == nil:
-			return fault(under+"zone", "missing")
+			return keyErrorf(under+"zone", "missing")
 		case f.Kind == "zone_cut" && s.Fleet.Zones < 2:
-			return fault(under+"kind", "zone_cut with one zone")
+			return keyErrorf(under+"kind", "zone_cut with one zone")
 		case f.Kind == "pauses" && !(f.EveryMs > f.Much):
-			return fault(under+"every_ms", "%g, under a pause of %g ms", f.EveryMs, f.Much)
+			return keyErrorf(under+"every_ms", "%g, under a pause of %g ms", f.EveryMs, f.Much)
 		case f.Batches < 0 || f.Batches > 1000:
-			return fault(under+"batches", "%d", f.Batches)
+			return keyErrorf(under+"batches", "%d", f.Batches)
 		case f.MostOut < 0 || f.MostOut > 0 && f.Kind != "replace" && f.Kind != "door_roll":
-			return fault(under+"most_out", "%d for a fault of kind %s", f.MostOut, f.Kind)
+			return keyErrorf(under+"most_out", "%d for a fault of kind %s", f.MostOut, f.Kind)
 		case k.Whom == Counters && !s.Counter.On:
-			return fault(under+"kind", "%s, though counter.on is false", f.Kind)
+			return keyErrorf(under+"kind", "%s, though counter.on is false", f.Kind)
 		case k.Whom == Meters && s.Meter.PeriodMs == 0:
-			return fault(under+"kind", "%s, though meter.period_ms is 0", f.Kind)
+			return keyErrorf(under+"kind", "%s, though meter.period_ms is 0", f.Kind)
 		case f.Class != "" && !slices.ContainsFunc(s.Classes, func(p Class) bool { return p.Name == f.Class }):
-			return fault(under+"profile", "%q is no profile", f.Class)
+			return keyErrorf(under+"profile", "%q is no profile", f.Class)
 		}
 		for j := range i {
 			g := &s.Faults[j]
-			if slices.Contains(k.Versus, g.Kind) && f.overlaps(g) && f.sameTarget(g) {
-				return &ClashError{j, i, [2]string{g.Kind, f.Kind}, max(f.AtS, g.AtS), min(f.End(), g.End())}
+			if slices.Contains(k.ConflictsWith, g.Kind) && f.overlaps(g) && f.sameTarget(g) {
+				return &ConflictError{j, i, [2]string{g.Kind, f.Kind}, max(f.AtS, g.AtS), min(f.End(), g.End())}
 			}
 		}
 	}
@@ -155,7 +155,7 @@
 		return Scenario{}, err
 	}
 	if err := tree.set(strings.Split(key, "."), value); err != nil {
-		return Scenario{}, fault(key, "%v", err)
+		return Scenario{}, keyErrorf(key, "%v", err)
 	}
 	raw, err = tree.bytes()
 	if err != nil {
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -219,12 +219,12 @@
 
 // Read decodes and checks a scenario.
 func Read(raw []byte) (Scenario, error) {
-	s := base()
+	s := defaults()
 	if err := Decode(raw, &s); err != nil {
 		return Scenario{}, err
 	}
-	s.fill()
-	if err := s.check(); err != nil {
+	s.applyDefaults()
+	if err := s.validate(); err != nil {
 		return Scenario{}, err
 	}
 	return s, nil
@@ -233,7 +233,7 @@
 // Decode reads TOML into what it names and refuses keys that it doesn't know; its errors are KeyErrors.
 func Decode(raw []byte, into any) error {
 	if err := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(into); err != nil {
-		return decodeFault(err)
+		return decodeError(err)
 	}
 	return nil
 }
@@ -282,7 +282,7 @@
 	return Read(raw)
 }
 
-func decodeFault(err error) error {
+func decodeError(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		e := strict.Errors[0]
@@ -297,8 +297,8 @@
 	return &KeyError{Cause: err}
 }
 
-// base holds what a scenario has where it says nothing else. Lists come from the file alone.
-func base() Scenario {
+// defaults holds what a scenario has where it says nothing else. Lists come from the file alone.
+func defaults() Scenario {
 	return Scenario{
 		Day:   Day{Seconds: 30, TickMs: 4},
 		Fleet: Fleet{Doors: 3, Backends: 12, Zones: 3, CellSize: 4},
@@ -317,17 +317,17 @@
 	}
 }
 
-// fill puts in what the lists leave out.
-func (s *Scenario) fill() {
+// applyDefaults puts in what the lists leave out.
+func (s *Scenario) applyDefaults() {
 	if len(s.Faults) == 0 {
 		s.Faults = nil
 	}
 	for i := range s.Machines {
 		m := &s.Machines[i]
-		m.Share, m.Cores = or(m.Share, 1), or(m.Cores, 2)
-		m.SlotsPerCore, m.QueuePerCore = or(m.SlotsPerCore, 4), or(m.QueuePerCore, 20)
-		m.ColdFrom, m.ColdS = or(m.ColdFrom, 0.3), or(m.ColdS, 8)
-		m.ConnsPerCore = or(m.ConnsPerCore, 500)
+		m.Share, m.Cores = orDefault(m.Share, 1), orDefault(m.Cores, 2)
+		m.SlotsPerCore, m.QueuePerCore = orDefault(m.SlotsPerCore, 4), orDefault(m.QueuePerCore, 20)
+		m.ColdFrom, m.ColdS = orDefault(m.ColdFrom, 0.3), orDefault(m.ColdS, 8)
+		m.ConnsPerCore = orDefault(m.ConnsPerCore, 500)
 		if len(m.Speed) == 0 {
 			m.Speed = Span{0.9, 1.4}
 		}
@@ -338,7 +338,7 @@
 	}
 	for i := range s.Classes {
 		p := &s.Classes[i]
-		p.Share, p.Gain = or(p.Share, 1), or(p.Gain, 1)
+		p.Share, p.Gain = orDefault(p.Share, 1), orDefault(p.Gain, 1)
 		if p.Semantics == "" {
 			p.Semantics = "replayable"
 		}
@@ -348,10 +348,10 @@
 	}
 	for i := range s.Plans {
 		p := &s.Plans[i]
-		p.Share, p.Price = or(p.Share, 1), or(p.Price, 1)
-		p.Spread = min(or(p.Spread, 3), s.Fleet.Doors)
+		p.Share, p.Price = orDefault(p.Share, 1), orDefault(p.Price, 1)
+		p.Spread = min(orDefault(p.Spread, 3), s.Fleet.Doors)
 		if p.CeilingPerS > 0 {
-			p.CeilingSlack = or(p.CeilingSlack, max(0.1*p.CeilingDepth, float64(s.Load.MostUnits)))
+			p.CeilingSlack = orDefault(p.CeilingSlack, max(0.1*p.CeilingDepth, float64(s.Load.MostUnits)))
 		}
 	}
 	r := &s.Rules
@@ -368,7 +368,7 @@
 	}
 }
 
-func or[T int | float64](v, def T) T {
+func orDefault[T int | float64](v, def T) T {
 	if v == 0 {
 		return def
 	}
@@ -377,41 +377,41 @@
 
 // Limits of what one process plays; larger figures are mistakes of the unit.
 const (
-	mostDoors    = 1000
-	mostBackends = 2000
-	mostSeconds  = 24 * 3600
+	maxDoors    = 1000
+	maxBackends = 2000
+	maxSeconds  = 24 * 3600
 )
 
-func (s *Scenario) check() error {
+func (s *Scenario) validate() error {
 	switch {
 	case s.Name == "":
-		return fault("name", "missing")
-	case s.Fleet.Doors < 1 || s.Fleet.Doors > mostDoors:
-		return fault("fleet.doors", "%d, 1 to %d can be played", s.Fleet.Doors, mostDoors)
-	case s.Fleet.Backends < 1 || s.Fleet.Backends > mostBackends:
-		return fault("fleet.backends", "%d, 1 to %d can be played", s.Fleet.Backends, mostBackends)
+		return keyErrorf("name", "missing")
+	case s.Fleet.Doors < 1 || s.Fleet.Doors > maxDoors:
+		return keyErrorf("fleet.doors", "%d, 1 to %d can be played", s.Fleet.Doors, maxDoors)
+	case s.Fleet.Backends < 1 || s.Fleet.Backends > maxBackends:
+		return keyErrorf("fleet.backends", "%d, 1 to %d can be played", s.Fleet.Backends, maxBackends)
 	case s.Fleet.Zones < 1:
-		return fault("fleet.zones", "%d", s.Fleet.Zones)
+		return keyErrorf("fleet.zones", "%d", s.Fleet.Zones)
 	case s.Fleet.CellSize < 1:
-		return fault("fleet.cell_size", "%d", s.Fleet.CellSize)
+		return keyErrorf("fleet.cell_size", "%d", s.Fleet.CellSize)
 	case !(s.Fleet.MembersMs >= 0 && s.Fleet.MembersMs <= 600e3):
-		return fault("fleet.members_ms", "%g, 0 to 600e3 is wanted", s.Fleet.MembersMs)
-	case !(s.Day.Seconds > 0 && s.Day.Seconds <= mostSeconds):
-		return fault("day.seconds", "%g, up to %d can be played", s.Day.Seconds, mostSeconds)
+		return keyErrorf("fleet.members_ms", "%g, 0 to 600e3 is wanted", s.Fleet.MembersMs)
+	case !(s.Day.Seconds > 0 && s.Day.Seconds <= maxSeconds):
+		return keyErrorf("day.seconds", "%g, up to %d can be played", s.Day.Seconds, maxSeconds)
 	case !(s.Day.TickMs > 0 && s.Day.TickMs <= 1000):
-		return fault("day.tick_ms", "%g", s.Day.TickMs)
+		return keyErrorf("day.tick_ms", "%g", s.Day.TickMs)
 	case len(s.Classes) == 0:
-		return fault("profile", "none")
+		return keyErrorf("profile", "none")
 	case len(s.Plans) == 0:
-		return fault("plan", "none")
+		return keyErrorf("plan", "none")
 	case s.Allow.MaxAttempts < 1:
-		return fault("allow.max_transmissions", "%d", s.Allow.MaxAttempts)
+		return keyErrorf("allow.max_transmissions", "%d", s.Allow.MaxAttempts)
 	case s.Counter.On && !(s.Counter.PerS > 0 && s.Counter.Parts > 0 && s.Counter.TimeoutMs > 0):
-		return fault("counter", "per_s, parts and timeout_ms must be above 0")
+		return keyErrorf("counter", "per_s, parts and timeout_ms must be above 0")
 	case s.Load.MostUnits < 1:
-		return fault("load.most_units", "%d", s.Load.MostUnits)
+		return keyErrorf("load.most_units", "%d", s.Load.MostUnits)
 	case !(s.Load.PerCustomer > 0):
-		return fault("load.per_customer", "%g", s.Load.PerCustomer)
+		return keyErrorf("load.per_customer", "%g", s.Load.PerCustomer)
 	}
 	if err := oneOf("load.shape", s.Load.Shape, "steady", "wave", "ramp", "bursts"); err != nil {
 		return err
@@ -429,7 +429,7 @@
 			return err
 		}
 	}
-	for _, f := range s.figures() {
+	for _, f := range s.boundedValues() {
 		if err := f.check(); err != nil {
 			return err
 		}
@@ -442,7 +442,7 @@
 	for i, p := range s.Classes {
 		under := fmt.Sprintf("profile[%d].", i)
 		if p.Name == "" {
-			return fault(under+"name", "missing")
+			return keyErrorf(under+"name", "missing")
 		}
 		if err := oneOf(under+"semantics", p.Semantics, "replayable", "tokened", "single-use"); err != nil {
 			return err
@@ -452,53 +452,53 @@
 		}
 		switch {
 		case slices.ContainsFunc(s.Classes[:i], func(q Class) bool { return q.Name == p.Name }):
-			return fault(under+"name", "%q is another's already", p.Name)
+			return keyErrorf(under+"name", "%q is another's already", p.Name)
 		case !(p.WorkMs > 0):
-			return fault(under+"work_ms", "%g", p.WorkMs)
+			return keyErrorf(under+"work_ms", "%g", p.WorkMs)
 		case !(p.ContractMs > 0):
-			return fault(under+"contract_ms", "%g", p.ContractMs)
+			return keyErrorf(under+"contract_ms", "%g", p.ContractMs)
 		case !(p.OuterMs >= p.ContractMs):
-			return fault(under+"outer_ms", "%g, under contract_ms %g", p.OuterMs, p.ContractMs)
+			return keyErrorf(under+"outer_ms", "%g, under contract_ms %g", p.OuterMs, p.ContractMs)
 		case p.Semantics == "tokened" && !(p.WindowMs > 0):
-			return fault(under+"window_ms", "%g, though the profile is tokened", p.WindowMs)
+			return keyErrorf(under+"window_ms", "%g, though the profile is tokened", p.WindowMs)
 		}
 	}
 	for i, p := range s.Plans {
 		under := fmt.Sprintf("plan[%d].", i)
 		switch {
 		case p.Name == "":
-			return fault(under+"name", "missing")
+			return keyErrorf(under+"name", "missing")
 		case slices.ContainsFunc(s.Plans[:i], func(q Plan) bool { return q.Name == p.Name }):
-			return fault(under+"name", "%q is another's already", p.Name)
+			return keyErrorf(under+"name", "%q is another's already", p.Name)
 		case !(p.PerS > 0):
-			return fault(under+"per_s", "%g", p.PerS)
+			return keyErrorf(under+"per_s", "%g", p.PerS)
 		case !(p.Depth >= float64(s.Load.MostUnits)):
-			return fault(under+"depth", "%g, under the largest operation of %d units", p.Depth, s.Load.MostUnits)
+			return keyErrorf(under+"depth", "%g, under the largest operation of %d units", p.Depth, s.Load.MostUnits)
 		case p.CeilingPerS > 0 && !(p.CeilingDepth >= float64(s.Load.MostUnits)):
-			return fault(under+"ceiling_depth", "%g, under the largest operation", p.CeilingDepth)
+			return keyErrorf(under+"ceiling_depth", "%g, under the largest operation", p.CeilingDepth)
 		}
 	}
-	return s.checkFaults()
+	return s.validateFaults()
 }
 
-// figure is one number with what it may be.
-type figure struct {
-	key        string
-	value      float64
-	least, top float64
+// boundedValue is one number with what it may be.
+type boundedValue struct {
+	key      string
+	value    float64
+	min, max float64
 }
 
-func (f figure) check() error {
-	if !(f.value >= f.least && f.value <= f.top) {
-		return fault(f.key, "%g, %g to %g is wanted", f.value, f.least, f.top)
+func (f boundedValue) check() error {
+	if !(f.value >= f.min && f.value <= f.max) {
+		return keyErrorf(f.key, "%g, %g to %g is wanted", f.value, f.min, f.max)
 	}
 	return nil
 }
 
-// figures lists the plain numbers with their bounds.
-func (s *Scenario) figures() []figure {
+// boundedValues lists the plain numbers with their bounds.
+func (s *Scenario) boundedValues() []boundedValue {
 	inf := math.MaxFloat64
-	fs := []figure{
+	fs := []boundedValue{
 		{"net.jitter", s.Net.Jitter, 0, 1}, {"net.loss", s.Net.Loss, 0, 1},
 		{"net.connect_timeout_ms", s.Net.ConnectTimeoutMs, 1, inf}, {"net.idle_ms", s.Net.IdleMs, 1, inf},
 		{"load.share", s.Load.Share, 0, 10}, {"load.per_s", s.Load.PerSecond, 0, inf}, {"load.swing", s.Load.Swing, 0, 1},
@@ -522,7 +522,7 @@
 	}
 	for i, m := range s.Machines {
 		under := fmt.Sprintf("machine[%d].", i)
-		fs = append(fs, []figure{{under + "share", m.Share, 0, inf}, {under + "cores", float64(m.Cores), 1, 1024},
+		fs = append(fs, []boundedValue{{under + "share", m.Share, 0, inf}, {under + "cores", float64(m.Cores), 1, 1024},
 			{under + "slots_per_core", m.SlotsPerCore, 0.01, inf}, {under + "queue_per_core", m.QueuePerCore, 0, inf},
 			{under + "thrash", m.Thrash, 0, 0.99}, {under + "cold_from", m.ColdFrom, 0.001, 1}, {under + "cold_s", m.ColdS, 0, inf},
 			{under + "conns_per_core", m.ConnsPerCore, 0.1, inf}, {under + "handshake_ms", m.HandshakeMs, 0, inf},
@@ -530,29 +530,29 @@
 	}
 	for i, p := range s.Classes {
 		under := fmt.Sprintf("profile[%d].", i)
-		fs = append(fs, []figure{{under + "share", p.Share, 0, inf}, {under + "cv", p.Cv, 0, 20}, {under + "noise", p.Noise, 0, 5},
+		fs = append(fs, []boundedValue{{under + "share", p.Share, 0, inf}, {under + "cv", p.Cv, 0, 20}, {under + "noise", p.Noise, 0, 5},
 			{under + "gain", p.Gain, 0, inf}, {under + "late_value", p.LateValue, 0, 1}, {under + "outer_ms", p.OuterMs, 0, 600e3}}...)
 	}
 	for i, p := range s.Plans {
 		under := fmt.Sprintf("plan[%d].", i)
-		fs = append(fs, []figure{{under + "share", p.Share, 0, inf}, {under + "price", p.Price, 0, inf}, {under + "over_cost", p.OverCost, 0, inf},
+		fs = append(fs, []boundedValue{{under + "share", p.Share, 0, inf}, {under + "price", p.Price, 0, inf}, {under + "over_cost", p.OverCost, 0, inf},
 			{under + "at_once", float64(p.AtOnce), 0, inf}, {under + "ceiling_per_s", p.CeilingPerS, 0, inf},
-			{under + "ceiling_slack", p.CeilingSlack, 0, inf}, {under + "spread", float64(p.Spread), 1, mostDoors}}...)
+			{under + "ceiling_slack", p.CeilingSlack, 0, inf}, {under + "spread", float64(p.Spread), 1, maxDoors}}...)
 	}
 	return fs
 }
 
 func (s Span) check(key string, positive bool) error {
 	if len(s) < 1 || len(s) > 2 {
-		return fault(key, "%d figures, a span has one or two", len(s))
+		return keyErrorf(key, "%d figures, a span has one or two", len(s))
 	}
 	if !(s.Low() >= 0 && s.Low() <= s.High() && s.High() < math.MaxFloat64) || positive && s.Low() == 0 {
-		return fault(key, "%v is no span", []float64(s))
+		return keyErrorf(key, "%v is no span", []float64(s))
 	}
 	return nil
 }
 
-func fault(key, format string, args ...any) error {
+func keyErrorf(key, format string, args ...any) error {
 	return &KeyError{Key: key, Says: fmt.Sprintf(format, args...)}
 }
 
@@ -562,5 +562,5 @@
 			return nil
 		}
 	}
-	return fault(key, "unknown word %q, one of %s is wanted", word, strings.Join(words, ", "))
+	return keyErrorf(key, "unknown word %q, one of %s is wanted", word, strings.Join(words, ", "))
 }
--- a/lab/scenario/tree.go
+++ b/lab/scenario/tree.go
@@ -22,54 +22,54 @@
 
 // set follows path, whose steps may carry an index, and replaces a value by one of the same kind.
 func (t tree) set(path []string, value string) error {
-	name, at, indexed, err := step(path[0])
+	name, at, indexed, err := parsePathStep(path[0])
 	if err != nil {
 		return err
 	}
 	old, known := t[name]
 	if !known {
-		return fault(path[0], "no such key")
+		return keyErrorf(path[0], "no such key")
 	}
 	if indexed {
 		list, ok := old.([]any)
 		if !ok || at >= len(list) {
-			return fault(path[0], "no such key")
+			return keyErrorf(path[0], "no such key")
 		}
 		if len(path) > 1 {
 			inner, ok := list[at].(map[string]any)
 			if !ok {
-				return fault(path[0], "no such key")
+				return keyErrorf(path[0], "no such key")
 			}
 			return tree(inner).set(path[1:], value)
 		}
-		list[at], err = like(path[0], list[at], value)
+		list[at], err = parseLike(path[0], list[at], value)
 		return err
 	}
 	if len(path) > 1 {
 		inner, ok := old.(map[string]any)
 		if !ok {
-			return fault(path[0], "no such key")
+			return keyErrorf(path[0], "no such key")
 		}
 		return tree(inner).set(path[1:], value)
 	}
-	t[name], err = like(path[0], old, value)
+	t[name], err = parseLike(path[0], old, value)
 	return err
 }
 
-func step(s string) (name string, at int, indexed bool, err error) {
+func parsePathStep(s string) (name string, at int, indexed bool, err error) {
 	name, rest, indexed := strings.Cut(s, "[")
 	if !indexed {
 		return name, 0, false, nil
 	}
 	at, err = strconv.Atoi(strings.TrimSuffix(rest, "]"))
 	if err != nil || at < 0 || !strings.HasSuffix(rest, "]") {
-		return "", 0, false, fault(s, "%q is no index", "["+rest)
+		return "", 0, false, keyErrorf(s, "%q is no index", "["+rest)
 	}
 	return name, at, true, nil
 }
 
-// like reads a value of the same kind as the one that stands there.
-func like(key string, old any, value string) (any, error) {
+// parseLike reads a value of the same kind as the one that stands there.
+func parseLike(key string, old any, value string) (any, error) {
 	switch old.(type) {
 	case bool:
 		return strconv.ParseBool(value)
@@ -84,11 +84,11 @@
 		for _, part := range strings.Split(value, ":") {
 			v, err := strconv.ParseFloat(part, 64)
 			if err != nil {
-				return nil, fault(key, "%q is no span such as 0.5:2", value)
+				return nil, keyErrorf(key, "%q is no span such as 0.5:2", value)
 			}
 			span = append(span, v)
 		}
 		return span, nil
 	}
-	return nil, fault(key, "not a plain value")
+	return nil, keyErrorf(key, "not a plain value")
 }
--- a/lab/tally/tally.go
+++ b/lab/tally/tally.go
@@ -23,8 +23,8 @@
 
 // The messages that a door's log words a start and an account with.
 const (
-	started = "serving"
-	account = "account"
+	startMessage   = "serving"
+	accountMessage = "account"
 )
 
 // Counts holds counts by field name.
@@ -32,14 +32,14 @@
 
 // Fleet is what the logs of a fleet's doors add up to.
 type Fleet struct {
-	Lives   int      // doors' lives: a door that started again counts twice
-	Windows []Counts // window n: the n-th account of every life, added up
-	Whole   Counts
+	Incarnations int      // doors' lives: a door that started again counts twice
+	Windows      []Counts // window n: the n-th account of every life, added up
+	Total        Counts
 }
 
-// Door reads one door's log and adds its accounts to the fleet. Lines that are not logfmt, or accounts with a
+// AddLog reads one door's log and adds its accounts to the fleet. Lines that are not logfmt, or accounts with a
 // count that is not a whole number, are errors naming the line and the key; nothing of the log is added then.
-func (f *Fleet) Door(r io.Reader) error {
+func (f *Fleet) AddLog(r io.Reader) error {
 	var lives [][]Counts
 	d := logfmt.NewDecoder(bufio.NewReader(r))
 	for line := 1; d.ScanRecord(); line++ {
@@ -51,10 +51,10 @@
 			return &LineError{Line: line, Cause: err}
 		}
 		switch rec["msg"] {
-		case started:
+		case startMessage:
 			lives = append(lives, nil)
-		case account:
-			c, err := counts(line, rec)
+		case accountMessage:
+			c, err := parseCounts(line, rec)
 			if err != nil {
 				return err
 			}
@@ -71,11 +71,11 @@
 	return nil
 }
 
-// counts takes the counts of one account line.
-func counts(line int, rec map[string]string) (Counts, error) {
+// parseCounts takes the parseCounts of one account line.
+func parseCounts(line int, rec map[string]string) (Counts, error) {
 	c := Counts{}
 	for k, v := range rec {
-		if !counted(k) {
+		if !isCounted(k) {
 			continue
 		}
 		n, err := strconv.Atoi(v)
@@ -87,24 +87,24 @@
 	return c, nil
 }
 
-func counted(k string) bool {
+func isCounted(k string) bool {
 	return k == fields.Arrived || k == fields.Sent || strings.HasPrefix(k, fields.Rejected) ||
 		strings.HasPrefix(k, fields.Failed) || strings.HasPrefix(k, fields.Differs)
 }
 
 func (f *Fleet) add(lives [][]Counts) {
-	if f.Whole == nil {
-		f.Whole = Counts{}
+	if f.Total == nil {
+		f.Total = Counts{}
 	}
 	for _, life := range lives {
-		f.Lives++
+		f.Incarnations++
 		for n, c := range life {
 			for len(f.Windows) <= n {
 				f.Windows = append(f.Windows, Counts{})
 			}
 			for k, v := range c {
 				f.Windows[n][k] += v
-				f.Whole[k] += v
+				f.Total[k] += v
 			}
 		}
 	}
@@ -112,12 +112,12 @@
 
 // Keys are the fields counted anywhere: arrived and sent first, then the others by their whole count, most first.
 func (f *Fleet) Keys() []string {
-	rest := slices.DeleteFunc(slices.Collect(maps.Keys(f.Whole)), func(k string) bool {
+	rest := slices.DeleteFunc(slices.Collect(maps.Keys(f.Total)), func(k string) bool {
 		return k == fields.Arrived || k == fields.Sent
 	})
 	slices.SortFunc(rest, func(a, b string) int {
-		if f.Whole[a] != f.Whole[b] {
-			return f.Whole[b] - f.Whole[a]
+		if f.Total[a] != f.Total[b] {
+			return f.Total[b] - f.Total[a]
 		}
 		return cmp.Compare(a, b)
 	})
@@ -128,17 +128,17 @@
 // arrived, and its count in each window.
 func (f *Fleet) Print(w io.Writer, every float64) {
 	t := tabwriter.NewWriter(w, 2, 8, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(t, "%d lives of doors\t\twhole\tof arrived\t", f.Lives)
+	fmt.Fprintf(t, "%d lives of doors\t\twhole\tof arrived\t", f.Incarnations)
 	for n := range f.Windows {
 		fmt.Fprintf(t, "%.0f s\t", float64(n+1)*every/1e3)
 	}
 	fmt.Fprintln(t)
 	for _, k := range f.Keys() {
 		share := 0.0
-		if a := f.Whole[fields.Arrived]; a > 0 {
-			share = float64(f.Whole[k]) / float64(a)
+		if a := f.Total[fields.Arrived]; a > 0 {
+			share = float64(f.Total[k]) / float64(a)
 		}
-		fmt.Fprintf(t, "%s\t\t%d\t%.3f\t", k, f.Whole[k], share)
+		fmt.Fprintf(t, "%s\t\t%d\t%.3f\t", k, f.Total[k], share)
 		for _, c := range f.Windows {
 			fmt.Fprintf(t, "%d\t", c[k])
 		}
--- a/lab/tally/tally_test.go
+++ b/lab/tally/tally_test.go
@@ -15,22 +15,22 @@
 
 func TestAccountsAddUpByTheWindowsOfEachLife(t *testing.T) {
 	var f Fleet
-	require.NoError(t, f.Door(strings.NewReader(life+life)))
-	require.NoError(t, f.Door(strings.NewReader(life)))
-	assert.Equal(t, 3, f.Lives)
+	require.NoError(t, f.AddLog(strings.NewReader(life+life)))
+	require.NoError(t, f.AddLog(strings.NewReader(life)))
+	assert.Equal(t, 3, f.Incarnations)
 	assert.Equal(t, []Counts{{"arrived": 30, "sent": 24, "rejected_over_part": 6}, {"arrived": 12, "sent": 12}}, f.Windows)
-	assert.Equal(t, Counts{"arrived": 42, "sent": 36, "rejected_over_part": 6}, f.Whole)
+	assert.Equal(t, Counts{"arrived": 42, "sent": 36, "rejected_over_part": 6}, f.Total)
 	assert.Equal(t, []string{"arrived", "sent", "rejected_over_part"}, f.Keys())
 }
 
 func TestACountThatIsNoWholeNumberIsNamedWithItsLine(t *testing.T) {
 	var f Fleet
-	err := f.Door(strings.NewReader(life + "level=info msg=account arrived=x\n"))
+	err := f.AddLog(strings.NewReader(life + "level=info msg=account arrived=x\n"))
 	assert.ErrorContains(t, err, `line 4: key "arrived": "x" is no count`)
-	assert.Zero(t, f.Lives, "nothing of that log is added")
+	assert.Zero(t, f.Incarnations, "nothing of that log is added")
 }
 
 func TestALineThatIsNoLogfmtIsNamed(t *testing.T) {
 	var f Fleet
-	assert.ErrorContains(t, f.Door(strings.NewReader(life+"msg=\"unclosed\n")), "line 4")
+	assert.ErrorContains(t, f.AddLog(strings.NewReader(life+"msg=\"unclosed\n")), "line 4")
 }
