--- a/lab/cold/cold_test.go
+++ b/lab/cold/cold_test.go
@@ -15,25 +15,25 @@
 
 var seeds = flag.Int("seeds", 6, "days of each kind")
 
-// day is one where a fifth of the backends start anew, each warm one taking so many requests in a window.
-func day(doors int, inWindow float64, seed uint64) Simulation {
+// newSimulation is one where a fifth of the backends start anew, each warm one taking so many requests in a window.
+func newSimulation(doors int, inWindow float64, seed uint64) Simulation {
 	const backends, window = 20, 1500.0
 	return Simulation{Doors: doors, AssumedDoors: doors, Backends: backends, ColdBackends: 4, RequestsPerMs: inWindow * backends / window, MeanBurst: 1, StartMs: 20e3, DurationMs: 36e3,
 		NoticeMs: 1500, LatencyMs: 60, WindowMs: window, OverloadMultiple: 2, ColdCapacity: 0.16, WarmupMs: 12e3, Seed: seed}
 }
 
-func decided(d *Simulation) func(int, uint64) gate.Decider {
+func policyDecider(d *Simulation) func(int, uint64) gate.Decider {
 	return func(number int, seed uint64) gate.Decider { return policy.New(d.Terms(number), seed) }
 }
 
-// sum is what the checker found over all days of a kind.
-type sum struct {
-	starts, excesses, days int // days with any
-	share, over            float64
-	first                  string
+// summary is what the checker found over all days of a kind.
+type summary struct {
+	starts, excesses, seedsOverLimit int // days with any
+	share, over                      float64
+	first                            string
 }
 
-func plays(of func(seed uint64) Simulation, with func(*Simulation) func(int, uint64) gate.Decider) (all sum) {
+func runAll(of func(seed uint64) Simulation, with func(*Simulation) func(int, uint64) gate.Decider) (all summary) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	next := make(chan uint64)
@@ -46,7 +46,7 @@
 				all.starts, all.excesses = all.starts+c.ColdStarts, all.excesses+len(c.Excesses)
 				all.share, all.over = max(all.share, c.MaxShare), max(all.over, c.MaxOver)
 				if len(c.Excesses) > 0 {
-					all.days++
+					all.seedsOverLimit++
 					all.first = fmt.Sprintf("seed %d: %+v", seed, c.Excesses[0])
 				}
 				mu.Unlock()
@@ -63,7 +63,7 @@
 
 // Beyond the budget N of a cold backend the doors together start 2 x root of N + 2 at most, whatever each of them sees: many
 // requests in a window or less than one, doors that restart amid the ramp, a fleet that is not as large as was told, bursts.
-func TestTheDoorsTogetherSpareColdBackends(t *testing.T) {
+func TestDoorsTogetherKeepColdBackendsWithinBudget(t *testing.T) {
 	for _, doors := range []int{6, 20, 30, 300} {
 		for _, c := range []struct {
 			name     string
@@ -85,15 +85,15 @@
 			{"all restart amid the ramp, told a tenth", 30, func(d *Simulation) { d.RestartShare, d.RestartMs, d.AssumedDoors = 1, 500, max(1, d.Doors/10) }},
 		} {
 			t.Run(fmt.Sprint(doors, " doors, ", c.name), func(t *testing.T) {
-				s := plays(func(seed uint64) Simulation {
-					d := day(doors, c.inWindow, seed)
+				s := runAll(func(seed uint64) Simulation {
+					d := newSimulation(doors, c.inWindow, seed)
 					if c.change != nil {
 						c.change(&d)
 					}
 					return d
-				}, decided)
+				}, policyDecider)
 				t.Logf("%d days: %d starts at cold backends, at most %.2f of a budget and %.1f beyond one; %d windows over the limit, on %d days %s",
-					*seeds, s.starts, s.share, s.over, s.excesses, s.days, s.first)
+					*seeds, s.starts, s.share, s.over, s.excesses, s.seedsOverLimit, s.first)
 				assert.Zero(t, s.excesses)
 				assert.NotZero(t, s.starts, "they are tried")
 			})
@@ -102,16 +102,16 @@
 }
 
 // A door that thinks a cold backend warm is the planted fault, and the checker finds it.
-func TestAPlantedFaultIsFound(t *testing.T) {
+func TestPlantedBugIsFound(t *testing.T) {
 	for _, doors := range []int{6, 300} {
-		s := plays(func(seed uint64) Simulation { return day(doors, 30, seed) }, func(d *Simulation) func(int, uint64) gate.Decider {
+		s := runAll(func(seed uint64) Simulation { return newSimulation(doors, 30, seed) }, func(d *Simulation) func(int, uint64) gate.Decider {
 			return func(number int, seed uint64) gate.Decider {
 				terms := d.Terms(number)
 				terms.ColdCapacity, terms.OverloadMultiple = 1, 20
 				return policy.New(terms, seed)
 			}
 		})
-		t.Logf("%d doors: %d windows over the limit, on %d of %d days", doors, s.excesses, s.days, *seeds)
+		t.Logf("%d doors: %d windows over the limit, on %d of %d days", doors, s.excesses, s.seedsOverLimit, *seeds)
 		assert.NotZero(t, s.excesses)
 	}
 }
--- a/lab/cold/simulation.go
+++ b/lab/cold/simulation.go
@@ -72,8 +72,8 @@
 
 // Run plays the day with doors that decide as New says, and has the checker count.
 func (d *Simulation) Run(c *Checker, decider func(number int, seed uint64) gate.Decider) {
-	dice := rand.New(rand.NewPCG(d.Seed, 1))
-	exp := func(mean float64) float64 { return -mean * math.Log(1-dice.Float64()) }
+	random := rand.New(rand.NewPCG(d.Seed, 1))
+	exp := func(mean float64) float64 { return -mean * math.Log(1-random.Float64()) }
 	var all schedule
 	doors := make([]door, d.Doors)
 	c.WindowMs, c.OverloadMultiple, c.ColdCapacity, c.WarmupMs = d.WindowMs, d.OverloadMultiple, d.ColdCapacity, d.WarmupMs
@@ -100,20 +100,20 @@
 	}
 	begin := func(at float64, i int) {
 		doors[i].incarnation++
-		doors[i].decider, doors[i].nextOp, doors[i].attempts = decider(i, dice.Uint64()), 0, doors[i].attempts[:0]
+		doors[i].decider, doors[i].nextOp, doors[i].attempts = decider(i, random.Uint64()), 0, doors[i].attempts[:0]
 		heap.Push(&all, scheduled{at, i, doors[i].incarnation, list(at, i)})
 		if d.MembersKnown {
 			heap.Push(&all, scheduled{at, i, doors[i].incarnation, gate.DoorsUpdate{PresentCount: d.Doors}})
 		}
 	}
 	for i := range doors {
-		doors[i].notifiedAt = d.StartMs + d.NoticeMs*dice.Float64()
+		doors[i].notifiedAt = d.StartMs + d.NoticeMs*random.Float64()
 		begin(0, i)
 		for _, at := range []float64{d.StartMs - 5e3, doors[i].notifiedAt} {
 			heap.Push(&all, scheduled{at, i, 0, list(at, i)})
 		}
-		if dice.Float64() < d.RestartShare {
-			heap.Push(&all, scheduled{d.StartMs + d.RestartMs*dice.Float64(), i, 0, doorRestart{}})
+		if random.Float64() < d.RestartShare {
+			heap.Push(&all, scheduled{d.StartMs + d.RestartMs*random.Float64(), i, 0, doorRestart{}})
 		}
 		heap.Push(&all, scheduled{exp(d.MeanBurst * float64(d.Doors) / d.RequestsPerMs), i, 0, requestBurst{}})
 	}
@@ -139,7 +139,7 @@
 			events = append(events, gate.TimerFired{})
 		case attemptArrival:
 			c.Record(Start{n.at, e.backend})
-			latency := d.LatencyMs * (0.5 + dice.Float64())
+			latency := d.LatencyMs * (0.5 + random.Float64())
 			heap.Push(&all, scheduled{n.at + latency, n.door, n.incarnation, gate.AttemptEnded{Op: e.op, Attempt: e.number, Backend: e.backend, Result: gate.Finished,
 				Latency: latency, Answered: true, MeteredUse: -1, Queue: -1}})
 			continue
--- a/lab/command/command.go
+++ b/lab/command/command.go
@@ -42,7 +42,7 @@
 }
 
 // progressBar shows long work on a terminal or a log alike; it writes to standard error.
-func progressBar(cmd *cobra.Command, what string) (tell func(done, all float64), end func()) {
+func progressBar(cmd *cobra.Command, what string) (update func(done, all float64), finish func()) {
 	const steps = 1000
 	b := progressbar.NewOptions(steps, progressbar.OptionSetWriter(cmd.ErrOrStderr()), progressbar.OptionSetDescription(what),
 		progressbar.OptionThrottle(200*time.Millisecond), progressbar.OptionClearOnFinish(), progressbar.OptionSetPredictTime(true))
@@ -85,11 +85,11 @@
 			if err != nil {
 				return err
 			}
-			tell, end := progressBar(cmd, s.Name)
+			update, finish := progressBar(cmd, s.Name)
 			began := time.Now()
 			day := run.One{Scenario: s, Seed: seed, Policy: policy}
 			var r *run.Result
-			switch progress := func(done float64) { tell(done, 1) }; {
+			switch progress := func(done float64) { update(done, 1) }; {
 			case on == "sockets":
 				r, err = runOnSockets(cmd.Context(), s, seed, policy, door, logs, progress)
 			case on != "sim":
@@ -99,7 +99,7 @@
 			default:
 				r, err = day.RunScored(cmd.Context(), progress)
 			}
-			end()
+			finish()
 			if err != nil {
 				return err
 			}
@@ -248,9 +248,9 @@
 			for i := range seeds {
 				w.Seeds = append(w.Seeds, uint64(i+1))
 			}
-			tell, end := progressBar(cmd, s.Name)
-			cells, err := w.Run(cmd.Context(), tell)
-			end()
+			update, finish := progressBar(cmd, s.Name)
+			cells, err := w.Run(cmd.Context(), update)
+			finish()
 			if err != nil {
 				return err
 			}
@@ -292,9 +292,9 @@
 				return err
 			}
 			h.Scenario = s
-			tell, end := progressBar(cmd, "hunting")
-			found, err := h.Run(cmd.Context(), tell)
-			end()
+			update, finish := progressBar(cmd, "hunting")
+			found, err := h.Run(cmd.Context(), update)
+			finish()
 			if err != nil {
 				return err
 			}
--- a/lab/command/command_test.go
+++ b/lab/command/command_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const careless = `
+const floodScenario = `
 name = "flood"
 [day]
 seconds = 6
@@ -34,7 +34,7 @@
 much = 3.0
 `
 
-func do(args ...string) (out string, err error) {
+func execute(args ...string) (out string, err error) {
 	cmd := New()
 	var buf, errs bytes.Buffer
 	cmd.SetOut(&buf)
@@ -44,10 +44,10 @@
 	return buf.String(), err
 }
 
-func TestPlayWritesAResultAndAReportThatStandsAlone(t *testing.T) {
+func TestPlayWritesResultAndSelfContainedReport(t *testing.T) {
 	file, dir := filepath.Join(t.TempDir(), "flood.toml"), filepath.Join(t.TempDir(), "out")
-	require.NoError(t, os.WriteFile(file, []byte(careless), 0o644))
-	out, err := do("play", file, "--out", dir, "--seed", "3")
+	require.NoError(t, os.WriteFile(file, []byte(floodScenario), 0o644))
+	out, err := execute("play", file, "--out", dir, "--seed", "3")
 	require.NoError(t, err)
 	assert.Contains(t, out, "score")
 	page, err := os.ReadFile(filepath.Join(dir, "report.html"))
@@ -58,23 +58,23 @@
 	}
 	first, err := os.ReadFile(filepath.Join(dir, "result.json"))
 	require.NoError(t, err)
-	_, err = do("play", file, "--out", dir, "--seed", "3")
+	_, err = execute("play", file, "--out", dir, "--seed", "3")
 	require.NoError(t, err)
 	again, err := os.ReadFile(filepath.Join(dir, "result.json"))
 	require.NoError(t, err)
 	assert.Equal(t, string(first), string(again))
 }
 
-func TestABrokenRuleIsNamed(t *testing.T) {
+func TestBrokenRuleIsReported(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "flood.toml")
-	require.NoError(t, os.WriteFile(file, []byte(careless), 0o644))
-	_, err := do("play", file, "--policy", "floor", "--alone", "--out", t.TempDir())
+	require.NoError(t, os.WriteFile(file, []byte(floodScenario), 0o644))
+	_, err := execute("play", file, "--policy", "floor", "--alone", "--out", t.TempDir())
 	var broken *BrokenError
 	assert.ErrorAs(t, err, &broken)
 	assert.ErrorContains(t, err, "ceiling-kept")
 }
 
-func TestWhatCannotBePlayedIsSaid(t *testing.T) {
+func TestInvalidArgumentsAreReported(t *testing.T) {
 	for says, args := range map[string][]string{
 		"nowhere":      {"play", "nowhere", "--out", t.TempDir()},
 		"load.shore":   {"play", "calm", "--set", "load.shore=1", "--out", t.TempDir()},
@@ -86,7 +86,7 @@
 		"looking for":  {"compare", t.TempDir(), t.TempDir()},
 		"at least one": {"sweep", "calm", "--seeds", "0"},
 	} {
-		_, err := do(args...)
+		_, err := execute(args...)
 		assert.ErrorContains(t, err, says)
 	}
 }
@@ -94,35 +94,35 @@
 func TestSweepAndCompare(t *testing.T) {
 	dir := t.TempDir()
 	short := []string{"--set", "day.seconds=6", "--seeds", "3"}
-	_, err := do(append([]string{"sweep", "calm", "--out", filepath.Join(dir, "a")}, short...)...)
+	_, err := execute(append([]string{"sweep", "calm", "--out", filepath.Join(dir, "a")}, short...)...)
 	require.NoError(t, err)
-	out, err := do(append([]string{"sweep", "overload", "--policy", "swifthall,textbook", "--out", filepath.Join(dir, "b")}, short...)...)
+	out, err := execute(append([]string{"sweep", "overload", "--policy", "swifthall,textbook", "--out", filepath.Join(dir, "b")}, short...)...)
 	require.NoError(t, err)
 	assert.Contains(t, out, "textbook")
-	out, err = do("compare", filepath.Join(dir, "a"), filepath.Join(dir, "b", "textbook"))
+	out, err = execute("compare", filepath.Join(dir, "a"), filepath.Join(dir, "b", "textbook"))
 	require.NoError(t, err)
 	assert.Regexp(t, `G +0\.\d+ +0\.\d+ +-0\.\d+ +0\.\d+ over 3 +\*`, out)
 }
 
 func TestHuntWritesAScenario(t *testing.T) {
 	out := filepath.Join(t.TempDir(), "found.toml")
-	text, err := do("hunt", "calm", "--days", "8", "--faults", "1", "--only", "slow", "--out", out)
+	text, err := execute("hunt", "calm", "--days", "8", "--faults", "1", "--only", "slow", "--out", out)
 	require.NoError(t, err)
 	assert.Contains(t, text, "days played")
-	_, err = do("play", out, "--alone", "--out", t.TempDir())
+	_, err = execute("play", out, "--alone", "--out", t.TempDir())
 	assert.NoError(t, err)
 }
 
-func TestListNamesScenariosAndFaults(t *testing.T) {
-	out, err := do("list")
+func TestListShowsScenariosAndFaults(t *testing.T) {
+	out, err := execute("list")
 	require.NoError(t, err)
 	assert.Contains(t, out, "retry-storm")
 	assert.Contains(t, out, "counter_split")
 }
 
-func TestSchedulesArePlayedAndReported(t *testing.T) {
+func TestProcsRunsSchedulesAndWritesReports(t *testing.T) {
 	dir := t.TempDir()
-	out, err := do("procs", "short-cut", "--random", "30", "--doors", "6", "--seeds", "2", "--out", dir)
+	out, err := execute("procs", "short-cut", "--random", "30", "--doors", "6", "--seeds", "2", "--out", dir)
 	require.NoError(t, err)
 	assert.Contains(t, out, "short-cut")
 	for _, name := range []string{"result.json", "schedule.toml", "report.html"} {
@@ -130,13 +130,13 @@
 		require.NoError(t, err)
 		assert.NotEmpty(t, raw)
 	}
-	again, err := do("procs", filepath.Join(dir, "short-cut-6-1", "schedule.toml"), "--seed", "1")
+	again, err := execute("procs", filepath.Join(dir, "short-cut-6-1", "schedule.toml"), "--seed", "1")
 	require.NoError(t, err)
 	assert.Contains(t, again, "short-cut")
-	_, err = do("procs", "half-heard", "--who", "heartbeats")
+	_, err = execute("procs", "half-heard", "--who", "heartbeats")
 	var broken *ScheduleError
 	require.ErrorAs(t, err, &broken)
-	out, err = do("procs", "--list")
+	out, err = execute("procs", "--list")
 	require.NoError(t, err)
 	assert.Contains(t, out, "half-heard")
 }
--- a/lab/command/load.go
+++ b/lab/command/load.go
@@ -70,9 +70,9 @@
 				fmt.Fprintf(t, "knee: %.0f operations a second\n", best)
 				return nil
 			}
-			tell, end := progressBar(cmd, r.Target)
-			o, err := r.Play(cmd.Context(), func(done float64) { tell(done, 1) })
-			end()
+			update, finish := progressBar(cmd, r.Target)
+			o, err := r.Play(cmd.Context(), func(done float64) { update(done, 1) })
+			finish()
 			if err != nil {
 				return err
 			}
--- a/lab/command/procs.go
+++ b/lab/command/procs.go
@@ -138,7 +138,7 @@
 }
 
 // runParallel plays plays, so many at once, and tells of each as it ends, in order.
-func runParallel[P, R any](ctx context.Context, plays []P, most int, play func(P, context.Context) (R, error), tell func(P, R) error) error {
+func runParallel[P, R any](ctx context.Context, plays []P, limit int, play func(P, context.Context) (R, error), report func(P, R) error) error {
 	type outcome struct {
 		r   R
 		err error
@@ -146,7 +146,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	outcomes := make([]chan outcome, len(plays))
-	slots := make(chan struct{}, max(1, most))
+	slots := make(chan struct{}, max(1, limit))
 	var group sync.WaitGroup
 	defer group.Wait()
 	for i := range plays {
@@ -165,7 +165,7 @@
 	for i, p := range plays {
 		o := <-outcomes[i]
 		if o.err == nil {
-			o.err = tell(p, o.r)
+			o.err = report(p, o.r)
 		}
 		if o.err != nil {
 			stop()
--- a/lab/command/rehearse.go
+++ b/lab/command/rehearse.go
@@ -15,14 +15,14 @@
 	var name string
 	var sets []string
 	var seed uint64
-	var seeds, places, jobs int
+	var seeds, maxOut, jobs int
 	cmd := &cobra.Command{Use: "rehearse FILE", Short: "Play a migration on a scenario, simulated, and tell what it would cost", Args: cobra.ExactArgs(1),
 		Long: "FILE is a migration as swifthall migrate takes it, --scenario the site's own scenario file or the name of one that ships. Plays the\n" +
 			"day as it is, with each step alone, and with all of them. Times are compressed into the scenario's day, steps one after the\n" +
 			"other; what people do by hand is not played. Exits with 4 if a rule broke.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if seeds < 1 || places < 1 {
-				return &FlagError{Flag: fmt.Sprintf("--seeds %d --most-out %d", seeds, places), Reason: "at least one of each is wanted"}
+			if seeds < 1 || maxOut < 1 {
+				return &FlagError{Flag: fmt.Sprintf("--seeds %d --most-out %d", seeds, maxOut), Reason: "at least one of each is wanted"}
 			}
 			var m planfile.Migration
 			if err := planfile.Read(args[0], cmd.InOrStdin(), &m); err != nil {
@@ -32,7 +32,7 @@
 			if err != nil {
 				return err
 			}
-			steps, err := rehearse.Steps(s, m.Steps, places)
+			steps, err := rehearse.Steps(s, m.Steps, maxOut)
 			if err != nil {
 				return err
 			}
@@ -65,7 +65,7 @@
 	f.StringArrayVar(&sets, "set", nil, "KEY=VALUE, a key of the scenario file such as fleet.doors=30; may be repeated")
 	f.Uint64Var(&seed, "seed", 1, "of the first day")
 	f.IntVar(&seeds, "seeds", 3, "seeds from there on")
-	f.IntVar(&places, "most-out", 2, "that may be out at once, as the budgets have it")
+	f.IntVar(&maxOut, "most-out", 2, "that may be out at once, as the budgets have it")
 	f.IntVar(&jobs, "jobs", 0, "days at once; as many as there are cores where 0")
 	_ = cmd.RegisterFlagCompletionFunc("scenario", cobra.FixedCompletions(scenarios.Names(), cobra.ShellCompDirectiveDefault))
 	return cmd
--- a/lab/outs/check.go
+++ b/lab/outs/check.go
@@ -1,5 +1,5 @@
-// Package outs plays fleets whose doors go out by plan, in virtual time, against a state machine that gives permits, and
-// judges by true times alone who was out at once.
+// Package outs simulates, in virtual time, fleets whose doors and backends are taken out of service under permits, and releases
+// of their software. Its checkers know only what really happened in the simulation: which units were out at what time.
 package outs
 
 import (
@@ -7,43 +7,45 @@
 	"sort"
 )
 
-// Bound is what must hold of a scope: all doors, or those of each zone.
+// BudgetLimit is the largest number of doors that may be out in a scope: the whole fleet, or each zone separately.
 type Bound struct {
 	EachZone bool
 	MostOut  int
 }
 
-// Gone is a time in which a door was truly out.
+// Outage is a period in which a door was really out of service.
 type Gone struct {
 	Door   int
 	From   float64
-	To     float64 // when it was ready and warm again; +Inf for never
+	To     float64 // when it was ready and warm again; +Inf if it never was
 	ByPlan bool
 }
 
-// Stop is a time in which nothing may go out.
+// HaltPeriod is a period in which no door may go out.
 type Stop struct{ From, To float64 }
 
-// Breach is one thing that must not be.
+// Breach is one violation of a rule.
 type Breach struct {
 	Rule string
 	At   float64
 	Text string
 }
 
-// Rules.
+// Rules for outages.
 const (
 	PlannedWithinBudget = "no more out by plan than the budget"
 	NoneBeyondBudget    = "nobody let out while the budget is full"
 	NoneAfterHalt       = "nobody goes out after a halt"
 )
 
+// Grace periods, ms.
 const (
-	detectionGraceMs = 6000.0 // ms in which a failure becomes known everywhere: it can't be counted before
-	haltGraceMs      = 1000.0 // ms after which a halt holds
+	detectionGraceMs = 6000.0 // until a failure is known everywhere; the permit state can't count it earlier
+	haltGraceMs      = 1000.0 // until a halt takes effect
 )
 
-// Judge holds what truly happened against the bounds. It knows no permit and asks nobody.
+// CheckOutages compares the real outages with the limits and the halt periods, and returns every violation. It knows nothing of
+// permits. A planned outage counts at once, a failure only after detectionGraceMs.
 func Judge(zones []int, gone []Gone, stops []Stop, bounds []Bound) (breaches []Breach) {
 	sort.SliceStable(gone, func(a, b int) bool { return gone[a].From < gone[b].From })
 	for i := range gone {
@@ -72,7 +74,7 @@
 			if len(plan) > b.MostOut {
 				breaches = append(breaches, Breach{PlannedWithinBudget, g.From, fmt.Sprintf("%d doors out by plan, %d may be (each zone: %v)", len(plan), b.MostOut, b.EachZone)})
 			} else if len(all) > b.MostOut {
-				breaches = append(breaches, Breach{NoneBeyondBudget, g.From, fmt.Sprintf("door %d let out as the %dth with failures, %d may be (each zone: %v)", g.Door, len(all), b.MostOut, b.EachZone)})
+				breaches = append(breaches, Breach{NoneBeyondBudget, g.From, fmt.Sprintf("door %d let out as number %d with failures, %d may be (each zone: %v)", g.Door, len(all), b.MostOut, b.EachZone)})
 			}
 		}
 	}
--- a/lab/outs/drains.go
+++ b/lab/outs/drains.go
@@ -10,9 +10,9 @@
 	"github.com/swifthall/swifthall/permits"
 )
 
-// DrainSimulation is a fleet whose operators order doors and backends out and back, in virtual time: its doors are keepers, its leader
-// a watch over the state. Words and answers are lost, late and doubled; doors are stopped, killed and told to end; leaders
-// change, and are gone for a while.
+// DrainSimulation simulates a fleet whose operators drain doors and backends and bring them back. Each door runs a
+// permits.DoorAgent, the leader a permits.ReportCollector over the replicated state. Messages and answers are lost, delayed and
+// duplicated; doors are paused, killed and terminated; the leader changes, with gaps in which there is none.
 type DrainSimulation struct {
 	Seed       uint64
 	Doors      int
@@ -21,7 +21,7 @@
 	NewState   func() ReplicatedState
 }
 
-// ReplicatedState is the state that coordinators agree on, or one with a planted fault.
+// ReplicatedState is the state that the coordinators agree on, or a variant with a planted bug.
 type ReplicatedState interface {
 	Machine
 	Withheld() (names []string, change uint64)
@@ -31,45 +31,48 @@
 	Places() map[uint64]*permits.Permit
 }
 
-// Rules of orders, besides those of fleets.
+// Rules for drains, in addition to those for outages.
 const (
 	NoSendsToDrained     = "no door sends to a backend that is said to be drained"
 	BackendsWithinBudget = "no more backends out than the budget"
 )
 
-// DrainResult is what a play came to.
+// DrainResult is the outcome of one simulated run.
 type DrainResult struct {
 	Result
-	Drained  int // times that a backend was said to be drained
-	Returned int // doors that came back
+	Drained  int // observations of a backend reported as drained
+	Returned int // doors that came back after a drain
 	History  []history.Op
 }
 
+// Parameters of a run.
 const (
-	backendBudget  = 2    // budget of backends
-	quietTailMs    = 15e3 // ms at the end in which nothing more is ordered or fails
-	maxStepDelayMs = 40.0 // ms from a keeper's decision to the door's step at most
-	maxLeaderGapMs = 4e3  // ms for which there is no leader at most
-	maxRestartMs   = 6e3  // ms until a door that failed starts again at most
-	leaderChanges  = 5    // changes of the leader in a play
+	backendBudget  = 2    // backends that may be out at once
+	quietTailMs    = 15e3 // ms at the end of a run without new drains or failures, so that all can return
+	maxStepDelayMs = 40.0 // maximum ms from the agent's decision until the door carries it out
+	maxLeaderGapMs = 4e3  // maximum ms without a leader
+	maxRestartMs   = 6e3  // maximum ms until a failed door starts again
+	leaderChanges  = 5    // per run
 )
 
+// agentDoor is a door whose agent talks to the leader, and what is really true of it.
 type agentDoor struct {
 	number        int
 	zone          int
 	agent         *permits.DoorAgent
-	incarnation   int // of the process, as it truly is
+	incarnation   int // of the process
 	up            bool
-	readyAt       float64 // of this process
-	pausedUntil   float64
+	readyAt       float64 // when this process becomes ready
+	pausedUntil   float64 // clock, ms, until which the process is paused
 	outOfService  bool
 	withheld      map[string]bool
-	answered      bool // it has been answered in this life
-	plannedOutage int  // place in gone of the time in which it is out by plan, or nobody
-	failureOutage int  // and by failure
-	diedAt        float64
+	answered      bool    // the leader has answered this incarnation
+	plannedOutage int     // index into outages of the current planned outage, or noOutage
+	failureOutage int     // the same for an outage by failure
+	diedAt        float64 // clock, ms
 }
 
+// drainWorld is the state of one run.
 type drainWorld struct {
 	DrainSimulation
 	scheduler
@@ -83,17 +86,17 @@
 	outages   []Gone
 	halts     []Stop
 	result    DrainResult
-	drainedAt map[string]float64 // backends that are surely out, by operators' answers
+	drainedAt map[string]float64 // backends certainly out, by the answers to operators, and since when
 	lastID    uint64
 	callers   uint64
 }
 
-// Run plays it and judges it.
+// Run runs the simulation and checks it.
 func (o DrainSimulation) Run() DrainResult {
 	w := &drainWorld{DrainSimulation: o, scheduler: scheduler{random: rand.New(rand.NewPCG(o.Seed, 6))}, machine: o.NewState(), drainedAt: map[string]float64{}}
-	most, zone := 1+w.random.IntN(max(1, o.Doors/10)), 1+w.random.IntN(max(1, o.Doors/20))
+	maxOut, maxPerZone := 1+w.random.IntN(max(1, o.Doors/10)), 1+w.random.IntN(max(1, o.Doors/20))
 	w.electLeader()
-	w.applyAsOperator(permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MaxOut: most}, {Kind: permits.Door, Zone: permits.EachZone, MaxOut: zone},
+	w.applyAsOperator(permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MaxOut: maxOut}, {Kind: permits.Door, Zone: permits.EachZone, MaxOut: maxPerZone},
 		{Kind: permits.Backend, MaxOut: backendBudget}}})
 	for i := range o.Doors {
 		d := &agentDoor{number: i, zone: i % 3, plannedOutage: noOutage, failureOutage: noOutage}
@@ -120,7 +123,7 @@
 		})
 	}
 	halt := w.between(o.DurationMs/3, o.DurationMs/2)
-	w.at(halt-w.between(50, 400), func() { // some are on their way out when the halt comes, and are stopped
+	w.at(halt-w.between(50, 400), func() { // several doors are going out when the halt arrives, and are paused
 		for range 4 {
 			d := w.doors[w.random.IntN(len(w.doors))]
 			w.drainDoor(d)
@@ -133,7 +136,7 @@
 	})
 	w.at(halt+8e3, func() { w.applyAsOperator(permits.Resume{Who: "operator"}) })
 	w.runUntil(o.DurationMs)
-	w.result.Breaches = append(w.result.Breaches, Judge(w.zones, w.outages, w.halts, []Bound{{false, most}, {true, zone}})...)
+	w.result.Breaches = append(w.result.Breaches, Judge(w.zones, w.outages, w.halts, []Bound{{false, maxOut}, {true, maxPerZone}})...)
 	return w.result
 }
 
@@ -143,13 +146,14 @@
 
 // ---- Coordinators ----
 
-// electLeader is a new leader: it knows what is agreed on, and no door.
+// electLeader installs a new leader, which has the replicated state but has received no report yet.
 func (w *drainWorld) electLeader() {
 	w.callers++
 	w.collector, w.hasLeader, w.caller, w.seq = permits.NewReportCollector(), true, fmt.Sprint("leader-", w.callers), 0
 	w.applyAsLeader(permits.Leadership{Name: w.caller, Epoch: 1})
 }
 
+// applyAsLeader applies a command of the current leader.
 func (w *drainWorld) applyAsLeader(do any) {
 	w.seq++
 	w.apply(w.caller, w.seq, do)
@@ -160,12 +164,13 @@
 	return w.machine.Apply(permits.Command{Caller: caller, Seq: seq, AtMs: w.now, WallMs: w.now + w.between(-2500, 2500), Do: do})
 }
 
-// applyAsOperator is an operator's, who has a new name for each.
+// applyAsOperator applies a command of an operator; each command has a caller name of its own.
 func (w *drainWorld) applyAsOperator(do any) permits.Answer {
 	w.callers++
 	return w.apply(fmt.Sprint("operator-", w.callers), 1, do)
 }
 
+// observe has the leader record the sightings that changed, and checks that no door can send to a backend reported as drained.
 func (w *drainWorld) observe() {
 	if w.hasLeader {
 		w.applyAsLeader(permits.RecordSightings{Sightings: w.collector.ChangedSightings(w.now)})
@@ -175,8 +180,8 @@
 			continue
 		}
 		w.result.Drained++
-		for _, d := range w.doors { // as it truly is, whatever anybody holds
-			if d.up && d.answered && !d.withheld[p.Unit.Name] { // one that nobody has told anything so far is known to nobody
+		for _, d := range w.doors { // the real state, whatever the coordinators believe
+			if d.up && d.answered && !d.withheld[p.Unit.Name] { // a door without any answer so far is unknown to the coordinators
 				w.result.Breaches = append(w.result.Breaches, Breach{NoSendsToDrained, w.now, fmt.Sprintf("door %d may send to %s", d.number, p.Unit.Name)})
 			}
 		}
@@ -185,20 +190,21 @@
 
 // ---- Doors ----
 
+// start starts a new process of a door, with a new agent.
 func (w *drainWorld) start(d *agentDoor) {
 	d.incarnation++
 	d.up, d.outOfService, d.answered, d.pausedUntil, d.withheld = true, false, false, 0, map[string]bool{}
 	d.readyAt = w.now + w.between(200, 1500)
 	d.agent = permits.NewDoorAgent(permits.Unit{Kind: permits.Door, Name: name(d.number), Zone: fmt.Sprint("z", d.zone), Size: 1}, func() uint64 { w.lastID++; return w.lastID })
-	life := d.incarnation
+	incarnation := d.incarnation
 	w.at(d.readyAt, func() {
-		if d.up && d.incarnation == life {
+		if d.up && d.incarnation == incarnation {
 			w.markReturned(d)
 		}
 	})
 	var tick func()
 	tick = func() {
-		if d.up && d.incarnation == life {
+		if d.up && d.incarnation == incarnation {
 			if w.now >= d.pausedUntil {
 				w.stepAgent(d, permits.DoorStatus{Ready: w.now >= d.readyAt && !d.outOfService, Away: w.awayPeers(d), Backends: w.fleetList()})
 			}
@@ -208,7 +214,7 @@
 	tick()
 }
 
-// markReturned notes that a door serves again.
+// markReturned ends the outages of a door that serves again.
 func (w *drainWorld) markReturned(d *agentDoor) {
 	for _, open := range []*int{&d.plannedOutage, &d.failureOutage} {
 		if *open != noOutage {
@@ -218,7 +224,7 @@
 	}
 }
 
-// awayPeers is whom a door holds to be awayPeers: those known to have died.
+// awayPeers returns the peers that a door considers away: those that died at least detectionMs ago.
 func (w *drainWorld) awayPeers(d *agentDoor) (names []string) {
 	for _, o := range w.doors {
 		if o != d && !o.up && o.incarnation > 0 && w.now-o.diedAt > detectionMs {
@@ -235,13 +241,13 @@
 	return all
 }
 
-// whenRunning does something at a door once it isn't stopped, where its process still runs.
+// whenRunning runs do as soon as the door is not paused, unless its process has ended by then.
 func (w *drainWorld) whenRunning(d *agentDoor, do func()) {
-	life := d.incarnation
+	incarnation := d.incarnation
 	var now func()
 	now = func() {
 		switch {
-		case !d.up || d.incarnation != life:
+		case !d.up || d.incarnation != incarnation:
 		case w.now < d.pausedUntil:
 			w.at(d.pausedUntil, now)
 		default:
@@ -251,6 +257,7 @@
 	now()
 }
 
+// stepAgent gives the agent an event and carries out its actions.
 func (w *drainWorld) stepAgent(d *agentDoor, e any) {
 	for _, a := range d.agent.Step(w.now, e) {
 		switch a := a.(type) {
@@ -266,12 +273,13 @@
 					w.stepAgent(d, permits.WithholdApplied{Change: a.Change})
 				})
 			})
-		case permits.SetOut: // the way to the step takes a moment, in which the door may be stopped
+		case permits.SetOut: // carrying it out takes a moment, in which the door may be paused
 			w.at(w.now+w.between(0, maxStepDelayMs), func() { w.whenRunning(d, func() { w.setOut(d, a) }) })
 		}
 	}
 }
 
+// setOut carries out the agent's decision to go out of service or to come back; it is too late to go out after UntilMs.
 func (w *drainWorld) setOut(d *agentDoor, a permits.SetOut) {
 	if !a.Out {
 		d.outOfService = false
@@ -279,8 +287,8 @@
 		w.markReturned(d)
 		return
 	}
-	taken := w.now <= a.UntilMs
-	if taken {
+	applied := w.now <= a.UntilMs
+	if applied {
 		d.outOfService = true
 		w.result.WentOut++
 		if d.plannedOutage == noOutage {
@@ -288,10 +296,10 @@
 			w.outages = append(w.outages, Gone{d.number, w.now, math.Inf(1), true})
 		}
 	}
-	w.stepAgent(d, permits.SetOutDone{Done: taken})
+	w.stepAgent(d, permits.SetOutDone{Done: applied})
 }
 
-// deliver has a question go over the network: it may be lost, come twice or late, and so may its answer.
+// deliver sends a message of a door's agent to the leader. The message may be lost, duplicated or delayed, its answer lost or delayed.
 func (w *drainWorld) deliver(d *agentDoor, q permits.Post) {
 	if w.random.Float64() < lossRate {
 		return
@@ -313,7 +321,7 @@
 	}
 }
 
-// serve is what the one that leads does with a question.
+// serve handles a message as the leader does.
 func (w *drainWorld) serve(q permits.Post) (e any, ok bool) {
 	if q.Report == nil {
 		return permits.Answered{Seq: q.Seq, Answer: w.apply(q.Caller, q.Seq, q.Do)}, true
@@ -330,26 +338,26 @@
 	return permits.Replied{Seq: q.Seq, Reply: w.machine.Reply(q.Report, w.collector.WantsBackends(w.now, q.Report.Name))}, true
 }
 
-// stopDoor kills a door, or tells it to stopDoor.
-func (w *drainWorld) stopDoor(d *agentDoor, told bool) {
+// stopDoor ends a door's process: at once, or after an announcement that leaves it some time to report.
+func (w *drainWorld) stopDoor(d *agentDoor, announced bool) {
 	if !d.up || w.now < d.readyAt {
 		return
 	}
-	last := 0.0
-	if told {
+	terminatesInMs := 0.0
+	if announced {
 		w.whenRunning(d, func() { w.stepAgent(d, permits.Terminating{}) })
-		last = w.between(200, 900)
+		terminatesInMs = w.between(200, 900)
 	}
-	life := d.incarnation
+	incarnation := d.incarnation
 	d.failureOutage = len(w.outages)
 	w.outages = append(w.outages, Gone{d.number, w.now, math.Inf(1), false})
 	w.result.Failed++
-	w.at(w.now+last, func() {
-		if !d.up || d.incarnation != life {
+	w.at(w.now+terminatesInMs, func() {
+		if !d.up || d.incarnation != incarnation {
 			return
 		}
-		if told && w.now >= d.pausedUntil {
-			w.stepAgent(d, permits.Terminated{}) // it has said all it will before it is gone
+		if announced && w.now >= d.pausedUntil {
+			w.stepAgent(d, permits.Terminated{}) // its last report, just before the process ends
 		}
 		d.up, d.diedAt = false, w.now
 		w.at(w.now+w.between(300, maxRestartMs), func() { w.start(d) })
@@ -360,6 +368,7 @@
 
 func (w *drainWorld) drainRandomDoor() { w.drainDoor(w.doors[w.random.IntN(len(w.doors))]) }
 
+// drainDoor drains a door for some seconds, if there is a leader and the command is accepted.
 func (w *drainWorld) drainDoor(d *agentDoor) {
 	if !w.hasLeader {
 		return
@@ -371,7 +380,7 @@
 	w.undrain(permits.Door, name(d.number), w.now+w.between(1000, 6000), nil)
 }
 
-// undrain ends an order, as soon as somebody leads.
+// undrain ends a drain as soon as there is a leader.
 func (w *drainWorld) undrain(k permits.Kind, unit string, at float64, then func(from float64)) {
 	w.at(at, func() {
 		if !w.hasLeader {
@@ -386,6 +395,7 @@
 	})
 }
 
+// drainBackend drains a backend for some seconds, reads the drains meanwhile, and records the calls in the history.
 func (w *drainWorld) drainBackend(unit string) {
 	if !w.hasLeader {
 		return
@@ -415,7 +425,7 @@
 	})
 }
 
-// recordRead writes down what is told to be out.
+// recordRead records in the history which backends are reported as out and as coming back.
 func (w *drainWorld) recordRead() {
 	op := history.Op{Call: history.Read, From: w.now, To: w.now + 1e-3}
 	for _, p := range w.machine.Places() {
--- a/lab/outs/drains_test.go
+++ b/lab/outs/drains_test.go
@@ -11,26 +11,26 @@
 	"github.com/swifthall/swifthall/permits"
 )
 
-// AsOne is the rule of package history.
-const asOne = "as one would have answered"
+// linearizable is the rule that package history checks.
+const linearizable = "drain history is linearizable"
 
-// sizes of fleets: all of them in a long run, mostly small ones in CI.
+// Fleet sizes: mostly small by default, all of them with -v.
 var (
 	allSizes   = []int{10, 20, 40, 100, 300}
 	smallSizes = []int{10, 20, 40}
 )
 
-func playOrders(n int, sizes []int, make func() ReplicatedState) (sum DrainResult) {
+func runDrains(n int, sizes []int, make func() ReplicatedState) (sum DrainResult) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	slots := slotsOf(4)
+	slots := newSlots(4)
 	for i := range n {
 		group.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			r := DrainSimulation{Seed: uint64(i), Doors: sizes[i%len(sizes)], Backends: 6, DurationMs: 60e3, NewState: make}.Run()
-			if ok, says := history.Check(backendBudget, r.History, 20*time.Second); !ok {
-				r.Breaches = append(r.Breaches, Breach{asOne, 0, says})
+			if ok, detail := history.Check(backendBudget, r.History, 20*time.Second); !ok {
+				r.Breaches = append(r.Breaches, Breach{linearizable, 0, detail})
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -43,32 +43,32 @@
 	return sum
 }
 
-func TestOrdersAreKeptByAllFleets(t *testing.T) {
+func TestDrainsBreakNoRules(t *testing.T) {
 	n, sizes := 24, smallSizes
 	if testing.Verbose() {
 		n, sizes = 500, allSizes
 	}
-	r := playOrders(n, sizes, func() ReplicatedState { return permits.New() })
+	r := runDrains(n, sizes, func() ReplicatedState { return permits.New() })
 	assert.Empty(t, r.Breaches)
-	assert.Greater(t, r.WentOut, n, "they do go")
-	assert.Greater(t, r.Returned, n, "and come back")
+	assert.Greater(t, r.WentOut, n, "doors go out")
+	assert.Greater(t, r.Returned, n, "doors come back")
 	assert.Greater(t, r.Drained, n)
-	t.Logf("%d fleets: doors went %d times and came back %d times, %d failed, backends were drained at %d looks, %d orders denied, %d calls about backends, %d commands, %d breaches",
+	t.Logf("%d fleets: doors went out %d times and came back %d times, %d failed, backends were observed drained %d times, %d drains denied, %d calls about backends, %d commands, %d breaches",
 		n, r.WentOut, r.Returned, r.Failed, r.Drained, r.Denied, len(r.History), r.Commands, len(r.Breaches))
 }
 
-// hasty says that a backend is drained while some doors have not confirmed.
-type hasty struct{ *permits.State }
+// earlyDrained reports a backend as drained while up to two doors have not confirmed.
+type earlyDrained struct{ *permits.State }
 
-func (m hasty) Waiting(p *permits.Permit) []string {
+func (m earlyDrained) Waiting(p *permits.Permit) []string {
 	all := m.State.Waiting(p)
 	return all[:max(0, len(all)-2)]
 }
 
-// careless takes a door that is away for one that has ended.
-type careless struct{ *permits.State }
+// awayCountsAsEnded treats a door that was not seen for 3 s as ended.
+type awayCountsAsEnded struct{ *permits.State }
 
-func (m careless) Waiting(p *permits.Permit) (all []string) {
+func (m awayCountsAsEnded) Waiting(p *permits.Permit) (all []string) {
 	for _, n := range m.State.Waiting(p) {
 		if u := m.Units["door/"+n]; u != nil && m.NowMs-u.AtMs < 3000 {
 			all = append(all, n)
@@ -77,10 +77,10 @@
 	return all
 }
 
-// eager frees the place of a backend as soon as its order ends, and forgets orders by time.
-type eager struct{ *permits.State }
+// expiringDrains deletes a backend's drain after 3 s, and so frees its place.
+type expiringDrains struct{ *permits.State }
 
-func (m eager) Apply(c permits.Command) permits.Answer {
+func (m expiringDrains) Apply(c permits.Command) permits.Answer {
 	for n, p := range m.Permits {
 		if p.Order && p.Unit.Kind == permits.Backend && m.NowMs-p.AtMs > 3000 {
 			delete(m.Permits, n)
@@ -89,14 +89,14 @@
 	return m.State.Apply(c)
 }
 
-// late tells what was so some time ago: a leader that was stopped and answers reads.
-type late struct {
+// staleReads answers reads with a state up to 4 s old, as a leader does that was paused and has been replaced.
+type staleReads struct {
 	*permits.State
 	was map[uint64]*permits.Permit
 	at  float64
 }
 
-func (m *late) Places() map[uint64]*permits.Permit {
+func (m *staleReads) Places() map[uint64]*permits.Permit {
 	if m.NowMs-m.at > 4000 {
 		m.at, m.was = m.NowMs, map[uint64]*permits.Permit{}
 		for n, p := range m.Permits {
@@ -107,10 +107,10 @@
 	return m.was
 }
 
-// loose lets a door go that has not looked again.
-type loose struct{ *permits.State }
+// uncheckedDrainConfirm lets a door go out although its confirmation was refused.
+type uncheckedDrainConfirm struct{ *permits.State }
 
-func (m loose) Apply(c permits.Command) permits.Answer {
+func (m uncheckedDrainConfirm) Apply(c permits.Command) permits.Answer {
 	a := m.State.Apply(c)
 	if d, is := c.Do.(permits.Confirm); is && a.Err != nil && m.Permits[d.Number] != nil {
 		p := m.Permits[d.Number]
@@ -120,20 +120,20 @@
 	return a
 }
 
-func TestPlantedFaultsOfOrdersAreFound(t *testing.T) {
+func TestPlantedBugsInDrainsAreFound(t *testing.T) {
 	for name, c := range map[string]struct {
 		make func() ReplicatedState
 		rule string
 	}{
-		"drained before all have confirmed":  {func() ReplicatedState { return hasty{permits.New()} }, NoSendsToDrained},
-		"one that is away taken for ended":   {func() ReplicatedState { return careless{permits.New()} }, NoSendsToDrained},
-		"a backend's place freed by time":    {func() ReplicatedState { return eager{permits.New()} }, asOne},
-		"a leader that is stale reads":       {func() ReplicatedState { return &late{State: permits.New()} }, asOne},
-		"no look at the last step by orders": {func() ReplicatedState { return loose{permits.New()} }, NoneAfterHalt},
+		"drained before all doors confirmed": {func() ReplicatedState { return earlyDrained{permits.New()} }, NoSendsToDrained},
+		"door that is away counted as ended": {func() ReplicatedState { return awayCountsAsEnded{permits.New()} }, NoSendsToDrained},
+		"backend's place freed by timeout":   {func() ReplicatedState { return expiringDrains{permits.New()} }, linearizable},
+		"stale leader answers reads":         {func() ReplicatedState { return &staleReads{State: permits.New()} }, linearizable},
+		"drain confirmed without check":      {func() ReplicatedState { return uncheckedDrainConfirm{permits.New()} }, NoneAfterHalt},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			assert.Positive(t, rulesOf(playOrders(15, smallSizes, c.make).Result)[c.rule])
+			assert.Positive(t, countByRule(runDrains(15, smallSizes, c.make).Result)[c.rule])
 		})
 	}
 }
--- a/lab/outs/history/history.go
+++ b/lab/outs/history/history.go
@@ -1,6 +1,6 @@
-// Package history checks what operators were told of drains against what may be told at all: whatever coordinators do among
-// themselves, it must look as if one agreed on everything, one command after the other (linearizable). It knows calls and
-// answers with their true times, and no permit; the checker is anishathalye/porcupine.
+// Package history checks what operators were told about drains for linearizability: the calls and answers must be explainable by a
+// single state that executes one command at a time. It knows the calls with the true times of call and answer, and nothing of
+// permits. The check itself is done by anishathalye/porcupine.
 package history
 
 import (
@@ -13,38 +13,39 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Call is what was asked.
+// Call is the kind of a call.
 type Call int
 
-// Calls.
+// Kinds of calls.
 const (
 	Drain Call = iota
 	Undrain
-	Read // of what is out, and of what is coming back
+	Read // lists the units that are out and those that are coming back
 )
 
-// Outcome is what was answered.
+// Outcome is how a call was answered.
 type Outcome int
 
-// Outcomes. A call whose answer never came may have happened or not, then or later.
+// Outcomes. A lost call has no answer: it may have been executed or not, at any time after it was sent.
 const (
 	Done Outcome = iota
 	Refused
 	Lost
 )
 
-// Op is one call of one operator, with the true times at which it was sent and answered, ms.
+// Op is one call of an operator, with the true times at which it was sent and answered, ms.
 type Op struct {
 	Operator int
 	Call     Call
 	Unit     string
 	Outcome  Outcome
-	Out      []string // told by a Read
+	Out      []string // answer to a Read
 	Back     []string
 	From, To float64
 }
 
-// state is what may be so: units out, and units that are on their way back, of which some may be back already.
+// state is a possible state of the model: units that are out, and units that are coming back, some of which may be back already.
+// Both are sorted lists joined by commas, so that states are comparable.
 type state struct{ out, back string }
 
 func split(s string) []string {
@@ -64,17 +65,17 @@
 	return slices.DeleteFunc(slices.Clone(of), func(u string) bool { return u == unit })
 }
 
-// step lists the states that a request may lead to; none where it can't have happened so. most is the budget.
-func step(most int, s state, op Op) (next []state) {
+// step returns the states to which an operation can lead; none if it is impossible in state s. budget is how many units may be out.
+func step(budget int, s state, op Op) (next []state) {
 	out, back := split(s.out), split(s.back)
 	apply := func() (state, bool) {
 		switch op.Call {
 		case Drain:
-			// Whatever is on its way back may be back, unless the budget says that it must be.
-			if slices.Contains(out, op.Unit) || len(out) >= most {
+			// A unit that is coming back may already be back; if the budget has no place left for it, it must be.
+			if slices.Contains(out, op.Unit) || len(out) >= budget {
 				return s, false
 			}
-			if back = without(back, op.Unit); len(out)+1 == most { // there is no place left that one on its way back could have
+			if back = without(back, op.Unit); len(out)+1 == budget { // no place is left for a unit that is still coming back
 				back = nil
 			}
 			return state{join(append(slices.Clone(out), op.Unit)), join(back)}, true
@@ -88,7 +89,7 @@
 	}
 	switch {
 	case op.Call == Read && op.Outcome == Done:
-		if join(op.Out) != s.out || len(op.Out)+len(op.Back) > most || slices.ContainsFunc(op.Back, func(u string) bool { return !slices.Contains(back, u) }) {
+		if join(op.Out) != s.out || len(op.Out)+len(op.Back) > budget || slices.ContainsFunc(op.Back, func(u string) bool { return !slices.Contains(back, u) }) {
 			return nil
 		}
 		return []state{{s.out, join(op.Back)}}
@@ -96,9 +97,9 @@
 		return []state{s}
 	case op.Outcome == Refused:
 		if op.Call == Undrain && slices.Contains(out, op.Unit) {
-			return nil // it was out: nothing may refuse its way back
+			return nil // a drain that is in force can always be ended
 		}
-		return []state{s} // a denial is never wrong by itself: failures and new leaders deny as well
+		return []state{s} // a refused drain is always possible: failures and a new leader are reasons too
 	case op.Outcome == Done:
 		if to, can := apply(); can {
 			return []state{to}
@@ -112,9 +113,9 @@
 	return next
 }
 
-// Check tells whether the history could have come from one that agrees on everything; with most units out at once. ok is false
-// where it could not, or where that isn't known after a while.
-func Check(most int, ops []Op, patience time.Duration) (ok bool, says string) {
+// Check reports whether the history is linearizable with a budget of so many units. ok is false if it is not, or if that can't be
+// determined in the given time; detail explains the result.
+func Check(budget int, ops []Op, patience time.Duration) (ok bool, detail string) {
 	sort.SliceStable(ops, func(a, b int) bool { return ops[a].From < ops[b].From })
 	last := 0.0
 	for _, op := range ops {
@@ -124,14 +125,14 @@
 	for i, op := range ops {
 		to := op.To
 		if op.Outcome == Lost {
-			to = last + 1 + float64(i) // it may happen until the end
+			to = last + 1 + float64(i) // it may take effect at any later time
 		}
 		all = append(all, porcupine.Operation{ClientId: i, Input: op, Call: int64(op.From * 1e3), Output: nil, Return: int64(to * 1e3)})
 	}
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{state{}} },
 		Step: func(s, op, _ any) (next []any) {
-			for _, to := range step(most, s.(state), op.(Op)) {
+			for _, to := range step(budget, s.(state), op.(Op)) {
 				next = append(next, to)
 			}
 			return next
@@ -139,9 +140,9 @@
 	}
 	switch porcupine.CheckOperationsTimeout(model.ToModel(), all, patience) {
 	case porcupine.Ok:
-		return true, fmt.Sprintf("%d calls are as one would have answered them", len(ops))
+		return true, fmt.Sprintf("%d calls are linearizable", len(ops))
 	case porcupine.Unknown:
-		return false, fmt.Sprintf("%d calls: not known after %v", len(ops), patience)
+		return false, fmt.Sprintf("%d calls: undetermined after %v", len(ops), patience)
 	}
-	return false, fmt.Sprintf("%d calls can't have been answered by one that agrees on everything", len(ops))
+	return false, fmt.Sprintf("%d calls are not linearizable", len(ops))
 }
--- a/lab/outs/history/history_test.go
+++ b/lab/outs/history/history_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func ops(all ...Op) []Op {
+func sequential(all ...Op) []Op {
 	for i := range all {
 		if all[i].To == 0 {
 			all[i].From, all[i].To = float64(2*i), float64(2*i+1)
@@ -21,30 +21,30 @@
 func read(out, back []string) Op          { return Op{Call: Read, Out: out, Back: back} }
 
 func none() []string                 { return nil }
-func these(units ...string) []string { return units }
+func units(units ...string) []string { return units }
 
-func TestHistoriesThatAreSoAndOnesThatCantBe(t *testing.T) {
+func TestCheckAcceptsLinearizableHistoriesOnly(t *testing.T) {
 	for name, c := range map[string]struct {
 		ops []Op
 		ok  bool
 	}{
-		"one after the other": {ops(drain("a", Done), read(these("a"), none()), drain("b", Refused), undrain("a", Done), read(none(), these("a")),
+		"sequential calls": {sequential(drain("a", Done), read(units("a"), none()), drain("b", Refused), undrain("a", Done), read(none(), units("a")),
 			read(none(), none()), drain("b", Done), undrain("b", Done)), true},
-		"a denial is never wrong by itself":         {ops(drain("a", Refused), drain("a", Done)), true},
-		"two out, one may be":                       {ops(drain("a", Done), drain("b", Done)), false},
-		"a place freed while its unit was out":      {ops(drain("a", Done), read(none(), none())), false},
-		"a stale read":                              {ops(drain("a", Done), undrain("a", Done), drain("b", Done), read(these("a"), none())), false},
-		"a way back that was refused":               {ops(drain("a", Done), undrain("a", Refused)), false},
-		"out again without an order":                {ops(drain("a", Done), undrain("a", Done), read(none(), none()), read(none(), these("a"))), false},
-		"a read with more than the budget":          {ops(drain("a", Done), undrain("a", Done), drain("b", Done), read(these("b"), these("a"))), false},
-		"an answer that was lost, and had happened": {ops(drain("a", Lost), read(these("a"), none())), true},
-		"an answer that was lost, and had not":      {ops(drain("a", Lost), drain("b", Done), undrain("b", Done)), true},
-		"side by side, either way":                  {[]Op{{Call: Drain, Unit: "a", From: 0, To: 10}, {Call: Read, Out: none(), From: 1, To: 2}, {Call: Read, Out: these("a"), From: 3, To: 4}}, true},
-		"side by side, and back":                    {[]Op{{Call: Drain, Unit: "a", From: 0, To: 10}, {Call: Read, Out: these("a"), From: 1, To: 2}, {Call: Read, Out: none(), From: 3, To: 4}}, false},
+		"refused drain without a reason":     {sequential(drain("a", Refused), drain("a", Done)), true},
+		"two out, budget of one":             {sequential(drain("a", Done), drain("b", Done)), false},
+		"place freed while its unit was out": {sequential(drain("a", Done), read(none(), none())), false},
+		"stale read":                         {sequential(drain("a", Done), undrain("a", Done), drain("b", Done), read(units("a"), none())), false},
+		"refused undrain":                    {sequential(drain("a", Done), undrain("a", Refused)), false},
+		"out again without a drain":          {sequential(drain("a", Done), undrain("a", Done), read(none(), none()), read(none(), units("a"))), false},
+		"read shows more than the budget":    {sequential(drain("a", Done), undrain("a", Done), drain("b", Done), read(units("b"), units("a"))), false},
+		"lost drain that was executed":       {sequential(drain("a", Lost), read(units("a"), none())), true},
+		"lost drain that was not executed":   {sequential(drain("a", Lost), drain("b", Done), undrain("b", Done)), true},
+		"concurrent, read before and after":  {[]Op{{Call: Drain, Unit: "a", From: 0, To: 10}, {Call: Read, Out: none(), From: 1, To: 2}, {Call: Read, Out: units("a"), From: 3, To: 4}}, true},
+		"concurrent, effect undone":          {[]Op{{Call: Drain, Unit: "a", From: 0, To: 10}, {Call: Read, Out: units("a"), From: 1, To: 2}, {Call: Read, Out: none(), From: 3, To: 4}}, false},
 	} {
-		ok, says := Check(1, c.ops, 10*time.Second)
-		assert.Equal(t, c.ok, ok, name+": "+says)
+		ok, detail := Check(1, c.ops, 10*time.Second)
+		assert.Equal(t, c.ok, ok, name+": "+detail)
 	}
-	ok, _ := Check(2, ops(drain("a", Done), drain("b", Done), read(these("a", "b"), none()), drain("c", Refused)), time.Second)
+	ok, _ := Check(2, sequential(drain("a", Done), drain("b", Done), read(units("a", "b"), none()), drain("c", Refused)), time.Second)
 	assert.True(t, ok)
 }
--- a/lab/outs/releases.go
+++ b/lab/outs/releases.go
@@ -8,35 +8,36 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-// ReleaseSimulation plays releases of made-up fleets and asks when each is judged, by release's comparison or by a plain threshold. It
-// knows truly which of them do harm.
+// ReleaseSimulation simulates a release on a random fleet and records when the release is stopped, by the comparison of package
+// release or by a plain threshold. Whether the release is defective is known.
 type ReleaseSimulation struct {
 	Seed   uint64
-	Defect string // of Harms; empty for a harmless one
+	Defect string // one of Defects; empty for a harmless release
 }
 
-// Harms lists what a bad release does.
+// Defects lists the kinds of defects that a release can have.
 var Defects = []string{"share", "little", "latency", "scraps", "crash", "memory", "loaded", "late"}
 
-// ReleaseResult is what became of one release.
+// ReleaseResult is the outcome of one release.
 type ReleaseResult struct {
-	Stopped      bool    // it was halted or sent back
-	AtS          float64 // after its first door had changed
-	Reason       string
+	Stopped      bool    // halted or rolled back
+	AtS          float64 // s after the first door changed
+	Reason       string  // reason given by the verdict
 	ChangedShare float64 // share of the doors that had changed by then
 }
 
-// Evaluator judges the waves of one release: Heard at every second for every door, then Look.
+// Evaluator evaluates one wave of a release: Record is called every second for every door, then Evaluate.
 type Evaluator interface {
 	Record(now float64, door string, changed bool, n release.Counts)
 	RecordFailure(door, why string)
 	Evaluate(now float64) release.Verdict
 }
 
-// Threshold is the plain rule: too many requests of the changed doors not in time, or failed, over the last while.
+// Threshold is an evaluator with fixed limits on the share of the changed doors' requests that were late or failed recently.
 type Threshold struct {
+	// How long the wave is watched, ms.
 	WatchMs      float64
-	MaxLateShare float64 // share not finished in time, over which it halts
+	MaxLateShare float64 // share not finished in time above which the release is rolled back
 	startedAt    float64
 	last         map[string]release.Counts
 	recent       []release.Counts
@@ -44,20 +45,20 @@
 	failure      string
 }
 
-// Figures of the plain rule, as such rules are often set.
+// Limits of the threshold evaluator, as such rules are commonly set.
 const (
-	usualMaxLateShare = 0.10 // share not finished in time over the last half minute
-	maxFailedShare    = 0.02
-	thresholdWindow   = 30
-	minRequests       = 100 // requests
+	usualMaxLateShare = 0.10 // share not finished in time over the last 30 s; not used here, the tests pass their own
+	maxFailedShare    = 0.02 // share that failed over the last 30 s
+	thresholdWindow   = 30   // s
+	minRequests       = 100  // in the window, for a rollback
 )
 
-// NewThreshold returns the plain rule for a wave.
+// NewThreshold returns the threshold evaluator for one wave.
 func NewThreshold(now, watchMs, late float64) *Threshold {
 	return &Threshold{WatchMs: watchMs, MaxLateShare: late, startedAt: now, last: map[string]release.Counts{}}
 }
 
-// Record takes a door's counts in.
+// Record adds the increase of a changed door's counts. A new process starts again from zero, so its first counts are not used.
 func (t *Threshold) Record(_ float64, door string, changed bool, n release.Counts) {
 	if !changed {
 		return
@@ -70,10 +71,10 @@
 	t.last[door] = n
 }
 
-// RecordFailure notes a process that ended.
+// RecordFailure notes a process that ended unexpectedly.
 func (t *Threshold) RecordFailure(door, why string) { t.failure = door + ": " + why }
 
-// Evaluate judges the last half minute.
+// Evaluate judges the last 30 s: it rolls back on a failure or an exceeded limit, and continues once the wave was watched long enough.
 func (t *Threshold) Evaluate(now float64) release.Verdict {
 	t.recent = append(t.recent, t.sum)
 	t.sum = release.Counts{}
@@ -88,48 +89,48 @@
 	case t.failure != "":
 		return release.Verdict{Outcome: release.GoBack, Why: t.failure}
 	case n.Arrived >= minRequests && (late > t.MaxLateShare || fails > maxFailedShare):
-		return release.Verdict{Outcome: release.GoBack, Why: fmt.Sprintf("%.3f late, %.3f scrapped", late, fails)}
+		return release.Verdict{Outcome: release.GoBack, Why: fmt.Sprintf("%.3f late, %.3f failed", late, fails)}
 	case now-t.startedAt >= t.WatchMs:
 		return release.Verdict{Outcome: release.GoOn}
 	}
 	return release.Verdict{Outcome: release.Wait}
 }
 
-// releaseDoor is one door of a releaseDoor-up fleet.
+// releaseDoor is one door of a simulated fleet.
 type releaseDoor struct {
-	rate    float64 // requests a second
-	late    float64 // share not in time, on a quiet day
-	latency float64 // ms
-	memory  float64
-	changed float64 // clock, s; below 0 before
+	rate    float64 // requests per second
+	late    float64 // usual share not finished in time
+	latency float64 // usual mean, ms
+	memory  float64 // usual, MB
+	changed float64 // s, clock; negative before the change
 	n       release.Counts
 }
 
-// Run plays one release under a rule, and tells when it was stopped.
+// Run runs one release under an evaluator, made anew for each wave, until it is complete or stopped.
 func (v ReleaseSimulation) Run(rule func(now, watchMs float64) Evaluator) ReleaseResult {
-	dice := rand.New(rand.NewPCG(v.Seed, 8))
-	between := func(a, b float64) float64 { return a + (b-a)*dice.Float64() }
-	doors := make([]releaseDoor, 20+dice.IntN(80))
+	random := rand.New(rand.NewPCG(v.Seed, 8))
+	between := func(a, b float64) float64 { return a + (b-a)*random.Float64() }
+	doors := make([]releaseDoor, 20+random.IntN(80))
 	usual := between(0.01, 0.08)
 	for i := range doors {
-		doors[i] = releaseDoor{rate: math.Exp(between(math.Log(3), math.Log(40))), late: usual * math.Exp(0.25*dice.NormFloat64()), latency: 40 * math.Exp(0.05*dice.NormFloat64()),
-			memory: 14 * math.Exp(0.08*dice.NormFloat64()), changed: -1, n: release.Counts{Process: uint64(i + 1)}}
+		doors[i] = releaseDoor{rate: math.Exp(between(math.Log(3), math.Log(40))), late: usual * math.Exp(0.25*random.NormFloat64()), latency: 40 * math.Exp(0.05*random.NormFloat64()),
+			memory: 14 * math.Exp(0.08*random.NormFloat64()), changed: -1, n: release.Counts{Process: uint64(i + 1)}}
 	}
 	waves := []struct{ doors, watch float64 }{{1, 60}, {3, 120}, {math.Ceil(float64(len(doors)) / 10), 900}, {float64(len(doors)), 30}}
-	much := map[string]float64{"share": between(0.05, 0.4), "little": between(0.02, 0.04), "latency": between(1.4, 2.5), "scraps": between(0.03, 0.2), "crash": between(1, 100),
+	severity := map[string]float64{"share": between(0.05, 0.4), "little": between(0.02, 0.04), "latency": between(1.4, 2.5), "scraps": between(0.03, 0.2), "crash": between(1, 100),
 		"memory": between(0.002, 0.01), "loaded": between(0.1, 0.4), "late": between(0.05, 0.4)}[v.Defect]
-	stormAt, stormFor := between(20, 900), between(20, 120) // all doors are in trouble for a while
+	stormAt, stormFor := between(20, 900), between(20, 120) // all doors are disturbed for a while, whether changed or not
 	load, next := 0.0, 0
 	now, first := 0.0, 0.0
 	for _, w := range waves {
-		for n := 0; n < int(w.doors) && next < len(doors); n++ { // one door after the other, some seconds each
+		for n := 0; n < int(w.doors) && next < len(doors); n++ { // one door after the other, 3 s each
 			doors[next].changed = now
 			next++
 			now += 3
 		}
 		r := rule(now*1e3, w.watch*1e3)
 		for ; ; now++ {
-			load += 0.05*dice.NormFloat64() - 0.02*load // the common way of the day
+			load += 0.05*random.NormFloat64() - 0.02*load // load common to all doors, a random walk that returns to 0
 			storm := 0.0
 			if now > stormAt && now < stormAt+stormFor {
 				storm = 0.25
@@ -142,21 +143,21 @@
 					for _, h := range []struct {
 						is bool
 						do func()
-					}{{v.Defect == "share" || v.Defect == "little", func() { late += much }}, {v.Defect == "latency", func() { latency *= much }}, {v.Defect == "scraps", func() { failed += much; late += much }},
-						{v.Defect == "memory", func() { memory *= 1 + much*(now-d.changed) }}, {v.Defect == "loaded" && load > 0.15, func() { late += much }},
-						{v.Defect == "late" && now > 600, func() { late += much }}} {
+					}{{v.Defect == "share" || v.Defect == "little", func() { late += severity }}, {v.Defect == "latency", func() { latency *= severity }}, {v.Defect == "scraps", func() { failed += severity; late += severity }},
+						{v.Defect == "memory", func() { memory *= 1 + severity*(now-d.changed) }}, {v.Defect == "loaded" && load > 0.15, func() { late += severity }},
+						{v.Defect == "late" && now > 600, func() { late += severity }}} {
 						if h.is {
 							h.do()
 						}
 					}
-					if v.Defect == "crash" && now-d.changed > much {
+					if v.Defect == "crash" && now-d.changed > severity {
 						r.RecordFailure(fmt.Sprint("d", i), "its process ended by itself")
 					}
 				}
-				came := poisson(dice, d.rate*math.Exp(load))
+				came := poisson(random, d.rate*math.Exp(load))
 				for range came {
 					d.n.Arrived++
-					switch x := dice.Float64(); {
+					switch x := random.Float64(); {
 					case x < failed:
 						d.n.Failed++
 					case x < late:
@@ -164,7 +165,7 @@
 					default:
 						d.n.InTime++
 						d.n.Finished++
-						d.n.LatencyMs += latency * dice.ExpFloat64()
+						d.n.LatencyMs += latency * random.ExpFloat64()
 					}
 				}
 				d.n.MemoryMB = memory
@@ -182,10 +183,10 @@
 	return ReleaseResult{AtS: now - first, ChangedShare: 1}
 }
 
-// poisson draws how many come where so many are expected.
-func poisson(dice *rand.Rand, mean float64) (n int) {
+// poisson draws a Poisson-distributed number with the given mean.
+func poisson(random *rand.Rand, mean float64) (n int) {
 	least := math.Exp(-mean)
-	for p := dice.Float64(); p > least; p *= dice.Float64() {
+	for p := random.Float64(); p > least; p *= random.Float64() {
 		n++
 	}
 	return n
--- a/lab/outs/releases_test.go
+++ b/lab/outs/releases_test.go
@@ -10,20 +10,20 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-func compared(now, watch float64) Evaluator { return release.NewComparison(now, watch) }
-func plain(late float64) func(now, watch float64) Evaluator {
+func comparison(now, watch float64) Evaluator { return release.NewComparison(now, watch) }
+func threshold(late float64) func(now, watch float64) Evaluator {
 	return func(now, watch float64) Evaluator { return NewThreshold(now, watch, late) }
 }
 
-// score plays releases, half of them harmless, and tells false halts, missed ones and seconds to each verdict.
-func score(t *testing.T, n int, rule func(now, watch float64) Evaluator) (falseHalts, missed int) {
+// evaluateReleases simulates releases, half of them harmless, and counts false halts and missed defects.
+func evaluateReleases(t *testing.T, n int, rule func(now, watch float64) Evaluator) (falseHalts, missed int) {
 	type one struct {
 		harm string
 		ReleaseResult
 	}
 	all := make([]one, n)
 	var group sync.WaitGroup
-	slots := slotsOf(4)
+	slots := newSlots(4)
 	for i := range n {
 		group.Go(func() {
 			slots <- struct{}{}
@@ -62,17 +62,17 @@
 	return falseHalts, missed
 }
 
-func TestVerdictsOnReleasesHalfOfThemHarmless(t *testing.T) {
+func TestComparisonStopsDefectiveReleasesOnly(t *testing.T) {
 	n := 48
 	if testing.Verbose() {
 		n = 200
 	}
-	falseHalts, missed := score(t, n, compared)
+	falseHalts, missed := evaluateReleases(t, n, comparison)
 	assert.LessOrEqual(t, falseHalts, n/25)
 	assert.LessOrEqual(t, missed, n/12)
 	for _, late := range []float64{0.1, 0.2, 0.4} {
 		t.Logf("a plain threshold at %g:", late)
-		plainFalse, plainMissed := score(t, n, plain(late))
-		assert.Greater(t, plainFalse+plainMissed, falseHalts+missed, "it takes the day's trouble for the release's, or sees nothing")
+		plainFalse, plainMissed := evaluateReleases(t, n, threshold(late))
+		assert.Greater(t, plainFalse+plainMissed, falseHalts+missed, "a threshold mistakes general load for a defect, or misses defects")
 	}
 }
--- a/lab/outs/restarts.go
+++ b/lab/outs/restarts.go
@@ -8,12 +8,13 @@
 	"github.com/swifthall/swifthall/permits"
 )
 
-// Machine takes commands: the state machine, or one with a planted fault.
+// Machine is the replicated state machine, or a variant with a planted bug.
 type Machine interface {
 	Apply(c permits.Command) permits.Answer
 }
 
-// RestartSimulation is one fleet to be played.
+// RestartSimulation simulates a fleet whose doors restart under permits: they request one, prepare, confirm it and go out. Commands
+// and answers are lost, delayed and duplicated, doors are paused and fail, and failures are detected late.
 type RestartSimulation struct {
 	Seed       uint64
 	Doors      int
@@ -21,42 +22,43 @@
 	NewMachine func() Machine
 }
 
-// Result is what a play came to.
+// Result is the outcome of one simulated run.
 type Result struct {
 	Breaches []Breach
-	WentOut  int // doors that went out by plan
+	WentOut  int // planned outages
 	Denied   int
 	Failed   int
 	Commands int
 }
 
-// Figures of the fleets that are drawn; each door plans several restarts a day.
+// Parameters of a run; each door plans several restarts.
 const (
 	lossRate           = 0.05   // of commands, and of answers
-	duplicateRate      = 0.03   // of commands that come twice
-	retryMs            = 300.0  // until a command without an answer is sent again, with the same number
+	duplicateRate      = 0.03   // share of commands that arrive twice
+	retryMs            = 300.0  // ms until an unanswered command is sent again with the same number
 	maxTries           = 5      // after which the door gives up
-	holdMs             = 8000.0 // that a permit may be used for
-	sightingIntervalMs = 1000.0 // ms between words of those who watch
-	observers          = 2      // of those
-	detectionMs        = 2500.0 // after which a failure is seen
-	noOutage           = -1
+	holdMs             = 8000.0 // ms for which a permit may be used
+	sightingIntervalMs = 1000.0 // between two reports of an observer
+	observers          = 2      // that report the condition of all doors
+	detectionMs        = 2500.0 // ms until a failure is detected
+	noOutage           = -1     // index of an outage that does not exist
 )
 
-// door is a door as it truly is.
+// door is the real state of a door.
 type door struct {
 	zone        int
 	up          bool
 	ready       bool
 	incarnation uint64
 	process     uint64
-	changedAt   float64 // when up or ready changed last
-	pausedUntil float64 // until then
+	changedAt   float64 // clock, ms, of the last change of up or ready
+	pausedUntil float64 // clock, ms, until which the process is paused
 	holder      permits.PermitHolder
-	goingOut    bool // it means to go out
-	outage      int  // place in gone of the time in which it is out now; nobody for none
+	goingOut    bool // it has requested a permit
+	outage      int  // index into outages of the current outage, or noOutage
 }
 
+// restartWorld is the state of one run.
 type restartWorld struct {
 	RestartSimulation
 	scheduler
@@ -69,12 +71,12 @@
 	zones   []int
 }
 
-// Run plays a fleet and judges it.
+// Run runs the simulation and checks it.
 func (f RestartSimulation) Run() Result {
 	w := &restartWorld{RestartSimulation: f, machine: f.NewMachine(), scheduler: scheduler{random: rand.New(rand.NewPCG(f.Seed, 5))}, seq: map[string]uint64{}}
-	most, zone := 1+w.random.IntN(max(1, f.Doors/10)), 1+w.random.IntN(max(1, f.Doors/20))
-	bounds := []Bound{{false, most}, {true, zone}}
-	w.command("operator", permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MaxOut: most}, {Kind: permits.Door, Zone: permits.EachZone, MaxOut: zone}}}, nil)
+	maxOut, maxPerZone := 1+w.random.IntN(max(1, f.Doors/10)), 1+w.random.IntN(max(1, f.Doors/20))
+	bounds := []Bound{{false, maxOut}, {true, maxPerZone}}
+	w.command("operator", permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MaxOut: maxOut}, {Kind: permits.Door, Zone: permits.EachZone, MaxOut: maxPerZone}}}, nil)
 	for i := range f.Doors {
 		d := &door{zone: i % 3, up: true, ready: true, incarnation: 1, process: uint64(i)<<20 + 1, changedAt: -60e3, outage: noOutage}
 		w.doors, w.zones = append(w.doors, d), append(w.zones, d.zone)
@@ -106,13 +108,13 @@
 	return w.result
 }
 
-// apply has a command reach the machine.
+// apply applies a command to the machine.
 func (w *restartWorld) apply(caller string, seq uint64, do any) permits.Answer {
 	w.result.Commands++
-	return w.machine.Apply(permits.Command{Caller: caller, Seq: seq, AtMs: w.now + w.between(-2500, 2500), Do: do}) // coordinators' clocks are 5 s apart
+	return w.machine.Apply(permits.Command{Caller: caller, Seq: seq, AtMs: w.now + w.between(-2500, 2500), Do: do}) // the coordinators' clocks differ by up to 5 s
 }
 
-// command is one that isn't lost, by one who numbers his commands himself.
+// command applies a command that isn't lost, of a caller whose numbers are kept here.
 func (w *restartWorld) command(caller string, do any, then func(permits.Answer)) {
 	w.seq[caller]++
 	a := w.apply(caller, w.seq[caller], do)
@@ -121,7 +123,7 @@
 	}
 }
 
-// send has a door's command go over the network: it may be lost, come twice or late, and so may its answer.
+// send sends a door's command over the network: it may be lost, duplicated or delayed, and its answer lost or delayed.
 func (w *restartWorld) send(caller string, seq uint64, do any, answered func(permits.Answer)) {
 	if w.random.Float64() < lossRate {
 		return
@@ -148,7 +150,7 @@
 
 func (w *restartWorld) caller(i int) string { return fmt.Sprintf("%s/%d", name(i), w.doors[i].process) }
 
-// requestRestart is a door that means to go out and come back: it asks, prepares, looks again, goes.
+// requestRestart begins a planned restart: the door requests a permit.
 func (w *restartWorld) requestRestart(i int) {
 	d := w.doors[i]
 	if !d.up || !d.ready || d.goingOut {
@@ -159,7 +161,7 @@
 	w.sendUntilAnswered(i, d.process, seq, permits.RequestPermit{Unit: name(i), Kind: permits.Door, Who: "plan", Why: "drawn", HoldMs: holdMs}, maxTries)
 }
 
-// sendUntilAnswered sends a command until its answer comes, and gives up after some tries.
+// sendUntilAnswered sends a command again until it is answered, and abandons the restart after some tries.
 func (w *restartWorld) sendUntilAnswered(i int, process, seq uint64, do any, left int) {
 	d := w.doors[i]
 	if !d.up || d.process != process {
@@ -190,7 +192,7 @@
 	})
 }
 
-// whenRunning does something once the door isn't stopped, where its process still runs.
+// whenRunning runs do as soon as the door is not paused, unless its process has ended by then.
 func (w *restartWorld) whenRunning(i int, process uint64, do func()) {
 	d := w.doors[i]
 	switch {
@@ -202,6 +204,7 @@
 	}
 }
 
+// handleAnswer continues after an answer: it confirms a granted permit, and goes out once the permit is confirmed.
 func (w *restartWorld) handleAnswer(i int, process uint64, do any, a permits.Answer) {
 	d := w.doors[i]
 	if a.Err != nil {
@@ -217,7 +220,7 @@
 		w.at(w.now+w.between(0, 3000), func() { w.whenRunning(i, process, confirm) })
 		return
 	}
-	// The way from the answer to the step takes a moment, in which the door may be stopped.
+	// Going out takes a moment after the answer, in which the door may be paused.
 	w.at(w.now+w.between(0, 50), func() {
 		w.whenRunning(i, process, func() {
 			switch {
@@ -230,7 +233,7 @@
 	})
 }
 
-// abandon has a door say that it isn't going.
+// abandon gives the restart up; the door reports that it is not going out.
 func (w *restartWorld) abandon(i int) {
 	d := w.doors[i]
 	d.holder.Drop()
@@ -238,31 +241,31 @@
 	w.reportSelf(i, maxTries)
 }
 
-// reportSelf is the door's own word on how it stands, said until it is heard.
+// reportSelf sends the door's report of its own condition until it is acknowledged.
 func (w *restartWorld) reportSelf(i int, left int) {
 	d := w.doors[i]
 	if !d.up || left == 0 || d.goingOut {
 		return
 	}
 	process, seq := d.process, d.holder.NextSeq()
-	heard := false
-	w.send(w.caller(i), seq, permits.SelfReport{Sighting: w.sighting(i, w.now)}, func(permits.Answer) { heard = true })
+	acknowledged := false
+	w.send(w.caller(i), seq, permits.SelfReport{Sighting: w.sighting(i, w.now)}, func(permits.Answer) { acknowledged = true })
 	w.at(w.now+retryMs, func() {
 		w.whenRunning(i, process, func() {
-			if !heard {
+			if !acknowledged {
 				w.reportSelf(i, left-1)
 			}
 		})
 	})
 }
 
-// sighting is how a door stands as one sees it who learns of failures late.
+// sighting returns a door's condition as seen by an observer that detects failures late.
 func (w *restartWorld) sighting(i int, since float64) permits.Sighting {
 	d := w.doors[i]
 	s := permits.Sighting{Unit: w.unit(i), Incarnation: d.incarnation, Process: d.process}
 	switch {
 	case !d.up && since-d.changedAt < detectionMs:
-		s.Standing = permits.Ready // nobody knows yet
+		s.Standing = permits.Ready // the failure is not detected yet
 	case !d.up:
 		s.Standing = permits.Failed
 	case d.ready:
@@ -273,7 +276,7 @@
 	return s
 }
 
-// observe is one of those who tell how doors stand; what it says may be long on its way.
+// observe reports the condition of all doors, at intervals; a report may be delayed.
 func (w *restartWorld) observe(n int) {
 	var all []permits.Sighting
 	for i := range w.doors {
@@ -284,22 +287,22 @@
 	w.at(w.now+sightingIntervalMs, func() { w.observe(n) })
 }
 
-// takeDown ends a door's process, by plan or by failure, and starts the next one later.
-func (w *restartWorld) takeDown(i int, byPlan bool) {
+// takeDown ends a door's process, planned or by failure, and starts the next one later.
+func (w *restartWorld) takeDown(i int, planned bool) {
 	d := w.doors[i]
-	if byPlan {
+	if planned {
 		w.result.WentOut++
 	} else {
 		w.result.Failed++
 	}
 	d.up, d.ready, d.changedAt, d.goingOut = false, false, w.now, false
 	d.outage = len(w.outages)
-	w.outages = append(w.outages, Gone{i, w.now, math.Inf(1), byPlan})
-	long := w.between(500, 6000)
-	if !byPlan {
-		long = w.between(3000, 25000)
+	w.outages = append(w.outages, Gone{i, w.now, math.Inf(1), planned})
+	downMs := w.between(500, 6000)
+	if !planned {
+		downMs = w.between(3000, 25000)
 	}
-	w.at(w.now+long, func() {
+	w.at(w.now+downMs, func() {
 		d.up, d.changedAt = true, w.now
 		d.incarnation++
 		d.process++
--- a/lab/outs/restarts_test.go
+++ b/lab/outs/restarts_test.go
@@ -9,13 +9,13 @@
 	"github.com/swifthall/swifthall/permits"
 )
 
-func machine() Machine { return permits.New() }
+func newMachine() Machine { return permits.New() }
 
-// play plays fleets of many sizes side by side and adds them up.
-func play(n int, make func() Machine) (sum Result) {
+// runRestarts simulates fleets of several sizes in parallel and adds up their results.
+func runRestarts(n int, make func() Machine) (sum Result) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	slots := slotsOf(4)
+	slots := newSlots(4)
 	for i := range n {
 		group.Go(func() {
 			slots <- struct{}{}
@@ -31,24 +31,24 @@
 	return sum
 }
 
-func slotsOf(n int) chan struct{} { return make(chan struct{}, n) }
+func newSlots(n int) chan struct{} { return make(chan struct{}, n) }
 
-func TestNoFleetHasMoreOutThanItsBudget(t *testing.T) {
+func TestRestartsStayWithinBudgets(t *testing.T) {
 	n := 60
 	if testing.Verbose() {
 		n = 500
 	}
-	r := play(n, machine)
+	r := runRestarts(n, newMachine)
 	assert.Empty(t, r.Breaches)
-	assert.Greater(t, r.WentOut, 5*n, "they do go out")
+	assert.Greater(t, r.WentOut, 5*n, "doors go out")
 	assert.Greater(t, r.Denied, n)
 	t.Logf("%d fleets: %d went out by plan, %d denied, %d failed, %d commands, %d breaches", n, r.WentOut, r.Denied, r.Failed, r.Commands, len(r.Breaches))
 }
 
-// leased frees places as time goes by: a planted fault.
-type leased struct{ *permits.State }
+// expiringPermits frees places by timeout: a planted bug.
+type expiringPermits struct{ *permits.State }
 
-func (m leased) Apply(c permits.Command) permits.Answer {
+func (m expiringPermits) Apply(c permits.Command) permits.Answer {
 	for n, p := range m.Permits {
 		if m.NowMs-p.AtMs > p.HoldMs/4 {
 			delete(m.Permits, n)
@@ -57,10 +57,10 @@
 	return m.State.Apply(c)
 }
 
-// unfenced frees places of permits that weren't used, and doesn't look at the number of one who comes with it later.
-type unfenced struct{ *permits.State }
+// unfencedNumbers frees the places of unused permits after 1 s, and accepts a later confirmation by number all the same.
+type unfencedNumbers struct{ *permits.State }
 
-func (m unfenced) Apply(c permits.Command) permits.Answer {
+func (m unfencedNumbers) Apply(c permits.Command) permits.Answer {
 	for n, p := range m.Permits {
 		if p.Stage == permits.Granted && m.NowMs-p.AtMs > 1000 {
 			delete(m.Permits, n)
@@ -73,17 +73,17 @@
 	return a
 }
 
-// stale answers what one half of the doors asks by a copy that lags: a leader that was stopped, and goes on to answer.
-type stale struct {
+// staleLeader answers half of the doors from a copy that lags, as a leader does that was paused, replaced, and goes on answering.
+type staleLeader struct {
 	now, old *permits.State
 	log      []permits.Command
 }
 
-const lag = 200 // commands
+const lagCommands = 200 // commands by which the copy lags
 
-func (m *stale) Apply(c permits.Command) permits.Answer {
+func (m *staleLeader) Apply(c permits.Command) permits.Answer {
 	a := m.now.Apply(c)
-	if m.log = append(m.log, c); len(m.log) > lag {
+	if m.log = append(m.log, c); len(m.log) > lagCommands {
 		m.old.Apply(m.log[0])
 		m.log = m.log[1:]
 	}
@@ -97,10 +97,10 @@
 	return a
 }
 
-// lax looks at nothing again at the last step.
-type lax struct{ *permits.State }
+// uncheckedConfirm grants every confirmation without checking anything again.
+type uncheckedConfirm struct{ *permits.State }
 
-func (m lax) Apply(c permits.Command) permits.Answer {
+func (m uncheckedConfirm) Apply(c permits.Command) permits.Answer {
 	if d, is := c.Do.(permits.Confirm); is {
 		if p := m.Permits[d.Number]; p != nil {
 			p.Stage, p.Incarnation, p.Process = permits.Out, d.Incarnation, d.Process
@@ -110,7 +110,7 @@
 	return m.State.Apply(c)
 }
 
-func rulesOf(r Result) map[string]int {
+func countByRule(r Result) map[string]int {
 	n := map[string]int{}
 	for _, b := range r.Breaches {
 		n[b.Rule]++
@@ -118,28 +118,28 @@
 	return n
 }
 
-func TestPlantedFaultsAreFound(t *testing.T) {
+func TestPlantedBugsInRestartsAreFound(t *testing.T) {
 	for name, c := range map[string]struct {
 		make func() Machine
 		rule string
 	}{
-		"a permit freed by time":        {func() Machine { return leased{permits.New()} }, PlannedWithinBudget},
-		"a number that nobody looks at": {func() Machine { return unfenced{permits.New()} }, PlannedWithinBudget},
-		"a leader that is stale":        {func() Machine { return &stale{now: permits.New(), old: permits.New()} }, PlannedWithinBudget},
-		"no look at the last step":      {func() Machine { return lax{permits.New()} }, NoneAfterHalt},
-		"failures that nobody counts":   {func() Machine { return blind{permits.New()} }, NoneBeyondBudget},
+		"permit freed by timeout":    {func() Machine { return expiringPermits{permits.New()} }, PlannedWithinBudget},
+		"permit number not checked":  {func() Machine { return unfencedNumbers{permits.New()} }, PlannedWithinBudget},
+		"stale leader":               {func() Machine { return &staleLeader{now: permits.New(), old: permits.New()} }, PlannedWithinBudget},
+		"confirmation without check": {func() Machine { return uncheckedConfirm{permits.New()} }, NoneAfterHalt},
+		"failures not counted":       {func() Machine { return ignoredFailures{permits.New()} }, NoneBeyondBudget},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			assert.Positive(t, rulesOf(play(40, c.make))[c.rule])
+			assert.Positive(t, countByRule(runRestarts(40, c.make))[c.rule])
 		})
 	}
 }
 
-// blind takes whoever was seen once for ready.
-type blind struct{ *permits.State }
+// ignoredFailures treats every unit that was ever seen as ready.
+type ignoredFailures struct{ *permits.State }
 
-func (m blind) Apply(c permits.Command) permits.Answer {
+func (m ignoredFailures) Apply(c permits.Command) permits.Answer {
 	if d, is := c.Do.(permits.RecordSightings); is {
 		for i := range d.Sightings {
 			if d.Sightings[i].Standing == permits.Failed {
--- a/lab/outs/scheduler.go
+++ b/lab/outs/scheduler.go
@@ -5,20 +5,22 @@
 	"math/rand/v2"
 )
 
-// scheduler is virtual time: what is due, in order, and chance by a seed.
+// scheduler runs events in virtual time, and holds the run's random source.
 type scheduler struct {
 	queue    eventQueue
-	now      float64
-	sequence int
+	now      float64 // ms
+	sequence int     // breaks ties: events at the same time run in the order in which they were scheduled
 	random   *rand.Rand
 }
 
+// event is a function that is due at a time.
 type event struct {
 	at       float64
 	sequence int
 	do       func()
 }
 
+// eventQueue is a heap of events by time.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -34,15 +36,16 @@
 	return d
 }
 
-// at has something done at a time; what is due at once is done in the order in which it was said.
+// at schedules a function.
 func (g *scheduler) at(t float64, do func()) {
 	g.sequence++
 	heap.Push(&g.queue, event{t, g.sequence, do})
 }
 
+// between draws a number from a range.
 func (g *scheduler) between(a, b float64) float64 { return a + (b-a)*g.random.Float64() }
 
-// runUntil does all that is due until a time.
+// runUntil runs all events that are due up to a time.
 func (g *scheduler) runUntil(end float64) {
 	for len(g.queue) > 0 && g.queue[0].at <= end {
 		d := heap.Pop(&g.queue).(event)
--- a/lab/rehearse/rehearse.go
+++ b/lab/rehearse/rehearse.go
@@ -31,7 +31,7 @@
 }
 
 // Steps words the steps as faults of a scenario's day, one after the other. Places are what may be out at once.
-func Steps(s *scenario.Scenario, entries []planfile.Entry, places int) (steps []Step, err error) {
+func Steps(s *scenario.Scenario, entries []planfile.Entry, maxOut int) (steps []Step, err error) {
 	if len(entries) == 0 {
 		return nil, &StepsError{}
 	}
@@ -42,14 +42,14 @@
 			return nil, &ActionError{i + 1, err}
 		}
 		step := Step{Name: entries[i].Name}
-		f := scenario.Fault{AtS: s.Day.Seconds*leadShare + part*float64(i), ForS: part * activeShare, MostOut: places}
+		f := scenario.Fault{AtS: s.Day.Seconds*leadShare + part*float64(i), ForS: part * activeShare, MostOut: maxOut}
 		doors := func(n int) {
 			f.Kind, f.Much, f.Share = "door_roll", doorDownS, fleetShare(n, s.Fleet.Doors)
-			step.Fault, step.Detail = &f, fmt.Sprintf("%d of %d doors change, %d at once, each away for %g s", n, s.Fleet.Doors, places, doorDownS)
+			step.Fault, step.Detail = &f, fmt.Sprintf("%d of %d doors change, %d at once, each away for %g s", n, s.Fleet.Doors, maxOut, doorDownS)
 		}
 		backends := func(n int, away float64) {
 			f.Kind, f.Much, f.Share = "replace", math.Min(away, part*activeShare/2), fleetShare(n, s.Fleet.Backends)
-			step.Fault, step.Detail = &f, fmt.Sprintf("%d of %d backends are drained for %.0f s, %d at once, and come back cold", n, s.Fleet.Backends, f.Much, places)
+			step.Fault, step.Detail = &f, fmt.Sprintf("%d of %d backends are drained for %.0f s, %d at once, and come back cold", n, s.Fleet.Backends, f.Much, maxOut)
 		}
 		switch {
 		case do.Manual != "":
@@ -99,7 +99,7 @@
 	Detail   string
 	G        float64 // mean
 	MinG     float64 // of the seeds
-	Cost     float64 // G that it takes, in the mean, against the same days with nothing
+	Cost     float64 // G that it takes, in the mean, against the same faultSets with nothing
 	Late     float64 // of a thousand operations
 	Unserved float64
 	Broken   string // rules that broke on any seed
@@ -108,29 +108,29 @@
 // Run plays the day with nothing, with each step alone, and with all of them, on each seed.
 func Run(ctx context.Context, s *scenario.Scenario, steps []Step, seeds []uint64, jobs int) (rows []Estimate, err error) {
 	rows = []Estimate{{Name: "nothing", Detail: "the day as it is"}}
-	days := [][]scenario.Fault{nil}
+	faultSets := [][]scenario.Fault{nil}
 	var all []scenario.Fault
 	for _, step := range steps {
 		row := Estimate{Name: step.Name, Detail: step.Detail}
 		if step.Fault == nil {
-			rows, days = append(rows, row), append(days, nil)
+			rows, faultSets = append(rows, row), append(faultSets, nil)
 			continue
 		}
 		all = append(all, *step.Fault)
-		rows, days = append(rows, row), append(days, []scenario.Fault{*step.Fault})
+		rows, faultSets = append(rows, row), append(faultSets, []scenario.Fault{*step.Fault})
 	}
-	rows, days = append(rows, Estimate{Name: "all", Detail: "one after the other"}), append(days, all)
-	var ones []run.One
-	for _, faults := range days {
+	rows, faultSets = append(rows, Estimate{Name: "all", Detail: "one after the other"}), append(faultSets, all)
+	var specs []run.One
+	for _, faults := range faultSets {
 		with, err := withFaults(s, faults)
 		if err != nil {
 			return nil, err
 		}
 		for _, seed := range seeds {
-			ones = append(ones, run.One{Scenario: with, Seed: seed, Policy: rival.Swifthall})
+			specs = append(specs, run.One{Scenario: with, Seed: seed, Policy: rival.Swifthall})
 		}
 	}
-	results, err := run.RunAll(ctx, ones, jobs, nil)
+	results, err := run.RunAll(ctx, specs, jobs, nil)
 	if err != nil {
 		return nil, err
 	}
--- a/lab/rehearse/rehearse_test.go
+++ b/lab/rehearse/rehearse_test.go
@@ -13,7 +13,7 @@
 	"github.com/swifthall/swifthall/permits/planfile"
 )
 
-func calm(t *testing.T) *scenario.Scenario {
+func calmScenario(t *testing.T) *scenario.Scenario {
 	s, err := scenarios.Open("calm")
 	require.NoError(t, err)
 	s, err = s.Set("day.seconds", "20")
@@ -27,8 +27,8 @@
 
 const digest = `"digest":"0000000000000000000000000000000000000000000000000000000000000000"`
 
-func TestStepsAreWordedAsFaultsOneAfterTheOther(t *testing.T) {
-	s := calm(t)
+func TestStepsBecomeFaultsInSequence(t *testing.T) {
+	s := calmScenario(t)
 	steps, err := Steps(s, []planfile.Entry{
 		step("new terms", `{"release":{"name":"r","changes":"configuration",`+digest+`,"waves":[{"rest":true}]}}`),
 		step("disk", `{"drain":{"kind":"backend","name":"b-1","for_s":1800}}`),
@@ -61,8 +61,8 @@
 	}
 }
 
-func TestWhatCantBeRehearsedIsNamed(t *testing.T) {
-	s := calm(t)
+func TestRehearsalErrors(t *testing.T) {
+	s := calmScenario(t)
 	_, err := Steps(s, nil, 1)
 	var none *StepsError
 	assert.ErrorAs(t, err, &none)
@@ -79,8 +79,8 @@
 }
 
 // What takes most of the fleet out costs more than what takes nothing, and the same seeds give the same figures.
-func TestARehearsalTellsWhatAStepCosts(t *testing.T) {
-	s := calm(t)
+func TestRehearsalEstimatesStepCosts(t *testing.T) {
+	s := calmScenario(t)
 	steps, err := Steps(s, []planfile.Entry{step("by hand", `{"manual":"x"}`),
 		step("all at once", `{"release":{"name":"q","changes":"backends","waves":[{"rest":true}]}}`),
 		step("one", `{"drain":{"kind":"backend","name":"b-1","for_s":1}}`)}, 1000)
--- a/lab/run/hunt.go
+++ b/lab/run/hunt.go
@@ -53,14 +53,14 @@
 
 const (
 	survivors    = 4    // worst schedules that are varied further
-	freshShare   = 0.4  // share of the days drawn anew
+	freshShare   = 0.4  // share of the specs drawn anew
 	minKeptShare = 0.8  // share of the loss that a cut must keep
 	minShrinkGap = 0.05 // loss under which there is nothing to cut down
 )
 
 // Run hunts.
 func (h *Hunt) Run(ctx context.Context, progress func(done, all float64)) (*HuntResult, error) {
-	dice := rand.New(rand.NewPCG(h.Seed, 0))
+	random := rand.New(rand.NewPCG(h.Seed, 0))
 	kinds := h.applicableKinds()
 	if len(kinds) == 0 {
 		return nil, &HuntError{h.Kinds}
@@ -72,12 +72,12 @@
 		var next []*candidate
 		for range min(batch, h.Runs-played) {
 			var sc *scenario.Scenario
-			if len(best) == 0 || dice.Float64() < freshShare {
-				sc = h.randomSchedule(dice, kinds)
+			if len(best) == 0 || random.Float64() < freshShare {
+				sc = h.randomSchedule(random, kinds)
 			} else {
-				sc = h.mutate(dice, best[dice.IntN(len(best))].sc, kinds)
+				sc = h.mutate(random, best[random.IntN(len(best))].sc, kinds)
 			}
-			next = append(next, &candidate{sc: sc, seed: h.Seed + dice.Uint64N(64)})
+			next = append(next, &candidate{sc: sc, seed: h.Seed + random.Uint64N(64)})
 		}
 		if err := h.evaluate(ctx, next); err != nil {
 			return nil, err
@@ -139,12 +139,12 @@
 	"strangers": {0.1, 1}, "storm": {1, 6}, "leave_early": {0.05, 0.6},
 }
 
-func (h *Hunt) randomSchedule(dice *rand.Rand, kinds []string) *scenario.Scenario {
+func (h *Hunt) randomSchedule(random *rand.Rand, kinds []string) *scenario.Scenario {
 	for {
 		sc := *h.Scenario
 		sc.Faults = slices.Clone(sc.Faults)
-		for range 1 + dice.IntN(max(1, h.MaxFaults)) {
-			sc.Faults = append(sc.Faults, h.randomFault(dice, kinds))
+		for range 1 + random.IntN(max(1, h.MaxFaults)) {
+			sc.Faults = append(sc.Faults, h.randomFault(random, kinds))
 		}
 		if isValid(&sc) {
 			return &sc
@@ -158,27 +158,27 @@
 	return err == nil
 }
 
-func (h *Hunt) randomFault(dice *rand.Rand, kinds []string) scenario.Fault {
-	name := kinds[dice.IntN(len(kinds))]
-	k, day := scenario.Kinds[name], h.Scenario.Day.Seconds
-	f := scenario.Fault{Kind: name, AtS: truncate(day * 0.7 * dice.Float64())}
+func (h *Hunt) randomFault(random *rand.Rand, kinds []string) scenario.Fault {
+	name := kinds[random.IntN(len(kinds))]
+	k, seconds := scenario.Kinds[name], h.Scenario.Day.Seconds
+	f := scenario.Fault{Kind: name, AtS: truncate(seconds * 0.7 * random.Float64())}
 	if !k.Instant {
-		f.ForS = truncate(max(0.5, day*(0.05+0.4*dice.Float64())))
+		f.ForS = truncate(max(0.5, seconds*(0.05+0.4*random.Float64())))
 	}
 	if k.Unit != "" {
 		span := amountRanges[name]
-		f.Much = truncate(max(k.Min, min(k.Max, span[0]+(span[1]-span[0])*dice.Float64())))
+		f.Much = truncate(max(k.Min, min(k.Max, span[0]+(span[1]-span[0])*random.Float64())))
 	}
 	switch k.Whom {
 	case scenario.Backends, scenario.Doors:
-		f.Share = truncate(0.05 + 0.6*dice.Float64())
+		f.Share = truncate(0.05 + 0.6*random.Float64())
 	}
 	if name == "zone_loss" || name == "zone_cut" {
-		zone := dice.IntN(h.Scenario.Fleet.Zones)
+		zone := random.IntN(h.Scenario.Fleet.Zones)
 		f.Zone, f.Share = &zone, 0
 	}
 	if name == "pauses" {
-		f.EveryMs = truncate(f.Much * (1.5 + 4*dice.Float64()))
+		f.EveryMs = truncate(f.Much * (1.5 + 4*random.Float64()))
 	}
 	return f
 }
@@ -186,43 +186,43 @@
 func truncate(x float64) float64 { return float64(int(x*100)) / 100 }
 
 // mutate changes one fault of a schedule, or adds or drops one.
-func (h *Hunt) mutate(dice *rand.Rand, from *scenario.Scenario, kinds []string) *scenario.Scenario {
+func (h *Hunt) mutate(random *rand.Rand, from *scenario.Scenario, kinds []string) *scenario.Scenario {
 	for range 20 {
 		sc := *from
 		sc.Faults = slices.Clone(from.Faults)
 		fixed := len(h.Scenario.Faults)
 		switch n := len(sc.Faults) - fixed; {
-		case n > 0 && dice.IntN(3) == 0:
-			i := fixed + dice.IntN(n)
+		case n > 0 && random.IntN(3) == 0:
+			i := fixed + random.IntN(n)
 			sc.Faults = slices.Delete(sc.Faults, i, i+1)
-		case n > 0 && dice.IntN(2) == 0:
-			f := &sc.Faults[fixed+dice.IntN(n)]
-			f.AtS = truncate(min(0.8*sc.Day.Seconds, max(0, f.AtS+sc.Day.Seconds*0.1*dice.NormFloat64())))
-			f.ForS = truncate(f.ForS * (0.6 + 0.9*dice.Float64()))
+		case n > 0 && random.IntN(2) == 0:
+			f := &sc.Faults[fixed+random.IntN(n)]
+			f.AtS = truncate(min(0.8*sc.Day.Seconds, max(0, f.AtS+sc.Day.Seconds*0.1*random.NormFloat64())))
+			f.ForS = truncate(f.ForS * (0.6 + 0.9*random.Float64()))
 		case n < h.MaxFaults:
-			sc.Faults = append(sc.Faults, h.randomFault(dice, kinds))
+			sc.Faults = append(sc.Faults, h.randomFault(random, kinds))
 		}
 		if isValid(&sc) {
 			return &sc
 		}
 	}
-	return h.randomSchedule(dice, kinds)
+	return h.randomSchedule(random, kinds)
 }
 
 // evaluate plays candidates, with the oracle beside each where what is lost counts.
 func (h *Hunt) evaluate(ctx context.Context, cs []*candidate) error {
-	var days []One
+	var specs []One
 	for _, c := range cs {
-		days = append(days, One{Scenario: c.sc, Seed: c.seed, Policy: h.Policy, Maker: h.Maker})
+		specs = append(specs, One{Scenario: c.sc, Seed: c.seed, Policy: h.Policy, Maker: h.Maker})
 		if !h.RulesOnly {
-			days = append(days, One{Scenario: c.sc, Seed: c.seed, Policy: rival.Oracle})
+			specs = append(specs, One{Scenario: c.sc, Seed: c.seed, Policy: rival.Oracle})
 		}
 	}
-	results, err := RunAll(ctx, days, h.Jobs, nil)
+	results, err := RunAll(ctx, specs, h.Jobs, nil)
 	if err != nil {
 		return err
 	}
-	step := len(days) / len(cs)
+	step := len(specs) / len(cs)
 	for i, c := range cs {
 		r := results[i*step]
 		c.rule = r.FirstBrokenRule()
--- a/lab/run/quotas_test.go
+++ b/lab/run/quotas_test.go
@@ -13,7 +13,7 @@
 
 // On a quiet day what goes beyond quotas costs at most so much more, of the gain asked for, than under a policy that sees the
 // true quotas late, at any number of doors.
-func TestQuotasHoldBesideAPolicyThatSeesThemLate(t *testing.T) {
+func TestCostBeyondQuotasIsCloseToLateQuotaBaseline(t *testing.T) {
 	const most = 0.1
 	for _, doors := range []int{12, 100, 300} {
 		t.Run(fmt.Sprint(doors, " doors"), func(t *testing.T) {
@@ -35,7 +35,7 @@
 }
 
 // The one that sees quotas late does go beyond them, and the oracle does not: the mark means something.
-func TestSeenLateQuotasArePassed(t *testing.T) {
+func TestLateQuotaBaselineExceedsQuotas(t *testing.T) {
 	s, err := scenarios.Open("fleet-calm")
 	require.NoError(t, err)
 	s.Fleet.Doors, s.Fleet.Backends = 12, 7
--- a/lab/run/rolls_test.go
+++ b/lab/run/rolls_test.go
@@ -17,43 +17,43 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// rolled follows who is out: doors that are down, and backends that are cold.
-type rolled struct {
-	judge *judge.Judge
-	edges []edge
-	down  map[int]bool
+// outageRecorder follows who is out: doors that are down, and backends that are cold.
+type outageRecorder struct {
+	judge       *judge.Judge
+	transitions []transition
+	down        map[int]bool
 }
 
-type edge struct {
+type transition struct {
 	at   float64
 	door bool
 	by   int
 }
 
-func (r *rolled) Take(e *trace.Event) {
+func (r *outageRecorder) Take(e *trace.Event) {
 	r.judge.Take(e)
 	switch {
 	case e.Kind == trace.Died:
 		r.down[e.Door] = true
-		r.edges = append(r.edges, edge{e.At, true, 1})
+		r.transitions = append(r.transitions, transition{e.At, true, 1})
 	case e.Kind == trace.Started && r.down[e.Door]:
 		delete(r.down, e.Door)
-		r.edges = append(r.edges, edge{e.At, true, -1})
+		r.transitions = append(r.transitions, transition{e.At, true, -1})
 	case e.Kind == trace.Began && e.At > 0:
-		r.edges = append(r.edges, edge{e.At, false, 1}, edge{e.At + e.Span, false, -1})
+		r.transitions = append(r.transitions, transition{e.At, false, 1}, transition{e.At + e.Span, false, -1})
 	}
 }
 
-// sums is the most that was out at once, and from when to when any was.
-func (r *rolled) sums(door bool) (most int, from, to float64) {
-	slices.SortStableFunc(r.edges, func(a, b edge) int {
+// summarize is the most that was out at once, and from when to when any was.
+func (r *outageRecorder) summarize(door bool) (most int, from, to float64) {
+	slices.SortStableFunc(r.transitions, func(a, b transition) int {
 		if a.at != b.at {
 			return map[bool]int{true: -1, false: 1}[a.at < b.at]
 		}
 		return a.by - b.by
 	})
 	now := 0
-	for _, e := range r.edges {
+	for _, e := range r.transitions {
 		if e.door == door {
 			if now += e.by; from == 0 {
 				from = e.at
@@ -65,7 +65,7 @@
 }
 
 // Backends and doors that go by the clock, a batch each so many seconds, beside ones that go as places are free.
-func TestGoingAsPlacesAreFreeBesideFixedBatches(t *testing.T) {
+func TestLimitedOutagesServeAsWellAsFixedBatches(t *testing.T) {
 	type way struct {
 		name  string
 		which int // fault
@@ -92,11 +92,11 @@
 					s = &next
 				}
 				deal := model.Deal(s)
-				r := &rolled{judge: judge.New(deal), down: map[int]bool{}}
+				r := &outageRecorder{judge: judge.New(deal), down: map[int]bool{}}
 				require.NoError(t, model.New(s, seed+1, rival.Makers[rival.Swifthall], r).Run(context.Background(), nil))
 				res := Sum(s, seed+1, rival.Swifthall, Simulated, r.judge)
 				assert.Empty(t, res.Broken)
-				n, from, to := r.sums(scenario.Kinds[s.Faults[w.which].Kind].Whom == scenario.Doors)
+				n, from, to := r.summarize(scenario.Kinds[s.Faults[w.which].Kind].Whom == scenario.Doors)
 				g, took, most = g+res.Whole.Earned/res.Whole.Offered/seeds, took+(to-from)/1e3/seeds, max(most, n)
 			}
 			how := "fixed batches"
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -157,11 +157,11 @@
 
 // RunScored plays a day and, beside it, the floor, the textbook and the oracle, and scores the day between them.
 func (o One) RunScored(ctx context.Context, progress func(float64)) (*Result, error) {
-	days := []One{o, o, o, o}
+	specs := []One{o, o, o, o}
 	for i, name := range []string{rival.Floor, rival.Textbook, rival.Oracle} {
-		days[i+1].Policy, days[i+1].Maker = name, nil
+		specs[i+1].Policy, specs[i+1].Maker = name, nil
 	}
-	results, err := RunAll(ctx, days, 0, func(i int, done float64) {
+	results, err := RunAll(ctx, specs, 0, func(i int, done float64) {
 		if i == 0 && progress != nil {
 			progress(done)
 		}
@@ -183,17 +183,17 @@
 	return &Score{Value: ScoreValue(r.Parts.G, !r.RulesKept(), f, oracle.Parts.G), Floor: f, Textbook: textbook.Parts.G, Oracle: oracle.Parts.G}
 }
 
-// RunAll plays days side by side, at most so many at once (0 for one a core), and returns their results in order.
-func RunAll(ctx context.Context, days []One, most int, progress func(i int, done float64)) ([]*Result, error) {
-	if most <= 0 {
-		most = runtime.GOMAXPROCS(0)
+// RunAll plays specs side by side, at most so many at once (0 for one a core), and returns their results in order.
+func RunAll(ctx context.Context, specs []One, limit int, progress func(i int, done float64)) ([]*Result, error) {
+	if limit <= 0 {
+		limit = runtime.GOMAXPROCS(0)
 	}
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	results := make([]*Result, len(days))
-	slots := make(chan struct{}, most)
+	results := make([]*Result, len(specs))
+	slots := make(chan struct{}, limit)
 	var group sync.WaitGroup
-	for i, d := range days {
+	for i, d := range specs {
 		group.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -16,7 +16,7 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-const town = `
+const testScenario = `
 name = "town"
 [day]
 seconds = 8
@@ -36,16 +36,16 @@
 depth = 10.0
 `
 
-func read(t *testing.T) *scenario.Scenario {
-	s, err := scenario.Read([]byte(town))
+func parseScenario(t *testing.T) *scenario.Scenario {
+	s, err := scenario.Read([]byte(testScenario))
 	require.NoError(t, err)
 	return &s
 }
 
-func TestTheSameSeedGivesTheSameBytes(t *testing.T) {
+func TestSameSeedGivesSameBytes(t *testing.T) {
 	var last []byte
 	for range 3 {
-		r, err := One{Scenario: read(t), Seed: 5, Policy: rival.Swifthall}.RunScored(context.Background(), nil)
+		r, err := One{Scenario: parseScenario(t), Seed: 5, Policy: rival.Swifthall}.RunScored(context.Background(), nil)
 		require.NoError(t, err)
 		raw, err := json.Marshal(r)
 		require.NoError(t, err)
@@ -56,19 +56,19 @@
 	}
 }
 
-func TestADayIsPlacedBetweenItsMarks(t *testing.T) {
+func TestScoreLiesBetweenFloorAndOracle(t *testing.T) {
 	assert.Equal(t, 1.0, ScoreValue(0.9, false, 0.1, 0.9))
 	assert.InDelta(t, 0.5, ScoreValue(0.5, false, 0.1, 0.9), 1e-9)
 	assert.InDelta(t, 0.8, ScoreValue(0.93, false, 0.94, 0.95), 1e-9, "marks close together")
 	assert.Zero(t, ScoreValue(0.9, true, 0.1, 0.9), "a rule broke")
-	r, err := One{Scenario: read(t), Seed: 1, Policy: rival.Oracle}.RunScored(context.Background(), nil)
+	r, err := One{Scenario: parseScenario(t), Seed: 1, Policy: rival.Oracle}.RunScored(context.Background(), nil)
 	require.NoError(t, err)
 	assert.Greater(t, r.Score.Oracle, r.Score.Floor)
 	assert.Equal(t, 1.0, r.Score.Value, "the oracle against itself")
 }
 
-func TestASweepPairsItsSeedsAndTellsTheNoise(t *testing.T) {
-	w := Sweep{Scenario: read(t), Seeds: []uint64{1, 2, 3, 4}, Key: "load.share", Values: []string{"0.3", "1.5"}, Policies: []string{rival.Swifthall}}
+func TestSweepPairsSeedsAndEstimatesNoise(t *testing.T) {
+	w := Sweep{Scenario: parseScenario(t), Seeds: []uint64{1, 2, 3, 4}, Key: "load.share", Values: []string{"0.3", "1.5"}, Policies: []string{rival.Swifthall}}
 	cells, err := w.Run(context.Background(), nil)
 	require.NoError(t, err)
 	require.Len(t, cells, 2)
@@ -90,34 +90,34 @@
 	assert.True(t, math.IsNaN(one[0].Diff.StdErr()), "one pair has no noise to tell")
 }
 
-func TestASweepNamesAKeyThatIsNone(t *testing.T) {
-	w := Sweep{Scenario: read(t), Seeds: []uint64{1}, Key: "load.shore", Values: []string{"1"}, Policies: []string{rival.Swifthall}}
+func TestSweepReportsUnknownKey(t *testing.T) {
+	w := Sweep{Scenario: parseScenario(t), Seeds: []uint64{1}, Key: "load.shore", Values: []string{"1"}, Policies: []string{rival.Swifthall}}
 	_, err := w.Run(context.Background(), nil)
 	assert.ErrorContains(t, err, "load.shore")
 }
 
-// sulky serves well until a backend fails it, and answers nobody from then on: a fault must come first.
-type sulky struct {
+// failingAfterError serves well until a backend fails it, and answers nobody from then on: a fault must come first.
+type failingAfterError struct {
 	gate.Decider
-	hurt bool
+	failed bool
 }
 
-func (d *sulky) Decide(now float64, events []gate.Event) []gate.Action {
+func (d *failingAfterError) Decide(now float64, events []gate.Event) []gate.Action {
 	for _, e := range events {
 		if end, is := e.(gate.AttemptEnded); is && end.Result == gate.Errored {
-			d.hurt = true
+			d.failed = true
 		}
 	}
-	if d.hurt {
+	if d.failed {
 		return nil
 	}
 	return d.Decider.Decide(now, events)
 }
 
-func TestAHuntFindsThePlantedFaultAndCutsItDown(t *testing.T) {
-	h := Hunt{Scenario: read(t), Seed: 1, Runs: 24, MaxFaults: 3, RulesOnly: true, Kinds: []string{"errors", "slow", "delay"},
+func TestHuntFindsAndShrinksPlantedBug(t *testing.T) {
+	h := Hunt{Scenario: parseScenario(t), Seed: 1, Runs: 24, MaxFaults: 3, RulesOnly: true, Kinds: []string{"errors", "slow", "delay"},
 		Maker: &model.Maker{New: func(terms gate.Terms, seed uint64, s model.Sight) gate.Decider {
-			return &sulky{Decider: rival.Makers[rival.Floor].New(terms, seed, s)}
+			return &failingAfterError{Decider: rival.Makers[rival.Floor].New(terms, seed, s)}
 		}}}
 	h.Scenario.Plans[0].PerS = 1000
 	found, err := h.Run(context.Background(), nil)
@@ -131,9 +131,9 @@
 	assert.NoError(t, err, "what is found can be played again")
 }
 
-func TestAStoppedRunSaysSo(t *testing.T) {
+func TestCancelledRunReturnsCanceled(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
-	_, err := One{Scenario: read(t), Seed: 1, Policy: rival.Swifthall}.Play(ctx, nil)
+	_, err := One{Scenario: parseScenario(t), Seed: 1, Policy: rival.Swifthall}.Play(ctx, nil)
 	assert.ErrorIs(t, err, context.Canceled)
 }
--- a/lab/run/sweep.go
+++ b/lab/run/sweep.go
@@ -64,7 +64,7 @@
 	return newFigure(xs)
 }
 
-// BrokenRuns counts the days on which a rule broke.
+// BrokenRuns counts the specs on which a rule broke.
 func (c *Cell) BrokenRuns() (n int) {
 	for _, r := range c.Results {
 		if !r.RulesKept() {
@@ -74,9 +74,9 @@
 	return n
 }
 
-// Run plays all days of the sweep.
+// Run plays all specs of the sweep.
 func (s *Sweep) Run(ctx context.Context, progress func(done, all float64)) ([]*Cell, error) {
-	var days []One
+	var specs []One
 	var cells []*Cell
 	values := s.Values
 	if s.Key == "" {
@@ -93,11 +93,11 @@
 		for _, p := range s.Policies {
 			cells = append(cells, &Cell{Value: v, Policy: p})
 			for _, seed := range s.Seeds {
-				days = append(days, One{Scenario: &sc, Seed: seed, Policy: p})
+				specs = append(specs, One{Scenario: &sc, Seed: seed, Policy: p})
 			}
 		}
 	}
-	results, err := RunAll(ctx, days, s.Jobs, combineProgress(len(days), progress))
+	results, err := RunAll(ctx, specs, s.Jobs, combineProgress(len(specs), progress))
 	if err != nil {
 		return nil, err
 	}
@@ -160,7 +160,7 @@
 	return r.Diff.N > 1 && math.Abs(r.Diff.Mean) > 2*r.Diff.StdErr()
 }
 
-// Compare sets two sets of days side by side.
+// Compare sets two sets of specs side by side.
 func Compare(first, other []*Result) ([]Comparison, error) {
 	figures := []struct {
 		name string
@@ -210,7 +210,7 @@
 	return a / b
 }
 
-// combineProgress turns the progress of days side by side into one.
+// combineProgress turns the progress of specs side by side into one.
 func combineProgress(n int, progress func(done, all float64)) func(i int, done float64) {
 	if progress == nil {
 		return nil
--- a/lab/scenario/faults.go
+++ b/lab/scenario/faults.go
@@ -98,41 +98,41 @@
 func (s *Scenario) validateFaults() error {
 	for i := range s.Faults {
 		f := &s.Faults[i]
-		under := fmt.Sprintf("fault[%d].", i)
+		prefix := fmt.Sprintf("fault[%d].", i)
 		k, known := Kinds[f.Kind]
 		switch {
 		case !known:
-			return oneOf(under+"kind", f.Kind, slices.Sorted(maps.Keys(Kinds))...)
+			return oneOf(prefix+"kind", f.Kind, slices.Sorted(maps.Keys(Kinds))...)
 		case !(f.AtS >= 0 && f.AtS <= s.Day.Seconds):
-			return keyErrorf(under+"at_s", "%g, not within the day of %g s", f.AtS, s.Day.Seconds)
+			return keyErrorf(prefix+"at_s", "%g, not within the day of %g s", f.AtS, s.Day.Seconds)
 		case !k.Instant && !(f.ForS > 0):
-			return keyErrorf(under+"for_s", "%g, though %s lasts", f.ForS, f.Kind)
+			return keyErrorf(prefix+"for_s", "%g, though %s lasts", f.ForS, f.Kind)
 		case k.Instant && f.ForS != 0:
-			return keyErrorf(under+"for_s", "%g, though %s lasts no time", f.ForS, f.Kind)
+			return keyErrorf(prefix+"for_s", "%g, though %s lasts no time", f.ForS, f.Kind)
 		case k.Unit == "" && f.Much != 0:
-			return keyErrorf(under+"much", "%g, though %s knows no more or less", f.Much, f.Kind)
+			return keyErrorf(prefix+"much", "%g, though %s knows no more or less", f.Much, f.Kind)
 		case !(f.Much >= k.Min && f.Much <= k.Max) && k.Unit != "":
-			return keyErrorf(under+"much", "%g %s, %g to %g is wanted", f.Much, k.Unit, k.Min, k.Max)
+			return keyErrorf(prefix+"much", "%g %s, %g to %g is wanted", f.Much, k.Unit, k.Min, k.Max)
 		case !(f.Share >= 0 && f.Share <= 1):
-			return keyErrorf(under+"share", "%g, 0 to 1 is wanted", f.Share)
+			return keyErrorf(prefix+"share", "%g, 0 to 1 is wanted", f.Share)
 		case f.Zone != nil && (*f.Zone < 0 || *f.Zone >= s.Fleet.Zones):
-			return keyErrorf(under+"zone", "%d of %d zones", *f.Zone, s.Fleet.Zones)
+			return keyErrorf(prefix+"zone", "%d of %d zones", *f.Zone, s.Fleet.Zones)
 		case (f.Kind == "zone_loss" || f.Kind == "zone_cut") && f.Zone == nil:
-			return keyErrorf(under+"zone", "missing")
+			return keyErrorf(prefix+"zone", "missing")
 		case f.Kind == "zone_cut" && s.Fleet.Zones < 2:
-			return keyErrorf(under+"kind", "zone_cut with one zone")
+			return keyErrorf(prefix+"kind", "zone_cut with one zone")
 		case f.Kind == "pauses" && !(f.EveryMs > f.Much):
-			return keyErrorf(under+"every_ms", "%g, under a pause of %g ms", f.EveryMs, f.Much)
+			return keyErrorf(prefix+"every_ms", "%g, under a pause of %g ms", f.EveryMs, f.Much)
 		case f.Batches < 0 || f.Batches > 1000:
-			return keyErrorf(under+"batches", "%d", f.Batches)
+			return keyErrorf(prefix+"batches", "%d", f.Batches)
 		case f.MostOut < 0 || f.MostOut > 0 && f.Kind != "replace" && f.Kind != "door_roll":
-			return keyErrorf(under+"most_out", "%d for a fault of kind %s", f.MostOut, f.Kind)
+			return keyErrorf(prefix+"most_out", "%d for a fault of kind %s", f.MostOut, f.Kind)
 		case k.Whom == Counters && !s.Counter.On:
-			return keyErrorf(under+"kind", "%s, though counter.on is false", f.Kind)
+			return keyErrorf(prefix+"kind", "%s, though counter.on is false", f.Kind)
 		case k.Whom == Meters && s.Meter.PeriodMs == 0:
-			return keyErrorf(under+"kind", "%s, though meter.period_ms is 0", f.Kind)
+			return keyErrorf(prefix+"kind", "%s, though meter.period_ms is 0", f.Kind)
 		case f.Class != "" && !slices.ContainsFunc(s.Classes, func(p Class) bool { return p.Name == f.Class }):
-			return keyErrorf(under+"profile", "%q is no profile", f.Class)
+			return keyErrorf(prefix+"profile", "%q is no profile", f.Class)
 		}
 		for j := range i {
 			g := &s.Faults[j]
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -440,42 +440,42 @@
 		}
 	}
 	for i, p := range s.Classes {
-		under := fmt.Sprintf("profile[%d].", i)
+		prefix := fmt.Sprintf("profile[%d].", i)
 		if p.Name == "" {
-			return keyErrorf(under+"name", "missing")
+			return keyErrorf(prefix+"name", "missing")
 		}
-		if err := oneOf(under+"semantics", p.Semantics, "replayable", "tokened", "single-use"); err != nil {
+		if err := oneOf(prefix+"semantics", p.Semantics, "replayable", "tokened", "single-use"); err != nil {
 			return err
 		}
-		if err := oneOf(under+"scope", p.Scope, "all", "zone", "cell"); err != nil {
+		if err := oneOf(prefix+"scope", p.Scope, "all", "zone", "cell"); err != nil {
 			return err
 		}
 		switch {
 		case slices.ContainsFunc(s.Classes[:i], func(q Class) bool { return q.Name == p.Name }):
-			return keyErrorf(under+"name", "%q is another's already", p.Name)
+			return keyErrorf(prefix+"name", "%q is another's already", p.Name)
 		case !(p.WorkMs > 0):
-			return keyErrorf(under+"work_ms", "%g", p.WorkMs)
+			return keyErrorf(prefix+"work_ms", "%g", p.WorkMs)
 		case !(p.ContractMs > 0):
-			return keyErrorf(under+"contract_ms", "%g", p.ContractMs)
+			return keyErrorf(prefix+"contract_ms", "%g", p.ContractMs)
 		case !(p.OuterMs >= p.ContractMs):
-			return keyErrorf(under+"outer_ms", "%g, under contract_ms %g", p.OuterMs, p.ContractMs)
+			return keyErrorf(prefix+"outer_ms", "%g, under contract_ms %g", p.OuterMs, p.ContractMs)
 		case p.Semantics == "tokened" && !(p.WindowMs > 0):
-			return keyErrorf(under+"window_ms", "%g, though the profile is tokened", p.WindowMs)
+			return keyErrorf(prefix+"window_ms", "%g, though the profile is tokened", p.WindowMs)
 		}
 	}
 	for i, p := range s.Plans {
-		under := fmt.Sprintf("plan[%d].", i)
+		prefix := fmt.Sprintf("plan[%d].", i)
 		switch {
 		case p.Name == "":
-			return keyErrorf(under+"name", "missing")
+			return keyErrorf(prefix+"name", "missing")
 		case slices.ContainsFunc(s.Plans[:i], func(q Plan) bool { return q.Name == p.Name }):
-			return keyErrorf(under+"name", "%q is another's already", p.Name)
+			return keyErrorf(prefix+"name", "%q is another's already", p.Name)
 		case !(p.PerS > 0):
-			return keyErrorf(under+"per_s", "%g", p.PerS)
+			return keyErrorf(prefix+"per_s", "%g", p.PerS)
 		case !(p.Depth >= float64(s.Load.MostUnits)):
-			return keyErrorf(under+"depth", "%g, under the largest operation of %d units", p.Depth, s.Load.MostUnits)
+			return keyErrorf(prefix+"depth", "%g, under the largest operation of %d units", p.Depth, s.Load.MostUnits)
 		case p.CeilingPerS > 0 && !(p.CeilingDepth >= float64(s.Load.MostUnits)):
-			return keyErrorf(under+"ceiling_depth", "%g, under the largest operation", p.CeilingDepth)
+			return keyErrorf(prefix+"ceiling_depth", "%g, under the largest operation", p.CeilingDepth)
 		}
 	}
 	return s.validateFaults()
@@ -521,23 +521,23 @@
 		{"goal", s.Goal.Whole + s.Goal.WorstWindow + s.Goal.WorstClass + s.Goal.WorstPlan, 1e-9, inf},
 	}
 	for i, m := range s.Machines {
-		under := fmt.Sprintf("machine[%d].", i)
-		fs = append(fs, []boundedValue{{under + "share", m.Share, 0, inf}, {under + "cores", float64(m.Cores), 1, 1024},
-			{under + "slots_per_core", m.SlotsPerCore, 0.01, inf}, {under + "queue_per_core", m.QueuePerCore, 0, inf},
-			{under + "thrash", m.Thrash, 0, 0.99}, {under + "cold_from", m.ColdFrom, 0.001, 1}, {under + "cold_s", m.ColdS, 0, inf},
-			{under + "conns_per_core", m.ConnsPerCore, 0.1, inf}, {under + "handshake_ms", m.HandshakeMs, 0, inf},
-			{under + "error_rate", m.ErrorRate, 0, 1}}...)
+		prefix := fmt.Sprintf("machine[%d].", i)
+		fs = append(fs, []boundedValue{{prefix + "share", m.Share, 0, inf}, {prefix + "cores", float64(m.Cores), 1, 1024},
+			{prefix + "slots_per_core", m.SlotsPerCore, 0.01, inf}, {prefix + "queue_per_core", m.QueuePerCore, 0, inf},
+			{prefix + "thrash", m.Thrash, 0, 0.99}, {prefix + "cold_from", m.ColdFrom, 0.001, 1}, {prefix + "cold_s", m.ColdS, 0, inf},
+			{prefix + "conns_per_core", m.ConnsPerCore, 0.1, inf}, {prefix + "handshake_ms", m.HandshakeMs, 0, inf},
+			{prefix + "error_rate", m.ErrorRate, 0, 1}}...)
 	}
 	for i, p := range s.Classes {
-		under := fmt.Sprintf("profile[%d].", i)
-		fs = append(fs, []boundedValue{{under + "share", p.Share, 0, inf}, {under + "cv", p.Cv, 0, 20}, {under + "noise", p.Noise, 0, 5},
-			{under + "gain", p.Gain, 0, inf}, {under + "late_value", p.LateValue, 0, 1}, {under + "outer_ms", p.OuterMs, 0, 600e3}}...)
+		prefix := fmt.Sprintf("profile[%d].", i)
+		fs = append(fs, []boundedValue{{prefix + "share", p.Share, 0, inf}, {prefix + "cv", p.Cv, 0, 20}, {prefix + "noise", p.Noise, 0, 5},
+			{prefix + "gain", p.Gain, 0, inf}, {prefix + "late_value", p.LateValue, 0, 1}, {prefix + "outer_ms", p.OuterMs, 0, 600e3}}...)
 	}
 	for i, p := range s.Plans {
-		under := fmt.Sprintf("plan[%d].", i)
-		fs = append(fs, []boundedValue{{under + "share", p.Share, 0, inf}, {under + "price", p.Price, 0, inf}, {under + "over_cost", p.OverCost, 0, inf},
-			{under + "at_once", float64(p.AtOnce), 0, inf}, {under + "ceiling_per_s", p.CeilingPerS, 0, inf},
-			{under + "ceiling_slack", p.CeilingSlack, 0, inf}, {under + "spread", float64(p.Spread), 1, maxDoors}}...)
+		prefix := fmt.Sprintf("plan[%d].", i)
+		fs = append(fs, []boundedValue{{prefix + "share", p.Share, 0, inf}, {prefix + "price", p.Price, 0, inf}, {prefix + "over_cost", p.OverCost, 0, inf},
+			{prefix + "at_once", float64(p.AtOnce), 0, inf}, {prefix + "ceiling_per_s", p.CeilingPerS, 0, inf},
+			{prefix + "ceiling_slack", p.CeilingSlack, 0, inf}, {prefix + "spread", float64(p.Spread), 1, maxDoors}}...)
 	}
 	return fs
 }
@@ -556,11 +556,11 @@
 	return &KeyError{Key: key, Says: fmt.Sprintf(format, args...)}
 }
 
-func oneOf(key, word string, words ...string) error {
-	for _, w := range words {
-		if w == word {
+func oneOf(key, value string, allowed ...string) error {
+	for _, w := range allowed {
+		if w == value {
 			return nil
 		}
 	}
-	return keyErrorf(key, "unknown word %q, one of %s is wanted", word, strings.Join(words, ", "))
+	return keyErrorf(key, "unknown word %q, one of %s is wanted", value, strings.Join(allowed, ", "))
 }
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const small = `
+const minimalScenario = `
 name = "small"
 [[profile]]
 name = "look"
@@ -21,8 +21,8 @@
 depth = 4.0
 `
 
-func TestWhatIsWrongIsNamedByItsKey(t *testing.T) {
-	_, err := Read([]byte(small))
+func TestErrorNamesKey(t *testing.T) {
+	_, err := Read([]byte(minimalScenario))
 	require.NoError(t, err)
 	for more, key := range map[string]string{
 		"\n[load]\nshape = \"zigzag\"":                                                                          `"load.shape"`,
@@ -42,21 +42,21 @@
 		"\n[[plan]]\nname = \"basic\"\nper_s = 2.0\ndepth = 4.0":                                                `"plan[1].name"`,
 		"\n[day]\nseconds = nan":                                                                                `"day.seconds"`,
 	} {
-		_, err := Read([]byte(small + more))
+		_, err := Read([]byte(minimalScenario + more))
 		assert.ErrorContains(t, err, key, more)
 	}
 }
 
-func TestContradictoryFaultsAreRefusedWithBothKeys(t *testing.T) {
+func TestConflictingFaultsAreRejectedWithBothKeys(t *testing.T) {
 	two := "\n[[fault]]\nkind = \"death\"\nat_s = 1.0\nfor_s = 5.0\n[[fault]]\nkind = \"silence\"\nfor_s = 5.0\nat_s = "
-	_, err := Read([]byte(small + two + "4.0"))
+	_, err := Read([]byte(minimalScenario + two + "4.0"))
 	assert.ErrorContains(t, err, `keys "fault[0]" and "fault[1]"`)
-	_, err = Read([]byte(small + two + "6.0"))
+	_, err = Read([]byte(minimalScenario + two + "6.0"))
 	assert.NoError(t, err, "one after the other is no contradiction")
 }
 
-func TestAKeyIsSetByItsName(t *testing.T) {
-	s, err := Read([]byte(small + "\n[[fault]]\nkind = \"slow\"\nat_s = 1.0\nfor_s = 1.0\nmuch = 2.0"))
+func TestSetChangesKeyByName(t *testing.T) {
+	s, err := Read([]byte(minimalScenario + "\n[[fault]]\nkind = \"slow\"\nat_s = 1.0\nfor_s = 1.0\nmuch = 2.0"))
 	require.NoError(t, err)
 	for key, value := range map[string]string{"load.share": "0.7", "fault[0].much": "3", "net.same_ms": "0.5:2", "fleet.doors": "5"} {
 		s, err = s.Set(key, value)
@@ -73,7 +73,7 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(small))
+	f.Add([]byte(minimalScenario))
 	if calm, err := os.ReadFile("../scenarios/sick-backends.toml"); err == nil {
 		f.Add(calm)
 	}
--- a/lab/scenarios/scenarios_test.go
+++ b/lab/scenarios/scenarios_test.go
@@ -12,7 +12,7 @@
 )
 
 // Shorter and with fewer doors, every scenario keeps the rules with the project's decisions.
-func TestEveryScenarioKeepsTheRules(t *testing.T) {
+func TestEveryScenarioKeepsRules(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestAnUnknownScenarioNamesThoseThatShip(t *testing.T) {
+func TestUnknownScenarioErrorListsNames(t *testing.T) {
 	_, err := Open("nowhere")
 	assert.ErrorContains(t, err, "rolling-deploy")
 }
--- a/lab/tally/tally.go
+++ b/lab/tally/tally.go
@@ -1,6 +1,6 @@
 // Package tally adds up, over a fleet, the accounts that doors write in their logs every few seconds: the
-// frontdoor's "account" lines, in logfmt as logrus writes them. Each door's life begins at its "serving" line;
-// a life's n-th account is window n, so that the doors' windows line up by their own clocks whatever the wall
+// frontdoor's "account" lines, in logfmt as logrus writes them. Each door's incarnation begins at its "serving" line;
+// a incarnation's n-th account is window n, so that the doors' windows line up by their own clocks whatever the wall
 // clock of the log says. Counts are of requests (arrived, rejected_<cause>, failed_<cause>), of
 // attempts (sent) and of decisions (differs_<kind>).
 package tally
@@ -32,15 +32,15 @@
 
 // Fleet is what the logs of a fleet's doors add up to.
 type Fleet struct {
-	Incarnations int      // doors' lives: a door that started again counts twice
-	Windows      []Counts // window n: the n-th account of every life, added up
+	Incarnations int      // doors' incarnations: a door that started again counts twice
+	Windows      []Counts // window n: the n-th account of every incarnation, added up
 	Total        Counts
 }
 
 // AddLog reads one door's log and adds its accounts to the fleet. Lines that are not logfmt, or accounts with a
 // count that is not a whole number, are errors naming the line and the key; nothing of the log is added then.
 func (f *Fleet) AddLog(r io.Reader) error {
-	var lives [][]Counts
+	var incarnations [][]Counts
 	d := logfmt.NewDecoder(bufio.NewReader(r))
 	for line := 1; d.ScanRecord(); line++ {
 		rec := map[string]string{}
@@ -52,22 +52,22 @@
 		}
 		switch rec["msg"] {
 		case startMessage:
-			lives = append(lives, nil)
+			incarnations = append(incarnations, nil)
 		case accountMessage:
 			c, err := parseCounts(line, rec)
 			if err != nil {
 				return err
 			}
-			if len(lives) == 0 { // a log that begins after the start
-				lives = append(lives, nil)
+			if len(incarnations) == 0 { // a log that begins after the start
+				incarnations = append(incarnations, nil)
 			}
-			lives[len(lives)-1] = append(lives[len(lives)-1], c)
+			incarnations[len(incarnations)-1] = append(incarnations[len(incarnations)-1], c)
 		}
 	}
 	if err := d.Err(); err != nil {
 		return &LineError{Cause: err}
 	}
-	f.add(lives)
+	f.add(incarnations)
 	return nil
 }
 
@@ -92,13 +92,13 @@
 		strings.HasPrefix(k, fields.Failed) || strings.HasPrefix(k, fields.Differs)
 }
 
-func (f *Fleet) add(lives [][]Counts) {
+func (f *Fleet) add(incarnations [][]Counts) {
 	if f.Total == nil {
 		f.Total = Counts{}
 	}
-	for _, life := range lives {
+	for _, incarnation := range incarnations {
 		f.Incarnations++
-		for n, c := range life {
+		for n, c := range incarnation {
 			for len(f.Windows) <= n {
 				f.Windows = append(f.Windows, Counts{})
 			}
@@ -126,11 +126,11 @@
 
 // Print writes the fleet as a table: a row for each field, its whole count, its share of the requests that
 // arrived, and its count in each window.
-func (f *Fleet) Print(w io.Writer, every float64) {
+func (f *Fleet) Print(w io.Writer, windowMs float64) {
 	t := tabwriter.NewWriter(w, 2, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "%d lives of doors\t\twhole\tof arrived\t", f.Incarnations)
 	for n := range f.Windows {
-		fmt.Fprintf(t, "%.0f s\t", float64(n+1)*every/1e3)
+		fmt.Fprintf(t, "%.0f s\t", float64(n+1)*windowMs/1e3)
 	}
 	fmt.Fprintln(t)
 	for _, k := range f.Keys() {
