--- a/lab/run/errors.go
+++ b/lab/run/errors.go
@@ -7,41 +7,41 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// PolicyError is a word that no policy has for its name.
+// PolicyError is a policy name that no policy has.
 type PolicyError struct {
 	Name  string
 	Known []string
 }
 
 func (e *PolicyError) Error() string {
-	return fmt.Sprintf("policy %q: one of %v is wanted", e.Name, e.Known)
+	return fmt.Sprintf("unknown policy %q: must be one of %v", e.Name, e.Known)
 }
 func (e *PolicyError) Kind() remedy.Kind { return remedy.Usage }
 
-// Remedy lists the policies.
+// Remedy lists the known policies.
 func (e *PolicyError) Remedy() string {
 	return "Give --policy one of " + strings.Join(e.Known, ", ") + "."
 }
 
-// RunError is a day that could not be played to its end.
+// RunError is a run that could not be completed.
 type RunError struct {
 	Scenario string
 	Cause    error
 }
 
-func (e *RunError) Error() string     { return remedy.WithCause("playing "+e.Scenario, e.Cause) }
+func (e *RunError) Error() string     { return remedy.WithCause("running "+e.Scenario, e.Cause) }
 func (e *RunError) Unwrap() error     { return e.Cause }
 func (e *RunError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy holds where the cause has none.
+// Remedy applies where the cause has no remedy of its own.
 func (e *RunError) Remedy() string {
-	return fmt.Sprintf("Play %s alone with swifthall lab play to see what it stops at.", e.Scenario)
+	return fmt.Sprintf("Run %s by itself with swifthall lab play to see where it stops.", e.Scenario)
 }
 
-// ResultsError is a folder of results that can't be read, written or compared.
+// ResultsError is a directory of results that can't be read, written or compared.
 type ResultsError struct {
 	Operation string
-	Dir       string // empty where no folder is to blame
+	Dir       string // empty if no single directory is at fault
 	Detail    string
 	Cause     error
 }
@@ -59,15 +59,15 @@
 func (e *ResultsError) Unwrap() error     { return e.Cause }
 func (e *ResultsError) Kind() remedy.Kind { return remedy.Configuration }
 
-// Remedy names the folder and the command that fills one.
+// Remedy names the directory and the command that writes results.
 func (e *ResultsError) Remedy() string {
 	switch {
 	case e.Operation == opSave:
-		return fmt.Sprintf("Give --out a folder that can be written in place of %s.", e.Dir)
+		return fmt.Sprintf("Give --out a writable directory instead of %s.", e.Dir)
 	case e.Dir == "":
-		return "Compare folders that swifthall lab sweep filled over the same seeds."
+		return "Compare directories that swifthall lab sweep wrote for the same seeds."
 	}
-	return fmt.Sprintf("Have %s hold results that swifthall lab play or sweep wrote, all by this version.", e.Dir)
+	return fmt.Sprintf("Name a directory with results that this version of swifthall lab play or sweep wrote, in place of %s.", e.Dir)
 }
 
 const (
@@ -76,12 +76,12 @@
 	opFind = "looking for results"
 )
 
-var errNoCommonSeed = &ResultsError{Detail: "no seed is in both"}
+var errNoCommonSeed = &ResultsError{Detail: "the two sets have no seed in common"}
 
-// HuntError is a hunt with nothing to try.
+// HuntError is a hunt without any applicable kind of fault.
 type HuntError struct{ Kinds []string }
 
-func (e *HuntError) Error() string     { return "hunt: no kind of fault is left to try" }
+func (e *HuntError) Error() string     { return "hunt: no kind of fault applies" }
 func (e *HuntError) Kind() remedy.Kind { return remedy.Usage }
 
 // Remedy names the flag.
--- a/lab/run/hunt.go
+++ b/lab/run/hunt.go
@@ -13,29 +13,30 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// Hunt searches schedules of faults for the day on which a policy breaks a rule or falls furthest behind the oracle.
+// Hunt is a randomized search for the fault schedule on which a policy breaks a rule or falls furthest behind the oracle. The worst
+// schedules found are mutated further, and the worst of all is shrunk.
 type Hunt struct {
 	Scenario  *scenario.Scenario
 	Seed      uint64
-	Policy    string
-	Maker     *model.Maker // in place of Policy's
-	Runs      int          // to be played while searching
-	MaxFaults int          // faults of a schedule
-	RulesOnly bool         // only a broken rule counts
-	Kinds     []string     // kinds of fault; all that the scenario allows where empty
+	Policy    string       // policy under test
+	Maker     *model.Maker // overrides Policy
+	Runs      int          // budget of the search; shrinking comes on top
+	MaxFaults int          // maximum per schedule
+	RulesOnly bool         // search for broken rules only, without running the oracle
+	Kinds     []string     // kinds of fault to try; empty for all that apply to the scenario
 	Jobs      int
 }
 
-// HuntResult is the worst day found, cut down.
+// HuntResult is the worst schedule found, after shrinking.
 type HuntResult struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
-	Rule     judge.Rule // broken; empty where none is
-	Gap      float64    // G that the oracle had more
+	Rule     judge.Rule // first broken rule; empty if none is broken
+	Gap      float64    // G of the oracle minus G of the policy; with RulesOnly, 1 minus G
 	Runs     int
 }
 
-// candidate is a schedule, and how bad it was.
+// candidate is a schedule with its seed, and how badly the policy did on it.
 type candidate struct {
 	sc   *scenario.Scenario
 	seed uint64
@@ -43,7 +44,7 @@
 	gap  float64
 }
 
-// worse orders candidates: a broken rule first, then what is lost.
+// worse orders candidates: a broken rule comes first, then the larger gap.
 func (c *candidate) worse(d *candidate) bool {
 	if (c.rule != "") != (d.rule != "") {
 		return c.rule != ""
@@ -52,20 +53,20 @@
 }
 
 const (
-	survivors    = 4    // worst schedules that are varied further
-	freshShare   = 0.4  // share of the specs drawn anew
-	minKeptShare = 0.8  // share of the loss that a cut must keep
-	minShrinkGap = 0.05 // loss under which there is nothing to cut down
+	survivors    = 4    // worst schedules that are kept for mutation
+	freshShare   = 0.4  // share of new candidates that are drawn at random
+	minKeptShare = 0.8  // share of the gap that a reduction must keep
+	minShrinkGap = 0.05 // smallest gap worth shrinking
 )
 
-// Run hunts.
+// Run searches until the budget of runs is used up, and shrinks the worst schedule.
 func (h *Hunt) Run(ctx context.Context, progress func(done, all float64)) (*HuntResult, error) {
 	random := rand.New(rand.NewPCG(h.Seed, 0))
 	kinds := h.applicableKinds()
 	if len(kinds) == 0 {
 		return nil, &HuntError{h.Kinds}
 	}
-	batch := survivors * 2 // a fixed number, so that a seed hunts alike on any machine
+	batch := survivors * 2 // fixed, so that a seed gives the same search on any number of cores
 	var best []*candidate
 	played := 0
 	for played < h.Runs {
@@ -113,7 +114,7 @@
 	return &HuntResult{Scenario: worst.sc, Seed: worst.seed, Rule: worst.rule, Gap: worst.gap, Runs: played + more}, nil
 }
 
-// applicableKinds lists what the scenario lets strike, in a fixed order.
+// applicableKinds returns the kinds of fault that apply to the scenario, in a fixed order.
 func (h *Hunt) applicableKinds() []string {
 	var kinds []string
 	for _, name := range slices.Sorted(maps.Keys(scenario.Kinds)) {
@@ -130,7 +131,7 @@
 	return kinds
 }
 
-// worth is how much of a kind a hunt tries, at the mildest and at the worst.
+// amountRanges holds the range of Fault.Much that a hunt tries for each kind, in the kind's unit.
 var amountRanges = map[string][2]float64{
 	"pauses": {50, 800}, "slow": {1.3, 6}, "errors": {0.1, 1}, "resets": {0.1, 1}, "spoilt": {0.1, 1}, "lost_answers": {0.05, 1},
 	"full": {0.1, 1}, "few_conns": {1, 50}, "forget_tokens": {1, 2000}, "replace": {0.5, 6}, "delay": {5, 300}, "loss": {0.01, 0.3},
@@ -139,6 +140,7 @@
 	"strangers": {0.1, 1}, "storm": {1, 6}, "leave_early": {0.05, 0.6},
 }
 
+// randomSchedule adds one or more random faults to the scenario's own.
 func (h *Hunt) randomSchedule(random *rand.Rand, kinds []string) *scenario.Scenario {
 	for {
 		sc := *h.Scenario
@@ -152,12 +154,13 @@
 	}
 }
 
-// isValid tells whether a schedule can be played: drawn faults may contradict each other.
+// isValid reports whether a schedule passes validation; random faults may conflict.
 func isValid(sc *scenario.Scenario) bool {
 	_, err := sc.Clone()
 	return err == nil
 }
 
+// randomFault draws a fault of one of the kinds.
 func (h *Hunt) randomFault(random *rand.Rand, kinds []string) scenario.Fault {
 	name := kinds[random.IntN(len(kinds))]
 	k, seconds := scenario.Kinds[name], h.Scenario.Day.Seconds
@@ -183,9 +186,10 @@
 	return f
 }
 
+// truncate cuts a number to two decimals, which keeps the written scenario readable.
 func truncate(x float64) float64 { return float64(int(x*100)) / 100 }
 
-// mutate changes one fault of a schedule, or adds or drops one.
+// mutate changes, adds or removes one fault that is not the scenario's own.
 func (h *Hunt) mutate(random *rand.Rand, from *scenario.Scenario, kinds []string) *scenario.Scenario {
 	for range 20 {
 		sc := *from
@@ -209,7 +213,7 @@
 	return h.randomSchedule(random, kinds)
 }
 
-// evaluate plays candidates, with the oracle beside each where what is lost counts.
+// evaluate runs the candidates, each beside the oracle unless only broken rules count.
 func (h *Hunt) evaluate(ctx context.Context, cs []*candidate) error {
 	var specs []One
 	for _, c := range cs {
@@ -235,7 +239,8 @@
 	return nil
 }
 
-// shrink cuts faults out and down for as long as the day stays about as bad.
+// shrink removes and shortens faults for as long as the result stays about as bad: the same rule broken, or most of the gap kept.
+// It also returns the number of runs used.
 func (h *Hunt) shrink(ctx context.Context, worst *candidate) (*candidate, int, error) {
 	played := 0
 	if worst.rule == "" && worst.gap < minShrinkGap {
@@ -259,9 +264,9 @@
 	return worst, played, nil
 }
 
-const minFaultS = 0.5 // s, of a fault that is not cut shorter
+const minFaultS = 0.5 // s; faults are not shortened below it
 
-// reductions lists smaller schedules: one fault less, or one half as long.
+// reductions returns the smaller schedules to try: first with one fault less, then with one fault half as long.
 func (h *Hunt) reductions(sc *scenario.Scenario) []*scenario.Scenario {
 	var cuts []*scenario.Scenario
 	for i := len(h.Scenario.Faults); i < len(sc.Faults); i++ {
--- a/lab/run/progress.go
+++ b/lab/run/progress.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// progressSum adds up how far several days are.
+// progressSum adds up the progress of several runs.
 type progressSum struct {
 	mu     sync.Mutex
 	done   []float64
--- a/lab/run/quotas_test.go
+++ b/lab/run/quotas_test.go
@@ -11,10 +11,10 @@
 	"github.com/swifthall/swifthall/lab/scenarios"
 )
 
-// On a quiet day what goes beyond quotas costs at most so much more, of the gain asked for, than under a policy that sees the
-// true quotas late, at any number of doors.
+// Without faults, the cost of attempts beyond the quotas, as a share of the gain offered, exceeds that of the baseline that sees the
+// true quotas late by at most a fixed amount, whatever the number of doors.
 func TestCostBeyondQuotasIsCloseToLateQuotaBaseline(t *testing.T) {
-	const most = 0.1
+	const maxDifference = 0.1
 	for _, doors := range []int{12, 100, 300} {
 		t.Run(fmt.Sprint(doors, " doors"), func(t *testing.T) {
 			t.Parallel()
@@ -27,14 +27,14 @@
 				require.NoError(t, err)
 				costs[policy] = r.Whole.Over / r.Whole.Offered
 			}
-			t.Logf("beyond quotas: %.3f of the gain asked for, %.3f where they are seen late", costs[rival.Swifthall], costs[rival.Late])
-			assert.Less(t, costs[rival.Swifthall], costs[rival.Late]+most)
+			t.Logf("beyond quotas: %.3f of the gain offered, %.3f for the baseline that sees them late", costs[rival.Swifthall], costs[rival.Late])
+			assert.Less(t, costs[rival.Swifthall], costs[rival.Late]+maxDifference)
 			assert.Positive(t, costs[rival.Late])
 		})
 	}
 }
 
-// The one that sees quotas late does go beyond them, and the oracle does not: the mark means something.
+// The late-quota baseline does exceed the quotas and the oracle does not; otherwise the comparison above would prove nothing.
 func TestLateQuotaBaselineExceedsQuotas(t *testing.T) {
 	s, err := scenarios.Open("fleet-calm")
 	require.NoError(t, err)
--- a/lab/run/rolls_test.go
+++ b/lab/run/rolls_test.go
@@ -17,7 +17,7 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// outageRecorder follows who is out: doors that are down, and backends that are cold.
+// outageRecorder records when units are out: doors that are down, and backends that are cold.
 type outageRecorder struct {
 	judge       *judge.Judge
 	transitions []transition
@@ -44,7 +44,7 @@
 	}
 }
 
-// summarize is the most that was out at once, and from when to when any was.
+// summarize returns the most that were out at once, and the time from the first outage to the last return.
 func (r *outageRecorder) summarize(door bool) (most int, from, to float64) {
 	slices.SortStableFunc(r.transitions, func(a, b transition) int {
 		if a.at != b.at {
@@ -64,29 +64,29 @@
 	return most, from, to
 }
 
-// Backends and doors that go by the clock, a batch each so many seconds, beside ones that go as places are free.
+// Restarting the next unit as soon as a place is free serves no worse than fixed batches by the clock, and never exceeds the limit.
 func TestLimitedOutagesServeAsWellAsFixedBatches(t *testing.T) {
-	type way struct {
-		name  string
-		which int // fault
-		out   []int
-		sets  [][2]string
+	type setup struct {
+		name       string
+		faultIndex int // index of the fault
+		out        []int
+		sets       [][2]string
 	}
-	ways := []way{{"rolling-deploy", 0, []int{0, 1, 2, 3}, [][2]string{{"day.seconds", "140"}}}}
+	setups := []setup{{"rolling-deploy", 0, []int{0, 1, 2, 3}, [][2]string{{"day.seconds", "140"}}}}
 	if testing.Verbose() {
-		ways = append(ways, way{"fleet-roll", 1, []int{0, 10, 30, 60}, [][2]string{{"day.seconds", "140"}}})
+		setups = append(setups, setup{"fleet-roll", 1, []int{0, 10, 30, 60}, [][2]string{{"day.seconds", "140"}}})
 	}
-	for _, w := range ways {
+	for _, w := range setups {
 		quality := map[int]float64{}
 		for _, out := range w.out {
 			const seeds = 3
 			var g, took float64
 			most := 0
 			for seed := range uint64(seeds) {
-				day, err := scenarios.Open(w.name)
+				opened, err := scenarios.Open(w.name)
 				require.NoError(t, err)
-				s := &day
-				for _, set := range append(w.sets, [2]string{fmt.Sprintf("fault[%d].most_out", w.which), fmt.Sprint(out)}) {
+				s := &opened
+				for _, set := range append(w.sets, [2]string{fmt.Sprintf("fault[%d].most_out", w.faultIndex), fmt.Sprint(out)}) {
 					next, err := s.Set(set[0], set[1])
 					require.NoError(t, err)
 					s = &next
@@ -96,7 +96,7 @@
 				require.NoError(t, model.New(s, seed+1, rival.Makers[rival.Swifthall], r).Run(context.Background(), nil))
 				res := Sum(s, seed+1, rival.Swifthall, Simulated, r.judge)
 				assert.Empty(t, res.Broken)
-				n, from, to := r.summarize(scenario.Kinds[s.Faults[w.which].Kind].Whom == scenario.Doors)
+				n, from, to := r.summarize(scenario.Kinds[s.Faults[w.faultIndex].Kind].Whom == scenario.Doors)
 				g, took, most = g+res.Whole.Earned/res.Whole.Offered/seeds, took+(to-from)/1e3/seeds, max(most, n)
 			}
 			how := "fixed batches"
@@ -105,8 +105,8 @@
 				assert.LessOrEqual(t, most, out)
 			}
 			quality[out] = g
-			t.Logf("%-14s %s: service %.4f, %5.1f s, most out at once %d", w.name, how, g, took, most)
+			t.Logf("%-14s %s: service %.4f, %5.1f s, at most %d out at once", w.name, how, g, took, most)
 		}
-		assert.Greater(t, quality[w.out[1]], quality[0]-0.002, "fewer at once costs no service")
+		assert.Greater(t, quality[w.out[1]], quality[0]-0.002, "fewer units at once serve no worse")
 	}
 }
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -1,4 +1,5 @@
-// Package run plays scenarios: one day, many seeds, sweeps over a key, comparisons, and hunts for the worst day.
+// Package run runs scenarios: a single run, many seeds, a parameter sweep over one key, comparisons of results, and a search for
+// the worst fault schedule.
 package run
 
 import (
@@ -19,13 +20,13 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// Where a day was played.
+// Result.On: how a run was executed.
 const (
 	Simulated = "simulated"
 	OnSockets = "on sockets"
 )
 
-// Result is what a day came to. The same scenario, seed and policy give the same bytes where it is simulated.
+// Result is the outcome of one run. If it was simulated, the same scenario, seed and policy give the same bytes.
 type Result struct {
 	Scenario string             `json:"scenario"`
 	Shows    string             `json:"shows"`
@@ -47,7 +48,7 @@
 	Seconds  []judge.Second     `json:"by_second"`
 	Faults   []scenario.Fault   `json:"faults"`
 	Account  *account.Account   `json:"account,omitempty"`
-	Behind   float64            `json:"behind_ms,omitempty"` // on sockets, how late the laboratory itself ran at the worst
+	Behind   float64            `json:"behind_ms,omitempty"` // on sockets, the largest delay of the laboratory itself
 	Notes    []string           `json:"notes,omitempty"`
 }
 
@@ -58,7 +59,7 @@
 	Latency *Latency `json:"latency,omitempty"`
 }
 
-// Latency holds quantiles from the first try's beginning to the answer at the client, ms.
+// Latency holds quantiles of the time from the start of the first try to the answer at the client, ms.
 type Latency struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -68,7 +69,8 @@
 	Max   float64 `json:"most_ms"`
 }
 
-// Score places a day's G between a floor, which lets all in, and an oracle, which sees the true state.
+// Score places the G of a run between those of two baselines: the floor, which admits every request, and the oracle, which sees
+// the true state.
 type Score struct {
 	Value    float64 `json:"value"`
 	Floor    float64 `json:"floor_g"`
@@ -76,9 +78,9 @@
 	Oracle   float64 `json:"oracle_g"`
 }
 
-const minScoreSpan = 0.10 // divisor of a score at least; on a day that anyone serves, small differences mean little
+const minScoreSpan = 0.10 // minimum distance between floor and oracle; if any policy serves well, small differences should not matter
 
-// ScoreValue works the score out; a broken rule makes it 0.
+// ScoreValue returns 1 for the oracle's G and 0 for the floor's; a broken rule makes it 0.
 func ScoreValue(g float64, broken bool, floor, oracle float64) float64 {
 	if broken {
 		return 0
@@ -87,10 +89,10 @@
 	return 1 - (top-g)/max(minScoreSpan, top-floor)
 }
 
-// RulesKept tells whether all rules were.
+// RulesKept reports whether no rule was broken.
 func (r *Result) RulesKept() bool { return len(r.Broken) == 0 }
 
-// FirstBrokenRule names the first broken rule, in the order of the rules.
+// FirstBrokenRule returns the first broken rule in the order of judge.AllRules, or an empty one.
 func (r *Result) FirstBrokenRule() judge.Rule {
 	for _, rule := range judge.AllRules {
 		if r.Broken[rule] > 0 {
@@ -100,15 +102,15 @@
 	return ""
 }
 
-// One is one day to be played.
+// Spec specifies one run.
 type One struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
 	Policy   string
-	Maker    *model.Maker // in place of the one that Policy names
+	Maker    *model.Maker // overrides Policy
 }
 
-// Play plays one day in virtual time.
+// Run simulates the run in virtual time.
 func (o One) Play(ctx context.Context, progress func(float64)) (*Result, error) {
 	maker, known := rival.Makers[o.Policy]
 	if o.Maker != nil {
@@ -127,7 +129,7 @@
 	return r, nil
 }
 
-// observers hands a day's events to the judge and to the account.
+// observers passes the events of a run to the judge and to the account.
 type observers struct {
 	judge *judge.Judge
 	book  *account.Book
@@ -135,7 +137,7 @@
 
 func (b observers) Take(e *trace.Event) { b.judge.Take(e); b.book.Take(e) }
 
-// Sum puts a judged day together.
+// NewResult builds the result of a run from its judge.
 func Sum(s *scenario.Scenario, seed uint64, policy, on string, j *judge.Judge) *Result {
 	r := &Result{Scenario: s.Name, Shows: s.Shows, On: on, Policy: policy, Seed: seed, Doors: s.Fleet.Doors, Backends: s.Fleet.Backends,
 		Length: s.Day.Seconds, Events: j.Events, Parts: j.Service.Parts(), Broken: j.Rules.Count, Breaches: j.Rules.Breaches,
@@ -149,13 +151,13 @@
 	return r
 }
 
-// Quantiles reads a histogram of µs.
+// Quantiles reads a histogram in µs and returns ms.
 func Quantiles(h *hdrhistogram.Histogram) *Latency {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return &Latency{Count: h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: float64(h.Max()) / 1000}
 }
 
-// RunScored plays a day and, beside it, the floor, the textbook and the oracle, and scores the day between them.
+// RunScored simulates the run together with the floor, textbook and oracle baselines, and scores it.
 func (o One) RunScored(ctx context.Context, progress func(float64)) (*Result, error) {
 	specs := []One{o, o, o, o}
 	for i, name := range []string{rival.Floor, rival.Textbook, rival.Oracle} {
@@ -174,7 +176,7 @@
 	return r, nil
 }
 
-// NewScore scores a day by its marks. A floor that broke a rule counts as none served.
+// NewScore scores a run against its baselines. A floor that broke a rule counts as G 0.
 func NewScore(r, floor, textbook, oracle *Result) *Score {
 	f := max(0, floor.Parts.G)
 	if !floor.RulesKept() {
@@ -183,7 +185,7 @@
 	return &Score{Value: ScoreValue(r.Parts.G, !r.RulesKept(), f, oracle.Parts.G), Floor: f, Textbook: textbook.Parts.G, Oracle: oracle.Parts.G}
 }
 
-// RunAll plays specs side by side, at most so many at once (0 for one a core), and returns their results in order.
+// RunAll simulates runs in parallel, at most limit at once (0 for one per core), and returns their results in order.
 func RunAll(ctx context.Context, specs []One, limit int, progress func(i int, done float64)) ([]*Result, error) {
 	if limit <= 0 {
 		limit = runtime.GOMAXPROCS(0)
@@ -219,10 +221,10 @@
 	return results, nil
 }
 
-// ResultFile is the name of a day's figures in its folder.
+// ResultFile is the name of the file with a run's results.
 const ResultFile = "result.json"
 
-// Save writes a day's figures into a folder, which is made.
+// Save writes the results into a directory and creates it if necessary.
 func (r *Result) Save(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return &ResultsError{Operation: opSave, Dir: dir, Cause: err}
@@ -237,7 +239,7 @@
 	return nil
 }
 
-// Load reads a day's figures back.
+// Load reads the results that Save wrote.
 func Load(dir string) (*Result, error) {
 	raw, err := os.ReadFile(filepath.Join(dir, ResultFile))
 	if err != nil {
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -59,7 +59,7 @@
 func TestScoreLiesBetweenFloorAndOracle(t *testing.T) {
 	assert.Equal(t, 1.0, ScoreValue(0.9, false, 0.1, 0.9))
 	assert.InDelta(t, 0.5, ScoreValue(0.5, false, 0.1, 0.9), 1e-9)
-	assert.InDelta(t, 0.8, ScoreValue(0.93, false, 0.94, 0.95), 1e-9, "marks close together")
+	assert.InDelta(t, 0.8, ScoreValue(0.93, false, 0.94, 0.95), 1e-9, "floor and oracle are close together")
 	assert.Zero(t, ScoreValue(0.9, true, 0.1, 0.9), "a rule broke")
 	r, err := One{Scenario: parseScenario(t), Seed: 1, Policy: rival.Oracle}.RunScored(context.Background(), nil)
 	require.NoError(t, err)
@@ -87,7 +87,7 @@
 	assert.False(t, same[0].Significant())
 	one, err := Compare(found[:1], cells[1].Results[:1])
 	require.NoError(t, err)
-	assert.True(t, math.IsNaN(one[0].Diff.StdErr()), "one pair has no noise to tell")
+	assert.True(t, math.IsNaN(one[0].Diff.StdErr()), "a single pair gives no estimate of the noise")
 }
 
 func TestSweepReportsUnknownKey(t *testing.T) {
@@ -96,7 +96,7 @@
 	assert.ErrorContains(t, err, "load.shore")
 }
 
-// failingAfterError serves well until a backend fails it, and answers nobody from then on: a fault must come first.
+// failingAfterError works until a backend answers with an error, and never answers again: the bug shows only under that fault.
 type failingAfterError struct {
 	gate.Decider
 	failed bool
@@ -128,7 +128,7 @@
 	raw, err := found.Scenario.Write()
 	require.NoError(t, err)
 	_, err = scenario.Read(raw)
-	assert.NoError(t, err, "what is found can be played again")
+	assert.NoError(t, err, "the schedule found can be run again")
 }
 
 func TestCancelledRunReturnsCanceled(t *testing.T) {
--- a/lab/run/sweep.go
+++ b/lab/run/sweep.go
@@ -14,29 +14,29 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// Sweep plays one scenario over seeds, and over the values of one key where there is one.
+// Sweep is a parameter sweep: one scenario over seeds, policies and, optionally, the values of one key.
 type Sweep struct {
 	Scenario *scenario.Scenario
 	Seeds    []uint64
 	Key      string
-	Values   []string // one empty value where no key is swept
+	Values   []string // unused without a key
 	Policies []string
-	Jobs     int // at once; 0 for one a core
+	Jobs     int // parallel runs; 0 for one per core
 }
 
-// Cell is one value and policy over all seeds.
+// Cell holds the results of one value and policy over all seeds.
 type Cell struct {
 	Value, Policy string
 	Results       []*Result
 }
 
-// Figure is a mean over seeds with its spread.
+// Figure is a mean over seeds with its standard deviation.
 type Figure struct {
 	Mean, Deviation float64
 	N               int
 }
 
-// StdErr is the standard error of the mean.
+// StdErr is the standard error of the mean; NaN for fewer than two values.
 func (f Figure) StdErr() float64 {
 	if f.N < 2 {
 		return math.NaN()
@@ -55,7 +55,7 @@
 	return Figure{mean, dev, len(xs)}
 }
 
-// G is the cell's mean G.
+// G is the mean G over the seeds.
 func (c *Cell) G() Figure {
 	var xs []float64
 	for _, r := range c.Results {
@@ -64,7 +64,7 @@
 	return newFigure(xs)
 }
 
-// BrokenRuns counts the specs on which a rule broke.
+// BrokenRuns counts the runs that broke a rule.
 func (c *Cell) BrokenRuns() (n int) {
 	for _, r := range c.Results {
 		if !r.RulesKept() {
@@ -74,7 +74,7 @@
 	return n
 }
 
-// Run plays all specs of the sweep.
+// Run simulates all runs of the sweep.
 func (s *Sweep) Run(ctx context.Context, progress func(done, all float64)) ([]*Cell, error) {
 	var specs []One
 	var cells []*Cell
@@ -108,7 +108,7 @@
 	return cells, nil
 }
 
-// Save writes every day into a folder of its own, by value, policy and seed.
+// Save writes every result into a directory of its own, by value, policy and seed.
 func (c *Cell) Save(dir, key string) error {
 	for _, r := range c.Results {
 		at := dir
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// LoadAll reads all results in a folder and below it, by seed.
+// LoadAll loads all results in a directory and below it, sorted by seed.
 func LoadAll(dir string) ([]*Result, error) {
 	var results []*Result
 	err := filepath.WalkDir(dir, func(path string, e fs.DirEntry, err error) error {
@@ -142,25 +142,25 @@
 		return nil, &ResultsError{Operation: opFind, Dir: dir, Cause: err}
 	}
 	if len(results) == 0 {
-		return nil, &ResultsError{Operation: opFind, Dir: dir, Detail: "no " + ResultFile + " in " + dir + " or below it"}
+		return nil, &ResultsError{Operation: opFind, Dir: dir, Detail: "no " + ResultFile + " in " + dir + " or below"}
 	}
 	slices.SortFunc(results, func(a, b *Result) int { return int(a.Seed) - int(b.Seed) })
 	return results, nil
 }
 
-// Comparison compares one figure of two folders.
+// Comparison compares one figure of two sets of results.
 type Comparison struct {
 	Name         string
 	First, Other Figure
-	Diff         Figure // over the seeds that both have, pair by pair
+	Diff         Figure // mean of the paired differences, over the seeds that both sets have
 }
 
-// Significant tells whether the difference stands out of its noise: over two standard errors.
+// Significant reports whether the difference is larger than two standard errors.
 func (r *Comparison) Significant() bool {
 	return r.Diff.N > 1 && math.Abs(r.Diff.Mean) > 2*r.Diff.StdErr()
 }
 
-// Compare sets two sets of specs side by side.
+// Compare compares two sets of results figure by figure.
 func Compare(first, other []*Result) ([]Comparison, error) {
 	figures := []struct {
 		name string
@@ -210,7 +210,7 @@
 	return a / b
 }
 
-// combineProgress turns the progress of specs side by side into one.
+// combineProgress adapts the progress of parallel runs to a single progress function.
 func combineProgress(n int, progress func(done, all float64)) func(i int, done float64) {
 	if progress == nil {
 		return nil
--- a/lab/scenario/errors.go
+++ b/lab/scenario/errors.go
@@ -6,10 +6,10 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// KeyError is a key of a scenario whose value can't be, or that nothing reads.
+// KeyError is a key of a scenario that is unknown or has an invalid value.
 type KeyError struct {
-	Key   string // as in fault[0].at_s; empty where the file can't be read as TOML
-	Line  int    // 0 where not told
+	Key   string // such as fault[0].at_s; empty if the file is not valid TOML
+	Line  int    // 0 if unknown
 	Says  string
 	Cause error
 }
@@ -33,22 +33,22 @@
 func (e *KeyError) Remedy() string {
 	switch {
 	case e.Key != "":
-		return fmt.Sprintf("Set %q of the scenario to what is wanted, in its file or with --set; docs/lab.md lists the keys.", e.Key)
+		return fmt.Sprintf("Set %q of the scenario to a valid value, in its file or with --set; docs/lab.md lists the keys.", e.Key)
 	case e.Line > 0:
-		return fmt.Sprintf("Mend line %d of the scenario, which is TOML; docs/lab.md lists the keys.", e.Line)
+		return fmt.Sprintf("Correct line %d of the scenario, which is TOML; docs/lab.md lists the keys.", e.Line)
 	}
-	return "Mend the scenario, which is TOML; docs/lab.md lists the keys."
+	return "Correct the scenario, which is TOML; docs/lab.md lists the keys."
 }
 
-// ConflictError is two faults that strike the same at the same time and can't both.
+// ConflictError is two faults that can't have the same target at the same time.
 type ConflictError struct {
-	First, Second int // places in the schedule
+	First, Second int // indices into the schedule
 	Kinds         [2]string
 	FromS, ToS    float64
 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("keys \"fault[%d]\" and \"fault[%d]\": %s and %s strike the same at the same time, from %g to %g s",
+	return fmt.Sprintf("keys \"fault[%d]\" and \"fault[%d]\": %s and %s conflict from %g to %g s",
 		e.First, e.Second, e.Kinds[0], e.Kinds[1], e.FromS, e.ToS)
 }
 func (e *ConflictError) Kind() remedy.Kind { return remedy.Configuration }
@@ -58,9 +58,9 @@
 	return fmt.Sprintf("Move \"fault[%d].at_s\" or \"fault[%d].at_s\", shorten one, or give each a zone of its own.", e.First, e.Second)
 }
 
-// FileError is a scenario file that can't be read or worded.
+// FileError is a scenario file that can't be read or encoded.
 type FileError struct {
-	Path  string // empty where no file is meant
+	Path  string // empty if there is no file
 	Cause error
 }
 
--- a/lab/scenario/faults.go
+++ b/lab/scenario/faults.go
@@ -7,21 +7,21 @@
 	"strings"
 )
 
-// Fault is one line of the schedule: what, when, whom, how much.
+// Fault is one entry of the fault schedule: which kind of fault is injected, when, into which targets and how strongly.
 type Fault struct {
 	Kind    string  `toml:"kind"`
 	AtS     float64 `toml:"at_s"`
 	ForS    float64 `toml:"for_s"`
-	Share   float64 `toml:"share"`   // of those it may strike
-	Zone    *int    `toml:"zone"`    // strikes this zone only
-	Class   string  `toml:"profile"` // strikes this class only
-	Much    float64 `toml:"much"`    // how much, in the kind's unit
+	Share   float64 `toml:"share"`   // of the possible targets
+	Zone    *int    `toml:"zone"`    // only targets of this zone
+	Class   string  `toml:"profile"` // only requests of this class
+	Much    float64 `toml:"much"`    // strength, in the unit of the kind
 	EveryMs float64 `toml:"every_ms"`
-	Batches int     `toml:"batches"`  // steps of a kind that goes in steps
-	MostOut int     `toml:"most_out"` // of such a kind: in place of steps by the clock, the next goes once so many are not out, ready and warm again
+	Batches int     `toml:"batches"`  // number of batches, for kinds that work in batches
+	MostOut int     `toml:"most_out"` // for kinds that work in batches: replaces batches by the clock; a unit goes as soon as fewer than this are out, that is not yet ready and warm again
 }
 
-// Whom a kind strikes. Two faults may contradict each other only where they strike the same.
+// Targets of the kinds of fault. Two faults can conflict only if they have the same target.
 const (
 	Backends  = "backends"
 	Doors     = "doors"
@@ -35,15 +35,15 @@
 // Kind describes a kind of fault.
 type Kind struct {
 	Whom          string
-	Unit          string   // of much; empty where it has none
-	Min           float64  // of much
-	Max           float64  // of much
-	Instant       bool     // for_s has no meaning
-	ConflictsWith []string // kinds that cannot strike the same at the same time
+	Unit          string   // of Fault.Much; empty if the kind has no strength
+	Min           float64  // of Fault.Much
+	Max           float64  // of Fault.Much
+	Instant       bool     // has no duration
+	ConflictsWith []string // kinds that must not overlap with this one on the same target
 	Description   string
 }
 
-// Kinds lists every kind of fault by its name.
+// Kinds lists the kinds of fault by name.
 var Kinds = map[string]Kind{
 	"hang":          {Whom: Backends, Description: "takes operations and answers none"},
 	"silence":       {Whom: Backends, ConflictsWith: []string{"death", "refuse"}, Description: "the machine vanishes: nothing comes back, connections stay open"},
@@ -84,17 +84,18 @@
 	"leave_early":   {Whom: Clientele, Unit: "share of the tries", Max: 1, Description: "clients leave before they are answered"},
 }
 
-// End is when the fault is over, s.
+// End is the time at which the fault ends, s.
 func (f *Fault) End() float64 { return f.AtS + f.ForS }
 
 func (f *Fault) overlaps(g *Fault) bool { return f.AtS < g.End() && g.AtS < f.End() }
 
-// sameTarget tells whether two faults may strike the same one. Shares of the same fleet may meet by chance, so only
-// different zones keep two faults apart.
+// sameTarget reports whether two faults may affect the same target. Shares of a fleet can overlap by chance, so only faults in
+// different zones are certain to be apart.
 func (f *Fault) sameTarget(g *Fault) bool {
 	return f.Zone == nil || g.Zone == nil || *f.Zone == *g.Zone
 }
 
+// validateFaults checks each fault by itself and each pair for conflicts.
 func (s *Scenario) validateFaults() error {
 	for i := range s.Faults {
 		f := &s.Faults[i]
@@ -104,35 +105,35 @@
 		case !known:
 			return oneOf(prefix+"kind", f.Kind, slices.Sorted(maps.Keys(Kinds))...)
 		case !(f.AtS >= 0 && f.AtS <= s.Day.Seconds):
-			return keyErrorf(prefix+"at_s", "%g, not within the day of %g s", f.AtS, s.Day.Seconds)
+			return keyErrorf(prefix+"at_s", "%g, must be within the run of %g s", f.AtS, s.Day.Seconds)
 		case !k.Instant && !(f.ForS > 0):
-			return keyErrorf(prefix+"for_s", "%g, though %s lasts", f.ForS, f.Kind)
+			return keyErrorf(prefix+"for_s", "%g, but %s needs a duration", f.ForS, f.Kind)
 		case k.Instant && f.ForS != 0:
-			return keyErrorf(prefix+"for_s", "%g, though %s lasts no time", f.ForS, f.Kind)
+			return keyErrorf(prefix+"for_s", "%g, but %s has no duration", f.ForS, f.Kind)
 		case k.Unit == "" && f.Much != 0:
-			return keyErrorf(prefix+"much", "%g, though %s knows no more or less", f.Much, f.Kind)
+			return keyErrorf(prefix+"much", "%g, but %s has no strength", f.Much, f.Kind)
 		case !(f.Much >= k.Min && f.Much <= k.Max) && k.Unit != "":
-			return keyErrorf(prefix+"much", "%g %s, %g to %g is wanted", f.Much, k.Unit, k.Min, k.Max)
+			return keyErrorf(prefix+"much", "%g %s, must be %g to %g", f.Much, k.Unit, k.Min, k.Max)
 		case !(f.Share >= 0 && f.Share <= 1):
-			return keyErrorf(prefix+"share", "%g, 0 to 1 is wanted", f.Share)
+			return keyErrorf(prefix+"share", "%g, must be 0 to 1", f.Share)
 		case f.Zone != nil && (*f.Zone < 0 || *f.Zone >= s.Fleet.Zones):
 			return keyErrorf(prefix+"zone", "%d of %d zones", *f.Zone, s.Fleet.Zones)
 		case (f.Kind == "zone_loss" || f.Kind == "zone_cut") && f.Zone == nil:
 			return keyErrorf(prefix+"zone", "missing")
 		case f.Kind == "zone_cut" && s.Fleet.Zones < 2:
-			return keyErrorf(prefix+"kind", "zone_cut with one zone")
+			return keyErrorf(prefix+"kind", "zone_cut needs at least two zones")
 		case f.Kind == "pauses" && !(f.EveryMs > f.Much):
-			return keyErrorf(prefix+"every_ms", "%g, under a pause of %g ms", f.EveryMs, f.Much)
+			return keyErrorf(prefix+"every_ms", "%g, must be longer than a pause of %g ms", f.EveryMs, f.Much)
 		case f.Batches < 0 || f.Batches > 1000:
 			return keyErrorf(prefix+"batches", "%d", f.Batches)
 		case f.MostOut < 0 || f.MostOut > 0 && f.Kind != "replace" && f.Kind != "door_roll":
 			return keyErrorf(prefix+"most_out", "%d for a fault of kind %s", f.MostOut, f.Kind)
 		case k.Whom == Counters && !s.Counter.On:
-			return keyErrorf(prefix+"kind", "%s, though counter.on is false", f.Kind)
+			return keyErrorf(prefix+"kind", "%s, but counter.on is false", f.Kind)
 		case k.Whom == Meters && s.Meter.PeriodMs == 0:
-			return keyErrorf(prefix+"kind", "%s, though meter.period_ms is 0", f.Kind)
+			return keyErrorf(prefix+"kind", "%s, but meter.period_ms is 0", f.Kind)
 		case f.Class != "" && !slices.ContainsFunc(s.Classes, func(p Class) bool { return p.Name == f.Class }):
-			return keyErrorf(prefix+"profile", "%q is no profile", f.Class)
+			return keyErrorf(prefix+"profile", "no profile is named %q", f.Class)
 		}
 		for j := range i {
 			g := &s.Faults[j]
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// Set gives one plain figure, named by its key as in the file ("load.share", "fault[0].much"), another value.
+// Set returns a copy in which one value, named by its key as in the file ("load.share", "fault[0].much"), is replaced.
 func (s *Scenario) Set(key, value string) (Scenario, error) {
 	raw, err := s.Write()
 	if err != nil {
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,6 +1,7 @@
-// Package scenario is the laboratory's scenario file: a world, its load and its faults, as TOML. Read refuses keys it
-// does not know, figures that cannot be and faults that contradict each other, and names the key.
-// Keys carry their unit: _ms, _s, per_s. A span is two figures, from which each day draws.
+// Package scenario defines the laboratory's scenario files: the simulated system, its load and its faults, in TOML. Read rejects
+// unknown keys, impossible values and conflicting faults, and names the key.
+//
+// Keys carry their unit: _ms, _s, per_s. A span is one or two numbers, a range from which each run draws a value.
 package scenario
 
 import (
@@ -16,13 +17,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Span is a range that a day draws from; both ends are the same where nothing is drawn.
+// Span is a range from which a run draws; a single number is a fixed value.
 type Span []float64
 
 func (s Span) Low() float64  { return s[0] }
 func (s Span) High() float64 { return s[len(s)-1] }
 
-// At returns the span's value for a share from 0 to 1 of its length.
+// At returns the value at a position in the span, from 0 for its low end to 1 for its high end.
 func (s Span) At(share float64) float64 { return s.Low() + (s.High()-s.Low())*share }
 
 // Scenario is one scenario file.
@@ -47,139 +48,139 @@
 	Faults    []Fault   `toml:"fault"`
 }
 
-// Day is how long requests arrive, and how often a door looks at what has come.
+// Day sets how long requests arrive, and how often a door handles the events that have arrived.
 type Day struct {
 	Seconds float64 `toml:"seconds"`
 	TickMs  float64 `toml:"tick_ms"`
 }
 
-// Fleet is how many there are.
+// Fleet sets the size of the system.
 type Fleet struct {
 	Doors    int `toml:"doors"`
 	Backends int `toml:"backends"`
 	Zones    int `toml:"zones"`
 	CellSize int `toml:"cell_size"`
 
-	MembersMs float64 `toml:"members_ms"` // after which every door knows that another has come or gone; 0: never
+	MembersMs float64 `toml:"members_ms"` // delay until every door knows that another door has come or gone; 0 for never
 }
 
-// Machine is a kind of backend.
+// Machine is a type of backend.
 type Machine struct {
 	Name         string  `toml:"name"`
 	Share        float64 `toml:"share"`
 	Cores        int     `toml:"cores"`
-	Speed        Span    `toml:"speed"`          // work done in a ms of a core, ms
-	SlotsPerCore float64 `toml:"slots_per_core"` // requests in work at once
-	QueuePerCore float64 `toml:"queue_per_core"` // requests that wait; more are turned away
-	Thrash       float64 `toml:"thrash"`         // share of the speed lost when full
-	ColdFrom     float64 `toml:"cold_from"`      // share of its capacity at its start
-	ColdS        float64 `toml:"cold_s"`         // until it is warm
-	ConnsPerCore float64 `toml:"conns_per_core"` // connections held; more are refused
-	HandshakeMs  float64 `toml:"handshake_ms"`   // work of a new connection
+	Speed        Span    `toml:"speed"`          // ms of work that a core does per ms
+	SlotsPerCore float64 `toml:"slots_per_core"` // requests in progress at once
+	QueuePerCore float64 `toml:"queue_per_core"` // queued requests; further ones are rejected
+	Thrash       float64 `toml:"thrash"`         // share of the speed lost when all slots and the queue are full
+	ColdFrom     float64 `toml:"cold_from"`      // share of its capacity right after a start
+	ColdS        float64 `toml:"cold_s"`         // warm-up time
+	ConnsPerCore float64 `toml:"conns_per_core"` // open connections; further ones are refused
+	HandshakeMs  float64 `toml:"handshake_ms"`   // work for a new connection
 	ErrorRate    float64 `toml:"error_rate"`
-	GoesOn       bool    `toml:"goes_on"` // work goes on when its door has left
+	GoesOn       bool    `toml:"goes_on"` // work continues after the door has disconnected
 }
 
-// Net is the network, one way.
+// Net describes the network; delays are one-way.
 type Net struct {
 	SameMs           Span    `toml:"same_ms"`
 	CrossMs          Span    `toml:"cross_ms"`
 	ClientMs         Span    `toml:"client_ms"`
-	Jitter           float64 `toml:"jitter"` // share by which a delay varies
-	Loss             float64 `toml:"loss"`   // chance that an answer never comes
+	Jitter           float64 `toml:"jitter"` // relative variation of a delay
+	Loss             float64 `toml:"loss"`   // probability that an answer is lost
 	ConnectTimeoutMs float64 `toml:"connect_timeout_ms"`
-	IdleMs           float64 `toml:"idle_ms"` // connections idle for longer are closed
+	IdleMs           float64 `toml:"idle_ms"` // idle connections are closed after this time
 }
 
-// Load is what is asked. PerSecond wins over Share.
+// Load is the load that clients offer. PerSecond takes precedence over Share.
 type Load struct {
-	Share       float64 `toml:"share"`        // asked inside the quotas, as a share of what the backends can do
-	PerSecond   float64 `toml:"per_s"`        // requests a second, all that is first asked
-	Shape       string  `toml:"shape"`        // steady, wave, ramp or bursts
-	Swing       float64 `toml:"swing"`        // how far the shape moves the load, as a share
-	PerCustomer float64 `toml:"per_customer"` // mean use of a customer as a share of its rate
-	Full        float64 `toml:"full"`         // share of the customers that use nearly all of their rate,
-	Heavy       float64 `toml:"heavy"`        // that ask beyond it for the whole day,
-	HeavyTimes  float64 `toml:"heavy_times"`  // that many times the rate,
-	Spiky       float64 `toml:"spiky"`        // and that come in sessions,
-	SpikeTimes  float64 `toml:"spike_times"`  // of that many times the rate,
-	SpikeS      Span    `toml:"spike_s"`      // that long,
-	SpikeEveryS Span    `toml:"spike_every_s"`
-	Skew        float64 `toml:"skew"`    // how unevenly a customer's requests come over its doors, 0 for evenly
-	ShiftS      Span    `toml:"shift_s"` // how often that changes
-	MostUnits   int     `toml:"most_units"`
-}
-
-// Class is a kind of request.
+	Share       float64 `toml:"share"`         // load within the quotas, as a share of the backends' capacity
+	PerSecond   float64 `toml:"per_s"`         // new requests per second, without retries
+	Shape       string  `toml:"shape"`         // steady, wave, ramp or bursts
+	Swing       float64 `toml:"swing"`         // amplitude of the shape, as a share of the load
+	PerCustomer float64 `toml:"per_customer"`  // a customer's mean use as a share of its rate
+	Full        float64 `toml:"full"`          // share of the customers that use nearly all of their rate
+	Heavy       float64 `toml:"heavy"`         // share of the customers that exceed their rate for the whole run
+	HeavyTimes  float64 `toml:"heavy_times"`   // load of a heavy customer, in multiples of its rate
+	Spiky       float64 `toml:"spiky"`         // share of the customers that come in sessions
+	SpikeTimes  float64 `toml:"spike_times"`   // load during a session, in multiples of the rate
+	SpikeS      Span    `toml:"spike_s"`       // length of a session
+	SpikeEveryS Span    `toml:"spike_every_s"` // time between sessions
+	Skew        float64 `toml:"skew"`          // how unevenly a customer's requests spread over its doors; 0 for evenly
+	ShiftS      Span    `toml:"shift_s"`       // how often that distribution changes
+	MostUnits   int     `toml:"most_units"`    // largest request, units
+}
+
+// Class is a class of requests.
 type Class struct {
 	Name       string  `toml:"name"`
 	Share      float64 `toml:"share"`
 	WorkMs     float64 `toml:"work_ms"`
-	Cv         float64 `toml:"cv"`    // of the work; 0 draws it from an exponential distribution
-	Noise      float64 `toml:"noise"` // of each attempt's work around the request's own
+	Cv         float64 `toml:"cv"`    // coefficient of variation of the work; 0 for an exponential distribution
+	Noise      float64 `toml:"noise"` // variation of an attempt's work around that of its request
 	ContractMs float64 `toml:"contract_ms"`
 	OuterMs    float64 `toml:"outer_ms"`
 	Gain       float64 `toml:"gain"`
 	LateValue  float64 `toml:"late_value"`
-	Semantics  string  `toml:"semantics"` // idempotent, keyed, non-idempotent
-	Scope      string  `toml:"scope"`     // all, zone, cell
+	Semantics  string  `toml:"semantics"` // replayable, tokened or single-use
+	Scope      string  `toml:"scope"`     // all, zone or cell
 	WindowMs   float64 `toml:"window_ms"`
 }
 
-// Plan is what customers have bought. Quotas hold over all doors.
+// Plan is what a customer pays for. Quotas apply to all doors together.
 type Plan struct {
 	Name         string  `toml:"name"`
-	Share        float64 `toml:"share"` // of the use inside the quotas
-	PerS         float64 `toml:"per_s"` // units
+	Share        float64 `toml:"share"` // of the load within the quotas
+	PerS         float64 `toml:"per_s"` // quota, units per second
 	Depth        float64 `toml:"depth"`
 	AtOnce       int     `toml:"at_once"`
 	CeilingPerS  float64 `toml:"ceiling_per_s"`
 	CeilingDepth float64 `toml:"ceiling_depth"`
 	CeilingSlack float64 `toml:"ceiling_slack"`
 	Price        float64 `toml:"price"`
-	OverCost     float64 `toml:"over_cost"` // of its gain that a try costs which was sent on beyond the quota
-	Spread       int     `toml:"spread"`    // doors of a customer
+	OverCost     float64 `toml:"over_cost"` // cost of a request sent beyond the quota, as a share of its gain
+	Spread       int     `toml:"spread"`    // number of doors that a customer uses
 }
 
-// Clients is how clients behave when they are not served.
+// Clients describes how clients retry and give up.
 type Clients struct {
 	Retries         int     `toml:"retries"`
-	TryShare        float64 `toml:"try_share"` // of the deadline, after which a try is given up
-	Wait            string  `toml:"wait"`      // none, fixed or doubling
+	TryShare        float64 `toml:"try_share"` // timeout of a try, as a share of the request's deadline
+	Wait            string  `toml:"wait"`      // backoff: none, fixed or doubling
 	WaitMs          float64 `toml:"wait_ms"`
-	Honour          float64 `toml:"honour"` // share of them that follow the advice
+	Honour          float64 `toml:"honour"` // share of the clients that follow a Retry-After
 	MaxRetryAfterMs float64 `toml:"max_retry_after_ms"`
-	Marks           bool    `toml:"marks"`     // retries are marked
-	Impatient       float64 `toml:"impatient"` // share of the tries that are left early
-	Elsewhere       float64 `toml:"elsewhere"` // chance that a retry comes through another door
-	NoticeMs        float64 `toml:"notice_ms"` // until clients see that a door has died
+	Marks           bool    `toml:"marks"`     // retries are marked as such
+	Impatient       float64 `toml:"impatient"` // share of the tries that the client abandons early
+	Elsewhere       float64 `toml:"elsewhere"` // probability that a retry goes to another door
+	NoticeMs        float64 `toml:"notice_ms"` // delay until clients notice that a door has died
 }
 
-// Discovery is how the fleet list reaches the doors.
+// Discovery describes how the doors receive the fleet list.
 type Discovery struct {
-	Ask      bool `toml:"ask"` // changes come only when asked for
+	Ask      bool `toml:"ask"` // doors must subscribe to changes
 	DelayMs  Span `toml:"delay_ms"`
-	NoticeMs Span `toml:"notice_ms"` // until a death is seen
-	SilentMs Span `toml:"silent_ms"` // until a machine that fell silent is
+	NoticeMs Span `toml:"notice_ms"` // delay until a dead backend is noticed
+	SilentMs Span `toml:"silent_ms"` // delay until an unreachable backend is noticed
 }
 
-// Counter is the shared counter.
+// Counter is the shared quota counter.
 type Counter struct {
 	On        bool    `toml:"on"`
 	PerS      float64 `toml:"per_s"`
 	Parts     int     `toml:"parts"`
 	ServeMs   float64 `toml:"serve_ms"`
-	QueueMs   float64 `toml:"queue_ms"` // calls that would wait longer are turned away
+	QueueMs   float64 `toml:"queue_ms"` // longest wait in its queue; calls that would wait longer are rejected
 	TimeoutMs float64 `toml:"timeout_ms"`
 }
 
-// Meter tells in answers how much of its quota a customer used.
+// Meter reports in answers how much of its quota a customer has used.
 type Meter struct {
 	PeriodMs float64 `toml:"period_ms"`
 	LateMs   float64 `toml:"late_ms"`
 }
 
-// Allow is what a door may do.
+// Allow restricts what the policy may do.
 type Allow struct {
 	Probes      bool    `toml:"probes"`
 	ProbeMs     float64 `toml:"probe_ms"` // work of a probe
@@ -189,17 +190,17 @@
 	RetryAfter  bool    `toml:"retry_after"`
 }
 
-// Rules holds the figures of the five rules.
+// Rules holds the parameters of the five rules.
 type Rules struct {
 	AnswerSlackMs float64 `toml:"answer_slack_ms"`
 	DrainGraceMs  float64 `toml:"drain_grace_ms"`
 	FallMultiple  float64 `toml:"fall_multiple"`
 	FallMs        float64 `toml:"fall_ms"`
-	ColdFrom      float64 `toml:"cold_from"` // told to the doors; the machines' least where it is left out
-	ColdS         float64 `toml:"cold_s"`
+	ColdFrom      float64 `toml:"cold_from"` // announced to the doors; 0 for the lowest of the machines
+	ColdS         float64 `toml:"cold_s"`    // announced to the doors; 0 for the longest of the machines
 }
 
-// Goal weighs the parts of G.
+// Goal holds the weights of the parts of G.
 type Goal struct {
 	Whole       float64 `toml:"whole"`
 	WorstWindow float64 `toml:"worst_window"`
@@ -207,17 +208,17 @@
 	WorstPlan   float64 `toml:"worst_plan"`
 }
 
-// Prices are taken off G, each times its share of the requests or of the work.
+// Prices are deducted from G, each multiplied by its share of the requests or of the work.
 type Prices struct {
 	Counter   float64 `toml:"counter"`
 	Probe     float64 `toml:"probe"`
 	Cross     float64 `toml:"cross"`
 	Waste     float64 `toml:"waste"`
 	Handshake float64 `toml:"handshake"`
-	HeldBack  float64 `toml:"held_back"` // of its gain, for a request given up after half of its time and never sent
+	HeldBack  float64 `toml:"held_back"` // share of the gain, for a request given up after half of its time without having been sent
 }
 
-// Read decodes and checks a scenario.
+// Read decodes a scenario, applies the defaults and validates it.
 func Read(raw []byte) (Scenario, error) {
 	s := defaults()
 	if err := Decode(raw, &s); err != nil {
@@ -230,7 +231,7 @@
 	return s, nil
 }
 
-// Decode reads TOML into what it names and refuses keys that it doesn't know; its errors are KeyErrors.
+// Decode decodes TOML and rejects unknown keys; its errors are of type KeyError.
 func Decode(raw []byte, into any) error {
 	if err := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(into); err != nil {
 		return decodeError(err)
@@ -238,11 +239,11 @@
 	return nil
 }
 
-// Shipped lists the files of a folder that is compiled in, without their ending.
+// EmbeddedNames lists the files of an embedded directory without their extension.
 func Shipped(files embed.FS, dir string) []string {
 	entries, err := files.ReadDir(dir)
 	if err != nil {
-		panic(err) // the folder is compiled in
+		panic(err) // can't happen: the directory is embedded
 	}
 	var names []string
 	for _, e := range entries {
@@ -264,7 +265,7 @@
 	return s, nil
 }
 
-// Write encodes a scenario so that Read gives it back.
+// Write encodes a scenario as TOML that Read accepts.
 func (s *Scenario) Write() ([]byte, error) {
 	raw, err := toml.Marshal(s)
 	if err != nil {
@@ -273,7 +274,7 @@
 	return raw, nil
 }
 
-// Clone returns a copy that shares nothing with s.
+// Clone returns a deep copy.
 func (s *Scenario) Clone() (Scenario, error) {
 	raw, err := s.Write()
 	if err != nil {
@@ -282,6 +283,7 @@
 	return Read(raw)
 }
 
+// decodeError converts an error of the TOML decoder.
 func decodeError(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
@@ -297,7 +299,7 @@
 	return &KeyError{Cause: err}
 }
 
-// defaults holds what a scenario has where it says nothing else. Lists come from the file alone.
+// defaults returns the values for keys that a file does not set. Lists have no defaults here.
 func defaults() Scenario {
 	return Scenario{
 		Day:   Day{Seconds: 30, TickMs: 4},
@@ -317,7 +319,7 @@
 	}
 }
 
-// applyDefaults puts in what the lists leave out.
+// applyDefaults sets the values that list entries leave out, and those that depend on other values.
 func (s *Scenario) applyDefaults() {
 	if len(s.Faults) == 0 {
 		s.Faults = nil
@@ -375,29 +377,30 @@
 	return v
 }
 
-// Limits of what one process plays; larger figures are mistakes of the unit.
+// Largest supported values; anything larger is probably given in the wrong unit.
 const (
 	maxDoors    = 1000
 	maxBackends = 2000
 	maxSeconds  = 24 * 3600
 )
 
+// validate checks the values, and the faults last.
 func (s *Scenario) validate() error {
 	switch {
 	case s.Name == "":
 		return keyErrorf("name", "missing")
 	case s.Fleet.Doors < 1 || s.Fleet.Doors > maxDoors:
-		return keyErrorf("fleet.doors", "%d, 1 to %d can be played", s.Fleet.Doors, maxDoors)
+		return keyErrorf("fleet.doors", "%d, must be 1 to %d", s.Fleet.Doors, maxDoors)
 	case s.Fleet.Backends < 1 || s.Fleet.Backends > maxBackends:
-		return keyErrorf("fleet.backends", "%d, 1 to %d can be played", s.Fleet.Backends, maxBackends)
+		return keyErrorf("fleet.backends", "%d, must be 1 to %d", s.Fleet.Backends, maxBackends)
 	case s.Fleet.Zones < 1:
 		return keyErrorf("fleet.zones", "%d", s.Fleet.Zones)
 	case s.Fleet.CellSize < 1:
 		return keyErrorf("fleet.cell_size", "%d", s.Fleet.CellSize)
 	case !(s.Fleet.MembersMs >= 0 && s.Fleet.MembersMs <= 600e3):
-		return keyErrorf("fleet.members_ms", "%g, 0 to 600e3 is wanted", s.Fleet.MembersMs)
+		return keyErrorf("fleet.members_ms", "%g, must be 0 to 600e3", s.Fleet.MembersMs)
 	case !(s.Day.Seconds > 0 && s.Day.Seconds <= maxSeconds):
-		return keyErrorf("day.seconds", "%g, up to %d can be played", s.Day.Seconds, maxSeconds)
+		return keyErrorf("day.seconds", "%g, must be above 0 and at most %d", s.Day.Seconds, maxSeconds)
 	case !(s.Day.TickMs > 0 && s.Day.TickMs <= 1000):
 		return keyErrorf("day.tick_ms", "%g", s.Day.TickMs)
 	case len(s.Classes) == 0:
@@ -452,15 +455,15 @@
 		}
 		switch {
 		case slices.ContainsFunc(s.Classes[:i], func(q Class) bool { return q.Name == p.Name }):
-			return keyErrorf(prefix+"name", "%q is another's already", p.Name)
+			return keyErrorf(prefix+"name", "%q is already in use", p.Name)
 		case !(p.WorkMs > 0):
 			return keyErrorf(prefix+"work_ms", "%g", p.WorkMs)
 		case !(p.ContractMs > 0):
 			return keyErrorf(prefix+"contract_ms", "%g", p.ContractMs)
 		case !(p.OuterMs >= p.ContractMs):
-			return keyErrorf(prefix+"outer_ms", "%g, under contract_ms %g", p.OuterMs, p.ContractMs)
+			return keyErrorf(prefix+"outer_ms", "%g, must be at least contract_ms %g", p.OuterMs, p.ContractMs)
 		case p.Semantics == "tokened" && !(p.WindowMs > 0):
-			return keyErrorf(prefix+"window_ms", "%g, though the profile is tokened", p.WindowMs)
+			return keyErrorf(prefix+"window_ms", "%g, must be above 0 for a tokened profile", p.WindowMs)
 		}
 	}
 	for i, p := range s.Plans {
@@ -469,19 +472,19 @@
 		case p.Name == "":
 			return keyErrorf(prefix+"name", "missing")
 		case slices.ContainsFunc(s.Plans[:i], func(q Plan) bool { return q.Name == p.Name }):
-			return keyErrorf(prefix+"name", "%q is another's already", p.Name)
+			return keyErrorf(prefix+"name", "%q is already in use", p.Name)
 		case !(p.PerS > 0):
 			return keyErrorf(prefix+"per_s", "%g", p.PerS)
 		case !(p.Depth >= float64(s.Load.MostUnits)):
-			return keyErrorf(prefix+"depth", "%g, under the largest operation of %d units", p.Depth, s.Load.MostUnits)
+			return keyErrorf(prefix+"depth", "%g, must be at least %d units, the largest operation", p.Depth, s.Load.MostUnits)
 		case p.CeilingPerS > 0 && !(p.CeilingDepth >= float64(s.Load.MostUnits)):
-			return keyErrorf(prefix+"ceiling_depth", "%g, under the largest operation", p.CeilingDepth)
+			return keyErrorf(prefix+"ceiling_depth", "%g, must be at least the largest operation", p.CeilingDepth)
 		}
 	}
 	return s.validateFaults()
 }
 
-// boundedValue is one number with what it may be.
+// boundedValue is a number with its bounds.
 type boundedValue struct {
 	key      string
 	value    float64
@@ -490,12 +493,12 @@
 
 func (f boundedValue) check() error {
 	if !(f.value >= f.min && f.value <= f.max) {
-		return keyErrorf(f.key, "%g, %g to %g is wanted", f.value, f.min, f.max)
+		return keyErrorf(f.key, "%g, must be %g to %g", f.value, f.min, f.max)
 	}
 	return nil
 }
 
-// boundedValues lists the plain numbers with their bounds.
+// boundedValues returns the numbers that only need to lie within bounds.
 func (s *Scenario) boundedValues() []boundedValue {
 	inf := math.MaxFloat64
 	fs := []boundedValue{
@@ -544,10 +547,10 @@
 
 func (s Span) check(key string, positive bool) error {
 	if len(s) < 1 || len(s) > 2 {
-		return keyErrorf(key, "%d figures, a span has one or two", len(s))
+		return keyErrorf(key, "%d numbers, a span has one or two", len(s))
 	}
 	if !(s.Low() >= 0 && s.Low() <= s.High() && s.High() < math.MaxFloat64) || positive && s.Low() == 0 {
-		return keyErrorf(key, "%v is no span", []float64(s))
+		return keyErrorf(key, "%v is not a valid span", []float64(s))
 	}
 	return nil
 }
@@ -562,5 +565,5 @@
 			return nil
 		}
 	}
-	return keyErrorf(key, "unknown word %q, one of %s is wanted", value, strings.Join(allowed, ", "))
+	return keyErrorf(key, "unknown value %q, must be one of %s", value, strings.Join(allowed, ", "))
 }
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -52,7 +52,7 @@
 	_, err := Read([]byte(minimalScenario + two + "4.0"))
 	assert.ErrorContains(t, err, `keys "fault[0]" and "fault[1]"`)
 	_, err = Read([]byte(minimalScenario + two + "6.0"))
-	assert.NoError(t, err, "one after the other is no contradiction")
+	assert.NoError(t, err, "faults one after the other do not conflict")
 }
 
 func TestSetChangesKeyByName(t *testing.T) {
@@ -83,7 +83,7 @@
 			return
 		}
 		again, err := s.Clone()
-		require.NoError(t, err, "what was read can be written and read again")
+		require.NoError(t, err, "an accepted scenario can be written and read again")
 		assert.Equal(t, s, again)
 	})
 }
--- a/lab/scenario/tree.go
+++ b/lab/scenario/tree.go
@@ -7,7 +7,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// tree is a scenario as plain values, for keys given by name.
+// tree is a scenario as untyped values, addressed by key.
 type tree map[string]any
 
 func decodeTree(raw []byte) (tree, error) {
@@ -20,7 +20,7 @@
 
 func (t tree) bytes() ([]byte, error) { return toml.Marshal(map[string]any(t)) }
 
-// set follows path, whose steps may carry an index, and replaces a value by one of the same kind.
+// set replaces the value at a path, whose steps may have an index, by a value of the same type.
 func (t tree) set(path []string, value string) error {
 	name, at, indexed, err := parsePathStep(path[0])
 	if err != nil {
@@ -56,6 +56,7 @@
 	return err
 }
 
+// parsePathStep splits a step such as fault[0] into name and index.
 func parsePathStep(s string) (name string, at int, indexed bool, err error) {
 	name, rest, indexed := strings.Cut(s, "[")
 	if !indexed {
@@ -63,12 +64,12 @@
 	}
 	at, err = strconv.Atoi(strings.TrimSuffix(rest, "]"))
 	if err != nil || at < 0 || !strings.HasSuffix(rest, "]") {
-		return "", 0, false, keyErrorf(s, "%q is no index", "["+rest)
+		return "", 0, false, keyErrorf(s, "%q is not an index", "["+rest)
 	}
 	return name, at, true, nil
 }
 
-// parseLike reads a value of the same kind as the one that stands there.
+// parseLike parses a value as the type of the old one.
 func parseLike(key string, old any, value string) (any, error) {
 	switch old.(type) {
 	case bool:
@@ -84,11 +85,11 @@
 		for _, part := range strings.Split(value, ":") {
 			v, err := strconv.ParseFloat(part, 64)
 			if err != nil {
-				return nil, keyErrorf(key, "%q is no span such as 0.5:2", value)
+				return nil, keyErrorf(key, "%q is not a span such as 0.5:2", value)
 			}
 			span = append(span, v)
 		}
 		return span, nil
 	}
-	return nil, keyErrorf(key, "not a plain value")
+	return nil, keyErrorf(key, "not a single value or a span")
 }
--- a/lab/scenarios/errors.go
+++ b/lab/scenarios/errors.go
@@ -7,7 +7,7 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// NameError is a scenario that is neither a file nor one that ships.
+// NameError is a scenario name that is neither a file nor an embedded scenario.
 type NameError struct{ Name string }
 
 func (e *NameError) Error() string {
--- a/lab/scenarios/scenarios.go
+++ b/lab/scenarios/scenarios.go
@@ -1,4 +1,4 @@
-// Package scenarios holds the scenarios that ship with the laboratory, each named for what it shows.
+// Package scenarios embeds the scenarios that ship with the laboratory, each named after what it shows.
 package scenarios
 
 import (
@@ -13,10 +13,10 @@
 //go:embed *.toml
 var files embed.FS
 
-// Names lists them.
+// Names lists the embedded scenarios.
 func Names() []string { return scenario.Shipped(files, ".") }
 
-// Open reads a scenario file, or one that ships where there is no such file.
+// Open reads a scenario file, or the embedded scenario of that name if there is no such file.
 func Open(name string) (scenario.Scenario, error) {
 	if _, err := os.Stat(name); err == nil {
 		return scenario.ReadFile(name)
--- a/lab/scenarios/scenarios_test.go
+++ b/lab/scenarios/scenarios_test.go
@@ -11,7 +11,7 @@
 	"github.com/swifthall/swifthall/lab/run"
 )
 
-// Shorter and with fewer doors, every scenario keeps the rules with the project's decisions.
+// Every scenario, shortened and with fewer doors, keeps the rules under the project's policy.
 func TestEveryScenarioKeepsRules(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
