--- a/lab/cold/check.go
+++ b/lab/cold/check.go
@@ -1,41 +1,42 @@
-// Package cold plays fleets of doors around backends that have just started, in virtual time, and counts what the doors
-// together start there. A door knows its own part alone; what counts is the sum.
+// Package cold simulates, in virtual time, a fleet of doors whose backends have just started, and checks how many attempts the doors
+// together start at a cold backend. Each door knows only its own share; the limit applies to the sum.
 package cold
 
 import "math"
 
-// Start is one attempt that reached a backend.
+// Start is an attempt that has reached a backend.
 type Start struct {
 	At      float64 // ms
 	Backend int
 }
 
-// Excess is a window in which more was started at a cold backend than it may get.
+// Excess is a window in which more attempts were started at a cold backend than allowed.
 type Excess struct {
 	Start
-	Count   int     // in the window that ends with it
-	Allowed float64 // that it might have got
+	Count   int     // in the window that ends with Start
+	Allowed float64 // upper limit for Count
 }
 
-// Checker counts by true times, and knows nothing of doors or decisions.
+// Checker counts the starts at cold backends by their true times, independently of what the doors know or decide.
 type Checker struct {
-	WindowMs, OverloadMultiple float64 // of the rule: so many times what a backend can do, over so many ms
-	ColdCapacity, WarmupMs     float64 // share that a backend can do at its start, and ms after which it does all
-	WarmRate                   float64 // that warm backends take each, attempts per ms
-	StartedAt                  []float64
-	recent                     map[int][]float64
+	WindowMs, OverloadMultiple float64           // the rule: at most this multiple of the backend's capacity in a window, ms
+	ColdCapacity, WarmupMs     float64           // share of the capacity right after a start, and ms until all of it is available
+	WarmRate                   float64           // load of a warm backend, attempts per ms
+	StartedAt                  []float64         // clock, ms, by backend; 0 if it was never cold
+	recent                     map[int][]float64 // start times within the window, by backend
 	Excesses                   []Excess
-	ColdStarts                 int     // starts at cold backends
-	MaxShare, MaxOver          float64 // of a budget that a window took, and attempts beyond it
+	ColdStarts                 int     // attempts started at cold backends
+	MaxShare, MaxOver          float64 // largest share of a budget used in a window, and most attempts above one
 }
 
-// Budget is N: what the rule allows a backend in a window that ends at a time.
+// Budget is N, the number of attempts that the rule allows a backend in a window ending at a time.
 func (c *Checker) Budget(backend int, at float64) float64 {
 	share := min(1, c.ColdCapacity+(1-c.ColdCapacity)*max(0, at-c.StartedAt[backend])/c.WarmupMs)
 	return c.OverloadMultiple * share * c.WarmRate * c.WindowMs
 }
 
-// Record takes a start in, in order of time.
+// Record counts a start; starts must come in order of time. Random arrival exceeds N by chance, so an Excess is reported only above
+// N + 2*sqrt(N) + 2.
 func (c *Checker) Record(s Start) {
 	if c.StartedAt[s.Backend] == 0 || s.At < c.StartedAt[s.Backend] || s.At > c.StartedAt[s.Backend]+c.WarmupMs {
 		return
--- a/lab/cold/cold_test.go
+++ b/lab/cold/cold_test.go
@@ -13,9 +13,9 @@
 	"github.com/swifthall/swifthall/policy"
 )
 
-var seeds = flag.Int("seeds", 6, "days of each kind")
+var seeds = flag.Int("seeds", 6, "seeds for each case")
 
-// newSimulation is one where a fifth of the backends start anew, each warm one taking so many requests in a window.
+// newSimulation has a fifth of its backends start anew; inWindow is the number of requests per warm backend and window.
 func newSimulation(doors int, inWindow float64, seed uint64) Simulation {
 	const backends, window = 20, 1500.0
 	return Simulation{Doors: doors, AssumedDoors: doors, Backends: backends, ColdBackends: 4, RequestsPerMs: inWindow * backends / window, MeanBurst: 1, StartMs: 20e3, DurationMs: 36e3,
@@ -26,9 +26,9 @@
 	return func(number int, seed uint64) gate.Decider { return policy.New(d.Terms(number), seed) }
 }
 
-// summary is what the checker found over all days of a kind.
+// summary is what the checker found over all seeds.
 type summary struct {
-	starts, excesses, seedsOverLimit int // days with any
+	starts, excesses, seedsOverLimit int // seeds with any excess
 	share, over                      float64
 	first                            string
 }
@@ -61,8 +61,8 @@
 	return all
 }
 
-// Beyond the budget N of a cold backend the doors together start 2 x root of N + 2 at most, whatever each of them sees: many
-// requests in a window or less than one, doors that restart amid the ramp, a fleet that is not as large as was told, bursts.
+// Beyond the budget N of a cold backend the doors together start at most 2*sqrt(N) + 2 attempts, whatever each of them knows: with many
+// requests per window or less than one per door, door restarts during warm-up, a fleet of another size than announced, and bursts.
 func TestDoorsTogetherKeepColdBackendsWithinBudget(t *testing.T) {
 	for _, doors := range []int{6, 20, 30, 300} {
 		for _, c := range []struct {
@@ -71,18 +71,18 @@
 			change   func(*Simulation)
 		}{
 			{"many in a window", 30, nil},
-			{"less than one a door", float64(doors) / 40, nil},
-			{"doors restart amid the ramp", 30, func(d *Simulation) { d.RestartShare, d.RestartMs = 0.7, 8e3 }},
-			{"told a tenth of the fleet", 30, func(d *Simulation) { d.AssumedDoors = max(1, d.Doors/10) }},
-			{"told ten times the fleet", 30, func(d *Simulation) { d.AssumedDoors = d.Doors * 10 }},
+			{"less than one per door", float64(doors) / 40, nil},
+			{"doors restart during warm-up", 30, func(d *Simulation) { d.RestartShare, d.RestartMs = 0.7, 8e3 }},
+			{"a tenth of the fleet announced", 30, func(d *Simulation) { d.AssumedDoors = max(1, d.Doors/10) }},
+			{"ten times the fleet announced", 30, func(d *Simulation) { d.AssumedDoors = d.Doors * 10 }},
 			{"bursts", 30, func(d *Simulation) { d.MeanBurst = 5 }},
 			{"none is warm", 30, func(d *Simulation) { d.ColdBackends = d.Backends }},
-			{"none is warm, told half of the fleet", 30, func(d *Simulation) { d.ColdBackends, d.AssumedDoors = d.Backends, d.Doors/2 }},
-			{"none is warm, told a tenth of the fleet", 30, func(d *Simulation) { d.ColdBackends, d.AssumedDoors = d.Backends, max(1, d.Doors/10) }},
-			{"none is warm, told a tenth, members known", 30, func(d *Simulation) {
+			{"none is warm, half of the fleet announced", 30, func(d *Simulation) { d.ColdBackends, d.AssumedDoors = d.Backends, d.Doors/2 }},
+			{"none is warm, a tenth of the fleet announced", 30, func(d *Simulation) { d.ColdBackends, d.AssumedDoors = d.Backends, max(1, d.Doors/10) }},
+			{"none is warm, a tenth announced, members known", 30, func(d *Simulation) {
 				d.ColdBackends, d.AssumedDoors, d.MembersKnown = d.Backends, max(1, d.Doors/10), true
 			}},
-			{"all restart amid the ramp, told a tenth", 30, func(d *Simulation) { d.RestartShare, d.RestartMs, d.AssumedDoors = 1, 500, max(1, d.Doors/10) }},
+			{"all restart during warm-up, a tenth announced", 30, func(d *Simulation) { d.RestartShare, d.RestartMs, d.AssumedDoors = 1, 500, max(1, d.Doors/10) }},
 		} {
 			t.Run(fmt.Sprint(doors, " doors, ", c.name), func(t *testing.T) {
 				s := runAll(func(seed uint64) Simulation {
@@ -92,16 +92,16 @@
 					}
 					return d
 				}, policyDecider)
-				t.Logf("%d days: %d starts at cold backends, at most %.2f of a budget and %.1f beyond one; %d windows over the limit, on %d days %s",
+				t.Logf("%d runs: %d starts at cold backends, at most %.2f of a budget and %.1f beyond one; %d windows over the limit, in %d runs %s",
 					*seeds, s.starts, s.share, s.over, s.excesses, s.seedsOverLimit, s.first)
 				assert.Zero(t, s.excesses)
-				assert.NotZero(t, s.starts, "they are tried")
+				assert.NotZero(t, s.starts, "cold backends receive attempts")
 			})
 		}
 	}
 }
 
-// A door that thinks a cold backend warm is the planted fault, and the checker finds it.
+// The planted bug is a door that takes a cold backend for warm; the checker finds it.
 func TestPlantedBugIsFound(t *testing.T) {
 	for _, doors := range []int{6, 300} {
 		s := runAll(func(seed uint64) Simulation { return newSimulation(doors, 30, seed) }, func(d *Simulation) func(int, uint64) gate.Decider {
@@ -111,7 +111,7 @@
 				return policy.New(terms, seed)
 			}
 		})
-		t.Logf("%d doors: %d windows over the limit, on %d of %d days", doors, s.excesses, s.seedsOverLimit, *seeds)
+		t.Logf("%d doors: %d windows over the limit, in %d of %d runs", doors, s.excesses, s.seedsOverLimit, *seeds)
 		assert.NotZero(t, s.excesses)
 	}
 }
--- a/lab/cold/simulation.go
+++ b/lab/cold/simulation.go
@@ -8,18 +8,18 @@
 	"github.com/swifthall/swifthall/gate"
 )
 
-// Simulation is a fleet's.
+// Simulation describes a fleet, its load and the start of some of its backends. Times are in ms.
 type Simulation struct {
-	Doors, AssumedDoors int     // doors, and how many the terms tell of
-	Backends            int     // all of one size
-	ColdBackends        int     // of them, that start anew at StartMs
-	MembersKnown        bool    // the doors know how many they are
-	RequestsPerMs       float64 // requests, over all doors
-	MeanBurst           float64 // requests that come together at one door, on the mean
+	Doors, AssumedDoors int     // number of doors, and the number announced in their terms
+	Backends            int     // all of the same capacity
+	ColdBackends        int     // how many of them start anew at StartMs
+	MembersKnown        bool    // the doors know their real number
+	RequestsPerMs       float64 // over all doors
+	MeanBurst           float64 // mean number of requests that arrive together at one door
 	StartMs, DurationMs float64
-	NoticeMs            float64 // until which each door has been told, spread evenly
-	RestartMs           float64 // doors that restart do so up to this time after the start
-	RestartShare        float64 // share of them
+	NoticeMs            float64 // the doors are notified of the start at times spread evenly up to this long after it
+	RestartMs           float64 // doors that restart do so at most this long after the start
+	RestartShare        float64 // share of the doors that restart
 	LatencyMs           float64
 	WindowMs            float64
 	OverloadMultiple    float64
@@ -32,16 +32,18 @@
 	at          float64
 	door        int
 	incarnation int
-	event       any // a gate.Event, or one of the kinds below
+	event       any // a gate.Event, or one of the types below
 }
 
+// Events of the simulation itself.
 type (
-	requestBurst   struct{} // requests of clients
-	doorRestart    struct{} // a door's process, anew
-	timerFired     struct{}
-	attemptArrival struct{ op, backend, number int }
+	requestBurst   struct{}                          // client requests arrive at the door
+	doorRestart    struct{}                          // the door's process starts anew
+	timerFired     struct{}                          // a timer set by the decider
+	attemptArrival struct{ op, backend, number int } // an attempt reaches its backend
 )
 
+// schedule is a heap of events by time.
 type schedule []scheduled
 
 func (d schedule) Len() int           { return len(d) }
@@ -58,19 +60,19 @@
 type door struct {
 	decider     gate.Decider
 	incarnation int
-	nextOp      int // handed out
-	attempts    []int
-	notifiedAt  float64 // clock at which it is told of the start
+	nextOp      int     // next request index
+	attempts    []int   // attempts sent so far, by request
+	notifiedAt  float64 // clock, ms, at which the door is notified of the start
 }
 
-// Terms are what a door of the day is told.
+// Terms returns the terms of a door.
 func (d *Simulation) Terms(number int) gate.Terms {
 	return gate.Terms{Doors: d.AssumedDoors, DoorNumber: number % max(1, d.AssumedDoors),
 		Classes: []gate.Class{{Contract: 10 * d.LatencyMs, Gain: 1}}, Plans: []gate.Plan{{Price: 1}},
 		MaxAttempts: 3, MayCancel: true, ColdCapacity: d.ColdCapacity, WarmupTime: d.WarmupMs, OverloadMultiple: d.OverloadMultiple, OverloadWindow: d.WindowMs}
 }
 
-// Run plays the day with doors that decide as New says, and has the checker count.
+// Run simulates the fleet with the given deciders, and has the checker count.
 func (d *Simulation) Run(c *Checker, decider func(number int, seed uint64) gate.Decider) {
 	random := rand.New(rand.NewPCG(d.Seed, 1))
 	exp := func(mean float64) float64 { return -mean * math.Log(1-random.Float64()) }
@@ -120,7 +122,7 @@
 	for len(all) > 0 && all[0].at < d.DurationMs {
 		n := heap.Pop(&all).(scheduled)
 		o := &doors[n.door]
-		if n.incarnation != 0 && n.incarnation != o.incarnation { // of a process that has ended
+		if n.incarnation != 0 && n.incarnation != o.incarnation { // the process that scheduled it has ended
 			continue
 		}
 		var events []gate.Event
--- a/lab/command/command.go
+++ b/lab/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the laboratory's command line.
+// Package command implements the laboratory's command line.
 package command
 
 import (
@@ -26,22 +26,22 @@
 	"github.com/swifthall/swifthall/lab/scenarios"
 )
 
-// New returns the command with all that is under it.
+// New returns the lab command with its subcommands.
 func New() *cobra.Command {
-	root := &cobra.Command{Use: "lab", Short: "The laboratory: play scenarios, compare, sweep, hunt, load", Args: cobra.NoArgs,
+	root := &cobra.Command{Use: "lab", Short: "The laboratory: run scenarios, compare, sweep, hunt, load", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	root.AddCommand(playCommand(), listCommand(), accountCommand(), tallyCommand(), compareCommand(), sweepCommand(), huntCommand(), loadCommand(), besideCommand(), proxyCommand(), procsCommand(), drillsCommand(), coordinatorsCommand(), rolloutsCommand(), migrationsCommand(), rehearseCommand())
 	return root
 }
 
-// Main runs the command and returns the exit code.
+// Main runs the command until it ends or a signal arrives, and returns the exit code.
 func Main(root *cobra.Command, errs io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	return cli.Main(ctx, root, errs)
 }
 
-// progressBar shows long work on a terminal or a log alike; it writes to standard error.
+// progressBar shows a progress bar on standard error, suited to terminals and logs.
 func progressBar(cmd *cobra.Command, what string) (update func(done, all float64), finish func()) {
 	const steps = 1000
 	b := progressbar.NewOptions(steps, progressbar.OptionSetWriter(cmd.ErrOrStderr()), progressbar.OptionSetDescription(what),
@@ -49,7 +49,7 @@
 	return func(done, all float64) { _ = b.Set(int(steps * done / max(1, all))) }, func() { _ = b.Finish() }
 }
 
-// openScenario opens a scenario and changes what the flags say.
+// openScenario opens a scenario and applies the --doors and --set flags.
 func openScenario(name string, doors int, sets []string) (*scenario.Scenario, error) {
 	s, err := scenarios.Open(name)
 	if err != nil {
@@ -76,10 +76,10 @@
 	var on, policy, out, door, logs string
 	var alone bool
 	var sets []string
-	cmd := &cobra.Command{Use: "play SCENARIO", Short: "Play a scenario's day and write its figures and a report", Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{Use: "play SCENARIO", Short: "Run a scenario and write its figures and a report", Args: cobra.ExactArgs(1),
 		ValidArgs: scenarios.Names(),
-		Long: "Plays a scenario, a file or the name of one that ships, and writes DIR/result.json and DIR/report.html.\n" +
-			"Beside it the floor, the textbook and the oracle play the same day, unless --alone. Exits with 4 if a rule broke.",
+		Long: "Runs a scenario, a file or the name of one that ships, and writes DIR/result.json and DIR/report.html.\n" +
+			"Unless --alone, the floor, textbook and oracle baselines run with the same seed, for a score. Exits with 4 if a rule broke.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := openScenario(args[0], doors, sets)
 			if err != nil {
@@ -117,19 +117,20 @@
 			return nil
 		}}
 	f := cmd.Flags()
-	f.Uint64Var(&seed, "seed", 1, "of the day; the same seed gives the same day")
-	f.IntVar(&doors, "doors", 0, "number of doors in place of the scenario's")
+	f.Uint64Var(&seed, "seed", 1, "seed of the run; the same seed gives the same run")
+	f.IntVar(&doors, "doors", 0, "number of doors, overriding the scenario")
 	f.StringVar(&on, "on", "sim", "sim or sockets")
 	f.StringVar(&policy, "policy", rival.Swifthall, strings.Join(rival.Names, ", "))
-	f.StringVar(&out, "out", "", "folder for the result and the report")
-	f.StringVar(&door, "door", "", "on sockets, the door's program; doors within the laboratory's process where empty")
-	f.StringVar(&logs, "logs", "", "on sockets, folder for the logs of the doors' programs")
-	f.BoolVar(&alone, "alone", false, "without floor, textbook and oracle beside it")
+	f.StringVar(&out, "out", "", "directory for the result and the report")
+	f.StringVar(&door, "door", "", "on sockets, the door's program; if empty, doors run within the laboratory's process")
+	f.StringVar(&logs, "logs", "", "on sockets, directory for the logs of the doors' programs")
+	f.BoolVar(&alone, "alone", false, "without the floor, textbook and oracle baselines")
 	f.StringArrayVar(&sets, "set", nil, "KEY=VALUE, a key of the scenario file such as load.share=0.7; may be repeated")
 	_ = cmd.MarkFlagRequired("out")
 	return cmd
 }
 
+// printSummary prints the score and the main figures of a run.
 func printSummary(w io.Writer, r *run.Result, took time.Duration) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s (%s, %s)\tseed %d, %d doors, %d backends, %g s, %d events, played in %.1f s\n", r.Scenario, r.On, r.Policy, r.Seed,
@@ -150,14 +151,14 @@
 }
 
 func accountCommand() *cobra.Command {
-	return &cobra.Command{Use: "account DIR", Short: "Say where the gain of a played day went: how much, when, at which doors", Args: cobra.ExactArgs(1),
+	return &cobra.Command{Use: "account DIR", Short: "Show where the gain of a run was lost: how much, when, at which doors", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			r, err := run.Load(args[0])
 			if err != nil {
 				return err
 			}
 			if r.Account == nil {
-				return &FileError{Path: args[0], Reason: "a day on sockets has no account"}
+				return &FileError{Path: args[0], Reason: "a run on sockets has no account"}
 			}
 			r.Account.Print(cmd.OutOrStdout())
 			return nil
@@ -191,9 +192,9 @@
 }
 
 func compareCommand() *cobra.Command {
-	return &cobra.Command{Use: "compare DIR DIR...", Short: "Set played days side by side, with the noise over their seeds", Args: cobra.MinimumNArgs(2),
-		Long: "Each DIR holds one day, or many below it (as sweep leaves them). Days are paired by seed; a difference of over two\n" +
-			"standard errors is marked with *. One pair has no noise to tell.",
+	return &cobra.Command{Use: "compare DIR DIR...", Short: "Compare results, with the noise over their seeds", Args: cobra.MinimumNArgs(2),
+		Long: "Each DIR holds one result, or many below it (as sweep writes them). Results are paired by seed; a difference of over two\n" +
+			"standard errors is marked with *. A single pair gives no estimate of the noise.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			first, err := run.LoadAll(args[0])
 			if err != nil {
@@ -231,7 +232,7 @@
 	var seeds, jobs int
 	var key, out string
 	var values, policies, sets []string
-	cmd := &cobra.Command{Use: "sweep SCENARIO", Short: "Play a scenario over seeds, or over the values of one key, on all cores",
+	cmd := &cobra.Command{Use: "sweep SCENARIO", Short: "Run a scenario over seeds, or over the values of one key, on all cores",
 		Args: cobra.ExactArgs(1), ValidArgs: scenarios.Names(),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := openScenario(args[0], 0, sets)
@@ -269,12 +270,12 @@
 			return nil
 		}}
 	f := cmd.Flags()
-	f.IntVar(&seeds, "seeds", 8, "how many, from 1 on")
-	f.IntVar(&jobs, "jobs", 0, "days at once; 0 for one a core")
+	f.IntVar(&seeds, "seeds", 8, "number of seeds, starting at 1")
+	f.IntVar(&jobs, "jobs", 0, "parallel runs; 0 for one per core")
 	f.StringVar(&key, "key", "", "key of the scenario file to sweep, such as load.share or fault[0].much")
 	f.StringSliceVar(&values, "values", nil, "its values; a span is written 0.5:2")
 	f.StringSliceVar(&policies, "policy", []string{rival.Swifthall}, strings.Join(rival.Names, ", "))
-	f.StringVar(&out, "out", "", "folder for every day's figures")
+	f.StringVar(&out, "out", "", "directory for the figures of every run")
 	f.StringArrayVar(&sets, "set", nil, "KEY=VALUE of the scenario file; may be repeated")
 	return cmd
 }
@@ -284,7 +285,7 @@
 	var doors int
 	var sets []string
 	var out string
-	cmd := &cobra.Command{Use: "hunt SCENARIO", Short: "Search the faults for the worst day or a broken rule, cut it down, write it as a scenario",
+	cmd := &cobra.Command{Use: "hunt SCENARIO", Short: "Search for the worst fault schedule or a broken rule, shrink it, and write it as a scenario",
 		Args: cobra.ExactArgs(1), ValidArgs: scenarios.Names(),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := openScenario(args[0], doors, sets)
@@ -313,15 +314,15 @@
 			return nil
 		}}
 	f := cmd.Flags()
-	f.Uint64Var(&h.Seed, "seed", 1, "of the hunt")
-	f.IntVar(&h.Runs, "days", 200, "to be played while searching")
-	f.IntVar(&h.MaxFaults, "faults", 3, "of a schedule at most")
-	f.BoolVar(&h.RulesOnly, "rules", false, "look for a broken rule only")
+	f.Uint64Var(&h.Seed, "seed", 1, "seed of the search")
+	f.IntVar(&h.Runs, "days", 200, "number of runs for the search")
+	f.IntVar(&h.MaxFaults, "faults", 3, "maximum per schedule")
+	f.BoolVar(&h.RulesOnly, "rules", false, "search for broken rules only")
 	f.StringSliceVar(&h.Kinds, "only", nil, "kinds of fault to try")
 	f.StringVar(&h.Policy, "policy", rival.Swifthall, strings.Join(rival.Names, ", "))
 	f.StringVar(&out, "out", "found.toml", "file for the scenario")
-	f.IntVar(&doors, "doors", 0, "number of doors in place of the scenario's")
+	f.IntVar(&doors, "doors", 0, "number of doors, overriding the scenario")
 	f.StringArrayVar(&sets, "set", nil, "KEY=VALUE of the scenario file; may be repeated")
-	f.IntVar(&h.Jobs, "jobs", 0, "days at once; 0 for one a core")
+	f.IntVar(&h.Jobs, "jobs", 0, "parallel runs; 0 for one per core")
 	return cmd
 }
--- a/lab/command/drills.go
+++ b/lab/command/drills.go
@@ -15,7 +15,7 @@
 	"github.com/swifthall/swifthall/lab/procs/check"
 )
 
-// defaultBinary names the program that lies beside this one, where a flag has named none.
+// defaultBinary sets an empty path to the swifthall program next to this one.
 func defaultBinary(binary *string) error {
 	if *binary != "" {
 		return nil
@@ -32,9 +32,9 @@
 	var d procs.Drill
 	var seeds, jobs int
 	var out string
-	cmd := &cobra.Command{Use: "drills", Short: "Play drains on real coordinators and doors, under faults drawn from the seed", Args: cobra.NoArgs,
-		Long: "Starts coordinators, doors, stand-in backends and clients; operators drain and bring back by the command line while coordinators and\n" +
-			"doors are stopped, killed, cut off, and lose their disks. Judges by what truly was. Exits with 4 if a rule broke.",
+	cmd := &cobra.Command{Use: "drills", Short: "Run drains on real coordinators and doors, under faults drawn from the seed", Args: cobra.NoArgs,
+		Long: "Starts coordinators, doors, stand-in backends and clients; operators drain and undrain by the command line while coordinators and\n" +
+			"doors are paused, killed, cut off, and lose their disks. The checks use what really happened. Exits with 4 if a rule broke.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 {
 				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Reason: "at least one is wanted"}
@@ -92,22 +92,22 @@
 			return nil
 		}}
 	f := cmd.Flags()
-	f.Uint64Var(&d.Seed, "seed", 1, "of the first drill")
-	f.IntVar(&seeds, "seeds", 1, "how many drills")
-	f.Float64Var(&d.Seconds, "seconds", 20, "of each")
-	f.IntVar(&d.Doors, "doors", 8, "doors")
-	f.IntVar(&d.Coordinators, "coordinators", 3, "coordinators")
-	f.Float64Var(&d.Rate, "rate", 20, "operations a second that clients ask of each door that nothing befalls")
-	f.StringVar(&d.Strike, "strike", "", "none, one, leader or all: which coordinators are lost, in place of strikes drawn from the seed")
-	f.StringVar(&d.Binary, "door", "", "the program; swifthall beside this one where empty")
-	f.StringVar(&out, "out", "", "folder for logs and results")
-	f.IntVar(&jobs, "jobs", 1, "drills at once")
+	f.Uint64Var(&d.Seed, "seed", 1, "seed of the first drill")
+	f.IntVar(&seeds, "seeds", 1, "number of drills")
+	f.Float64Var(&d.Seconds, "seconds", 20, "length of each drill")
+	f.IntVar(&d.Doors, "doors", 8, "number of doors")
+	f.IntVar(&d.Coordinators, "coordinators", 3, "number of coordinators")
+	f.Float64Var(&d.Rate, "rate", 20, "requests per second that clients send to each door without a fault")
+	f.StringVar(&d.Strike, "strike", "", "none, one, leader or all: which coordinators are lost, in place of faults drawn from the seed")
+	f.StringVar(&d.Binary, "door", "", "the program; by default swifthall next to this program")
+	f.StringVar(&out, "out", "", "directory for logs and results")
+	f.IntVar(&jobs, "jobs", 1, "parallel drills")
 	return cmd
 }
 
 func coordinatorsCommand() *cobra.Command {
 	var p procs.Pace
-	cmd := &cobra.Command{Use: "coordinators", Short: "Measure coordinators: permits a second, and how long it is until another leads", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "coordinators", Short: "Measure coordinators: permits per second, and the time until a new leader takes over", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := defaultBinary(&p.Binary); err != nil {
 				return err
@@ -121,21 +121,21 @@
 			return nil
 		}}
 	f := cmd.Flags()
-	f.IntVar(&p.Coordinators, "coordinators", 3, "coordinators")
-	f.IntVar(&p.Callers, "callers", 16, "that ask at once")
-	f.Float64Var(&p.Seconds, "seconds", 5, "of asking")
-	f.IntVar(&p.Kills, "kills", 10, "of whichever leads")
-	f.BoolVar(&p.NoSync, "no-sync", false, "don't wait for disks")
-	f.StringVar(&p.Binary, "door", "", "the program; swifthall beside this one where empty")
-	f.StringVar(&p.Logs, "logs", "", "folder for logs")
+	f.IntVar(&p.Coordinators, "coordinators", 3, "number of coordinators")
+	f.IntVar(&p.Callers, "callers", 16, "concurrent callers")
+	f.Float64Var(&p.Seconds, "seconds", 5, "length of the measurement")
+	f.IntVar(&p.Kills, "kills", 10, "how often the leader is killed")
+	f.BoolVar(&p.NoSync, "no-sync", false, "do not wait for disk writes")
+	f.StringVar(&p.Binary, "door", "", "the program; by default swifthall next to this program")
+	f.StringVar(&p.Logs, "logs", "", "directory for logs")
 	return cmd
 }
 
 func rolloutsCommand() *cobra.Command {
 	var p procs.Rollout
 	var jobs int
-	cmd := &cobra.Command{Use: "rollouts [KIND...]", Short: "Play releases on real coordinators and doors, with clients at every door",
-		Long: "Each KIND is a release that goes well or doesn't; all where none is named. Exits with 4 if a rule broke.",
+	cmd := &cobra.Command{Use: "rollouts [KIND...]", Short: "Run releases on real coordinators and doors, with clients at every door",
+		Long: "Each KIND is a release that succeeds or fails; by default all. Exits with 4 if a rule broke.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := defaultBinary(&p.Binary); err != nil {
 				return err
@@ -180,13 +180,13 @@
 			return nil
 		}}
 	f := cmd.Flags()
-	f.Uint64Var(&p.Seed, "seed", 1, "of clients and wrong clocks")
-	f.IntVar(&p.Doors, "doors", 6, "doors")
-	f.IntVar(&p.Coordinators, "coordinators", 3, "coordinators")
-	f.Float64Var(&p.Rate, "rate", 60, "operations a second that clients ask of each door")
-	f.StringVar(&p.Binary, "door", "", "the program; swifthall beside this one where empty")
-	f.StringVar(&p.Logs, "logs", "", "folder for logs")
-	f.IntVar(&jobs, "jobs", 1, "releases at once")
+	f.Uint64Var(&p.Seed, "seed", 1, "seed for clients and wrong clocks")
+	f.IntVar(&p.Doors, "doors", 6, "number of doors")
+	f.IntVar(&p.Coordinators, "coordinators", 3, "number of coordinators")
+	f.Float64Var(&p.Rate, "rate", 60, "requests per second that clients send to each door")
+	f.StringVar(&p.Binary, "door", "", "the program; by default swifthall next to this program")
+	f.StringVar(&p.Logs, "logs", "", "directory for logs")
+	f.IntVar(&jobs, "jobs", 1, "parallel releases")
 	return cmd
 }
 
@@ -194,9 +194,9 @@
 	var p procs.Migration
 	var seeds, jobs int
 	var steps []int
-	cmd := &cobra.Command{Use: "migrations", Short: "Play the move to another shape as a migration of the calendar, on real processes", Args: cobra.NoArgs,
-		Long: "The move of docs/migration.md in three steps, with clients at every door, while coordinators are killed, stopped and cut off and one of\n" +
-			"their clocks is ten minutes ahead: whole, and halted at each step and taken back. Exits with 4 if a rule broke.",
+	cmd := &cobra.Command{Use: "migrations", Short: "Run the move of docs/migration.md as a calendar migration, on real processes", Args: cobra.NoArgs,
+		Long: "The move has three steps, with clients at every door, while coordinators are killed, paused and cut off and one of\n" +
+			"their clocks is ten minutes ahead: completely, and halted at each step and reverted. Exits with 4 if a rule broke.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 {
 				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Reason: "at least one is wanted"}
@@ -244,15 +244,15 @@
 			return nil
 		}}
 	f := cmd.Flags()
-	f.Uint64Var(&p.Seed, "seed", 1, "of clients, clocks and strikes")
-	f.IntVar(&seeds, "seeds", 1, "seeds from there on")
-	f.IntSliceVar(&steps, "halt", []int{0, 1, 2, 3}, "steps at which it is halted and taken back; 0 for the whole")
-	f.IntVar(&p.Doors, "doors", 6, "doors")
-	f.IntVar(&p.Coordinators, "coordinators", 3, "coordinators")
-	f.Float64Var(&p.Rate, "rate", 60, "operations a second that clients ask of each door")
-	f.BoolVar(&p.Quiet, "quiet", false, "nothing strikes")
-	f.StringVar(&p.Binary, "door", "", "the program; swifthall beside this one where empty")
-	f.StringVar(&p.Logs, "logs", "", "folder for logs")
-	f.IntVar(&jobs, "jobs", 1, "plays at once")
+	f.Uint64Var(&p.Seed, "seed", 1, "seed for clients, clocks and faults")
+	f.IntVar(&seeds, "seeds", 1, "number of seeds, counting up from --seed")
+	f.IntSliceVar(&steps, "halt", []int{0, 1, 2, 3}, "steps at which it is halted and reverted; 0 for a complete run")
+	f.IntVar(&p.Doors, "doors", 6, "number of doors")
+	f.IntVar(&p.Coordinators, "coordinators", 3, "number of coordinators")
+	f.Float64Var(&p.Rate, "rate", 60, "requests per second that clients send to each door")
+	f.BoolVar(&p.Quiet, "quiet", false, "without faults")
+	f.StringVar(&p.Binary, "door", "", "the program; by default swifthall next to this program")
+	f.StringVar(&p.Logs, "logs", "", "directory for logs")
+	f.IntVar(&jobs, "jobs", 1, "parallel runs")
 	return cmd
 }
--- a/lab/command/errors.go
+++ b/lab/command/errors.go
@@ -7,11 +7,11 @@
 	"github.com/swifthall/swifthall/lab/judge"
 )
 
-// BrokenError is the end of a day on which a rule broke.
+// BrokenError is a run that broke a rule.
 type BrokenError struct {
 	Rule  judge.Rule
-	Times int    // 0 where not counted
-	First string // the first breach in words
+	Times int    // 0 if not counted
+	First string // description of the first breach
 }
 
 func (e *BrokenError) Error() string {
@@ -22,14 +22,14 @@
 }
 func (e *BrokenError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names where the breaches stand.
+// Remedy names where the breaches are listed.
 func (e *BrokenError) Remedy() string {
-	return "Look at \"breaches\" in result.json for when and where; the same seed breaks it again."
+	return "\"breaches\" in result.json lists when and where; the same seed reproduces it."
 }
 
-// FlagError is a flag whose value can't be used.
+// FlagError is a flag with an invalid value.
 type FlagError struct {
-	Flag   string // with its value, where that helps
+	Flag   string // with its value if that helps
 	Reason string
 	Cause  error
 }
@@ -43,7 +43,7 @@
 	return fmt.Sprintf("Give %s a value that the command's --help allows.", e.Flag)
 }
 
-// FileError is a file or folder that a command needs or writes.
+// FileError is a file or directory that a command can't read or write.
 type FileError struct {
 	Path   string
 	Reason string
@@ -61,21 +61,21 @@
 
 // Remedy names the file.
 func (e *FileError) Remedy() string {
-	return fmt.Sprintf("Check that %s is there, is what the command's --help asks for, and may be read or written.", e.Path)
+	return fmt.Sprintf("Check that %s exists, is what the command's --help asks for, and can be read or written.", e.Path)
 }
 
-// KneeError is a search for the knee whose first rate was too high.
+// KneeError is a search for the knee whose first rate was already too high.
 type KneeError struct{ Rate float64 }
 
-func (e *KneeError) Error() string     { return "the first rate did not hold: begin with a lower --rate" }
+func (e *KneeError) Error() string     { return "the first rate did not hold: start with a lower --rate" }
 func (e *KneeError) Kind() remedy.Kind { return remedy.Usage }
 
-// Remedy names the rate that was too high.
+// Remedy names the rate.
 func (e *KneeError) Remedy() string {
 	return fmt.Sprintf("Give a --rate under %g, or a longer --p99.", e.Rate)
 }
 
-// ScheduleError is a schedule of faults between doors on which a rule broke.
+// ScheduleError is a fault schedule on which a rule was broken.
 type ScheduleError struct {
 	Schedule string
 	Seed     uint64
@@ -89,18 +89,18 @@
 }
 func (e *ScheduleError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names the command that shows it.
+// Remedy names the command that reproduces it.
 func (e *ScheduleError) Remedy() string {
-	return fmt.Sprintf("Look at the timeline: swifthall lab procs %s --seed %d --out DIR, then DIR's report.html; schedule.toml there plays it again.", e.Schedule, e.Seed)
+	return fmt.Sprintf("Look at the timeline: swifthall lab procs %s --seed %d --out DIR, then DIR's report.html; schedule.toml there reproduces it.", e.Schedule, e.Seed)
 }
 
-// RehearsalError is a rehearsal on which a rule broke.
+// RehearsalError is a rehearsal that broke a rule.
 type RehearsalError struct{ Broken string }
 
 func (e *RehearsalError) Error() string     { return "rules broke at " + e.Broken }
 func (e *RehearsalError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy says what to look at.
+// Remedy names what to check and change.
 func (e *RehearsalError) Remedy() string {
-	return "Don't do it so: play the scenario by itself with swifthall lab play, and give the step fewer units at once with --most-out."
+	return "Do not run the migration this way: try the scenario by itself with swifthall lab play, and allow fewer units out at once with --most-out."
 }
--- a/lab/command/load.go
+++ b/lab/command/load.go
@@ -14,14 +14,14 @@
 	"github.com/swifthall/swifthall/lab/stand"
 )
 
-// checkLoopback tells whether an address is on this machine.
+// checkLoopback returns an error for an address that is not on this machine.
 func checkLoopback(target string) error {
 	host, _, err := net.SplitHostPort(target)
 	if err != nil {
 		return &FlagError{Flag: "--target", Cause: err}
 	}
 	if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-		return &FlagError{Flag: "--target " + target, Reason: "is not on this machine; --anywhere loads it all the same"}
+		return &FlagError{Flag: "--target " + target, Reason: "is not on this machine; --anywhere allows it"}
 	}
 	return nil
 }
@@ -34,7 +34,7 @@
 	var knee, anywhere bool
 	cmd := &cobra.Command{Use: "load", Short: "Load a door, or any HTTP/1.1 server, open-loop: at a fixed rate, or up to its knee", Args: cobra.NoArgs,
 		Long: "Operations start when they are due and each latency counts from then (no coordinated omission).\n" +
-			"--knee raises the rate until the p99 is over --p99 or under --least of the operations are finished, then halves the gap.",
+			"--knee raises the rate until the p99 exceeds --p99 or the share of finished operations falls below --least, then bisects.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := checkLoopback(r.Target); err != nil && !anywhere {
 				return err
@@ -93,26 +93,27 @@
 	f := cmd.Flags()
 	f.StringVar(&r.Target, "target", "127.0.0.1:8000", "host:port")
 	f.BoolVar(&anywhere, "anywhere", false, "load a machine other than this one")
-	f.Float64Var(&r.Rate, "rate", 100, "operations a second; with --knee, where the search begins")
-	f.DurationVar(&r.For, "for", 10*time.Second, "how long, of one step with --knee")
-	f.IntVar(&r.Conns, "conns", 64, "connections at most")
-	f.BoolVar(&r.Poisson, "poisson", true, "random gaps in place of even ones")
-	f.DurationVar(&r.Patience, "patience", 5*time.Second, "after which an operation has failed")
-	f.Uint64Var(&r.Seed, "seed", 1, "of gaps, customers and ids")
-	f.BoolVar(&knee, "knee", false, "search the highest rate that holds")
-	f.DurationVar(&k.P99, "p99", 100*time.Millisecond, "that a rate must keep")
-	f.Float64Var(&k.Least, "least", 0.99, "share of the operations that must be finished")
-	f.IntVar(&k.Steps, "steps", 5, "halvings of the gap")
-	f.StringVar(&d.Class, "profile", "look", "of the operations")
-	f.StringVar(&d.Plan, "plan", "basic", "of the customers")
-	f.BoolVar(&d.Keyed, "tokened", false, "operations carry a mark")
-	f.IntVar(&d.Customers, "customers", 100, "that the operations are dealt out to")
-	f.IntVar(&d.Wait, "wait", 1000, "ms that clients wait")
-	f.StringVar(&path, "path", "", "plain GET of this path in place of a door's operations")
-	f.StringVar(&hist, "hist", "", "file for the latency's percentiles, ms")
+	f.Float64Var(&r.Rate, "rate", 100, "operations per second; with --knee, the first rate of the search")
+	f.DurationVar(&r.For, "for", 10*time.Second, "duration; with --knee, of one step")
+	f.IntVar(&r.Conns, "conns", 64, "maximum number of connections")
+	f.BoolVar(&r.Poisson, "poisson", true, "random intervals (Poisson) instead of even ones")
+	f.DurationVar(&r.Patience, "patience", 5*time.Second, "timeout of an operation")
+	f.Uint64Var(&r.Seed, "seed", 1, "seed for intervals, customers and ids")
+	f.BoolVar(&knee, "knee", false, "search for the highest rate that holds")
+	f.DurationVar(&k.P99, "p99", 100*time.Millisecond, "highest p99 at which a rate holds")
+	f.Float64Var(&k.Least, "least", 0.99, "share of the operations that must finish")
+	f.IntVar(&k.Steps, "steps", 5, "bisection steps")
+	f.StringVar(&d.Class, "profile", "look", "profile of the operations")
+	f.StringVar(&d.Plan, "plan", "basic", "plan of the customers")
+	f.BoolVar(&d.Keyed, "tokened", false, "operations carry an idempotency key")
+	f.IntVar(&d.Customers, "customers", 100, "number of customers")
+	f.IntVar(&d.Wait, "wait", 1000, "deadline of clients, ms")
+	f.StringVar(&path, "path", "", "plain GET of this path instead of a door's operations")
+	f.StringVar(&hist, "hist", "", "file for the latency percentiles, ms")
 	return cmd
 }
 
+// besideCommand compares a door with the standard library's reverse proxy.
 func besideCommand() *cobra.Command {
 	var b stand.Beside
 	cmd := &cobra.Command{Use: "beside", Short: "Load a door and the standard library's reverse proxy side by side, on one core", Args: cobra.NoArgs,
@@ -145,18 +146,19 @@
 			return nil
 		}}
 	f := cmd.Flags()
-	f.StringVar(&b.Binary, "door", "", "the door's program; swifthall beside this one where empty")
-	f.Float64SliceVar(&b.Rates, "rates", []float64{500, 1000, 2000, 4000}, "operations a second")
-	f.DurationVar(&b.For, "for", 4*time.Second, "of one turn")
-	f.IntVar(&b.Rounds, "rounds", 3, "turns of each at each rate")
-	f.IntVar(&b.Conns, "conns", 64, "connections at most")
-	f.DurationVar(&b.Knee.P99, "p99", 20*time.Millisecond, "that the knee must keep")
-	f.Float64Var(&b.Knee.Least, "least", 0.99, "share that must be finished at the knee")
-	f.IntVar(&b.Knee.Steps, "steps", 5, "halvings of the gap at the knee")
-	f.Float64Var(&b.Knee.Run.Rate, "from", 1000, "rate where the search for the knee begins")
+	f.StringVar(&b.Binary, "door", "", "the door's program; by default swifthall next to this program")
+	f.Float64SliceVar(&b.Rates, "rates", []float64{500, 1000, 2000, 4000}, "operations per second")
+	f.DurationVar(&b.For, "for", 4*time.Second, "duration of one turn")
+	f.IntVar(&b.Rounds, "rounds", 3, "turns of each server at each rate")
+	f.IntVar(&b.Conns, "conns", 64, "maximum number of connections")
+	f.DurationVar(&b.Knee.P99, "p99", 20*time.Millisecond, "highest p99 at the knee")
+	f.Float64Var(&b.Knee.Least, "least", 0.99, "share of the operations that must finish at the knee")
+	f.IntVar(&b.Knee.Steps, "steps", 5, "bisection steps for the knee")
+	f.Float64Var(&b.Knee.Run.Rate, "from", 1000, "first rate of the knee search")
 	return cmd
 }
 
+// proxyCommand is the reverse proxy that besideCommand starts as a process of its own.
 func proxyCommand() *cobra.Command {
 	return &cobra.Command{Use: "proxy LISTEN BACKEND...", Hidden: true, Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/lab/command/procs.go
+++ b/lab/command/procs.go
@@ -22,10 +22,10 @@
 	var on, who, door, out, logs string
 	var random, rate float64
 	var list, plain bool
-	cmd := &cobra.Command{Use: "procs [SCHEDULE...]", Short: "Play schedules of faults between the doors of a fleet, in virtual time or on processes",
-		Long: "Plays each SCHEDULE, a file or the name of one that ships (all where none is named), and judges what the doors held of each other.\n" +
-			"--on sim plays the membership module in virtual time, --on processes real doors with a relay for each directed pair of them.\n" +
-			"With --out each play leaves result.json, report.html with a timeline, and schedule.toml that plays it again. Exits with 4 if a rule broke.",
+	cmd := &cobra.Command{Use: "procs [SCHEDULE...]", Short: "Run fault schedules between the doors of a fleet, in virtual time or on processes",
+		Long: "Runs each SCHEDULE, a file or the name of one that ships (by default all), and checks what the doors concluded about each other.\n" +
+			"--on sim runs the membership module in virtual time, --on processes real doors with a relay for each directed pair of them.\n" +
+			"With --out each run writes result.json, report.html with a timeline, and schedule.toml that reproduces it. Exits with 4 if a rule broke.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if list {
 				for _, name := range procs.Names() {
@@ -116,17 +116,17 @@
 	f := cmd.Flags()
 	f.BoolVar(&list, "list", false, "list the schedules that ship")
 	f.StringVar(&on, "on", "sim", "sim or processes")
-	f.StringVar(&who, "who", "module", "module, or heartbeats with a fixed time-out to compare with")
-	f.Uint64Var(&seed, "seed", 1, "of the first play")
-	f.IntVar(&seeds, "seeds", 1, "how many plays of each")
-	f.IntVar(&doors, "doors", 0, "number of doors in place of the schedule's")
-	f.Float64Var(&random, "random", 0, "play a schedule drawn from the seed as well, of so many seconds")
-	f.StringVar(&door, "door", "", "the door's program; swifthall beside this one where empty")
-	f.Float64Var(&rate, "rate", 20, "operations a second that clients ask of each door; on processes")
-	f.BoolVar(&plain, "plain", false, "doors without a fleet, to see what membership costs; on processes")
-	f.StringVar(&out, "out", "", "folder for each play's result, report and schedule")
-	f.StringVar(&logs, "logs", "", "folder for the processes' logs")
-	f.IntVar(&jobs, "jobs", 0, "plays at once; 0 for one a core, or one on processes")
+	f.StringVar(&who, "who", "module", "module, or heartbeats with a fixed timeout for comparison")
+	f.Uint64Var(&seed, "seed", 1, "seed of the first run")
+	f.IntVar(&seeds, "seeds", 1, "number of runs of each schedule")
+	f.IntVar(&doors, "doors", 0, "number of doors, overriding the schedule")
+	f.Float64Var(&random, "random", 0, "also run a schedule drawn from the seed, of this many seconds")
+	f.StringVar(&door, "door", "", "the door's program; by default swifthall next to this program")
+	f.Float64Var(&rate, "rate", 20, "requests per second that clients send to each door; on processes")
+	f.BoolVar(&plain, "plain", false, "doors without a fleet, to measure what membership costs; on processes")
+	f.StringVar(&out, "out", "", "directory for each run's result, report and schedule")
+	f.StringVar(&logs, "logs", "", "directory for the processes' logs")
+	f.IntVar(&jobs, "jobs", 0, "parallel runs; 0 for one per core, or a single one on processes")
 	cmd.PreRun = func(*cobra.Command, []string) {
 		if jobs == 0 {
 			if jobs = 1; on == "sim" {
@@ -137,7 +137,7 @@
 	return cmd
 }
 
-// runParallel plays plays, so many at once, and tells of each as it ends, in order.
+// runParallel runs plays, at most limit at once, and reports each result in order. It stops at the first error.
 func runParallel[P, R any](ctx context.Context, plays []P, limit int, play func(P, context.Context) (R, error), report func(P, R) error) error {
 	type outcome struct {
 		r   R
--- a/lab/command/rehearse.go
+++ b/lab/command/rehearse.go
@@ -16,10 +16,10 @@
 	var sets []string
 	var seed uint64
 	var seeds, maxOut, jobs int
-	cmd := &cobra.Command{Use: "rehearse FILE", Short: "Play a migration on a scenario, simulated, and tell what it would cost", Args: cobra.ExactArgs(1),
-		Long: "FILE is a migration as swifthall migrate takes it, --scenario the site's own scenario file or the name of one that ships. Plays the\n" +
-			"day as it is, with each step alone, and with all of them. Times are compressed into the scenario's day, steps one after the\n" +
-			"other; what people do by hand is not played. Exits with 4 if a rule broke.",
+	cmd := &cobra.Command{Use: "rehearse FILE", Short: "Simulate a migration on a scenario and estimate what it would cost", Args: cobra.ExactArgs(1),
+		Long: "FILE is a migration as swifthall migrate accepts it, --scenario the site's own scenario file or the name of one that ships. Runs the\n" +
+			"scenario as it is, with each step alone, and with all of them. Times are compressed into the scenario's length, steps one after the\n" +
+			"other; manual steps are not simulated. Exits with 4 if a rule broke.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if seeds < 1 || maxOut < 1 {
 				return &FlagError{Flag: fmt.Sprintf("--seeds %d --most-out %d", seeds, maxOut), Reason: "at least one of each is wanted"}
@@ -61,12 +61,12 @@
 			return nil
 		}}
 	f := cmd.Flags()
-	f.StringVar(&name, "scenario", "calm", "the site's scenario file, or one of those that ship")
+	f.StringVar(&name, "scenario", "calm", "the site's scenario file, or the name of one that ships")
 	f.StringArrayVar(&sets, "set", nil, "KEY=VALUE, a key of the scenario file such as fleet.doors=30; may be repeated")
-	f.Uint64Var(&seed, "seed", 1, "of the first day")
-	f.IntVar(&seeds, "seeds", 3, "seeds from there on")
-	f.IntVar(&maxOut, "most-out", 2, "that may be out at once, as the budgets have it")
-	f.IntVar(&jobs, "jobs", 0, "days at once; as many as there are cores where 0")
+	f.Uint64Var(&seed, "seed", 1, "seed of the first run")
+	f.IntVar(&seeds, "seeds", 3, "number of seeds, counting up from --seed")
+	f.IntVar(&maxOut, "most-out", 2, "units that may be out at once, as the budgets allow")
+	f.IntVar(&jobs, "jobs", 0, "parallel runs; 0 for one per core")
 	_ = cmd.RegisterFlagCompletionFunc("scenario", cobra.FixedCompletions(scenarios.Names(), cobra.ShellCompDirectiveDefault))
 	return cmd
 }
--- a/lab/command/tally.go
+++ b/lab/command/tally.go
@@ -12,9 +12,9 @@
 
 func tallyCommand() *cobra.Command {
 	return &cobra.Command{Use: "tally DIR|LOG...",
-		Short: "Add up the accounts in the logs of a fleet's doors: operations arrived, sent, rejected and scrapped by cause",
+		Short: "Add up the accounts in the logs of a fleet's doors: operations arrived, sent, rejected and failed by cause",
 		Long: "Reads each LOG, or every *.log in DIR, as one door's log, and adds up the accounts that doors write every " +
-			"5 s: over the whole day and for each window of the doors' own clocks.",
+			"5 s: in total and for each window of the doors' own clocks.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			logs, err := expandLogs(args)
@@ -32,7 +32,7 @@
 		}}
 }
 
-// expandLogs lists the logs that the arguments name: files as they are, and the *.log files of a folder.
+// expandLogs returns the logs that the arguments name: files as they are, and the *.log files of a directory.
 func expandLogs(args []string) ([]string, error) {
 	var logs []string
 	for _, a := range args {
@@ -56,6 +56,7 @@
 	return logs, nil
 }
 
+// addDoorLog adds the log of one door to the tally.
 func addDoorLog(f *tally.Fleet, name string) error {
 	r, err := os.Open(name)
 	if err != nil {
--- a/lab/rehearse/errors.go
+++ b/lab/rehearse/errors.go
@@ -9,15 +9,15 @@
 // StepsError is a migration without steps.
 type StepsError struct{}
 
-func (e *StepsError) Error() string     { return "there are no steps to rehearse" }
+func (e *StepsError) Error() string     { return "no steps to rehearse" }
 func (e *StepsError) Kind() remedy.Kind { return remedy.Configuration }
 
 // Remedy names the key.
 func (e *StepsError) Remedy() string {
-	return "Write the steps under \"steps\", as examples/migration.json has them."
+	return "List the steps under \"steps\", as in examples/migration.json."
 }
 
-// ActionError is a step whose key "do" can't be read.
+// ActionError is a step whose key "do" is invalid.
 type ActionError struct {
 	Step  int
 	Cause error
@@ -29,21 +29,21 @@
 func (e *ActionError) Unwrap() error     { return e.Cause }
 func (e *ActionError) Kind() remedy.Kind { return remedy.Configuration }
 
-// Remedy says what is wanted.
+// Remedy names the valid actions.
 func (e *ActionError) Remedy() string {
-	return "One of drain, release and manual is wanted, as docs/calendar.md tells."
+	return "Use one of drain, release and manual, as described in docs/calendar.md."
 }
 
-// ScenarioError is a scenario whose day has no room for what is rehearsed.
+// ScenarioError is a scenario into which the faults of the rehearsal can't be inserted.
 type ScenarioError struct{ Cause error }
 
 func (e *ScenarioError) Error() string {
-	return remedy.WithCause("the steps on the scenario's day", e.Cause)
+	return remedy.WithCause("inserting the steps into the scenario", e.Cause)
 }
 func (e *ScenarioError) Unwrap() error     { return e.Cause }
 func (e *ScenarioError) Kind() remedy.Kind { return remedy.Configuration }
 
-// Remedy says what to change.
+// Remedy names what to change.
 func (e *ScenarioError) Remedy() string {
-	return "Take a scenario without faults of the same kind, as --scenario calm, or a longer day with --set day.seconds=120."
+	return "Use a scenario without faults of the same kinds, such as --scenario calm, or a longer run with --set day.seconds=120."
 }
--- a/lab/rehearse/rehearse.go
+++ b/lab/rehearse/rehearse.go
@@ -1,4 +1,4 @@
-// Package rehearse plays the changes of a migration in virtual time, on the site's own scenario, and tells what they would cost.
+// Package rehearse estimates what a migration would cost, by simulating its steps as faults of the site's own scenario.
 package rehearse
 
 import (
@@ -16,21 +16,21 @@
 )
 
 const (
-	leadShare   = 0.1  // share of the day before the first step, in which doors come to know the fleet,
-	tailShare   = 0.1  // and after the last, in which the fleet comes back
-	activeShare = 0.8  // share of a step's part of the day in which it goes; the rest is for its last units to come back
-	doorDownS   = 1.0  // s that a door is away while it changes: the holder has its listener, its answer comes a start later
-	perRequests = 1000 // operations that figures are told for
+	leadShare   = 0.1  // share of the run before the first step, in which the doors get to know the fleet
+	tailShare   = 0.1  // share of the run after the last step, in which the fleet recovers
+	activeShare = 0.8  // share of a step's time in which its units change; in the rest the last of them return
+	doorDownS   = 1.0  // s that a changing door is down; in reality its holder process keeps the listener open and answers are late by one start
+	perRequests = 1000 // Estimate.Late and Unserved are per this many requests
 )
 
-// Step is a step of a migration, as the laboratory has it.
+// Step is a step of a migration, and the fault that simulates it.
 type Step struct {
 	Name   string
-	Fault  *scenario.Fault // nil where nothing of it can be played
-	Detail string          // what is played, or why nothing is
+	Fault  *scenario.Fault // nil if the step can't be simulated
+	Detail string          // what is simulated, or why nothing is
 }
 
-// Steps words the steps as faults of a scenario's day, one after the other. Places are what may be out at once.
+// Steps converts the steps to faults of the scenario, one after the other. At most maxOut units are out at once.
 func Steps(s *scenario.Scenario, entries []planfile.Entry, maxOut int) (steps []Step, err error) {
 	if len(entries) == 0 {
 		return nil, &StepsError{}
@@ -62,7 +62,7 @@
 			doors(1)
 		case do.Drain != nil && do.Drain.Kind == permits.Backend:
 			backends(1, drainSeconds(do.Drain, part))
-		case do.Drain != nil: // a zone goes whole; its doors go on sending to the others
+		case do.Drain != nil: // a whole zone; its doors keep sending to the other zones
 			f.MostOut, f.Batches = 0, 1
 			f.Zone = new(int)
 			f.Kind, f.Much, f.Share = "replace", math.Min(drainSeconds(do.Drain, part), part*activeShare/2), 1
@@ -75,7 +75,7 @@
 	return steps, nil
 }
 
-// drainSeconds is for how long a drain lasts in a day that is far shorter than the real one.
+// drainSeconds returns how long a drain lasts; one without a duration lasts for the step's time.
 func drainSeconds(d *permits.DrainAction, part float64) float64 {
 	if d.ForS > 0 {
 		return d.ForS
@@ -83,6 +83,7 @@
 	return part
 }
 
+// count returns how many units a release changes: those named, or all.
 func count(named []string, all int) int {
 	if len(named) == 0 {
 		return all
@@ -90,22 +91,22 @@
 	return min(len(named), all)
 }
 
-// fleetShare of a fleet that has so many, rounded as the laboratory does.
+// fleetShare returns n units as a share of a fleet of so many.
 func fleetShare(n, of int) float64 { return float64(min(n, of)) / float64(max(1, of)) }
 
-// Estimate is what a day came to, over all seeds: with nothing, one step alone, or all of them.
+// Estimate holds the figures over all seeds for a run without changes, with one step alone, or with all steps.
 type Estimate struct {
 	Name     string
 	Detail   string
-	G        float64 // mean
-	MinG     float64 // of the seeds
-	Cost     float64 // G that it takes, in the mean, against the same faultSets with nothing
-	Late     float64 // of a thousand operations
-	Unserved float64
-	Broken   string // rules that broke on any seed
+	G        float64 // mean over the seeds
+	MinG     float64 // minimum over the seeds
+	Cost     float64 // mean loss of G against the runs without changes on the same seeds
+	Late     float64 // requests per 1000
+	Unserved float64 // requests per 1000
+	Broken   string  // rules broken on any seed
 }
 
-// Run plays the day with nothing, with each step alone, and with all of them, on each seed.
+// Run simulates the scenario on each seed without changes, with each step alone, and with all steps.
 func Run(ctx context.Context, s *scenario.Scenario, steps []Step, seeds []uint64, jobs int) (rows []Estimate, err error) {
 	rows = []Estimate{{Name: "nothing", Detail: "the day as it is"}}
 	faultSets := [][]scenario.Fault{nil}
@@ -154,7 +155,7 @@
 	return rows, nil
 }
 
-// withFaults is a scenario withFaults more faults, checked as if it were read.
+// withFaults returns the scenario with additional faults, validated as if read from a file.
 func withFaults(s *scenario.Scenario, faults []scenario.Fault) (*scenario.Scenario, error) {
 	c, err := s.Clone()
 	if err != nil {
--- a/lab/rehearse/rehearse_test.go
+++ b/lab/rehearse/rehearse_test.go
@@ -48,10 +48,10 @@
 	assert.Less(t, end, s.Day.Seconds)
 	assert.Equal(t, 1.0, steps[0].Fault.Share)
 	assert.Equal(t, 2, steps[0].Fault.MostOut)
-	assert.Less(t, steps[1].Fault.Much, 20.0, "half an hour, in a day of 20 s")
+	assert.Less(t, steps[1].Fault.Much, 20.0, "half an hour is shortened to fit a run of 20 s")
 	assert.Nil(t, steps[2].Fault)
 	assert.InDelta(t, 2/float64(s.Fleet.Backends), steps[3].Fault.Share, 1e-9)
-	assert.Zero(t, steps[4].Fault.MostOut, "a zone goes whole")
+	assert.Zero(t, steps[4].Fault.MostOut, "a zone is drained as a whole")
 	assert.InDelta(t, 1/float64(s.Fleet.Doors), steps[5].Fault.Share, 1e-9)
 	for _, x := range steps {
 		if x.Fault != nil {
@@ -78,7 +78,7 @@
 	assert.ErrorAs(t, err, &day)
 }
 
-// What takes most of the fleet out costs more than what takes nothing, and the same seeds give the same figures.
+// Draining most of the fleet costs more than draining one backend, and the same seeds give the same figures.
 func TestRehearsalEstimatesStepCosts(t *testing.T) {
 	s := calmScenario(t)
 	steps, err := Steps(s, []planfile.Entry{step("by hand", `{"manual":"x"}`),
@@ -89,7 +89,7 @@
 	require.NoError(t, err)
 	require.Len(t, rows, 5)
 	assert.Zero(t, rows[0].Cost)
-	assert.Zero(t, rows[1].Cost, "it is not played")
+	assert.Zero(t, rows[1].Cost, "a manual step is not simulated")
 	assert.Greater(t, rows[2].Cost, 0.01)
 	assert.Greater(t, rows[2].Cost, 2*rows[3].Cost)
 	assert.LessOrEqual(t, rows[2].MinG, rows[2].G)
--- a/lab/report/errors.go
+++ b/lab/report/errors.go
@@ -6,7 +6,7 @@
 	"github.com/swifthall/swifthall/internal/remedy"
 )
 
-// WriteError is a report that could not be drawn or written.
+// WriteError is a report that can't be drawn or written.
 type WriteError struct {
 	What  string // a figure or a file
 	Cause error
@@ -16,7 +16,7 @@
 func (e *WriteError) Unwrap() error     { return e.Cause }
 func (e *WriteError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names the file, or the figure.
+// Remedy names the file or figure.
 func (e *WriteError) Remedy() string {
-	return fmt.Sprintf("Check that %s can be written; the figures stand in result.json all the same.", e.What)
+	return fmt.Sprintf("Check that %s can be written; the figures are also in result.json.", e.What)
 }
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -1,4 +1,4 @@
-// Package report writes what a day came to as one HTML page that needs nothing else: figures, and plots as SVG.
+// Package report writes the result of a run as one self-contained HTML page with tables and SVG plots.
 package report
 
 import (
@@ -36,7 +36,7 @@
 	},
 }).Parse(page))
 
-// Colours of the plots; they differ in brightness as well, for print.
+// Plot colours, which also differ in brightness so that they can be told apart in print.
 var (
 	blue      = color.RGBA{0x1f, 0x5a, 0xa6, 0xff}
 	green     = color.RGBA{0x2b, 0x8a, 0x3e, 0xff}
@@ -51,7 +51,7 @@
 	plotHeight = 2.6 * vg.Inch
 )
 
-// series is one curve over the day's seconds.
+// series is one curve: a value for each second of the run.
 type series struct {
 	name  string
 	color color.Color
@@ -63,7 +63,7 @@
 	SVG   template.HTML
 }
 
-// Write puts the page into the day's folder.
+// Write writes report.html into the directory of a result.
 func Write(r *run.Result, dir string) error {
 	figures, err := makeFigures(r)
 	if err != nil {
@@ -87,6 +87,7 @@
 	return nil
 }
 
+// makeFigures draws the plots of the report.
 func makeFigures(r *run.Result) ([]figure, error) {
 	var figures []figure
 	for _, f := range []struct {
@@ -119,7 +120,7 @@
 	return figures, nil
 }
 
-// plotSeries draws lines over the seconds, with the faults as bands behind them.
+// plotSeries plots curves over time, with the faults as bands behind them. Values up to 0 are left out on a log scale.
 func plotSeries(r *run.Result, unit string, log bool, lines []series) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "s", unit
@@ -153,7 +154,7 @@
 		p.Legend.Add(l.name, c)
 	}
 	if len(curves) == 0 {
-		return "<p>Nothing to plot.</p>", nil
+		return "<p>No data to plot.</p>", nil
 	}
 	low := 0.0
 	if log {
@@ -177,12 +178,12 @@
 	}
 	raw := out.Bytes()
 	if i := bytes.Index(raw, []byte("<svg")); i > 0 {
-		raw = raw[i:] // the page has its own head
+		raw = raw[i:] // drop the XML declaration; the page has its own header
 	}
 	return template.HTML(raw), nil
 }
 
-// faultBand is a band over the whole height, from one second to another.
+// faultBand is a plotter that fills the full height between two times, s.
 type faultBand struct{ from, to float64 }
 
 func (s faultBand) Plot(c draw.Canvas, p *plot.Plot) {
--- a/lab/rival/rival.go
+++ b/lab/rival/rival.go
@@ -1,5 +1,5 @@
-// Package rival holds the deciders that the project's own are measured against: a floor, a textbook, an oracle, and the
-// textbook with true quotas seen late.
+// Package rival holds the baseline policies with which the project's own is compared: a floor, a textbook policy, an oracle, and the
+// textbook policy with a late view of the true quotas.
 package rival
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/swifthall/swifthall/policy"
 )
 
-// Names of the deciders, as the command line has them.
+// Policy names, as used on the command line.
 const (
 	Swifthall = "swifthall"
 	Floor     = "floor"
@@ -21,10 +21,10 @@
 	Late      = "late"
 )
 
-// Names lists them all.
+// Names lists all policies.
 var Names = []string{Swifthall, Floor, Textbook, Oracle, Late}
 
-// Makers has a maker for each name.
+// Makers holds the constructor of each policy.
 var Makers = map[string]model.Maker{
 	Swifthall: {New: func(t gate.Terms, seed uint64, _ model.Sight) gate.Decider { return policy.New(t, seed) }},
 	Floor: {New: func(t gate.Terms, seed uint64, _ model.Sight) gate.Decider {
@@ -41,7 +41,7 @@
 	}},
 }
 
-// request is what a rival keeps of one.
+// request is the state of a request.
 type request struct {
 	open        bool
 	class, plan int
@@ -50,6 +50,7 @@
 	attempts    []attempt
 }
 
+// attempt is one attempt of a request.
 type attempt struct {
 	backend  int
 	at       float64
@@ -57,7 +58,7 @@
 	neverRan bool
 }
 
-// base keeps the list and the requests, and the book of what may be sent again.
+// base is what all baselines share: the fleet list, the requests, and the rules on repeated attempts.
 type base struct {
 	terms       gate.Terms
 	random      *rand.Rand
@@ -65,8 +66,8 @@
 	up          []bool
 	zone        []int
 	cell        []int
-	outstanding []int // own attempts, by backend
-	listed      []int // those that are up
+	outstanding []int // own unfinished attempts, by backend
+	listed      []int // backends that are up
 	actions     []gate.Action
 	subscribed  bool
 }
@@ -75,6 +76,7 @@
 	return base{terms: t, random: rand.New(rand.NewPCG(seed, 0))}
 }
 
+// begin starts a batch of events, and subscribes to the fleet list if the terms require it.
 func (b *base) begin() {
 	b.actions = b.actions[:0]
 	if b.terms.MustSubscribe && !b.subscribed {
@@ -83,7 +85,7 @@
 	}
 }
 
-// handleCommon takes in what every rival takes alike.
+// handleCommon handles the events that all baselines treat alike.
 func (b *base) handleCommon(e gate.Event) {
 	switch e := e.(type) {
 	case gate.FleetUpdate:
@@ -128,7 +130,7 @@
 	b.actions = append(b.actions, gate.Send{Op: op, Backend: backend, Timeout: limit})
 }
 
-// recordEnd books an attempt's end, and tells whether the request still waits for something.
+// recordEnd records the end of an attempt, and reports whether the request still needs an answer.
 func (b *base) recordEnd(e gate.AttemptEnded) (open bool) {
 	o := &b.ops[e.Op]
 	s := &o.attempts[e.Attempt]
@@ -140,7 +142,8 @@
 	return o.open
 }
 
-// giveUp gives a request up: a rejection where the rules let it, else a failure.
+// giveUp ends a request: with a rejection if that is allowed, else with a failure. A request that may have run can be rejected only if
+// it is idempotent, or has a key known to all backends.
 func (b *base) giveUp(op int, retryAfter float64) {
 	o := &b.ops[op]
 	o.open = false
@@ -156,7 +159,7 @@
 	b.actions = append(b.actions, gate.Reject{Op: op, RetryAfter: min(retryAfter, b.terms.MaxRetryAfter)})
 }
 
-// mayAttempt tells whether a request mayAttempt be sent to a backend now.
+// mayAttempt reports whether the request may be sent to a backend now, by its semantics and the number of attempts.
 func (b *base) mayAttempt(now float64, o *request, backend int) bool {
 	p := &b.terms.Classes[o.class]
 	if len(o.attempts) >= b.terms.MaxAttempts {
@@ -178,7 +181,7 @@
 	return true
 }
 
-// floor lets all in and sends each once, at random.
+// floor admits every request and sends it once, to a random backend.
 type floor struct{ base }
 
 func (f *floor) Decide(now float64, events []gate.Event) []gate.Action {
@@ -202,15 +205,16 @@
 	return f.actions
 }
 
-// textbook is what is commonly built: a token bucket of an even slice for each customer, the better of two random
-// choices by own work out, time-outs at the contract time, retries within a budget.
+// textbook is what is commonly built: a token bucket per customer with an equal share of the quota, the better of two random
+// backends by own outstanding attempts, timeouts at the contract time, and retries within a budget.
 type textbook struct {
 	base
 	buckets     []bucket
-	retryBudget float64     // that the budget still holds
-	sight       model.Sight // where it sees the true quotas late, in place of an even slice
+	retryBudget float64     // tokens left in the retry budget
+	sight       model.Sight // if set, the true quotas are checked, with delay, instead of an equal share
 }
 
+// bucket is a customer's token bucket.
 type bucket struct {
 	level, at float64
 	plan      int
@@ -218,9 +222,9 @@
 }
 
 const (
-	retryBudgetShare = 0.1 // retries for each request
-	maxRetryBudget   = 10  // retries that the budget holds at most
-	quotaDelayMs     = 2e3 // ms by which the true state is seen late: as a meter's word with a common period
+	retryBudgetShare = 0.1 // tokens per request
+	maxRetryBudget   = 10  // maximum number of tokens
+	quotaDelayMs     = 2e3 // ms by which the true quotas are seen late, like usage meters with a common period
 )
 
 func (t *textbook) Decide(now float64, events []gate.Event) []gate.Action {
@@ -245,7 +249,7 @@
 	return t.actions
 }
 
-// takeQuota draws on the customer's slice; it returns the time until there may be room, 0 where there was.
+// takeQuota takes tokens from the customer's bucket. It returns 0 on success, else the ms until there may be enough.
 func (t *textbook) takeQuota(now float64, e gate.Request) float64 {
 	for len(t.buckets) <= e.Customer {
 		t.buckets = append(t.buckets, bucket{})
@@ -273,7 +277,7 @@
 	return (e.Units - k.level) / (p.Rate * part)
 }
 
-// pickBackend is the better of two random choices among those that may have the request; -1 where there is none.
+// pickBackend returns the better of two random backends that the request may be sent to, or -1.
 func (t *textbook) pickBackend(now float64, o *request) int {
 	best := -1
 	for range 2 {
@@ -288,6 +292,7 @@
 	return best
 }
 
+// sendFirst sends the first attempt, or gives up if there is no backend.
 func (t *textbook) sendFirst(now float64, op int) {
 	o := &t.ops[op]
 	if b := t.pickBackend(now, o); b >= 0 {
@@ -297,10 +302,12 @@
 	t.giveUp(op, t.terms.MaxRetryAfter)
 }
 
+// attemptTimeout returns the time left or the contract time, whichever is less.
 func (t *textbook) attemptTimeout(now float64, o *request) float64 {
 	return max(1, min(o.deadline-now, t.terms.Classes[o.class].Contract))
 }
 
+// retry sends another attempt if the retry budget and the time left allow it.
 func (t *textbook) retry(now float64, op int) bool {
 	o := &t.ops[op]
 	if t.retryBudget < 1 || now >= o.deadline {
@@ -315,17 +322,17 @@
 	return true
 }
 
-// oracle sees the true state of all backends and quotas, and sends each request to where it is answered soonest. The
-// more pressed the fleet, the more gain a request must bring for its work.
+// oracle sees the true state of all backends and quotas, and sends each request to the backend that will answer first. The longer
+// the queues, the more gain a request must bring for its work to be admitted.
 type oracle struct {
 	base
 	sight model.Sight
-	ranks [][]float64 // by class and plan, of the gain for the work: 1 for the best
+	ranks [][]float64 // rank of a class and plan by gain per work; 1 for the highest
 }
 
 const (
-	lowestRankWait  = 0.15 // share of the contract time that the poorest request may be expected to take,
-	highestRankWait = 0.5  // and the richest: works vary, so that a mean nearer to the contract time comes late too often
+	lowestRankWait  = 0.15 // longest expected wait at which the lowest rank is admitted, as a share of the contract time
+	highestRankWait = 0.5  // the same for the highest rank; work varies, so a wait closer to the contract time would too often end late
 )
 
 func newOracle(t gate.Terms, seed uint64, s model.Sight) *oracle {
@@ -378,12 +385,12 @@
 	return o.actions
 }
 
-// fastestBackend is the backend that would answer soonest, and when.
+// fastestBackend returns the backend that would answer first, and after how many ms; -1 if there is none.
 func (o *oracle) fastestBackend(now float64, op *request) (backend int, wait float64) {
 	backend, wait = -1, math.Inf(1)
 	from := 0
 	if len(o.listed) > 0 {
-		from = o.random.IntN(len(o.listed)) // equals are taken in turn
+		from = o.random.IntN(len(o.listed)) // spreads requests among equal backends
 	}
 	for i := range o.listed {
 		b := o.listed[(from+i)%len(o.listed)]
--- a/lab/tally/errors.go
+++ b/lab/tally/errors.go
@@ -8,7 +8,7 @@
 
 // LineError is a line of a door's log that can't be read; nothing of that log is counted.
 type LineError struct {
-	Line  int // 0 for the end of the log
+	Line  int // 0 for an error at the end of the log
 	Key   string
 	Value string
 	Cause error
@@ -20,14 +20,14 @@
 		at = fmt.Sprintf("line %d", e.Line)
 	}
 	if e.Key != "" {
-		return fmt.Sprintf("%s: key %q: %q is no count", at, e.Key, e.Value)
+		return fmt.Sprintf("%s: key %q: %q is not a count", at, e.Key, e.Value)
 	}
 	return remedy.WithCause(at, e.Cause)
 }
 func (e *LineError) Unwrap() error     { return e.Cause }
 func (e *LineError) Kind() remedy.Kind { return remedy.Configuration }
 
-// Remedy names the form that logs need.
+// Remedy names the required log format.
 func (e *LineError) Remedy() string {
 	return "Name logs that doors wrote with the key \"log.format\" at text, whole and unchanged."
 }
--- a/lab/tally/tally.go
+++ b/lab/tally/tally.go
@@ -1,8 +1,7 @@
-// Package tally adds up, over a fleet, the accounts that doors write in their logs every few seconds: the
-// frontdoor's "account" lines, in logfmt as logrus writes them. Each door's incarnation begins at its "serving" line;
-// a incarnation's n-th account is window n, so that the doors' windows line up by their own clocks whatever the wall
-// clock of the log says. Counts are of requests (arrived, rejected_<cause>, failed_<cause>), of
-// attempts (sent) and of decisions (differs_<kind>).
+// Package tally adds up the accounts that a fleet's doors write to their logs every few seconds: the "account" lines of the
+// frontdoor, in the logfmt that logrus writes. An incarnation of a door begins at its "serving" line. Its n-th account is window n,
+// so that windows are aligned by the doors' own clocks, whatever the wall clock of the log says. The counts are of requests
+// (arrived, rejected_<cause>, failed_<cause>), attempts (sent) and decisions (differs_<kind>).
 package tally
 
 import (
@@ -21,7 +20,7 @@
 	"github.com/swifthall/swifthall/internal/fields"
 )
 
-// The messages that a door's log words a start and an account with.
+// Log messages of a door's start and of its accounts.
 const (
 	startMessage   = "serving"
 	accountMessage = "account"
@@ -30,15 +29,15 @@
 // Counts holds counts by field name.
 type Counts map[string]int
 
-// Fleet is what the logs of a fleet's doors add up to.
+// Fleet is the sum of the accounts of a fleet's doors.
 type Fleet struct {
-	Incarnations int      // doors' incarnations: a door that started again counts twice
-	Windows      []Counts // window n: the n-th account of every incarnation, added up
+	Incarnations int      // a door that was restarted counts again
+	Windows      []Counts // window n is the sum of the n-th accounts of all incarnations
 	Total        Counts
 }
 
-// AddLog reads one door's log and adds its accounts to the fleet. Lines that are not logfmt, or accounts with a
-// count that is not a whole number, are errors naming the line and the key; nothing of the log is added then.
+// AddLog reads the log of one door and adds its accounts. A line that is not logfmt, or a count that is not a whole number, is an
+// error that names the line and the key, and nothing of that log is added.
 func (f *Fleet) AddLog(r io.Reader) error {
 	var incarnations [][]Counts
 	d := logfmt.NewDecoder(bufio.NewReader(r))
@@ -58,7 +57,7 @@
 			if err != nil {
 				return err
 			}
-			if len(incarnations) == 0 { // a log that begins after the start
+			if len(incarnations) == 0 { // the log begins after the door's start
 				incarnations = append(incarnations, nil)
 			}
 			incarnations[len(incarnations)-1] = append(incarnations[len(incarnations)-1], c)
@@ -71,7 +70,7 @@
 	return nil
 }
 
-// parseCounts takes the parseCounts of one account line.
+// parseCounts returns the counts of an account line.
 func parseCounts(line int, rec map[string]string) (Counts, error) {
 	c := Counts{}
 	for k, v := range rec {
@@ -110,7 +109,7 @@
 	}
 }
 
-// Keys are the fields counted anywhere: arrived and sent first, then the others by their whole count, most first.
+// Keys returns the names of all counts: arrived and sent, then the others by their total, highest first.
 func (f *Fleet) Keys() []string {
 	rest := slices.DeleteFunc(slices.Collect(maps.Keys(f.Total)), func(k string) bool {
 		return k == fields.Arrived || k == fields.Sent
@@ -124,8 +123,7 @@
 	return append([]string{fields.Arrived, fields.Sent}, rest...)
 }
 
-// Print writes the fleet as a table: a row for each field, its whole count, its share of the requests that
-// arrived, and its count in each window.
+// Print writes a table with a row per count: its total, its ratio to the requests that arrived, and its value in each window.
 func (f *Fleet) Print(w io.Writer, windowMs float64) {
 	t := tabwriter.NewWriter(w, 2, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "%d lives of doors\t\twhole\tof arrived\t", f.Incarnations)
--- a/lab/tally/tally_test.go
+++ b/lab/tally/tally_test.go
@@ -26,8 +26,8 @@
 func TestMalformedCountIsReportedWithLine(t *testing.T) {
 	var f Fleet
 	err := f.AddLog(strings.NewReader(doorLog + "level=info msg=account arrived=x\n"))
-	assert.ErrorContains(t, err, `line 4: key "arrived": "x" is no count`)
-	assert.Zero(t, f.Incarnations, "nothing of that log is added")
+	assert.ErrorContains(t, err, `line 4: key "arrived": "x" is not a count`)
+	assert.Zero(t, f.Incarnations, "nothing of a malformed log is counted")
 }
 
 func TestMalformedLineIsReported(t *testing.T) {
