--- a/lab/cold/check.go
+++ b/lab/cold/check.go
@@ -53,7 +53,7 @@
 	n := c.Budget(s.Backend, s.At)
 	c.MaxShare = max(c.MaxShare, float64(len(window))/n)
 	c.MaxOver = max(c.MaxOver, float64(len(window))-n)
-	if most := n + 2*math.Sqrt(n) + 2; float64(len(window)) > most {
-		c.Excesses = append(c.Excesses, Excess{s, len(window), most})
+	if allowed := n + 2*math.Sqrt(n) + 2; float64(len(window)) > allowed {
+		c.Excesses = append(c.Excesses, Excess{s, len(window), allowed})
 	}
 }
--- a/lab/command/command.go
+++ b/lab/command/command.go
@@ -61,7 +61,7 @@
 	for _, set := range sets {
 		key, value, ok := strings.Cut(set, "=")
 		if !ok {
-			return nil, &FlagError{Flag: fmt.Sprintf("--set %q", set), Reason: "KEY=VALUE is wanted"}
+			return nil, &FlagError{Flag: fmt.Sprintf("--set %q", set), Reason: "must have the form KEY=VALUE"}
 		}
 		if s, err = s.Set(key, value); err != nil {
 			return nil, &FlagError{Flag: "--set", Cause: err}
@@ -93,7 +93,7 @@
 			case on == "sockets":
 				r, err = runOnSockets(cmd.Context(), s, seed, policy, door, logs, progress)
 			case on != "sim":
-				err = &FlagError{Flag: fmt.Sprintf("--on %q", on), Reason: "sim or sockets is wanted"}
+				err = &FlagError{Flag: fmt.Sprintf("--on %q", on), Reason: "must be sim or sockets"}
 			case alone:
 				r, err = day.Play(cmd.Context(), progress)
 			default:
@@ -240,7 +240,7 @@
 				return err
 			}
 			if seeds < 1 {
-				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Reason: "at least one is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Reason: "must be at least one"}
 			}
 			if (key == "") != (len(values) == 0) {
 				return &FlagError{Flag: "--key, --values", Reason: "they go together"}
--- a/lab/command/command_test.go
+++ b/lab/command/command_test.go
@@ -75,7 +75,7 @@
 }
 
 func TestInvalidArgumentsAreReported(t *testing.T) {
-	for says, args := range map[string][]string{
+	for text, args := range map[string][]string{
 		"nowhere":      {"play", "nowhere", "--out", t.TempDir()},
 		"load.shore":   {"play", "calm", "--set", "load.shore=1", "--out", t.TempDir()},
 		"KEY=VALUE":    {"play", "calm", "--set", "load.share", "--out", t.TempDir()},
@@ -87,7 +87,7 @@
 		"at least one": {"sweep", "calm", "--seeds", "0"},
 	} {
 		_, err := execute(args...)
-		assert.ErrorContains(t, err, says)
+		assert.ErrorContains(t, err, text)
 	}
 }
 
--- a/lab/command/drills.go
+++ b/lab/command/drills.go
@@ -37,12 +37,12 @@
 			"doors are paused, killed, cut off, and lose their disks. The checks use what really happened. Exits with 4 if a rule broke.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 {
-				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Reason: "at least one is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Reason: "must be at least one"}
 			}
 			if err := defaultBinary(&d.Binary); err != nil {
 				return err
 			}
-			var plays []procs.Drill
+			var specs []procs.Drill
 			for i := range seeds {
 				one := d
 				one.Seed += uint64(i)
@@ -52,13 +52,13 @@
 						return &FileError{Path: one.Logs, Cause: err}
 					}
 				}
-				plays = append(plays, one)
+				specs = append(specs, one)
 			}
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "seed\tbroken\tstrikes\twent\tcame back\tcalls\trefused\tlost\tdrained\tafter a halt, ms\tall back, ms\toperations\tfinished")
 			var sum procs.DrillResult
 			var broken *procs.DrillResult
-			err := runParallel(cmd.Context(), plays, jobs, procs.Drill.Play, func(p procs.Drill, r *procs.DrillResult) error {
+			err := runParallel(cmd.Context(), specs, jobs, procs.Drill.Play, func(p procs.Drill, r *procs.DrillResult) error {
 				fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%d\n", r.Seed, len(r.Breaches), len(r.Strikes), r.Went, r.Returned, r.Calls,
 					r.Refused, r.Lost, r.Drained, r.HaltMs, r.BackMs, r.Asked, r.Finished)
 				for _, b := range r.Breaches {
@@ -143,7 +143,7 @@
 			if len(args) == 0 {
 				args = slices.Sorted(maps.Keys(procs.Rollouts))
 			}
-			var plays []procs.Rollout
+			var specs []procs.Rollout
 			for _, kind := range args {
 				one := p
 				one.Kind = kind
@@ -153,12 +153,12 @@
 						return &FileError{Path: one.Logs, Cause: err}
 					}
 				}
-				plays = append(plays, one)
+				specs = append(specs, one)
 			}
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "release\tbroken\tended\ttook, s\tdecided after, s\tback after, s\tmost out\ttouched, door-s/doors\toperations\tfinished\trejected\tfailed\tsays")
 			var broken *procs.RolloutResult
-			err := runParallel(cmd.Context(), plays, jobs, procs.Rollout.Play, func(_ procs.Rollout, r *procs.RolloutResult) error {
+			err := runParallel(cmd.Context(), specs, jobs, procs.Rollout.Play, func(_ procs.Rollout, r *procs.RolloutResult) error {
 				fmt.Fprintf(t, "%s\t%d\t%s\t%.1f\t%.1f\t%.1f\t%d\t%.2f\t%d\t%d\t%d\t%d\t%s\n", r.Kind, len(r.Breaches), r.Stage, r.TookS, r.DecidedS, r.BackS, r.MostOut, r.Touched,
 					r.Asked, r.Finished, r.Rejected, r.Failed, r.Says)
 				for _, b := range r.Breaches {
@@ -199,12 +199,12 @@
 			"their clocks is ten minutes ahead: completely, and halted at each step and reverted. Exits with 4 if a rule broke.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 {
-				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Reason: "at least one is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Reason: "must be at least one"}
 			}
 			if err := defaultBinary(&p.Binary); err != nil {
 				return err
 			}
-			var plays []procs.Migration
+			var specs []procs.Migration
 			for i := range seeds {
 				for _, step := range steps {
 					one := p
@@ -215,14 +215,14 @@
 							return &FileError{Path: one.Logs, Cause: err}
 						}
 					}
-					plays = append(plays, one)
+					specs = append(specs, one)
 				}
 			}
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "seed\thalted at\tbroken\tended\ttook, s\tback after, s\tstrikes\tchanges\tmost out\toperations\tfinished\trejected\tfailed")
 			var broken *procs.MigrationResult
 			var of procs.Migration
-			err := runParallel(cmd.Context(), plays, jobs, procs.Migration.Play, func(one procs.Migration, r *procs.MigrationResult) error {
+			err := runParallel(cmd.Context(), specs, jobs, procs.Migration.Play, func(one procs.Migration, r *procs.MigrationResult) error {
 				fmt.Fprintf(t, "%d\t%d\t%d\t%s\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", one.Seed, r.HaltAt, len(r.Breaches), r.Stage, r.TookS, r.BackS, len(r.Strikes), r.Changes, r.MostOut,
 					r.Asked, r.Finished, r.Rejected, r.Failed)
 				for _, b := range r.Breaches {
--- a/lab/command/procs.go
+++ b/lab/command/procs.go
@@ -38,14 +38,14 @@
 				return nil
 			}
 			if seeds < 1 {
-				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Reason: "at least one is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Reason: "must be at least one"}
 			}
 			makers := map[string]procs.Maker{"module": procs.Module, "heartbeats": procs.Heartbeats}
 			if makers[who] == nil || on == "processes" && who != "module" {
-				return &FlagError{Flag: fmt.Sprintf("--who %q", who), Reason: "module or, with --on sim, heartbeats is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--who %q", who), Reason: "must be module or, with --on sim, heartbeats"}
 			}
 			if on != "sim" && on != "processes" {
-				return &FlagError{Flag: fmt.Sprintf("--on %q", on), Reason: "sim or processes is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--on %q", on), Reason: "must be sim or processes"}
 			}
 			if door == "" {
 				self, err := os.Executable()
@@ -57,7 +57,7 @@
 			if len(args) == 0 && random == 0 {
 				args = procs.Names()
 			}
-			var plays []*procs.Plan
+			var specs []*procs.Plan
 			for i := range seeds {
 				at := seed + uint64(i)
 				for _, name := range args {
@@ -68,10 +68,10 @@
 					if doors > 0 {
 						s.Fleet.Doors = doors
 					}
-					plays = append(plays, s.Draw(at))
+					specs = append(specs, s.Draw(at))
 				}
 				if random > 0 {
-					plays = append(plays, procs.Random(at, max(doors, 3), random).Draw(at))
+					specs = append(specs, procs.Random(at, max(doors, 3), random).Draw(at))
 				}
 			}
 			type timed struct {
@@ -91,7 +91,7 @@
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "schedule\tdoors\tseed\tbroken\twrongly away\tchanges\tknown p99, ms\tback, ms\tone view, ms\tdoubted, ms\tmessages/s\tbytes/s\tCPU ms/s\tresident MB\ttook")
 			var broken *procs.Result
-			err := runParallel(cmd.Context(), plays, jobs, play, func(p *procs.Plan, r timed) error {
+			err := runParallel(cmd.Context(), specs, jobs, play, func(p *procs.Plan, r timed) error {
 				f := &r.Figures
 				if len(r.Breaches) > 0 && broken == nil {
 					broken = r.Result
@@ -137,32 +137,32 @@
 	return cmd
 }
 
-// runParallel runs plays, at most limit at once, and reports each result in order. It stops at the first error.
-func runParallel[P, R any](ctx context.Context, plays []P, limit int, play func(P, context.Context) (R, error), report func(P, R) error) error {
+// runParallel runs all specs, at most limit at once, and reports each result in order. It stops at the first error.
+func runParallel[P, R any](ctx context.Context, specs []P, limit int, run func(P, context.Context) (R, error), report func(P, R) error) error {
 	type outcome struct {
 		r   R
 		err error
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	outcomes := make([]chan outcome, len(plays))
+	outcomes := make([]chan outcome, len(specs))
 	slots := make(chan struct{}, max(1, limit))
 	var group sync.WaitGroup
 	defer group.Wait()
-	for i := range plays {
+	for i := range specs {
 		outcomes[i] = make(chan outcome, 1)
 	}
 	group.Go(func() {
-		for i, p := range plays {
+		for i, p := range specs {
 			slots <- struct{}{}
 			group.Go(func() {
 				defer func() { <-slots }()
-				r, err := play(p, ctx)
+				r, err := run(p, ctx)
 				outcomes[i] <- outcome{r, err}
 			})
 		}
 	})
-	for i, p := range plays {
+	for i, p := range specs {
 		o := <-outcomes[i]
 		if o.err == nil {
 			o.err = report(p, o.r)
--- a/lab/command/rehearse.go
+++ b/lab/command/rehearse.go
@@ -22,7 +22,7 @@
 			"other; manual steps are not simulated. Exits with 4 if a rule broke.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if seeds < 1 || maxOut < 1 {
-				return &FlagError{Flag: fmt.Sprintf("--seeds %d --most-out %d", seeds, maxOut), Reason: "at least one of each is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--seeds %d --most-out %d", seeds, maxOut), Reason: "must both be at least one"}
 			}
 			var m planfile.Migration
 			if err := planfile.Read(args[0], cmd.InOrStdin(), &m); err != nil {
--- a/lab/rehearse/rehearse_test.go
+++ b/lab/rehearse/rehearse_test.go
@@ -74,8 +74,8 @@
 	steps, err := Steps(s, []planfile.Entry{step("a", `{"drain":{"kind":"door","name":"n1"}}`)}, 1)
 	require.NoError(t, err)
 	_, err = Run(context.Background(), s, steps, []uint64{1}, 1)
-	var day *ScenarioError
-	assert.ErrorAs(t, err, &day)
+	var scenarioErr *ScenarioError
+	assert.ErrorAs(t, err, &scenarioErr)
 }
 
 // Draining most of the fleet costs more than draining one backend, and the same seeds give the same figures.
--- a/lab/rival/rival.go
+++ b/lab/rival/rival.go
@@ -268,8 +268,8 @@
 	if !k.known || k.plan != e.Plan {
 		*k = bucket{level: p.Depth * part, at: now, plan: e.Plan, known: true}
 	}
-	most := max(p.Depth*part, e.Units)
-	k.level, k.at = min(most, k.level+p.Rate*part*(now-k.at)), now
+	capacity := max(p.Depth*part, e.Units)
+	k.level, k.at = min(capacity, k.level+p.Rate*part*(now-k.at)), now
 	if k.level >= e.Units {
 		k.level -= e.Units
 		return 0
@@ -362,8 +362,8 @@
 		case gate.Request:
 			op := o.addRequest(now, e)
 			contract, alone := o.terms.Classes[op.class].Contract, o.sight.Work(op.class)
-			most := max(alone, contract*(lowestRankWait+(highestRankWait-lowestRankWait)*o.ranks[op.class][op.plan]))
-			if b, wait := o.fastestBackend(now, op); b < 0 || now+wait > op.deadline || wait > most {
+			maxWait := max(alone, contract*(lowestRankWait+(highestRankWait-lowestRankWait)*o.ranks[op.class][op.plan]))
+			if b, wait := o.fastestBackend(now, op); b < 0 || now+wait > op.deadline || wait > maxWait {
 				o.giveUp(e.Op, o.terms.MaxRetryAfter)
 			} else if !o.sight.Take(e.Customer, e.Plan, e.Units) {
 				o.giveUp(e.Op, e.Units/max(1e-9, o.terms.Plans[e.Plan].Rate))
--- a/lab/run/hunt.go
+++ b/lab/run/hunt.go
@@ -68,10 +68,10 @@
 	}
 	batch := survivors * 2 // fixed, so that a seed gives the same search on any number of cores
 	var best []*candidate
-	played := 0
-	for played < h.Runs {
+	runs := 0
+	for runs < h.Runs {
 		var next []*candidate
-		for range min(batch, h.Runs-played) {
+		for range min(batch, h.Runs-runs) {
 			var sc *scenario.Scenario
 			if len(best) == 0 || random.Float64() < freshShare {
 				sc = h.randomSchedule(random, kinds)
@@ -83,7 +83,7 @@
 		if err := h.evaluate(ctx, next); err != nil {
 			return nil, err
 		}
-		played += len(next)
+		runs += len(next)
 		best = append(best, next...)
 		slices.SortStableFunc(best, func(a, b *candidate) int {
 			switch {
@@ -96,7 +96,7 @@
 		})
 		best = best[:min(len(best), survivors)]
 		if progress != nil {
-			progress(float64(played), float64(h.Runs))
+			progress(float64(runs), float64(h.Runs))
 		}
 		if h.RulesOnly && best[0].rule != "" {
 			break
@@ -111,7 +111,7 @@
 	if worst.rule != "" {
 		worst.sc.Shows = fmt.Sprintf("found by a hunt from %s with seed %d: breaks %s on seed %d", h.Scenario.Name, h.Seed, worst.rule, worst.seed)
 	}
-	return &HuntResult{Scenario: worst.sc, Seed: worst.seed, Rule: worst.rule, Gap: worst.gap, Runs: played + more}, nil
+	return &HuntResult{Scenario: worst.sc, Seed: worst.seed, Rule: worst.rule, Gap: worst.gap, Runs: runs + more}, nil
 }
 
 // applicableKinds returns the kinds of fault that apply to the scenario, in a fixed order.
@@ -242,9 +242,9 @@
 // shrink removes and shortens faults for as long as the result stays about as bad: the same rule broken, or most of the gap kept.
 // It also returns the number of runs used.
 func (h *Hunt) shrink(ctx context.Context, worst *candidate) (*candidate, int, error) {
-	played := 0
+	runs := 0
 	if worst.rule == "" && worst.gap < minShrinkGap {
-		return worst, played, nil
+		return worst, runs, nil
 	}
 	least := worst.gap * minKeptShare
 	for again := true; again; {
@@ -252,16 +252,16 @@
 		for _, cut := range h.reductions(worst.sc) {
 			c := &candidate{sc: cut, seed: worst.seed}
 			if err := h.evaluate(ctx, []*candidate{c}); err != nil {
-				return nil, played, err
+				return nil, runs, err
 			}
-			played++
+			runs++
 			if c.rule == worst.rule && (worst.rule != "" || c.gap >= least) {
 				worst, again = c, true
 				break
 			}
 		}
 	}
-	return worst, played, nil
+	return worst, runs, nil
 }
 
 const minFaultS = 0.5 // s; faults are not shortened below it
--- a/lab/run/progress.go
+++ b/lab/run/progress.go
@@ -9,8 +9,8 @@
 	report func(done, all float64)
 }
 
-func newProgressSum(n int, tell func(done, all float64)) *progressSum {
-	return &progressSum{done: make([]float64, n), report: tell}
+func newProgressSum(n int, report func(done, all float64)) *progressSum {
+	return &progressSum{done: make([]float64, n), report: report}
 }
 
 func (g *progressSum) set(i int, done float64) {
--- a/lab/run/rolls_test.go
+++ b/lab/run/rolls_test.go
@@ -45,7 +45,7 @@
 }
 
 // summarize returns the most that were out at once, and the time from the first outage to the last return.
-func (r *outageRecorder) summarize(door bool) (most int, from, to float64) {
+func (r *outageRecorder) summarize(door bool) (maxOut int, from, to float64) {
 	slices.SortStableFunc(r.transitions, func(a, b transition) int {
 		if a.at != b.at {
 			return map[bool]int{true: -1, false: 1}[a.at < b.at]
@@ -58,10 +58,10 @@
 			if now += e.by; from == 0 {
 				from = e.at
 			}
-			most, to = max(most, now), e.at
+			maxOut, to = max(maxOut, now), e.at
 		}
 	}
-	return most, from, to
+	return maxOut, from, to
 }
 
 // Restarting the next unit as soon as a place is free serves no worse than fixed batches by the clock, and never exceeds the limit.
@@ -81,7 +81,7 @@
 		for _, out := range w.out {
 			const seeds = 3
 			var g, took float64
-			most := 0
+			maxOut := 0
 			for seed := range uint64(seeds) {
 				opened, err := scenarios.Open(w.name)
 				require.NoError(t, err)
@@ -97,15 +97,15 @@
 				res := Sum(s, seed+1, rival.Swifthall, Simulated, r.judge)
 				assert.Empty(t, res.Broken)
 				n, from, to := r.summarize(scenario.Kinds[s.Faults[w.faultIndex].Kind].Whom == scenario.Doors)
-				g, took, most = g+res.Whole.Earned/res.Whole.Offered/seeds, took+(to-from)/1e3/seeds, max(most, n)
+				g, took, maxOut = g+res.Whole.Earned/res.Whole.Offered/seeds, took+(to-from)/1e3/seeds, max(maxOut, n)
 			}
 			how := "fixed batches"
 			if out > 0 {
 				how = fmt.Sprintf("%2d may be out", out)
-				assert.LessOrEqual(t, most, out)
+				assert.LessOrEqual(t, maxOut, out)
 			}
 			quality[out] = g
-			t.Logf("%-14s %s: service %.4f, %5.1f s, at most %d out at once", w.name, how, g, took, most)
+			t.Logf("%-14s %s: service %.4f, %5.1f s, at most %d out at once", w.name, how, g, took, maxOut)
 		}
 		assert.Greater(t, quality[w.out[1]], quality[0]-0.002, "fewer units at once serve no worse")
 	}
