--- a/lab/cold/simulation.go
+++ b/lab/cold/simulation.go
@@ -28,6 +28,7 @@
 	Seed                uint64
 }
 
+// scheduled is an event at a door; incarnation is 0 if it concerns any process of the door.
 type scheduled struct {
 	at          float64
 	door        int
@@ -57,6 +58,7 @@
 	return x
 }
 
+// door is a simulated door.
 type door struct {
 	decider     gate.Decider
 	incarnation int
@@ -84,6 +86,7 @@
 	for b := range d.ColdBackends {
 		c.StartedAt[b] = d.StartMs
 	}
+	// list is the fleet list as a door has it: the cold backends leave it 5 s before their start, and are back once the door is notified.
 	list := func(at float64, i int) gate.FleetUpdate {
 		e := gate.FleetUpdate{Complete: true}
 		for b := range d.Backends {
--- a/lab/outs/drains.go
+++ b/lab/outs/drains.go
@@ -140,6 +140,7 @@
 	return w.result
 }
 
+// repeat runs a function at regular intervals.
 func (w *drainWorld) repeat(ms float64, do func()) {
 	w.at(w.now+ms, func() { do(); w.repeat(ms, do) })
 }
@@ -234,6 +235,7 @@
 	return names
 }
 
+// fleetList returns the fleet list, in which all backends are ready.
 func (w *drainWorld) fleetList() (all []permits.Sighting) {
 	for i := range w.Backends {
 		all = append(all, permits.Sighting{Unit: permits.Unit{Kind: permits.Backend, Name: fmt.Sprint("b", i), Zone: "z", Size: 1}, Standing: permits.Ready})
--- a/lab/outs/releases.go
+++ b/lab/outs/releases.go
@@ -15,7 +15,9 @@
 	Defect string // one of Defects; empty for a harmless release
 }
 
-// Defects lists the kinds of defects that a release can have.
+// Defects lists the kinds of defects that a release can have. A changed door has a larger share of late requests (share; little: only
+// slightly larger; loaded: only under high load; late: only after 600 s), a higher latency, more failed requests (scraps), a crash
+// some time after the change, or growing memory.
 var Defects = []string{"share", "little", "latency", "scraps", "crash", "memory", "loaded", "late"}
 
 // ReleaseResult is the outcome of one release.
@@ -35,8 +37,7 @@
 
 // Threshold is an evaluator with fixed limits on the share of the changed doors' requests that were late or failed recently.
 type Threshold struct {
-	// How long the wave is watched, ms.
-	WatchMs      float64
+	WatchMs      float64 // how long the wave is watched, ms
 	MaxLateShare float64 // share not finished in time above which the release is rolled back
 	startedAt    float64
 	last         map[string]release.Counts
@@ -74,7 +75,7 @@
 // RecordFailure notes a process that ended unexpectedly.
 func (t *Threshold) RecordFailure(door, why string) { t.failure = door + ": " + why }
 
-// Evaluate judges the last 30 s: it rolls back on a failure or an exceeded limit, and continues once the wave was watched long enough.
+// Evaluate checks the last 30 s: it rolls back on a failure or an exceeded limit, and continues once the wave was watched long enough.
 func (t *Threshold) Evaluate(now float64) release.Verdict {
 	t.recent = append(t.recent, t.sum)
 	t.sum = release.Counts{}
--- a/lab/outs/restarts.go
+++ b/lab/outs/restarts.go
@@ -144,10 +144,12 @@
 
 func name(i int) string { return fmt.Sprintf("door-%03d", i) }
 
+// unit describes a door as a unit.
 func (w *restartWorld) unit(i int) permits.Unit {
 	return permits.Unit{Kind: permits.Door, Name: name(i), Zone: fmt.Sprint("z", w.doors[i].zone), Size: 1}
 }
 
+// caller returns the caller name of a door; each process has its own, so that numbers start again.
 func (w *restartWorld) caller(i int) string { return fmt.Sprintf("%s/%d", name(i), w.doors[i].process) }
 
 // requestRestart begins a planned restart: the door requests a permit.
@@ -320,6 +322,7 @@
 	})
 }
 
+// fail takes a door down by failure, if it is ready.
 func (w *restartWorld) fail(i int) {
 	if d := w.doors[i]; d.up && d.ready {
 		w.takeDown(i, false)
--- a/lab/rival/rival.go
+++ b/lab/rival/rival.go
@@ -95,6 +95,7 @@
 	}
 }
 
+// updateFleet applies a fleet update, complete or not.
 func (b *base) updateFleet(e gate.FleetUpdate) {
 	if e.Failed {
 		return
@@ -116,6 +117,7 @@
 	}
 }
 
+// addRequest stores a new request.
 func (b *base) addRequest(now float64, e gate.Request) *request {
 	for len(b.ops) <= e.Op {
 		b.ops = append(b.ops, request{})
@@ -335,6 +337,7 @@
 	highestRankWait = 0.5  // the same for the highest rank; work varies, so a wait closer to the contract time would too often end late
 )
 
+// newOracle ranks all pairs of class and plan by their gain per work.
 func newOracle(t gate.Terms, seed uint64, s model.Sight) *oracle {
 	o := &oracle{base: newBase(t, seed), sight: s}
 	var all []float64
--- a/lab/run/progress.go
+++ b/lab/run/progress.go
@@ -13,6 +13,7 @@
 	return &progressSum{done: make([]float64, n), report: report}
 }
 
+// set sets the progress of one run, which never goes back, and reports the sum.
 func (g *progressSum) set(i int, done float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/lab/run/sweep.go
+++ b/lab/run/sweep.go
@@ -44,6 +44,7 @@
 	return f.Deviation / math.Sqrt(float64(f.N))
 }
 
+// newFigure returns mean and standard deviation.
 func newFigure(xs []float64) Figure {
 	if len(xs) == 0 {
 		return Figure{Mean: math.NaN(), Deviation: math.NaN()}
@@ -203,6 +204,7 @@
 	return rows, nil
 }
 
+// share returns a/b, and 0 for b = 0.
 func share(a, b float64) float64 {
 	if b == 0 {
 		return 0
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -51,7 +51,7 @@
 // Day sets how long requests arrive, and how often a door handles the events that have arrived.
 type Day struct {
 	Seconds float64 `toml:"seconds"`
-	TickMs  float64 `toml:"tick_ms"`
+	TickMs  float64 `toml:"tick_ms"` // interval at which a door handles its events
 }
 
 // Fleet sets the size of the system.
@@ -66,8 +66,8 @@
 
 // Machine is a type of backend.
 type Machine struct {
-	Name         string  `toml:"name"`
-	Share        float64 `toml:"share"`
+	Name         string  `toml:"name"`  // type name
+	Share        float64 `toml:"share"` // weight of this type among the backends
 	Cores        int     `toml:"cores"`
 	Speed        Span    `toml:"speed"`          // ms of work that a core does per ms
 	SlotsPerCore float64 `toml:"slots_per_core"` // requests in progress at once
@@ -77,19 +77,19 @@
 	ColdS        float64 `toml:"cold_s"`         // warm-up time
 	ConnsPerCore float64 `toml:"conns_per_core"` // open connections; further ones are refused
 	HandshakeMs  float64 `toml:"handshake_ms"`   // work for a new connection
-	ErrorRate    float64 `toml:"error_rate"`
-	GoesOn       bool    `toml:"goes_on"` // work continues after the door has disconnected
+	ErrorRate    float64 `toml:"error_rate"`     // probability of an error answer
+	GoesOn       bool    `toml:"goes_on"`        // work continues after the door has disconnected
 }
 
 // Net describes the network; delays are one-way.
 type Net struct {
-	SameMs           Span    `toml:"same_ms"`
-	CrossMs          Span    `toml:"cross_ms"`
-	ClientMs         Span    `toml:"client_ms"`
-	Jitter           float64 `toml:"jitter"` // relative variation of a delay
-	Loss             float64 `toml:"loss"`   // probability that an answer is lost
-	ConnectTimeoutMs float64 `toml:"connect_timeout_ms"`
-	IdleMs           float64 `toml:"idle_ms"` // idle connections are closed after this time
+	SameMs           Span    `toml:"same_ms"`            // within a zone
+	CrossMs          Span    `toml:"cross_ms"`           // between zones
+	ClientMs         Span    `toml:"client_ms"`          // between clients and doors
+	Jitter           float64 `toml:"jitter"`             // relative variation of a delay
+	Loss             float64 `toml:"loss"`               // probability that an answer is lost
+	ConnectTimeoutMs float64 `toml:"connect_timeout_ms"` // time until a connection attempt is given up
+	IdleMs           float64 `toml:"idle_ms"`            // idle connections are closed after this time
 }
 
 // Load is the load that clients offer. PerSecond takes precedence over Share.
@@ -114,52 +114,52 @@
 // Class is a class of requests.
 type Class struct {
 	Name       string  `toml:"name"`
-	Share      float64 `toml:"share"`
-	WorkMs     float64 `toml:"work_ms"`
-	Cv         float64 `toml:"cv"`    // coefficient of variation of the work; 0 for an exponential distribution
-	Noise      float64 `toml:"noise"` // variation of an attempt's work around that of its request
-	ContractMs float64 `toml:"contract_ms"`
-	OuterMs    float64 `toml:"outer_ms"`
-	Gain       float64 `toml:"gain"`
-	LateValue  float64 `toml:"late_value"`
-	Semantics  string  `toml:"semantics"` // replayable, tokened or single-use
-	Scope      string  `toml:"scope"`     // all, zone or cell
-	WindowMs   float64 `toml:"window_ms"`
+	Share      float64 `toml:"share"`       // weight of this class among the requests
+	WorkMs     float64 `toml:"work_ms"`     // mean work, ms of one core at speed 1
+	Cv         float64 `toml:"cv"`          // coefficient of variation of the work; 0 for an exponential distribution
+	Noise      float64 `toml:"noise"`       // variation of an attempt's work around that of its request
+	ContractMs float64 `toml:"contract_ms"` // contract time: an answer within it earns the full gain
+	OuterMs    float64 `toml:"outer_ms"`    // the client's deadline
+	Gain       float64 `toml:"gain"`        // gain per unit
+	LateValue  float64 `toml:"late_value"`  // share of the gain that an answer after the contract time earns
+	Semantics  string  `toml:"semantics"`   // replayable, tokened or single-use
+	Scope      string  `toml:"scope"`       // all, zone or cell
+	WindowMs   float64 `toml:"window_ms"`   // how long the key of a tokened request is remembered
 }
 
 // Plan is what a customer pays for. Quotas apply to all doors together.
 type Plan struct {
 	Name         string  `toml:"name"`
-	Share        float64 `toml:"share"` // of the load within the quotas
-	PerS         float64 `toml:"per_s"` // quota, units per second
-	Depth        float64 `toml:"depth"`
-	AtOnce       int     `toml:"at_once"`
-	CeilingPerS  float64 `toml:"ceiling_per_s"`
-	CeilingDepth float64 `toml:"ceiling_depth"`
-	CeilingSlack float64 `toml:"ceiling_slack"`
-	Price        float64 `toml:"price"`
-	OverCost     float64 `toml:"over_cost"` // cost of a request sent beyond the quota, as a share of its gain
-	Spread       int     `toml:"spread"`    // number of doors that a customer uses
+	Share        float64 `toml:"share"`         // of the load within the quotas
+	PerS         float64 `toml:"per_s"`         // quota, units per second
+	Depth        float64 `toml:"depth"`         // depth of the quota's token bucket, units
+	AtOnce       int     `toml:"at_once"`       // limit of concurrent attempts; 0 for none
+	CeilingPerS  float64 `toml:"ceiling_per_s"` // hard limit, units per second; 0 for none
+	CeilingDepth float64 `toml:"ceiling_depth"` // depth of the ceiling's token bucket, units
+	CeilingSlack float64 `toml:"ceiling_slack"` // units by which a burst may exceed the ceiling
+	Price        float64 `toml:"price"`         // weight of the gain of its requests
+	OverCost     float64 `toml:"over_cost"`     // cost of a request sent beyond the quota, as a share of its gain
+	Spread       int     `toml:"spread"`        // number of doors that a customer uses
 }
 
 // Clients describes how clients retry and give up.
 type Clients struct {
-	Retries         int     `toml:"retries"`
-	TryShare        float64 `toml:"try_share"` // timeout of a try, as a share of the request's deadline
-	Wait            string  `toml:"wait"`      // backoff: none, fixed or doubling
-	WaitMs          float64 `toml:"wait_ms"`
-	Honour          float64 `toml:"honour"` // share of the clients that follow a Retry-After
-	MaxRetryAfterMs float64 `toml:"max_retry_after_ms"`
-	Marks           bool    `toml:"marks"`     // retries are marked as such
-	Impatient       float64 `toml:"impatient"` // share of the tries that the client abandons early
-	Elsewhere       float64 `toml:"elsewhere"` // probability that a retry goes to another door
-	NoticeMs        float64 `toml:"notice_ms"` // delay until clients notice that a door has died
+	Retries         int     `toml:"retries"`            // maximum per request
+	TryShare        float64 `toml:"try_share"`          // timeout of a try, as a share of the request's deadline
+	Wait            string  `toml:"wait"`               // backoff: none, fixed or doubling
+	WaitMs          float64 `toml:"wait_ms"`            // backoff time
+	Honour          float64 `toml:"honour"`             // share of the clients that follow a Retry-After
+	MaxRetryAfterMs float64 `toml:"max_retry_after_ms"` // longest Retry-After that clients follow
+	Marks           bool    `toml:"marks"`              // retries are marked as such
+	Impatient       float64 `toml:"impatient"`          // share of the tries that the client abandons early
+	Elsewhere       float64 `toml:"elsewhere"`          // probability that a retry goes to another door
+	NoticeMs        float64 `toml:"notice_ms"`          // delay until clients notice that a door has died
 }
 
 // Discovery describes how the doors receive the fleet list.
 type Discovery struct {
-	Ask      bool `toml:"ask"` // doors must subscribe to changes
-	DelayMs  Span `toml:"delay_ms"`
+	Ask      bool `toml:"ask"`       // doors must subscribe to changes
+	DelayMs  Span `toml:"delay_ms"`  // delay of a change
 	NoticeMs Span `toml:"notice_ms"` // delay until a dead backend is noticed
 	SilentMs Span `toml:"silent_ms"` // delay until an unreachable backend is noticed
 }
@@ -167,54 +167,54 @@
 // Counter is the shared quota counter.
 type Counter struct {
 	On        bool    `toml:"on"`
-	PerS      float64 `toml:"per_s"`
-	Parts     int     `toml:"parts"`
-	ServeMs   float64 `toml:"serve_ms"`
-	QueueMs   float64 `toml:"queue_ms"` // longest wait in its queue; calls that would wait longer are rejected
-	TimeoutMs float64 `toml:"timeout_ms"`
+	PerS      float64 `toml:"per_s"`      // calls per second that it can serve
+	Parts     int     `toml:"parts"`      // number of independent parts
+	ServeMs   float64 `toml:"serve_ms"`   // time to serve a call
+	QueueMs   float64 `toml:"queue_ms"`   // longest wait in its queue; calls that would wait longer are rejected
+	TimeoutMs float64 `toml:"timeout_ms"` // timeout of a call
 }
 
 // Meter reports in answers how much of its quota a customer has used.
 type Meter struct {
-	PeriodMs float64 `toml:"period_ms"`
-	LateMs   float64 `toml:"late_ms"`
+	PeriodMs float64 `toml:"period_ms"` // length of a reporting period; 0 for no meter
+	LateMs   float64 `toml:"late_ms"`   // delay of a report
 }
 
 // Allow restricts what the policy may do.
 type Allow struct {
-	Probes      bool    `toml:"probes"`
-	ProbeMs     float64 `toml:"probe_ms"` // work of a probe
-	Cancel      bool    `toml:"cancel"`
-	Hedging     bool    `toml:"second_copies"`
-	MaxAttempts int     `toml:"max_transmissions"`
-	RetryAfter  bool    `toml:"retry_after"`
+	Probes      bool    `toml:"probes"`            // probes of backends
+	ProbeMs     float64 `toml:"probe_ms"`          // work of a probe
+	Cancel      bool    `toml:"cancel"`            // cancelling attempts
+	Hedging     bool    `toml:"second_copies"`     // several attempts of a request at the same time
+	MaxAttempts int     `toml:"max_transmissions"` // per request
+	RetryAfter  bool    `toml:"retry_after"`       // rejections with a Retry-After
 }
 
-// Rules holds the parameters of the five rules.
+// Rules holds the parameters of the five rules of judge.AllRules.
 type Rules struct {
-	AnswerSlackMs float64 `toml:"answer_slack_ms"`
-	DrainGraceMs  float64 `toml:"drain_grace_ms"`
-	FallMultiple  float64 `toml:"fall_multiple"`
-	FallMs        float64 `toml:"fall_ms"`
-	ColdFrom      float64 `toml:"cold_from"` // announced to the doors; 0 for the lowest of the machines
-	ColdS         float64 `toml:"cold_s"`    // announced to the doors; 0 for the longest of the machines
+	AnswerSlackMs float64 `toml:"answer_slack_ms"` // tolerated delay of an answer beyond the deadline
+	DrainGraceMs  float64 `toml:"drain_grace_ms"`  // after a door is notified of a drain, how long it may still send
+	FallMultiple  float64 `toml:"fall_multiple"`   // multiple of its present capacity above which a cold backend is overloaded
+	FallMs        float64 `toml:"fall_ms"`         // for how long
+	ColdFrom      float64 `toml:"cold_from"`       // announced to the doors; 0 for the lowest of the machines
+	ColdS         float64 `toml:"cold_s"`          // announced to the doors; 0 for the longest of the machines
 }
 
 // Goal holds the weights of the parts of G.
 type Goal struct {
-	Whole       float64 `toml:"whole"`
-	WorstWindow float64 `toml:"worst_window"`
-	WorstClass  float64 `toml:"worst_profile"`
-	WorstPlan   float64 `toml:"worst_plan"`
+	Whole       float64 `toml:"whole"`         // gain earned over the whole run
+	WorstWindow float64 `toml:"worst_window"`  // gain earned in the worst window
+	WorstClass  float64 `toml:"worst_profile"` // gain earned by the worst class
+	WorstPlan   float64 `toml:"worst_plan"`    // gain earned by the worst plan
 }
 
 // Prices are deducted from G, each multiplied by its share of the requests or of the work.
 type Prices struct {
-	Counter   float64 `toml:"counter"`
-	Probe     float64 `toml:"probe"`
-	Cross     float64 `toml:"cross"`
-	Waste     float64 `toml:"waste"`
-	Handshake float64 `toml:"handshake"`
+	Counter   float64 `toml:"counter"`   // calls of the shared counter
+	Probe     float64 `toml:"probe"`     // probes
+	Cross     float64 `toml:"cross"`     // attempts to another zone
+	Waste     float64 `toml:"waste"`     // work whose answer nobody received
+	Handshake float64 `toml:"handshake"` // new connections
 	HeldBack  float64 `toml:"held_back"` // share of the gain, for a request given up after half of its time without having been sent
 }
 
@@ -370,6 +370,7 @@
 	}
 }
 
+// orDefault returns def for a zero value.
 func orDefault[T int | float64](v, def T) T {
 	if v == 0 {
 		return def
@@ -555,10 +556,12 @@
 	return nil
 }
 
+// keyErrorf returns a KeyError with a formatted reason.
 func keyErrorf(key, format string, args ...any) error {
 	return &KeyError{Key: key, Says: fmt.Sprintf(format, args...)}
 }
 
+// oneOf returns an error unless the value is among the allowed ones.
 func oneOf(key, value string, allowed ...string) error {
 	for _, w := range allowed {
 		if w == value {
--- a/lab/tally/tally.go
+++ b/lab/tally/tally.go
@@ -86,6 +86,7 @@
 	return c, nil
 }
 
+// isCounted reports whether a log field is a count.
 func isCounted(k string) bool {
 	return k == fields.Arrived || k == fields.Sent || strings.HasPrefix(k, fields.Rejected) ||
 		strings.HasPrefix(k, fields.Failed) || strings.HasPrefix(k, fields.Differs)
