--- a/lab/command/load.go
+++ b/lab/command/load.go
@@ -29,7 +29,7 @@
 func loadCommand() *cobra.Command {
 	var r load.Run
 	var k load.Knee
-	var d load.Door
+	var d load.DoorRequests
 	var path, hist string
 	var knee, anywhere bool
 	cmd := &cobra.Command{Use: "load", Short: "Load a door, or any HTTP/1.1 server, open-loop: at a fixed rate, or up to its knee", Args: cobra.NoArgs,
@@ -40,15 +40,15 @@
 				return err
 			}
 			d.Host, d.Seed = r.Target, r.Seed
-			if r.Word = d.Word; path != "" {
-				r.Word = load.Get(r.Target, path)
+			if r.Request = d.Format; path != "" {
+				r.Request = load.Get(r.Target, path)
 			}
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			defer t.Flush()
 			head := "asked/s\tfinished/s\trejected\tfailed\tp50\tp99\tp99.9\tmost\ttool late by\t"
 			line := func(rate float64, o *load.Outcome) string {
 				return fmt.Sprintf("%.0f\t%.0f\t%d\t%d\t%v\t%v\t%v\t%v\t%v\t", rate, o.Rate(), o.Rejected, o.Failed, o.At(50), o.At(99), o.At(99.9),
-					o.At(100), o.Behind.Round(time.Microsecond))
+					o.At(100), o.MaxLag.Round(time.Microsecond))
 			}
 			if knee {
 				k.Run = r
@@ -71,7 +71,7 @@
 				return nil
 			}
 			update, finish := progressBar(cmd, r.Target)
-			o, err := r.Play(cmd.Context(), func(done float64) { update(done, 1) })
+			o, err := r.Execute(cmd.Context(), func(done float64) { update(done, 1) })
 			finish()
 			if err != nil {
 				return err
@@ -94,14 +94,14 @@
 	f.StringVar(&r.Target, "target", "127.0.0.1:8000", "host:port")
 	f.BoolVar(&anywhere, "anywhere", false, "load a machine other than this one")
 	f.Float64Var(&r.Rate, "rate", 100, "operations per second; with --knee, the first rate of the search")
-	f.DurationVar(&r.For, "for", 10*time.Second, "duration; with --knee, of one step")
+	f.DurationVar(&r.Duration, "for", 10*time.Second, "duration; with --knee, of one step")
 	f.IntVar(&r.Conns, "conns", 64, "maximum number of connections")
 	f.BoolVar(&r.Poisson, "poisson", true, "random intervals (Poisson) instead of even ones")
-	f.DurationVar(&r.Patience, "patience", 5*time.Second, "timeout of an operation")
+	f.DurationVar(&r.Timeout, "patience", 5*time.Second, "timeout of an operation")
 	f.Uint64Var(&r.Seed, "seed", 1, "seed for intervals, customers and ids")
 	f.BoolVar(&knee, "knee", false, "search for the highest rate that holds")
 	f.DurationVar(&k.P99, "p99", 100*time.Millisecond, "highest p99 at which a rate holds")
-	f.Float64Var(&k.Least, "least", 0.99, "share of the operations that must finish")
+	f.Float64Var(&k.MinFinished, "least", 0.99, "share of the operations that must finish")
 	f.IntVar(&k.Steps, "steps", 5, "bisection steps")
 	f.StringVar(&d.Class, "profile", "look", "profile of the operations")
 	f.StringVar(&d.Plan, "plan", "basic", "plan of the customers")
@@ -115,7 +115,7 @@
 
 // besideCommand compares a door with the standard library's reverse proxy.
 func besideCommand() *cobra.Command {
-	var b stand.Beside
+	var b stand.ProxyComparison
 	cmd := &cobra.Command{Use: "beside", Short: "Load a door and the standard library's reverse proxy side by side, on one core", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			self, err := os.Executable()
@@ -152,7 +152,7 @@
 	f.IntVar(&b.Rounds, "rounds", 3, "turns of each server at each rate")
 	f.IntVar(&b.Conns, "conns", 64, "maximum number of connections")
 	f.DurationVar(&b.Knee.P99, "p99", 20*time.Millisecond, "highest p99 at the knee")
-	f.Float64Var(&b.Knee.Least, "least", 0.99, "share of the operations that must finish at the knee")
+	f.Float64Var(&b.Knee.MinFinished, "least", 0.99, "share of the operations that must finish at the knee")
 	f.IntVar(&b.Knee.Steps, "steps", 5, "bisection steps for the knee")
 	f.Float64Var(&b.Knee.Run.Rate, "from", 1000, "first rate of the knee search")
 	return cmd
--- a/lab/command/sockets.go
+++ b/lab/command/sockets.go
@@ -10,5 +10,5 @@
 
 // runOnSockets runs a scenario in real time, with doors that listen on sockets.
 func runOnSockets(ctx context.Context, s *scenario.Scenario, seed uint64, policy, binary, logs string, progress func(float64)) (*run.Result, error) {
-	return stand.Play{Scenario: s, Seed: seed, Policy: policy, Binary: binary, Logs: logs}.Run(ctx, progress)
+	return stand.SocketRun{Scenario: s, Seed: seed, Policy: policy, Binary: binary, Logs: logs}.Run(ctx, progress)
 }
--- a/lab/procs/coordinators.go
+++ b/lab/procs/coordinators.go
@@ -107,7 +107,7 @@
 			for err == nil {
 				if time.Since(said) > paceAgain {
 					said = time.Now()
-					_, err = own.Word(over, &permits.DoorReport{Caller: caller, Seq: next(), Sighting: permits.Sighting{Unit: unit, Standing: permits.Ready, Incarnation: life.Number, Process: 1}})
+					_, err = own.ReportDoor(over, &permits.DoorReport{Caller: caller, Seq: next(), Sighting: permits.Sighting{Unit: unit, Standing: permits.Ready, Incarnation: life.Number, Process: 1}})
 					continue
 				}
 				began := time.Now()
--- a/lab/procs/drill.go
+++ b/lab/procs/drill.go
@@ -279,7 +279,7 @@
 	return fmt.Sprintf("%s=%g", serving.WallOffsetVariable, 5*dice.Float64()-2.5)
 }
 
-func faultOf(file string) string { return coordinator.DiskFault + "=" + file }
+func faultOf(file string) string { return coordinator.DiskFaultVariable + "=" + file }
 
 func (d *drill) write(name string, v any) (string, error) {
 	raw, err := json.Marshal(v)
--- a/lab/procs/real.go
+++ b/lab/procs/real.go
@@ -470,7 +470,7 @@
 	var runs []load.Run
 	for _, i := range slices.Sorted(maps.Keys(doors)) {
 		run := asks(site, doors[i], i, rate, end)
-		run.Enough = enough
+		run.Stop = enough
 		runs = append(runs, run)
 	}
 	return sideways(ctx, runs)
@@ -479,7 +479,7 @@
 // asks is one door's clients for a time, ms.
 func asks(site *stand.Site, at string, door int, rate, end float64) load.Run {
 	run := site.Client(at, uint64(door+1))
-	run.Rate, run.For, run.Patience = rate, time.Duration(end*1e6), clientsWait
+	run.Rate, run.Duration, run.Timeout = rate, time.Duration(end*1e6), clientsWait
 	return run
 }
 
@@ -491,7 +491,7 @@
 	all := make([]*load.Outcome, len(runs))
 	for i, run := range runs {
 		group.Go(func() {
-			o, err := run.Play(ctx, nil)
+			o, err := run.Execute(ctx, nil)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil && first == nil {
--- a/lab/rival/rival.go
+++ b/lab/rival/rival.go
@@ -26,17 +26,17 @@
 
 // Makers holds the constructor of each policy.
 var Makers = map[string]model.Maker{
-	Swifthall: {New: func(t gate.Terms, seed uint64, _ model.Sight) gate.Decider { return policy.New(t, seed) }},
-	Floor: {New: func(t gate.Terms, seed uint64, _ model.Sight) gate.Decider {
+	Swifthall: {New: func(t gate.Terms, seed uint64, _ model.TrueState) gate.Decider { return policy.New(t, seed) }},
+	Floor: {New: func(t gate.Terms, seed uint64, _ model.TrueState) gate.Decider {
 		return &floor{base: newBase(t, seed)}
 	}},
-	Textbook: {New: func(t gate.Terms, seed uint64, _ model.Sight) gate.Decider {
+	Textbook: {New: func(t gate.Terms, seed uint64, _ model.TrueState) gate.Decider {
 		return &textbook{base: newBase(t, seed)}
 	}},
-	Late: {Shared: true, New: func(t gate.Terms, seed uint64, s model.Sight) gate.Decider {
+	Late: {Shared: true, New: func(t gate.Terms, seed uint64, s model.TrueState) gate.Decider {
 		return &textbook{base: newBase(t, seed), sight: s}
 	}},
-	Oracle: {Shared: true, New: func(t gate.Terms, seed uint64, s model.Sight) gate.Decider {
+	Oracle: {Shared: true, New: func(t gate.Terms, seed uint64, s model.TrueState) gate.Decider {
 		return newOracle(t, seed, s)
 	}},
 }
@@ -212,8 +212,8 @@
 type textbook struct {
 	base
 	buckets     []bucket
-	retryBudget float64     // tokens left in the retry budget
-	sight       model.Sight // if set, the true quotas are checked, with delay, instead of an equal share
+	retryBudget float64         // tokens left in the retry budget
+	sight       model.TrueState // if set, the true quotas are checked, with delay, instead of an equal share
 }
 
 // bucket is a customer's token bucket.
@@ -261,7 +261,7 @@
 		return 0
 	}
 	if t.sight != nil {
-		if t.sight.TakeLate(e.Customer, e.Plan, e.Units, quotaDelayMs) {
+		if t.sight.TakeStaleQuota(e.Customer, e.Plan, e.Units, quotaDelayMs) {
 			return 0
 		}
 		return e.Units / p.Rate
@@ -328,7 +328,7 @@
 // the queues, the more gain a request must bring for its work to be admitted.
 type oracle struct {
 	base
-	sight model.Sight
+	sight model.TrueState
 	ranks [][]float64 // rank of a class and plan by gain per work; 1 for the highest
 }
 
@@ -338,13 +338,13 @@
 )
 
 // newOracle ranks all pairs of class and plan by their gain per work.
-func newOracle(t gate.Terms, seed uint64, s model.Sight) *oracle {
+func newOracle(t gate.Terms, seed uint64, s model.TrueState) *oracle {
 	o := &oracle{base: newBase(t, seed), sight: s}
 	var all []float64
 	for p := range t.Classes {
 		var row []float64
 		for q := range t.Plans {
-			row = append(row, t.Classes[p].Gain*t.Plans[q].Price/s.Work(p))
+			row = append(row, t.Classes[p].Gain*t.Plans[q].Price/s.MeanWork(p))
 		}
 		o.ranks, all = append(o.ranks, row), append(all, row...)
 	}
@@ -364,11 +364,11 @@
 		switch e := e.(type) {
 		case gate.Request:
 			op := o.addRequest(now, e)
-			contract, alone := o.terms.Classes[op.class].Contract, o.sight.Work(op.class)
+			contract, alone := o.terms.Classes[op.class].Contract, o.sight.MeanWork(op.class)
 			maxWait := max(alone, contract*(lowestRankWait+(highestRankWait-lowestRankWait)*o.ranks[op.class][op.plan]))
 			if b, wait := o.fastestBackend(now, op); b < 0 || now+wait > op.deadline || wait > maxWait {
 				o.giveUp(e.Op, o.terms.MaxRetryAfter)
-			} else if !o.sight.Take(e.Customer, e.Plan, e.Units) {
+			} else if !o.sight.TakeQuota(e.Customer, e.Plan, e.Units) {
 				o.giveUp(e.Op, e.Units/max(1e-9, o.terms.Plans[e.Plan].Rate))
 			} else {
 				o.send(now, e.Op, b, 0)
@@ -397,7 +397,7 @@
 	}
 	for i := range o.listed {
 		b := o.listed[(from+i)%len(o.listed)]
-		if w := o.sight.Wait(b, op.class); w < wait && o.mayAttempt(now, op, b) {
+		if w := o.sight.EstimateWait(b, op.class); w < wait && o.mayAttempt(now, op, b) {
 			backend, wait = b, w
 		}
 	}
--- a/lab/run/rolls_test.go
+++ b/lab/run/rolls_test.go
@@ -19,7 +19,7 @@
 
 // outageRecorder records when units are out: doors that are down, and backends that are cold.
 type outageRecorder struct {
-	judge       *judge.Judge
+	judge       *judge.Verifier
 	transitions []transition
 	down        map[int]bool
 }
@@ -33,14 +33,14 @@
 func (r *outageRecorder) Take(e *trace.Event) {
 	r.judge.Take(e)
 	switch {
-	case e.Kind == trace.Died:
+	case e.Kind == trace.DoorDied:
 		r.down[e.Door] = true
 		r.transitions = append(r.transitions, transition{e.At, true, 1})
-	case e.Kind == trace.Started && r.down[e.Door]:
+	case e.Kind == trace.DoorStarted && r.down[e.Door]:
 		delete(r.down, e.Door)
 		r.transitions = append(r.transitions, transition{e.At, true, -1})
-	case e.Kind == trace.Began && e.At > 0:
-		r.transitions = append(r.transitions, transition{e.At, false, 1}, transition{e.At + e.Span, false, -1})
+	case e.Kind == trace.BackendStarted && e.At > 0:
+		r.transitions = append(r.transitions, transition{e.At, false, 1}, transition{e.At + e.WarmupTime, false, -1})
 	}
 }
 
@@ -91,7 +91,7 @@
 					require.NoError(t, err)
 					s = &next
 				}
-				deal := model.Deal(s)
+				deal := model.JudgeTerms(s)
 				r := &outageRecorder{judge: judge.New(deal), down: map[int]bool{}}
 				require.NoError(t, model.New(s, seed+1, rival.Makers[rival.Swifthall], r).Run(context.Background(), nil))
 				res := Sum(s, seed+1, rival.Swifthall, Simulated, r.judge)
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -40,7 +40,7 @@
 	Parts    judge.Parts        `json:"parts"`
 	Score    *Score             `json:"score,omitempty"`
 	Broken   map[judge.Rule]int `json:"broken"`
-	Breaches []judge.Breach     `json:"breaches"`
+	Breaches []judge.Violation  `json:"breaches"`
 	Whole    judge.Tally        `json:"whole"`
 	Plans    []NamedTally       `json:"plans"`
 	Classes  []NamedTally       `json:"profiles"`
@@ -119,8 +119,8 @@
 	if !known {
 		return nil, &PolicyError{o.Policy, rival.Names}
 	}
-	deal := model.Deal(o.Scenario)
-	j, book := judge.New(deal), account.NewBook(deal)
+	deal := model.JudgeTerms(o.Scenario)
+	j, book := judge.New(deal), account.NewCollector(deal)
 	if err := model.New(o.Scenario, o.Seed, maker, observers{j, book}).Run(ctx, progress); err != nil {
 		return nil, &RunError{o.Scenario.Name, err}
 	}
@@ -131,14 +131,14 @@
 
 // observers passes the events of a run to the judge and to the account.
 type observers struct {
-	judge *judge.Judge
-	book  *account.Book
+	judge *judge.Verifier
+	book  *account.Collector
 }
 
 func (b observers) Take(e *trace.Event) { b.judge.Take(e); b.book.Take(e) }
 
 // NewResult builds the result of a run from its judge.
-func Sum(s *scenario.Scenario, seed uint64, policy, on string, j *judge.Judge) *Result {
+func Sum(s *scenario.Scenario, seed uint64, policy, on string, j *judge.Verifier) *Result {
 	r := &Result{Scenario: s.Name, Shows: s.Shows, On: on, Policy: policy, Seed: seed, Doors: s.Fleet.Doors, Backends: s.Fleet.Backends,
 		Length: s.Day.Seconds, Events: j.Events, Parts: j.Service.Parts(), Broken: j.Rules.Count, Breaches: j.Rules.Breaches,
 		Whole: j.Service.Whole, Costs: j.Service.Costs, Seconds: j.Service.Seconds, Faults: s.Faults}
@@ -146,7 +146,7 @@
 		r.Plans = append(r.Plans, NamedTally{Name: p.Name, Tally: j.Service.Plans[i]})
 	}
 	for i, p := range s.Classes {
-		r.Classes = append(r.Classes, NamedTally{Name: p.Name, Tally: j.Service.Profs[i], Latency: Quantiles(j.Service.Latency[i])})
+		r.Classes = append(r.Classes, NamedTally{Name: p.Name, Tally: j.Service.Classes[i], Latency: Quantiles(j.Service.Latency[i])})
 	}
 	return r
 }
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -116,7 +116,7 @@
 
 func TestHuntFindsAndShrinksPlantedBug(t *testing.T) {
 	h := Hunt{Scenario: parseScenario(t), Seed: 1, Runs: 24, MaxFaults: 3, RulesOnly: true, Kinds: []string{"errors", "slow", "delay"},
-		Maker: &model.Maker{New: func(terms gate.Terms, seed uint64, s model.Sight) gate.Decider {
+		Maker: &model.Maker{New: func(terms gate.Terms, seed uint64, s model.TrueState) gate.Decider {
 			return &failingAfterError{Decider: rival.Makers[rival.Floor].New(terms, seed, s)}
 		}}}
 	h.Scenario.Plans[0].PerS = 1000
