--- a/lab/cold/check.go
+++ b/lab/cold/check.go
@@ -1,58 +1,59 @@
-// Package cold plays fleets of doors around backends that have just started, in virtual time, and counts what the doors
-// together start there. A door knows its own part alone; what counts is the sum.
+// Package cold simulates, in virtual time, a fleet of doors whose backends have just started, and checks how many attempts the doors
+// together start at a cold backend. Each door knows only its own share; the limit applies to the sum.
 package cold
 
 import "math"
 
-// Start is one attempt that reached a backend.
+// Start is an attempt that has reached a backend.
 type Start struct {
 	At      float64 // ms
 	Backend int
 }
 
-// Excess is a window in which more was started at a cold backend than it may get.
+// Excess is a window in which more attempts were started at a cold backend than allowed.
 type Excess struct {
 	Start
-	Count int     // in the window that ends with it
-	Most  float64 // that it might have got
+	Count   int     // in the window that ends with Start
+	Allowed float64 // upper limit for Count
 }
 
-// Checker counts by true times, and knows nothing of doors or decisions.
+// Checker counts the starts at cold backends by their true times, independently of what the doors know or decide.
 type Checker struct {
-	Window, Multiple    float64 // of the rule: so many times what a backend can do, over so many ms
-	ColdFrom, ColdFor   float64 // share that a backend can do at its start, and ms after which it does all
-	Work                float64 // that warm backends take each, attempts per ms
-	Since               []float64
-	recent              map[int][]float64
-	Excesses            []Excess
-	Cold                int     // starts at cold backends
-	MostShare, MostOver float64 // of a budget that a window took, and attempts beyond it
+	WindowMs, OverloadMultiple float64           // the rule: at most this multiple of the backend's capacity in a window, ms
+	ColdCapacity, WarmupMs     float64           // share of the capacity right after a start, and ms until all of it is available
+	WarmRate                   float64           // load of a warm backend, attempts per ms
+	StartedAt                  []float64         // clock, ms, by backend; 0 if it was never cold
+	recent                     map[int][]float64 // start times within the window, by backend
+	Excesses                   []Excess
+	ColdStarts                 int     // attempts started at cold backends
+	MaxShare, MaxOver          float64 // largest share of a budget used in a window, and most attempts above one
 }
 
-// Budget is N: what the rule allows a backend in a window that ends at a time.
+// Budget is N, the number of attempts that the rule allows a backend in a window ending at a time.
 func (c *Checker) Budget(backend int, at float64) float64 {
-	share := min(1, c.ColdFrom+(1-c.ColdFrom)*max(0, at-c.Since[backend])/c.ColdFor)
-	return c.Multiple * share * c.Work * c.Window
+	share := min(1, c.ColdCapacity+(1-c.ColdCapacity)*max(0, at-c.StartedAt[backend])/c.WarmupMs)
+	return c.OverloadMultiple * share * c.WarmRate * c.WindowMs
 }
 
-// Takes takes a start in, in order of time.
-func (c *Checker) Takes(s Start) {
-	if c.Since[s.Backend] == 0 || s.At < c.Since[s.Backend] || s.At > c.Since[s.Backend]+c.ColdFor {
+// Record counts a start; starts must come in order of time. Random arrival exceeds N by chance, so an Excess is reported only above
+// N + 2*sqrt(N) + 2.
+func (c *Checker) Record(s Start) {
+	if c.StartedAt[s.Backend] == 0 || s.At < c.StartedAt[s.Backend] || s.At > c.StartedAt[s.Backend]+c.WarmupMs {
 		return
 	}
 	if c.recent == nil {
 		c.recent = map[int][]float64{}
 	}
-	c.Cold++
+	c.ColdStarts++
 	window := append(c.recent[s.Backend], s.At)
-	for window[0] <= s.At-c.Window {
+	for window[0] <= s.At-c.WindowMs {
 		window = window[1:]
 	}
 	c.recent[s.Backend] = window
 	n := c.Budget(s.Backend, s.At)
-	c.MostShare = max(c.MostShare, float64(len(window))/n)
-	c.MostOver = max(c.MostOver, float64(len(window))-n)
-	if most := n + 2*math.Sqrt(n) + 2; float64(len(window)) > most {
-		c.Excesses = append(c.Excesses, Excess{s, len(window), most})
+	c.MaxShare = max(c.MaxShare, float64(len(window))/n)
+	c.MaxOver = max(c.MaxOver, float64(len(window))-n)
+	if allowed := n + 2*math.Sqrt(n) + 2; float64(len(window)) > allowed {
+		c.Excesses = append(c.Excesses, Excess{s, len(window), allowed})
 	}
 }
--- a/lab/command/procs.go
+++ b/lab/command/procs.go
@@ -16,16 +16,16 @@
 	"github.com/swifthall/swifthall/lab/procs/check"
 )
 
-func processes() *cobra.Command {
+func procsCommand() *cobra.Command {
 	var seed uint64
 	var seeds, doors, jobs int
 	var on, who, door, out, logs string
 	var random, rate float64
 	var list, plain bool
-	cmd := &cobra.Command{Use: "procs [SCHEDULE...]", Short: "Play schedules of faults between the doors of a fleet, in virtual time or on processes",
-		Long: "Plays each SCHEDULE, a file or the name of one that ships (all where none is named), and judges what the doors held of each other.\n" +
-			"--on sim plays the membership module in virtual time, --on processes real doors with a relay for each directed pair of them.\n" +
-			"With --out each play leaves result.json, report.html with a timeline, and schedule.toml that plays it again. Exits with 4 if a rule broke.",
+	cmd := &cobra.Command{Use: "procs [SCHEDULE...]", Short: "Run fault schedules between the doors of a fleet, in virtual time or on processes",
+		Long: "Runs each SCHEDULE, a file or the name of one that ships (by default all), and checks what the doors concluded about each other.\n" +
+			"--on sim runs the membership module in virtual time, --on processes real doors with a relay for each directed pair of them.\n" +
+			"With --out each run writes result.json, report.html with a timeline, and schedule.toml that reproduces it. Exits with 4 if a rule broke.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if list {
 				for _, name := range procs.Names() {
@@ -38,14 +38,14 @@
 				return nil
 			}
 			if seeds < 1 {
-				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Says: "at least one is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Reason: "must be at least one"}
 			}
 			makers := map[string]procs.Maker{"module": procs.Module, "heartbeats": procs.Heartbeats}
 			if makers[who] == nil || on == "processes" && who != "module" {
-				return &FlagError{Flag: fmt.Sprintf("--who %q", who), Says: "module or, with --on sim, heartbeats is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--who %q", who), Reason: "must be module or, with --on sim, heartbeats"}
 			}
 			if on != "sim" && on != "processes" {
-				return &FlagError{Flag: fmt.Sprintf("--on %q", on), Says: "sim or processes is wanted"}
+				return &FlagError{Flag: fmt.Sprintf("--on %q", on), Reason: "must be sim or processes"}
 			}
 			if door == "" {
 				self, err := os.Executable()
@@ -57,7 +57,7 @@
 			if len(args) == 0 && random == 0 {
 				args = procs.Names()
 			}
-			var plays []*procs.Plan
+			var specs []*procs.Plan
 			for i := range seeds {
 				at := seed + uint64(i)
 				for _, name := range args {
@@ -68,10 +68,10 @@
 					if doors > 0 {
 						s.Fleet.Doors = doors
 					}
-					plays = append(plays, s.Draw(at))
+					specs = append(specs, s.Draw(at))
 				}
 				if random > 0 {
-					plays = append(plays, procs.Random(at, max(doors, 3), random).Draw(at))
+					specs = append(specs, procs.Random(at, max(doors, 3), random).Draw(at))
 				}
 			}
 			type timed struct {
@@ -91,7 +91,7 @@
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "schedule\tdoors\tseed\tbroken\twrongly away\tchanges\tknown p99, ms\tback, ms\tone view, ms\tdoubted, ms\tmessages/s\tbytes/s\tCPU ms/s\tresident MB\ttook")
 			var broken *procs.Result
-			err := sideBySide(cmd.Context(), plays, jobs, play, func(p *procs.Plan, r timed) error {
+			err := runParallel(cmd.Context(), specs, jobs, play, func(p *procs.Plan, r timed) error {
 				f := &r.Figures
 				if len(r.Breaches) > 0 && broken == nil {
 					broken = r.Result
@@ -116,17 +116,17 @@
 	f := cmd.Flags()
 	f.BoolVar(&list, "list", false, "list the schedules that ship")
 	f.StringVar(&on, "on", "sim", "sim or processes")
-	f.StringVar(&who, "who", "module", "module, or heartbeats with a fixed time-out to compare with")
-	f.Uint64Var(&seed, "seed", 1, "of the first play")
-	f.IntVar(&seeds, "seeds", 1, "how many plays of each")
-	f.IntVar(&doors, "doors", 0, "number of doors in place of the schedule's")
-	f.Float64Var(&random, "random", 0, "play a schedule drawn from the seed as well, of so many seconds")
-	f.StringVar(&door, "door", "", "the door's program; swifthall beside this one where empty")
-	f.Float64Var(&rate, "rate", 20, "operations a second that clients ask of each door; on processes")
-	f.BoolVar(&plain, "plain", false, "doors without a fleet, to see what membership costs; on processes")
-	f.StringVar(&out, "out", "", "folder for each play's result, report and schedule")
-	f.StringVar(&logs, "logs", "", "folder for the processes' logs")
-	f.IntVar(&jobs, "jobs", 0, "plays at once; 0 for one a core, or one on processes")
+	f.StringVar(&who, "who", "module", "module, or heartbeats with a fixed timeout for comparison")
+	f.Uint64Var(&seed, "seed", 1, "seed of the first run")
+	f.IntVar(&seeds, "seeds", 1, "number of runs of each schedule")
+	f.IntVar(&doors, "doors", 0, "number of doors, overriding the schedule")
+	f.Float64Var(&random, "random", 0, "also run a schedule drawn from the seed, of this many seconds")
+	f.StringVar(&door, "door", "", "the door's program; by default swifthall next to this program")
+	f.Float64Var(&rate, "rate", 20, "requests per second that clients send to each door; on processes")
+	f.BoolVar(&plain, "plain", false, "doors without a fleet, to measure what membership costs; on processes")
+	f.StringVar(&out, "out", "", "directory for each run's result, report and schedule")
+	f.StringVar(&logs, "logs", "", "directory for the processes' logs")
+	f.IntVar(&jobs, "jobs", 0, "parallel runs; 0 for one per core, or a single one on processes")
 	cmd.PreRun = func(*cobra.Command, []string) {
 		if jobs == 0 {
 			if jobs = 1; on == "sim" {
@@ -137,35 +137,35 @@
 	return cmd
 }
 
-// sideBySide plays plays, so many at once, and tells of each as it ends, in order.
-func sideBySide[P, R any](ctx context.Context, plays []P, most int, play func(P, context.Context) (R, error), tell func(P, R) error) error {
+// runParallel runs all specs, at most limit at once, and reports each result in order. It stops at the first error.
+func runParallel[P, R any](ctx context.Context, specs []P, limit int, run func(P, context.Context) (R, error), report func(P, R) error) error {
 	type outcome struct {
 		r   R
 		err error
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	outcomes := make([]chan outcome, len(plays))
-	slots := make(chan struct{}, max(1, most))
+	outcomes := make([]chan outcome, len(specs))
+	slots := make(chan struct{}, max(1, limit))
 	var group sync.WaitGroup
 	defer group.Wait()
-	for i := range plays {
+	for i := range specs {
 		outcomes[i] = make(chan outcome, 1)
 	}
 	group.Go(func() {
-		for i, p := range plays {
+		for i, p := range specs {
 			slots <- struct{}{}
 			group.Go(func() {
 				defer func() { <-slots }()
-				r, err := play(p, ctx)
+				r, err := run(p, ctx)
 				outcomes[i] <- outcome{r, err}
 			})
 		}
 	})
-	for i, p := range plays {
+	for i, p := range specs {
 		o := <-outcomes[i]
 		if o.err == nil {
-			o.err = tell(p, o.r)
+			o.err = report(p, o.r)
 		}
 		if o.err != nil {
 			stop()
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -1,4 +1,5 @@
-// Package run plays scenarios: one day, many seeds, sweeps over a key, comparisons, and hunts for the worst day.
+// Package run runs scenarios: a single run, many seeds, a parameter sweep over one key, comparisons of results, and a search for
+// the worst fault schedule.
 package run
 
 import (
@@ -19,13 +20,13 @@
 	"github.com/swifthall/swifthall/lab/trace"
 )
 
-// Where a day was played.
+// Result.On: how a run was executed.
 const (
 	Simulated = "simulated"
 	OnSockets = "on sockets"
 )
 
-// Result is what a day came to. The same scenario, seed and policy give the same bytes where it is simulated.
+// Result is the outcome of one run. If it was simulated, the same scenario, seed and policy give the same bytes.
 type Result struct {
 	Scenario string             `json:"scenario"`
 	Shows    string             `json:"shows"`
@@ -41,34 +42,35 @@
 	Broken   map[judge.Rule]int `json:"broken"`
 	Breaches []judge.Violation  `json:"breaches"`
 	Whole    judge.Tally        `json:"whole"`
-	Plans    []Named            `json:"plans"`
-	Classes  []Named            `json:"profiles"`
+	Plans    []NamedTally       `json:"plans"`
+	Classes  []NamedTally       `json:"profiles"`
 	Costs    judge.Costs        `json:"costs"`
 	Seconds  []judge.Second     `json:"by_second"`
 	Faults   []scenario.Fault   `json:"faults"`
 	Account  *account.Account   `json:"account,omitempty"`
-	Behind   float64            `json:"behind_ms,omitempty"` // on sockets, how late the laboratory itself ran at the worst
+	Behind   float64            `json:"behind_ms,omitempty"` // on sockets, the largest delay of the laboratory itself
 	Notes    []string           `json:"notes,omitempty"`
 }
 
-// Named is the tally of a plan or a class.
-type Named struct {
+// NamedTally is the tally of a plan or a class.
+type NamedTally struct {
 	Name string `json:"name"`
 	judge.Tally
 	Latency *Latency `json:"latency,omitempty"`
 }
 
-// Latency holds quantiles from the first try's beginning to the answer at the client, ms.
+// Latency holds quantiles of the time from the start of the first try to the answer at the client, ms.
 type Latency struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
 	P90   float64 `json:"p90_ms"`
 	P99   float64 `json:"p99_ms"`
 	P999  float64 `json:"p999_ms"`
-	Most  float64 `json:"most_ms"`
+	Max   float64 `json:"most_ms"`
 }
 
-// Score places a day's G between a floor, which lets all in, and an oracle, which sees the true state.
+// Score places the G of a run between those of two baselines: the floor, which admits every request, and the oracle, which sees
+// the true state.
 type Score struct {
 	Value    float64 `json:"value"`
 	Floor    float64 `json:"floor_g"`
@@ -76,22 +78,22 @@
 	Oracle   float64 `json:"oracle_g"`
 }
 
-const leastApart = 0.10 // divisor of a score at least; on a day that anyone serves, small differences mean little
+const minScoreSpan = 0.10 // minimum distance between floor and oracle; if any policy serves well, small differences should not matter
 
-// Place works the score out; a broken rule makes it 0.
-func Place(g float64, broken bool, floor, oracle float64) float64 {
+// ScoreValue returns 1 for the oracle's G and 0 for the floor's; a broken rule makes it 0.
+func ScoreValue(g float64, broken bool, floor, oracle float64) float64 {
 	if broken {
 		return 0
 	}
 	top := max(oracle, g)
-	return 1 - (top-g)/max(leastApart, top-floor)
+	return 1 - (top-g)/max(minScoreSpan, top-floor)
 }
 
-// Kept tells whether all rules were.
-func (r *Result) Kept() bool { return len(r.Broken) == 0 }
+// RulesKept reports whether no rule was broken.
+func (r *Result) RulesKept() bool { return len(r.Broken) == 0 }
 
-// FirstBroken names the first broken rule, in the order of the rules.
-func (r *Result) FirstBroken() judge.Rule {
+// FirstBrokenRule returns the first broken rule in the order of judge.AllRules, or an empty one.
+func (r *Result) FirstBrokenRule() judge.Rule {
 	for _, rule := range judge.AllRules {
 		if r.Broken[rule] > 0 {
 			return rule
@@ -100,15 +102,15 @@
 	return ""
 }
 
-// One is one day to be played.
+// Spec specifies one run.
 type One struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
 	Policy   string
-	Maker    *model.Maker // in place of the one that Policy names
+	Maker    *model.Maker // overrides Policy
 }
 
-// Play plays one day in virtual time.
+// Run simulates the run in virtual time.
 func (o One) Play(ctx context.Context, progress func(float64)) (*Result, error) {
 	maker, known := rival.Makers[o.Policy]
 	if o.Maker != nil {
@@ -119,49 +121,49 @@
 	}
 	deal := model.JudgeTerms(o.Scenario)
 	j, book := judge.New(deal), account.NewCollector(deal)
-	if err := model.New(o.Scenario, o.Seed, maker, both{j, book}).Run(ctx, progress); err != nil {
-		return nil, &DayError{o.Scenario.Name, err}
+	if err := model.New(o.Scenario, o.Seed, maker, observers{j, book}).Run(ctx, progress); err != nil {
+		return nil, &RunError{o.Scenario.Name, err}
 	}
 	r := Sum(o.Scenario, o.Seed, o.Policy, Simulated, j)
 	r.Account = book.Sum()
 	return r, nil
 }
 
-// both hands a day's events to the judge and to the account.
-type both struct {
+// observers passes the events of a run to the judge and to the account.
+type observers struct {
 	judge *judge.Verifier
 	book  *account.Collector
 }
 
-func (b both) Take(e *trace.Event) { b.judge.Take(e); b.book.Take(e) }
+func (b observers) Take(e *trace.Event) { b.judge.Take(e); b.book.Take(e) }
 
-// Sum puts a judged day together.
+// NewResult builds the result of a run from its judge.
 func Sum(s *scenario.Scenario, seed uint64, policy, on string, j *judge.Verifier) *Result {
 	r := &Result{Scenario: s.Name, Shows: s.Shows, On: on, Policy: policy, Seed: seed, Doors: s.Fleet.Doors, Backends: s.Fleet.Backends,
-		Length: s.Day.Seconds, Events: j.Events, Parts: j.Service.Parts(), Broken: j.Rules.Count, Breaches: j.Rules.Violations,
+		Length: s.Day.Seconds, Events: j.Events, Parts: j.Service.Parts(), Broken: j.Rules.Count, Breaches: j.Rules.Breaches,
 		Whole: j.Service.Whole, Costs: j.Service.Costs, Seconds: j.Service.Seconds, Faults: s.Faults}
 	for i, p := range s.Plans {
-		r.Plans = append(r.Plans, Named{Name: p.Name, Tally: j.Service.Plans[i]})
+		r.Plans = append(r.Plans, NamedTally{Name: p.Name, Tally: j.Service.Plans[i]})
 	}
 	for i, p := range s.Classes {
-		r.Classes = append(r.Classes, Named{Name: p.Name, Tally: j.Service.Classes[i], Latency: Quantiles(j.Service.Latency[i])})
+		r.Classes = append(r.Classes, NamedTally{Name: p.Name, Tally: j.Service.Classes[i], Latency: Quantiles(j.Service.Latency[i])})
 	}
 	return r
 }
 
-// Quantiles reads a histogram of µs.
+// Quantiles reads a histogram in µs and returns ms.
 func Quantiles(h *hdrhistogram.Histogram) *Latency {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	return &Latency{Count: h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Most: float64(h.Max()) / 1000}
+	return &Latency{Count: h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: float64(h.Max()) / 1000}
 }
 
-// Marked plays a day and, beside it, the floor, the textbook and the oracle, and scores the day between them.
-func (o One) Marked(ctx context.Context, progress func(float64)) (*Result, error) {
-	days := []One{o, o, o, o}
+// RunScored simulates the run together with the floor, textbook and oracle baselines, and scores it.
+func (o One) RunScored(ctx context.Context, progress func(float64)) (*Result, error) {
+	specs := []One{o, o, o, o}
 	for i, name := range []string{rival.Floor, rival.Textbook, rival.Oracle} {
-		days[i+1].Policy, days[i+1].Maker = name, nil
+		specs[i+1].Policy, specs[i+1].Maker = name, nil
 	}
-	results, err := All(ctx, days, 0, func(i int, done float64) {
+	results, err := RunAll(ctx, specs, 0, func(i int, done float64) {
 		if i == 0 && progress != nil {
 			progress(done)
 		}
@@ -170,30 +172,30 @@
 		return nil, err
 	}
 	r := results[0]
-	r.Score = Mark(r, results[1], results[2], results[3])
+	r.Score = NewScore(r, results[1], results[2], results[3])
 	return r, nil
 }
 
-// Mark scores a day by its marks. A floor that broke a rule counts as none served.
-func Mark(r, floor, textbook, oracle *Result) *Score {
+// NewScore scores a run against its baselines. A floor that broke a rule counts as G 0.
+func NewScore(r, floor, textbook, oracle *Result) *Score {
 	f := max(0, floor.Parts.G)
-	if !floor.Kept() {
+	if !floor.RulesKept() {
 		f = 0
 	}
-	return &Score{Value: Place(r.Parts.G, !r.Kept(), f, oracle.Parts.G), Floor: f, Textbook: textbook.Parts.G, Oracle: oracle.Parts.G}
+	return &Score{Value: ScoreValue(r.Parts.G, !r.RulesKept(), f, oracle.Parts.G), Floor: f, Textbook: textbook.Parts.G, Oracle: oracle.Parts.G}
 }
 
-// All plays days side by side, at most so many at once (0 for one a core), and returns their results in order.
-func All(ctx context.Context, days []One, most int, progress func(i int, done float64)) ([]*Result, error) {
-	if most <= 0 {
-		most = runtime.GOMAXPROCS(0)
+// RunAll simulates runs in parallel, at most limit at once (0 for one per core), and returns their results in order.
+func RunAll(ctx context.Context, specs []One, limit int, progress func(i int, done float64)) ([]*Result, error) {
+	if limit <= 0 {
+		limit = runtime.GOMAXPROCS(0)
 	}
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	results := make([]*Result, len(days))
-	slots := make(chan struct{}, most)
+	results := make([]*Result, len(specs))
+	slots := make(chan struct{}, limit)
 	var group sync.WaitGroup
-	for i, d := range days {
+	for i, d := range specs {
 		group.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
@@ -219,33 +221,33 @@
 	return results, nil
 }
 
-// ResultFile is the name of a day's figures in its folder.
+// ResultFile is the name of the file with a run's results.
 const ResultFile = "result.json"
 
-// Save writes a day's figures into a folder, which is made.
+// Save writes the results into a directory and creates it if necessary.
 func (r *Result) Save(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return &ResultsError{Doing: doingSave, Dir: dir, Cause: err}
+		return &ResultsError{Operation: opSave, Dir: dir, Cause: err}
 	}
 	raw, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
-		return &ResultsError{Doing: doingSave, Dir: dir, Cause: err}
+		return &ResultsError{Operation: opSave, Dir: dir, Cause: err}
 	}
 	if err := os.WriteFile(filepath.Join(dir, ResultFile), append(raw, '\n'), 0o644); err != nil {
-		return &ResultsError{Doing: doingSave, Dir: dir, Cause: err}
+		return &ResultsError{Operation: opSave, Dir: dir, Cause: err}
 	}
 	return nil
 }
 
-// Load reads a day's figures back.
+// Load reads the results that Save wrote.
 func Load(dir string) (*Result, error) {
 	raw, err := os.ReadFile(filepath.Join(dir, ResultFile))
 	if err != nil {
-		return nil, &ResultsError{Doing: doingLoad, Dir: dir, Cause: err}
+		return nil, &ResultsError{Operation: opLoad, Dir: dir, Cause: err}
 	}
 	var r Result
 	if err := json.Unmarshal(raw, &r); err != nil {
-		return nil, &ResultsError{Doing: doingLoad, Dir: dir, Cause: err}
+		return nil, &ResultsError{Operation: opLoad, Dir: dir, Cause: err}
 	}
 	return &r, nil
 }
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -16,7 +16,7 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-const town = `
+const testScenario = `
 name = "town"
 [day]
 seconds = 8
@@ -36,16 +36,16 @@
 depth = 10.0
 `
 
-func read(t *testing.T) *scenario.Scenario {
-	s, err := scenario.Read([]byte(town))
+func parseScenario(t *testing.T) *scenario.Scenario {
+	s, err := scenario.Read([]byte(testScenario))
 	require.NoError(t, err)
 	return &s
 }
 
-func TestTheSameSeedGivesTheSameBytes(t *testing.T) {
+func TestSameSeedGivesSameBytes(t *testing.T) {
 	var last []byte
 	for range 3 {
-		r, err := One{Scenario: read(t), Seed: 5, Policy: rival.Swifthall}.Marked(context.Background(), nil)
+		r, err := One{Scenario: parseScenario(t), Seed: 5, Policy: rival.Swifthall}.RunScored(context.Background(), nil)
 		require.NoError(t, err)
 		raw, err := json.Marshal(r)
 		require.NoError(t, err)
@@ -56,68 +56,68 @@
 	}
 }
 
-func TestADayIsPlacedBetweenItsMarks(t *testing.T) {
-	assert.Equal(t, 1.0, Place(0.9, false, 0.1, 0.9))
-	assert.InDelta(t, 0.5, Place(0.5, false, 0.1, 0.9), 1e-9)
-	assert.InDelta(t, 0.8, Place(0.93, false, 0.94, 0.95), 1e-9, "marks close together")
-	assert.Zero(t, Place(0.9, true, 0.1, 0.9), "a rule broke")
-	r, err := One{Scenario: read(t), Seed: 1, Policy: rival.Oracle}.Marked(context.Background(), nil)
+func TestScoreLiesBetweenFloorAndOracle(t *testing.T) {
+	assert.Equal(t, 1.0, ScoreValue(0.9, false, 0.1, 0.9))
+	assert.InDelta(t, 0.5, ScoreValue(0.5, false, 0.1, 0.9), 1e-9)
+	assert.InDelta(t, 0.8, ScoreValue(0.93, false, 0.94, 0.95), 1e-9, "floor and oracle are close together")
+	assert.Zero(t, ScoreValue(0.9, true, 0.1, 0.9), "a rule broke")
+	r, err := One{Scenario: parseScenario(t), Seed: 1, Policy: rival.Oracle}.RunScored(context.Background(), nil)
 	require.NoError(t, err)
 	assert.Greater(t, r.Score.Oracle, r.Score.Floor)
 	assert.Equal(t, 1.0, r.Score.Value, "the oracle against itself")
 }
 
-func TestASweepPairsItsSeedsAndTellsTheNoise(t *testing.T) {
-	w := Sweep{Scenario: read(t), Seeds: []uint64{1, 2, 3, 4}, Key: "load.share", Values: []string{"0.3", "1.5"}, Policies: []string{rival.Swifthall}}
-	cells, err := w.Play(context.Background(), nil)
+func TestSweepPairsSeedsAndEstimatesNoise(t *testing.T) {
+	w := Sweep{Scenario: parseScenario(t), Seeds: []uint64{1, 2, 3, 4}, Key: "load.share", Values: []string{"0.3", "1.5"}, Policies: []string{rival.Swifthall}}
+	cells, err := w.Run(context.Background(), nil)
 	require.NoError(t, err)
 	require.Len(t, cells, 2)
 	assert.Greater(t, cells[0].G().Mean, cells[1].G().Mean, "more load, less service")
 	dir := t.TempDir()
 	require.NoError(t, cells[0].Save(dir, w.Key))
-	found, err := Find(dir)
+	found, err := LoadAll(dir)
 	require.NoError(t, err)
 	rows, err := Compare(found, cells[1].Results)
 	require.NoError(t, err)
 	assert.Equal(t, "G", rows[0].Name)
-	assert.True(t, rows[0].Clear())
+	assert.True(t, rows[0].Significant())
 	assert.Negative(t, rows[0].Diff.Mean)
 	same, err := Compare(found, found)
 	require.NoError(t, err)
-	assert.False(t, same[0].Clear())
+	assert.False(t, same[0].Significant())
 	one, err := Compare(found[:1], cells[1].Results[:1])
 	require.NoError(t, err)
-	assert.True(t, math.IsNaN(one[0].Diff.Err()), "one pair has no noise to tell")
+	assert.True(t, math.IsNaN(one[0].Diff.StdErr()), "a single pair gives no estimate of the noise")
 }
 
-func TestASweepNamesAKeyThatIsNone(t *testing.T) {
-	w := Sweep{Scenario: read(t), Seeds: []uint64{1}, Key: "load.shore", Values: []string{"1"}, Policies: []string{rival.Swifthall}}
-	_, err := w.Play(context.Background(), nil)
+func TestSweepReportsUnknownKey(t *testing.T) {
+	w := Sweep{Scenario: parseScenario(t), Seeds: []uint64{1}, Key: "load.shore", Values: []string{"1"}, Policies: []string{rival.Swifthall}}
+	_, err := w.Run(context.Background(), nil)
 	assert.ErrorContains(t, err, "load.shore")
 }
 
-// sulky serves well until a backend fails it, and answers nobody from then on: a fault must come first.
-type sulky struct {
+// failingAfterError works until a backend answers with an error, and never answers again: the bug shows only under that fault.
+type failingAfterError struct {
 	gate.Decider
-	hurt bool
+	failed bool
 }
 
-func (d *sulky) Decide(now float64, events []gate.Event) []gate.Action {
+func (d *failingAfterError) Decide(now float64, events []gate.Event) []gate.Action {
 	for _, e := range events {
 		if end, is := e.(gate.AttemptEnded); is && end.Result == gate.Errored {
-			d.hurt = true
+			d.failed = true
 		}
 	}
-	if d.hurt {
+	if d.failed {
 		return nil
 	}
 	return d.Decider.Decide(now, events)
 }
 
-func TestAHuntFindsThePlantedFaultAndCutsItDown(t *testing.T) {
-	h := Hunt{Scenario: read(t), Seed: 1, Days: 24, Most: 3, Rules: true, Only: []string{"errors", "slow", "delay"},
+func TestHuntFindsAndShrinksPlantedBug(t *testing.T) {
+	h := Hunt{Scenario: parseScenario(t), Seed: 1, Runs: 24, MaxFaults: 3, RulesOnly: true, Kinds: []string{"errors", "slow", "delay"},
 		Maker: &model.Maker{New: func(terms gate.Terms, seed uint64, s model.TrueState) gate.Decider {
-			return &sulky{Decider: rival.Makers[rival.Floor].New(terms, seed, s)}
+			return &failingAfterError{Decider: rival.Makers[rival.Floor].New(terms, seed, s)}
 		}}}
 	h.Scenario.Plans[0].PerS = 1000
 	found, err := h.Run(context.Background(), nil)
@@ -128,12 +128,12 @@
 	raw, err := found.Scenario.Write()
 	require.NoError(t, err)
 	_, err = scenario.Read(raw)
-	assert.NoError(t, err, "what is found can be played again")
+	assert.NoError(t, err, "the schedule found can be run again")
 }
 
-func TestAStoppedRunSaysSo(t *testing.T) {
+func TestCancelledRunReturnsCanceled(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
-	_, err := One{Scenario: read(t), Seed: 1, Policy: rival.Swifthall}.Play(ctx, nil)
+	_, err := One{Scenario: parseScenario(t), Seed: 1, Policy: rival.Swifthall}.Play(ctx, nil)
 	assert.ErrorIs(t, err, context.Canceled)
 }
--- a/lab/run/sweep.go
+++ b/lab/run/sweep.go
@@ -14,37 +14,38 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// Sweep plays one scenario over seeds, and over the values of one key where there is one.
+// Sweep is a parameter sweep: one scenario over seeds, policies and, optionally, the values of one key.
 type Sweep struct {
 	Scenario *scenario.Scenario
 	Seeds    []uint64
 	Key      string
-	Values   []string // one empty value where no key is swept
+	Values   []string // unused without a key
 	Policies []string
-	Jobs     int // at once; 0 for one a core
+	Jobs     int // parallel runs; 0 for one per core
 }
 
-// Cell is one value and policy over all seeds.
+// Cell holds the results of one value and policy over all seeds.
 type Cell struct {
 	Value, Policy string
 	Results       []*Result
 }
 
-// Figure is a mean over seeds with its spread.
+// Figure is a mean over seeds with its standard deviation.
 type Figure struct {
 	Mean, Deviation float64
 	N               int
 }
 
-// Err is the standard error of the mean.
-func (f Figure) Err() float64 {
+// StdErr is the standard error of the mean; NaN for fewer than two values.
+func (f Figure) StdErr() float64 {
 	if f.N < 2 {
 		return math.NaN()
 	}
 	return f.Deviation / math.Sqrt(float64(f.N))
 }
 
-func figureOf(xs []float64) Figure {
+// newFigure returns mean and standard deviation.
+func newFigure(xs []float64) Figure {
 	if len(xs) == 0 {
 		return Figure{Mean: math.NaN(), Deviation: math.NaN()}
 	}
@@ -55,28 +56,28 @@
 	return Figure{mean, dev, len(xs)}
 }
 
-// G is the cell's mean G.
+// G is the mean G over the seeds.
 func (c *Cell) G() Figure {
 	var xs []float64
 	for _, r := range c.Results {
 		xs = append(xs, r.Parts.G)
 	}
-	return figureOf(xs)
+	return newFigure(xs)
 }
 
-// Broken counts the days on which a rule broke.
-func (c *Cell) Broken() (n int) {
+// BrokenRuns counts the runs that broke a rule.
+func (c *Cell) BrokenRuns() (n int) {
 	for _, r := range c.Results {
-		if !r.Kept() {
+		if !r.RulesKept() {
 			n++
 		}
 	}
 	return n
 }
 
-// Play plays all days of the sweep.
-func (s *Sweep) Play(ctx context.Context, progress func(done, all float64)) ([]*Cell, error) {
-	var days []One
+// Run simulates all runs of the sweep.
+func (s *Sweep) Run(ctx context.Context, progress func(done, all float64)) ([]*Cell, error) {
+	var specs []One
 	var cells []*Cell
 	values := s.Values
 	if s.Key == "" {
@@ -93,11 +94,11 @@
 		for _, p := range s.Policies {
 			cells = append(cells, &Cell{Value: v, Policy: p})
 			for _, seed := range s.Seeds {
-				days = append(days, One{Scenario: &sc, Seed: seed, Policy: p})
+				specs = append(specs, One{Scenario: &sc, Seed: seed, Policy: p})
 			}
 		}
 	}
-	results, err := All(ctx, days, s.Jobs, together(len(days), progress))
+	results, err := RunAll(ctx, specs, s.Jobs, combineProgress(len(specs), progress))
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +109,7 @@
 	return cells, nil
 }
 
-// Save writes every day into a folder of its own, by value, policy and seed.
+// Save writes every result into a directory of its own, by value, policy and seed.
 func (c *Cell) Save(dir, key string) error {
 	for _, r := range c.Results {
 		at := dir
@@ -122,8 +123,8 @@
 	return nil
 }
 
-// Find reads all results in a folder and below it, by seed.
-func Find(dir string) ([]*Result, error) {
+// LoadAll loads all results in a directory and below it, sorted by seed.
+func LoadAll(dir string) ([]*Result, error) {
 	var results []*Result
 	err := filepath.WalkDir(dir, func(path string, e fs.DirEntry, err error) error {
 		if err != nil {
@@ -139,27 +140,29 @@
 		return err
 	})
 	if err != nil {
-		return nil, &ResultsError{Doing: doingFind, Dir: dir, Cause: err}
+		return nil, &ResultsError{Operation: opFind, Dir: dir, Cause: err}
 	}
 	if len(results) == 0 {
-		return nil, &ResultsError{Doing: doingFind, Dir: dir, Says: "no " + ResultFile + " in " + dir + " or below it"}
+		return nil, &ResultsError{Operation: opFind, Dir: dir, Detail: "no " + ResultFile + " in " + dir + " or below"}
 	}
 	slices.SortFunc(results, func(a, b *Result) int { return int(a.Seed) - int(b.Seed) })
 	return results, nil
 }
 
-// Row compares one figure of two folders.
-type Row struct {
+// Comparison compares one figure of two sets of results.
+type Comparison struct {
 	Name         string
 	First, Other Figure
-	Diff         Figure // over the seeds that both have, pair by pair
+	Diff         Figure // mean of the paired differences, over the seeds that both sets have
 }
 
-// Clear tells whether the difference stands out of its noise: over two standard errors.
-func (r *Row) Clear() bool { return r.Diff.N > 1 && math.Abs(r.Diff.Mean) > 2*r.Diff.Err() }
+// Significant reports whether the difference is larger than two standard errors.
+func (r *Comparison) Significant() bool {
+	return r.Diff.N > 1 && math.Abs(r.Diff.Mean) > 2*r.Diff.StdErr()
+}
 
-// Compare sets two sets of days side by side.
-func Compare(first, other []*Result) ([]Row, error) {
+// Compare compares two sets of results figure by figure.
+func Compare(first, other []*Result) ([]Comparison, error) {
 	figures := []struct {
 		name string
 		of   func(r *Result) float64
@@ -179,9 +182,9 @@
 	for _, r := range first {
 		bySeed[r.Seed] = r
 	}
-	var rows []Row
+	var rows []Comparison
 	for _, f := range figures {
-		row := Row{Name: f.name}
+		row := Comparison{Name: f.name}
 		var a, b, diff []float64
 		for _, r := range first {
 			a = append(a, f.of(r))
@@ -193,14 +196,15 @@
 			}
 		}
 		if len(diff) == 0 {
-			return nil, errNoPair
+			return nil, errNoCommonSeed
 		}
-		row.First, row.Other, row.Diff = figureOf(a), figureOf(b), figureOf(diff)
+		row.First, row.Other, row.Diff = newFigure(a), newFigure(b), newFigure(diff)
 		rows = append(rows, row)
 	}
 	return rows, nil
 }
 
+// share returns a/b, and 0 for b = 0.
 func share(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -208,11 +212,11 @@
 	return a / b
 }
 
-// together turns the progress of days side by side into one.
-func together(n int, progress func(done, all float64)) func(i int, done float64) {
+// combineProgress adapts the progress of parallel runs to a single progress function.
+func combineProgress(n int, progress func(done, all float64)) func(i int, done float64) {
 	if progress == nil {
 		return nil
 	}
-	state := newGauge(n, progress)
+	state := newProgressSum(n, progress)
 	return state.set
 }
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,6 +1,7 @@
-// Package scenario is the laboratory's scenario file: a world, its load and its faults, as TOML. Read refuses keys it
-// does not know, figures that cannot be and faults that contradict each other, and names the key.
-// Keys carry their unit: _ms, _s, per_s. A span is two figures, from which each day draws.
+// Package scenario defines the laboratory's scenario files: the simulated system, its load and its faults, in TOML. Read rejects
+// unknown keys, impossible values and conflicting faults, and names the key.
+//
+// Keys carry their unit: _ms, _s, per_s. A span is one or two numbers, a range from which each run draws a value.
 package scenario
 
 import (
@@ -16,13 +17,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Span is a range that a day draws from; both ends are the same where nothing is drawn.
+// Span is a range from which a run draws; a single number is a fixed value.
 type Span []float64
 
 func (s Span) Low() float64  { return s[0] }
 func (s Span) High() float64 { return s[len(s)-1] }
 
-// At returns the span's value for a share from 0 to 1 of its length.
+// At returns the value at a position in the span, from 0 for its low end to 1 for its high end.
 func (s Span) At(share float64) float64 { return s.Low() + (s.High()-s.Low())*share }
 
 // Scenario is one scenario file.
@@ -47,202 +48,202 @@
 	Faults    []Fault   `toml:"fault"`
 }
 
-// Day is how long requests arrive, and how often a door looks at what has come.
+// Day sets how long requests arrive, and how often a door handles the events that have arrived.
 type Day struct {
 	Seconds float64 `toml:"seconds"`
-	TickMs  float64 `toml:"tick_ms"`
+	TickMs  float64 `toml:"tick_ms"` // interval at which a door handles its events
 }
 
-// Fleet is how many there are.
+// Fleet sets the size of the system.
 type Fleet struct {
 	Doors    int `toml:"doors"`
 	Backends int `toml:"backends"`
 	Zones    int `toml:"zones"`
 	CellSize int `toml:"cell_size"`
 
-	MembersMs float64 `toml:"members_ms"` // after which every door knows that another has come or gone; 0: never
+	MembersMs float64 `toml:"members_ms"` // delay until every door knows that another door has come or gone; 0 for never
 }
 
-// Machine is a kind of backend.
+// Machine is a type of backend.
 type Machine struct {
-	Name         string  `toml:"name"`
-	Share        float64 `toml:"share"`
+	Name         string  `toml:"name"`  // type name
+	Share        float64 `toml:"share"` // weight of this type among the backends
 	Cores        int     `toml:"cores"`
-	Speed        Span    `toml:"speed"`          // work done in a ms of a core, ms
-	SlotsPerCore float64 `toml:"slots_per_core"` // requests in work at once
-	QueuePerCore float64 `toml:"queue_per_core"` // requests that wait; more are turned away
-	Thrash       float64 `toml:"thrash"`         // share of the speed lost when full
-	ColdFrom     float64 `toml:"cold_from"`      // share of its capacity at its start
-	ColdS        float64 `toml:"cold_s"`         // until it is warm
-	ConnsPerCore float64 `toml:"conns_per_core"` // connections held; more are refused
-	HandshakeMs  float64 `toml:"handshake_ms"`   // work of a new connection
-	ErrorRate    float64 `toml:"error_rate"`
-	GoesOn       bool    `toml:"goes_on"` // work goes on when its door has left
-}
-
-// Net is the network, one way.
+	Speed        Span    `toml:"speed"`          // ms of work that a core does per ms
+	SlotsPerCore float64 `toml:"slots_per_core"` // requests in progress at once
+	QueuePerCore float64 `toml:"queue_per_core"` // queued requests; further ones are rejected
+	Thrash       float64 `toml:"thrash"`         // share of the speed lost when all slots and the queue are full
+	ColdFrom     float64 `toml:"cold_from"`      // share of its capacity right after a start
+	ColdS        float64 `toml:"cold_s"`         // warm-up time
+	ConnsPerCore float64 `toml:"conns_per_core"` // open connections; further ones are refused
+	HandshakeMs  float64 `toml:"handshake_ms"`   // work for a new connection
+	ErrorRate    float64 `toml:"error_rate"`     // probability of an error answer
+	GoesOn       bool    `toml:"goes_on"`        // work continues after the door has disconnected
+}
+
+// Net describes the network; delays are one-way.
 type Net struct {
-	SameMs           Span    `toml:"same_ms"`
-	CrossMs          Span    `toml:"cross_ms"`
-	ClientMs         Span    `toml:"client_ms"`
-	Jitter           float64 `toml:"jitter"` // share by which a delay varies
-	Loss             float64 `toml:"loss"`   // chance that an answer never comes
-	ConnectTimeoutMs float64 `toml:"connect_timeout_ms"`
-	IdleMs           float64 `toml:"idle_ms"` // connections idle for longer are closed
+	SameMs           Span    `toml:"same_ms"`            // within a zone
+	CrossMs          Span    `toml:"cross_ms"`           // between zones
+	ClientMs         Span    `toml:"client_ms"`          // between clients and doors
+	Jitter           float64 `toml:"jitter"`             // relative variation of a delay
+	Loss             float64 `toml:"loss"`               // probability that an answer is lost
+	ConnectTimeoutMs float64 `toml:"connect_timeout_ms"` // time until a connection attempt is given up
+	IdleMs           float64 `toml:"idle_ms"`            // idle connections are closed after this time
 }
 
-// Load is what is asked. PerSecond wins over Share.
+// Load is the load that clients offer. PerSecond takes precedence over Share.
 type Load struct {
-	Share       float64 `toml:"share"`        // asked inside the quotas, as a share of what the backends can do
-	PerSecond   float64 `toml:"per_s"`        // requests a second, all that is first asked
-	Shape       string  `toml:"shape"`        // steady, wave, ramp or bursts
-	Swing       float64 `toml:"swing"`        // how far the shape moves the load, as a share
-	PerCustomer float64 `toml:"per_customer"` // mean use of a customer as a share of its rate
-	Full        float64 `toml:"full"`         // share of the customers that use nearly all of their rate,
-	Heavy       float64 `toml:"heavy"`        // that ask beyond it for the whole day,
-	HeavyTimes  float64 `toml:"heavy_times"`  // that many times the rate,
-	Spiky       float64 `toml:"spiky"`        // and that come in sessions,
-	SpikeTimes  float64 `toml:"spike_times"`  // of that many times the rate,
-	SpikeS      Span    `toml:"spike_s"`      // that long,
-	SpikeEveryS Span    `toml:"spike_every_s"`
-	Skew        float64 `toml:"skew"`    // how unevenly a customer's requests come over its doors, 0 for evenly
-	ShiftS      Span    `toml:"shift_s"` // how often that changes
-	MostUnits   int     `toml:"most_units"`
-}
-
-// Class is a kind of request.
+	Share       float64 `toml:"share"`         // load within the quotas, as a share of the backends' capacity
+	PerSecond   float64 `toml:"per_s"`         // new requests per second, without retries
+	Shape       string  `toml:"shape"`         // steady, wave, ramp or bursts
+	Swing       float64 `toml:"swing"`         // amplitude of the shape, as a share of the load
+	PerCustomer float64 `toml:"per_customer"`  // a customer's mean use as a share of its rate
+	Full        float64 `toml:"full"`          // share of the customers that use nearly all of their rate
+	Heavy       float64 `toml:"heavy"`         // share of the customers that exceed their rate for the whole run
+	HeavyTimes  float64 `toml:"heavy_times"`   // load of a heavy customer, in multiples of its rate
+	Spiky       float64 `toml:"spiky"`         // share of the customers that come in sessions
+	SpikeTimes  float64 `toml:"spike_times"`   // load during a session, in multiples of the rate
+	SpikeS      Span    `toml:"spike_s"`       // length of a session
+	SpikeEveryS Span    `toml:"spike_every_s"` // time between sessions
+	Skew        float64 `toml:"skew"`          // how unevenly a customer's requests spread over its doors; 0 for evenly
+	ShiftS      Span    `toml:"shift_s"`       // how often that distribution changes
+	MostUnits   int     `toml:"most_units"`    // largest request, units
+}
+
+// Class is a class of requests.
 type Class struct {
 	Name       string  `toml:"name"`
-	Share      float64 `toml:"share"`
-	WorkMs     float64 `toml:"work_ms"`
-	Cv         float64 `toml:"cv"`    // of the work; 0 draws it from an exponential distribution
-	Noise      float64 `toml:"noise"` // of each attempt's work around the request's own
-	ContractMs float64 `toml:"contract_ms"`
-	OuterMs    float64 `toml:"outer_ms"`
-	Gain       float64 `toml:"gain"`
-	LateValue  float64 `toml:"late_value"`
-	Semantics  string  `toml:"semantics"` // idempotent, keyed, non-idempotent
-	Scope      string  `toml:"scope"`     // all, zone, cell
-	WindowMs   float64 `toml:"window_ms"`
-}
-
-// Plan is what customers have bought. Quotas hold over all doors.
+	Share      float64 `toml:"share"`       // weight of this class among the requests
+	WorkMs     float64 `toml:"work_ms"`     // mean work, ms of one core at speed 1
+	Cv         float64 `toml:"cv"`          // coefficient of variation of the work; 0 for an exponential distribution
+	Noise      float64 `toml:"noise"`       // variation of an attempt's work around that of its request
+	ContractMs float64 `toml:"contract_ms"` // contract time: an answer within it earns the full gain
+	OuterMs    float64 `toml:"outer_ms"`    // the client's deadline
+	Gain       float64 `toml:"gain"`        // gain per unit
+	LateValue  float64 `toml:"late_value"`  // share of the gain that an answer after the contract time earns
+	Semantics  string  `toml:"semantics"`   // replayable, tokened or single-use
+	Scope      string  `toml:"scope"`       // all, zone or cell
+	WindowMs   float64 `toml:"window_ms"`   // how long the key of a tokened request is remembered
+}
+
+// Plan is what a customer pays for. Quotas apply to all doors together.
 type Plan struct {
 	Name         string  `toml:"name"`
-	Share        float64 `toml:"share"` // of the use inside the quotas
-	PerS         float64 `toml:"per_s"` // units
-	Depth        float64 `toml:"depth"`
-	AtOnce       int     `toml:"at_once"`
-	CeilingPerS  float64 `toml:"ceiling_per_s"`
-	CeilingDepth float64 `toml:"ceiling_depth"`
-	CeilingSlack float64 `toml:"ceiling_slack"`
-	Price        float64 `toml:"price"`
-	OverCost     float64 `toml:"over_cost"` // of its gain that a try costs which was sent on beyond the quota
-	Spread       int     `toml:"spread"`    // doors of a customer
-}
-
-// Clients is how clients behave when they are not served.
+	Share        float64 `toml:"share"`         // of the load within the quotas
+	PerS         float64 `toml:"per_s"`         // quota, units per second
+	Depth        float64 `toml:"depth"`         // depth of the quota's token bucket, units
+	AtOnce       int     `toml:"at_once"`       // limit of concurrent attempts; 0 for none
+	CeilingPerS  float64 `toml:"ceiling_per_s"` // hard limit, units per second; 0 for none
+	CeilingDepth float64 `toml:"ceiling_depth"` // depth of the ceiling's token bucket, units
+	CeilingSlack float64 `toml:"ceiling_slack"` // units by which a burst may exceed the ceiling
+	Price        float64 `toml:"price"`         // weight of the gain of its requests
+	OverCost     float64 `toml:"over_cost"`     // cost of a request sent beyond the quota, as a share of its gain
+	Spread       int     `toml:"spread"`        // number of doors that a customer uses
+}
+
+// Clients describes how clients retry and give up.
 type Clients struct {
-	Retries         int     `toml:"retries"`
-	TryShare        float64 `toml:"try_share"` // of the deadline, after which a try is given up
-	Wait            string  `toml:"wait"`      // none, fixed or doubling
-	WaitMs          float64 `toml:"wait_ms"`
-	Honour          float64 `toml:"honour"` // share of them that follow the advice
-	MaxRetryAfterMs float64 `toml:"max_retry_after_ms"`
-	Marks           bool    `toml:"marks"`     // retries are marked
-	Impatient       float64 `toml:"impatient"` // share of the tries that are left early
-	Elsewhere       float64 `toml:"elsewhere"` // chance that a retry comes through another door
-	NoticeMs        float64 `toml:"notice_ms"` // until clients see that a door has died
-}
-
-// Discovery is how the fleet list reaches the doors.
+	Retries         int     `toml:"retries"`            // maximum per request
+	TryShare        float64 `toml:"try_share"`          // timeout of a try, as a share of the request's deadline
+	Wait            string  `toml:"wait"`               // backoff: none, fixed or doubling
+	WaitMs          float64 `toml:"wait_ms"`            // backoff time
+	Honour          float64 `toml:"honour"`             // share of the clients that follow a Retry-After
+	MaxRetryAfterMs float64 `toml:"max_retry_after_ms"` // longest Retry-After that clients follow
+	Marks           bool    `toml:"marks"`              // retries are marked as such
+	Impatient       float64 `toml:"impatient"`          // share of the tries that the client abandons early
+	Elsewhere       float64 `toml:"elsewhere"`          // probability that a retry goes to another door
+	NoticeMs        float64 `toml:"notice_ms"`          // delay until clients notice that a door has died
+}
+
+// Discovery describes how the doors receive the fleet list.
 type Discovery struct {
-	Ask      bool `toml:"ask"` // changes come only when asked for
-	DelayMs  Span `toml:"delay_ms"`
-	NoticeMs Span `toml:"notice_ms"` // until a death is seen
-	SilentMs Span `toml:"silent_ms"` // until a machine that fell silent is
+	Ask      bool `toml:"ask"`       // doors must subscribe to changes
+	DelayMs  Span `toml:"delay_ms"`  // delay of a change
+	NoticeMs Span `toml:"notice_ms"` // delay until a dead backend is noticed
+	SilentMs Span `toml:"silent_ms"` // delay until an unreachable backend is noticed
 }
 
-// Counter is the shared counter.
+// Counter is the shared quota counter.
 type Counter struct {
 	On        bool    `toml:"on"`
-	PerS      float64 `toml:"per_s"`
-	Parts     int     `toml:"parts"`
-	ServeMs   float64 `toml:"serve_ms"`
-	QueueMs   float64 `toml:"queue_ms"` // calls that would wait longer are turned away
-	TimeoutMs float64 `toml:"timeout_ms"`
+	PerS      float64 `toml:"per_s"`      // calls per second that it can serve
+	Parts     int     `toml:"parts"`      // number of independent parts
+	ServeMs   float64 `toml:"serve_ms"`   // time to serve a call
+	QueueMs   float64 `toml:"queue_ms"`   // longest wait in its queue; calls that would wait longer are rejected
+	TimeoutMs float64 `toml:"timeout_ms"` // timeout of a call
 }
 
-// Meter tells in answers how much of its quota a customer used.
+// Meter reports in answers how much of its quota a customer has used.
 type Meter struct {
-	PeriodMs float64 `toml:"period_ms"`
-	LateMs   float64 `toml:"late_ms"`
+	PeriodMs float64 `toml:"period_ms"` // length of a reporting period; 0 for no meter
+	LateMs   float64 `toml:"late_ms"`   // delay of a report
 }
 
-// Allow is what a door may do.
+// Allow restricts what the policy may do.
 type Allow struct {
-	Probes      bool    `toml:"probes"`
-	ProbeMs     float64 `toml:"probe_ms"` // work of a probe
-	Cancel      bool    `toml:"cancel"`
-	Hedging     bool    `toml:"second_copies"`
-	MaxAttempts int     `toml:"max_transmissions"`
-	RetryAfter  bool    `toml:"retry_after"`
+	Probes      bool    `toml:"probes"`            // probes of backends
+	ProbeMs     float64 `toml:"probe_ms"`          // work of a probe
+	Cancel      bool    `toml:"cancel"`            // cancelling attempts
+	Hedging     bool    `toml:"second_copies"`     // several attempts of a request at the same time
+	MaxAttempts int     `toml:"max_transmissions"` // per request
+	RetryAfter  bool    `toml:"retry_after"`       // rejections with a Retry-After
 }
 
-// Rules holds the figures of the five rules.
+// Rules holds the parameters of the five rules of judge.AllRules.
 type Rules struct {
-	AnswerSlackMs float64 `toml:"answer_slack_ms"`
-	DrainGraceMs  float64 `toml:"drain_grace_ms"`
-	FallMultiple  float64 `toml:"fall_multiple"`
-	FallMs        float64 `toml:"fall_ms"`
-	ColdFrom      float64 `toml:"cold_from"` // told to the doors; the machines' least where it is left out
-	ColdS         float64 `toml:"cold_s"`
+	AnswerSlackMs float64 `toml:"answer_slack_ms"` // tolerated delay of an answer beyond the deadline
+	DrainGraceMs  float64 `toml:"drain_grace_ms"`  // after a door is notified of a drain, how long it may still send
+	FallMultiple  float64 `toml:"fall_multiple"`   // multiple of its present capacity above which a cold backend is overloaded
+	FallMs        float64 `toml:"fall_ms"`         // for how long
+	ColdFrom      float64 `toml:"cold_from"`       // announced to the doors; 0 for the lowest of the machines
+	ColdS         float64 `toml:"cold_s"`          // announced to the doors; 0 for the longest of the machines
 }
 
-// Goal weighs the parts of G.
+// Goal holds the weights of the parts of G.
 type Goal struct {
-	Whole       float64 `toml:"whole"`
-	WorstWindow float64 `toml:"worst_window"`
-	WorstClass  float64 `toml:"worst_profile"`
-	WorstPlan   float64 `toml:"worst_plan"`
+	Whole       float64 `toml:"whole"`         // gain earned over the whole run
+	WorstWindow float64 `toml:"worst_window"`  // gain earned in the worst window
+	WorstClass  float64 `toml:"worst_profile"` // gain earned by the worst class
+	WorstPlan   float64 `toml:"worst_plan"`    // gain earned by the worst plan
 }
 
-// Prices are taken off G, each times its share of the requests or of the work.
+// Prices are deducted from G, each multiplied by its share of the requests or of the work.
 type Prices struct {
-	Counter   float64 `toml:"counter"`
-	Probe     float64 `toml:"probe"`
-	Cross     float64 `toml:"cross"`
-	Waste     float64 `toml:"waste"`
-	Handshake float64 `toml:"handshake"`
-	HeldBack  float64 `toml:"held_back"` // of its gain, for a request given up after half of its time and never sent
+	Counter   float64 `toml:"counter"`   // calls of the shared counter
+	Probe     float64 `toml:"probe"`     // probes
+	Cross     float64 `toml:"cross"`     // attempts to another zone
+	Waste     float64 `toml:"waste"`     // work whose answer nobody received
+	Handshake float64 `toml:"handshake"` // new connections
+	HeldBack  float64 `toml:"held_back"` // share of the gain, for a request given up after half of its time without having been sent
 }
 
-// Read decodes and checks a scenario.
+// Read decodes a scenario, applies the defaults and validates it.
 func Read(raw []byte) (Scenario, error) {
-	s := base()
+	s := defaults()
 	if err := Decode(raw, &s); err != nil {
 		return Scenario{}, err
 	}
-	s.fill()
-	if err := s.check(); err != nil {
+	s.applyDefaults()
+	if err := s.validate(); err != nil {
 		return Scenario{}, err
 	}
 	return s, nil
 }
 
-// Decode reads TOML into what it names and refuses keys that it doesn't know; its errors are KeyErrors.
+// Decode decodes TOML and rejects unknown keys; its errors are of type KeyError.
 func Decode(raw []byte, into any) error {
 	if err := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(into); err != nil {
-		return decodeFault(err)
+		return decodeError(err)
 	}
 	return nil
 }
 
-// Shipped lists the files of a folder that is compiled in, without their ending.
+// EmbeddedNames lists the files of an embedded directory without their extension.
 func Shipped(files embed.FS, dir string) []string {
 	entries, err := files.ReadDir(dir)
 	if err != nil {
-		panic(err) // the folder is compiled in
+		panic(err) // can't happen: the directory is embedded
 	}
 	var names []string
 	for _, e := range entries {
@@ -264,7 +265,7 @@
 	return s, nil
 }
 
-// Write encodes a scenario so that Read gives it back.
+// Write encodes a scenario as TOML that Read accepts.
 func (s *Scenario) Write() ([]byte, error) {
 	raw, err := toml.Marshal(s)
 	if err != nil {
@@ -273,7 +274,7 @@
 	return raw, nil
 }
 
-// Clone returns a copy that shares nothing with s.
+// Clone returns a deep copy.
 func (s *Scenario) Clone() (Scenario, error) {
 	raw, err := s.Write()
 	if err != nil {
@@ -282,7 +283,8 @@
 	return Read(raw)
 }
 
-func decodeFault(err error) error {
+// decodeError converts an error of the TOML decoder.
+func decodeError(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		e := strict.Errors[0]
@@ -297,8 +299,8 @@
 	return &KeyError{Cause: err}
 }
 
-// base holds what a scenario has where it says nothing else. Lists come from the file alone.
-func base() Scenario {
+// defaults returns the values for keys that a file does not set. Lists have no defaults here.
+func defaults() Scenario {
 	return Scenario{
 		Day:   Day{Seconds: 30, TickMs: 4},
 		Fleet: Fleet{Doors: 3, Backends: 12, Zones: 3, CellSize: 4},
@@ -317,17 +319,17 @@
 	}
 }
 
-// fill puts in what the lists leave out.
-func (s *Scenario) fill() {
+// applyDefaults sets the values that list entries leave out, and those that depend on other values.
+func (s *Scenario) applyDefaults() {
 	if len(s.Faults) == 0 {
 		s.Faults = nil
 	}
 	for i := range s.Machines {
 		m := &s.Machines[i]
-		m.Share, m.Cores = or(m.Share, 1), or(m.Cores, 2)
-		m.SlotsPerCore, m.QueuePerCore = or(m.SlotsPerCore, 4), or(m.QueuePerCore, 20)
-		m.ColdFrom, m.ColdS = or(m.ColdFrom, 0.3), or(m.ColdS, 8)
-		m.ConnsPerCore = or(m.ConnsPerCore, 500)
+		m.Share, m.Cores = orDefault(m.Share, 1), orDefault(m.Cores, 2)
+		m.SlotsPerCore, m.QueuePerCore = orDefault(m.SlotsPerCore, 4), orDefault(m.QueuePerCore, 20)
+		m.ColdFrom, m.ColdS = orDefault(m.ColdFrom, 0.3), orDefault(m.ColdS, 8)
+		m.ConnsPerCore = orDefault(m.ConnsPerCore, 500)
 		if len(m.Speed) == 0 {
 			m.Speed = Span{0.9, 1.4}
 		}
@@ -338,7 +340,7 @@
 	}
 	for i := range s.Classes {
 		p := &s.Classes[i]
-		p.Share, p.Gain = or(p.Share, 1), or(p.Gain, 1)
+		p.Share, p.Gain = orDefault(p.Share, 1), orDefault(p.Gain, 1)
 		if p.Semantics == "" {
 			p.Semantics = "replayable"
 		}
@@ -348,10 +350,10 @@
 	}
 	for i := range s.Plans {
 		p := &s.Plans[i]
-		p.Share, p.Price = or(p.Share, 1), or(p.Price, 1)
-		p.Spread = min(or(p.Spread, 3), s.Fleet.Doors)
+		p.Share, p.Price = orDefault(p.Share, 1), orDefault(p.Price, 1)
+		p.Spread = min(orDefault(p.Spread, 3), s.Fleet.Doors)
 		if p.CeilingPerS > 0 {
-			p.CeilingSlack = or(p.CeilingSlack, max(0.1*p.CeilingDepth, float64(s.Load.MostUnits)))
+			p.CeilingSlack = orDefault(p.CeilingSlack, max(0.1*p.CeilingDepth, float64(s.Load.MostUnits)))
 		}
 	}
 	r := &s.Rules
@@ -368,50 +370,52 @@
 	}
 }
 
-func or[T int | float64](v, def T) T {
+// orDefault returns def for a zero value.
+func orDefault[T int | float64](v, def T) T {
 	if v == 0 {
 		return def
 	}
 	return v
 }
 
-// Limits of what one process plays; larger figures are mistakes of the unit.
+// Largest supported values; anything larger is probably given in the wrong unit.
 const (
-	mostDoors    = 1000
-	mostBackends = 2000
-	mostSeconds  = 24 * 3600
+	maxDoors    = 1000
+	maxBackends = 2000
+	maxSeconds  = 24 * 3600
 )
 
-func (s *Scenario) check() error {
+// validate checks the values, and the faults last.
+func (s *Scenario) validate() error {
 	switch {
 	case s.Name == "":
-		return fault("name", "missing")
-	case s.Fleet.Doors < 1 || s.Fleet.Doors > mostDoors:
-		return fault("fleet.doors", "%d, 1 to %d can be played", s.Fleet.Doors, mostDoors)
-	case s.Fleet.Backends < 1 || s.Fleet.Backends > mostBackends:
-		return fault("fleet.backends", "%d, 1 to %d can be played", s.Fleet.Backends, mostBackends)
+		return keyErrorf("name", "missing")
+	case s.Fleet.Doors < 1 || s.Fleet.Doors > maxDoors:
+		return keyErrorf("fleet.doors", "%d, must be 1 to %d", s.Fleet.Doors, maxDoors)
+	case s.Fleet.Backends < 1 || s.Fleet.Backends > maxBackends:
+		return keyErrorf("fleet.backends", "%d, must be 1 to %d", s.Fleet.Backends, maxBackends)
 	case s.Fleet.Zones < 1:
-		return fault("fleet.zones", "%d", s.Fleet.Zones)
+		return keyErrorf("fleet.zones", "%d", s.Fleet.Zones)
 	case s.Fleet.CellSize < 1:
-		return fault("fleet.cell_size", "%d", s.Fleet.CellSize)
+		return keyErrorf("fleet.cell_size", "%d", s.Fleet.CellSize)
 	case !(s.Fleet.MembersMs >= 0 && s.Fleet.MembersMs <= 600e3):
-		return fault("fleet.members_ms", "%g, 0 to 600e3 is wanted", s.Fleet.MembersMs)
-	case !(s.Day.Seconds > 0 && s.Day.Seconds <= mostSeconds):
-		return fault("day.seconds", "%g, up to %d can be played", s.Day.Seconds, mostSeconds)
+		return keyErrorf("fleet.members_ms", "%g, must be 0 to 600e3", s.Fleet.MembersMs)
+	case !(s.Day.Seconds > 0 && s.Day.Seconds <= maxSeconds):
+		return keyErrorf("day.seconds", "%g, must be above 0 and at most %d", s.Day.Seconds, maxSeconds)
 	case !(s.Day.TickMs > 0 && s.Day.TickMs <= 1000):
-		return fault("day.tick_ms", "%g", s.Day.TickMs)
+		return keyErrorf("day.tick_ms", "%g", s.Day.TickMs)
 	case len(s.Classes) == 0:
-		return fault("profile", "none")
+		return keyErrorf("profile", "none")
 	case len(s.Plans) == 0:
-		return fault("plan", "none")
+		return keyErrorf("plan", "none")
 	case s.Allow.MaxAttempts < 1:
-		return fault("allow.max_transmissions", "%d", s.Allow.MaxAttempts)
+		return keyErrorf("allow.max_transmissions", "%d", s.Allow.MaxAttempts)
 	case s.Counter.On && !(s.Counter.PerS > 0 && s.Counter.Parts > 0 && s.Counter.TimeoutMs > 0):
-		return fault("counter", "per_s, parts and timeout_ms must be above 0")
+		return keyErrorf("counter", "per_s, parts and timeout_ms must be above 0")
 	case s.Load.MostUnits < 1:
-		return fault("load.most_units", "%d", s.Load.MostUnits)
+		return keyErrorf("load.most_units", "%d", s.Load.MostUnits)
 	case !(s.Load.PerCustomer > 0):
-		return fault("load.per_customer", "%g", s.Load.PerCustomer)
+		return keyErrorf("load.per_customer", "%g", s.Load.PerCustomer)
 	}
 	if err := oneOf("load.shape", s.Load.Shape, "steady", "wave", "ramp", "bursts"); err != nil {
 		return err
@@ -429,7 +433,7 @@
 			return err
 		}
 	}
-	for _, f := range s.figures() {
+	for _, f := range s.boundedValues() {
 		if err := f.check(); err != nil {
 			return err
 		}
@@ -440,65 +444,65 @@
 		}
 	}
 	for i, p := range s.Classes {
-		under := fmt.Sprintf("profile[%d].", i)
+		prefix := fmt.Sprintf("profile[%d].", i)
 		if p.Name == "" {
-			return fault(under+"name", "missing")
+			return keyErrorf(prefix+"name", "missing")
 		}
-		if err := oneOf(under+"semantics", p.Semantics, "replayable", "tokened", "single-use"); err != nil {
+		if err := oneOf(prefix+"semantics", p.Semantics, "replayable", "tokened", "single-use"); err != nil {
 			return err
 		}
-		if err := oneOf(under+"scope", p.Scope, "all", "zone", "cell"); err != nil {
+		if err := oneOf(prefix+"scope", p.Scope, "all", "zone", "cell"); err != nil {
 			return err
 		}
 		switch {
 		case slices.ContainsFunc(s.Classes[:i], func(q Class) bool { return q.Name == p.Name }):
-			return fault(under+"name", "%q is another's already", p.Name)
+			return keyErrorf(prefix+"name", "%q is already in use", p.Name)
 		case !(p.WorkMs > 0):
-			return fault(under+"work_ms", "%g", p.WorkMs)
+			return keyErrorf(prefix+"work_ms", "%g", p.WorkMs)
 		case !(p.ContractMs > 0):
-			return fault(under+"contract_ms", "%g", p.ContractMs)
+			return keyErrorf(prefix+"contract_ms", "%g", p.ContractMs)
 		case !(p.OuterMs >= p.ContractMs):
-			return fault(under+"outer_ms", "%g, under contract_ms %g", p.OuterMs, p.ContractMs)
+			return keyErrorf(prefix+"outer_ms", "%g, must be at least contract_ms %g", p.OuterMs, p.ContractMs)
 		case p.Semantics == "tokened" && !(p.WindowMs > 0):
-			return fault(under+"window_ms", "%g, though the profile is tokened", p.WindowMs)
+			return keyErrorf(prefix+"window_ms", "%g, must be above 0 for a tokened profile", p.WindowMs)
 		}
 	}
 	for i, p := range s.Plans {
-		under := fmt.Sprintf("plan[%d].", i)
+		prefix := fmt.Sprintf("plan[%d].", i)
 		switch {
 		case p.Name == "":
-			return fault(under+"name", "missing")
+			return keyErrorf(prefix+"name", "missing")
 		case slices.ContainsFunc(s.Plans[:i], func(q Plan) bool { return q.Name == p.Name }):
-			return fault(under+"name", "%q is another's already", p.Name)
+			return keyErrorf(prefix+"name", "%q is already in use", p.Name)
 		case !(p.PerS > 0):
-			return fault(under+"per_s", "%g", p.PerS)
+			return keyErrorf(prefix+"per_s", "%g", p.PerS)
 		case !(p.Depth >= float64(s.Load.MostUnits)):
-			return fault(under+"depth", "%g, under the largest operation of %d units", p.Depth, s.Load.MostUnits)
+			return keyErrorf(prefix+"depth", "%g, must be at least %d units, the largest operation", p.Depth, s.Load.MostUnits)
 		case p.CeilingPerS > 0 && !(p.CeilingDepth >= float64(s.Load.MostUnits)):
-			return fault(under+"ceiling_depth", "%g, under the largest operation", p.CeilingDepth)
+			return keyErrorf(prefix+"ceiling_depth", "%g, must be at least the largest operation", p.CeilingDepth)
 		}
 	}
-	return s.checkFaults()
+	return s.validateFaults()
 }
 
-// figure is one number with what it may be.
-type figure struct {
-	key        string
-	value      float64
-	least, top float64
+// boundedValue is a number with its bounds.
+type boundedValue struct {
+	key      string
+	value    float64
+	min, max float64
 }
 
-func (f figure) check() error {
-	if !(f.value >= f.least && f.value <= f.top) {
-		return fault(f.key, "%g, %g to %g is wanted", f.value, f.least, f.top)
+func (f boundedValue) check() error {
+	if !(f.value >= f.min && f.value <= f.max) {
+		return keyErrorf(f.key, "%g, must be %g to %g", f.value, f.min, f.max)
 	}
 	return nil
 }
 
-// figures lists the plain numbers with their bounds.
-func (s *Scenario) figures() []figure {
+// boundedValues returns the numbers that only need to lie within bounds.
+func (s *Scenario) boundedValues() []boundedValue {
 	inf := math.MaxFloat64
-	fs := []figure{
+	fs := []boundedValue{
 		{"net.jitter", s.Net.Jitter, 0, 1}, {"net.loss", s.Net.Loss, 0, 1},
 		{"net.connect_timeout_ms", s.Net.ConnectTimeoutMs, 1, inf}, {"net.idle_ms", s.Net.IdleMs, 1, inf},
 		{"load.share", s.Load.Share, 0, 10}, {"load.per_s", s.Load.PerSecond, 0, inf}, {"load.swing", s.Load.Swing, 0, 1},
@@ -521,46 +525,48 @@
 		{"goal", s.Goal.Whole + s.Goal.WorstWindow + s.Goal.WorstClass + s.Goal.WorstPlan, 1e-9, inf},
 	}
 	for i, m := range s.Machines {
-		under := fmt.Sprintf("machine[%d].", i)
-		fs = append(fs, []figure{{under + "share", m.Share, 0, inf}, {under + "cores", float64(m.Cores), 1, 1024},
-			{under + "slots_per_core", m.SlotsPerCore, 0.01, inf}, {under + "queue_per_core", m.QueuePerCore, 0, inf},
-			{under + "thrash", m.Thrash, 0, 0.99}, {under + "cold_from", m.ColdFrom, 0.001, 1}, {under + "cold_s", m.ColdS, 0, inf},
-			{under + "conns_per_core", m.ConnsPerCore, 0.1, inf}, {under + "handshake_ms", m.HandshakeMs, 0, inf},
-			{under + "error_rate", m.ErrorRate, 0, 1}}...)
+		prefix := fmt.Sprintf("machine[%d].", i)
+		fs = append(fs, []boundedValue{{prefix + "share", m.Share, 0, inf}, {prefix + "cores", float64(m.Cores), 1, 1024},
+			{prefix + "slots_per_core", m.SlotsPerCore, 0.01, inf}, {prefix + "queue_per_core", m.QueuePerCore, 0, inf},
+			{prefix + "thrash", m.Thrash, 0, 0.99}, {prefix + "cold_from", m.ColdFrom, 0.001, 1}, {prefix + "cold_s", m.ColdS, 0, inf},
+			{prefix + "conns_per_core", m.ConnsPerCore, 0.1, inf}, {prefix + "handshake_ms", m.HandshakeMs, 0, inf},
+			{prefix + "error_rate", m.ErrorRate, 0, 1}}...)
 	}
 	for i, p := range s.Classes {
-		under := fmt.Sprintf("profile[%d].", i)
-		fs = append(fs, []figure{{under + "share", p.Share, 0, inf}, {under + "cv", p.Cv, 0, 20}, {under + "noise", p.Noise, 0, 5},
-			{under + "gain", p.Gain, 0, inf}, {under + "late_value", p.LateValue, 0, 1}, {under + "outer_ms", p.OuterMs, 0, 600e3}}...)
+		prefix := fmt.Sprintf("profile[%d].", i)
+		fs = append(fs, []boundedValue{{prefix + "share", p.Share, 0, inf}, {prefix + "cv", p.Cv, 0, 20}, {prefix + "noise", p.Noise, 0, 5},
+			{prefix + "gain", p.Gain, 0, inf}, {prefix + "late_value", p.LateValue, 0, 1}, {prefix + "outer_ms", p.OuterMs, 0, 600e3}}...)
 	}
 	for i, p := range s.Plans {
-		under := fmt.Sprintf("plan[%d].", i)
-		fs = append(fs, []figure{{under + "share", p.Share, 0, inf}, {under + "price", p.Price, 0, inf}, {under + "over_cost", p.OverCost, 0, inf},
-			{under + "at_once", float64(p.AtOnce), 0, inf}, {under + "ceiling_per_s", p.CeilingPerS, 0, inf},
-			{under + "ceiling_slack", p.CeilingSlack, 0, inf}, {under + "spread", float64(p.Spread), 1, mostDoors}}...)
+		prefix := fmt.Sprintf("plan[%d].", i)
+		fs = append(fs, []boundedValue{{prefix + "share", p.Share, 0, inf}, {prefix + "price", p.Price, 0, inf}, {prefix + "over_cost", p.OverCost, 0, inf},
+			{prefix + "at_once", float64(p.AtOnce), 0, inf}, {prefix + "ceiling_per_s", p.CeilingPerS, 0, inf},
+			{prefix + "ceiling_slack", p.CeilingSlack, 0, inf}, {prefix + "spread", float64(p.Spread), 1, maxDoors}}...)
 	}
 	return fs
 }
 
 func (s Span) check(key string, positive bool) error {
 	if len(s) < 1 || len(s) > 2 {
-		return fault(key, "%d figures, a span has one or two", len(s))
+		return keyErrorf(key, "%d numbers, a span has one or two", len(s))
 	}
 	if !(s.Low() >= 0 && s.Low() <= s.High() && s.High() < math.MaxFloat64) || positive && s.Low() == 0 {
-		return fault(key, "%v is no span", []float64(s))
+		return keyErrorf(key, "%v is not a valid span", []float64(s))
 	}
 	return nil
 }
 
-func fault(key, format string, args ...any) error {
+// keyErrorf returns a KeyError with a formatted reason.
+func keyErrorf(key, format string, args ...any) error {
 	return &KeyError{Key: key, Says: fmt.Sprintf(format, args...)}
 }
 
-func oneOf(key, word string, words ...string) error {
-	for _, w := range words {
-		if w == word {
+// oneOf returns an error unless the value is among the allowed ones.
+func oneOf(key, value string, allowed ...string) error {
+	for _, w := range allowed {
+		if w == value {
 			return nil
 		}
 	}
-	return fault(key, "unknown word %q, one of %s is wanted", word, strings.Join(words, ", "))
+	return keyErrorf(key, "unknown value %q, must be one of %s", value, strings.Join(allowed, ", "))
 }
--- a/lab/tally/tally.go
+++ b/lab/tally/tally.go
@@ -1,8 +1,7 @@
-// Package tally adds up, over a fleet, the accounts that doors write in their logs every few seconds: the
-// frontdoor's "account" lines, in logfmt as logrus writes them. Each door's life begins at its "serving" line;
-// a life's n-th account is window n, so that the doors' windows line up by their own clocks whatever the wall
-// clock of the log says. Counts are of requests (arrived, rejected_<cause>, failed_<cause>), of
-// attempts (sent) and of decisions (differs_<kind>).
+// Package tally adds up the accounts that a fleet's doors write to their logs every few seconds: the "account" lines of the
+// frontdoor, in the logfmt that logrus writes. An incarnation of a door begins at its "serving" line. Its n-th account is window n,
+// so that windows are aligned by the doors' own clocks, whatever the wall clock of the log says. The counts are of requests
+// (arrived, rejected_<cause>, failed_<cause>), attempts (sent) and decisions (differs_<kind>).
 package tally
 
 import (
@@ -21,26 +20,26 @@
 	"github.com/swifthall/swifthall/internal/fields"
 )
 
-// The messages that a door's log words a start and an account with.
+// Log messages of a door's start and of its accounts.
 const (
-	started = "serving"
-	account = "account"
+	startMessage   = "serving"
+	accountMessage = "account"
 )
 
 // Counts holds counts by field name.
 type Counts map[string]int
 
-// Fleet is what the logs of a fleet's doors add up to.
+// Fleet is the sum of the accounts of a fleet's doors.
 type Fleet struct {
-	Lives   int      // doors' lives: a door that started again counts twice
-	Windows []Counts // window n: the n-th account of every life, added up
-	Whole   Counts
+	Incarnations int      // a door that was restarted counts again
+	Windows      []Counts // window n is the sum of the n-th accounts of all incarnations
+	Total        Counts
 }
 
-// Door reads one door's log and adds its accounts to the fleet. Lines that are not logfmt, or accounts with a
-// count that is not a whole number, are errors naming the line and the key; nothing of the log is added then.
-func (f *Fleet) Door(r io.Reader) error {
-	var lives [][]Counts
+// AddLog reads the log of one door and adds its accounts. A line that is not logfmt, or a count that is not a whole number, is an
+// error that names the line and the key, and nothing of that log is added.
+func (f *Fleet) AddLog(r io.Reader) error {
+	var incarnations [][]Counts
 	d := logfmt.NewDecoder(bufio.NewReader(r))
 	for line := 1; d.ScanRecord(); line++ {
 		rec := map[string]string{}
@@ -51,31 +50,31 @@
 			return &LineError{Line: line, Cause: err}
 		}
 		switch rec["msg"] {
-		case started:
-			lives = append(lives, nil)
-		case account:
-			c, err := counts(line, rec)
+		case startMessage:
+			incarnations = append(incarnations, nil)
+		case accountMessage:
+			c, err := parseCounts(line, rec)
 			if err != nil {
 				return err
 			}
-			if len(lives) == 0 { // a log that begins after the start
-				lives = append(lives, nil)
+			if len(incarnations) == 0 { // the log begins after the door's start
+				incarnations = append(incarnations, nil)
 			}
-			lives[len(lives)-1] = append(lives[len(lives)-1], c)
+			incarnations[len(incarnations)-1] = append(incarnations[len(incarnations)-1], c)
 		}
 	}
 	if err := d.Err(); err != nil {
 		return &LineError{Cause: err}
 	}
-	f.add(lives)
+	f.add(incarnations)
 	return nil
 }
 
-// counts takes the counts of one account line.
-func counts(line int, rec map[string]string) (Counts, error) {
+// parseCounts returns the counts of an account line.
+func parseCounts(line int, rec map[string]string) (Counts, error) {
 	c := Counts{}
 	for k, v := range rec {
-		if !counted(k) {
+		if !isCounted(k) {
 			continue
 		}
 		n, err := strconv.Atoi(v)
@@ -87,58 +86,58 @@
 	return c, nil
 }
 
-func counted(k string) bool {
+// isCounted reports whether a log field is a count.
+func isCounted(k string) bool {
 	return k == fields.Arrived || k == fields.Sent || strings.HasPrefix(k, fields.Rejected) ||
 		strings.HasPrefix(k, fields.Failed) || strings.HasPrefix(k, fields.Differs)
 }
 
-func (f *Fleet) add(lives [][]Counts) {
-	if f.Whole == nil {
-		f.Whole = Counts{}
+func (f *Fleet) add(incarnations [][]Counts) {
+	if f.Total == nil {
+		f.Total = Counts{}
 	}
-	for _, life := range lives {
-		f.Lives++
-		for n, c := range life {
+	for _, incarnation := range incarnations {
+		f.Incarnations++
+		for n, c := range incarnation {
 			for len(f.Windows) <= n {
 				f.Windows = append(f.Windows, Counts{})
 			}
 			for k, v := range c {
 				f.Windows[n][k] += v
-				f.Whole[k] += v
+				f.Total[k] += v
 			}
 		}
 	}
 }
 
-// Keys are the fields counted anywhere: arrived and sent first, then the others by their whole count, most first.
+// Keys returns the names of all counts: arrived and sent, then the others by their total, highest first.
 func (f *Fleet) Keys() []string {
-	rest := slices.DeleteFunc(slices.Collect(maps.Keys(f.Whole)), func(k string) bool {
+	rest := slices.DeleteFunc(slices.Collect(maps.Keys(f.Total)), func(k string) bool {
 		return k == fields.Arrived || k == fields.Sent
 	})
 	slices.SortFunc(rest, func(a, b string) int {
-		if f.Whole[a] != f.Whole[b] {
-			return f.Whole[b] - f.Whole[a]
+		if f.Total[a] != f.Total[b] {
+			return f.Total[b] - f.Total[a]
 		}
 		return cmp.Compare(a, b)
 	})
 	return append([]string{fields.Arrived, fields.Sent}, rest...)
 }
 
-// Print writes the fleet as a table: a row for each field, its whole count, its share of the requests that
-// arrived, and its count in each window.
-func (f *Fleet) Print(w io.Writer, every float64) {
+// Print writes a table with a row per count: its total, its ratio to the requests that arrived, and its value in each window.
+func (f *Fleet) Print(w io.Writer, windowMs float64) {
 	t := tabwriter.NewWriter(w, 2, 8, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(t, "%d lives of doors\t\twhole\tof arrived\t", f.Lives)
+	fmt.Fprintf(t, "%d lives of doors\t\twhole\tof arrived\t", f.Incarnations)
 	for n := range f.Windows {
-		fmt.Fprintf(t, "%.0f s\t", float64(n+1)*every/1e3)
+		fmt.Fprintf(t, "%.0f s\t", float64(n+1)*windowMs/1e3)
 	}
 	fmt.Fprintln(t)
 	for _, k := range f.Keys() {
 		share := 0.0
-		if a := f.Whole[fields.Arrived]; a > 0 {
-			share = float64(f.Whole[k]) / float64(a)
+		if a := f.Total[fields.Arrived]; a > 0 {
+			share = float64(f.Total[k]) / float64(a)
 		}
-		fmt.Fprintf(t, "%s\t\t%d\t%.3f\t", k, f.Whole[k], share)
+		fmt.Fprintf(t, "%s\t\t%d\t%.3f\t", k, f.Total[k], share)
 		for _, c := range f.Windows {
 			fmt.Fprintf(t, "%d\t", c[k])
 		}
