--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -140,7 +140,7 @@
 // NewResult builds the result of a run from its judge.
 func Sum(s *scenario.Scenario, seed uint64, policy, on string, j *judge.Verifier) *Result {
 	r := &Result{Scenario: s.Name, Shows: s.Shows, On: on, Policy: policy, Seed: seed, Doors: s.Fleet.Doors, Backends: s.Fleet.Backends,
-		Length: s.Day.Seconds, Events: j.Events, Parts: j.Service.Parts(), Broken: j.Rules.Count, Breaches: j.Rules.Breaches,
+		Length: s.Day.Seconds, Events: j.Events, Parts: j.Service.Parts(), Broken: j.Rules.Count, Breaches: j.Rules.Violations,
 		Whole: j.Service.Whole, Costs: j.Service.Costs, Seconds: j.Service.Seconds, Faults: s.Faults}
 	for i, p := range s.Plans {
 		r.Plans = append(r.Plans, NamedTally{Name: p.Name, Tally: j.Service.Plans[i]})
