--- a/lab/command/command.go
+++ b/lab/command/command.go
@@ -87,7 +87,7 @@
 			}
 			update, finish := progressBar(cmd, s.Name)
 			began := time.Now()
-			day := run.One{Scenario: s, Seed: seed, Policy: policy}
+			day := run.Spec{Scenario: s, Seed: seed, Policy: policy}
 			var r *run.Result
 			switch progress := func(done float64) { update(done, 1) }; {
 			case on == "sockets":
@@ -95,7 +95,7 @@
 			case on != "sim":
 				err = &FlagError{Flag: fmt.Sprintf("--on %q", on), Reason: "must be sim or sockets"}
 			case alone:
-				r, err = day.Play(cmd.Context(), progress)
+				r, err = day.Run(cmd.Context(), progress)
 			default:
 				r, err = day.RunScored(cmd.Context(), progress)
 			}
@@ -185,7 +185,7 @@
 			slices.Sort(kinds)
 			for _, name := range kinds {
 				k := scenario.Kinds[name]
-				fmt.Fprintf(t, "%s\t%s\t%s\t\t%s\n", name, k.Whom, k.Unit, k.Description)
+				fmt.Fprintf(t, "%s\t%s\t%s\t\t%s\n", name, k.Target, k.Unit, k.Description)
 			}
 			return nil
 		}}
--- a/lab/outs/check.go
+++ b/lab/outs/check.go
@@ -8,21 +8,21 @@
 )
 
 // BudgetLimit is the largest number of doors that may be out in a scope: the whole fleet, or each zone separately.
-type Bound struct {
+type BudgetLimit struct {
 	EachZone bool
 	MostOut  int
 }
 
 // Outage is a period in which a door was really out of service.
-type Gone struct {
-	Door   int
-	From   float64
-	To     float64 // when it was ready and warm again; +Inf if it never was
-	ByPlan bool
+type Outage struct {
+	Door    int
+	From    float64
+	To      float64 // when it was ready and warm again; +Inf if it never was
+	Planned bool
 }
 
 // HaltPeriod is a period in which no door may go out.
-type Stop struct{ From, To float64 }
+type HaltPeriod struct{ From, To float64 }
 
 // Breach is one violation of a rule.
 type Breach struct {
@@ -46,11 +46,11 @@
 
 // CheckOutages compares the real outages with the limits and the halt periods, and returns every violation. It knows nothing of
 // permits. A planned outage counts at once, a failure only after detectionGraceMs.
-func Judge(zones []int, gone []Gone, stops []Stop, bounds []Bound) (breaches []Breach) {
+func CheckOutages(zones []int, gone []Outage, stops []HaltPeriod, bounds []BudgetLimit) (breaches []Breach) {
 	sort.SliceStable(gone, func(a, b int) bool { return gone[a].From < gone[b].From })
 	for i := range gone {
 		g := &gone[i]
-		if !g.ByPlan {
+		if !g.Planned {
 			continue
 		}
 		for _, s := range stops {
@@ -65,7 +65,7 @@
 				if o.From > g.From || o.To <= g.From || b.EachZone && zones[o.Door] != zones[g.Door] {
 					continue
 				}
-				if o.ByPlan {
+				if o.Planned {
 					plan[o.Door], all[o.Door] = true, true
 				} else if g.From-o.From > detectionGraceMs {
 					all[o.Door] = true
--- a/lab/outs/drains.go
+++ b/lab/outs/drains.go
@@ -83,8 +83,8 @@
 	seq       uint64
 	doors     []*agentDoor
 	zones     []int
-	outages   []Gone
-	halts     []Stop
+	outages   []Outage
+	halts     []HaltPeriod
 	result    DrainResult
 	drainedAt map[string]float64 // backends certainly out, by the answers to operators, and since when
 	lastID    uint64
@@ -132,11 +132,11 @@
 	})
 	w.at(halt, func() {
 		w.applyAsOperator(permits.Halt{Who: "operator", Why: "drawn"})
-		w.halts = append(w.halts, Stop{w.now, halt + 8e3})
+		w.halts = append(w.halts, HaltPeriod{w.now, halt + 8e3})
 	})
 	w.at(halt+8e3, func() { w.applyAsOperator(permits.Resume{Who: "operator"}) })
 	w.runUntil(o.DurationMs)
-	w.result.Breaches = append(w.result.Breaches, Judge(w.zones, w.outages, w.halts, []Bound{{false, maxOut}, {true, maxPerZone}})...)
+	w.result.Breaches = append(w.result.Breaches, CheckOutages(w.zones, w.outages, w.halts, []BudgetLimit{{false, maxOut}, {true, maxPerZone}})...)
 	return w.result
 }
 
@@ -295,7 +295,7 @@
 		w.result.WentOut++
 		if d.plannedOutage == noOutage {
 			d.plannedOutage = len(w.outages)
-			w.outages = append(w.outages, Gone{d.number, w.now, math.Inf(1), true})
+			w.outages = append(w.outages, Outage{d.number, w.now, math.Inf(1), true})
 		}
 	}
 	w.stepAgent(d, permits.SetOutDone{Done: applied})
@@ -352,7 +352,7 @@
 	}
 	incarnation := d.incarnation
 	d.failureOutage = len(w.outages)
-	w.outages = append(w.outages, Gone{d.number, w.now, math.Inf(1), false})
+	w.outages = append(w.outages, Outage{d.number, w.now, math.Inf(1), false})
 	w.result.Failed++
 	w.at(w.now+terminatesInMs, func() {
 		if !d.up || d.incarnation != incarnation {
--- a/lab/outs/restarts.go
+++ b/lab/outs/restarts.go
@@ -64,8 +64,8 @@
 	scheduler
 	machine Machine
 	doors   []*door
-	outages []Gone
-	halts   []Stop
+	outages []Outage
+	halts   []HaltPeriod
 	result  Result
 	seq     map[string]uint64
 	zones   []int
@@ -75,7 +75,7 @@
 func (f RestartSimulation) Run() Result {
 	w := &restartWorld{RestartSimulation: f, machine: f.NewMachine(), scheduler: scheduler{random: rand.New(rand.NewPCG(f.Seed, 5))}, seq: map[string]uint64{}}
 	maxOut, maxPerZone := 1+w.random.IntN(max(1, f.Doors/10)), 1+w.random.IntN(max(1, f.Doors/20))
-	bounds := []Bound{{false, maxOut}, {true, maxPerZone}}
+	bounds := []BudgetLimit{{false, maxOut}, {true, maxPerZone}}
 	w.command("operator", permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MaxOut: maxOut}, {Kind: permits.Door, Zone: permits.EachZone, MaxOut: maxPerZone}}}, nil)
 	for i := range f.Doors {
 		d := &door{zone: i % 3, up: true, ready: true, incarnation: 1, process: uint64(i)<<20 + 1, changedAt: -60e3, outage: noOutage}
@@ -95,7 +95,7 @@
 	}
 	halt := w.between(f.DurationMs/3, f.DurationMs/2)
 	w.at(halt, func() {
-		w.command("operator", permits.Halt{Who: "operator", Why: "drawn"}, func(permits.Answer) { w.halts = append(w.halts, Stop{w.now, math.Inf(1)}) })
+		w.command("operator", permits.Halt{Who: "operator", Why: "drawn"}, func(permits.Answer) { w.halts = append(w.halts, HaltPeriod{w.now, math.Inf(1)}) })
 	})
 	w.at(halt+8e3, func() {
 		w.command("operator", permits.Resume{Who: "operator"}, nil)
@@ -104,7 +104,7 @@
 		}
 	})
 	w.runUntil(f.DurationMs)
-	w.result.Breaches = Judge(w.zones, w.outages, w.halts, bounds)
+	w.result.Breaches = CheckOutages(w.zones, w.outages, w.halts, bounds)
 	return w.result
 }
 
@@ -299,7 +299,7 @@
 	}
 	d.up, d.ready, d.changedAt, d.goingOut = false, false, w.now, false
 	d.outage = len(w.outages)
-	w.outages = append(w.outages, Gone{i, w.now, math.Inf(1), planned})
+	w.outages = append(w.outages, Outage{i, w.now, math.Inf(1), planned})
 	downMs := w.between(500, 6000)
 	if !planned {
 		downMs = w.between(3000, 25000)
--- a/lab/procs/drill.go
+++ b/lab/procs/drill.go
@@ -140,7 +140,7 @@
 	strikes []string
 	came    map[string][]float64 // requests at backends
 	claims  []claim
-	stops   []outs.Stop
+	stops   []outs.HaltPeriod
 	history []history.Op
 	refused int
 	lost    int
@@ -760,7 +760,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.stops = append(d.stops, outs.Stop{From: from, To: to})
+	d.stops = append(d.stops, outs.HaltPeriod{From: from, To: to})
 }
 
 // probe looks whether a door can serve, again and again.
@@ -851,7 +851,7 @@
 
 // gone makes of what was looked at the times in which a door surely was out: by plan where it was ready in this life, nobody
 // has told it to end, and it says that it can't serve; by failure from a kill, or a call to end, until it can serve again.
-func gone(door int, births, ends []float64, paused []check.Spell, looks []look) (all []outs.Gone, back int) {
+func gone(door int, births, ends []float64, paused []check.Spell, looks []look) (all []outs.Outage, back int) {
 	life := func(at float64) (n int) {
 		for _, b := range births {
 			if b <= at {
@@ -881,11 +881,11 @@
 			ready = now
 		case l.status == http.StatusServiceUnavailable && plan == none && ready == now && now == life(l.got) && ended(l.got) < now:
 			plan = len(all)
-			all = append(all, outs.Gone{Door: door, From: l.got, To: math.Inf(1), ByPlan: true})
+			all = append(all, outs.Outage{Door: door, From: l.got, To: math.Inf(1), Planned: true})
 		}
 	}
 	for _, e := range ends {
-		g := outs.Gone{Door: door, From: e, To: math.Inf(1)}
+		g := outs.Outage{Door: door, From: e, To: math.Inf(1)}
 		for _, l := range looks {
 			if l.sent > e && life(l.sent) > ended(e) && l.status == http.StatusOK {
 				g.To = l.sent
@@ -895,7 +895,7 @@
 		all = append(all, g)
 	}
 	for _, s := range paused {
-		all = append(all, outs.Gone{Door: door, From: s.From, To: s.To})
+		all = append(all, outs.Outage{Door: door, From: s.From, To: s.To})
 	}
 	return all, back
 }
@@ -918,7 +918,7 @@
 	defer d.mu.Unlock()
 	r := &DrillResult{Seed: d.Seed, Strikes: d.strikes, Calls: len(d.history), Refused: d.refused, Lost: d.lost, BackMs: back, History: d.history}
 	var zones []int
-	var all []outs.Gone
+	var all []outs.Outage
 	for i, p := range d.doors {
 		zones = append(zones, i%drillZones)
 		g, n := gone(i, p.births, p.ends, p.paused, p.looks)
@@ -926,7 +926,7 @@
 		all = append(all, g...)
 	}
 	for _, g := range all {
-		if g.ByPlan {
+		if g.Planned {
 			r.Went++
 			for _, s := range d.stops {
 				if g.From > s.From && g.From < s.To {
@@ -935,7 +935,7 @@
 			}
 		}
 	}
-	r.Breaches = outs.Judge(zones, all, d.stops, []outs.Bound{{MostOut: mostDoorsOut}, {EachZone: true, MostOut: mostZoneOut}})
+	r.Breaches = outs.CheckOutages(zones, all, d.stops, []outs.BudgetLimit{{MostOut: mostDoorsOut}, {EachZone: true, MostOut: mostZoneOut}})
 	var drained []claim
 	for _, c := range d.claims {
 		if len(drained) == 0 || drained[len(drained)-1].unit != c.unit || drained[len(drained)-1].to != c.to {
--- a/lab/rehearse/rehearse.go
+++ b/lab/rehearse/rehearse.go
@@ -121,14 +121,14 @@
 		rows, faultSets = append(rows, row), append(faultSets, []scenario.Fault{*step.Fault})
 	}
 	rows, faultSets = append(rows, Estimate{Name: "all", Detail: "one after the other"}), append(faultSets, all)
-	var specs []run.One
+	var specs []run.Spec
 	for _, faults := range faultSets {
 		with, err := withFaults(s, faults)
 		if err != nil {
 			return nil, err
 		}
 		for _, seed := range seeds {
-			specs = append(specs, run.One{Scenario: with, Seed: seed, Policy: rival.Swifthall})
+			specs = append(specs, run.Spec{Scenario: with, Seed: seed, Policy: rival.Swifthall})
 		}
 	}
 	results, err := run.RunAll(ctx, specs, jobs, nil)
--- a/lab/run/hunt.go
+++ b/lab/run/hunt.go
@@ -121,8 +121,8 @@
 		k := scenario.Kinds[name]
 		switch {
 		case len(h.Kinds) > 0 && !slices.Contains(h.Kinds, name):
-		case k.Whom == scenario.Counters && !h.Scenario.Counter.On:
-		case k.Whom == scenario.Meters && h.Scenario.Meter.PeriodMs == 0:
+		case k.Target == scenario.TargetCounter && !h.Scenario.Counter.On:
+		case k.Target == scenario.TargetMeter && h.Scenario.Meter.PeriodMs == 0:
 		case name == "zone_cut" && h.Scenario.Fleet.Zones < 2:
 		default:
 			kinds = append(kinds, name)
@@ -172,8 +172,8 @@
 		span := amountRanges[name]
 		f.Much = truncate(max(k.Min, min(k.Max, span[0]+(span[1]-span[0])*random.Float64())))
 	}
-	switch k.Whom {
-	case scenario.Backends, scenario.Doors:
+	switch k.Target {
+	case scenario.TargetBackends, scenario.TargetDoors:
 		f.Share = truncate(0.05 + 0.6*random.Float64())
 	}
 	if name == "zone_loss" || name == "zone_cut" {
@@ -215,11 +215,11 @@
 
 // evaluate runs the candidates, each beside the oracle unless only broken rules count.
 func (h *Hunt) evaluate(ctx context.Context, cs []*candidate) error {
-	var specs []One
+	var specs []Spec
 	for _, c := range cs {
-		specs = append(specs, One{Scenario: c.sc, Seed: c.seed, Policy: h.Policy, Maker: h.Maker})
+		specs = append(specs, Spec{Scenario: c.sc, Seed: c.seed, Policy: h.Policy, Maker: h.Maker})
 		if !h.RulesOnly {
-			specs = append(specs, One{Scenario: c.sc, Seed: c.seed, Policy: rival.Oracle})
+			specs = append(specs, Spec{Scenario: c.sc, Seed: c.seed, Policy: rival.Oracle})
 		}
 	}
 	results, err := RunAll(ctx, specs, h.Jobs, nil)
--- a/lab/run/rolls_test.go
+++ b/lab/run/rolls_test.go
@@ -94,9 +94,9 @@
 				deal := model.JudgeTerms(s)
 				r := &outageRecorder{judge: judge.New(deal), down: map[int]bool{}}
 				require.NoError(t, model.New(s, seed+1, rival.Makers[rival.Swifthall], r).Run(context.Background(), nil))
-				res := Sum(s, seed+1, rival.Swifthall, Simulated, r.judge)
+				res := NewResult(s, seed+1, rival.Swifthall, Simulated, r.judge)
 				assert.Empty(t, res.Broken)
-				n, from, to := r.summarize(scenario.Kinds[s.Faults[w.faultIndex].Kind].Whom == scenario.Doors)
+				n, from, to := r.summarize(scenario.Kinds[s.Faults[w.faultIndex].Kind].Target == scenario.TargetDoors)
 				g, took, maxOut = g+res.Whole.Earned/res.Whole.Offered/seeds, took+(to-from)/1e3/seeds, max(maxOut, n)
 			}
 			how := "fixed batches"
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -103,7 +103,7 @@
 }
 
 // Spec specifies one run.
-type One struct {
+type Spec struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
 	Policy   string
@@ -111,7 +111,7 @@
 }
 
 // Run simulates the run in virtual time.
-func (o One) Play(ctx context.Context, progress func(float64)) (*Result, error) {
+func (o Spec) Run(ctx context.Context, progress func(float64)) (*Result, error) {
 	maker, known := rival.Makers[o.Policy]
 	if o.Maker != nil {
 		maker, known = *o.Maker, true
@@ -124,7 +124,7 @@
 	if err := model.New(o.Scenario, o.Seed, maker, observers{j, book}).Run(ctx, progress); err != nil {
 		return nil, &RunError{o.Scenario.Name, err}
 	}
-	r := Sum(o.Scenario, o.Seed, o.Policy, Simulated, j)
+	r := NewResult(o.Scenario, o.Seed, o.Policy, Simulated, j)
 	r.Account = book.Sum()
 	return r, nil
 }
@@ -138,7 +138,7 @@
 func (b observers) Take(e *trace.Event) { b.judge.Take(e); b.book.Take(e) }
 
 // NewResult builds the result of a run from its judge.
-func Sum(s *scenario.Scenario, seed uint64, policy, on string, j *judge.Verifier) *Result {
+func NewResult(s *scenario.Scenario, seed uint64, policy, on string, j *judge.Verifier) *Result {
 	r := &Result{Scenario: s.Name, Shows: s.Shows, On: on, Policy: policy, Seed: seed, Doors: s.Fleet.Doors, Backends: s.Fleet.Backends,
 		Length: s.Day.Seconds, Events: j.Events, Parts: j.Service.Parts(), Broken: j.Rules.Count, Breaches: j.Rules.Violations,
 		Whole: j.Service.Whole, Costs: j.Service.Costs, Seconds: j.Service.Seconds, Faults: s.Faults}
@@ -158,8 +158,8 @@
 }
 
 // RunScored simulates the run together with the floor, textbook and oracle baselines, and scores it.
-func (o One) RunScored(ctx context.Context, progress func(float64)) (*Result, error) {
-	specs := []One{o, o, o, o}
+func (o Spec) RunScored(ctx context.Context, progress func(float64)) (*Result, error) {
+	specs := []Spec{o, o, o, o}
 	for i, name := range []string{rival.Floor, rival.Textbook, rival.Oracle} {
 		specs[i+1].Policy, specs[i+1].Maker = name, nil
 	}
@@ -186,7 +186,7 @@
 }
 
 // RunAll simulates runs in parallel, at most limit at once (0 for one per core), and returns their results in order.
-func RunAll(ctx context.Context, specs []One, limit int, progress func(i int, done float64)) ([]*Result, error) {
+func RunAll(ctx context.Context, specs []Spec, limit int, progress func(i int, done float64)) ([]*Result, error) {
 	if limit <= 0 {
 		limit = runtime.GOMAXPROCS(0)
 	}
@@ -199,7 +199,7 @@
 		group.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			r, err := d.Play(ctx, func(done float64) {
+			r, err := d.Run(ctx, func(done float64) {
 				if progress != nil {
 					progress(i, done)
 				}
--- a/lab/run/sweep.go
+++ b/lab/run/sweep.go
@@ -77,7 +77,7 @@
 
 // Run simulates all runs of the sweep.
 func (s *Sweep) Run(ctx context.Context, progress func(done, all float64)) ([]*Cell, error) {
-	var specs []One
+	var specs []Spec
 	var cells []*Cell
 	values := s.Values
 	if s.Key == "" {
@@ -94,7 +94,7 @@
 		for _, p := range s.Policies {
 			cells = append(cells, &Cell{Value: v, Policy: p})
 			for _, seed := range s.Seeds {
-				specs = append(specs, One{Scenario: &sc, Seed: seed, Policy: p})
+				specs = append(specs, Spec{Scenario: &sc, Seed: seed, Policy: p})
 			}
 		}
 	}
--- a/lab/scenario/errors.go
+++ b/lab/scenario/errors.go
@@ -8,14 +8,14 @@
 
 // KeyError is a key of a scenario that is unknown or has an invalid value.
 type KeyError struct {
-	Key   string // such as fault[0].at_s; empty if the file is not valid TOML
-	Line  int    // 0 if unknown
-	Says  string
-	Cause error
+	Key    string // such as fault[0].at_s; empty if the file is not valid TOML
+	Line   int    // 0 if unknown
+	Reason string
+	Cause  error
 }
 
 func (e *KeyError) Error() string {
-	text := remedy.WithCause(e.Says, e.Cause)
+	text := remedy.WithCause(e.Reason, e.Cause)
 	switch {
 	case e.Key != "" && e.Line > 0:
 		return fmt.Sprintf("key %q: %s (line %d)", e.Key, text, e.Line)
--- a/lab/scenario/faults.go
+++ b/lab/scenario/faults.go
@@ -23,18 +23,18 @@
 
 // Targets of the kinds of fault. Two faults can conflict only if they have the same target.
 const (
-	Backends  = "backends"
-	Doors     = "doors"
-	Network   = "network"
-	Discovers = "discovery"
-	Counters  = "counter"
-	Meters    = "meter"
-	Clientele = "clients"
+	TargetBackends  = "backends"
+	TargetDoors     = "doors"
+	TargetNetwork   = "network"
+	TargetDiscovery = "discovery"
+	TargetCounter   = "counter"
+	TargetMeter     = "meter"
+	TargetClients   = "clients"
 )
 
 // Kind describes a kind of fault.
 type Kind struct {
-	Whom          string
+	Target        string
 	Unit          string   // of Fault.Much; empty if the kind has no strength
 	Min           float64  // of Fault.Much
 	Max           float64  // of Fault.Much
@@ -45,43 +45,43 @@
 
 // Kinds lists the kinds of fault by name.
 var Kinds = map[string]Kind{
-	"hang":          {Whom: Backends, Description: "takes operations and answers none"},
-	"silence":       {Whom: Backends, ConflictsWith: []string{"death", "refuse"}, Description: "the machine vanishes: nothing comes back, connections stay open"},
-	"death":         {Whom: Backends, ConflictsWith: []string{"silence", "refuse", "replace"}, Description: "the process dies and starts again, cold, when the time is over"},
-	"refuse":        {Whom: Backends, ConflictsWith: []string{"silence", "death"}, Description: "new connections are refused"},
-	"pauses":        {Whom: Backends, Unit: "ms of a pause", Min: 1, Max: 60e3, Description: "stops for a while, every every_ms"},
-	"slow":          {Whom: Backends, Unit: "times slower", Min: 1, Max: 1000, Description: "works slower"},
-	"errors":        {Whom: Backends, Unit: "chance", Max: 1, Description: "answers with an error"},
-	"resets":        {Whom: Backends, Unit: "chance", Max: 1, Description: "the connection is reset under an operation that has run"},
-	"spoilt":        {Whom: Backends, Unit: "chance", Max: 1, Description: "answers with what cannot be read"},
-	"lost_answers":  {Whom: Backends, Unit: "chance", Max: 1, Description: "the answer never arrives"},
-	"full":          {Whom: Backends, Unit: "chance", Max: 1, Description: "turns operations away"},
-	"few_conns":     {Whom: Backends, Unit: "connections", Min: 1, Max: 1e6, Description: "holds only so many connections"},
-	"forget_tokens": {Whom: Backends, Unit: "ms before the window ends", Max: 60e3, Description: "forgets the marks of tokened operations too early"},
-	"replace":       {Whom: Backends, Unit: "s of a drain", Max: 600, ConflictsWith: []string{"death"}, Description: "replaced in batches: drained, gone, a cold successor"},
-	"zone_loss":     {Whom: Backends, ConflictsWith: []string{"zone_cut"}, Description: "all backends of a zone die and come back cold"},
-	"zone_cut":      {Whom: Network, ConflictsWith: []string{"zone_loss"}, Description: "a zone is cut off from the others"},
-	"delay":         {Whom: Network, Unit: "ms", Max: 60e3, Description: "every way takes longer"},
-	"loss":          {Whom: Network, Unit: "chance", Max: 1, Description: "answers are lost on the way"},
-	"door_deaths":   {Whom: Doors, ConflictsWith: []string{"door_roll"}, Description: "doors are killed at once and start again when the time is over"},
-	"door_roll":     {Whom: Doors, Unit: "s down", Max: 600, ConflictsWith: []string{"door_deaths"}, Description: "doors are restarted in batches"},
-	"list_late":     {Whom: Discovers, Unit: "ms", Max: 600e3, ConflictsWith: []string{"list_silent"}, Description: "changes of the list come later"},
-	"list_silent":   {Whom: Discovers, ConflictsWith: []string{"list_late"}, Description: "no change of the list comes until the time is over"},
-	"counter_down":  {Whom: Counters, ConflictsWith: []string{"counter_late", "counter_wrong", "counter_split", "counter_busy"}, Description: "calls find no connection"},
-	"counter_late":  {Whom: Counters, Unit: "ms", Max: 600e3, ConflictsWith: []string{"counter_down"}, Description: "answers come later; the callers may have given up"},
-	"counter_lost":  {Whom: Counters, Unit: "chance", Max: 1, Description: "answers are lost, what they added is not"},
-	"counter_busy":  {Whom: Counters, Unit: "chance", Max: 1, ConflictsWith: []string{"counter_down"}, Description: "calls are turned away"},
-	"counter_wrong": {Whom: Counters, Unit: "times", Max: 1000, ConflictsWith: []string{"counter_down"}, Description: "totals are told that many times too large"},
-	"counter_split": {Whom: Counters, ConflictsWith: []string{"counter_down"}, Description: "even and odd doors see a counter of their own; the even one's totals stay"},
-	"counter_empty": {Whom: Counters, Instant: true, Description: "replaced by one that starts at nothing"},
-	"meter_late":    {Whom: Meters, Unit: "ms", Max: 600e3, Description: "use is told later"},
-	"burst":         {Whom: Clientele, Unit: "times", Max: 100, Description: "that many times the load comes on top"},
-	"hot_customers": {Whom: Clientele, Unit: "share of the load on top", Max: 100, Description: "three customers ask far more"},
-	"gather":        {Whom: Clientele, Unit: "share of the operations", Max: 1, Description: "operations gather on each customer's busiest door"},
-	"shift":         {Whom: Clientele, Instant: true, Description: "a share of the customers moves to others of its doors at once"},
-	"strangers":     {Whom: Clientele, Unit: "share of the load on top", Max: 100, Description: "customers that come once and never again"},
-	"storm":         {Whom: Clientele, Unit: "retries", Min: 1, Max: 20, Description: "clients retry that many times, at once"},
-	"leave_early":   {Whom: Clientele, Unit: "share of the tries", Max: 1, Description: "clients leave before they are answered"},
+	"hang":          {Target: TargetBackends, Description: "takes operations and answers none"},
+	"silence":       {Target: TargetBackends, ConflictsWith: []string{"death", "refuse"}, Description: "the machine vanishes: nothing comes back, connections stay open"},
+	"death":         {Target: TargetBackends, ConflictsWith: []string{"silence", "refuse", "replace"}, Description: "the process dies and starts again, cold, when the time is over"},
+	"refuse":        {Target: TargetBackends, ConflictsWith: []string{"silence", "death"}, Description: "new connections are refused"},
+	"pauses":        {Target: TargetBackends, Unit: "ms of a pause", Min: 1, Max: 60e3, Description: "stops for a while, every every_ms"},
+	"slow":          {Target: TargetBackends, Unit: "times slower", Min: 1, Max: 1000, Description: "works slower"},
+	"errors":        {Target: TargetBackends, Unit: "chance", Max: 1, Description: "answers with an error"},
+	"resets":        {Target: TargetBackends, Unit: "chance", Max: 1, Description: "the connection is reset under an operation that has run"},
+	"spoilt":        {Target: TargetBackends, Unit: "chance", Max: 1, Description: "answers with what cannot be read"},
+	"lost_answers":  {Target: TargetBackends, Unit: "chance", Max: 1, Description: "the answer never arrives"},
+	"full":          {Target: TargetBackends, Unit: "chance", Max: 1, Description: "turns operations away"},
+	"few_conns":     {Target: TargetBackends, Unit: "connections", Min: 1, Max: 1e6, Description: "holds only so many connections"},
+	"forget_tokens": {Target: TargetBackends, Unit: "ms before the window ends", Max: 60e3, Description: "forgets the marks of tokened operations too early"},
+	"replace":       {Target: TargetBackends, Unit: "s of a drain", Max: 600, ConflictsWith: []string{"death"}, Description: "replaced in batches: drained, gone, a cold successor"},
+	"zone_loss":     {Target: TargetBackends, ConflictsWith: []string{"zone_cut"}, Description: "all backends of a zone die and come back cold"},
+	"zone_cut":      {Target: TargetNetwork, ConflictsWith: []string{"zone_loss"}, Description: "a zone is cut off from the others"},
+	"delay":         {Target: TargetNetwork, Unit: "ms", Max: 60e3, Description: "every way takes longer"},
+	"loss":          {Target: TargetNetwork, Unit: "chance", Max: 1, Description: "answers are lost on the way"},
+	"door_deaths":   {Target: TargetDoors, ConflictsWith: []string{"door_roll"}, Description: "doors are killed at once and start again when the time is over"},
+	"door_roll":     {Target: TargetDoors, Unit: "s down", Max: 600, ConflictsWith: []string{"door_deaths"}, Description: "doors are restarted in batches"},
+	"list_late":     {Target: TargetDiscovery, Unit: "ms", Max: 600e3, ConflictsWith: []string{"list_silent"}, Description: "changes of the list come later"},
+	"list_silent":   {Target: TargetDiscovery, ConflictsWith: []string{"list_late"}, Description: "no change of the list comes until the time is over"},
+	"counter_down":  {Target: TargetCounter, ConflictsWith: []string{"counter_late", "counter_wrong", "counter_split", "counter_busy"}, Description: "calls find no connection"},
+	"counter_late":  {Target: TargetCounter, Unit: "ms", Max: 600e3, ConflictsWith: []string{"counter_down"}, Description: "answers come later; the callers may have given up"},
+	"counter_lost":  {Target: TargetCounter, Unit: "chance", Max: 1, Description: "answers are lost, what they added is not"},
+	"counter_busy":  {Target: TargetCounter, Unit: "chance", Max: 1, ConflictsWith: []string{"counter_down"}, Description: "calls are turned away"},
+	"counter_wrong": {Target: TargetCounter, Unit: "times", Max: 1000, ConflictsWith: []string{"counter_down"}, Description: "totals are told that many times too large"},
+	"counter_split": {Target: TargetCounter, ConflictsWith: []string{"counter_down"}, Description: "even and odd doors see a counter of their own; the even one's totals stay"},
+	"counter_empty": {Target: TargetCounter, Instant: true, Description: "replaced by one that starts at nothing"},
+	"meter_late":    {Target: TargetMeter, Unit: "ms", Max: 600e3, Description: "use is told later"},
+	"burst":         {Target: TargetClients, Unit: "times", Max: 100, Description: "that many times the load comes on top"},
+	"hot_customers": {Target: TargetClients, Unit: "share of the load on top", Max: 100, Description: "three customers ask far more"},
+	"gather":        {Target: TargetClients, Unit: "share of the operations", Max: 1, Description: "operations gather on each customer's busiest door"},
+	"shift":         {Target: TargetClients, Instant: true, Description: "a share of the customers moves to others of its doors at once"},
+	"strangers":     {Target: TargetClients, Unit: "share of the load on top", Max: 100, Description: "customers that come once and never again"},
+	"storm":         {Target: TargetClients, Unit: "retries", Min: 1, Max: 20, Description: "clients retry that many times, at once"},
+	"leave_early":   {Target: TargetClients, Unit: "share of the tries", Max: 1, Description: "clients leave before they are answered"},
 }
 
 // End is the time at which the fault ends, s.
@@ -128,9 +128,9 @@
 			return keyErrorf(prefix+"batches", "%d", f.Batches)
 		case f.MostOut < 0 || f.MostOut > 0 && f.Kind != "replace" && f.Kind != "door_roll":
 			return keyErrorf(prefix+"most_out", "%d for a fault of kind %s", f.MostOut, f.Kind)
-		case k.Whom == Counters && !s.Counter.On:
+		case k.Target == TargetCounter && !s.Counter.On:
 			return keyErrorf(prefix+"kind", "%s, but counter.on is false", f.Kind)
-		case k.Whom == Meters && s.Meter.PeriodMs == 0:
+		case k.Target == TargetMeter && s.Meter.PeriodMs == 0:
 			return keyErrorf(prefix+"kind", "%s, but meter.period_ms is 0", f.Kind)
 		case f.Class != "" && !slices.ContainsFunc(s.Classes, func(p Class) bool { return p.Name == f.Class }):
 			return keyErrorf(prefix+"profile", "no profile is named %q", f.Class)
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -240,7 +240,7 @@
 }
 
 // EmbeddedNames lists the files of an embedded directory without their extension.
-func Shipped(files embed.FS, dir string) []string {
+func EmbeddedNames(files embed.FS, dir string) []string {
 	entries, err := files.ReadDir(dir)
 	if err != nil {
 		panic(err) // can't happen: the directory is embedded
@@ -289,7 +289,7 @@
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		e := strict.Errors[0]
 		row, _ := e.Position()
-		return &KeyError{Key: strings.Join(e.Key(), "."), Line: row, Says: "unknown"}
+		return &KeyError{Key: strings.Join(e.Key(), "."), Line: row, Reason: "unknown"}
 	}
 	var wrong *toml.DecodeError
 	if errors.As(err, &wrong) {
@@ -558,7 +558,7 @@
 
 // keyErrorf returns a KeyError with a formatted reason.
 func keyErrorf(key, format string, args ...any) error {
-	return &KeyError{Key: key, Says: fmt.Sprintf(format, args...)}
+	return &KeyError{Key: key, Reason: fmt.Sprintf(format, args...)}
 }
 
 // oneOf returns an error unless the value is among the allowed ones.
