--- a/lab/procs/check/check.go
+++ b/lab/procs/check/check.go
@@ -12,43 +12,43 @@
 // Never is a time that doesn't come.
 var Never = math.Inf(1)
 
-// Spell is a time in which something is so, ms of the day.
-type Spell struct{ From, To float64 }
+// Interval is a time in which something is so, ms of the day.
+type Interval struct{ From, To float64 }
 
-func (s Spell) has(t float64) bool          { return t >= s.From && t < s.To }
-func (s Spell) meets(from, to float64) bool { return s.From < to && from < s.To }
+func (s Interval) contains(t float64) bool        { return t >= s.From && t < s.To }
+func (s Interval) overlaps(from, to float64) bool { return s.From < to && from < s.To }
 
 // Cut is ways that let nothing through.
 type Cut struct {
-	Spell
-	Way []bool // by from*doors+to
+	Interval
+	Links []bool // by from*doors+to
 }
 
 // Truth is what truly was.
 type Truth struct {
-	Doors  int
-	Zones  []int
-	Began  []float64 // when each door was first started
-	Paused [][]Spell
-	Dead   [][]Spell
-	Left   []float64 // when it was told to leave; Never
-	Cuts   []Cut
-	EndMs  float64
+	Doors     int
+	Zones     []int
+	StartedAt []float64 // when each door was first started
+	Paused    [][]Interval
+	Dead      [][]Interval
+	LeaveAt   []float64 // when it was told to leave; Never
+	Cuts      []Cut
+	EndMs     float64
 }
 
 // Event is one thing that one door held, or that befell it.
 type Event struct {
-	At    float64 `json:"at_ms"`
-	Door  int     `json:"door"`  // that held it
-	About int     `json:"about"` // whom
-	From  string  `json:"from"`
-	To    string  `json:"to"`
-	Life  uint32  `json:"life"`
-	Why   string  `json:"why,omitempty"`
+	At          float64 `json:"at_ms"`
+	Door        int     `json:"door"`  // that held it
+	About       int     `json:"about"` // whom
+	From        string  `json:"from"`
+	To          string  `json:"to"`
+	Incarnation uint32  `json:"life"`
+	Reason      string  `json:"why,omitempty"`
 }
 
-// Breach is one thing that must not be.
-type Breach struct {
+// Violation is one thing that must not be.
+type Violation struct {
 	Rule string  `json:"rule"`
 	At   float64 `json:"at_ms"`
 	Text string  `json:"text"`
@@ -56,21 +56,21 @@
 
 // Limits are what is checked; 0 is not.
 type Limits struct {
-	KnownMs, BackMs, AgreeMs, OneMs, DoubtMs float64
-	Changes                                  int // of a verdict during a cut
-	AnyWrong                                 bool
+	DetectionMs, RecoveryMs, AgreementMs, ConvergenceMs, SuspicionMs float64
+	VerdictChanges                                                   int // of a verdict during a cut
+	AllowFalseAway                                                   bool
 }
 
 // Rules.
 const (
-	WronglyAway = "nobody wrongly away"
-	Known       = "deaths known"
-	Back        = "the paused back"
-	OneChange   = "one change of verdict"
-	Agree       = "one verdict at all that hear"
-	OneView     = "one view"
-	NotRaised   = "nobody raised from the dead"
-	Doubted     = "not blind to a cut"
+	RuleNoFalseAway         = "nobody wrongly away"
+	RuleDeathsDetected      = "deaths known"
+	RulePausedRecover       = "the paused back"
+	RuleStableVerdict       = "one change of verdict"
+	RuleAgreement           = "one verdict at all that hear"
+	RuleConvergence         = "one view"
+	RuleNoResurrection      = "nobody raised from the dead"
+	RulePartialCutSuspected = "not blind to a cut"
 )
 
 // Figures are what was measured on the way.
@@ -94,88 +94,90 @@
 }
 
 const (
-	pauseLong = 1000.0 // ms of a pause from which a member may be held to be away,
-	aftermath = 4000.0 // and for so long after it, or after a death or a cut, ms: news is on its way
-	hearLeast = 0.5    // share of the others that a door must be able to hear, to count as one that can
-	partLeast = 0.3    // share of the ways from a member that make it cut off in part,
-	wholeMost = 0.7    // and at which it may be held to be away
-	quantile  = 99.0
+	longPauseMs       = 1000.0 // ms of a pause from which a member may be held to be away,
+	settleMs          = 4000.0 // and for so long after it, or after a death or a cut, ms: news is on its way
+	maxIncomingCut    = 0.5    // share of the others that a door must be able to hear, to count as one that can
+	minPartialCut     = 0.3    // share of the ways from a member that make it cut off in part,
+	maxPartialCut     = 0.7    // and at which it may be held to be away
+	detectionQuantile = 99.0
 )
 
 // view is who holds what, as time passes.
 type view struct {
-	n  int
-	at [][]string // by door, by whom
+	n      int
+	states [][]string // by door, by whom
 }
 
 func newView(n int) *view {
-	v := &view{n: n, at: make([][]string, n)}
-	for i := range v.at {
-		v.at[i] = make([]string, n)
+	v := &view{n: n, states: make([][]string, n)}
+	for i := range v.states {
+		v.states[i] = make([]string, n)
 	}
 	return v
 }
 
-func (v *view) take(e *Event) {
+func (v *view) apply(e *Event) {
 	if e.From == "born" { // a new process knows nobody
-		clear(v.at[e.Door])
+		clear(v.states[e.Door])
 		return
 	}
-	v.at[e.Door][e.About] = e.To
+	v.states[e.Door][e.About] = e.To
 }
 
-// stands tells whether a state counts as being here.
-func stands(state string) bool { return state == "here" || state == "doubted" || state == "leaving" }
+// countsAsHere tells whether a state counts as being here.
+func countsAsHere(state string) bool {
+	return state == "here" || state == "doubted" || state == "leaving"
+}
 
-func (t *Truth) in(of [][]Spell, d int, at float64) bool {
-	return slices.ContainsFunc(of[d], func(s Spell) bool { return s.has(at) })
+func (t *Truth) during(of [][]Interval, d int, at float64) bool {
+	return slices.ContainsFunc(of[d], func(s Interval) bool { return s.contains(at) })
 }
 
 // up tells whether a door's process runs.
 func (t *Truth) up(d int, at float64) bool {
-	return at >= t.Began[d] && !t.in(t.Dead, d, at) && at < t.Left[d]
+	return at >= t.StartedAt[d] && !t.during(t.Dead, d, at) && at < t.LeaveAt[d]
 }
 
-// well tells whether a door ran without a long stop all through a time.
-func (t *Truth) well(d int, from, to float64) bool {
-	if from < t.Began[d] || to >= t.Left[d] {
+// healthy tells whether a door ran without a long stop all through a time.
+func (t *Truth) healthy(d int, from, to float64) bool {
+	if from < t.StartedAt[d] || to >= t.LeaveAt[d] {
 		return false
 	}
 	for _, s := range t.Dead[d] {
-		if s.meets(from, to) {
+		if s.overlaps(from, to) {
 			return false
 		}
 	}
 	for _, s := range t.Paused[d] {
-		if s.To-s.From > pauseLong && s.meets(from, to) {
+		if s.To-s.From > longPauseMs && s.overlaps(from, to) {
 			return false
 		}
 	}
 	return true
 }
 
-// cut tells whether the way from one door to another was cut at some moment of a time.
-func (t *Truth) cut(a, b int, from, to float64) bool {
+// cutWithin tells whether the way from one door to another was cutWithin at some moment of a time.
+func (t *Truth) cutWithin(a, b int, from, to float64) bool {
 	for i := range t.Cuts {
-		if c := &t.Cuts[i]; c.Way[a*t.Doors+b] && c.meets(from, to) {
+		if c := &t.Cuts[i]; c.Links[a*t.Doors+b] && c.overlaps(from, to) {
 			return true
 		}
 	}
 	return false
 }
 
-// cutOff is the share of the other doors that are up whom a door could not reach, or not hear, at some moment of a time.
-func (t *Truth) cutOff(d int, from, to float64) (out, in float64) {
+// cutShares is the share of the other doors that are up whom a door could not reach, or not hear, at some moment of a time.
+func (t *Truth) cutShares(d int, from, to float64) (out, in float64) {
 	n := 0.0
 	for o := range t.Doors {
 		if o == d || !t.up(o, from) {
 			continue
 		}
 		n++
-		if t.cut(d, o, from, to) {
+		if t.cutWithin(d, o, from, to) {
 			out++
 		}
-		if t.cut(o, d, from, to) {
+		if t.cutWithin(o, d, from, to) {
 			in++
 		}
 	}
@@ -185,16 +187,16 @@
 	return out / n, in / n
 }
 
-// lastFault is when the last fault was over.
-func (t *Truth) lastFault() (last float64) {
+// lastFaultEnd is when the last fault was over.
+func (t *Truth) lastFaultEnd() (last float64) {
 	see := func(at float64) {
 		if !math.IsInf(at, 1) {
 			last = max(last, at)
 		}
 	}
 	for d := range t.Doors {
-		see(t.Left[d])
-		see(t.Began[d])
+		see(t.LeaveAt[d])
+		see(t.StartedAt[d])
 		for _, s := range slices.Concat(t.Paused[d], t.Dead[d]) {
 			see(s.From)
 			see(s.To)
@@ -207,48 +209,48 @@
 	return last
 }
 
-// Judge holds a history, in the order of time, against the truth.
-func Judge(t *Truth, history []Event, l Limits) (breaches []Breach, f Figures) {
+// Verify holds a history, in the order of time, against the truth.
+func Verify(t *Truth, history []Event, l Limits) (breaches []Violation, f Figures) {
 	f.One, f.Doubt = -1, -1
 	add := func(rule string, at float64, format string, args ...any) {
-		breaches = append(breaches, Breach{rule, at, fmt.Sprintf(format, args...)})
+		breaches = append(breaches, Violation{rule, at, fmt.Sprintf(format, args...)})
 	}
-	wrongly(t, history, &f, func(e *Event, why string) {
-		if !l.AnyWrong {
-			add(WronglyAway, e.At, "door %d held door %d to be away, which %s", e.Door, e.About, why)
+	checkFalseAway(t, history, &f, func(e *Event, why string) {
+		if !l.AllowFalseAway {
+			add(RuleNoFalseAway, e.At, "door %d held door %d to be away, which %s", e.Door, e.About, why)
 		}
 	})
-	raised(t, history, func(e *Event) {
-		add(NotRaised, e.At, "door %d held door %d, dead by then, to be %s after %s", e.Door, e.About, e.To, e.From)
+	checkResurrection(t, history, func(e *Event) {
+		add(RuleNoResurrection, e.At, "door %d held door %d, dead by then, to be %s after %s", e.Door, e.About, e.To, e.From)
 	})
-	known(t, history, l, &f, add)
-	back(t, history, l, &f, add)
-	cuts(t, history, l, &f, add)
-	oneView(t, history, l, &f, add)
+	checkDetection(t, history, l, &f, add)
+	checkRecovery(t, history, l, &f, add)
+	checkCuts(t, history, l, &f, add)
+	checkConvergence(t, history, l, &f, add)
 	return breaches, f
 }
 
-type adder func(rule string, at float64, format string, args ...any)
+type reportFunc func(rule string, at float64, format string, args ...any)
 
-// wrongly looks for members that were well and reachable and held to be away all the same.
-func wrongly(t *Truth, history []Event, f *Figures, tell func(*Event, string)) {
+// checkFalseAway looks for members that were well and reachable and held to be away all the same.
+func checkFalseAway(t *Truth, history []Event, f *Figures, tell func(*Event, string)) {
 	for i := range history {
 		e := &history[i]
 		if e.To != "away" || e.Door == e.About {
 			continue
 		}
-		from := max(0, e.At-aftermath)
-		if !t.well(e.About, from, e.At) || !t.up(e.Door, e.At) {
+		from := max(0, e.At-settleMs)
+		if !t.healthy(e.About, from, e.At) || !t.up(e.Door, e.At) {
 			continue
 		}
-		if t.cut(e.Door, e.About, from, e.At) || t.cut(e.About, e.Door, from, e.At) {
+		if t.cutWithin(e.Door, e.About, from, e.At) || t.cutWithin(e.About, e.Door, from, e.At) {
 			continue // the two can't reach each other
 		}
-		if out, in := t.cutOff(e.About, from, e.At); max(out, in) > partLeast {
+		if out, in := t.cutShares(e.About, from, e.At); max(out, in) > minPartialCut {
 			continue
 		}
 		// A door on one side of a cut hears of the other side only from those who reach it.
-		if out, in := t.cutOff(e.Door, from, e.At); max(out, in) > partLeast {
+		if out, in := t.cutShares(e.Door, from, e.At); max(out, in) > minPartialCut {
 			continue
 		}
 		f.Wrong++
@@ -256,12 +258,12 @@
 	}
 }
 
-// raised looks for the dead that somebody held to be here after having held them to be away.
-func raised(t *Truth, history []Event, tell func(*Event)) {
+// checkResurrection looks for the dead that somebody held to be here after having held them to be away.
+func checkResurrection(t *Truth, history []Event, tell func(*Event)) {
 	for i := range history {
 		e := &history[i]
-		if (e.From == "away" || e.From == "left") && (stands(e.To) || e.To == "joining") && !t.well(e.About, max(0, e.At-aftermath), e.At) &&
-			!t.upWithin(e.About, e.At-aftermath, e.At) {
+		if (e.From == "away" || e.From == "left") && (countsAsHere(e.To) || e.To == "joining") && !t.healthy(e.About, max(0, e.At-settleMs), e.At) &&
+			!t.upWithin(e.About, e.At-settleMs, e.At) {
 			tell(e)
 		}
 	}
@@ -278,9 +280,9 @@
 	return t.up(d, to)
 }
 
-// known looks how long a death for good, or for long, took to be known at each door that was well.
-func known(t *Truth, history []Event, l Limits, f *Figures, add adder) {
-	if l.KnownMs == 0 {
+// checkDetection looks how long a death for good, or for long, took to be checkDetection at each door that was well.
+func checkDetection(t *Truth, history []Event, l Limits, f *Figures, add reportFunc) {
+	if l.DetectionMs == 0 {
 		return
 	}
 	const look = 10e3
@@ -298,7 +300,7 @@
 			for i := range history {
 				e := &history[i]
 				if e.At < s.From {
-					v.take(e)
+					v.apply(e)
 					continue
 				}
 				if e.At > s.From+look {
@@ -309,28 +311,28 @@
 				}
 			}
 			for o := range t.Doors {
-				if o != d && t.well(o, max(0, s.From-aftermath), s.From+look) && !t.cut(d, o, s.From, s.From+look) && stands(v.at[o][d]) {
+				if o != d && t.healthy(o, max(0, s.From-settleMs), s.From+look) && !t.cutWithin(d, o, s.From, s.From+look) && countsAsHere(v.states[o][d]) {
 					f.Known = append(f.Known, told[o])
 				}
 			}
 		}
 	}
 	if len(f.Known) == first {
-		add(Known, 0, "no death was long enough, or seen by a door that was well")
-	} else if at := At(f.Known, quantile); at > l.KnownMs {
-		add(Known, 0, "99 in 100 are known after %.0f ms, over %.0f", at, l.KnownMs)
+		add(RuleDeathsDetected, 0, "no death was long enough, or seen by a door that was well")
+	} else if at := At(f.Known, detectionQuantile); at > l.DetectionMs {
+		add(RuleDeathsDetected, 0, "99 in 100 are known after %.0f ms, over %.0f", at, l.DetectionMs)
 	}
 }
 
-// back looks how long after waking one that was paused is held to be here again.
-func back(t *Truth, history []Event, l Limits, f *Figures, add adder) {
-	if l.BackMs == 0 {
+// checkRecovery looks how long after waking one that was paused is held to be here again.
+func checkRecovery(t *Truth, history []Event, l Limits, f *Figures, add reportFunc) {
+	if l.RecoveryMs == 0 {
 		return
 	}
 	const look = 10e3
 	for d := range t.Doors {
 		for _, s := range t.Paused[d] {
-			if s.To-s.From <= pauseLong || s.To+look > t.EndMs {
+			if s.To-s.From <= longPauseMs || s.To+look > t.EndMs {
 				continue
 			}
 			v := newView(t.Doors)
@@ -340,29 +342,29 @@
 				if e.At > s.To+look {
 					break
 				}
-				if e.At > s.To && e.About == d && !stands(v.at[e.Door][d]) && stands(e.To) {
+				if e.At > s.To && e.About == d && !countsAsHere(v.states[e.Door][d]) && countsAsHere(e.To) {
 					late[e.Door] = e.At - s.To
 				}
-				v.take(e)
+				v.apply(e)
 			}
 			for o := range t.Doors {
-				if o == d || !t.well(o, s.From, s.To+look) || !t.well(d, s.To, s.To+look) {
+				if o == d || !t.healthy(o, s.From, s.To+look) || !t.healthy(d, s.To, s.To+look) {
 					continue
 				}
-				if !stands(v.at[o][d]) {
+				if !countsAsHere(v.states[o][d]) {
 					late[o] = Never
 				}
-				if f.Back = append(f.Back, late[o]); late[o] > l.BackMs {
-					add(Back, s.To, "door %d held door %d to be here again %.0f ms after it woke, over %.0f", o, d, late[o], l.BackMs)
+				if f.Back = append(f.Back, late[o]); late[o] > l.RecoveryMs {
+					add(RulePausedRecover, s.To, "door %d held door %d to be here again %.0f ms after it woke, over %.0f", o, d, late[o], l.RecoveryMs)
 				}
 			}
 		}
 	}
 }
 
-// cuts looks for verdicts that change more than once, differ, or never come, while a cut lasts.
-func cuts(t *Truth, history []Event, l Limits, f *Figures, add adder) {
-	if l.AgreeMs == 0 {
+// checkCuts looks for verdicts that change more than once, differ, or never come, while a cut lasts.
+func checkCuts(t *Truth, history []Event, l Limits, f *Figures, add reportFunc) {
+	if l.AgreementMs == 0 {
 		return
 	}
 	for ci := range t.Cuts {
@@ -373,22 +375,22 @@
 		for i := range changes {
 			changes[i] = make([]int, t.Doors)
 		}
-		agreed := c.From + l.AgreeMs
+		agreed := c.From + l.AgreementMs
 		differ := func(at float64) {
 			for d := range t.Doors {
 				held, by := "", -1
 				for o := range t.Doors {
-					if _, in := t.cutOff(o, c.From, at); o == d || in > hearLeast || !t.well(o, c.From, at) || t.cut(d, o, c.From, at) && t.cut(o, d, c.From, at) {
+					if _, in := t.cutShares(o, c.From, at); o == d || in > maxIncomingCut || !t.healthy(o, c.From, at) || t.cutWithin(d, o, c.From, at) && t.cutWithin(o, d, c.From, at) {
 						continue
 					}
 					is := "away"
-					if stands(v.at[o][d]) {
+					if countsAsHere(v.states[o][d]) {
 						is = "here"
 					}
 					if held == "" {
 						held, by = is, o
 					} else if held != is {
-						add(Agree, at, "of door %d, door %d holds that it is %s and door %d that it is %s (%s)", d, by, held, o, is, v.at[o][d])
+						add(RuleAgreement, at, "of door %d, door %d holds that it is %s and door %d that it is %s (%s)", d, by, held, o, is, v.states[o][d])
 						return
 					}
 				}
@@ -406,46 +408,46 @@
 			}
 			if e.At > c.From && e.Door != e.About {
 				if e.To == "doubted" || e.To == "away" {
-					if out, in := t.cutOff(e.About, c.From, e.At); max(out, in) >= partLeast && f.Doubt < 0 {
+					if out, in := t.cutShares(e.About, c.From, e.At); max(out, in) >= minPartialCut && f.Doubt < 0 {
 						f.Doubt = e.At - c.From
 					}
 				}
-				if a, b := stands(e.From), stands(e.To); a != b && e.From != "unknown" && t.well(e.About, c.From, e.At) && t.well(e.Door, c.From, e.At) {
+				if a, b := countsAsHere(e.From), countsAsHere(e.To); a != b && e.From != "unknown" && t.healthy(e.About, c.From, e.At) && t.healthy(e.Door, c.From, e.At) {
 					changes[e.Door][e.About]++
 					f.Changes = max(f.Changes, changes[e.Door][e.About])
-					if most := max(1, l.Changes); changes[e.Door][e.About] == most+1 {
-						add(OneChange, e.At, "door %d changed its verdict on door %d more than %d times during one cut", e.Door, e.About, most)
+					if most := max(1, l.VerdictChanges); changes[e.Door][e.About] == most+1 {
+						add(RuleStableVerdict, e.At, "door %d changed its verdict on door %d more than %d times during one cut", e.Door, e.About, most)
 					}
 				}
 			}
-			v.take(e)
+			v.apply(e)
 		}
 		if end > agreed {
 			differ(end)
 		}
 	}
-	if l.DoubtMs > 0 && (f.Doubt < 0 || f.Doubt > l.DoubtMs) {
-		add(Doubted, 0, "one cut off in part was first doubted after %.0f ms (-1: never), over %.0f", f.Doubt, l.DoubtMs)
+	if l.SuspicionMs > 0 && (f.Doubt < 0 || f.Doubt > l.SuspicionMs) {
+		add(RulePartialCutSuspected, 0, "one cut off in part was first doubted after %.0f ms (-1: never), over %.0f", f.Doubt, l.SuspicionMs)
 	}
 }
 
-// oneView looks whether, so long after the last fault, every door holds of every other what is true, and goes on to.
-func oneView(t *Truth, history []Event, l Limits, f *Figures, add adder) {
-	if l.OneMs == 0 {
+// checkConvergence looks whether, so long after the last fault, every door holds of every other what is true, and goes on to.
+func checkConvergence(t *Truth, history []Event, l Limits, f *Figures, add reportFunc) {
+	if l.ConvergenceMs == 0 {
 		return
 	}
 	v := newView(t.Doors)
-	last := t.lastFault()
+	last := t.lastFaultEnd()
 	wrong := func(o, d int) bool {
 		if o == d || !t.up(o, t.EndMs) {
 			return false
 		}
-		return stands(v.at[o][d]) != t.up(d, t.EndMs)
+		return countsAsHere(v.states[o][d]) != t.up(d, t.EndMs)
 	}
 	pairs := 0
 	i := 0
 	for ; i < len(history) && history[i].At <= last; i++ {
-		v.take(&history[i])
+		v.apply(&history[i])
 	}
 	for o := range t.Doors {
 		for d := range t.Doors {
@@ -464,7 +466,7 @@
 			continue
 		}
 		if e.From == "born" {
-			v.take(e)
+			v.apply(e)
 			pairs = 0
 			for o := range t.Doors {
 				for d := range t.Doors {
@@ -476,7 +478,7 @@
 			continue
 		}
 		was := wrong(e.Door, e.About)
-		v.take(e)
+		v.apply(e)
 		if is := wrong(e.Door, e.About); is && !was {
 			pairs++
 		} else if was && !is {
@@ -492,15 +494,15 @@
 	if math.IsInf(one, 1) {
 		f.One = -1
 	}
-	if one > l.OneMs {
+	if one > l.ConvergenceMs {
 		for o := range t.Doors {
 			for d := range t.Doors {
 				if wrong(o, d) {
-					add(OneView, t.EndMs, "at the end door %d holds door %d to be %q; %d such pairs", o, d, v.at[o][d], pairs)
+					add(RuleConvergence, t.EndMs, "at the end door %d holds door %d to be %q; %d such pairs", o, d, v.states[o][d], pairs)
 					return
 				}
 			}
 		}
-		add(OneView, last+one, "there was one view only %.0f ms after the last fault, over %.0f", one, l.OneMs)
+		add(RuleConvergence, last+one, "there was one view only %.0f ms after the last fault, over %.0f", one, l.ConvergenceMs)
 	}
 }
--- a/lab/procs/child.go
+++ b/lab/procs/child.go
@@ -13,10 +13,10 @@
 
 // child is a process that the rig runs, over its lives. It ends with the rig's own.
 type child struct {
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	done  chan struct{}
-	meant bool // its end is
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	done         chan struct{}
+	exitExpected bool // its end is
 }
 
 // start begins a life. line hears each line of its log, which is kept in a file where a folder is named; unmeant hears how it
@@ -30,25 +30,25 @@
 			return &RigError{"a log", err}
 		}
 	}
-	said := &sayings{line: line, log: log}
-	cmd.Stderr, cmd.WaitDelay = said, drainMost
+	said := &lineSplitter{onLine: line, log: log}
+	cmd.Stderr, cmd.WaitDelay = said, logDrainTimeout
 	if err := cmd.Start(); err != nil {
 		return &RigError{"a process", err}
 	}
 	done := make(chan struct{})
 	c.mu.Lock()
-	c.cmd, c.meant, c.done = cmd, false, done
+	c.cmd, c.exitExpected, c.done = cmd, false, done
 	c.mu.Unlock()
 	go func() {
 		defer close(done)
 		err := cmd.Wait()
 		_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) // what it left behind
-		last := said.end()
+		last := said.lastLine()
 		if log != nil {
 			log.Close()
 		}
 		c.mu.Lock()
-		meant := c.meant
+		meant := c.exitExpected
 		c.mu.Unlock()
 		if err != nil && !meant {
 			unmeant(fmt.Sprintf("%v: %s", err, last))
@@ -57,37 +57,37 @@
 	return nil
 }
 
-const drainMost = time.Second // that something else may hold a process's log open once it has ended
+const logDrainTimeout = time.Second // that something else may hold a process's log open once it has ended
 
-// sayings takes a process's log apart into lines.
-type sayings struct {
-	line func([]byte)
-	log  *os.File
-	mu   sync.Mutex
-	part []byte
-	last []byte
+// lineSplitter takes a process's log apart into lines.
+type lineSplitter struct {
+	onLine  func([]byte)
+	log     *os.File
+	mu      sync.Mutex
+	partial []byte
+	last    []byte
 }
 
-func (s *sayings) Write(p []byte) (int, error) {
+func (s *lineSplitter) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.log != nil {
 		_, _ = s.log.Write(p)
 	}
-	s.part = append(s.part, p...)
+	s.partial = append(s.partial, p...)
 	for {
-		i := bytes.IndexByte(s.part, '\n')
+		i := bytes.IndexByte(s.partial, '\n')
 		if i < 0 {
 			return len(p), nil
 		}
-		s.last = append(s.last[:0], s.part[:i]...)
-		s.part = append(s.part[:0], s.part[i+1:]...)
-		s.line(s.last)
+		s.last = append(s.last[:0], s.partial[:i]...)
+		s.partial = append(s.partial[:0], s.partial[i+1:]...)
+		s.onLine(s.last)
 	}
 }
 
-// end returns the last line.
-func (s *sayings) end() []byte {
+// lastLine returns the last line.
+func (s *lineSplitter) lastLine() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return bytes.Clone(s.last)
@@ -101,13 +101,13 @@
 	if c.cmd == nil {
 		return nil
 	}
-	c.meant = c.meant || meant
+	c.exitExpected = c.exitExpected || meant
 	_ = c.cmd.Process.Signal(s)
 	return c.done
 }
 
-// finish ends children: told to, and killed where they don't.
-func finish(all []*child) {
+// stopAll ends children: told to, and killed where they don't.
+func stopAll(all []*child) {
 	var ended []<-chan struct{}
 	for _, c := range all {
 		c.signal(syscall.SIGCONT, true)
@@ -115,7 +115,7 @@
 			ended = append(ended, done)
 		}
 	}
-	patience := time.After(endMost)
+	patience := time.After(stopTimeout)
 	for _, done := range ended {
 		select {
 		case <-done:
--- a/lab/procs/coordinators.go
+++ b/lab/procs/coordinators.go
@@ -38,21 +38,21 @@
 }
 
 const (
-	paceMost  = int64(time.Minute / time.Microsecond)
-	paceAgain = 400 * time.Millisecond // a caller says that its unit is ready
+	maxLatencyUs   = int64(time.Minute / time.Microsecond)
+	reportInterval = 400 * time.Millisecond // a caller says that its unit is ready
 )
 
 // Measure measures.
 func (p Pace) Measure(ctx context.Context) (*PaceResult, error) {
 	d := &drill{Drill: Drill{Coordinators: p.Coordinators, Binary: p.Binary, Logs: p.Logs}, ctx: ctx}
-	defer d.end()
-	if err := d.open(); err != nil {
+	defer d.tearDown()
+	if err := d.setUp(); err != nil {
 		return nil, err
 	}
 	if err := d.prepareCoordinators(); err != nil {
 		return nil, err
 	}
-	for _, c := range d.coords {
+	for _, c := range d.coordinators {
 		if p.NoSync {
 			c.args = append(c.args, "--no-sync")
 		}
@@ -61,26 +61,26 @@
 		}
 	}
 	var all []config.NamedAddress
-	for _, c := range d.coords {
-		all = append(all, config.NamedAddress{Name: c.name, Address: c.serve})
+	for _, c := range d.coordinators {
+		all = append(all, config.NamedAddress{Name: c.name, Address: c.address})
 	}
 	r := &PaceResult{}
-	if err := p.permits(ctx, all, r); err != nil {
+	if err := p.measurePermits(ctx, all, r); err != nil {
 		return nil, err
 	}
 	for i := range p.Kills {
-		if err := d.kill(ctx, all, i, r); err != nil {
+		if err := d.measureFailover(ctx, all, i, r); err != nil {
 			return nil, err
 		}
 	}
 	return r, nil
 }
 
-// permits has callers ask for permits and give them back, as fast as they are answered.
-func (p Pace) permits(ctx context.Context, all []config.NamedAddress, r *PaceResult) error {
+// measurePermits has callers ask for measurePermits and give them back, as fast as they are answered.
+func (p Pace) measurePermits(ctx context.Context, all []config.NamedAddress, r *PaceResult) error {
 	c := client.New(all)
 	defer c.Close()
-	starting, stop := context.WithTimeout(ctx, startMost)
+	starting, stop := context.WithTimeout(ctx, startTimeout)
 	defer stop()
 	give := func(ctx context.Context, c *client.Client, caller string, seq uint64, do any) (permits.Answer, error) {
 		return c.Command(ctx, permits.Command{Caller: caller, Seq: seq, Do: do})
@@ -92,7 +92,7 @@
 	var mu sync.Mutex
 	var first error
 	var counting atomic.Bool
-	latency := hdrhistogram.New(1, paceMost, 3)
+	latency := hdrhistogram.New(1, maxLatencyUs, 3)
 	over, end := context.WithCancel(ctx)
 	defer end()
 	for i := range p.Callers {
@@ -105,7 +105,7 @@
 			life, err := give(over, own, caller, next(), permits.Begin{Unit: unit, Process: 1})
 			said := time.Time{}
 			for err == nil {
-				if time.Since(said) > paceAgain {
+				if time.Since(said) > reportInterval {
 					said = time.Now()
 					_, err = own.Word(over, &permits.DoorReport{Caller: caller, Seq: next(), Sighting: permits.Sighting{Unit: unit, Standing: permits.Ready, Incarnation: life.Number, Process: 1}})
 					continue
@@ -150,21 +150,21 @@
 	return nil
 }
 
-// kill kills whichever leads, and measures until a command is answered again.
-func (d *drill) kill(ctx context.Context, all []config.NamedAddress, round int, r *PaceResult) error {
+// measureFailover kills whichever leads, and measures until a command is answered again.
+func (d *drill) measureFailover(ctx context.Context, all []config.NamedAddress, round int, r *PaceResult) error {
 	c := client.New(all)
 	defer c.Close()
-	within, stop := context.WithTimeout(ctx, startMost)
+	within, stop := context.WithTimeout(ctx, startTimeout)
 	defer stop()
 	var st client.Status
 	if err := c.Ask(within, client.StatusPath, struct{}{}, &st); err != nil {
 		return err
 	}
-	i := slices.IndexFunc(d.coords, func(p *party) bool { return p.name == st.Leader })
+	i := slices.IndexFunc(d.coordinators, func(p *node) bool { return p.name == st.Leader })
 	if i < 0 {
 		return &DoorsError{[]string{"no coordinator leads"}}
 	}
-	if done := d.coords[i].signal(syscall.SIGKILL, true); done != nil {
+	if done := d.coordinators[i].signal(syscall.SIGKILL, true); done != nil {
 		<-done
 	}
 	began := time.Now()
@@ -172,7 +172,7 @@
 		return err
 	}
 	r.Leader = append(r.Leader, float64(time.Since(began))/1e6)
-	return d.coords[i].start()
+	return d.coordinators[i].start()
 }
 
 // prepareCoordinators writes the configurations of coordinators, and puts relays between them.
@@ -187,32 +187,32 @@
 			}
 		}
 		peers = append(peers, coordinatorName(i)+"/"+raft[i])
-		if d.at != "" {
-			d.at += ","
+		if d.coordinatorAddresses != "" {
+			d.coordinatorAddresses += ","
 		}
-		d.at += coordinatorName(i) + "/" + api[i]
+		d.coordinatorAddresses += coordinatorName(i) + "/" + api[i]
 	}
 	for i := range raft {
 		routes := map[string]string{}
 		for j := range raft {
 			if i != j {
-				a, err := d.way(coordinatorName(i), coordinatorName(j), raft[j])
+				a, err := d.addRelay(coordinatorName(i), coordinatorName(j), raft[j])
 				if err != nil {
 					return err
 				}
 				routes[coordinatorName(j)] = a
 			}
 		}
-		c := &party{d: d, name: coordinatorName(i), dir: filepath.Join(d.dir, coordinatorName(i)), serve: api[i]}
-		c.fault = c.dir + ".fault"
-		file, err := d.write(c.name, map[string]any{"name": c.name, "fleet": "drill", "listen": raft[i], "api": api[i], "data": c.dir, "peers": peers, "routes": routes,
+		c := &node{d: d, name: coordinatorName(i), dir: filepath.Join(d.dir, coordinatorName(i)), address: api[i]}
+		c.diskFaultFile = c.dir + ".fault"
+		file, err := d.writeConfig(c.name, map[string]any{"name": c.name, "fleet": "drill", "listen": raft[i], "api": api[i], "data": c.dir, "peers": peers, "routes": routes,
 			"log": map[string]string{"format": "json", "level": "debug"}})
 		if err != nil {
 			return err
 		}
 		c.args = []string{d.Binary + "-coordinate", "coordinate", "--config", file}
-		c.env = append(c.env, faultOf(c.fault))
-		d.coords = append(d.coords, c)
+		c.env = append(c.env, diskFaultSetting(c.diskFaultFile))
+		d.coordinators = append(d.coordinators, c)
 	}
 	return nil
 }
--- a/lab/procs/drill_test.go
+++ b/lab/procs/drill_test.go
@@ -17,7 +17,7 @@
 	if testing.Short() {
 		t.Skip("real time")
 	}
-	binary := built(t)
+	binary := buildPrograms(t)
 	for seed := uint64(1); seed <= 2; seed++ {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
@@ -31,18 +31,18 @@
 	}
 }
 
-func TestWhatWasLookedAtIsReadAsItTrulyWas(t *testing.T) {
-	at := func(status int, times ...float64) (all []look) {
+func TestOutagesAreDerivedFromProbes(t *testing.T) {
+	at := func(status int, times ...float64) (all []probeResult) {
 		for _, x := range times {
-			all = append(all, look{x, x + 2, status})
+			all = append(all, probeResult{x, x + 2, status})
 		}
 		return all
 	}
-	var looks []look
-	for _, l := range [][]look{at(200, 10, 30), at(503, 50, 70), at(200, 90), at(0, 110), at(503, 210), at(200, 230), at(503, 250)} {
+	var looks []probeResult
+	for _, l := range [][]probeResult{at(200, 10, 30), at(503, 50, 70), at(200, 90), at(0, 110), at(503, 210), at(200, 230), at(503, 250)} {
 		looks = append(looks, l...)
 	}
-	all, back := gone(3, []float64{0, 200}, []float64{100}, []check.Spell{{From: 20, To: 25}}, looks)
+	all, back := outagesOf(3, []float64{0, 200}, []float64{100}, []check.Interval{{From: 20, To: 25}}, looks)
 	assert.Equal(t, 1, back)
 	assert.Equal(t, []outs.Gone{
 		{Door: 3, From: 52, To: 90, ByPlan: true}, // it was ready, and said that it can't serve
@@ -50,12 +50,12 @@
 		{Door: 3, From: 100, To: 230}, // killed: until its next life can serve; a start is no plan
 		{Door: 3, From: 20, To: 25},
 	}, all)
-	all, _ = gone(0, []float64{0}, []float64{40}, nil, append(at(200, 10), at(503, 50)...))
+	all, _ = outagesOf(0, []float64{0}, []float64{40}, nil, append(at(200, 10), at(503, 50)...))
 	assert.False(t, all[0].ByPlan, "it was told to end")
 }
 
 func TestARequestAtADrainedBackendIsFound(t *testing.T) {
-	claims := []claim{{"b-1", 1000, 3000}}
-	assert.Empty(t, silent(claims, map[string][]float64{"b-1": {900, 1000 + claimSlack, 3000}, "b-2": {2000}}))
-	assert.Equal(t, Silent, silent(claims, map[string][]float64{"b-1": {2000}})[0].Rule)
+	claims := []drainedSpan{{"b-1", 1000, 3000}}
+	assert.Empty(t, requestsWhileDrained(claims, map[string][]float64{"b-1": {900, 1000 + inFlightGraceMs, 3000}, "b-2": {2000}}))
+	assert.Equal(t, RuleDrainedBackendSilent, requestsWhileDrained(claims, map[string][]float64{"b-1": {2000}})[0].Rule)
 }
--- a/lab/procs/errors.go
+++ b/lab/procs/errors.go
@@ -50,21 +50,21 @@
 	return fmt.Sprintf("See that this machine gives %s: programs built by go build -o bin/ ./cmd/..., free loopback ports, room in the temporary folder, open files (ulimit -n).", e.What)
 }
 
-// CrowdError is more processes than one machine plays well.
-type CrowdError struct{ Doors int }
+// ProcessLimitError is more processes than one machine plays well.
+type ProcessLimitError struct{ Doors int }
 
-func (e *CrowdError) Error() string {
-	return fmt.Sprintf("%d doors, up to %d processes are played", e.Doors, mostProcesses)
+func (e *ProcessLimitError) Error() string {
+	return fmt.Sprintf("%d doors, up to %d processes are played", e.Doors, maxProcesses)
 }
-func (e *CrowdError) Kind() remedy.Kind { return remedy.Usage }
+func (e *ProcessLimitError) Kind() remedy.Kind { return remedy.Usage }
 
 // Remedy names the flags.
-func (e *CrowdError) Remedy() string { return "Give --doors 12, or play it with --on sim." }
+func (e *ProcessLimitError) Remedy() string { return "Give --doors 12, or play it with --on sim." }
 
 // DoorsError is doors that did not start, or did not find each other.
-type DoorsError struct{ Says []string }
+type DoorsError struct{ Reasons []string }
 
-func (e *DoorsError) Error() string     { return "doors: " + strings.Join(e.Says, "; ") }
+func (e *DoorsError) Error() string     { return "doors: " + strings.Join(e.Reasons, "; ") }
 func (e *DoorsError) Kind() remedy.Kind { return remedy.Unreachable }
 
 // Remedy names where they say why.
--- a/lab/procs/migration.go
+++ b/lab/procs/migration.go
@@ -47,39 +47,39 @@
 	Changes                           int     // times that a door began to run something else
 	MostOut                           int
 	Asked, Finished, Rejected, Failed int
-	Cold                              int
+	RejectedInWarmUp                  int
 }
 
 // Rules of a migration, besides those of a rollout.
 const (
-	Moved   = "doors run and decide as the migration's end says"
-	Stopped = "nothing changes while it is halted"
-	EndsAll = "the migration ends, and leaves nothing out"
+	RuleMigrationOutcome = "doors run and decide as the migration's end says"
+	RuleHaltHolds        = "nothing changes while it is halted"
+	RuleMigrationEnds    = "the migration ends, and leaves nothing out"
 )
 
 const (
-	migrationMost = 240.0 // s in which a migration must have ended
-	strikeEvery   = 5e3   // ms between strikes, about
-	haltedFor     = 3e3   // ms that a halted migration is looked at
-	farAhead      = "600" // s by which one coordinator's clock is ahead
+	migrationTimeoutS = 240.0 // s in which a migration must have ended
+	faultIntervalMs   = 5e3   // ms between strikes, about
+	haltObservationMs = 3e3   // ms that a halted migration is looked at
+	clockAheadS       = "600" // s by which one coordinator's clock is ahead
 )
 
 // thin is a plan whose customers are soon beyond their quota: there the two shapes decide differently.
-const thin = `{"name":"thin","rate":0.001,"depth":1,"at_once":0,"never_over_rate":0,"ceiling_burst":0,"pays":1%s}`
+const thinPlanFormat = `{"name":"thin","rate":0.001,"depth":1,"at_once":0,"never_over_rate":0,"ceiling_burst":0,"pays":1%s}`
 
 // How a door of either shape answers three requests of a customer whose quota holds one.
 const (
-	oldDecides = "200 429 429"
-	newDecides = "200 200 200"
+	oldStatuses = "200 429 429"
+	newStatuses = "200 200 200"
 )
 
-// shape words the tariffs of the old shape, or of the new one, in which thin earns beyond its quota.
-func shape(moved bool) string {
+// tariffsJSON words the tariffs of the old tariffsJSON, or of the new one, in which thin earns beyond its quota.
+func tariffsJSON(moved bool) string {
 	more := ""
 	if moved {
 		more = `,"beyond_earns":2,"over_cost":1`
 	}
-	return `[{"name":"ample","rate":1000000,"depth":1000000,"at_once":0,"never_over_rate":0,"ceiling_burst":0,"pays":1},` + fmt.Sprintf(thin, more) + `]`
+	return `[{"name":"ample","rate":1000000,"depth":1000000,"at_once":0,"never_over_rate":0,"ceiling_burst":0,"pays":1},` + fmt.Sprintf(thinPlanFormat, more) + `]`
 }
 
 // Play plays the migration.
@@ -87,18 +87,18 @@
 	if !(p.Rate > 0) || p.HaltAt < 0 || p.HaltAt > MigrationSteps {
 		return nil, &NameError{fmt.Sprintf("rate %g, halt at step %d", p.Rate, p.HaltAt)}
 	}
-	d := &drill{Drill: Drill{Seed: p.Seed, Doors: p.Doors, Coordinators: p.Coordinators, Binary: p.Binary, Logs: p.Logs}, ctx: ctx, held: true, ahead: farAhead, tariffs: json.RawMessage(shape(false))}
-	defer d.end()
-	if err := d.begin(); err != nil {
+	d := &drill{Drill: Drill{Seed: p.Seed, Doors: p.Doors, Coordinators: p.Coordinators, Binary: p.Binary, Logs: p.Logs}, ctx: ctx, holdListeners: true, clockAheadS: clockAheadS, tariffs: json.RawMessage(tariffsJSON(false))}
+	defer d.tearDown()
+	if err := d.startAll(); err != nil {
 		return nil, err
 	}
-	doors := d.served()
+	doors := d.doorAddresses()
 	r := &MigrationResult{HaltAt: p.HaltAt}
 	var err error
-	if r.Cold, err = warm(ctx, d.site, doors, p.Rate); err != nil {
+	if r.RejectedInWarmUp, err = warmUp(ctx, d.site, doors, p.Rate); err != nil {
 		return nil, err
 	}
-	d.begun()
+	d.startClock()
 	before, err := d.decisions(1)
 	if err != nil {
 		return nil, err
@@ -109,11 +109,11 @@
 	defer looks.Wait()
 	defer stop()
 	for _, door := range d.doors {
-		looks.Go(func() { door.probe(over) })
+		looks.Go(func() { door.pollReadiness(over) })
 	}
 	enough := make(chan struct{})
-	served := clientsUntil(ctx, d.site, doors, p.Rate, (migrationMost+60)*msPerSecond, enough)
-	err = p.move(d, r)
+	served := startClientsUntil(ctx, d.site, doors, p.Rate, (migrationTimeoutS+60)*msPerSecond, enough)
+	err = p.runMigration(d, r)
 	close(enough)
 	outcomes, failed := served()
 	if err == nil {
@@ -131,60 +131,60 @@
 	if err != nil {
 		return nil, err
 	}
-	p.judge(d, r, before, after)
+	p.verify(d, r, before, after)
 	return r, nil
 }
 
-func (p Migration) judge(d *drill, r *MigrationResult, before, after []string) {
+func (p Migration) verify(d *drill, r *MigrationResult, before, after []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var which []spell
-	r.MostOut, which = mostAtOnce(d.doors)
+	var which []outage
+	r.MostOut, which = maxConcurrentOutages(d.doors)
 	breach := func(rule, format string, args ...any) {
 		r.Breaches = append(r.Breaches, outs.Breach{Rule: rule, Text: fmt.Sprintf(format, args...)})
 	}
-	for _, f := range d.fails {
-		breach(RunsOn, "%s", f)
+	for _, f := range d.failures {
+		breach(RuleNoUnexpectedExit, "%s", f)
 	}
 	if r.Failed > 0 {
-		breach(NoneLost, "%d of %d operations", r.Failed, r.Asked)
+		breach(RuleNoFailedOperation, "%d of %d operations", r.Failed, r.Asked)
 	}
-	if float64(r.Finished) < leastServed*float64(r.Asked) {
-		breach(Unhurt, "%d of %d operations rejected", r.Rejected, r.Asked)
+	if float64(r.Finished) < minFinishedShare*float64(r.Asked) {
+		breach(RuleUnchangedDoorsServe, "%d of %d operations rejected", r.Rejected, r.Asked)
 	}
-	if r.MostOut > mostDoorsOut {
-		breach(EndsSo, "%d doors couldn't serve at once: %v", r.MostOut, which)
+	if r.MostOut > maxDoorsOut {
+		breach(RuleReleaseOutcome, "%d doors couldn't serve at once: %v", r.MostOut, which)
 	}
 	should := "done"
 	if p.HaltAt > 0 {
 		should = "withdrawn"
 	}
 	if r.Stage != should {
-		breach(EndsAll, "%q, not %q", r.Stage, should)
+		breach(RuleMigrationEnds, "%q, not %q", r.Stage, should)
 	}
-	wants := oldDecides
+	wants := oldStatuses
 	if p.HaltAt == 0 {
-		wants = newDecides
+		wants = newStatuses
 	}
 	for i, door := range d.doors {
-		if before[i] != oldDecides {
-			breach(Moved, "%s decided %s before anything, not %s", door.name, before[i], oldDecides)
+		if before[i] != oldStatuses {
+			breach(RuleMigrationOutcome, "%s decided %s before anything, not %s", door.name, before[i], oldStatuses)
 		}
-		if runs := door.runs(); (runs == "") != (p.HaltAt > 0) || after[i] != wants {
-			breach(Moved, "%s runs %q and decides %s, not %s", door.name, runs, after[i], wants)
+		if runs := door.configurationDigest(); (runs == "") != (p.HaltAt > 0) || after[i] != wants {
+			breach(RuleMigrationOutcome, "%s runs %q and decides %s, not %s", door.name, runs, after[i], wants)
 		}
 	}
 }
 
-// runs is what a door has written down that it runs of configurations; empty for its own file.
-func (p *party) runs() string { return p.wrote()["configuration"] }
+// configurationDigest is what a door has written down that it configurationDigest of configurations; empty for its own file.
+func (p *node) configurationDigest() string { return p.recordedReleases()["configuration"] }
 
 // decisions asks each door three times for a customer whose quota holds one request, and writes down how it answers.
 func (d *drill) decisions(round int) (all []string, err error) {
 	for i, p := range d.doors {
 		word := ""
 		for n := range 3 {
-			answer, err := asked(p.serve, fmt.Sprintf("%016x", round<<16+i+1), fmt.Sprintf("%04x%04x%08x", round, i+1, n+1))
+			answer, err := requestStatus(p.address, fmt.Sprintf("%016x", round<<16+i+1), fmt.Sprintf("%04x%04x%08x", round, i+1, n+1))
 			if err != nil {
 				return nil, &RigError{"asking " + p.name, err}
 			}
@@ -195,14 +195,14 @@
 	return all, nil
 }
 
-// asked asks a door once, of plan thin, and words its answer: its status, and whether it says when to come back.
-func asked(at, customer, id string) (string, error) {
-	nc, err := net.DialTimeout("tcp", at, clientsWait)
+// requestStatus asks a door once, of plan thin, and words its answer: its status, and whether it says when to come back.
+func requestStatus(at, customer, id string) (string, error) {
+	nc, err := net.DialTimeout("tcp", at, clientTimeout)
 	if err != nil {
 		return "", err
 	}
 	defer nc.Close()
-	if err := nc.SetDeadline(time.Now().Add(clientsWait)); err != nil {
+	if err := nc.SetDeadline(time.Now().Add(clientTimeout)); err != nil {
 		return "", err
 	}
 	if _, err := fmt.Fprintf(nc, "GET /look?key=%s HTTP/1.1\r\nHost: %s\r\nX-Txn: %s\r\nX-Tariff: thin\r\nX-Remaining: 2000m\r\nX-Weight: units=1,spread=1,first=0\r\n\r\n", customer, at, id); err != nil {
@@ -217,8 +217,8 @@
 	return fmt.Sprint(resp.StatusCode), err
 }
 
-// stood is the calendar as far as the rig reads it, by the command's own JSON.
-type stood struct {
+// calendarState is the calendar as far as the rig reads it, by the command's own JSON.
+type calendarState struct {
 	Entries map[string]struct {
 		ID    uint64 `json:"id"`
 		Stage string `json:"stage"`
@@ -233,16 +233,16 @@
 	} `json:"migrations"`
 }
 
-func (d *drill) stood() (s *stood) {
-	raw, code := d.output("calendar", "--json")
+func (d *drill) calendar() (s *calendarState) {
+	raw, code := d.commandOutput("calendar", "--json")
 	if code != 0 || json.Unmarshal(raw, &s) != nil {
 		return nil
 	}
 	return s
 }
 
-// file words the migration, and gives all doors what its steps release.
-func (p Migration) file(d *drill) (string, error) {
+// writeMigration words the migration, and gives all doors what its steps release.
+func (p Migration) writeMigration(d *drill) (string, error) {
 	watch, err := json.Marshal(d.site.Config("", "", 0, p.Doors)["settings"])
 	if err != nil {
 		return "", &RigError{"a file", err}
@@ -260,27 +260,27 @@
 		name, raw string
 		waves     []wave
 	}{
-		{"watch", `{"watch":` + with(shape(true)) + `}`, []wave{{"count": 1, "watch_s": 5}, {"rest": true}}},
-		{"switch", `{"settings":{"tariffs":` + shape(true) + `},"watch":` + with(shape(false)) + `}`, []wave{{"each_zone": 1, "watch_s": 5}, {"rest": true}}},
-		{"clear-up", `{"settings":{"tariffs":` + shape(true) + `}}`, []wave{{"rest": true}}},
+		{"watch", `{"watch":` + with(tariffsJSON(true)) + `}`, []wave{{"count": 1, "watch_s": 5}, {"rest": true}}},
+		{"switch", `{"settings":{"tariffs":` + tariffsJSON(true) + `},"watch":` + with(tariffsJSON(false)) + `}`, []wave{{"each_zone": 1, "watch_s": 5}, {"rest": true}}},
+		{"clear-up", `{"settings":{"tariffs":` + tariffsJSON(true) + `}}`, []wave{{"rest": true}}},
 	} {
-		digest, err := d.give([]byte(s.raw))
+		digest, err := d.distribute([]byte(s.raw))
 		if err != nil {
 			return "", err
 		}
-		steps = append(steps, map[string]any{"name": s.name, "kind": "migration", "from": minute(-2), "to": minute(60),
+		steps = append(steps, map[string]any{"name": s.name, "kind": "migration", "from": minutesFromNow(-2), "to": minutesFromNow(60),
 			"do": map[string]any{"release": map[string]any{"name": s.name, "changes": "configuration", "digest": digest, "waves": s.waves}}})
 	}
-	return d.write("migration", map[string]any{"name": "another shape", "steps": steps})
+	return d.writeConfig("migration", map[string]any{"name": "another shape", "steps": steps})
 }
 
-func minute(from int) string {
+func minutesFromNow(from int) string {
 	return time.Now().UTC().Add(time.Duration(from) * time.Minute).Format("2006-01-02T15:04")
 }
 
-// move enters the migration, strikes, halts it where it is to be, and waits for its end.
-func (p Migration) move(d *drill, r *MigrationResult) error {
-	file, err := p.file(d)
+// runMigration enters the migration, strikes, halts it where it is to be, and waits for its end.
+func (p Migration) runMigration(d *drill, r *MigrationResult) error {
+	file, err := p.writeMigration(d)
 	if err != nil {
 		return err
 	}
@@ -291,22 +291,22 @@
 	quiet, stop := context.WithCancel(d.ctx)
 	var strikes sync.WaitGroup
 	if !p.Quiet {
-		strikes.Go(func() { r.Strikes = d.strikeCoordinators(quiet) })
+		strikes.Go(func() { r.Strikes = d.injectCoordinatorFaults(quiet) })
 	}
 	defer strikes.Wait()
 	defer stop()
 	runs := make([]string, len(d.doors))
 	var backAt float64
-	for halted := false; d.ms()-from < migrationMost*msPerSecond; {
+	for halted := false; d.ms()-from < migrationTimeoutS*msPerSecond; {
 		if err := d.sleep(d.ms() + 200); err != nil {
 			return err
 		}
 		for i, door := range d.doors {
-			if now := door.runs(); now != runs[i] {
+			if now := door.configurationDigest(); now != runs[i] {
 				runs[i], r.Changes = now, r.Changes+1
 			}
 		}
-		s := d.stood()
+		s := d.calendar()
 		if s == nil || len(s.Migrations) != 1 {
 			continue
 		}
@@ -317,24 +317,24 @@
 				if backAt > 0 {
 					r.BackS = (d.ms() - backAt) / msPerSecond
 				}
-				return d.nothingOut(r)
+				return d.awaitNoPermits(r)
 			}
 			if p.HaltAt == 0 || halted || len(m.Steps) < p.HaltAt {
 				continue
 			}
 			step := fmt.Sprint(m.Steps[p.HaltAt-1])
-			if e := s.Entries[step]; e.Stage != "running" || !slices.ContainsFunc(d.doors, func(door *party) bool { return door.runs() != "" && p.amid(d, door) }) {
+			if e := s.Entries[step]; e.Stage != "running" || !slices.ContainsFunc(d.doors, func(door *node) bool { return door.configurationDigest() != "" && p.runsHaltedStep(d, door) }) {
 				continue
 			}
 			if d.command("steer", "halt", step) != 0 {
 				continue // asked again: its answer was lost, or it has ended meanwhile
 			}
 			halted = true
-			if err := p.lookHalted(d, r); err != nil {
+			if err := p.observeHalt(d, r); err != nil {
 				return err
 			}
 			backAt = d.ms()
-			for d.command("steer", "back", step) != 0 && d.ms()-from < migrationMost*msPerSecond {
+			for d.command("steer", "back", step) != 0 && d.ms()-from < migrationTimeoutS*msPerSecond {
 				if err := d.sleep(d.ms() + 200); err != nil {
 					return err
 				}
@@ -344,10 +344,10 @@
 	return nil
 }
 
-// nothingOut waits until no permit stands: the last door's is free once it is seen back.
-func (d *drill) nothingOut(r *MigrationResult) error {
+// awaitNoPermits waits until no permit stands: the last door's is free once it is seen back.
+func (d *drill) awaitNoPermits(r *MigrationResult) error {
 	left := 0
-	for from := d.ms(); d.ms()-from < drillBack; {
+	for from := d.ms(); d.ms()-from < recoveryTimeoutMs; {
 		if t := d.status(); t != nil {
 			if left = len(t.Places); left == 0 {
 				return nil
@@ -357,43 +357,43 @@
 			return err
 		}
 	}
-	r.Breaches = append(r.Breaches, outs.Breach{Rule: EndsAll, At: d.ms(), Text: fmt.Sprintf("%d permits are left", left)})
+	r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleMigrationEnds, At: d.ms(), Text: fmt.Sprintf("%d permits are left", left)})
 	return nil
 }
 
-// amid tells whether a door runs what the step that is to be halted gives.
-func (p Migration) amid(d *drill, door *party) bool {
-	raw, code := d.output("release", "status", "--json")
+// runsHaltedStep tells whether a door runs what the step that is to be halted gives.
+func (p Migration) runsHaltedStep(d *drill, door *node) bool {
+	raw, code := d.commandOutput("release", "status", "--json")
 	var all []struct{ Digest, Stage string }
 	if code != 0 || json.Unmarshal(raw, &all) != nil || len(all) < p.HaltAt {
 		return false
 	}
-	return all[p.HaltAt-1].Digest == door.runs()
+	return all[p.HaltAt-1].Digest == door.configurationDigest()
 }
 
-// lookHalted looks at a halted migration for a while: doors that have begun to change may end that, and no other begins.
-func (p Migration) lookHalted(d *drill, r *MigrationResult) error {
-	if err := d.sleep(d.ms() + haltedFor); err != nil {
+// observeHalt looks at a halted migration for a while: doors that have begun to change may end that, and no other begins.
+func (p Migration) observeHalt(d *drill, r *MigrationResult) error {
+	if err := d.sleep(d.ms() + haltObservationMs); err != nil {
 		return err
 	}
 	was := make([]string, len(d.doors))
 	for i, door := range d.doors {
-		was[i] = door.runs()
+		was[i] = door.configurationDigest()
 	}
-	if err := d.sleep(d.ms() + haltedFor); err != nil {
+	if err := d.sleep(d.ms() + haltObservationMs); err != nil {
 		return err
 	}
 	for i, door := range d.doors {
-		if now := door.runs(); now != was[i] {
-			r.Breaches = append(r.Breaches, outs.Breach{Rule: Stopped, At: d.ms(), Text: fmt.Sprintf("%s runs %q, before %q", door.name, now, was[i])})
+		if now := door.configurationDigest(); now != was[i] {
+			r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleHaltHolds, At: d.ms(), Text: fmt.Sprintf("%s runs %q, before %q", door.name, now, was[i])})
 		}
 	}
 	return nil
 }
 
-// strikeCoordinators strikes coordinators one at a time until ctx ends, and leaves them well: whichever leads is killed, one is stopped, one is
+// injectCoordinatorFaults strikes coordinators one at a time until ctx ends, and leaves them well: whichever leads is killed, one is stopped, one is
 // cut off in one direction or both.
-func (d *drill) strikeCoordinators(ctx context.Context) (said []string) {
+func (d *drill) injectCoordinatorFaults(ctx context.Context) (said []string) {
 	dice := rand.New(rand.NewPCG(d.Seed, 23))
 	sleep := func(ms float64) bool {
 		select {
@@ -403,16 +403,16 @@
 			return false
 		}
 	}
-	for sleep(strikeEvery * (0.5 + dice.Float64())) {
-		p := d.coords[dice.IntN(len(d.coords))]
+	for sleep(faultIntervalMs * (0.5 + dice.Float64())) {
+		p := d.coordinators[dice.IntN(len(d.coordinators))]
 		long := 500 + 2500*dice.Float64()
 		kind := dice.IntN(3)
 		if kind == 0 { // whoever leads, as the rig last heard
-			if raw, code := d.output("status", "--json"); code == 0 {
+			if raw, code := d.commandOutput("status", "--json"); code == 0 {
 				var t struct{ Leader string }
 				if json.Unmarshal(raw, &t) == nil {
-					if i := slices.IndexFunc(d.coords, func(c *party) bool { return c.name == t.Leader }); i >= 0 {
-						p = d.coords[i]
+					if i := slices.IndexFunc(d.coordinators, func(c *node) bool { return c.name == t.Leader }); i >= 0 {
+						p = d.coordinators[i]
 					}
 				}
 			}
@@ -431,7 +431,7 @@
 			sleep(long)
 			p.signal(syscall.SIGCONT, false)
 		case 2:
-			d.cut(p.name, d.coords, d.ms()+long, dice.IntN(3))
+			d.cutLinks(p.name, d.coordinators, d.ms()+long, dice.IntN(3))
 			sleep(long)
 		}
 	}
--- a/lab/procs/real.go
+++ b/lab/procs/real.go
@@ -39,45 +39,45 @@
 }
 
 const (
-	mostProcesses = 24
-	startMost     = 30 * time.Second // in which all doors must hold all others to be here
-	endMost       = 10 * time.Second // that a process is given to end once told to
-	clientsWait   = 2 * time.Second  // that clients have for an answer
+	maxProcesses  = 24
+	startTimeout  = 30 * time.Second // in which all doors must hold all others to be here
+	stopTimeout   = 10 * time.Second // that a process is given to end once told to
+	clientTimeout = 2 * time.Second  // that clients have for an answer
 )
 
 // rig is the processes, and the ways between them.
 type rig struct {
 	Real
-	ctx    context.Context
-	site   *stand.Site
-	dir    string
-	procs  []*process
-	extra  []*process // further processes under doors' names
-	relays []*relay   // by from*doors+to; nil on the diagonal
-	zero   float64    // machine's monotonic clock at the day's start, ms; 0 while it has not begun
+	ctx       context.Context
+	site      *stand.Site
+	dir       string
+	doors     []*process
+	namesakes []*process // further processes under doors' names
+	relays    []*relay   // by from*doors+to; nil on the diagonal
+	startMs   float64    // machine's monotonic clock at the day's start, ms; 0 while it has not begun
 
 	mu            sync.Mutex
 	history       []check.Event
 	view          [][]string
-	news          chan struct{}
-	fails         []string
-	refused       int
-	index         map[string]int
+	changed       chan struct{}
+	failures      []string
+	nameConflicts int
+	doorIndex     map[string]int
 	cpu, resident []float64 // by door: ms a second, MB
 }
 
 // process is one door's process, over its lives.
 type process struct {
-	r              *rig
-	door           int
-	fleetAt, serve string
-	status         string
-	lives          int
+	r                     *rig
+	door                  int
+	fleetAddress, address string
+	statusAddress         string
+	incarnations          int
 	child
 }
 
-// clock is the machine's monotonic clock, ms, as the processes log it.
-func clock() float64 {
+// monotonicMs is the machine's monotonic monotonicMs, ms, as the processes log it.
+func monotonicMs() float64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
 		return 0
@@ -88,8 +88,8 @@
 // Play plays the plan and judges it.
 func (p Real) Play(ctx context.Context, progress func(done float64)) (*Result, error) {
 	n := p.Plan.Fleet.Doors
-	if n > mostProcesses {
-		return nil, &CrowdError{n}
+	if n > maxProcesses {
+		return nil, &ProcessLimitError{n}
 	}
 	if _, err := os.Stat(p.Binary); err != nil {
 		return nil, &RigError{"the program " + p.Binary, err}
@@ -104,33 +104,33 @@
 		return nil, err
 	}
 	defer site.Close()
-	r := &rig{Real: p, ctx: ctx, site: site, dir: dir, relays: make([]*relay, n*n), view: make([][]string, n), news: make(chan struct{}, 1), index: map[string]int{}}
-	defer r.end()
+	r := &rig{Real: p, ctx: ctx, site: site, dir: dir, relays: make([]*relay, n*n), view: make([][]string, n), changed: make(chan struct{}, 1), doorIndex: map[string]int{}}
+	defer r.stop()
 	for i := range n {
 		r.view[i] = make([]string, n)
-		r.index[Door(i)] = i
-		one, err := r.process(i)
+		r.doorIndex[Door(i)] = i
+		one, err := r.newProcess(i)
 		if err != nil {
 			return nil, err
 		}
-		r.procs = append(r.procs, one)
+		r.doors = append(r.doors, one)
 	}
-	if err := r.ways(); err != nil {
+	if err := r.startRelays(); err != nil {
 		return nil, err
 	}
-	if err := r.begin(); err != nil {
+	if err := r.startDoors(); err != nil {
 		return nil, err
 	}
-	served, err := r.day(progress)
+	served, err := r.run(progress)
 	if err != nil {
 		return nil, err
 	}
 	return r.result(served), nil
 }
 
-func (r *rig) process(door int) (*process, error) {
+func (r *rig) newProcess(door int) (*process, error) {
 	p := &process{r: r, door: door}
-	for _, at := range []*string{&p.fleetAt, &p.serve, &p.status} {
+	for _, at := range []*string{&p.fleetAddress, &p.address, &p.statusAddress} {
 		a, err := loopback.Free()
 		if err != nil {
 			return nil, err
@@ -144,21 +144,21 @@
 func (r *rig) ms() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.zero == 0 {
-		return -warmup
+	if r.startMs == 0 {
+		return -warmUpMs
 	}
-	return clock() - r.zero
+	return monotonicMs() - r.startMs
 }
 
-// ways puts a relay in each directed pair. Where a second process has a door's name, names don't tell where to go, and the
+// startRelays puts a relay in each directed pair. Where a second process has a door's name, names don't tell where to go, and the
 // doors reach each other as they say.
-func (r *rig) ways() error {
+func (r *rig) startRelays() error {
 	n := r.Plan.Fleet.Doors
-	if len(r.Plan.Names) > 0 || r.Plain {
+	if len(r.Plan.Namesakes) > 0 || r.Plain {
 		return nil
 	}
 	cut := func(way int, at float64) bool {
-		return slices.ContainsFunc(r.Plan.Truth.Cuts, func(c check.Cut) bool { return c.Way[way] && at >= c.From && at < c.To })
+		return slices.ContainsFunc(r.Plan.Truth.Cuts, func(c check.Cut) bool { return c.Links[way] && at >= c.From && at < c.To })
 	}
 	for i := range n {
 		for j := range n {
@@ -166,10 +166,10 @@
 				continue
 			}
 			there, back := i*n+j, j*n+i
-			one, err := newRelay(r.procs[j].fleetAt, r.Plan.Seed<<16+uint64(there), func() fate {
+			one, err := newRelay(r.doors[j].fleetAddress, r.Plan.Seed<<16+uint64(there), func() impairment {
 				at := r.ms()
-				return fate{cut: cut(there, at), loss: max(r.Plan.Net.Loss, in(r.Plan.Loss, there, at)), delay: in(r.Plan.Delay, there, at),
-					twice: in(r.Plan.Twice, there, at), late: in(r.Plan.Late, there, at)}
+				return impairment{cut: cut(there, at), loss: max(r.Plan.Net.Loss, amountAt(r.Plan.Loss, there, at)), maxDelayMs: amountAt(r.Plan.Delay, there, at),
+					duplicate: amountAt(r.Plan.Duplicate, there, at), reorder: amountAt(r.Plan.Reorder, there, at)}
 			}, func() bool { at := r.ms(); return cut(there, at) || cut(back, at) })
 			if err != nil {
 				return err
@@ -185,45 +185,45 @@
 	r, n := p.r, p.r.Plan.Fleet.Doors
 	routes, peers := map[string]string{}, []string{}
 	for j := range n {
-		at := r.procs[j].fleetAt
+		at := r.doors[j].fleetAddress
 		if one := r.relays[p.door*n+j]; one != nil {
-			at = one.at
+			at = one.address
 			routes[Door(j)] = at
 		}
-		if j < seeds {
+		if j < seedDoors {
 			peers = append(peers, Door(j)+"/"+at)
 		}
 	}
-	cfg := r.site.Config(Door(p.door), p.serve, p.door, n)
+	cfg := r.site.Config(Door(p.door), p.address, p.door, n)
 	cfg["log"] = map[string]string{"format": "json", "level": "info"}
 	if !r.Plain {
-		cfg["fleet"] = p.fleet(peers, routes)
+		cfg["fleet"] = p.fleetConfig(peers, routes)
 	}
 	raw, err := json.Marshal(cfg)
 	if err != nil {
 		return &RigError{"a configuration", err}
 	}
-	p.lives++
-	file := filepath.Join(r.dir, fmt.Sprintf("%s-%s.json", Door(p.door), p.fleetAt[len("127.0.0.1:"):]))
+	p.incarnations++
+	file := filepath.Join(r.dir, fmt.Sprintf("%s-%s.json", Door(p.door), p.fleetAddress[len("127.0.0.1:"):]))
 	if err := os.WriteFile(file, raw, 0o600); err != nil {
 		return &RigError{"a configuration", err}
 	}
 	cmd := exec.Command(r.Binary)
-	cmd.Env = append(os.Environ(), "GW_CONFIG="+file, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", fmt.Sprintf("%s=%g", serving.WallOffsetVariable, r.Plan.Wall[p.door]))
-	if p.ours() {
-		r.take(check.Event{At: clock(), Door: p.door, About: p.door, From: "born"})
+	cmd.Env = append(os.Environ(), "GW_CONFIG="+file, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", fmt.Sprintf("%s=%g", serving.WallOffsetVariable, r.Plan.ClockOffsetS[p.door]))
+	if p.ownsName() {
+		r.record(check.Event{At: monotonicMs(), Door: p.door, About: p.door, From: "born"})
 	}
-	return p.child.start(cmd, r.Logs, fmt.Sprintf("%s-%d.log", Door(p.door), p.lives), p.line, func(says string) { r.fail("%s ended by itself: %s", Door(p.door), says) })
+	return p.child.start(cmd, r.Logs, fmt.Sprintf("%s-%d.log", Door(p.door), p.incarnations), p.parseLine, func(says string) { r.fail("%s ended by itself: %s", Door(p.door), says) })
 }
 
-// fleet words the key fleet.
-func (p *process) fleet(peers []string, routes map[string]string) map[string]any {
-	return map[string]any{"name": "rig", "zone": fmt.Sprint("z", p.r.Plan.Truth.Zones[p.door]), "listen": p.fleetAt, "peers": peers, "routes": routes,
-		"status": p.status}
+// fleetConfig words the key fleetConfig.
+func (p *process) fleetConfig(peers []string, routes map[string]string) map[string]any {
+	return map[string]any{"name": "rig", "zone": fmt.Sprint("z", p.r.Plan.Truth.Zones[p.door]), "listen": p.fleetAddress, "peers": peers, "routes": routes,
+		"status": p.statusAddress}
 }
 
-// use is what a running process has taken so far: processor time, ms, and resident memory, MB.
-func (p *process) use() (cpu, resident float64) {
+// usage is what a running process has taken so far: processor time, ms, and resident memory, MB.
+func (p *process) usage() (cpu, resident float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
@@ -245,11 +245,11 @@
 	return (user + system) * 1e3 / hz, pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// ours tells whether the process is the door's, and no namesake.
-func (p *process) ours() bool { return p.r.procs[p.door] == p }
+// ownsName tells whether the process is the door's, and no namesake.
+func (p *process) ownsName() bool { return p.r.doors[p.door] == p }
 
-// line takes one line of a process's log.
-func (p *process) line(raw []byte) {
+// parseLine takes one parseLine of a process's log.
+func (p *process) parseLine(raw []byte) {
 	var l struct {
 		Msg    string  `json:"msg"`
 		Member string  `json:"member"`
@@ -262,21 +262,21 @@
 	if !bytes.Contains(raw, []byte(`"`+fields.Clock+`"`)) && !bytes.Contains(raw, []byte("no member")) || json.Unmarshal(raw, &l) != nil {
 		return
 	}
-	if !p.ours() {
+	if !p.ownsName() {
 		if l.Msg == "no member of the fleet" {
 			p.r.mu.Lock()
-			p.r.refused++
+			p.r.nameConflicts++
 			p.r.mu.Unlock()
 		}
 		return
 	}
-	if about, ok := p.r.index[l.Member]; ok && l.Msg == fleet.MemberChanged {
-		p.r.take(check.Event{At: l.Clock, Door: p.door, About: about, From: l.From, To: l.To, Life: l.Life, Why: l.Why})
+	if about, ok := p.r.doorIndex[l.Member]; ok && l.Msg == fleet.MemberChanged {
+		p.r.record(check.Event{At: l.Clock, Door: p.door, About: about, From: l.From, To: l.To, Incarnation: l.Life, Reason: l.Why})
 	}
 }
 
-// take puts an event into the history, on the machine's clock so far.
-func (r *rig) take(e check.Event) {
+// record puts an event into the history, on the machine's clock so far.
+func (r *rig) record(e check.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history = append(r.history, e)
@@ -286,7 +286,7 @@
 		r.view[e.Door][e.About] = e.To
 	}
 	select {
-	case r.news <- struct{}{}:
+	case r.changed <- struct{}{}:
 	default:
 	}
 }
@@ -294,14 +294,14 @@
 func (r *rig) fail(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fails = append(r.fails, fmt.Sprintf(format, args...))
+	r.failures = append(r.failures, fmt.Sprintf(format, args...))
 }
 
-// begin starts the doors that are there from the beginning, and waits until they all hold each other to be here.
-func (r *rig) begin() error {
+// startDoors starts the doors that are there from the beginning, and waits until they all hold each other to be here.
+func (r *rig) startDoors() error {
 	var early []int
-	for i, p := range r.procs {
-		if r.Plan.Start[i] == 0 {
+	for i, p := range r.doors {
+		if r.Plan.StartMs[i] == 0 {
 			early = append(early, i)
 			if err := p.start(); err != nil {
 				return err
@@ -309,13 +309,13 @@
 		}
 	}
 	if r.Plain {
-		return r.ready()
+		return r.awaitReady()
 	}
-	patience := time.After(startMost)
+	patience := time.After(startTimeout)
 	for {
 		all := true
 		r.mu.Lock()
-		failed := slices.Clone(r.fails)
+		failed := slices.Clone(r.failures)
 		for _, i := range early {
 			for _, j := range early {
 				all = all && r.view[i][j] == "here"
@@ -329,7 +329,7 @@
 			return nil
 		}
 		select {
-		case <-r.news:
+		case <-r.changed:
 		case <-patience:
 			return &DoorsError{[]string{"not all hold each other to be here"}}
 		case <-r.ctx.Done():
@@ -338,13 +338,13 @@
 	}
 }
 
-// ready waits until all doors without a fleet say that they can serve.
-func (r *rig) ready() error {
-	client := http.Client{Timeout: clientsWait}
-	for patience := time.Now().Add(startMost); ; {
+// awaitReady waits until all doors without a fleet say that they can serve.
+func (r *rig) awaitReady() error {
+	client := http.Client{Timeout: clientTimeout}
+	for patience := time.Now().Add(startTimeout); ; {
 		all := true
-		for _, p := range r.procs {
-			resp, err := client.Get("http://" + p.serve + "/health/ready")
+		for _, p := range r.doors {
+			resp, err := client.Get("http://" + p.address + "/health/ready")
 			if err == nil {
 				resp.Body.Close()
 			}
@@ -357,15 +357,15 @@
 			return &DoorsError{[]string{"not all can serve"}}
 		}
 		select {
-		case <-time.After(relayLook):
+		case <-time.After(pollInterval):
 		case <-r.ctx.Done():
 			return &StoppedError{0, r.ctx.Err()}
 		}
 	}
 }
 
-// day plays the faults by the clock.
-func (r *rig) day(progress func(float64)) (served []*load.Outcome, err error) {
+// run plays the faults by the clock.
+func (r *rig) run(progress func(float64)) (served []*load.Outcome, err error) {
 	type what struct {
 		at float64
 		do func() error
@@ -373,8 +373,8 @@
 	var todo []what
 	add := func(at float64, do func()) { todo = append(todo, what{at, func() error { do(); return nil }}) }
 	end := r.Plan.Truth.EndMs
-	for i, p := range r.procs {
-		if at := r.Plan.Start[i]; at > 0 {
+	for i, p := range r.doors {
+		if at := r.Plan.StartMs[i]; at > 0 {
 			todo = append(todo, what{at, p.start})
 		}
 		for _, s := range r.Plan.Truth.Paused[i] {
@@ -391,40 +391,40 @@
 				todo = append(todo, what{s.To, p.start})
 			}
 		}
-		if at := r.Plan.Truth.Left[i]; at < end {
+		if at := r.Plan.Truth.LeaveAt[i]; at < end {
 			add(at, func() { p.signal(syscall.SIGTERM, true) })
 		}
 	}
 	for _, s := range r.Plan.Reset {
 		add(s.From, func() {
 			for way, one := range r.relays {
-				if one != nil && s.Way[way] {
+				if one != nil && s.Links[way] {
 					one.reset()
 				}
 			}
 		})
 	}
-	for _, x := range r.Plan.Names {
+	for _, x := range r.Plan.Namesakes {
 		todo = append(todo, what{x.AtMs, func() error {
-			p, err := r.process(x.Door)
+			p, err := r.newProcess(x.Door)
 			if err != nil {
 				return err
 			}
-			r.extra = append(r.extra, p)
+			r.namesakes = append(r.namesakes, p)
 			return p.start()
 		}})
 	}
 	sort.SliceStable(todo, func(a, b int) bool { return todo[a].at < todo[b].at })
-	if _, err := warm(r.ctx, r.site, r.unhit(), r.Rate); err != nil {
+	if _, err := warmUp(r.ctx, r.site, r.unaffectedDoors(), r.Rate); err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
-	r.zero = clock()
+	r.startMs = monotonicMs()
 	r.mu.Unlock()
-	finish := clients(r.ctx, r.site, r.unhit(), r.Rate, end)
-	before := make([]float64, len(r.procs))
-	for i, p := range r.procs {
-		before[i], _ = p.use()
+	finish := startClients(r.ctx, r.site, r.unaffectedDoors(), r.Rate, end)
+	before := make([]float64, len(r.doors))
+	for i, p := range r.doors {
+		before[i], _ = p.usage()
 	}
 	for _, w := range append(todo, what{end, func() error { return nil }}) {
 		for left := w.at - r.ms(); left > 0; left = w.at - r.ms() {
@@ -441,50 +441,50 @@
 			return nil, err
 		}
 	}
-	for i, p := range r.procs { // those that ran all through
-		if cpu, resident := p.use(); cpu >= before[i] && resident > 0 {
+	for i, p := range r.doors { // those that ran all through
+		if cpu, resident := p.usage(); cpu >= before[i] && resident > 0 {
 			r.cpu, r.resident = append(r.cpu, (cpu-before[i])/end*msPerSecond), append(r.resident, resident)
 		}
 	}
 	return finish()
 }
 
-// unhit are the doors that nothing befalls.
-func (r *rig) unhit() map[int]string {
+// unaffectedDoors are the doors that nothing befalls.
+func (r *rig) unaffectedDoors() map[int]string {
 	doors := map[int]string{}
-	for i, p := range r.procs {
-		if t := &r.Plan.Truth; r.Rate > 0 && len(t.Paused[i]) == 0 && len(t.Dead[i]) == 0 && t.Left[i] >= t.EndMs && r.Plan.Start[i] <= 0 {
-			doors[i] = p.serve
+	for i, p := range r.doors {
+		if t := &r.Plan.Truth; r.Rate > 0 && len(t.Paused[i]) == 0 && len(t.Dead[i]) == 0 && t.LeaveAt[i] >= t.EndMs && r.Plan.StartMs[i] <= 0 {
+			doors[i] = p.address
 		}
 	}
 	return doors
 }
 
-// clients ask of doors for as long as the day lasts: no request waits for membership.
-func clients(ctx context.Context, site *stand.Site, doors map[int]string, rate, end float64) (finish func() ([]*load.Outcome, error)) {
-	return clientsUntil(ctx, site, doors, rate, end, nil)
+// startClients ask of doors for as long as the day lasts: no request waits for membership.
+func startClients(ctx context.Context, site *stand.Site, doors map[int]string, rate, end float64) (finish func() ([]*load.Outcome, error)) {
+	return startClientsUntil(ctx, site, doors, rate, end, nil)
 }
 
-// clientsUntil ask until they are told that it is enough, or for as long as the day lasts.
-func clientsUntil(ctx context.Context, site *stand.Site, doors map[int]string, rate, end float64, enough <-chan struct{}) (finish func() ([]*load.Outcome, error)) {
+// startClientsUntil ask until they are told that it is enough, or for as long as the day lasts.
+func startClientsUntil(ctx context.Context, site *stand.Site, doors map[int]string, rate, end float64, enough <-chan struct{}) (finish func() ([]*load.Outcome, error)) {
 	var runs []load.Run
 	for _, i := range slices.Sorted(maps.Keys(doors)) {
-		run := asks(site, doors[i], i, rate, end)
+		run := clientRun(site, doors[i], i, rate, end)
 		run.Enough = enough
 		runs = append(runs, run)
 	}
-	return sideways(ctx, runs)
+	return runConcurrently(ctx, runs)
 }
 
-// asks is one door's clients for a time, ms.
-func asks(site *stand.Site, at string, door int, rate, end float64) load.Run {
+// clientRun is one door's clients for a time, ms.
+func clientRun(site *stand.Site, at string, door int, rate, end float64) load.Run {
 	run := site.Client(at, uint64(door+1))
-	run.Rate, run.For, run.Patience = rate, time.Duration(end*1e6), clientsWait
+	run.Rate, run.For, run.Patience = rate, time.Duration(end*1e6), clientTimeout
 	return run
 }
 
-// sideways plays runs beside each other; what it returns waits for them and gives what came of each, in their order.
-func sideways(ctx context.Context, runs []load.Run) (finish func() ([]*load.Outcome, error)) {
+// runConcurrently plays runs beside each other; what it returns waits for them and gives what came of each, in their order.
+func runConcurrently(ctx context.Context, runs []load.Run) (finish func() ([]*load.Outcome, error)) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	var first error
@@ -505,63 +505,63 @@
 
 // Rules besides those of package check, which knows doors alone.
 const (
-	ServedOn  = "doors serve on"
-	StandBack = "the second of a name stands back"
-	RunsOn    = "no process ends by itself"
+	RuleDoorsServe       = "doors serve on"
+	RuleNamesakeYields   = "the second of a name stands back"
+	RuleNoUnexpectedExit = "no process ends by itself"
 )
 
-const leastServed = 0.995 // share of requests at doors that nothing befell
+const minFinishedShare = 0.995 // share of requests at doors that nothing befell
 
 func (r *rig) result(served []*load.Outcome) *Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var history []check.Event
 	for _, e := range r.history {
-		e.At -= r.zero
+		e.At -= r.startMs
 		history = append(history, e)
 	}
 	p := r.Plan
-	res := &Result{Schedule: p.Name, Shows: p.Shows, On: "on processes", Who: "module", Seed: p.Seed, Doors: p.Fleet.Doors, Truth: p.Truth, History: Sorted(history)}
+	res := &Result{Schedule: p.Name, Shows: p.Shows, On: "on processes", Who: "module", Seed: p.Seed, Doors: p.Fleet.Doors, Truth: p.Truth, History: SortByTime(history)}
 	if !r.Plain {
-		res.Breaches, res.Figures = check.Judge(&p.Truth, res.History, p.Limits())
+		res.Breaches, res.Figures = check.Verify(&p.Truth, res.History, p.checkLimits())
 	}
-	for _, f := range r.fails {
-		res.Breaches = append(res.Breaches, check.Breach{Rule: RunsOn, Text: f})
+	for _, f := range r.failures {
+		res.Breaches = append(res.Breaches, check.Violation{Rule: RuleNoUnexpectedExit, Text: f})
 	}
 	var says string
-	if res.Asked, res.Finished, says = servedOn(served); says != "" {
-		res.Breaches = append(res.Breaches, check.Breach{Rule: ServedOn, Text: says})
+	if res.Asked, res.Finished, says = checkFinished(served); says != "" {
+		res.Breaches = append(res.Breaches, check.Violation{Rule: RuleDoorsServe, Text: says})
 	}
-	res.standBack(p, r.refused)
+	res.checkNamesakes(p, r.nameConflicts)
 	res.CPU, res.Resident = check.At(r.cpu, 50), check.At(r.resident, 50)
 	datagrams := int64(0)
 	for _, one := range r.relays {
 		if one != nil {
-			datagrams += one.passed.Load()
+			datagrams += one.forwarded.Load()
 		}
 	}
 	res.Messages = float64(datagrams) / float64(p.Fleet.Doors) / max(1, p.Truth.EndMs/msPerSecond)
 	return res
 }
 
-// servedOn adds up what clients were served at doors that nothing befell; says is empty where that is enough.
-func servedOn(all []*load.Outcome) (asked, finished int, says string) {
+// checkFinished adds up what clients were served at doors that nothing befell; says is empty where that is enough.
+func checkFinished(all []*load.Outcome) (asked, finished int, says string) {
 	for _, o := range all {
 		asked, finished = asked+o.Asked, finished+o.Finished
 	}
-	if asked > 0 && float64(finished) < leastServed*float64(asked) {
+	if asked > 0 && float64(finished) < minFinishedShare*float64(asked) {
 		says = fmt.Sprintf("%d of %d operations finished at doors that nothing befell", finished, asked)
 	}
 	return asked, finished, says
 }
 
-// end ends all that the rig started.
-func (r *rig) end() {
+// stop ends all that the rig started.
+func (r *rig) stop() {
 	var all []*child
-	for _, p := range append(slices.Clone(r.procs), r.extra...) {
+	for _, p := range append(slices.Clone(r.doors), r.namesakes...) {
 		all = append(all, &p.child)
 	}
-	finish(all)
+	stopAll(all)
 	for _, one := range r.relays {
 		if one != nil {
 			one.close()
--- a/lab/procs/real_test.go
+++ b/lab/procs/real_test.go
@@ -19,27 +19,27 @@
 	"github.com/swifthall/swifthall/lab/load"
 )
 
-// built builds the programs once, beside each other; what it built goes when the tests are over.
-func built(t *testing.T) string {
-	building.Do(func() {
+// buildPrograms builds the programs once, beside each other; what it buildPrograms goes when the tests are over.
+func buildPrograms(t *testing.T) string {
+	buildOnce.Do(func() {
 		made, err := os.MkdirTemp("", "swifthall-")
 		require.NoError(t, err)
 		out, err := exec.Command("go", "build", "-o", made, "../../cmd/swifthall", "../../cmd/swifthall-fleet", "../../cmd/swifthall-coordinate").CombinedOutput()
 		require.NoError(t, err, string(out))
-		builtIn = made
+		buildDir = made
 	})
-	return filepath.Join(builtIn, "swifthall")
+	return filepath.Join(buildDir, "swifthall")
 }
 
 var (
-	building sync.Once
-	builtIn  string
+	buildOnce sync.Once
+	buildDir  string
 )
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if builtIn != "" {
-		os.RemoveAll(builtIn)
+	if buildDir != "" {
+		os.RemoveAll(buildDir)
 	}
 	os.Exit(code)
 }
@@ -49,7 +49,7 @@
 	if testing.Short() {
 		t.Skip("real time")
 	}
-	binary := built(t)
+	binary := buildPrograms(t)
 	for _, name := range []string{"short-pause", "short-cut", "short-deaf", "short-loss", "short-split", "short-return", "namesake"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -72,7 +72,7 @@
 	return most
 }
 
-func TestARigThatCantPlaySaysWhatToDo(t *testing.T) {
+func TestRigErrorsNameTheRemedy(t *testing.T) {
 	s, err := Open("calm")
 	require.NoError(t, err)
 	_, err = Real{Plan: s.Draw(1), Binary: "/nowhere/swifthall"}.Play(context.Background(), nil)
@@ -81,28 +81,28 @@
 	assert.Contains(t, rig.Remedy(), "go build")
 	s.Fleet.Doors = 300
 	_, err = Real{Plan: s.Draw(1)}.Play(context.Background(), nil)
-	var crowd *CrowdError
+	var crowd *ProcessLimitError
 	assert.ErrorAs(t, err, &crowd)
 }
 
-func TestTheRigsOwnRulesFindTheirFaults(t *testing.T) {
+func TestRigRulesFindViolations(t *testing.T) {
 	s, err := Open("namesake")
 	require.NoError(t, err)
-	r := &rig{Real: Real{Plan: s.Draw(1)}, fails: []string{"door-001 ended by itself"}}
+	r := &rig{Real: Real{Plan: s.Draw(1)}, failures: []string{"door-001 ended by itself"}}
 	served := []*load.Outcome{{Asked: 1000, Finished: 1000}, {Asked: 1000, Finished: 980}}
 	res := r.result(served)
-	for _, rule := range []string{RunsOn, ServedOn, StandBack} {
+	for _, rule := range []string{RuleNoUnexpectedExit, RuleDoorsServe, RuleNamesakeYields} {
 		assert.True(t, hasRule(res, rule), rule)
 	}
-	r.fails, r.refused = nil, 1
+	r.failures, r.nameConflicts = nil, 1
 	served[1].Finished = 999
-	for _, rule := range []string{RunsOn, ServedOn, StandBack} {
+	for _, rule := range []string{RuleNoUnexpectedExit, RuleDoorsServe, RuleNamesakeYields} {
 		assert.False(t, hasRule(r.result(served), rule), rule)
 	}
 }
 
 // A relay is what the schedules stand on: a way that is cut lets nothing through, and holds connections up in both directions.
-func TestARelayCutsOneWayAndHoldsConnections(t *testing.T) {
+func TestRelayCutsOneWayAndHoldsConnections(t *testing.T) {
 	at, err := loopback.Free()
 	require.NoError(t, err)
 	udp, err := net.ResolveUDPAddr("udp", at)
@@ -123,10 +123,10 @@
 		}
 	}()
 	var cut, dead atomic.Bool
-	one, err := newRelay(server.LocalAddr().String(), 1, func() fate { return fate{cut: cut.Load()} }, dead.Load)
+	one, err := newRelay(server.LocalAddr().String(), 1, func() impairment { return impairment{cut: cut.Load()} }, dead.Load)
 	require.NoError(t, err)
 	defer one.close()
-	nc, err := net.Dial("udp", one.at)
+	nc, err := net.Dial("udp", one.address)
 	require.NoError(t, err)
 	defer nc.Close()
 	came := func(want string) bool {
@@ -143,7 +143,7 @@
 	assert.True(t, came("open again"))
 
 	dead.Store(true)
-	tcp, err := net.Dial("tcp", one.at)
+	tcp, err := net.Dial("tcp", one.address)
 	require.NoError(t, err)
 	defer tcp.Close()
 	_, err = tcp.Write([]byte("x"))
--- a/lab/procs/relay.go
+++ b/lab/procs/relay.go
@@ -9,55 +9,55 @@
 	"time"
 )
 
-// fate is what a way does to what goes over it now.
-type fate struct {
-	cut   bool
-	loss  float64
-	delay float64 // ms at most
-	twice float64
-	late  float64
+// impairment is what a way does to what goes over it now.
+type impairment struct {
+	cut        bool
+	loss       float64
+	maxDelayMs float64 // ms at most
+	duplicate  float64
+	reorder    float64
 }
 
 // relay is the way from one process to another: the one sends to the relay's address, the other receives from it, and what
 // goes over it meets the fate of the hour. A way that is cut lets no datagram through. A connection needs both ways: while
 // either is cut it stays open and silent, and none can be made.
 type relay struct {
-	to     string // where it leads
-	at     string // where it is reached, UDP and TCP alike
-	way    func() fate
-	dead   func() bool // either way is cut
-	udp    *net.UDPConn
-	tcp    *net.TCPListener
-	mu     sync.Mutex
-	dice   *rand.Rand
-	conns  map[net.Conn]struct{}
-	over   atomic.Bool
-	done   chan struct{}
-	group  sync.WaitGroup
-	passed atomic.Int64 // datagrams
+	target    string // where it leads
+	address   string // where it is reached, UDP and TCP alike
+	impair    func() impairment
+	blocked   func() bool // either way is cut
+	udp       *net.UDPConn
+	tcp       *net.TCPListener
+	mu        sync.Mutex
+	rng       *rand.Rand
+	conns     map[net.Conn]struct{}
+	closed    atomic.Bool
+	done      chan struct{}
+	group     sync.WaitGroup
+	forwarded atomic.Int64 // datagrams
 }
 
 const (
-	relayTries = 32
-	relayLook  = 10 * time.Millisecond // between looks whether a way is open again
-	relayChunk = 32 << 10
+	relayPortAttempts = 32
+	pollInterval      = 10 * time.Millisecond // between looks whether a way is open again
+	relayBufferSize   = 32 << 10
 )
 
 // newRelay takes a loopback port for both protocols.
-func newRelay(to string, seed uint64, way func() fate, dead func() bool) (*relay, error) {
+func newRelay(to string, seed uint64, way func() impairment, dead func() bool) (*relay, error) {
 	target, err := net.ResolveUDPAddr("udp", to)
 	if err != nil {
 		return nil, &RigError{"a relay", err}
 	}
-	r := &relay{to: to, way: way, dead: dead, dice: rand.New(rand.NewPCG(seed, 3)), conns: map[net.Conn]struct{}{}, done: make(chan struct{})}
-	for range relayTries {
+	r := &relay{target: to, impair: way, blocked: dead, rng: rand.New(rand.NewPCG(seed, 3)), conns: map[net.Conn]struct{}{}, done: make(chan struct{})}
+	for range relayPortAttempts {
 		ln, e := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if e != nil {
 			return nil, &RigError{"a relay", e}
 		}
 		r.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: ln.Addr().(*net.TCPAddr).Port})
 		if err == nil {
-			r.tcp, r.at = ln, ln.Addr().String()
+			r.tcp, r.address = ln, ln.Addr().String()
 			break
 		}
 		ln.Close()
@@ -65,18 +65,18 @@
 	if r.tcp == nil {
 		return nil, &RigError{"a relay", err}
 	}
-	r.group.Go(func() { r.datagrams(target) })
+	r.group.Go(func() { r.forwardDatagrams(target) })
 	r.group.Go(r.accept)
 	return r, nil
 }
 
-func (r *relay) chance(of float64) bool {
+func (r *relay) happens(of float64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return of > 0 && r.dice.Float64() < of
+	return of > 0 && r.rng.Float64() < of
 }
 
-func (r *relay) datagrams(to *net.UDPAddr) {
+func (r *relay) forwardDatagrams(to *net.UDPAddr) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, _, err := r.udp.ReadFromUDP(buf)
@@ -86,25 +86,25 @@
 			}
 			continue // the other process is down: its port refuses
 		}
-		f := r.way()
-		if f.cut || r.chance(f.loss) {
+		f := r.impair()
+		if f.cut || r.happens(f.loss) {
 			continue
 		}
 		copies := 1
-		if r.chance(f.twice) {
+		if r.happens(f.duplicate) {
 			copies = 2
 		}
 		for range copies {
-			wait := f.delay
+			wait := f.maxDelayMs
 			if wait > 0 {
 				r.mu.Lock()
-				wait *= r.dice.Float64()
+				wait *= r.rng.Float64()
 				r.mu.Unlock()
 			}
-			if r.chance(f.late) {
-				wait += lateBy
+			if r.happens(f.reorder) {
+				wait += reorderDelayMs
 			}
-			r.passed.Add(1)
+			r.forwarded.Add(1)
 			if wait == 0 {
 				_, _ = r.udp.WriteToUDP(buf[:n], to)
 				continue
@@ -121,26 +121,26 @@
 		if err != nil {
 			return
 		}
-		r.group.Go(func() { r.connection(from) })
+		r.group.Go(func() { r.forwardConn(from) })
 	}
 }
 
-// wait holds a connection up while a way is cut, and tells whether the relay goes on.
-func (r *relay) wait() bool {
-	for r.dead() {
+// awaitOpen holds a connection up while a way is cut, and tells whether the relay goes on.
+func (r *relay) awaitOpen() bool {
+	for r.blocked() {
 		select {
-		case <-time.After(relayLook):
+		case <-time.After(pollInterval):
 		case <-r.done:
 			return false
 		}
 	}
-	return !r.over.Load()
+	return !r.closed.Load()
 }
 
-func (r *relay) hold(c net.Conn) bool {
+func (r *relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over.Load() {
+	if r.closed.Load() {
 		c.Close()
 		return false
 	}
@@ -148,37 +148,37 @@
 	return true
 }
 
-func (r *relay) connection(from net.Conn) {
-	if !r.hold(from) || !r.wait() {
+func (r *relay) forwardConn(from net.Conn) {
+	if !r.track(from) || !r.awaitOpen() {
 		return
 	}
-	to, err := net.DialTimeout("tcp", r.to, 2*time.Second)
+	to, err := net.DialTimeout("tcp", r.target, 2*time.Second)
 	if err != nil {
-		r.drop(from)
+		r.closeConn(from)
 		return
 	}
-	if !r.hold(to) {
-		r.drop(from)
+	if !r.track(to) {
+		r.closeConn(from)
 		return
 	}
 	var both sync.WaitGroup
 	for _, pair := range [][2]net.Conn{{from, to}, {to, from}} {
-		both.Go(func() { r.pass(pair[0], pair[1]) })
+		both.Go(func() { r.forwardStream(pair[0], pair[1]) })
 	}
 	both.Wait()
-	r.drop(from)
-	r.drop(to)
+	r.closeConn(from)
+	r.closeConn(to)
 }
 
-func (r *relay) pass(from, to net.Conn) {
-	buf := make([]byte, relayChunk)
+func (r *relay) forwardStream(from, to net.Conn) {
+	buf := make([]byte, relayBufferSize)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			if !r.wait() {
+			if !r.awaitOpen() {
 				return
 			}
-			if d := r.way().delay; d > 0 {
+			if d := r.impair().maxDelayMs; d > 0 {
 				time.Sleep(time.Duration(d / 2 * 1e6))
 			}
 			if _, err := to.Write(buf[:n]); err != nil {
@@ -194,7 +194,7 @@
 	}
 }
 
-func (r *relay) drop(c net.Conn) {
+func (r *relay) closeConn(c net.Conn) {
 	r.mu.Lock()
 	delete(r.conns, c)
 	r.mu.Unlock()
@@ -215,7 +215,7 @@
 
 func (r *relay) close() {
 	r.mu.Lock()
-	r.over.Store(true)
+	r.closed.Store(true)
 	r.mu.Unlock()
 	close(r.done)
 	r.tcp.Close()
--- a/lab/procs/report.go
+++ b/lab/procs/report.go
@@ -16,10 +16,10 @@
 // The timeline: for each door, what each other holds of it, over the day. Of a large fleet a row is a door, and its colour what
 // most of the others hold.
 const (
-	plotWide  = 1100.0 // px of the day
-	plotLeft  = 130.0
-	rowHigh   = 5.0
-	mostPairs = 16 // doors up to which each pair has a row
+	plotWidth    = 1100.0 // px of the day
+	plotLeft     = 130.0
+	rowHeight    = 5.0
+	maxPairDoors = 16 // doors up to which each pair has a row
 )
 
 var colours = map[string]string{"here": "#4c9f70", "doubted": "#e0a030", "away": "#c0392b", "left": "#7f8c8d", "leaving": "#5dade2",
@@ -81,7 +81,7 @@
 	if len(r.History) > 0 {
 		from = min(0, r.History[0].At)
 	}
-	x := func(at float64) float64 { return plotLeft + plotWide*(min(max(at, from), to)-from)/(to-from) }
+	x := func(at float64) float64 { return plotLeft + plotWidth*(min(max(at, from), to)-from)/(to-from) }
 	var bars []bar
 	var labels []label
 	y := 14.0
@@ -97,16 +97,16 @@
 			break
 		}
 	}
-	pairs := t.Doors <= mostPairs
+	pairs := t.Doors <= maxPairDoors
 	for d := range t.Doors {
 		labels = append(labels, label{4, y + 9, fmt.Sprintf("%s (z%d)", Door(d), t.Zones[d])})
-		for _, s := range append(append([]Spell(nil), t.Paused[d]...), t.Dead[d]...) {
+		for _, s := range append(append([]Interval(nil), t.Paused[d]...), t.Dead[d]...) {
 			add(s.From, s.To, y, 3, "#000", "truly stopped or dead")
 		}
 		for i := range t.Cuts {
 			c := &t.Cuts[i]
 			for o := range t.Doors {
-				if c.Way[d*t.Doors+o] || c.Way[o*t.Doors+d] {
+				if c.Links[d*t.Doors+o] || c.Links[o*t.Doors+d] {
 					add(c.From, c.To, y+3, 2, "#26a", "a way is truly cut")
 					break
 				}
@@ -114,8 +114,8 @@
 		}
 		y += 6
 		if !pairs {
-			r.majority(d, from, to, func(a, b float64, state string) { add(a, b, y, rowHigh, colours[state], state) })
-			y += rowHigh + 2
+			r.majority(d, from, to, func(a, b float64, state string) { add(a, b, y, rowHeight, colours[state], state) })
+			y += rowHeight + 2
 			continue
 		}
 		for o := range t.Doors {
@@ -127,15 +127,15 @@
 				e := &r.History[i]
 				switch {
 				case e.Door == o && e.From == "born":
-					add(since, e.At, y, rowHigh-1, colours[held], fmt.Sprintf("%s held it to be %s", Door(o), held))
+					add(since, e.At, y, rowHeight-1, colours[held], fmt.Sprintf("%s held it to be %s", Door(o), held))
 					held, since = "", e.At
 				case e.Door == o && e.About == d:
-					add(since, e.At, y, rowHigh-1, colours[held], fmt.Sprintf("%s held it to be %s", Door(o), held))
+					add(since, e.At, y, rowHeight-1, colours[held], fmt.Sprintf("%s held it to be %s", Door(o), held))
 					held, since = e.To, e.At
 				}
 			}
-			add(since, to, y, rowHigh-1, colours[held], fmt.Sprintf("%s held it to be %s", Door(o), held))
-			y += rowHigh
+			add(since, to, y, rowHeight-1, colours[held], fmt.Sprintf("%s held it to be %s", Door(o), held))
+			y += rowHeight
 		}
 		y += 4
 	}
@@ -154,7 +154,7 @@
 		Bars       []bar
 		Labels     []label
 		Wide, High float64
-	}{r, figures, colours, bars, labels, plotLeft + plotWide + 20, y + 20})
+	}{r, figures, colours, bars, labels, plotLeft + plotWidth + 20, y + 20})
 	return out.Bytes(), err
 }
 
--- a/lab/procs/rivals.go
+++ b/lab/procs/rivals.go
@@ -6,8 +6,8 @@
 
 // What the module is compared with on the same schedules.
 const (
-	beatEvery = 1000.0 // ms between heartbeats
-	beatMost  = 3000.0 // ms without one after which a member is held to be away: as the deaths known within 3 s ask
+	heartbeatInterval = 1000.0 // ms between heartbeats
+	heartbeatTimeout  = 3000.0 // ms without one after which a member is held to be away: as the deaths known within 3 s ask
 )
 
 // Heartbeats makes plain heartbeats with a fixed time-out: every door tells every other that it is here, and holds one
@@ -20,27 +20,27 @@
 			h.others = append(h.others, p)
 		}
 	}
-	h.heard, h.state = make([]float64, len(h.others)), make([]members.State, len(h.others))
+	h.lastReceived, h.state = make([]float64, len(h.others)), make([]members.State, len(h.others))
 	return h
 }
 
 type heartbeats struct {
-	self   members.Peer
-	others []members.Peer
-	index  map[string]int
-	heard  []float64
-	state  []members.State
-	beat   float64
-	began  bool
+	self         members.Peer
+	others       []members.Peer
+	index        map[string]int
+	lastReceived []float64
+	state        []members.State
+	nextBeat     float64
+	started      bool
 }
 
 func (h *heartbeats) All() []members.Record { return nil }
 
 func (h *heartbeats) Step(now float64, events ...members.Event) (out []members.Action) {
-	if !h.began {
-		h.began, h.beat = true, now
-		for i := range h.heard {
-			h.heard[i] = now
+	if !h.started {
+		h.started, h.nextBeat = true, now
+		for i := range h.lastReceived {
+			h.lastReceived[i] = now
 		}
 	}
 	turn := func(i int, to members.State) {
@@ -53,16 +53,16 @@
 		switch e := e.(type) {
 		case members.Received:
 			if i, ok := h.index[e.Message.From.Name]; ok {
-				h.heard[i] = now
+				h.lastReceived[i] = now
 				turn(i, members.Here)
 			}
 		case members.Tick:
 			for i := range h.others {
-				if h.state[i] == members.Here && now-h.heard[i] > beatMost {
+				if h.state[i] == members.Here && now-h.lastReceived[i] > heartbeatTimeout {
 					turn(i, members.Away)
 				}
 			}
-			for ; h.beat <= now; h.beat += beatEvery {
+			for ; h.nextBeat <= now; h.nextBeat += heartbeatInterval {
 				for i := range h.others {
 					out = append(out, members.Send{To: h.others[i], Message: &members.Message{Kind: members.Gossip, From: h.self, Incarnation: 1, State: members.Here}})
 				}
--- a/lab/procs/rollout.go
+++ b/lab/procs/rollout.go
@@ -56,22 +56,22 @@
 	MostOut                           int     // doors that couldn't serve at once
 	Touched                           float64 // share of requests that came to doors while they ran what was bad
 	Asked, Finished, Rejected, Failed int     // from the release's start
-	Cold                              int     // rejected before it, by doors that had just started
+	RejectedInWarmUp                  int     // rejected before it, by doors that had just started
 
-	reached map[string]bool // units of the waves that began
+	reachedUnits map[string]bool // units of the waves that began
 }
 
 // Rules of a rollout.
 const (
-	NoneLost = "every operation gets its one final answer, and no connection is refused"
-	EndsSo   = "the release ends as it should"
-	Unhurt   = "doors that were not changed serve on"
+	RuleNoFailedOperation   = "every operation gets its one final answer, and no connection is refused"
+	RuleReleaseOutcome      = "the release ends as it should"
+	RuleUnchangedDoorsServe = "doors that were not changed serve on"
 )
 
 const (
-	rolloutMost = 120.0 // s in which a release must have ended
-	rolloutTail = 3.0   // s that clients go on for after it
-	slowestPoll = 200 * time.Millisecond
+	rolloutTimeoutS    = 120.0 // s in which a release must have ended
+	clientTailS        = 3.0   // s that clients go on for after it
+	statusPollInterval = 200 * time.Millisecond
 )
 
 // Play plays the rollout.
@@ -82,29 +82,29 @@
 	if !(p.Rate > 0) {
 		return nil, &load.RunError{What: fmt.Sprintf("rate %g", p.Rate), Says: "above 0 is wanted"}
 	}
-	d := &drill{Drill: Drill{Seed: p.Seed, Doors: p.Doors, Coordinators: p.Coordinators, Binary: p.Binary, Logs: p.Logs}, ctx: ctx, held: true}
-	defer d.end()
-	if err := d.begin(); err != nil {
+	d := &drill{Drill: Drill{Seed: p.Seed, Doors: p.Doors, Coordinators: p.Coordinators, Binary: p.Binary, Logs: p.Logs}, ctx: ctx, holdListeners: true}
+	defer d.tearDown()
+	if err := d.startAll(); err != nil {
 		return nil, err
 	}
-	doors := d.served()
-	r := &RolloutResult{Kind: p.Kind, reached: map[string]bool{}}
+	doors := d.doorAddresses()
+	r := &RolloutResult{Kind: p.Kind, reachedUnits: map[string]bool{}}
 	var err error
-	if r.Cold, err = warm(ctx, d.site, doors, p.Rate); err != nil {
+	if r.RejectedInWarmUp, err = warmUp(ctx, d.site, doors, p.Rate); err != nil {
 		return nil, err
 	}
-	d.begun()
+	d.startClock()
 	over, stop := context.WithCancel(ctx)
 	defer stop()
 	var looks sync.WaitGroup
 	for _, door := range d.doors {
-		looks.Go(func() { door.probe(over) })
+		looks.Go(func() { door.pollReadiness(over) })
 	}
 	enough := make(chan struct{})
-	served := clientsUntil(ctx, d.site, doors, p.Rate, (rolloutMost+30)*msPerSecond, enough)
-	err = p.release(d, r)
+	served := startClientsUntil(ctx, d.site, doors, p.Rate, (rolloutTimeoutS+30)*msPerSecond, enough)
+	err = p.runRelease(d, r)
 	select {
-	case <-time.After(time.Duration(rolloutTail * 1e9)):
+	case <-time.After(time.Duration(clientTailS * 1e9)):
 	case <-ctx.Done():
 	}
 	close(enough)
@@ -122,61 +122,61 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r.MostOut, _ = mostAtOnce(d.doors)
-	for _, f := range d.fails {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: RunsOn, Text: f})
+	r.MostOut, _ = maxConcurrentOutages(d.doors)
+	for _, f := range d.failures {
+		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleNoUnexpectedExit, Text: f})
 	}
 	if r.Failed > 0 {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: NoneLost, Text: fmt.Sprintf("%d of %d operations", r.Failed, r.Asked)})
+		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleNoFailedOperation, Text: fmt.Sprintf("%d of %d operations", r.Failed, r.Asked)})
 	}
-	r.unhurt(outcomes)
+	r.checkRejections(outcomes)
 	want := map[string]string{"good": "done", "program": "done", "restart": "done", "backends": "done", "none": ""}
 	should, told := want[p.Kind]
 	if !told {
 		should = "back"
 	}
 	if r.Stage != should {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: EndsSo, Text: fmt.Sprintf("%q, not %q: %s", r.Stage, should, r.Says)})
+		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleReleaseOutcome, Text: fmt.Sprintf("%q, not %q: %s", r.Stage, should, r.Says)})
 	}
 	return r, nil
 }
 
-// unhurt holds service against the release. A door that no wave reached is as it was before and rejects nothing; one that was
+// checkRejections holds service against the release. A door that no wave reached is as it was before and rejects nothing; one that was
 // changed has just started, and what starts on a crowded machine rejects a few.
-func (r *RolloutResult) unhurt(at []*load.Outcome) {
+func (r *RolloutResult) checkRejections(at []*load.Outcome) {
 	breach := func(format string, args ...any) {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: Unhurt, Text: fmt.Sprintf(format, args...)})
+		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleUnchangedDoorsServe, Text: fmt.Sprintf(format, args...)})
 	}
 	for i, o := range at {
-		if o.Rejected > 0 && !r.reached[Door(i)] && r.Kind != "backends" { // whose waves reach the backends of all
+		if o.Rejected > 0 && !r.reachedUnits[Door(i)] && r.Kind != "backends" { // whose waves reach the backends of all
 			breach("%s, which no wave reached, rejected %d of %d operations", Door(i), o.Rejected, o.Asked)
 		}
 	}
-	if r.Kind != "harmful" && float64(r.Finished) < leastServed*float64(r.Asked) {
+	if r.Kind != "harmful" && float64(r.Finished) < minFinishedShare*float64(r.Asked) {
 		breach("%d of %d operations rejected", r.Rejected, r.Asked)
 	}
 }
 
-// spell is a time in which a door couldn't serve, by looks alone.
-type spell struct {
+// outage is a time in which a door couldn't serve, by looks alone.
+type outage struct {
 	name     string
 	from, to float64
 	status   int // of the first look that failed
 }
 
-func (e spell) String() string {
+func (e outage) String() string {
 	return fmt.Sprintf("%s from %.1f to %.1f s (%d)", e.name, e.from/msPerSecond, e.to/msPerSecond, e.status)
 }
 
-// spells lists them for some doors.
-func spells(doors []*party) (all []spell) {
+// probedOutages lists them for some doors.
+func probedOutages(doors []*node) (all []outage) {
 	for _, p := range doors {
-		out, is := spell{}, false
-		for _, l := range p.looks {
+		out, is := outage{}, false
+		for _, l := range p.probes {
 			if bad := l.status != 200; bad && !is {
-				out, is = spell{p.name, l.got, 0, l.status}, true
+				out, is = outage{p.name, l.receivedAt, 0, l.status}, true
 			} else if !bad && is {
-				if out.to = l.sent; out.to > out.from {
+				if out.to = l.sentAt; out.to > out.from {
 					all = append(all, out)
 				}
 				is = false
@@ -186,11 +186,11 @@
 	return all
 }
 
-// mostAtOnce is how many doors couldn't serve at once at the most, and when each of those couldn't.
-func mostAtOnce(doors []*party) (most int, which []spell) {
-	all := spells(doors)
+// maxConcurrentOutages is how many doors couldn't serve at once at the most, and when each of those couldn't.
+func maxConcurrentOutages(doors []*node) (most int, which []outage) {
+	all := probedOutages(doors)
 	for _, at := range all {
-		var now []spell
+		var now []outage
 		for _, e := range all {
 			if e.from <= at.from && at.from < e.to {
 				now = append(now, e)
@@ -203,8 +203,8 @@
 	return most, which
 }
 
-// give writes a file into all doors' folders, by its digest.
-func (d *drill) give(raw []byte) (digest string, err error) {
+// distribute writes a file into all doors' folders, by its digest.
+func (d *drill) distribute(raw []byte) (digest string, err error) {
 	sum := sha256.Sum256(raw)
 	digest = hex.EncodeToString(sum[:])
 	for _, p := range d.doors {
@@ -215,8 +215,8 @@
 	return digest, nil
 }
 
-// what is released, by kind.
-func (p Rollout) what(d *drill) (changes string, raw []byte, err error) {
+// payload is released, by kind.
+func (p Rollout) payload(d *drill) (changes string, raw []byte, err error) {
 	self := p.Binary + "-fleet"
 	script := func(others string) []byte {
 		return []byte("#!/bin/sh\ncase \"$GW_CONFIG\" in */door-000.json) exec " + self + " \"$@\";; esac\n" + others + "\n")
@@ -238,16 +238,16 @@
 	return "configuration", []byte(`{"pace":{"idle_client_ms":2300}}`), nil
 }
 
-// release begins the release, steers it as its kind says, and waits for its end.
-func (p Rollout) release(d *drill, r *RolloutResult) error {
+// runRelease begins the runRelease, steers it as its kind says, and waits for its end.
+func (p Rollout) runRelease(d *drill, r *RolloutResult) error {
 	if p.Kind == "none" {
 		return d.sleep(20e3)
 	}
-	changes, raw, err := p.what(d)
+	changes, raw, err := p.payload(d)
 	if err != nil {
 		return err
 	}
-	digest, err := d.give(raw)
+	digest, err := d.distribute(raw)
 	if err != nil {
 		return err
 	}
@@ -270,8 +270,8 @@
 	var firstAt, decidedAt float64
 	steered := false
 	replaced := map[string]bool{}
-	for d.ms()-from < rolloutMost*msPerSecond && d.ctx.Err() == nil {
-		raw, code := d.output("release", "status", "--json")
+	for d.ms()-from < rolloutTimeoutS*msPerSecond && d.ctx.Err() == nil {
+		raw, code := d.commandOutput("release", "status", "--json")
 		var all []struct {
 			Stage, Says string
 			Wave        int
@@ -284,10 +284,10 @@
 		r.Stage, r.Says = one.Stage, one.Says
 		for _, part := range one.Parts[:min(one.Wave+1, len(one.Parts))] {
 			for _, unit := range part {
-				r.reached[unit] = true
+				r.reachedUnits[unit] = true
 			}
 		}
-		if firstAt == 0 && d.runsNew(digest) {
+		if firstAt == 0 && d.anyDoorRuns(digest) {
 			firstAt = now
 		}
 		if decidedAt == 0 && (one.Stage == "going back" || one.Stage == "back") {
@@ -298,7 +298,7 @@
 		}
 		if one.Wave == 1 && !steered {
 			steered = true
-			if err := p.steer(d); err != nil {
+			if err := p.intervene(d); err != nil {
 				return err
 			}
 		}
@@ -314,7 +314,7 @@
 			return nil
 		}
 		select {
-		case <-time.After(slowestPoll):
+		case <-time.After(statusPollInterval):
 		case <-d.ctx.Done():
 		}
 	}
@@ -330,24 +330,24 @@
 	for _, p := range t.Places {
 		if p.Unit.Kind == "backend" && p.Drained && !p.Over && !replaced[p.Unit.Name] {
 			replaced[p.Unit.Name] = true
-			d.claim(p.Unit.Name, d.ms())
+			d.recordDrained(p.Unit.Name, d.ms())
 			d.site.Replace(p.Unit.Name)
-			d.unclaim(p.Unit.Name)
+			d.endDrained(p.Unit.Name)
 		}
 	}
 }
 
-// served is where each door is asked.
-func (d *drill) served() map[int]string {
+// doorAddresses is where each door is asked.
+func (d *drill) doorAddresses() map[int]string {
 	doors := map[int]string{}
 	for i, p := range d.doors {
-		doors[i] = p.serve
+		doors[i] = p.address
 	}
 	return doors
 }
 
-// wrote is what a door has written down that it runs, by what may change; nothing where it can't be read.
-func (p *party) wrote() (runs map[string]string) {
+// recordedReleases is what a door has written down that it runs, by what may change; nothing where it can't be read.
+func (p *node) recordedReleases() (runs map[string]string) {
 	raw, err := os.ReadFile(filepath.Join(p.dir, "runs.json"))
 	if err != nil || json.Unmarshal(raw, &runs) != nil {
 		return nil
@@ -355,15 +355,15 @@
 	return runs
 }
 
-// runsNew tells whether any door has written down that it runs what a digest names.
-func (d *drill) runsNew(digest string) bool {
-	return slices.ContainsFunc(d.doors, func(p *party) bool {
-		return slices.Contains(slices.Collect(maps.Values(p.wrote())), digest)
+// anyDoorRuns tells whether any door has written down that it runs what a digest names.
+func (d *drill) anyDoorRuns(digest string) bool {
+	return slices.ContainsFunc(d.doors, func(p *node) bool {
+		return slices.Contains(slices.Collect(maps.Values(p.recordedReleases())), digest)
 	})
 }
 
-// steer is what befalls the release amid its second wave.
-func (p Rollout) steer(d *drill) error {
+// intervene is what befalls the release amid its second wave.
+func (p Rollout) intervene(d *drill) error {
 	switch p.Kind {
 	case "halted":
 		_ = d.sleep(d.ms() + 1500)
@@ -372,11 +372,11 @@
 		d.command("release", "back", p.Kind)
 	case "restart":
 		_ = d.sleep(d.ms() + 1000)
-		for _, c := range d.coords {
+		for _, c := range d.coordinators {
 			c.kill()
 		}
 		_ = d.sleep(d.ms() + 1000)
-		for _, c := range d.coords {
+		for _, c := range d.coordinators {
 			if err := c.start(); err != nil {
 				return err
 			}
--- a/lab/procs/rollout_test.go
+++ b/lab/procs/rollout_test.go
@@ -15,7 +15,7 @@
 	if testing.Short() {
 		t.Skip("real time")
 	}
-	binary := built(t)
+	binary := buildPrograms(t)
 	for kind, doors := range map[string]int{"good": 4, "refused": 4, "crash": 4, "later": 4, "harmful": 4} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
@@ -23,22 +23,22 @@
 			require.NoError(t, err)
 			assert.Empty(t, r.Breaches)
 			assert.Positive(t, r.Asked)
-			assert.LessOrEqual(t, r.MostOut, mostDoorsOut)
+			assert.LessOrEqual(t, r.MostOut, maxDoorsOut)
 			t.Logf("%s after %.1f s, decided after %.1f s, back after %.1f s; most out %d; %d operations, %d finished, %d rejected, %d failed; %d rejected cold: %s", r.Stage,
-				r.TookS, r.DecidedS, r.BackS, r.MostOut, r.Asked, r.Finished, r.Rejected, r.Failed, r.Cold, r.Says)
+				r.TookS, r.DecidedS, r.BackS, r.MostOut, r.Asked, r.Finished, r.Rejected, r.Failed, r.RejectedInWarmUp, r.Says)
 		})
 	}
 }
 
-func TestADoorThatNoWaveReachedRejectsNothing(t *testing.T) {
+func TestUnreachedDoorMustNotReject(t *testing.T) {
 	broken := func(kind string, at ...load.Outcome) int {
-		r := &RolloutResult{Kind: kind, reached: map[string]bool{Door(0): true}}
+		r := &RolloutResult{Kind: kind, reachedUnits: map[string]bool{Door(0): true}}
 		var all []*load.Outcome
 		for _, o := range at {
 			all = append(all, &o)
 			r.Asked, r.Finished, r.Rejected = r.Asked+o.Asked, r.Finished+o.Finished, r.Rejected+o.Rejected
 		}
-		r.unhurt(all)
+		r.checkRejections(all)
 		return len(r.Breaches)
 	}
 	fine := load.Outcome{Asked: 1000, Finished: 1000}
@@ -53,29 +53,29 @@
 	assert.Zero(t, broken("backends", fine, one))
 }
 
-func TestARolloutNobodyKnowsIsNamed(t *testing.T) {
+func TestUnknownRolloutKindIsAnError(t *testing.T) {
 	_, err := Rollout{Kind: "sideways"}.Play(context.Background())
 	var name *NameError
 	require.ErrorAs(t, err, &name)
 }
 
 // It once ran to its end and then fell over the clients that had never begun.
-func TestARolloutWithoutClientsDoesNotBegin(t *testing.T) {
+func TestRolloutWithoutClientsIsRefused(t *testing.T) {
 	_, err := Rollout{Kind: "crash", Doors: 1, Coordinators: 1}.Play(context.Background())
 	var run *load.RunError
 	require.ErrorAs(t, err, &run)
 	assert.Contains(t, err.Error(), "rate 0")
 }
 
-func TestMostAtOnceIsReadFromLooks(t *testing.T) {
-	of := func(from, to float64) *party {
-		return &party{looks: []look{{0, 1, 200}, {from - 1, from, 503}, {(from + to) / 2, (from + to) / 2, 0}, {to, to + 1, 200}}}
+func TestMaxConcurrentOutagesFromProbes(t *testing.T) {
+	of := func(from, to float64) *node {
+		return &node{probes: []probeResult{{0, 1, 200}, {from - 1, from, 503}, {(from + to) / 2, (from + to) / 2, 0}, {to, to + 1, 200}}}
 	}
-	most, _ := mostAtOnce([]*party{of(10, 30), of(20, 40), of(30, 50)})
+	most, _ := maxConcurrentOutages([]*node{of(10, 30), of(20, 40), of(30, 50)})
 	assert.Equal(t, 2, most)
-	most, which := mostAtOnce([]*party{of(10, 31), of(20, 40), of(30, 50)})
+	most, which := maxConcurrentOutages([]*node{of(10, 31), of(20, 40), of(30, 50)})
 	assert.Equal(t, 3, most)
 	assert.Len(t, which, 3)
-	most, _ = mostAtOnce(nil)
+	most, _ = maxConcurrentOutages(nil)
 	assert.Zero(t, most)
 }
--- a/lab/procs/schedule.go
+++ b/lab/procs/schedule.go
@@ -19,17 +19,17 @@
 
 // Schedule is one schedule file: a fleet, its network, the faults, and what must hold.
 type Schedule struct {
-	Name   string  `toml:"name"`
-	Shows  string  `toml:"shows"`
-	Day    Day     `toml:"day"`
-	Fleet  Fleet   `toml:"fleet"`
-	Net    Net     `toml:"net"`
-	Must   Must    `toml:"must"`
-	Faults []Fault `toml:"fault"`
+	Name   string         `toml:"name"`
+	Shows  string         `toml:"shows"`
+	Length Length         `toml:"day"`
+	Fleet  Fleet          `toml:"fleet"`
+	Net    Net            `toml:"net"`
+	Limits ScheduleLimits `toml:"must"`
+	Faults []Fault        `toml:"fault"`
 }
 
-// Day is how long the schedule lasts once all doors have found each other.
-type Day struct {
+// Length is how long the schedule lasts once all doors have found each other.
+type Length struct {
 	Seconds float64 `toml:"seconds"`
 }
 
@@ -45,71 +45,71 @@
 	Loss    float64       `toml:"loss"`
 }
 
-// Must is what the checkers hold the history against; a limit of 0 is not checked.
-type Must struct {
-	KnownMs  float64 `toml:"known_ms"`  // deaths are known at 99 in 100 pairs of doors
-	BackMs   float64 `toml:"back_ms"`   // who was paused is held to be here again
-	AgreeMs  float64 `toml:"agree_ms"`  // of a cut's beginning, all that can hear hold the same
-	OneMs    float64 `toml:"one_ms"`    // of the last fault's end, there is one view
-	DoubtMs  float64 `toml:"doubt_ms"`  // a door cut off in part is doubted somewhere
-	AnyWrong bool    `toml:"any_wrong"` // somebody may wrongly be away: the fault makes up most of the fleet
-	Changes  int     `toml:"changes"`   // most changes of a verdict during a cut; 0 for one
+// ScheduleLimits is what the checkers hold the history against; a limit of 0 is not checked.
+type ScheduleLimits struct {
+	DetectionMs    float64 `toml:"known_ms"`  // deaths are known at 99 in 100 pairs of doors
+	RecoveryMs     float64 `toml:"back_ms"`   // who was paused is held to be here again
+	AgreementMs    float64 `toml:"agree_ms"`  // of a cut's beginning, all that can hear hold the same
+	ConvergenceMs  float64 `toml:"one_ms"`    // of the last fault's end, there is one view
+	SuspicionMs    float64 `toml:"doubt_ms"`  // a door cut off in part is doubted somewhere
+	AllowFalseAway bool    `toml:"any_wrong"` // somebody may wrongly be away: the fault makes up most of the fleet
+	VerdictChanges int     `toml:"changes"`   // most changes of a verdict during a cut; 0 for one
 }
 
 // Fault is one line of a schedule.
 type Fault struct {
-	Kind    string  `toml:"kind"`
-	AtS     float64 `toml:"at_s"`
-	ForS    float64 `toml:"for_s"` // 0: for good, where the kind allows
-	Doors   []int   `toml:"doors"` // struck; or
-	Share   float64 `toml:"share"` // of all, drawn by the seed; or
-	Zone    *int    `toml:"zone"`  // those of a zone
-	Others  []int   `toml:"others"`
-	OtherOf float64 `toml:"others_share"` // of the others, drawn by the seed; all where neither is told
-	Way     string  `toml:"way"`          // of a cut or a loss: out, in or both, seen from the doors struck
-	Much    float64 `toml:"much"`         // how much, in the kind's unit
-	EveryMs float64 `toml:"every_ms"`
+	Kind        string  `toml:"kind"`
+	AtS         float64 `toml:"at_s"`
+	ForS        float64 `toml:"for_s"` // 0: for good, where the kind allows
+	Doors       []int   `toml:"doors"` // struck; or
+	Share       float64 `toml:"share"` // of all, drawn by the seed; or
+	Zone        *int    `toml:"zone"`  // those of a zone
+	Others      []int   `toml:"others"`
+	OthersShare float64 `toml:"others_share"` // of the others, drawn by the seed; all where neither is told
+	Direction   string  `toml:"way"`          // of a cut or a loss: out, in or both, seen from the doors struck
+	Amount      float64 `toml:"much"`         // how much, in the kind's unit
+	EveryMs     float64 `toml:"every_ms"`
 }
 
 // Kind describes a kind of fault.
 type Kind struct {
-	Unit    string
-	Least   float64
-	Most    float64
-	Pair    bool // strikes the ways between doors
-	ForGood bool // may last for good
-	Instant bool
-	Says    string
+	Unit           string
+	Min            float64
+	Max            float64
+	OnLinks        bool // strikes the ways between doors
+	MayBePermanent bool // may last for good
+	Instant        bool
+	Description    string
 }
 
 // Kinds lists every kind by its name.
 var Kinds = map[string]Kind{
-	"pause":    {Unit: "least share of for_s", Most: 1, Says: "stopped (SIGSTOP), each for another time between much and all of for_s"},
-	"pauses":   {Unit: "ms of a pause at most", Least: 1, Most: 60e3, Says: "stopped for short, again and again, every every_ms"},
-	"kill":     {ForGood: true, Says: "killed (SIGKILL); started anew under the same name when the time is over"},
-	"leave":    {Instant: true, Says: "told to leave (SIGTERM)"},
-	"late":     {Instant: true, Says: "started only then"},
-	"namesake": {Instant: true, Says: "a further process is started under the door's name"},
-	"cut":      {Pair: true, Says: "no packet comes through, one way or both; connections fall silent"},
-	"loss":     {Pair: true, Unit: "chance", Most: 1, Says: "datagrams are lost"},
-	"delay":    {Pair: true, Unit: "ms", Most: 60e3, Says: "ways take longer, by up to much"},
-	"repeat":   {Pair: true, Unit: "chance", Most: 1, Says: "datagrams come twice"},
-	"reorder":  {Pair: true, Unit: "chance", Most: 1, Says: "datagrams come 30 ms late, after later ones"},
-	"reset":    {Pair: true, Instant: true, Says: "connections are reset"},
-	"clock":    {Unit: "s", Least: -1e6, Most: 1e6, ForGood: true, Says: "the wall clock is wrong by so much"},
+	"pause":    {Unit: "least share of for_s", Max: 1, Description: "stopped (SIGSTOP), each for another time between much and all of for_s"},
+	"pauses":   {Unit: "ms of a pause at most", Min: 1, Max: 60e3, Description: "stopped for short, again and again, every every_ms"},
+	"kill":     {MayBePermanent: true, Description: "killed (SIGKILL); started anew under the same name when the time is over"},
+	"leave":    {Instant: true, Description: "told to leave (SIGTERM)"},
+	"late":     {Instant: true, Description: "started only then"},
+	"namesake": {Instant: true, Description: "a further process is started under the door's name"},
+	"cut":      {OnLinks: true, Description: "no packet comes through, one way or both; connections fall silent"},
+	"loss":     {OnLinks: true, Unit: "chance", Max: 1, Description: "datagrams are lost"},
+	"delay":    {OnLinks: true, Unit: "ms", Max: 60e3, Description: "ways take longer, by up to much"},
+	"repeat":   {OnLinks: true, Unit: "chance", Max: 1, Description: "datagrams come twice"},
+	"reorder":  {OnLinks: true, Unit: "chance", Max: 1, Description: "datagrams come 30 ms late, after later ones"},
+	"reset":    {OnLinks: true, Instant: true, Description: "connections are reset"},
+	"clock":    {Unit: "s", Min: -1e6, Max: 1e6, MayBePermanent: true, Description: "the wall clock is wrong by so much"},
 }
 
 //go:embed schedules/*.toml
-var files embed.FS
+var shippedSchedules embed.FS
 
 // Names lists the schedules that ship.
-func Names() []string { return scenario.Shipped(files, "schedules") }
+func Names() []string { return scenario.Shipped(shippedSchedules, "schedules") }
 
 // Open reads a schedule file, or one that ships where there is no such file.
 func Open(name string) (*Schedule, error) {
 	raw, err := os.ReadFile(name)
 	if err != nil {
-		if raw, err = files.ReadFile(path.Join("schedules", name+".toml")); err != nil {
+		if raw, err = shippedSchedules.ReadFile(path.Join("schedules", name+".toml")); err != nil {
 			return nil, &NameError{name}
 		}
 	}
@@ -122,7 +122,7 @@
 
 // Read decodes and checks a schedule.
 func Read(raw []byte) (*Schedule, error) {
-	s := &Schedule{Day: Day{20}, Fleet: Fleet{4, 1}, Net: Net{DelayMs: scenario.Span{0.2, 0.6}}}
+	s := &Schedule{Length: Length{20}, Fleet: Fleet{4, 1}, Net: Net{DelayMs: scenario.Span{0.2, 0.6}}}
 	if err := scenario.Decode(raw, s); err != nil {
 		return nil, err
 	}
@@ -133,86 +133,86 @@
 }
 
 const (
-	mostDoors = 1000
-	longest   = 24 * 3600.0
+	maxDoors   = 1000
+	maxLengthS = 24 * 3600.0
 )
 
-func bad(key, format string, args ...any) error {
+func keyError(key, format string, args ...any) error {
 	return &scenario.KeyError{Key: key, Says: fmt.Sprintf(format, args...)}
 }
 
 func (s *Schedule) check() error {
 	switch {
-	case !(s.Day.Seconds > 0 && s.Day.Seconds <= longest):
-		return bad("day.seconds", "%g, up to %g is wanted", s.Day.Seconds, longest)
-	case s.Fleet.Doors < 1 || s.Fleet.Doors > mostDoors:
-		return bad("fleet.doors", "%d, 1 to %d is wanted", s.Fleet.Doors, mostDoors)
+	case !(s.Length.Seconds > 0 && s.Length.Seconds <= maxLengthS):
+		return keyError("day.seconds", "%g, up to %g is wanted", s.Length.Seconds, maxLengthS)
+	case s.Fleet.Doors < 1 || s.Fleet.Doors > maxDoors:
+		return keyError("fleet.doors", "%d, 1 to %d is wanted", s.Fleet.Doors, maxDoors)
 	case s.Fleet.Zones < 1 || s.Fleet.Zones > s.Fleet.Doors:
-		return bad("fleet.zones", "%d of %d doors", s.Fleet.Zones, s.Fleet.Doors)
+		return keyError("fleet.zones", "%d of %d doors", s.Fleet.Zones, s.Fleet.Doors)
 	case len(s.Net.DelayMs) < 1 || len(s.Net.DelayMs) > 2 || s.Net.DelayMs.Low() < 0 || s.Net.DelayMs.High() < s.Net.DelayMs.Low():
-		return bad("net.delay_ms", "%v is no span", []float64(s.Net.DelayMs))
+		return keyError("net.delay_ms", "%v is no span", []float64(s.Net.DelayMs))
 	case !(s.Net.Loss >= 0 && s.Net.Loss < 1):
-		return bad("net.loss", "%g, 0 to under 1 is wanted", s.Net.Loss)
+		return keyError("net.loss", "%g, 0 to under 1 is wanted", s.Net.Loss)
 	}
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		under := fmt.Sprintf("fault[%d].", i)
 		k, known := Kinds[f.Kind]
-		ways := map[bool][]string{true: {"", "out", "in", "both"}, false: {""}}[k.Pair]
+		ways := map[bool][]string{true: {"", "out", "in", "both"}, false: {""}}[k.OnLinks]
 		switch {
 		case !known:
-			return bad(under+"kind", "unknown word %q, one of %s is wanted", f.Kind, strings.Join(slices.Sorted(maps.Keys(Kinds)), ", "))
-		case !(f.AtS >= 0 && f.AtS <= s.Day.Seconds):
-			return bad(under+"at_s", "%g, not within the day of %g s", f.AtS, s.Day.Seconds)
-		case k.Instant && f.ForS != 0, !k.Instant && !k.ForGood && !(f.ForS > 0), f.ForS < 0:
-			return bad(under+"for_s", "%g for a fault of kind %s", f.ForS, f.Kind)
-		case k.Unit == "" && f.Much != 0, k.Unit != "" && !(f.Much >= k.Least && f.Much <= k.Most):
-			return bad(under+"much", "%g %s, %g to %g is wanted", f.Much, k.Unit, k.Least, k.Most)
+			return keyError(under+"kind", "unknown word %q, one of %s is wanted", f.Kind, strings.Join(slices.Sorted(maps.Keys(Kinds)), ", "))
+		case !(f.AtS >= 0 && f.AtS <= s.Length.Seconds):
+			return keyError(under+"at_s", "%g, not within the day of %g s", f.AtS, s.Length.Seconds)
+		case k.Instant && f.ForS != 0, !k.Instant && !k.MayBePermanent && !(f.ForS > 0), f.ForS < 0:
+			return keyError(under+"for_s", "%g for a fault of kind %s", f.ForS, f.Kind)
+		case k.Unit == "" && f.Amount != 0, k.Unit != "" && !(f.Amount >= k.Min && f.Amount <= k.Max):
+			return keyError(under+"much", "%g %s, %g to %g is wanted", f.Amount, k.Unit, k.Min, k.Max)
 		case !(f.Share >= 0 && f.Share <= 1):
-			return bad(under+"share", "%g, 0 to 1 is wanted", f.Share)
-		case !(f.OtherOf >= 0 && f.OtherOf <= 1):
-			return bad(under+"others_share", "%g, 0 to 1 is wanted", f.OtherOf)
+			return keyError(under+"share", "%g, 0 to 1 is wanted", f.Share)
+		case !(f.OthersShare >= 0 && f.OthersShare <= 1):
+			return keyError(under+"others_share", "%g, 0 to 1 is wanted", f.OthersShare)
 		case f.Zone != nil && (*f.Zone < 0 || *f.Zone >= s.Fleet.Zones):
-			return bad(under+"zone", "%d of %d zones", *f.Zone, s.Fleet.Zones)
-		case !slices.Contains(ways, f.Way):
-			return bad(under+"way", "unknown word %q", f.Way)
-		case f.Kind == "pauses" && !(f.EveryMs > f.Much):
-			return bad(under+"every_ms", "%g, under a pause of %g ms", f.EveryMs, f.Much)
-		case len(f.Doors) == 0 && f.Share == 0 && f.Zone == nil && !k.Pair:
-			return bad(under+"doors", "missing, and share and zone are too")
+			return keyError(under+"zone", "%d of %d zones", *f.Zone, s.Fleet.Zones)
+		case !slices.Contains(ways, f.Direction):
+			return keyError(under+"way", "unknown word %q", f.Direction)
+		case f.Kind == "pauses" && !(f.EveryMs > f.Amount):
+			return keyError(under+"every_ms", "%g, under a pause of %g ms", f.EveryMs, f.Amount)
+		case len(f.Doors) == 0 && f.Share == 0 && f.Zone == nil && !k.OnLinks:
+			return keyError(under+"doors", "missing, and share and zone are too")
 		}
 		for _, d := range append(slices.Clone(f.Doors), f.Others...) {
 			if d < 0 || d >= s.Fleet.Doors {
-				return bad(under+"doors", "%d of %d doors", d, s.Fleet.Doors)
+				return keyError(under+"doors", "%d of %d doors", d, s.Fleet.Doors)
 			}
 		}
 	}
 	return nil
 }
 
-// Spell is a time in which something is so, ms of the day; To is +Inf for good.
-type Spell = check.Spell
+// Interval is a time in which something is so, ms of the day; To is +Inf for good.
+type Interval = check.Interval
 
 // Plan is a schedule drawn out for one seed: what strikes whom, and when. Both kinds of play go by it.
 type Plan struct {
 	*Schedule
-	Seed  uint64
-	Truth check.Truth
-	Loss  []PairSpell
-	Delay []PairSpell
-	Twice []PairSpell
-	Late  []PairSpell
-	Reset []PairSpell
-	Start []float64 // ms at which each door is started; 0 for at once
-	Names []Namesake
-	Wall  []float64 // s by which a door's wall clock is wrong
+	Seed         uint64
+	Truth        check.Truth
+	Loss         []LinkImpairment
+	Delay        []LinkImpairment
+	Duplicate    []LinkImpairment
+	Reorder      []LinkImpairment
+	Reset        []LinkImpairment
+	StartMs      []float64 // ms at which each door is started; 0 for at once
+	Namesakes    []Namesake
+	ClockOffsetS []float64 // s by which a door's wall clock is wrong
 }
 
-// PairSpell is a time in which the way from one door to another is spoilt, by so much.
-type PairSpell struct {
-	Spell
-	Way  []bool // by from*doors+to
-	Much float64
+// LinkImpairment is a time in which the way from one door to another is spoilt, by so much.
+type LinkImpairment struct {
+	Interval
+	Links  []bool // by from*doors+to
+	Amount float64
 }
 
 // Namesake is a further process under a door's name.
@@ -226,21 +226,21 @@
 // Draw draws a schedule out.
 func (s *Schedule) Draw(seed uint64) *Plan {
 	n := s.Fleet.Doors
-	p := &Plan{Schedule: s, Seed: seed, Start: make([]float64, n), Wall: make([]float64, n)}
-	p.Truth = check.Truth{Doors: n, Zones: make([]int, n), Paused: make([][]Spell, n), Dead: make([][]Spell, n), Left: make([]float64, n),
-		Began: make([]float64, n), EndMs: s.Day.Seconds * msPerSecond}
+	p := &Plan{Schedule: s, Seed: seed, StartMs: make([]float64, n), ClockOffsetS: make([]float64, n)}
+	p.Truth = check.Truth{Doors: n, Zones: make([]int, n), Paused: make([][]Interval, n), Dead: make([][]Interval, n), LeaveAt: make([]float64, n),
+		StartedAt: make([]float64, n), EndMs: s.Length.Seconds * msPerSecond}
 	dice := rand.New(rand.NewPCG(seed, uint64(n)))
 	for i := range n {
 		p.Truth.Zones[i] = i % s.Fleet.Zones
-		p.Truth.Left[i] = check.Never
+		p.Truth.LeaveAt[i] = check.Never
 	}
 	for i := range s.Faults {
-		p.draw(&s.Faults[i], dice)
+		p.addFault(&s.Faults[i], dice)
 	}
 	return p
 }
 
-func (p *Plan) draw(f *Fault, dice *rand.Rand) {
+func (p *Plan) addFault(f *Fault, dice *rand.Rand) {
 	n := p.Fleet.Doors
 	at, end := f.AtS*msPerSecond, (f.AtS+f.ForS)*msPerSecond
 	if f.ForS == 0 {
@@ -272,7 +272,7 @@
 	default:
 		struck = everyone
 	}
-	if Kinds[f.Kind].Pair {
+	if Kinds[f.Kind].OnLinks {
 		others := f.Others
 		if len(others) == 0 {
 			for i := range n {
@@ -280,30 +280,30 @@
 					others = append(others, i)
 				}
 			}
-			if f.OtherOf > 0 {
-				others = some(f.OtherOf, others)
+			if f.OthersShare > 0 {
+				others = some(f.OthersShare, others)
 			}
 		}
-		ps := PairSpell{Spell: Spell{From: at, To: end}, Way: make([]bool, n*n), Much: f.Much}
+		ps := LinkImpairment{Interval: Interval{From: at, To: end}, Links: make([]bool, n*n), Amount: f.Amount}
 		for _, a := range struck {
 			for _, b := range others {
 				if a != b {
-					ps.Way[a*n+b] = ps.Way[a*n+b] || f.Way != "in"
-					ps.Way[b*n+a] = ps.Way[b*n+a] || f.Way != "out"
+					ps.Links[a*n+b] = ps.Links[a*n+b] || f.Direction != "in"
+					ps.Links[b*n+a] = ps.Links[b*n+a] || f.Direction != "out"
 				}
 			}
 		}
 		switch f.Kind {
 		case "cut":
-			p.Truth.Cuts = append(p.Truth.Cuts, check.Cut{Spell: ps.Spell, Way: ps.Way})
+			p.Truth.Cuts = append(p.Truth.Cuts, check.Cut{Interval: ps.Interval, Links: ps.Links})
 		case "loss":
 			p.Loss = append(p.Loss, ps)
 		case "delay":
 			p.Delay = append(p.Delay, ps)
 		case "repeat":
-			p.Twice = append(p.Twice, ps)
+			p.Duplicate = append(p.Duplicate, ps)
 		case "reorder":
-			p.Late = append(p.Late, ps)
+			p.Reorder = append(p.Reorder, ps)
 		case "reset":
 			p.Reset = append(p.Reset, ps)
 		}
@@ -312,36 +312,36 @@
 	for _, d := range struck {
 		switch f.Kind {
 		case "pause":
-			long := (end - at) * (f.Much + (1-f.Much)*dice.Float64())
-			p.Truth.Paused[d] = append(p.Truth.Paused[d], Spell{From: at, To: at + long})
+			long := (end - at) * (f.Amount + (1-f.Amount)*dice.Float64())
+			p.Truth.Paused[d] = append(p.Truth.Paused[d], Interval{From: at, To: at + long})
 		case "pauses":
 			for t := at + dice.Float64()*f.EveryMs; t < end; t += f.EveryMs * (0.5 + dice.Float64()) {
-				long := f.Much * (0.3 + 0.7*dice.Float64())
-				p.Truth.Paused[d] = append(p.Truth.Paused[d], Spell{From: t, To: t + long})
+				long := f.Amount * (0.3 + 0.7*dice.Float64())
+				p.Truth.Paused[d] = append(p.Truth.Paused[d], Interval{From: t, To: t + long})
 				t += long
 			}
 		case "kill":
-			p.Truth.Dead[d] = append(p.Truth.Dead[d], Spell{From: at, To: end})
+			p.Truth.Dead[d] = append(p.Truth.Dead[d], Interval{From: at, To: end})
 		case "leave":
-			p.Truth.Left[d] = at
+			p.Truth.LeaveAt[d] = at
 		case "late":
-			p.Start[d], p.Truth.Began[d] = at, at
+			p.StartMs[d], p.Truth.StartedAt[d] = at, at
 		case "namesake":
-			p.Names = append(p.Names, Namesake{d, at})
+			p.Namesakes = append(p.Namesakes, Namesake{d, at})
 		case "clock":
-			p.Wall[d] = f.Much
+			p.ClockOffsetS[d] = f.Amount
 		}
 	}
 }
 
-// in sums how much spoils the way from one door to another at a time.
-func in(spells []PairSpell, way int, at float64) (much float64) {
+// amountAt sums how much spoils the way from one door to another at a time.
+func amountAt(spells []LinkImpairment, way int, at float64) (much float64) {
 	if way < 0 {
 		return 0
 	}
 	for i := range spells {
-		if s := &spells[i]; s.Way[way] && at >= s.From && at < s.To {
-			much = max(much, s.Much)
+		if s := &spells[i]; s.Links[way] && at >= s.From && at < s.To {
+			much = max(much, s.Amount)
 		}
 	}
 	return much
--- a/lab/procs/stack_test.go
+++ b/lab/procs/stack_test.go
@@ -32,69 +32,69 @@
 // stack plays a plan with whole drivers over a network in memory, within a bubble of virtual time.
 type stack struct {
 	*Plan
-	net   *fleet.Network
-	began time.Time
-	index map[string]int
-	mu    sync.Mutex
-	dice  *rand.Rand
-	hist  []check.Event
+	net       *fleet.Network
+	startedAt time.Time
+	index     map[string]int
+	mu        sync.Mutex
+	rng       *rand.Rand
+	history   []check.Event
 }
 
-// life is one running door; end stops it at once, or by plan.
-type life struct{ end func(byPlan bool) }
+// runningDoor is one running door; end stops it at once, or by plan.
+type runningDoor struct{ stop func(byPlan bool) }
 
 // starter starts a door's life; on hears what it holds of others.
-type starter func(s *stack, i, nth int, on func(about string, from, to string)) life
+type starter func(s *stack, i, nth int, on func(about string, from, to string)) runningDoor
 
 func (s *stack) address(i int) string { return fmt.Sprintf("10.0.%d.%d:7946", i/200, i%200+1) }
 
-func (s *stack) ms() float64 { return float64(time.Since(s.began)) / 1e6 }
+func (s *stack) ms() float64 { return float64(time.Since(s.startedAt)) / 1e6 }
 
-func (s *stack) way(from, to string) fleet.Impairment {
+func (s *stack) impairment(from, to string) fleet.Impairment {
 	at := s.ms()
 	way := s.index[from]*s.Fleet.Doors + s.index[to]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := fleet.Impairment{Delay: time.Duration((s.Net.DelayMs.At(s.dice.Float64()) + in(s.Delay, way, at)*s.dice.Float64()) * 1e6)}
+	f := fleet.Impairment{Delay: time.Duration((s.Net.DelayMs.At(s.rng.Float64()) + amountAt(s.Delay, way, at)*s.rng.Float64()) * 1e6)}
 	for i := range s.Truth.Cuts {
-		if c := &s.Truth.Cuts[i]; c.Way[way] && at >= c.From && at < c.To {
+		if c := &s.Truth.Cuts[i]; c.Links[way] && at >= c.From && at < c.To {
 			f.Lost = true
 		}
 	}
-	f.Lost = f.Lost || s.dice.Float64() < max(s.Net.Loss, in(s.Loss, way, at))
-	f.Duplicated = s.dice.Float64() < in(s.Twice, way, at)
-	if s.dice.Float64() < in(s.Late, way, at) {
-		f.Delay += time.Duration(lateBy * 1e6)
+	f.Lost = f.Lost || s.rng.Float64() < max(s.Net.Loss, amountAt(s.Loss, way, at))
+	f.Duplicated = s.rng.Float64() < amountAt(s.Duplicate, way, at)
+	if s.rng.Float64() < amountAt(s.Reorder, way, at) {
+		f.Delay += time.Duration(reorderDelayMs * 1e6)
 	}
 	return f
 }
 
-// play plays the plan and returns the history, and messages and bytes a second of a door on the quiet day before the first fault.
-func (s *stack) play(start starter) (history []check.Event, packets, bytes float64) {
-	s.index, s.net, s.dice = map[string]int{}, fleet.NewNetwork(), rand.New(rand.NewPCG(s.Seed, 9))
+// run plays the plan and returns the history, and messages and bytes a second of a door on the quiet day before the first fault.
+func (s *stack) run(start starter) (history []check.Event, packets, bytes float64) {
+	s.index, s.net, s.rng = map[string]int{}, fleet.NewNetwork(), rand.New(rand.NewPCG(s.Seed, 9))
 	names := map[string]int{}
 	for i := range s.Fleet.Doors {
 		s.index[s.address(i)], names[Door(i)] = i, i
 	}
-	s.began = time.Now().Add(time.Duration(warmup * 1e6))
-	s.net.Impair = s.way
+	s.startedAt = time.Now().Add(time.Duration(warmUpMs * 1e6))
+	s.net.Impair = s.impairment
 	type what struct {
 		at float64
 		do func()
 	}
 	var todo []what
-	lives := make([]*life, s.Fleet.Doors)
+	lives := make([]*runningDoor, s.Fleet.Doors)
 	for i := range s.Fleet.Doors {
 		nth := 0
 		begin := func() {
 			s.mu.Lock()
-			s.hist = append(s.hist, check.Event{At: s.ms(), Door: i, About: i, From: "born"})
+			s.history = append(s.history, check.Event{At: s.ms(), Door: i, About: i, From: "born"})
 			s.mu.Unlock()
 			nth++
 			l := start(s, i, nth, func(about, from, to string) {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				s.hist = append(s.hist, check.Event{At: s.ms(), Door: i, About: names[about], From: from, To: to})
+				s.history = append(s.history, check.Event{At: s.ms(), Door: i, About: names[about], From: from, To: to})
 			})
 			lives[i] = &l
 		}
@@ -103,16 +103,16 @@
 				if l := lives[i]; l != nil {
 					lives[i] = nil
 					if byPlan {
-						go l.end(true)
+						go l.stop(true)
 					} else {
-						l.end(false)
+						l.stop(false)
 					}
 				}
 			}
 		}
-		at := -warmup + s.dice.Float64()*msPerSecond
-		if s.Start[i] > 0 {
-			at = s.Start[i] + s.dice.Float64()*msPerSecond
+		at := -warmUpMs + s.rng.Float64()*msPerSecond
+		if s.StartMs[i] > 0 {
+			at = s.StartMs[i] + s.rng.Float64()*msPerSecond
 		}
 		todo = append(todo, what{at, begin})
 		for _, d := range s.Truth.Dead[i] {
@@ -121,8 +121,8 @@
 				todo = append(todo, what{d.To, begin})
 			}
 		}
-		if s.Truth.Left[i] < s.Truth.EndMs {
-			todo = append(todo, what{s.Truth.Left[i], end(true)})
+		if s.Truth.LeaveAt[i] < s.Truth.EndMs {
+			todo = append(todo, what{s.Truth.LeaveAt[i], end(true)})
 		}
 	}
 	var before, after fleet.Sent
@@ -142,12 +142,12 @@
 	}
 	time.Sleep(time.Duration((s.Truth.EndMs - s.ms()) * 1e6))
 	s.mu.Lock()
-	history = Sorted(append([]check.Event(nil), s.hist...))
+	history = SortByTime(append([]check.Event(nil), s.history...))
 	s.mu.Unlock()
 	var group sync.WaitGroup
 	for _, l := range lives {
 		if l != nil {
-			group.Go(func() { l.end(false) })
+			group.Go(func() { l.stop(false) })
 		}
 	}
 	group.Wait()
@@ -156,8 +156,8 @@
 	return history, float64(after.Packets-before.Packets) / per, float64(after.Bytes-before.Bytes) / per
 }
 
-// driven starts the project's driver.
-func driven(s *stack, i, nth int, on func(about, from, to string)) life {
+// startDriver starts the project's driver.
+func startDriver(s *stack, i, nth int, on func(about, from, to string)) runningDoor {
 	t, err := s.net.Listen(s.address(i))
 	if err != nil {
 		panic(err)
@@ -169,7 +169,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return life{func(byPlan bool) {
+	return runningDoor{func(byPlan bool) {
 		if byPlan {
 			d.Leave(context.Background())
 		}
@@ -177,8 +177,8 @@
 	}}
 }
 
-// library starts memberlist alone with its own defaults for a LAN: its verdicts are its own.
-func library(s *stack, i, _ int, on func(about, from, to string)) life {
+// startMemberlist starts memberlist alone with its own defaults for a LAN: its verdicts are its own.
+func startMemberlist(s *stack, i, _ int, on func(about, from, to string)) runningDoor {
 	t, err := s.net.Listen(s.address(i))
 	if err != nil {
 		panic(err)
@@ -187,7 +187,7 @@
 	cfg := memberlist.DefaultLANConfig()
 	cfg.Name, cfg.Transport, cfg.AdvertiseAddr, cfg.AdvertisePort = Door(i), t, ip.String(), port
 	cfg.Logger = log.New(io.Discard, "", 0)
-	events := &heard{on: on, self: Door(i)}
+	events := &eventDelegate{on: on, self: Door(i)}
 	cfg.Events = events
 	m, err := memberlist.Create(cfg)
 	if err != nil {
@@ -206,7 +206,7 @@
 			}
 		}
 	}()
-	return life{func(byPlan bool) {
+	return runningDoor{func(byPlan bool) {
 		close(done)
 		if byPlan {
 			_ = m.Leave(time.Second)
@@ -215,47 +215,47 @@
 	}}
 }
 
-type heard struct {
+type eventDelegate struct {
 	on   func(about, from, to string)
 	self string
 }
 
-func (h *heard) tell(n *memberlist.Node, from, to string) {
+func (h *eventDelegate) report(n *memberlist.Node, from, to string) {
 	if n.Name != h.self {
 		h.on(n.Name, from, to)
 	}
 }
-func (h *heard) NotifyJoin(n *memberlist.Node) { h.tell(n, "away", "here") }
-func (h *heard) NotifyLeave(n *memberlist.Node) {
+func (h *eventDelegate) NotifyJoin(n *memberlist.Node) { h.report(n, "away", "here") }
+func (h *eventDelegate) NotifyLeave(n *memberlist.Node) {
 	to := "away"
 	if n.State == memberlist.StateLeft {
 		to = "left"
 	}
-	h.tell(n, "here", to)
+	h.report(n, "here", to)
 }
-func (h *heard) NotifyUpdate(*memberlist.Node) {}
+func (h *eventDelegate) NotifyUpdate(*memberlist.Node) {}
 
-// bubbled plays a plan on a whole stack in virtual time and judges it.
-func bubbled(t *testing.T, p *Plan, start starter) (b []check.Breach, f check.Figures, packets, bytes float64) {
+// runInBubble plays a plan on a whole stack in virtual time and judges it.
+func runInBubble(t *testing.T, p *Plan, start starter) (b []check.Violation, f check.Figures, packets, bytes float64) {
 	synctest.Test(t, func(*testing.T) {
 		s := &stack{Plan: p}
 		var h []check.Event
-		h, packets, bytes = s.play(start)
-		b, f = check.Judge(&p.Truth, h, p.Limits())
+		h, packets, bytes = s.run(start)
+		b, f = check.Verify(&p.Truth, h, p.checkLimits())
 	})
 	return b, f, packets, bytes
 }
 
 // onStack are the schedules that a bubble can play: it can't stop a process.
-var onStack = []string{"crash", "unheard", "deaf", "half-heard", "pair", "zone-out", "zone-in", "loss", "return", "herd", "split", "start", "leave"}
+var stackSchedules = []string{"crash", "unheard", "deaf", "half-heard", "pair", "zone-out", "zone-in", "loss", "return", "herd", "split", "start", "leave"}
 
 func TestTheStackKeepsTheSchedules(t *testing.T) {
-	for _, name := range onStack {
+	for _, name := range stackSchedules {
 		for seed := range *seedsWanted {
 			t.Run(fmt.Sprint(name, "/", seed), func(t *testing.T) {
 				t.Parallel()
-				p := small(t, name, *doorsWanted).Draw(uint64(seed))
-				b, f, packets, bytes := bubbled(t, p, driven)
+				p := shortSchedule(t, name, *doorsWanted).Draw(uint64(seed))
+				b, f, packets, bytes := runInBubble(t, p, startDriver)
 				assert.Empty(t, b)
 				t.Logf("%s %d doors: known %.0f ms, one view %.0f ms, changes %d, wrong %d, doubt %.0f; quiet: %.1f packets, %.0f bytes a second", name,
 					p.Fleet.Doors, check.At(f.Known, 99), f.One, f.Changes, f.Wrong, f.Doubt, packets, bytes)
@@ -264,11 +264,11 @@
 	}
 }
 
-func TestTheLibrarysOwnDetectorIsBlindToHalfACutAndLate(t *testing.T) {
-	b, f, _, _ := bubbled(t, small(t, "half-heard", 12).Draw(0), library)
-	assert.True(t, hasRule(&Result{Breaches: b}, check.Doubted), "%v %v", b, f)
-	b, f, _, _ = bubbled(t, small(t, "crash", 12).Draw(0), library)
-	assert.True(t, hasRule(&Result{Breaches: b}, check.Known), "%v", b)
+func TestMemberlistMissesPartialCutAndDetectsLate(t *testing.T) {
+	b, f, _, _ := runInBubble(t, shortSchedule(t, "half-heard", 12).Draw(0), startMemberlist)
+	assert.True(t, hasRule(&Result{Breaches: b}, check.RulePartialCutSuspected), "%v %v", b, f)
+	b, f, _, _ = runInBubble(t, shortSchedule(t, "crash", 12).Draw(0), startMemberlist)
+	assert.True(t, hasRule(&Result{Breaches: b}, check.RuleDeathsDetected), "%v", b)
 	require.NotEmpty(t, f.Known)
 }
 
@@ -277,10 +277,10 @@
 	if !testing.Verbose() || *seedsWanted == 1 {
 		t.Skip("go test ./lab/procs -run LibraryBeside -v -seeds 5")
 	}
-	for _, name := range onStack {
+	for _, name := range stackSchedules {
 		for seed := range *seedsWanted {
-			p := small(t, name, *doorsWanted).Draw(uint64(seed))
-			b, f, packets, bytes := bubbled(t, p, library)
+			p := shortSchedule(t, name, *doorsWanted).Draw(uint64(seed))
+			b, f, packets, bytes := runInBubble(t, p, startMemberlist)
 			rules := map[string]int{}
 			for _, x := range b {
 				rules[x.Rule]++
--- a/lab/procs/virtual.go
+++ b/lab/procs/virtual.go
@@ -27,46 +27,46 @@
 
 // Result is what one play came to.
 type Result struct {
-	Schedule string         `json:"schedule"`
-	Shows    string         `json:"shows"`
-	On       string         `json:"on"`
-	Who      string         `json:"who"`
-	Seed     uint64         `json:"seed"`
-	Doors    int            `json:"doors"`
-	Breaches []check.Breach `json:"breaches"`
-	Figures  check.Figures  `json:"figures"`
-	Messages float64        `json:"messages_per_s"` // sent by a door, a second
-	Bytes    float64        `json:"bytes_per_s"`
-	Truth    check.Truth    `json:"-"`
-	CPU      float64        `json:"cpu_ms_per_s,omitempty"` // on processes, of the middle door
-	Resident float64        `json:"resident_mb,omitempty"`
-	Asked    int            `json:"asked,omitempty"` // on processes, of doors that nothing befell
-	Finished int            `json:"finished,omitempty"`
-	History  []check.Event  `json:"history"`
+	Schedule string            `json:"schedule"`
+	Shows    string            `json:"shows"`
+	On       string            `json:"on"`
+	Who      string            `json:"who"`
+	Seed     uint64            `json:"seed"`
+	Doors    int               `json:"doors"`
+	Breaches []check.Violation `json:"breaches"`
+	Figures  check.Figures     `json:"figures"`
+	Messages float64           `json:"messages_per_s"` // sent by a door, a second
+	Bytes    float64           `json:"bytes_per_s"`
+	Truth    check.Truth       `json:"-"`
+	CPU      float64           `json:"cpu_ms_per_s,omitempty"` // on processes, of the middle door
+	Resident float64           `json:"resident_mb,omitempty"`
+	Asked    int               `json:"asked,omitempty"` // on processes, of doors that nothing befell
+	Finished int               `json:"finished,omitempty"`
+	History  []check.Event     `json:"history"`
 }
 
 const (
-	warmup    = 8000.0 // ms before the day in which the doors find each other
-	joinAgain = 1000.0 // ms between tries to find a door
-	seeds     = 3      // doors that all others are told of
-	buffer    = 1000   // datagrams that wait for a process that is stopped; the rest is lost
-	sampled   = 64     // one in so many messages is encoded, for the bytes
-	lateBy    = 30.0   // ms by which a reordered datagram comes later
+	warmUpMs           = 8000.0 // ms before the day in which the doors find each other
+	joinRetryMs        = 1000.0 // ms between tries to find a door
+	seedDoors          = 3      // doors that all others are told of
+	maxBuffered        = 1000   // datagrams that wait for a process that is stopped; the rest is lost
+	sizeSampleInterval = 64     // one in so many messages is encoded, for the bytes
+	reorderDelayMs     = 30.0   // ms by which a reordered datagram comes later
 )
 
-// due is one thing that happens.
-type due struct {
-	at    float64
-	order int
-	door  int // -1 for none
-	life  int
-	ev    members.Event
-	do    func()
+// scheduled is one thing that happens.
+type scheduled struct {
+	at          float64
+	order       int
+	door        int // -1 for none
+	incarnation int
+	event       members.Event
+	do          func()
 }
 
-type queue []due
+type timeQueue []scheduled
 
-func (q *queue) push(d due) {
+func (q *timeQueue) push(d scheduled) {
 	*q = append(*q, d)
 	h := *q
 	for i := len(h) - 1; i > 0; {
@@ -79,11 +79,11 @@
 	}
 }
 
-func (q *queue) pop() due {
+func (q *timeQueue) pop() scheduled {
 	h := *q
 	top, last := h[0], len(h)-1
 	h[0] = h[last]
-	h[last] = due{}
+	h[last] = scheduled{}
 	h = h[:last]
 	for i := 0; ; {
 		l := 2*i + 1
@@ -103,37 +103,39 @@
 	return top
 }
 
-func (d *due) before(o *due) bool { return d.at < o.at || d.at == o.at && d.order < o.order }
-
-// machine is one door's process.
-type machine struct {
-	peer    members.Peer
-	det     Detector
-	up      bool
-	paused  bool
-	life    int
-	waiting []members.Event
-	tickAt  float64
-	ticking bool
-	joined  bool
-	last    float64
+func (d *scheduled) before(o *scheduled) bool {
+	return d.at < o.at || d.at == o.at && d.order < o.order
 }
 
-// world plays a plan in virtual time.
-type world struct {
+// virtualDoor is one door's process.
+type virtualDoor struct {
+	peer        members.Peer
+	detector    Detector
+	up          bool
+	paused      bool
+	incarnation int
+	buffered    []members.Event
+	tickAt      float64
+	tickPending bool
+	joined      bool
+	last        float64
+}
+
+// simulation plays a plan in virtual time.
+type simulation struct {
 	*Plan
-	make     Maker
-	q        queue
-	now      float64
-	order    int
-	dice     *rand.Rand
-	doors    []*machine
-	fleet    []members.Peer
-	index    map[string]int
-	history  []check.Event
-	refused  int
-	messages int
-	bytes    float64
+	newDetector   Maker
+	queue         timeQueue
+	now           float64
+	order         int
+	rng           *rand.Rand
+	doors         []*virtualDoor
+	fleet         []members.Peer
+	byAddress     map[string]int
+	history       []check.Event
+	nameConflicts int
+	messages      int
+	bytes         float64
 }
 
 // Door names a door, the same in virtual time and on processes.
@@ -141,30 +143,30 @@
 
 // Play plays a plan in virtual time and judges it.
 func (p *Plan) Play(ctx context.Context, who string, make Maker) (*Result, error) {
-	w := &world{Plan: p, make: make, dice: rand.New(rand.NewPCG(p.Seed, 7)), now: -warmup, index: map[string]int{}}
+	w := &simulation{Plan: p, newDetector: make, rng: rand.New(rand.NewPCG(p.Seed, 7)), now: -warmUpMs, byAddress: map[string]int{}}
 	for i := range p.Fleet.Doors {
 		peer := members.Peer{Name: Door(i), Address: fmt.Sprintf("10.0.%d.%d:7946", i/250, i%250), Zone: fmt.Sprint("z", p.Truth.Zones[i]), Number: i}
 		w.fleet = append(w.fleet, peer)
-		w.index[peer.Address] = i
-		w.doors = append(w.doors, &machine{peer: peer})
+		w.byAddress[peer.Address] = i
+		w.doors = append(w.doors, &virtualDoor{peer: peer})
 	}
-	for i, x := range p.Names { // further processes under doors' names, at addresses of their own
+	for i, x := range p.Namesakes { // further processes under doors' names, at addresses of their own
 		peer := w.fleet[x.Door]
 		peer.Address = fmt.Sprintf("10.9.0.%d:7946", i)
 		at := len(w.doors)
-		w.index[peer.Address] = at
-		w.doors = append(w.doors, &machine{peer: peer})
-		w.at(x.AtMs, func() { w.start(at) })
+		w.byAddress[peer.Address] = at
+		w.doors = append(w.doors, &virtualDoor{peer: peer})
+		w.runAt(x.AtMs, func() { w.start(at) })
 	}
 	for i := range w.fleet {
-		w.schedule(i)
+		w.scheduleDoor(i)
 	}
 	end := p.Truth.EndMs
-	for steps := 0; len(w.q) > 0; steps++ {
+	for steps := 0; len(w.queue) > 0; steps++ {
 		if steps%65536 == 0 && ctx.Err() != nil {
 			return nil, &StoppedError{w.now / msPerSecond, ctx.Err()}
 		}
-		d := w.q.pop()
+		d := w.queue.pop()
 		if d.at > end {
 			break
 		}
@@ -175,63 +177,63 @@
 		}
 		m := w.doors[d.door]
 		switch {
-		case !m.up || m.life != d.life:
+		case !m.up || m.incarnation != d.incarnation:
 		case m.paused:
-			if _, tick := d.ev.(members.Tick); tick {
-				m.ticking = false
-			} else if len(m.waiting) < buffer {
-				m.waiting = append(m.waiting, d.ev)
+			if _, tick := d.event.(members.Tick); tick {
+				m.tickPending = false
+			} else if len(m.buffered) < maxBuffered {
+				m.buffered = append(m.buffered, d.event)
 			}
 		default:
-			w.step(d.door, d.ev)
+			w.step(d.door, d.event)
 		}
 	}
-	seconds := (end + warmup) / msPerSecond * float64(p.Fleet.Doors)
+	seconds := (end + warmUpMs) / msPerSecond * float64(p.Fleet.Doors)
 	r := &Result{Schedule: p.Name, Shows: p.Shows, On: "simulated", Who: who, Seed: p.Seed, Doors: p.Fleet.Doors, Truth: p.Truth, History: w.history,
 		Messages: float64(w.messages) / seconds, Bytes: w.bytes / seconds}
-	r.Breaches, r.Figures = check.Judge(&p.Truth, r.History, p.Limits())
-	r.standBack(p, w.refused)
+	r.Breaches, r.Figures = check.Verify(&p.Truth, r.History, p.checkLimits())
+	r.checkNamesakes(p, w.nameConflicts)
 	return r, nil
 }
 
-// standBack tells of doors under others' names that did not find out.
-func (r *Result) standBack(p *Plan, refused int) {
-	if len(p.Names) > refused {
-		r.Breaches = append(r.Breaches, check.Breach{Rule: StandBack, Text: fmt.Sprintf("%d of %d said that their name is taken", refused, len(p.Names))})
+// checkNamesakes tells of doors under others' names that did not find out.
+func (r *Result) checkNamesakes(p *Plan, refused int) {
+	if len(p.Namesakes) > refused {
+		r.Breaches = append(r.Breaches, check.Violation{Rule: RuleNamesakeYields, Text: fmt.Sprintf("%d of %d said that their name is taken", refused, len(p.Namesakes))})
 	}
 }
 
-// Limits are what the schedule says must hold.
-func (p *Plan) Limits() check.Limits {
-	m := p.Must
-	return check.Limits{KnownMs: m.KnownMs, BackMs: m.BackMs, AgreeMs: m.AgreeMs, OneMs: m.OneMs, DoubtMs: m.DoubtMs, Changes: m.Changes, AnyWrong: m.AnyWrong}
+// checkLimits are what the schedule says must hold.
+func (p *Plan) checkLimits() check.Limits {
+	m := p.Limits
+	return check.Limits{DetectionMs: m.DetectionMs, RecoveryMs: m.RecoveryMs, AgreementMs: m.AgreementMs, ConvergenceMs: m.ConvergenceMs, SuspicionMs: m.SuspicionMs, VerdictChanges: m.VerdictChanges, AllowFalseAway: m.AllowFalseAway}
 }
 
-func (w *world) at(t float64, do func()) {
+func (w *simulation) runAt(t float64, do func()) {
 	w.order++
-	w.q.push(due{at: t, order: w.order, door: -1, do: do})
+	w.queue.push(scheduled{at: t, order: w.order, door: -1, do: do})
 }
 
-// schedule puts in what befalls one door.
-func (w *world) schedule(i int) {
+// scheduleDoor puts in what befalls one door.
+func (w *simulation) scheduleDoor(i int) {
 	m := w.doors[i]
-	from := -warmup + w.dice.Float64()*msPerSecond
-	if w.Start[i] > 0 {
-		from = w.Start[i] + w.dice.Float64()*msPerSecond
+	from := -warmUpMs + w.rng.Float64()*msPerSecond
+	if w.StartMs[i] > 0 {
+		from = w.StartMs[i] + w.rng.Float64()*msPerSecond
 	}
-	w.at(from, func() { w.start(i) })
+	w.runAt(from, func() { w.start(i) })
 	for _, s := range w.Truth.Paused[i] {
-		w.at(s.From, func() { m.paused = true })
-		w.at(s.To, func() { w.wake(i) })
+		w.runAt(s.From, func() { m.paused = true })
+		w.runAt(s.To, func() { w.resume(i) })
 	}
 	for _, s := range w.Truth.Dead[i] {
-		w.at(s.From, func() { m.up = false })
+		w.runAt(s.From, func() { m.up = false })
 		if s.To < w.Truth.EndMs {
-			w.at(s.To, func() { w.start(i) })
+			w.runAt(s.To, func() { w.start(i) })
 		}
 	}
-	if w.Truth.Left[i] < w.Truth.EndMs {
-		w.at(w.Truth.Left[i], func() {
+	if w.Truth.LeaveAt[i] < w.Truth.EndMs {
+		w.runAt(w.Truth.LeaveAt[i], func() {
 			if m.up {
 				w.step(i, members.Leave{})
 			}
@@ -239,34 +241,34 @@
 	}
 }
 
-// note puts an event into the history; what a further process under a door's name holds is no part of it.
-func (w *world) note(e check.Event) {
+// record puts an event into the history; what a further process under a door's name holds is no part of it.
+func (w *simulation) record(e check.Event) {
 	if e.Door < w.Fleet.Doors && e.About < w.Fleet.Doors {
 		e.At = w.now
 		w.history = append(w.history, e)
 	}
 }
 
-// way is the place of a directed pair in the plan; -1 where the plan does nothing to it.
-func (w *world) way(a, b int) int {
+// link is the place of a directed pair in the plan; -1 where the plan does nothing to it.
+func (w *simulation) link(a, b int) int {
 	if n := w.Fleet.Doors; a < n && b < n {
 		return a*n + b
 	}
 	return -1
 }
 
-func (w *world) start(i int) {
+func (w *simulation) start(i int) {
 	m := w.doors[i]
-	m.life++
-	m.up, m.paused, m.waiting, m.joined, m.ticking = true, false, nil, false, false
-	m.peer.Nonce = w.dice.Uint64() >> 12
-	m.det = w.make(m.peer, w.fleet, w.Seed<<20+uint64(i)<<8+uint64(m.life))
-	w.note(check.Event{Door: i, About: i, From: "born"})
-	w.tick(i)
+	m.incarnation++
+	m.up, m.paused, m.buffered, m.joined, m.tickPending = true, false, nil, false, false
+	m.peer.Nonce = w.rng.Uint64() >> 12
+	m.detector = w.newDetector(m.peer, w.fleet, w.Seed<<20+uint64(i)<<8+uint64(m.incarnation))
+	w.record(check.Event{Door: i, About: i, From: "born"})
+	w.scheduleTick(i)
 	w.join(i)
 }
 
-func (w *world) wake(i int) {
+func (w *simulation) resume(i int) {
 	m := w.doors[i]
 	if !m.paused {
 		return
@@ -275,58 +277,58 @@
 	if !m.up {
 		return
 	}
-	waited := m.waiting
-	m.waiting = nil
+	waited := m.buffered
+	m.buffered = nil
 	for _, ev := range waited {
 		w.step(i, ev)
 	}
-	if !m.ticking {
+	if !m.tickPending {
 		w.step(i, members.Tick{})
 	}
 }
 
-// tick has a door's tick come in time.
-func (w *world) tick(i int) {
+// scheduleTick has a door's scheduleTick come in time.
+func (w *simulation) scheduleTick(i int) {
 	m := w.doors[i]
-	m.ticking = true
+	m.tickPending = true
 	w.order++
-	w.q.push(due{at: w.now + members.TickEvery, order: w.order, door: i, life: m.life, ev: members.Tick{}})
+	w.queue.push(scheduled{at: w.now + members.TickEvery, order: w.order, door: i, incarnation: m.incarnation, event: members.Tick{}})
 }
 
 // join has a door find others through those that all are told of.
-func (w *world) join(i int) {
-	m, life := w.doors[i], w.doors[i].life
+func (w *simulation) join(i int) {
+	m, life := w.doors[i], w.doors[i].incarnation
 	if m.joined || !m.up {
 		return
 	}
-	for range seeds {
-		j := w.dice.IntN(min(seeds, len(w.doors)))
+	for range seedDoors {
+		j := w.rng.IntN(min(seedDoors, len(w.doors)))
 		if j != i {
-			w.meet(i, j, func() { m.joined = true })
+			w.exchangeStates(i, j, func() { m.joined = true })
 			break
 		}
 	}
-	w.at(w.now+joinAgain, func() {
-		if m.life == life {
+	w.runAt(w.now+joinRetryMs, func() {
+		if m.incarnation == life {
 			w.join(i)
 		}
 	})
 }
 
-// meet exchanges whole states over a connection: both ways must be open.
-func (w *world) meet(i, j int, done func()) {
-	if w.cut(i, j) || w.cut(j, i) {
+// exchangeStates exchanges whole states over a connection: both ways must be open.
+func (w *simulation) exchangeStates(i, j int, done func()) {
+	if w.isCut(i, j) || w.isCut(j, i) {
 		return
 	}
-	mine, life := w.doors[i].det.All(), w.doors[i].life
-	w.at(w.now+w.delay(i, j), func() {
+	mine, life := w.doors[i].detector.All(), w.doors[i].incarnation
+	w.runAt(w.now+w.linkDelay(i, j), func() {
 		if m := w.doors[j]; !m.up || m.paused {
 			return
 		}
-		theirs := w.doors[j].det.All()
+		theirs := w.doors[j].detector.All()
 		w.step(j, members.RemoteState{Records: mine})
-		w.at(w.now+w.delay(j, i), func() {
-			if m := w.doors[i]; m.up && !m.paused && m.life == life {
+		w.runAt(w.now+w.linkDelay(j, i), func() {
+			if m := w.doors[i]; m.up && !m.paused && m.incarnation == life {
 				if done != nil {
 					done()
 				}
@@ -336,79 +338,79 @@
 	})
 }
 
-func (w *world) cut(a, b int) bool {
-	way := w.way(a, b)
+func (w *simulation) isCut(a, b int) bool {
+	way := w.link(a, b)
 	for i := range w.Truth.Cuts {
-		if c := &w.Truth.Cuts[i]; way >= 0 && c.Way[way] && w.now >= c.From && w.now < c.To {
+		if c := &w.Truth.Cuts[i]; way >= 0 && c.Links[way] && w.now >= c.From && w.now < c.To {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) delay(a, b int) float64 {
-	way := w.way(a, b)
-	d := w.Net.DelayMs.At(w.dice.Float64())
+func (w *simulation) linkDelay(a, b int) float64 {
+	way := w.link(a, b)
+	d := w.Net.DelayMs.At(w.rng.Float64())
 	if len(w.Delay) > 0 {
-		d += in(w.Delay, way, w.now) * w.dice.Float64()
+		d += amountAt(w.Delay, way, w.now) * w.rng.Float64()
 	}
-	if len(w.Late) > 0 && w.dice.Float64() < in(w.Late, way, w.now) {
-		d += lateBy
+	if len(w.Reorder) > 0 && w.rng.Float64() < amountAt(w.Reorder, way, w.now) {
+		d += reorderDelayMs
 	}
 	return d
 }
 
 // step has one door take an event in, and carries its actions out.
-func (w *world) step(i int, ev members.Event) {
+func (w *simulation) step(i int, ev members.Event) {
 	m := w.doors[i]
-	for _, a := range m.det.Step(w.now, ev) {
+	for _, a := range m.detector.Step(w.now, ev) {
 		switch a := a.(type) {
 		case members.Send:
 			w.send(i, a)
 		case members.PushPull:
-			if j, ok := w.index[a.With.Address]; ok {
-				w.meet(i, j, nil)
+			if j, ok := w.byAddress[a.With.Address]; ok {
+				w.exchangeStates(i, j, nil)
 			}
 		case members.Changed:
-			w.note(check.Event{Door: i, About: w.index[a.Address], From: a.From.String(), To: a.To.String(), Life: a.Incarnation, Why: a.Reason})
+			w.record(check.Event{Door: i, About: w.byAddress[a.Address], From: a.From.String(), To: a.To.String(), Incarnation: a.Incarnation, Reason: a.Reason})
 		case members.NameConflict:
 			if a.Err != nil {
-				w.refused++
+				w.nameConflicts++
 			}
 		case members.Departed:
 			m.up = false
 		}
 	}
 	if _, tick := ev.(members.Tick); tick && m.up {
-		w.tick(i)
+		w.scheduleTick(i)
 	}
 }
 
-func (w *world) send(i int, s members.Send) {
-	j, ok := w.index[s.To.Address]
+func (w *simulation) send(i int, s members.Send) {
+	j, ok := w.byAddress[s.To.Address]
 	if !ok {
 		return
 	}
-	if w.messages++; w.messages%sampled == 0 {
+	if w.messages++; w.messages%sizeSampleInterval == 0 {
 		raw, _ := json.Marshal(s.Message)
-		w.bytes += float64(sampled * len(raw))
+		w.bytes += float64(sizeSampleInterval * len(raw))
 	}
-	way := w.way(i, j)
-	if loss := max(w.Net.Loss, in(w.Loss, way, w.now)); w.cut(i, j) || loss > 0 && w.dice.Float64() < loss {
+	way := w.link(i, j)
+	if loss := max(w.Net.Loss, amountAt(w.Loss, way, w.now)); w.isCut(i, j) || loss > 0 && w.rng.Float64() < loss {
 		return
 	}
 	copies := 1
-	if len(w.Twice) > 0 && w.dice.Float64() < in(w.Twice, way, w.now) {
+	if len(w.Duplicate) > 0 && w.rng.Float64() < amountAt(w.Duplicate, way, w.now) {
 		copies = 2
 	}
 	for range copies {
 		w.order++
-		w.q.push(due{at: w.now + w.delay(i, j), order: w.order, door: j, life: w.doors[j].life, ev: members.Received{Message: s.Message}})
+		w.queue.push(scheduled{at: w.now + w.linkDelay(i, j), order: w.order, door: j, incarnation: w.doors[j].incarnation, event: members.Received{Message: s.Message}})
 	}
 }
 
-// Sorted puts a history in the order of time.
-func Sorted(h []check.Event) []check.Event {
+// SortByTime puts a history in the order of time.
+func SortByTime(h []check.Event) []check.Event {
 	sort.SliceStable(h, func(a, b int) bool { return h[a].At < h[b].At })
 	return h
 }
--- a/lab/procs/virtual_test.go
+++ b/lab/procs/virtual_test.go
@@ -12,13 +12,13 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// small opens a schedule that ships, cut down for a test of seconds.
-func small(t *testing.T, name string, doors int) *Schedule {
+// shortSchedule opens a schedule that ships, cut down for a test of seconds.
+func shortSchedule(t *testing.T, name string, doors int) *Schedule {
 	s, err := Open(name)
 	require.NoError(t, err)
 	s.Fleet.Doors = max(doors, s.Fleet.Doors)
-	if s.Day.Seconds > 300 {
-		s.Day.Seconds = 120
+	if s.Length.Seconds > 300 {
+		s.Length.Seconds = 120
 		for i := range s.Faults {
 			s.Faults[i].ForS = min(s.Faults[i].ForS, 110)
 		}
@@ -32,7 +32,7 @@
 			for _, doors := range []int{12, 40} {
 				t.Run(fmt.Sprint(name, "/", doors, "/", seed), func(t *testing.T) {
 					t.Parallel()
-					r, err := small(t, name, doors).Draw(seed).Play(context.Background(), "module", Module)
+					r, err := shortSchedule(t, name, doors).Draw(seed).Play(context.Background(), "module", Module)
 					require.NoError(t, err)
 					assert.Empty(t, r.Breaches)
 					assert.NotEmpty(t, r.History)
@@ -44,7 +44,7 @@
 
 func TestTheSameSeedGivesTheSameHistory(t *testing.T) {
 	play := func(seed uint64) *Result {
-		r, err := small(t, "herd", 12).Draw(seed).Play(context.Background(), "module", Module)
+		r, err := shortSchedule(t, "herd", 12).Draw(seed).Play(context.Background(), "module", Module)
 		require.NoError(t, err)
 		return r
 	}
@@ -52,10 +52,10 @@
 	assert.NotEqual(t, play(3).History, play(4).History)
 }
 
-func TestPlainHeartbeatsTakeThePausedForDeadAndAlternate(t *testing.T) {
-	r, err := small(t, "half-heard", 12).Draw(1).Play(context.Background(), "heartbeats", Heartbeats)
+func TestHeartbeatsDisagreeDuringPartialCut(t *testing.T) {
+	r, err := shortSchedule(t, "half-heard", 12).Draw(1).Play(context.Background(), "heartbeats", Heartbeats)
 	require.NoError(t, err)
-	assert.True(t, hasRule(r, check.Agree), "those who hear it and those who don't hold different verdicts: %v", r.Breaches)
+	assert.True(t, hasRule(r, check.RuleAgreement), "those who hear it and those who don't hold different verdicts: %v", r.Breaches)
 }
 
 func hasRule(r *Result, rule string) bool {
@@ -67,7 +67,7 @@
 	return false
 }
 
-func TestAFaultyScheduleIsToldByItsKey(t *testing.T) {
+func TestInvalidScheduleErrorNamesItsKey(t *testing.T) {
 	for key, text := range map[string]string{
 		"fault[0].kind":     "[[fault]]\nkind = \"quake\"",
 		"fault[0].at_s":     "[[fault]]\nkind = \"kill\"\ndoors = [1]\nat_s = 99",
