--- a/lab/procs/check/check.go
+++ b/lab/procs/check/check.go
@@ -1,5 +1,6 @@
-// Package check judges a history of what the doors of a fleet held of each other against what truly was. It shares no code
-// with what it judges, knows true times, and asks no door.
+// Package check verifies a history of membership verdicts, the state in which each door of a fleet considered each other door,
+// against the faults that were actually injected. It shares no code with the failure detector under test, knows the true
+// times, and queries no door.
 package check
 
 import (
@@ -9,81 +10,85 @@
 	"sort"
 )
 
-// Never is a time that doesn't come.
+// Never is a time that is never reached.
 var Never = math.Inf(1)
 
-// Interval is a time in which something is so, ms of the day.
+// Interval is a time span, in ms since the start of the run; To is exclusive, and Never for an open end.
 type Interval struct{ From, To float64 }
 
 func (s Interval) contains(t float64) bool        { return t >= s.From && t < s.To }
 func (s Interval) overlaps(from, to float64) bool { return s.From < to && from < s.To }
 
-// Cut is ways that let nothing through.
+// Cut is an interval during which some directed links let nothing through.
 type Cut struct {
 	Interval
-	Links []bool // by from*doors+to
+	Links []bool // cut links, indexed by from*doors+to
 }
 
-// Truth is what truly was.
+// Truth is the ground truth of a run: the faults that were injected, by door.
 type Truth struct {
 	Doors     int
 	Zones     []int
-	StartedAt []float64 // when each door was first started
-	Paused    [][]Interval
-	Dead      [][]Interval
-	LeaveAt   []float64 // when it was told to leave; Never
+	StartedAt []float64    // when each door was first started, ms
+	Paused    [][]Interval // when its process was stopped
+	Dead      [][]Interval // from a kill to the next start
+	LeaveAt   []float64    // when it was asked to leave, ms; Never if it was not
 	Cuts      []Cut
 	EndMs     float64
 }
 
-// Event is one thing that one door held, or that befell it.
+// Event is one change of the state in which one door considers another, or, with From "born", the start of a door's process.
 type Event struct {
 	At          float64 `json:"at_ms"`
-	Door        int     `json:"door"`  // that held it
-	About       int     `json:"about"` // whom
+	Door        int     `json:"door"`  // whose view changed
+	About       int     `json:"about"` // the door that the view is of
 	From        string  `json:"from"`
 	To          string  `json:"to"`
 	Incarnation uint32  `json:"life"`
 	Reason      string  `json:"why,omitempty"`
 }
 
-// Violation is one thing that must not be.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule string  `json:"rule"`
 	At   float64 `json:"at_ms"`
 	Text string  `json:"text"`
 }
 
-// Limits are what is checked; 0 is not.
+// Limits are the bounds that Verify checks. A time of 0 is not checked.
 type Limits struct {
+	// DetectionMs bounds the 99th percentile of the time from a death until each healthy door considers the member away,
+	// RecoveryMs the time from the end of a pause until each considers it here again, AgreementMs the time from the start of a
+	// cut until all doors that can receive agree, ConvergenceMs the time from the end of the last fault until every view is
+	// correct, and SuspicionMs the time from the start of a cut until a partially cut member is suspected.
 	DetectionMs, RecoveryMs, AgreementMs, ConvergenceMs, SuspicionMs float64
-	VerdictChanges                                                   int // of a verdict during a cut
-	AllowFalseAway                                                   bool
+	VerdictChanges                                                   int  // maximum changes of one verdict during a cut; 0 for one
+	AllowFalseAway                                                   bool // healthy members may be considered away
 }
 
-// Rules.
+// Names of the rules, as violations report them.
 const (
-	RuleNoFalseAway         = "nobody wrongly away"
-	RuleDeathsDetected      = "deaths known"
-	RulePausedRecover       = "the paused back"
-	RuleStableVerdict       = "one change of verdict"
-	RuleAgreement           = "one verdict at all that hear"
-	RuleConvergence         = "one view"
-	RuleNoResurrection      = "nobody raised from the dead"
-	RulePartialCutSuspected = "not blind to a cut"
+	RuleNoFalseAway         = "no healthy member considered away"
+	RuleDeathsDetected      = "deaths detected in time"
+	RulePausedRecover       = "paused members recover in time"
+	RuleStableVerdict       = "verdicts stable during a cut"
+	RuleAgreement           = "doors that receive agree during a cut"
+	RuleConvergence         = "all views converge"
+	RuleNoResurrection      = "no dead member considered here again"
+	RulePartialCutSuspected = "partially cut member suspected in time"
 )
 
-// Figures are what was measured on the way.
+// Figures are the measurements that Verify takes from a history.
 type Figures struct {
-	Known   []float64 `json:"known_ms"` // of a death, at each door
-	Back    []float64 `json:"back_ms"`  // of waking, at each door
-	One     float64   `json:"one_ms"`   // from the last fault's end to one view; -1 where it never came
-	Changes int       `json:"changes"`  // most of one verdict during a cut
-	Wrong   int       `json:"wrong"`    // healthy members held to be away
-	Doubt   float64   `json:"doubt_ms"` // from a cut's beginning to the first doubt of one cut off in part; -1 for none
+	Known   []float64 `json:"known_ms"` // from a death until it was detected, for each healthy door; Never where it was not
+	Back    []float64 `json:"back_ms"`  // from the end of a pause until the member was considered here, for each door; Never where it was not
+	One     float64   `json:"one_ms"`   // from the end of the last fault until all views were correct; -1 if they never were
+	Changes int       `json:"changes"`  // largest number of changes of one verdict during a cut
+	Wrong   int       `json:"wrong"`    // verdicts "away" on healthy, reachable members
+	Doubt   float64   `json:"doubt_ms"` // from the start of a cut until a partially cut member was first suspected; -1 for never
 }
 
-// At returns a quantile, 0 to 100, of some figures; 0 of none.
+// At returns the given percentile, 0 to 100, of some figures, and 0 if there are none.
 func At(of []float64, q float64) float64 {
 	if len(of) == 0 {
 		return 0
@@ -94,18 +99,18 @@
 }
 
 const (
-	longPauseMs       = 1000.0 // ms of a pause from which a member may be held to be away,
-	settleMs          = 4000.0 // and for so long after it, or after a death or a cut, ms: news is on its way
-	maxIncomingCut    = 0.5    // share of the others that a door must be able to hear, to count as one that can
-	minPartialCut     = 0.3    // share of the ways from a member that make it cut off in part,
-	maxPartialCut     = 0.7    // and at which it may be held to be away
-	detectionQuantile = 99.0
+	longPauseMs       = 1000.0 // a member that was paused for longer than this, in ms, may be considered away
+	settleMs          = 4000.0 // so may one during this time, in ms, after a long pause, a death or a cut: updates still propagate
+	maxIncomingCut    = 0.5    // a door with a larger share of its incoming links cut doesn't count as one that can receive
+	minPartialCut     = 0.3    // share of a member's links, in either direction, from which it counts as partially cut
+	maxPartialCut     = 0.7    // share at which it may be considered away
+	detectionQuantile = 99.0   // percentile of the detection times that is checked
 )
 
-// view is who holds what, as time passes.
+// view is the current state of every door in the view of every other, while a history is replayed.
 type view struct {
 	n      int
-	states [][]string // by door, by whom
+	states [][]string // by observing door, then by observed door
 }
 
 func newView(n int) *view {
@@ -117,14 +122,14 @@
 }
 
 func (v *view) apply(e *Event) {
-	if e.From == "born" { // a new process knows nobody
+	if e.From == "born" { // a new process knows no other
 		clear(v.states[e.Door])
 		return
 	}
 	v.states[e.Door][e.About] = e.To
 }
 
-// countsAsHere tells whether a state counts as being here.
+// countsAsHere reports whether a member in a state is a reachable member of the fleet.
 func countsAsHere(state string) bool {
 	return state == "here" || state == "doubted" || state == "leaving"
 }
@@ -133,12 +138,12 @@
 	return slices.ContainsFunc(of[d], func(s Interval) bool { return s.contains(at) })
 }
 
-// up tells whether a door's process runs.
+// up reports whether a door's process is running, if possibly paused.
 func (t *Truth) up(d int, at float64) bool {
 	return at >= t.StartedAt[d] && !t.during(t.Dead, d, at) && at < t.LeaveAt[d]
 }
 
-// healthy tells whether a door ran without a long stop all through a time.
+// healthy reports whether a door ran without a long pause throughout an interval.
 func (t *Truth) healthy(d int, from, to float64) bool {
 	if from < t.StartedAt[d] || to >= t.LeaveAt[d] {
 		return false
@@ -156,7 +161,7 @@
 	return true
 }
 
-// cutWithin tells whether the way from one door to another was cutWithin at some moment of a time.
+// cutWithin reports whether the link from a to b was cut at any time within an interval.
 func (t *Truth) cutWithin(a, b int, from, to float64) bool {
 	for i := range t.Cuts {
 		if c := &t.Cuts[i]; c.Links[a*t.Doors+b] && c.overlaps(from, to) {
@@ -166,7 +171,8 @@
 	return false
 }
 
-// cutShares is the share of the other doors that are up whom a door could not reach, or not hear, at some moment of a time.
+// cutShares is the share of the other doors that are up to which a door could not send (out), or from which it
+// could not receive (in), at any time within an interval.
 func (t *Truth) cutShares(d int, from, to float64) (out, in float64) {
 	n := 0.0
 	for o := range t.Doors {
@@ -187,53 +193,54 @@
 	return out / n, in / n
 }
 
-// lastFaultEnd is when the last fault was over.
+// lastFaultEnd returns the time at which the last fault ended.
 func (t *Truth) lastFaultEnd() (last float64) {
-	see := func(at float64) {
+	include := func(at float64) {
 		if !math.IsInf(at, 1) {
 			last = max(last, at)
 		}
 	}
 	for d := range t.Doors {
-		see(t.LeaveAt[d])
-		see(t.StartedAt[d])
+		include(t.LeaveAt[d])
+		include(t.StartedAt[d])
 		for _, s := range slices.Concat(t.Paused[d], t.Dead[d]) {
-			see(s.From)
-			see(s.To)
+			include(s.From)
+			include(s.To)
 		}
 	}
 	for _, c := range t.Cuts {
-		see(c.From)
-		see(c.To)
+		include(c.From)
+		include(c.To)
 	}
 	return last
 }
 
-// Verify holds a history, in the order of time, against the truth.
-func Verify(t *Truth, history []Event, l Limits) (breaches []Violation, f Figures) {
-	f.One, f.Doubt = -1, -1
-	add := func(rule string, at float64, format string, args ...any) {
+// Verify checks a history, sorted by time, against the ground truth.
+func Verify(t *Truth, history []Event, l Limits) (breaches []Violation, figures Figures) {
+	figures.One, figures.Doubt = -1, -1
+	report := func(rule string, at float64, format string, args ...any) {
 		breaches = append(breaches, Violation{rule, at, fmt.Sprintf(format, args...)})
 	}
-	checkFalseAway(t, history, &f, func(e *Event, why string) {
+	checkFalseAway(t, history, &figures, func(e *Event, reason string) {
 		if !l.AllowFalseAway {
-			add(RuleNoFalseAway, e.At, "door %d held door %d to be away, which %s", e.Door, e.About, why)
+			report(RuleNoFalseAway, e.At, "door %d considered door %d away, which %s", e.Door, e.About, reason)
 		}
 	})
 	checkResurrection(t, history, func(e *Event) {
-		add(RuleNoResurrection, e.At, "door %d held door %d, dead by then, to be %s after %s", e.Door, e.About, e.To, e.From)
+		report(RuleNoResurrection, e.At, "door %d considered door %d, dead by then, to be %s after %s", e.Door, e.About, e.To, e.From)
 	})
-	checkDetection(t, history, l, &f, add)
-	checkRecovery(t, history, l, &f, add)
-	checkCuts(t, history, l, &f, add)
-	checkConvergence(t, history, l, &f, add)
-	return breaches, f
+	checkDetection(t, history, l, &figures, report)
+	checkRecovery(t, history, l, &figures, report)
+	checkCuts(t, history, l, &figures, report)
+	checkConvergence(t, history, l, &figures, report)
+	return breaches, figures
 }
 
+// reportFunc records a violation of a rule.
 type reportFunc func(rule string, at float64, format string, args ...any)
 
-// checkFalseAway looks for members that were well and reachable and held to be away all the same.
-func checkFalseAway(t *Truth, history []Event, f *Figures, tell func(*Event, string)) {
+// checkFalseAway finds members that were considered away although they were healthy and reachable.
+func checkFalseAway(t *Truth, history []Event, figures *Figures, report func(*Event, string)) {
 	for i := range history {
 		e := &history[i]
 		if e.To != "away" || e.Door == e.About {
@@ -244,32 +251,32 @@
 			continue
 		}
 		if t.cutWithin(e.Door, e.About, from, e.At) || t.cutWithin(e.About, e.Door, from, e.At) {
-			continue // the two can't reach each other
+			continue // a cut between the two explains the verdict
 		}
 		if out, in := t.cutShares(e.About, from, e.At); max(out, in) > minPartialCut {
 			continue
 		}
-		// A door on one side of a cut hears of the other side only from those who reach it.
+		// A door on one side of a cut learns about the other side only from doors that can reach it.
 		if out, in := t.cutShares(e.Door, from, e.At); max(out, in) > minPartialCut {
 			continue
 		}
-		f.Wrong++
-		tell(e, "was well and reachable")
+		figures.Wrong++
+		report(e, "was healthy and reachable")
 	}
 }
 
-// checkResurrection looks for the dead that somebody held to be here after having held them to be away.
-func checkResurrection(t *Truth, history []Event, tell func(*Event)) {
+// checkResurrection finds dead members that a door considered away or left and later here again.
+func checkResurrection(t *Truth, history []Event, report func(*Event)) {
 	for i := range history {
 		e := &history[i]
 		if (e.From == "away" || e.From == "left") && (countsAsHere(e.To) || e.To == "joining") && !t.healthy(e.About, max(0, e.At-settleMs), e.At) &&
 			!t.upWithin(e.About, e.At-settleMs, e.At) {
-			tell(e)
+			report(e)
 		}
 	}
 }
 
-// upWithin tells whether a door ran at some moment of a time.
+// upWithin reports whether a door was up at any time within an interval, sampled every 50 ms.
 func (t *Truth) upWithin(d int, from, to float64) bool {
 	const step = 50
 	for at := from; at <= to; at += step {
@@ -280,21 +287,21 @@
 	return t.up(d, to)
 }
 
-// checkDetection looks how long a death for good, or for long, took to be checkDetection at each door that was well.
-func checkDetection(t *Truth, history []Event, l Limits, f *Figures, add reportFunc) {
+// checkDetection measures how long each healthy door took to consider a member away that died for 10 s or more.
+func checkDetection(t *Truth, history []Event, l Limits, figures *Figures, report reportFunc) {
 	if l.DetectionMs == 0 {
 		return
 	}
-	const look = 10e3
-	first := len(f.Known)
+	const windowMs = 10e3
+	first := len(figures.Known)
 	for d := range t.Doors {
 		for _, s := range t.Dead[d] {
-			if s.To-s.From < look {
+			if s.To-s.From < windowMs {
 				continue
 			}
-			told := make([]float64, t.Doors)
-			for i := range told {
-				told[i] = Never
+			detectedAfter := make([]float64, t.Doors)
+			for i := range detectedAfter {
+				detectedAfter[i] = Never
 			}
 			v := newView(t.Doors)
 			for i := range history {
@@ -303,67 +310,68 @@
 					v.apply(e)
 					continue
 				}
-				if e.At > s.From+look {
+				if e.At > s.From+windowMs {
 					break
 				}
-				if e.About == d && e.To == "away" && math.IsInf(told[e.Door], 1) {
-					told[e.Door] = e.At - s.From
+				if e.About == d && e.To == "away" && math.IsInf(detectedAfter[e.Door], 1) {
+					detectedAfter[e.Door] = e.At - s.From
 				}
 			}
 			for o := range t.Doors {
-				if o != d && t.healthy(o, max(0, s.From-settleMs), s.From+look) && !t.cutWithin(d, o, s.From, s.From+look) && countsAsHere(v.states[o][d]) {
-					f.Known = append(f.Known, told[o])
+				if o != d && t.healthy(o, max(0, s.From-settleMs), s.From+windowMs) && !t.cutWithin(d, o, s.From, s.From+windowMs) && countsAsHere(v.states[o][d]) {
+					figures.Known = append(figures.Known, detectedAfter[o])
 				}
 			}
 		}
 	}
-	if len(f.Known) == first {
-		add(RuleDeathsDetected, 0, "no death was long enough, or seen by a door that was well")
-	} else if at := At(f.Known, detectionQuantile); at > l.DetectionMs {
-		add(RuleDeathsDetected, 0, "99 in 100 are known after %.0f ms, over %.0f", at, l.DetectionMs)
+	if len(figures.Known) == first {
+		report(RuleDeathsDetected, 0, "no death was long enough, or observed by a healthy door")
+	} else if at := At(figures.Known, detectionQuantile); at > l.DetectionMs {
+		report(RuleDeathsDetected, 0, "the 99th percentile of the detection times is %.0f ms, above %.0f", at, l.DetectionMs)
 	}
 }
 
-// checkRecovery looks how long after waking one that was paused is held to be here again.
-func checkRecovery(t *Truth, history []Event, l Limits, f *Figures, add reportFunc) {
+// checkRecovery measures how long after a long pause each healthy door considers the member here again.
+func checkRecovery(t *Truth, history []Event, l Limits, figures *Figures, report reportFunc) {
 	if l.RecoveryMs == 0 {
 		return
 	}
-	const look = 10e3
+	const windowMs = 10e3
 	for d := range t.Doors {
 		for _, s := range t.Paused[d] {
-			if s.To-s.From <= longPauseMs || s.To+look > t.EndMs {
+			if s.To-s.From <= longPauseMs || s.To+windowMs > t.EndMs {
 				continue
 			}
 			v := newView(t.Doors)
-			late := make([]float64, t.Doors)
+			recoveredAfter := make([]float64, t.Doors)
 			for i := range history {
 				e := &history[i]
-				if e.At > s.To+look {
+				if e.At > s.To+windowMs {
 					break
 				}
 				if e.At > s.To && e.About == d && !countsAsHere(v.states[e.Door][d]) && countsAsHere(e.To) {
-					late[e.Door] = e.At - s.To
+					recoveredAfter[e.Door] = e.At - s.To
 				}
 				v.apply(e)
 			}
 			for o := range t.Doors {
-				if o == d || !t.healthy(o, s.From, s.To+look) || !t.healthy(d, s.To, s.To+look) {
+				if o == d || !t.healthy(o, s.From, s.To+windowMs) || !t.healthy(d, s.To, s.To+windowMs) {
 					continue
 				}
 				if !countsAsHere(v.states[o][d]) {
-					late[o] = Never
+					recoveredAfter[o] = Never
 				}
-				if f.Back = append(f.Back, late[o]); late[o] > l.RecoveryMs {
-					add(RulePausedRecover, s.To, "door %d held door %d to be here again %.0f ms after it woke, over %.0f", o, d, late[o], l.RecoveryMs)
+				if figures.Back = append(figures.Back, recoveredAfter[o]); recoveredAfter[o] > l.RecoveryMs {
+					report(RulePausedRecover, s.To, "door %d considered door %d here again %.0f ms after the end of its pause, above %.0f", o, d, recoveredAfter[o], l.RecoveryMs)
 				}
 			}
 		}
 	}
 }
 
-// checkCuts looks for verdicts that change more than once, differ, or never come, while a cut lasts.
-func checkCuts(t *Truth, history []Event, l Limits, f *Figures, add reportFunc) {
+// checkCuts finds verdicts that change too often or differ between doors while a cut lasts, and partially cut members that
+// are not suspected in time.
+func checkCuts(t *Truth, history []Event, l Limits, figures *Figures, report reportFunc) {
 	if l.AgreementMs == 0 {
 		return
 	}
@@ -376,9 +384,9 @@
 			changes[i] = make([]int, t.Doors)
 		}
 		agreed := c.From + l.AgreementMs
-		differ := func(at float64) {
+		checkAgreement := func(at float64) {
 			for d := range t.Doors {
-				held, by := "", -1
+				verdict, by := "", -1
 				for o := range t.Doors {
 					if _, in := t.cutShares(o, c.From, at); o == d || in > maxIncomingCut || !t.healthy(o, c.From, at) || t.cutWithin(d, o, c.From, at) && t.cutWithin(o, d, c.From, at) {
 						continue
@@ -387,78 +395,79 @@
 					if countsAsHere(v.states[o][d]) {
 						is = "here"
 					}
-					if held == "" {
-						held, by = is, o
-					} else if held != is {
-						add(RuleAgreement, at, "of door %d, door %d holds that it is %s and door %d that it is %s (%s)", d, by, held, o, is, v.states[o][d])
+					if verdict == "" {
+						verdict, by = is, o
+					} else if verdict != is {
+						report(RuleAgreement, at, "door %d: door %d considers it %s and door %d considers it %s (%s)", d, by, verdict, o, is, v.states[o][d])
 						return
 					}
 				}
 			}
 		}
-		looked := false
+		checked := false
 		for i := range history {
 			e := &history[i]
-			if !looked && e.At >= agreed {
-				looked = true
-				differ(agreed)
+			if !checked && e.At >= agreed {
+				checked = true
+				checkAgreement(agreed)
 			}
 			if e.At >= end {
 				break
 			}
 			if e.At > c.From && e.Door != e.About {
 				if e.To == "doubted" || e.To == "away" {
-					if out, in := t.cutShares(e.About, c.From, e.At); max(out, in) >= minPartialCut && f.Doubt < 0 {
-						f.Doubt = e.At - c.From
+					if out, in := t.cutShares(e.About, c.From, e.At); max(out, in) >= minPartialCut && figures.Doubt < 0 {
+						figures.Doubt = e.At - c.From
 					}
 				}
 				if a, b := countsAsHere(e.From), countsAsHere(e.To); a != b && e.From != "unknown" && t.healthy(e.About, c.From, e.At) && t.healthy(e.Door, c.From, e.At) {
 					changes[e.Door][e.About]++
-					f.Changes = max(f.Changes, changes[e.Door][e.About])
-					if most := max(1, l.VerdictChanges); changes[e.Door][e.About] == most+1 {
-						add(RuleStableVerdict, e.At, "door %d changed its verdict on door %d more than %d times during one cut", e.Door, e.About, most)
+					figures.Changes = max(figures.Changes, changes[e.Door][e.About])
+					if limit := max(1, l.VerdictChanges); changes[e.Door][e.About] == limit+1 {
+						report(RuleStableVerdict, e.At, "door %d changed its verdict on door %d more than %d times during a cut", e.Door, e.About, limit)
 					}
 				}
 			}
 			v.apply(e)
 		}
 		if end > agreed {
-			differ(end)
+			checkAgreement(end)
 		}
 	}
-	if l.SuspicionMs > 0 && (f.Doubt < 0 || f.Doubt > l.SuspicionMs) {
-		add(RulePartialCutSuspected, 0, "one cut off in part was first doubted after %.0f ms (-1: never), over %.0f", f.Doubt, l.SuspicionMs)
+	if l.SuspicionMs > 0 && (figures.Doubt < 0 || figures.Doubt > l.SuspicionMs) {
+		report(RulePartialCutSuspected, 0, "a partially cut member was first suspected after %.0f ms (-1: never), above %.0f", figures.Doubt, l.SuspicionMs)
 	}
 }
 
-// checkConvergence looks whether, so long after the last fault, every door holds of every other what is true, and goes on to.
-func checkConvergence(t *Truth, history []Event, l Limits, f *Figures, add reportFunc) {
+// checkConvergence measures the time from the end of the last fault until every running door has a correct view of every
+// other, and keeps it until the end of the run.
+func checkConvergence(t *Truth, history []Event, l Limits, figures *Figures, report reportFunc) {
 	if l.ConvergenceMs == 0 {
 		return
 	}
 	v := newView(t.Doors)
-	last := t.lastFaultEnd()
+	faultsEnd := t.lastFaultEnd()
 	wrong := func(o, d int) bool {
 		if o == d || !t.up(o, t.EndMs) {
 			return false
 		}
 		return countsAsHere(v.states[o][d]) != t.up(d, t.EndMs)
 	}
-	pairs := 0
+	wrongPairs := 0
 	i := 0
-	for ; i < len(history) && history[i].At <= last; i++ {
+	for ; i < len(history) && history[i].At <= faultsEnd; i++ {
 		v.apply(&history[i])
 	}
 	for o := range t.Doors {
 		for d := range t.Doors {
 			if wrong(o, d) {
-				pairs++
+				wrongPairs++
 			}
 		}
 	}
-	one := 0.0
-	if pairs > 0 {
-		one = Never
+	convergedAfter := 0.0
+	if wrongPairs > 0 {
+		convergedAfter = Never
 	}
 	for ; i < len(history) && history[i].At <= t.EndMs; i++ {
 		e := &history[i]
@@ -467,11 +476,11 @@
 		}
 		if e.From == "born" {
 			v.apply(e)
-			pairs = 0
+			wrongPairs = 0
 			for o := range t.Doors {
 				for d := range t.Doors {
 					if wrong(o, d) {
-						pairs++
+						wrongPairs++
 					}
 				}
 			}
@@ -480,29 +489,29 @@
 		was := wrong(e.Door, e.About)
 		v.apply(e)
 		if is := wrong(e.Door, e.About); is && !was {
-			pairs++
+			wrongPairs++
 		} else if was && !is {
-			pairs--
+			wrongPairs--
 		}
-		if pairs > 0 {
-			one = Never
-		} else if math.IsInf(one, 1) {
-			one = e.At - last
+		if wrongPairs > 0 {
+			convergedAfter = Never
+		} else if math.IsInf(convergedAfter, 1) {
+			convergedAfter = e.At - faultsEnd
 		}
 	}
-	f.One = one
-	if math.IsInf(one, 1) {
-		f.One = -1
+	figures.One = convergedAfter
+	if math.IsInf(convergedAfter, 1) {
+		figures.One = -1
 	}
-	if one > l.ConvergenceMs {
+	if convergedAfter > l.ConvergenceMs {
 		for o := range t.Doors {
 			for d := range t.Doors {
 				if wrong(o, d) {
-					add(RuleConvergence, t.EndMs, "at the end door %d holds door %d to be %q; %d such pairs", o, d, v.states[o][d], pairs)
+					report(RuleConvergence, t.EndMs, "at the end door %d considers door %d %q; %d such pairs", o, d, v.states[o][d], wrongPairs)
 					return
 				}
 			}
 		}
-		add(RuleConvergence, last+one, "there was one view only %.0f ms after the last fault, over %.0f", one, l.ConvergenceMs)
+		report(RuleConvergence, faultsEnd+convergedAfter, "the views converged only %.0f ms after the last fault, above %.0f", convergedAfter, l.ConvergenceMs)
 	}
 }
--- a/lab/procs/check/check_test.go
+++ b/lab/procs/check/check_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// healthyFleet is four doors in two zones that know each other from the start, with nothing amiss.
+// healthyFleet returns four doors in two zones that consider each other here from the start, without faults.
 func healthyFleet() (*Truth, []Event) {
 	t := &Truth{Doors: 4, Zones: []int{0, 1, 0, 1}, StartedAt: make([]float64, 4), Paused: make([][]Interval, 4), Dead: make([][]Interval, 4),
 		LeaveAt: []float64{Never, Never, Never, Never}, EndMs: 40e3}
@@ -19,7 +19,7 @@
 	return t, h
 }
 
-// fromAllOthers has every door but the one itself hold it to be something.
+// fromAllOthers appends the same event about one door from every other door.
 func fromAllOthers(h []Event, at float64, about int, from, to string) []Event {
 	for o := range 4 {
 		if o != about {
@@ -64,7 +64,7 @@
 	assert.Equal(t, 1, f.Wrong)
 	truth.Paused[1] = []Interval{{From: 7000, To: 9100}}
 	b, _ = Verify(truth, h, Limits{})
-	assert.Empty(t, b, "it was stopped for over a second")
+	assert.Empty(t, b, "a pause of more than a second explains the verdict")
 }
 
 func TestLateOrMissedDeathIsFound(t *testing.T) {
@@ -92,14 +92,14 @@
 }
 
 func TestFlappingOrDifferingVerdictsDuringCutAreFound(t *testing.T) {
-	truth, quietly := healthyFleet()
+	truth, initial := healthyFleet()
 	truth.Cuts = []Cut{{Interval{10e3, 30e3}, links(4, [2]int{1, 0}, [2]int{1, 2}, [2]int{1, 3})}}
-	h := fromAllOthers(quietly, 12e3, 1, "here", "away")
+	h := fromAllOthers(initial, 12e3, 1, "here", "away")
 	back := func(h []Event) []Event { return fromAllOthers(h, 31e3, 1, "away", "here") }
 	b, _ := Verify(truth, back(h), generalLimits)
 	assert.Empty(t, b)
-	turned := append(append([]Event{}, h...), Event{At: 20e3, Door: 0, About: 1, From: "away", To: "here"}, Event{At: 21e3, Door: 0, About: 1, From: "here", To: "away"})
-	b, f := Verify(truth, back(turned), generalLimits)
+	flapping := append(append([]Event{}, h...), Event{At: 20e3, Door: 0, About: 1, From: "away", To: "here"}, Event{At: 21e3, Door: 0, About: 1, From: "here", To: "away"})
+	b, f := Verify(truth, back(flapping), generalLimits)
 	assert.Contains(t, violatedRules(b), RuleStableVerdict)
 	assert.Equal(t, 3, f.Changes)
 	b, _ = Verify(truth, back(h[:len(h)-1]), generalLimits)
@@ -109,10 +109,10 @@
 func TestUnsuspectedPartialCutIsFound(t *testing.T) {
 	truth, h := healthyFleet()
 	truth.Cuts = []Cut{{Interval{10e3, 30e3}, links(4, [2]int{1, 0}, [2]int{1, 2})}}
-	must := Limits{AgreementMs: 5000, SuspicionMs: 5000}
-	b, _ := Verify(truth, h, must)
+	partialCutLimits := Limits{AgreementMs: 5000, SuspicionMs: 5000}
+	b, _ := Verify(truth, h, partialCutLimits)
 	assert.Contains(t, violatedRules(b), RulePartialCutSuspected)
-	b, f := Verify(truth, fromAllOthers(h, 12e3, 1, "here", "doubted"), must)
+	b, f := Verify(truth, fromAllOthers(h, 12e3, 1, "here", "doubted"), partialCutLimits)
 	assert.Empty(t, b)
 	assert.Equal(t, 2000.0, f.Doubt)
 }
