--- a/lab/procs/child.go
+++ b/lab/procs/child.go
@@ -11,27 +11,27 @@
 	"time"
 )
 
-// child is a process that the rig runs, over its lives. It ends with the rig's own.
+// child is a child process of the rig, over all its incarnations. It is killed when the rig's own process dies.
 type child struct {
 	mu           sync.Mutex
 	cmd          *exec.Cmd
 	done         chan struct{}
-	exitExpected bool // its end is
+	exitExpected bool // the rig stops it: an error exit is no failure
 }
 
-// start begins a life. line hears each line of its log, which is kept in a file where a folder is named; unmeant hears how it
-// ended where nobody meant it to.
-func (c *child) start(cmd *exec.Cmd, logs, file string, line func([]byte), unmeant func(says string)) error {
+// start starts an incarnation. onLine receives each line of its log, which is also written to a file in logDir unless that is
+// empty; onUnexpectedExit receives the error and the last log line if it fails without having been stopped by the rig.
+func (c *child) start(cmd *exec.Cmd, logDir, file string, onLine func([]byte), onUnexpectedExit func(reason string)) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	var log *os.File
-	if logs != "" {
+	if logDir != "" {
 		var err error
-		if log, err = os.Create(filepath.Join(logs, file)); err != nil {
-			return &RigError{"a log", err}
+		if log, err = os.Create(filepath.Join(logDir, file)); err != nil {
+			return &RigError{"a log file", err}
 		}
 	}
-	said := &lineSplitter{onLine: line, log: log}
-	cmd.Stderr, cmd.WaitDelay = said, logDrainTimeout
+	splitter := &lineSplitter{onLine: onLine, log: log}
+	cmd.Stderr, cmd.WaitDelay = splitter, logDrainTimeout
 	if err := cmd.Start(); err != nil {
 		return &RigError{"a process", err}
 	}
@@ -42,24 +42,24 @@
 	go func() {
 		defer close(done)
 		err := cmd.Wait()
-		_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) // what it left behind
-		last := said.lastLine()
+		_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) // processes that it started and left running
+		last := splitter.lastLine()
 		if log != nil {
 			log.Close()
 		}
 		c.mu.Lock()
-		meant := c.exitExpected
+		expected := c.exitExpected
 		c.mu.Unlock()
-		if err != nil && !meant {
-			unmeant(fmt.Sprintf("%v: %s", err, last))
+		if err != nil && !expected {
+			onUnexpectedExit(fmt.Sprintf("%v: %s", err, last))
 		}
 	}()
 	return nil
 }
 
-const logDrainTimeout = time.Second // that something else may hold a process's log open once it has ended
+const logDrainTimeout = time.Second // how long another process may keep a process's log open after its exit
 
-// lineSplitter takes a process's log apart into lines.
+// lineSplitter is a writer that splits a process's log into lines and copies it to a file.
 type lineSplitter struct {
 	onLine  func([]byte)
 	log     *os.File
@@ -86,41 +86,41 @@
 	}
 }
 
-// lastLine returns the last line.
+// lastLine returns the last complete line.
 func (s *lineSplitter) lastLine() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return bytes.Clone(s.last)
 }
 
-// signal sends a signal to the running process; meant says that its end is meant from here on. What it returns is closed once
-// the process has ended.
-func (c *child) signal(s syscall.Signal, meant bool) (ended <-chan struct{}) {
+// signal sends a signal to the running process. With exitExpected, an error exit counts as no failure from here on. The
+// returned channel is closed once the process has exited; it is nil if the child was never started.
+func (c *child) signal(s syscall.Signal, exitExpected bool) (exited <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cmd == nil {
 		return nil
 	}
-	c.exitExpected = c.exitExpected || meant
+	c.exitExpected = c.exitExpected || exitExpected
 	_ = c.cmd.Process.Signal(s)
 	return c.done
 }
 
-// stopAll ends children: told to, and killed where they don't.
+// stopAll stops children with SIGTERM, and kills them if they take longer than stopTimeout. Paused ones are resumed first.
 func stopAll(all []*child) {
-	var ended []<-chan struct{}
+	var exits []<-chan struct{}
 	for _, c := range all {
 		c.signal(syscall.SIGCONT, true)
 		if done := c.signal(syscall.SIGTERM, true); done != nil {
-			ended = append(ended, done)
+			exits = append(exits, done)
 		}
 	}
-	patience := time.After(stopTimeout)
-	for _, done := range ended {
+	timeout := time.After(stopTimeout)
+	for _, done := range exits {
 		select {
 		case <-done:
-		case <-patience:
-			patience = time.After(0)
+		case <-timeout:
+			timeout = time.After(0)
 			for _, c := range all {
 				c.signal(syscall.SIGKILL, true)
 			}
--- a/lab/procs/coordinators.go
+++ b/lab/procs/coordinators.go
@@ -18,31 +18,31 @@
 	"github.com/swifthall/swifthall/permits"
 )
 
-// Pace measures coordinators as processes on this machine: permits a second, how long one takes, and how long it is until
-// another leads.
+// CoordinatorBenchmark measures coordinator processes on this machine: the throughput and latency of permits, and the time of
+// a failover.
 type Pace struct {
 	Coordinators int
-	Callers      int // that ask at once; each for a unit of its own
+	Callers      int // concurrent callers, each with a unit of its own
 	Seconds      float64
-	Kills        int  // of whichever leads
-	NoSync       bool // disks aren't waited for
+	Kills        int  // how many times the current leader is killed
+	NoSync       bool // don't sync the log to disk
 	Binary       string
 	Logs         string
 }
 
-// PaceResult is what was measured. Times are ms.
+// CoordinatorBenchmarkResult holds the measurements. Times are ms.
 type PaceResult struct {
-	Permits  float64 // a second
+	Permits  float64 // granted per second
 	P50, P99 float64
-	Leader   []float64 // from a kill to the first command that is answered
+	Leader   []float64 // per kill of a leader: time until the first command was answered
 }
 
 const (
 	maxLatencyUs   = int64(time.Minute / time.Microsecond)
-	reportInterval = 400 * time.Millisecond // a caller says that its unit is ready
+	reportInterval = 400 * time.Millisecond // between a caller's reports that its unit is ready
 )
 
-// Measure measures.
+// Measure starts the coordinators, runs the measurements and stops the coordinators again.
 func (p Pace) Measure(ctx context.Context) (*PaceResult, error) {
 	d := &drill{Drill: Drill{Coordinators: p.Coordinators, Binary: p.Binary, Logs: p.Logs}, ctx: ctx}
 	defer d.tearDown()
@@ -60,73 +60,73 @@
 			return nil, err
 		}
 	}
-	var all []config.NamedAddress
+	var addresses []config.NamedAddress
 	for _, c := range d.coordinators {
-		all = append(all, config.NamedAddress{Name: c.name, Address: c.address})
+		addresses = append(addresses, config.NamedAddress{Name: c.name, Address: c.address})
 	}
 	r := &PaceResult{}
-	if err := p.measurePermits(ctx, all, r); err != nil {
+	if err := p.measurePermits(ctx, addresses, r); err != nil {
 		return nil, err
 	}
 	for i := range p.Kills {
-		if err := d.measureFailover(ctx, all, i, r); err != nil {
+		if err := d.measureFailover(ctx, addresses, i, r); err != nil {
 			return nil, err
 		}
 	}
 	return r, nil
 }
 
-// measurePermits has callers ask for measurePermits and give them back, as fast as they are answered.
-func (p Pace) measurePermits(ctx context.Context, all []config.NamedAddress, r *PaceResult) error {
-	c := client.New(all)
+// measurePermits has all callers request and withdraw permits as fast as they are answered.
+func (p Pace) measurePermits(ctx context.Context, addresses []config.NamedAddress, r *PaceResult) error {
+	c := client.New(addresses)
 	defer c.Close()
 	starting, stop := context.WithTimeout(ctx, startTimeout)
 	defer stop()
-	give := func(ctx context.Context, c *client.Client, caller string, seq uint64, do any) (permits.Answer, error) {
+	command := func(ctx context.Context, c *client.Client, caller string, seq uint64, do any) (permits.Answer, error) {
 		return c.Command(ctx, permits.Command{Caller: caller, Seq: seq, Do: do})
 	}
-	if _, err := give(starting, c, "budgets", 1, permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MaxOut: 2 * p.Callers}}}); err != nil {
+	if _, err := command(starting, c, "budgets", 1, permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MaxOut: 2 * p.Callers}}}); err != nil {
 		return err
 	}
 	var group sync.WaitGroup
 	var mu sync.Mutex
-	var first error
+	var firstErr error
 	var counting atomic.Bool
 	latency := hdrhistogram.New(1, maxLatencyUs, 3)
-	over, end := context.WithCancel(ctx)
+	running, end := context.WithCancel(ctx)
 	defer end()
 	for i := range p.Callers {
 		group.Go(func() {
-			own := client.New(all)
+			own := client.New(addresses)
 			defer own.Close()
 			caller, seq := permits.CallerName(Door(i), uint64(i+1)), uint64(0)
 			unit := permits.Unit{Kind: permits.Door, Name: Door(i), Size: 1}
-			next := func() uint64 { seq++; return seq }
-			life, err := give(over, own, caller, next(), permits.Begin{Unit: unit, Process: 1})
-			said := time.Time{}
+			nextSeq := func() uint64 { seq++; return seq }
+			begun, err := command(running, own, caller, nextSeq(), permits.Begin{Unit: unit, Process: 1})
+			reportedAt := time.Time{}
 			for err == nil {
-				if time.Since(said) > reportInterval {
-					said = time.Now()
-					_, err = own.Word(over, &permits.DoorReport{Caller: caller, Seq: next(), Sighting: permits.Sighting{Unit: unit, Standing: permits.Ready, Incarnation: life.Number, Process: 1}})
+				if time.Since(reportedAt) > reportInterval {
+					reportedAt = time.Now()
+					_, err = own.Word(running, &permits.DoorReport{Caller: caller, Seq: nextSeq(), Sighting: permits.Sighting{Unit: unit, Standing: permits.Ready, Incarnation: begun.Number, Process: 1}})
 					continue
 				}
 				began := time.Now()
-				var a permits.Answer
-				if a, err = give(over, own, caller, next(), permits.RequestPermit{Unit: unit.Name, Kind: unit.Kind, Who: "rig", Why: "pace", HoldMs: 1e4}); err != nil || a.Err != nil {
-					continue // not seen so far
+				var answer permits.Answer
+				if answer, err = command(running, own, caller, nextSeq(), permits.RequestPermit{Unit: unit.Name, Kind: unit.Kind, Who: "rig", Why: "pace", HoldMs: 1e4}); err != nil || answer.Err != nil {
+					continue // refused: the unit hasn't been seen ready yet
 				}
-				took := time.Since(began).Microseconds()
+				tookUs := time.Since(began).Microseconds()
 				if counting.Load() {
 					mu.Lock()
-					_ = latency.RecordValue(took)
+					_ = latency.RecordValue(tookUs)
 					mu.Unlock()
 				}
-				_, err = give(over, own, caller, next(), permits.Withdraw{Number: a.Number})
+				_, err = command(running, own, caller, nextSeq(), permits.Withdraw{Number: answer.Number})
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			if over.Err() == nil && first == nil {
-				first = err
+			if running.Err() == nil && firstErr == nil {
+				firstErr = err
 			}
 		})
 	}
@@ -136,23 +136,23 @@
 		case <-ctx.Done():
 		}
 	}
-	wait(2) // all have been seen
+	wait(2) // until all units have been seen
 	counting.Store(true)
 	wait(p.Seconds)
 	counting.Store(false)
 	end()
 	group.Wait()
-	if first != nil {
-		return first
+	if firstErr != nil {
+		return firstErr
 	}
 	r.Permits = float64(latency.TotalCount()) / p.Seconds
 	r.P50, r.P99 = float64(latency.ValueAtQuantile(50))/1e3, float64(latency.ValueAtQuantile(99))/1e3
 	return nil
 }
 
-// measureFailover kills whichever leads, and measures until a command is answered again.
-func (d *drill) measureFailover(ctx context.Context, all []config.NamedAddress, round int, r *PaceResult) error {
-	c := client.New(all)
+// measureFailover kills the current leader, measures the time until a command is answered again, and restarts the killed one.
+func (d *drill) measureFailover(ctx context.Context, addresses []config.NamedAddress, round int, r *PaceResult) error {
+	c := client.New(addresses)
 	defer c.Close()
 	within, stop := context.WithTimeout(ctx, startTimeout)
 	defer stop()
@@ -162,20 +162,20 @@
 	}
 	i := slices.IndexFunc(d.coordinators, func(p *node) bool { return p.name == st.Leader })
 	if i < 0 {
-		return &DoorsError{[]string{"no coordinator leads"}}
+		return &DoorsError{[]string{"no coordinator is the leader"}}
 	}
 	if done := d.coordinators[i].signal(syscall.SIGKILL, true); done != nil {
 		<-done
 	}
-	began := time.Now()
-	if _, err := c.Command(within, permits.Command{Caller: fmt.Sprint("after-", round), Seq: 1, Do: permits.Note{What: "a leader was killed"}}); err != nil {
+	killedAt := time.Now()
+	if _, err := c.Command(within, permits.Command{Caller: fmt.Sprint("after-", round), Seq: 1, Do: permits.Note{What: "the leader was killed"}}); err != nil {
 		return err
 	}
-	r.Leader = append(r.Leader, float64(time.Since(began))/1e6)
+	r.Leader = append(r.Leader, float64(time.Since(killedAt))/1e6)
 	return d.coordinators[i].start()
 }
 
-// prepareCoordinators writes the configurations of coordinators, and puts relays between them.
+// prepareCoordinators writes the coordinators' configurations and places a relay on each directed link between them.
 func (d *drill) prepareCoordinators() error {
 	raft, api := make([]string, d.Coordinators), make([]string, d.Coordinators)
 	var peers []string
--- a/lab/procs/relay.go
+++ b/lab/procs/relay.go
@@ -9,23 +9,24 @@
 	"time"
 )
 
-// impairment is what a way does to what goes over it now.
+// impairment is how a directed link currently impairs the traffic on it. Loss, duplicate and reorder are probabilities.
 type impairment struct {
 	cut        bool
 	loss       float64
-	maxDelayMs float64 // ms at most
+	maxDelayMs float64 // upper bound of the added delay
 	duplicate  float64
 	reorder    float64
 }
 
-// relay is the way from one process to another: the one sends to the relay's address, the other receives from it, and what
-// goes over it meets the fate of the hour. A way that is cut lets no datagram through. A connection needs both ways: while
-// either is cut it stays open and silent, and none can be made.
+// relay is a UDP and TCP proxy for the directed link from one process to another: the first sends to the relay's address, and
+// the relay forwards to the second, with the impairment that currently applies. A cut link drops all datagrams. A connection
+// needs the links in both directions: while either is cut, open connections stay open without transferring data, and new ones
+// are accepted but not connected to the target.
 type relay struct {
-	target    string // where it leads
-	address   string // where it is reached, UDP and TCP alike
+	target    string // address to which it forwards
+	address   string // address on which it listens, for both UDP and TCP
 	impair    func() impairment
-	blocked   func() bool // either way is cut
+	blocked   func() bool // reports whether the link is cut in either direction
 	udp       *net.UDPConn
 	tcp       *net.TCPListener
 	mu        sync.Mutex
@@ -34,16 +35,16 @@
 	closed    atomic.Bool
 	done      chan struct{}
 	group     sync.WaitGroup
-	forwarded atomic.Int64 // datagrams
+	forwarded atomic.Int64 // datagrams, including duplicates
 }
 
 const (
-	relayPortAttempts = 32
-	pollInterval      = 10 * time.Millisecond // between looks whether a way is open again
+	relayPortAttempts = 32                    // attempts to find a port that is free for both protocols
+	pollInterval      = 10 * time.Millisecond // between polls of a condition: whether a link is open again, or all doors are ready
 	relayBufferSize   = 32 << 10
 )
 
-// newRelay takes a loopback port for both protocols.
+// newRelay starts a relay on a loopback port that is free for both UDP and TCP.
 func newRelay(to string, seed uint64, way func() impairment, dead func() bool) (*relay, error) {
 	target, err := net.ResolveUDPAddr("udp", to)
 	if err != nil {
@@ -70,12 +71,14 @@
 	return r, nil
 }
 
-func (r *relay) happens(of float64) bool {
+// happens draws an event of the given probability.
+func (r *relay) happens(probability float64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return of > 0 && r.rng.Float64() < of
+	return probability > 0 && r.rng.Float64() < probability
 }
 
+// forwardDatagrams forwards datagrams to the target until the relay is closed.
 func (r *relay) forwardDatagrams(to *net.UDPAddr) {
 	buf := make([]byte, 64<<10)
 	for {
@@ -84,7 +87,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // the other process is down: its port refuses
+			continue // the target process is down and its port refuses datagrams
 		}
 		f := r.impair()
 		if f.cut || r.happens(f.loss) {
@@ -125,7 +128,7 @@
 	}
 }
 
-// awaitOpen holds a connection up while a way is cut, and tells whether the relay goes on.
+// awaitOpen blocks while the link is cut in either direction, and reports whether the relay is still running.
 func (r *relay) awaitOpen() bool {
 	for r.blocked() {
 		select {
@@ -137,6 +140,8 @@
 	return !r.closed.Load()
 }
 
+// track registers a connection so that reset and close end it. It closes the connection and returns false once the relay is
+// closed.
 func (r *relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,6 +153,7 @@
 	return true
 }
 
+// forwardConn connects an accepted connection to the target and forwards data in both directions until both have ended.
 func (r *relay) forwardConn(from net.Conn) {
 	if !r.track(from) || !r.awaitOpen() {
 		return
@@ -170,6 +176,7 @@
 	r.closeConn(to)
 }
 
+// forwardStream forwards one direction of a connection.
 func (r *relay) forwardStream(from, to net.Conn) {
 	buf := make([]byte, relayBufferSize)
 	for {
@@ -201,7 +208,7 @@
 	c.Close()
 }
 
-// reset breaks all connections.
+// reset aborts all connections with a TCP reset.
 func (r *relay) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/procs/rivals.go
+++ b/lab/procs/rivals.go
@@ -4,14 +4,14 @@
 	"github.com/swifthall/swifthall/members"
 )
 
-// What the module is compared with on the same schedules.
+// Timing of the plain heartbeats.
 const (
 	heartbeatInterval = 1000.0 // ms between heartbeats
-	heartbeatTimeout  = 3000.0 // ms without one after which a member is held to be away: as the deaths known within 3 s ask
+	heartbeatTimeout  = 3000.0 // ms without a heartbeat until a member is considered away; schedules require detection of deaths within 3 s
 )
 
-// Heartbeats makes plain heartbeats with a fixed time-out: every door tells every other that it is here, and holds one
-// that it hasn't heard for long to be away until it hears it again.
+// Heartbeats returns a detector to compare the module with: plain heartbeats with a fixed timeout. Every door sends heartbeats
+// to every other, and considers one away from which it has received none for heartbeatTimeout, until it receives one again.
 func Heartbeats(self members.Peer, fleet []members.Peer, _ uint64) Detector {
 	h := &heartbeats{self: self, index: map[string]int{}}
 	for _, p := range fleet {
@@ -43,7 +43,7 @@
 			h.lastReceived[i] = now
 		}
 	}
-	turn := func(i int, to members.State) {
+	setState := func(i int, to members.State) {
 		if h.state[i] != to {
 			out = append(out, members.Changed{Peer: h.others[i], From: h.state[i], To: to, Incarnation: 1})
 			h.state[i] = to
@@ -54,12 +54,12 @@
 		case members.Received:
 			if i, ok := h.index[e.Message.From.Name]; ok {
 				h.lastReceived[i] = now
-				turn(i, members.Here)
+				setState(i, members.Here)
 			}
 		case members.Tick:
 			for i := range h.others {
 				if h.state[i] == members.Here && now-h.lastReceived[i] > heartbeatTimeout {
-					turn(i, members.Away)
+					setState(i, members.Away)
 				}
 			}
 			for ; h.nextBeat <= now; h.nextBeat += heartbeatInterval {
--- a/lab/procs/warm.go
+++ b/lab/procs/warm.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	minWarmUpMs       = 5e3 // ms that doors are asked at least before their service counts: the time over which they average their rates
-	warmUpRequests    = 75  // requests that each is asked at least,
-	minWarmUpFinished = 50  // and must have finished of them: three times the samples that a door wants of a class
+	minWarmUpMs       = 5e3 // minimum ms of the warm-up: the window over which doors average their rates
+	warmUpRequests    = 75  // minimum number of requests to each door
+	minWarmUpFinished = 50  // requests that each door must finish: three times the samples that a door needs of a class
 )
 
-// warmUp has clients ask each of the doors until it has figures of its own to decide by. One that has just started guesses that the
-// fleet finishes one request at a time, and takes six in flight for pressure: on a crowded machine it rejects a few, whatever
-// befalls the others, and a rig that counted those would blame a release or a cut for what a start is. What is rejected meanwhile is
-// told apart; what gets no answer fails the rig.
+// warmUp sends requests to each door until it has measurements of its own to decide by. A door that has just started assumes
+// that the fleet finishes one request at a time, and treats six requests in flight as pressure: on a busy machine it rejects a
+// few, whatever happens to other doors. Counting these would attribute the effect of a start to a release or a cut, so the
+// requests rejected meanwhile are returned separately. A request without an answer is an error.
 func warmUp(ctx context.Context, site *stand.Site, doors map[int]string, rate float64) (rejected int, err error) {
 	if rate == 0 {
 		return 0, nil
 	}
-	all, err := startClients(ctx, site, doors, rate, max(minWarmUpMs, warmUpRequests/rate*msPerSecond))()
+	outcomes, err := startClients(ctx, site, doors, rate, max(minWarmUpMs, warmUpRequests/rate*msPerSecond))()
 	if err != nil {
 		return 0, err
 	}
-	for _, o := range all {
+	for _, o := range outcomes {
 		if rejected += o.Rejected; o.Failed > 0 || o.Finished < minWarmUpFinished {
-			return 0, &DoorsError{[]string{fmt.Sprintf("a door that nothing befell finished %d of %d operations before the day, and lost %d", o.Finished, o.Asked, o.Failed)}}
+			return 0, &DoorsError{[]string{fmt.Sprintf("a door without faults finished %d of %d operations in the warm-up, and %d failed", o.Finished, o.Asked, o.Failed)}}
 		}
 	}
 	return rejected, nil
