--- a/lab/procs/drill.go
+++ b/lab/procs/drill.go
@@ -30,115 +30,117 @@
 	"github.com/swifthall/swifthall/lab/stand"
 )
 
-// Drill plays drains on real processes: coordinators, doors, stand-in backends, clients under load, and operators who give
-// commands by the program's own command line, while a schedule drawn from the seed strikes coordinators and doors. It judges by
-// what truly was: what operators were answered and when, whether each door said that it can serve, which backend got what.
+// Drill is a fault-injection test of drains on real processes: coordinators, doors, stand-in backends, clients under load, and
+// operators who give commands through the program's own command line, while faults drawn from the seed are injected into
+// coordinators and doors. It checks what was observed from outside: what operators were answered and when, whether each door
+// reported that it is ready, and which requests each backend received.
 type Drill struct {
 	Seed         uint64
 	Seconds      float64
 	Doors        int
 	Coordinators int
-	Binary       string // swifthall, with its other programs beside it
-	Logs         string
-	Rate         float64 // requests a second that clients ask of each door that nothing befalls
-	Strike       string  // strikes drawn where empty; none, one, leader or all: coordinators lost, for measurements
+	Binary       string  // path of swifthall; its other programs are in the same directory
+	Logs         string  // directory for the processes' logs; empty for none
+	Rate         float64 // requests per second to each door without faults
+	Strike       string  // none, one, leader or all: which coordinators are killed, for measurements; empty for random faults
 }
 
-// Rules of a drill, besides those of outs and of the rig.
+// Rules of a drill, besides those of package outs and RuleNoUnexpectedExit.
 const (
-	RuleDrainsLinearizable   = "drains are as one would have answered them"
-	RuleDrainedBackendSilent = "a backend said to be drained gets nothing new"
-	RuleDrillRecovers        = "all is back once the faults are over"
-	RuleUnaffectedDoorsServe = "doors that nothing befalls serve on"
+	RuleDrainsLinearizable   = "drains are linearizable"
+	RuleDrainedBackendSilent = "a backend reported as drained receives no new requests"
+	RuleDrillRecovers        = "everything is back in service after the faults"
+	RuleUnaffectedDoorsServe = "doors without faults keep serving"
 )
 
-// Figures of a drill.
+// Timing and budgets of a drill.
 const (
-	firstFaultS            = 1.5  // s before the first fault
-	quietTailS             = 3.0  // s before the end, in which nothing more strikes
-	recoveryTimeoutMs      = 25e3 // ms in which all must be back then: failures are known, doors have come up, places are free
-	zoneCount              = 3    //
-	maxDoorsOut            = 2    // budget of the fleet,
-	maxZoneDoorsOut        = 1    // of each zone,
-	maxBackendsOut         = 1    // and of backends
-	probeIntervalMs        = 20   // ms between looks whether a door can serve
-	probeTimeoutMs         = 300  // ms that a look may take
-	inFlightGraceMs        = 300  // ms in which what was sent before a backend was drained may come
-	operatorPatience       = "4s" // patience of an operator
-	linearizabilityTimeout = time.Minute
-	exitRefused            = 4 // exit of a command that was refused,
-	exitUnreachable        = 5 // and of one whose answer never came
+	firstFaultS            = 1.5         // s before the first fault
+	quietTailS             = 3.0         // s without new faults at the end
+	recoveryTimeoutMs      = 25e3        // ms after the end for failures to be detected, doors to start and permits to be released
+	zoneCount              = 3           // zones over which the doors are spread
+	maxDoorsOut            = 2           // budget: doors of the fleet out of service
+	maxZoneDoorsOut        = 1           // budget: doors of one zone out of service
+	maxBackendsOut         = 1           // budget: backends out of service
+	probeIntervalMs        = 20          // ms between readiness probes of a door
+	probeTimeoutMs         = 300         // ms that a probe may take
+	inFlightGraceMs        = 300         // ms during which a drained backend may still receive requests that were sent before
+	operatorPatience       = "4s"        // how long a command waits for an answer
+	linearizabilityTimeout = time.Minute // limit on checking the history of drains
+	exitRefused            = 4           // exit code of a command that was refused
+	exitUnreachable        = 5           // exit code of a command that received no answer
 )
 
-// DrillResult is what a drill came to.
+// DrillResult is the result of a drill. It is encoded to JSON under the names in the tags, or the fields' own.
 type DrillResult struct {
 	Seed            uint64
-	Breaches        []outs.Breach
-	Strikes         []string // what struck whom, in order
-	Went, Returned  int      // doors that went aside and came back
-	Calls           int      // of operators about backends
-	Drained         int      // times that a backend was said to be drained
-	Refused, Lost   int
-	Asked, Finished int
-	BackMs          float64 // until all was back
-	HaltMs          float64 // after which a door last went aside, from a halt's answer
+	Breaches        []outs.Breach `json:"Breaches"`
+	Strikes         []string      `json:"Strikes"` // the injected faults, in order of time
+	Went, Returned  int           // planned outages of doors that began, and that ended
+	Calls           int           // operations on backends by operators
+	Drained         int           // how often a backend was reported as drained
+	Refused, Lost   int           // operations that were refused, or received no answer
+	Asked, Finished int           // requests to doors without faults
+	BackMs          float64       // time after the end until everything was back in service; below 0 if it never was
+	HaltMs          float64       // longest time from the answer to a halt until a planned outage began
 	History         []history.Op
 }
 
-// probeResult is one probeResult at whether a door can serve.
+// probeResult is the result of one readiness probe of a door.
 type probeResult struct {
 	sentAt, receivedAt float64
-	status             int // 0: no answer
+	status             int // HTTP status; 0 for no answer
 }
 
-// drainedSpan is a time in which a backend was said to be drained.
+// drainedSpan is an interval during which a backend was reported as drained.
 type drainedSpan struct {
 	unit     string
 	from, to float64
 }
 
-// node is a coordinator or a door that a schedule can strike.
+// node is the process of a coordinator or a door, into which faults can be injected.
 type node struct {
 	child
 	d             *drill
 	name          string
 	args          []string
 	env           []string
-	dir           string
-	diskFaultFile string // file that spoils its disk
-	incarnations  int
-	busyUntil     float64
-	faulted       bool // something befell it
+	dir           string  // a coordinator's data, or a door's releases
+	diskFaultFile string  // a coordinator's file that selects a simulated disk fault
+	incarnations  int     // how often it was started
+	busyUntil     float64 // end of its current fault; the next one must start later
+	faulted       bool    // some fault is scheduled for it
 
-	address string // where it is asked: a door by clients, a coordinator by all
+	address string // on which a door accepts requests, or a coordinator commands
 
-	// Of doors: written by the rig alone, under the drill's lock.
+	// Recorded for doors only, guarded by the drill's mu.
 	startTimes []float64
-	stopTimes  []float64 // kills and calls to stop
+	stopTimes  []float64 // kills and termination signals
 	paused     []check.Interval
 	probes     []probeResult
 }
 
+// drill is the state of a running drill, rollout, migration or coordinator benchmark.
 type drill struct {
 	Drill
 	ctx                  context.Context
 	site                 *stand.Site
 	dir                  string
-	startBits            atomic.Uint64 // machine's clock at the day's start, as bits of its ms
+	startBits            atomic.Uint64 // monotonic clock at the start of the run, ms, as float64 bits
 	coordinators         []*node
 	doors                []*node
-	relays               map[[2]string]*relay // from name to name
-	coordinatorAddresses string               // coordinators, as commands name them
-	holdListeners        bool                 // doors' listeners are held, so that releases may reach them
+	relays               map[[2]string]*relay // by the names of the source and the target
+	coordinatorAddresses string               // as commands accept them: NAME/ADDRESS, separated by commas
+	holdListeners        bool                 // doors have a releases directory, so that releases can be rolled out to them
 
-	clockAheadS string          // seconds by which one coordinator's wall clock is ahead; empty for as drawn
-	tariffs     json.RawMessage // of all doors, in the place of the site's own
+	clockAheadS string          // s by which the last coordinator's wall clock is ahead; empty for a random offset
+	tariffs     json.RawMessage // of all doors, instead of the site's own
 
 	mu           sync.Mutex
-	cutUntil     map[[2]string]float64 // until when a way is cut
-	failures     []string
-	injected     []string
-	arrivals     map[string][]float64 // requests at backends
+	cutUntil     map[[2]string]float64 // end of the cut of a link, by the names of the source and the target
+	failures     []string              // unexpected exits, and failures of the rig itself
+	injected     []string              // descriptions of the injected faults
+	arrivals     map[string][]float64  // times of requests, by backend
 	drainedSpans []drainedSpan
 	halts        []outs.Stop
 	history      []history.Op
@@ -146,12 +148,13 @@
 	lost         int
 }
 
+// ms returns the time since the start of the run, in ms.
 func (d *drill) ms() float64 { return monotonicMs() - math.Float64frombits(d.startBits.Load()) }
 
-// startClock has the day's clock begin now.
+// startClock makes now the start of the run.
 func (d *drill) startClock() { d.startBits.Store(math.Float64bits(monotonicMs())) }
 
-// Play plays the drill.
+// Run runs the drill.
 func (p Drill) Play(ctx context.Context) (*DrillResult, error) {
 	if n := p.Doors + p.Coordinators; n > maxProcesses {
 		return nil, &ProcessLimitError{n}
@@ -169,17 +172,18 @@
 	return d.run()
 }
 
-// setUp takes what every drill needs; end gives it back.
+// setUp creates the temporary directory and the stand-in backends; tearDown removes them.
 func (d *drill) setUp() (err error) {
 	d.relays, d.cutUntil, d.arrivals = map[[2]string]*relay{}, map[[2]string]float64{}, map[string][]float64{}
 	d.startClock()
 	if d.dir, err = os.MkdirTemp("", "drill-"); err != nil {
-		return &RigError{"a folder", err}
+		return &RigError{"a temporary directory", err}
 	}
 	d.site, err = stand.NewSite(d.recordArrival)
 	return err
 }
 
+// recordArrival records a request at a backend.
 func (d *drill) recordArrival(backend string) {
 	at := d.ms()
 	d.mu.Lock()
@@ -187,42 +191,44 @@
 	d.arrivals[backend] = append(d.arrivals[backend], at)
 }
 
+// fail records an unexpected exit or a failure of the rig, which the result reports as a violation.
 func (d *drill) fail(format string, args ...any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failures = append(d.failures, fmt.Sprintf(format, args...))
 }
 
+// coordinatorName returns the name of a coordinator by its number.
 func coordinatorName(i int) string { return fmt.Sprintf("c-%d", i+1) }
 
-// addRelay puts a relay between two parties.
+// addRelay starts a relay on the link from one node to another, and returns the relay's address.
 func (d *drill) addRelay(from, to, address string) (string, error) {
-	pair, back := [2]string{from, to}, [2]string{to, from}
+	link, reverse := [2]string{from, to}, [2]string{to, from}
 	cut := func(of [2]string) bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return d.ms() < d.cutUntil[of]
 	}
-	one, err := newRelay(address, d.Seed, func() impairment { return impairment{cut: cut(pair)} }, func() bool { return cut(pair) || cut(back) })
+	one, err := newRelay(address, d.Seed, func() impairment { return impairment{cut: cut(link)} }, func() bool { return cut(link) || cut(reverse) })
 	if err != nil {
 		return "", err
 	}
-	d.relays[pair] = one
+	d.relays[link] = one
 	return one.address, nil
 }
 
-// prepare writes the configurations and puts relays between coordinators, and from doors to them.
+// prepare writes all configurations, and places relays between coordinators and from doors to coordinators.
 func (d *drill) prepare() error {
 	if err := d.prepareCoordinators(); err != nil {
 		return err
 	}
-	dice := rand.New(rand.NewPCG(d.Seed, 21))
+	rng := rand.New(rand.NewPCG(d.Seed, 21))
 	for _, c := range d.coordinators {
-		c.env = append(c.env, skewedClock(dice))
+		c.env = append(c.env, skewedClock(rng))
 	}
 	if d.clockAheadS != "" {
 		c := d.coordinators[len(d.coordinators)-1]
-		c.env = append(c.env, serving.WallOffsetVariable+"="+d.clockAheadS) // the last of a name counts
+		c.env = append(c.env, serving.WallOffsetVariable+"="+d.clockAheadS) // overrides the random offset: the last value of a variable applies
 	}
 	fleetAt := make([]string, d.Doors)
 	var seedsAt []string
@@ -241,24 +247,24 @@
 		if p.address, err = loopback.Free(); err != nil {
 			return err
 		}
-		var through []string
+		var coordinators []string
 		for _, c := range d.coordinators {
 			a, err := d.addRelay(p.name, c.name, c.address)
 			if err != nil {
 				return err
 			}
-			through = append(through, c.name+"/"+a)
+			coordinators = append(coordinators, c.name+"/"+a)
 		}
 		cfg := d.site.Config(p.name, p.address, i, d.Doors)
 		cfg["log"] = map[string]string{"format": "json", "level": "info"}
 		if d.tariffs != nil {
 			cfg["settings"].(map[string]any)["tariffs"] = d.tariffs
 		}
-		of := map[string]any{"name": "drill", "zone": fmt.Sprint("z", i%zoneCount), "listen": fleetAt[i], "peers": seedsAt, "coordinators": through}
+		of := map[string]any{"name": "drill", "zone": fmt.Sprint("z", i%zoneCount), "listen": fleetAt[i], "peers": seedsAt, "coordinators": coordinators}
 		if d.holdListeners {
 			p.dir = filepath.Join(d.dir, "releases-"+p.name)
 			if err := os.MkdirAll(p.dir, 0o700); err != nil {
-				return &RigError{"a folder", err}
+				return &RigError{"a directory for releases", err}
 			}
 			of["releases"] = p.dir
 		}
@@ -268,19 +274,22 @@
 			return err
 		}
 		p.args = []string{d.Binary}
-		p.env = []string{"GW_CONFIG=" + file, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", skewedClock(dice)}
+		p.env = []string{"GW_CONFIG=" + file, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", skewedClock(rng)}
 		d.doors = append(d.doors, p)
 	}
 	return nil
 }
 
-// skewedClock has a process's wall clock be wrong: they are up to 5 s apart.
-func skewedClock(dice *rand.Rand) string {
-	return fmt.Sprintf("%s=%g", serving.WallOffsetVariable, 5*dice.Float64()-2.5)
+// skewedClock returns the environment variable that sets a process's wall clock off by up to 2.5 s, so that two of them are
+// up to 5 s apart.
+func skewedClock(rng *rand.Rand) string {
+	return fmt.Sprintf("%s=%g", serving.WallOffsetVariable, 5*rng.Float64()-2.5)
 }
 
+// diskFaultSetting returns the environment variable that names a coordinator's disk fault file.
 func diskFaultSetting(file string) string { return coordinator.DiskFault + "=" + file }
 
+// writeConfig writes a JSON file into the drill's directory and returns its path.
 func (d *drill) writeConfig(name string, v any) (string, error) {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -293,6 +302,7 @@
 	return file, nil
 }
 
+// start starts an incarnation of the node's process.
 func (p *node) start() error {
 	cmd := exec.Command(p.args[0], p.args[1:]...)
 	cmd.Env = append(os.Environ(), p.env...)
@@ -300,10 +310,10 @@
 	p.d.mu.Lock()
 	p.startTimes = append(p.startTimes, p.d.ms())
 	p.d.mu.Unlock()
-	return p.child.start(cmd, p.d.Logs, fmt.Sprintf("%s-%d.log", p.name, p.incarnations), func([]byte) {}, func(says string) { p.d.fail("%s ended by itself: %s", p.name, says) })
+	return p.child.start(cmd, p.d.Logs, fmt.Sprintf("%s-%d.log", p.name, p.incarnations), func([]byte) {}, func(reason string) { p.d.fail("%s exited unexpectedly: %s", p.name, reason) })
 }
 
-// startAll starts all, sets the budgets, and waits until coordinators count all as here.
+// startAll starts all processes, sets the budgets, and waits until the coordinators count every unit as in service.
 func (d *drill) startAll() error {
 	if err := d.setUp(); err != nil {
 		return err
@@ -332,7 +342,7 @@
 		failed := slices.Clone(d.failures)
 		d.mu.Unlock()
 		if len(failed) == 0 && time.Now().After(end) {
-			failed = []string{"coordinators don't count all as here"}
+			failed = []string{"the coordinators don't count all units as in service"}
 		}
 		if len(failed) > 0 {
 			return &DoorsError{failed}
@@ -346,12 +356,14 @@
 
 func (d *drill) backendCount() int { return d.site.Backends() }
 
-// command runs one command of an operator to its end and returns its exit code.
+// command runs one operator command to its end and returns its exit code.
 func (d *drill) command(args ...string) int {
 	_, code := d.commandOutput(args...)
 	return code
 }
 
+// commandOutput runs one operator command and returns its output and exit code. An exit code other than success, refused or
+// unreachable is recorded as a failure.
 func (d *drill) commandOutput(args ...string) ([]byte, int) {
 	args = append(args, "--at", d.coordinatorAddresses, "--patience", operatorPatience, "--who", "rig", "--why", "drill")
 	cmd := exec.Command(d.Binary+"-coordinate", args...)
@@ -365,7 +377,7 @@
 		return out.Bytes(), 0
 	case errors.As(err, &exit):
 		if code := exit.ExitCode(); code != exitRefused && code != exitUnreachable {
-			d.fail("%s ended with %d", strings.Join(args[:min(3, len(args))], " "), code)
+			d.fail("%s exited with code %d", strings.Join(args[:min(3, len(args))], " "), code)
 		}
 		return nil, exit.ExitCode()
 	}
@@ -373,7 +385,7 @@
 	return nil, exitUnreachable
 }
 
-// statusReport is what the status says, as far as the rig reads it.
+// statusReport is the part of the output of status --json that the rig reads.
 type statusReport struct {
 	Units []struct {
 		Kind, Name string
@@ -386,6 +398,7 @@
 	} `json:"places"`
 }
 
+// inServiceCount returns how many units don't count as out.
 func (t *statusReport) inServiceCount() (n int) {
 	for _, u := range t.Units {
 		if !u.Out {
@@ -395,6 +408,7 @@
 	return n
 }
 
+// status returns the coordinators' status; nil if they didn't answer.
 func (d *drill) status() *statusReport {
 	raw, code := d.commandOutput("status", "--json")
 	var t statusReport
@@ -404,9 +418,9 @@
 	return &t
 }
 
-// run plays the strikes by the clock, with operators, clients and looks beside them.
+// run injects the faults at their times, while operators, clients and readiness probes run concurrently.
 func (d *drill) run() (*DrillResult, error) {
-	strikes := d.drawFaults()
+	injections := d.drawFaults()
 	if _, err := warmUp(d.ctx, d.site, d.unaffectedDoors(), d.Rate); err != nil {
 		return nil, err
 	}
@@ -418,19 +432,19 @@
 	}
 	d.mu.Unlock()
 	end := d.Seconds * msPerSecond
-	over, stop := context.WithCancel(d.ctx)
+	running, stop := context.WithCancel(d.ctx)
 	defer stop()
-	var beside, looks sync.WaitGroup
+	var operators, probers sync.WaitGroup
 	for _, p := range d.doors {
-		looks.Go(func() { p.pollReadiness(over) })
+		probers.Go(func() { p.pollReadiness(running) })
 	}
 	for i := range 2 {
-		beside.Go(func() { d.operateBackends(i, end) })
+		operators.Go(func() { d.operateBackends(i, end) })
 	}
-	beside.Go(func() { d.operateDoors(end) })
-	beside.Go(func() { d.operateHalt(end) })
+	operators.Go(func() { d.operateDoors(end) })
+	operators.Go(func() { d.operateHalt(end) })
 	served := startClients(d.ctx, d.site, d.unaffectedDoors(), d.Rate, end)
-	for _, s := range strikes {
+	for _, s := range injections {
 		if err := d.sleep(s.at); err != nil {
 			return nil, err
 		}
@@ -444,17 +458,18 @@
 	if err := d.sleep(end); err != nil {
 		return nil, err
 	}
-	beside.Wait()
-	back := d.awaitRecovery()
+	operators.Wait()
+	recoveryMs := d.awaitRecovery()
 	stop()
-	looks.Wait()
+	probers.Wait()
 	outcomes, err := served()
 	if err != nil {
 		return nil, err
 	}
-	return d.result(back, outcomes), nil
+	return d.result(recoveryMs, outcomes), nil
 }
 
+// sleep waits until a time of the run.
 func (d *drill) sleep(until float64) error {
 	for left := until - d.ms(); left > 0; left = until - d.ms() {
 		select {
@@ -466,96 +481,101 @@
 	return nil
 }
 
-// ---- What strikes ----
+// ---- Fault injection ----
 
+// injection is one scheduled step of a fault: its beginning or its end.
 type injection struct {
 	at          float64
 	description string
 	inject      func() error
 }
 
-// drawFaults draws the strikes: on coordinators and doors, each of them one at a time.
+// drawFaults draws the faults of coordinators and doors. Each node has at most one fault at a time; different nodes can have
+// faults at the same time.
 func (d *drill) drawFaults() (all []injection) {
-	dice := rand.New(rand.NewPCG(d.Seed, 22))
+	rng := rand.New(rand.NewPCG(d.Seed, 22))
 	last := (d.Seconds - quietTailS) * msPerSecond
-	add := func(at float64, says string, do func() error) { all = append(all, injection{min(at, last), says, do}) }
-	quick := func(do func()) func() error { return func() error { do(); return nil } }
+	add := func(at float64, description string, do func() error) {
+		all = append(all, injection{min(at, last), description, do})
+	}
+	noError := func(do func()) func() error { return func() error { do(); return nil } }
 	if d.Strike != "" {
 		return d.drawCoordinatorLoss(last)
 	}
-	together := last * (0.4 + 0.3*dice.Float64()) // all coordinators at once, in one of three drills
-	if dice.IntN(3) > 0 {
-		together = math.Inf(1)
+	allDownAt := last * (0.4 + 0.3*rng.Float64()) // when all coordinators are killed at once, in one of three drills
+	if rng.IntN(3) > 0 {
+		allDownAt = math.Inf(1)
 	}
 	for _, p := range d.coordinators {
-		if together < last {
-			add(together, "kill "+p.name, quick(p.kill))
-			add(together+1500, "start "+p.name, p.start)
+		if allDownAt < last {
+			add(allDownAt, "kill "+p.name, noError(p.kill))
+			add(allDownAt+1500, "start "+p.name, p.start)
 		}
 	}
-	for at := firstFaultS * msPerSecond; at < last-1000; at += 400 + 1600*dice.Float64() {
-		kind := dice.IntN(11)
+	for at := firstFaultS * msPerSecond; at < last-1000; at += 400 + 1600*rng.Float64() {
+		kind := rng.IntN(11)
 		of := d.coordinators
 		if kind >= 6 {
 			of = d.doors
 		}
-		p := of[dice.IntN(len(of))]
-		long := (0.4 + 4.6*dice.Float64()*dice.Float64()) * msPerSecond
-		if at < p.busyUntil || kind < 6 && at+long > together-500 && at < together+2500 {
+		p := of[rng.IntN(len(of))]
+		durationMs := (0.4 + 4.6*rng.Float64()*rng.Float64()) * msPerSecond
+		if at < p.busyUntil || kind < 6 && at+durationMs > allDownAt-500 && at < allDownAt+2500 {
 			continue
 		}
 		p.faulted = true
 		switch kind {
-		case 0, 1: // a coordinator is stopped
-			add(at, "pause "+p.name, quick(func() { p.signal(syscall.SIGSTOP, false) }))
-			add(at+long, "go on "+p.name, quick(func() { p.signal(syscall.SIGCONT, false) }))
-		case 2: // killed
-			add(at, "kill "+p.name, quick(p.kill))
-			add(at+long, "start "+p.name, p.start)
-		case 3: // cut off from the others
-			add(at, "cut off "+p.name, quick(func() { d.cutLinks(p.name, d.coordinators, d.ms()+long, dice.IntN(3)) }))
-		case 4: // its disk is full: it ends itself, and is started again once there is room
-			add(at, "disk full at "+p.name, quick(func() { d.setDiskFault(p, "full") }))
-			add(at+long, "room at "+p.name, func() error { return p.restoreDisk(d) })
-		case 5: // its disk is slow
-			add(at, "disk slow at "+p.name, quick(func() { d.setDiskFault(p, "500ms") }))
-			add(at+long, "disk well at "+p.name, quick(func() { d.setDiskFault(p, "") }))
-		case 6, 7: // a door is stopped
-			add(at, "pause "+p.name, quick(func() { p.pause(long) }))
-			add(at+long, "go on "+p.name, quick(func() { p.signal(syscall.SIGCONT, false) }))
-		case 8: // killed, for long enough to be counted, or not
-			long *= 1 + 2*dice.Float64()
-			add(at, "kill "+p.name, quick(func() { p.recordStop(); p.kill() }))
-			add(at+long, "start "+p.name, p.start)
-		case 9: // told to end
-			add(at, "end "+p.name, quick(func() { p.recordStop(); p.signal(syscall.SIGTERM, true) }))
-			add(at+long, "start "+p.name, func() error {
+		case 0, 1: // pause a coordinator
+			add(at, "pause "+p.name, noError(func() { p.signal(syscall.SIGSTOP, false) }))
+			add(at+durationMs, "resume "+p.name, noError(func() { p.signal(syscall.SIGCONT, false) }))
+		case 2: // kill it
+			add(at, "kill "+p.name, noError(p.kill))
+			add(at+durationMs, "start "+p.name, p.start)
+		case 3: // cut it off from the other coordinators
+			add(at, "cut off "+p.name, noError(func() { d.cutLinks(p.name, d.coordinators, d.ms()+durationMs, rng.IntN(3)) }))
+		case 4: // fill its disk: it exits on the next write, and is restarted once there is space again
+			add(at, "full disk at "+p.name, noError(func() { d.setDiskFault(p, "full") }))
+			add(at+durationMs, "free disk at "+p.name, func() error { return p.restoreDisk(d) })
+		case 5: // slow its disk down
+			add(at, "slow disk at "+p.name, noError(func() { d.setDiskFault(p, "500ms") }))
+			add(at+durationMs, "normal disk at "+p.name, noError(func() { d.setDiskFault(p, "") }))
+		case 6, 7: // pause a door
+			add(at, "pause "+p.name, noError(func() { p.pause(durationMs) }))
+			add(at+durationMs, "resume "+p.name, noError(func() { p.signal(syscall.SIGCONT, false) }))
+		case 8: // kill it, with or without enough time for coordinators to notice
+			durationMs *= 1 + 2*rng.Float64()
+			add(at, "kill "+p.name, noError(func() { p.recordStop(); p.kill() }))
+			add(at+durationMs, "start "+p.name, p.start)
+		case 9: // terminate it
+			add(at, "terminate "+p.name, noError(func() { p.recordStop(); p.signal(syscall.SIGTERM, true) }))
+			add(at+durationMs, "start "+p.name, func() error {
 				if done := p.signal(0, true); done != nil {
 					<-done
 				}
 				return p.start()
 			})
-		case 10: // cut off from coordinators
-			add(at, "cut off "+p.name, quick(func() { d.cutLinks(p.name, d.coordinators, d.ms()+long, dice.IntN(3)) }))
+		case 10: // cut it off from the coordinators
+			add(at, "cut off "+p.name, noError(func() { d.cutLinks(p.name, d.coordinators, d.ms()+durationMs, rng.IntN(3)) }))
 		}
-		p.busyUntil = at + long + 500
+		p.busyUntil = at + durationMs + 500
 	}
 	sort.SliceStable(all, func(a, b int) bool { return all[a].at < all[b].at })
 	return all
 }
 
-// drawCoordinatorLoss is strikes on coordinators alone: one of them, whichever leads every 5 s, or all at once.
+// drawCoordinatorLoss returns the kills and restarts of coordinators for measurements: of one of them, of the current leader
+// every 5 s, or of all at once.
 func (d *drill) drawCoordinatorLoss(last float64) (all []injection) {
-	down := func(at, long float64, says string, which func() []*node) {
-		var struck []*node
-		all = append(all, injection{at, "kill " + says, func() error {
+	down := func(at, durationMs float64, description string, which func() []*node) {
+		var killed []*node
+		all = append(all, injection{at, "kill " + description, func() error {
 			for _, p := range which() {
-				struck = append(struck, p)
+				killed = append(killed, p)
 				p.kill()
 			}
 			return nil
-		}}, injection{at + long, "start " + says, func() error {
-			for _, p := range struck {
+		}}, injection{at + durationMs, "start " + description, func() error {
+			for _, p := range killed {
 				if err := p.start(); err != nil {
 					return err
 				}
@@ -568,7 +588,7 @@
 		down(last*0.3, last*0.4, "one", func() []*node { return d.coordinators[:1] })
 	case "leader":
 		for at := firstFaultS * msPerSecond; at+3000 < last; at += 5000 {
-			down(at, 2500, "the one that leads", func() []*node {
+			down(at, 2500, "the leader", func() []*node {
 				raw, code := d.commandOutput("status", "--json")
 				var t struct{ Leader string }
 				if code != 0 || json.Unmarshal(raw, &t) != nil {
@@ -583,27 +603,29 @@
 	return all
 }
 
-// kill ends a process at once, and waits until it has ended.
+// kill kills the node's process and waits until it has exited.
 func (p *node) kill() {
 	if done := p.signal(syscall.SIGKILL, true); done != nil {
 		<-done
 	}
 }
 
+// recordStop records that the rig is about to kill or terminate the node.
 func (p *node) recordStop() {
 	p.d.mu.Lock()
 	defer p.d.mu.Unlock()
 	p.stopTimes = append(p.stopTimes, p.d.ms())
 }
 
-func (p *node) pause(long float64) {
+// pause stops the node's process for a time, after which the caller resumes it, and records the interval.
+func (p *node) pause(durationMs float64) {
 	p.d.mu.Lock()
-	p.paused = append(p.paused, check.Interval{From: p.d.ms(), To: p.d.ms() + long})
+	p.paused = append(p.paused, check.Interval{From: p.d.ms(), To: p.d.ms() + durationMs})
 	p.d.mu.Unlock()
 	p.signal(syscall.SIGSTOP, false)
 }
 
-// restoreDisk gives a coordinator room, and starts it where it ended itself for lack of it.
+// restoreDisk ends a coordinator's disk fault, and restarts the coordinator if it exited because of it.
 func (p *node) restoreDisk(d *drill) error {
 	d.setDiskFault(p, "")
 	p.mu.Lock()
@@ -612,7 +634,7 @@
 	select {
 	case <-done:
 		return p.start()
-	default: // it had nothing to write meanwhile
+	default: // still running: it wrote nothing in the meantime
 		p.mu.Lock()
 		p.exitExpected = false
 		p.mu.Unlock()
@@ -620,34 +642,36 @@
 	}
 }
 
-func (d *drill) setDiskFault(p *node, how string) {
-	if how == "full" {
+// setDiskFault sets a coordinator's simulated disk fault: full, a delay per write, or none if empty.
+func (d *drill) setDiskFault(p *node, fault string) {
+	if fault == "full" {
 		p.mu.Lock()
-		p.exitExpected = true // it ends itself
+		p.exitExpected = true // it exits on the next write
 		p.mu.Unlock()
 	}
-	if err := os.WriteFile(p.diskFaultFile, []byte(how), 0o600); err != nil {
-		d.fail("spoiling a disk: %v", err)
+	if err := os.WriteFile(p.diskFaultFile, []byte(fault), 0o600); err != nil {
+		d.fail("setting a disk fault: %v", err)
 	}
 }
 
-// cutLinks cuts the ways between one and others: those out, those in, or both.
-func (d *drill) cutLinks(name string, others []*node, until float64, ways int) {
+// cutLinks cuts the links between one node and others until a time: outgoing with direction 0, incoming with 1, both with 2.
+func (d *drill) cutLinks(name string, others []*node, until float64, direction int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, o := range others {
-		if ways != 1 {
+		if direction != 1 {
 			d.cutUntil[[2]string{name, o.name}] = until
 		}
-		if ways != 0 {
+		if direction != 0 {
 			d.cutUntil[[2]string{o.name, name}] = until
 		}
 	}
 }
 
-// ---- Operators, clients, looks ----
+// ---- Operators and probes ----
 
-// commandBackend gives one command about a commandBackend and writes down what was answered.
+// commandBackend executes one operation of an operator on a backend, or reads the status, and adds it with its outcome to the
+// history.
 func (d *drill) commandBackend(operator int, call history.Call, unit string) int {
 	op := history.Op{Operator: operator, Call: call, Unit: unit, From: d.ms()}
 	var code int
@@ -667,7 +691,7 @@
 					op.Back = append(op.Back, p.Unit.Name)
 				default:
 					op.Out = append(op.Out, p.Unit.Name)
-					if p.Drained && p.Unit.Name == unit { // the operator's own: nobody else brings it back meanwhile
+					if p.Drained && p.Unit.Name == unit { // drained by this operator: no other brings it back in the meantime
 						d.recordDrained(p.Unit.Name, d.ms())
 					}
 				}
@@ -688,14 +712,14 @@
 	return code
 }
 
-// recordDrained notes that a backend was said to be drained; its end is put in where its way back begins.
+// recordDrained records that a backend was reported as drained; endDrained sets the end of the span.
 func (d *drill) recordDrained(unit string, at float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.drainedSpans = append(d.drainedSpans, drainedSpan{unit, at, math.Inf(1)})
 }
 
-// endDrained ends what is claimed of a backend: its way back is about to be ordered.
+// endDrained ends the open spans of a backend: it is about to be undrained.
 func (d *drill) endDrained(unit string) {
 	at := d.ms()
 	d.mu.Lock()
@@ -707,13 +731,14 @@
 	}
 }
 
+// operateBackends drains and undrains random backends, as one of several concurrent operators.
 func (d *drill) operateBackends(operator int, end float64) {
-	dice := rand.New(rand.NewPCG(d.Seed, 31+uint64(operator)))
+	rng := rand.New(rand.NewPCG(d.Seed, 31+uint64(operator)))
 	last := end - quietTailS*msPerSecond/2
 	for d.ms() < last && d.ctx.Err() == nil {
-		unit := fmt.Sprint("b-", dice.IntN(d.backendCount()))
-		if d.commandBackend(operator, history.Drain, unit) != exitRefused { // one whose answer was lost may be out as well
-			hold := d.ms() + 300 + 2000*dice.Float64()
+		unit := fmt.Sprint("b-", rng.IntN(d.backendCount()))
+		if d.commandBackend(operator, history.Drain, unit) != exitRefused { // a drain without an answer may have taken effect
+			hold := d.ms() + 300 + 2000*rng.Float64()
 			for d.ms() < min(hold, last) && d.ctx.Err() == nil {
 				d.commandBackend(operator, history.Read, unit)
 			}
@@ -723,32 +748,33 @@
 		} else {
 			d.commandBackend(operator, history.Read, "")
 		}
-		_ = d.sleep(d.ms() + 200*dice.Float64())
+		_ = d.sleep(d.ms() + 200*rng.Float64())
 	}
 }
 
+// operateDoors drains and undrains random doors.
 func (d *drill) operateDoors(end float64) {
-	dice := rand.New(rand.NewPCG(d.Seed, 41))
-	var ordered []string
+	rng := rand.New(rand.NewPCG(d.Seed, 41))
+	var drained []string
 	last := end - quietTailS*msPerSecond
 	for d.ms() < last && d.ctx.Err() == nil {
-		name := d.doors[dice.IntN(len(d.doors))].name
+		name := d.doors[rng.IntN(len(d.doors))].name
 		if d.command("drain", "door", name) == 0 {
-			ordered = append(ordered, name)
+			drained = append(drained, name)
 		}
-		_ = d.sleep(d.ms() + 600*dice.Float64())
-		if len(ordered) > 0 && dice.IntN(3) > 0 {
-			if d.command("undrain", "door", ordered[0]) != exitUnreachable {
-				ordered = ordered[1:]
+		_ = d.sleep(d.ms() + 600*rng.Float64())
+		if len(drained) > 0 && rng.IntN(3) > 0 {
+			if d.command("undrain", "door", drained[0]) != exitUnreachable {
+				drained = drained[1:]
 			}
 		}
 	}
 }
 
-// operateHalt halts all once, for a while.
+// operateHalt halts all drains once for 3 s, and records when.
 func (d *drill) operateHalt(end float64) {
-	dice := rand.New(rand.NewPCG(d.Seed, 51))
-	if d.sleep(end*(0.35+0.2*dice.Float64())) != nil {
+	rng := rand.New(rand.NewPCG(d.Seed, 51))
+	if d.sleep(end*(0.35+0.2*rng.Float64())) != nil {
 		return
 	}
 	for d.command("halt") == exitUnreachable && d.ctx.Err() == nil {
@@ -763,7 +789,7 @@
 	d.halts = append(d.halts, outs.Stop{From: from, To: to})
 }
 
-// pollReadiness looks whether a door can serve, again and again.
+// pollReadiness probes whether a door is ready, every probeIntervalMs until ctx ends.
 func (p *node) pollReadiness(ctx context.Context) {
 	client := http.Client{Timeout: probeTimeoutMs * time.Millisecond}
 	defer client.CloseIdleConnections()
@@ -787,7 +813,8 @@
 	}
 }
 
-// unaffectedDoors are the doors that no strike befalls; that one is drained is nothing that befalls it.
+// unaffectedDoors returns the addresses of the doors without scheduled faults, by number; none if there are no clients. A drain
+// is no fault.
 func (d *drill) unaffectedDoors() map[int]string {
 	doors := map[int]string{}
 	for i, p := range d.doors {
@@ -798,7 +825,8 @@
 	return doors
 }
 
-// awaitRecovery ends all drains and waits until nothing is out any more; it returns how long that took, or below 0 where it never came.
+// awaitRecovery ends all drains and waits until everything is back in service. It returns how long that took, in ms, or -1 if
+// it took longer than recoveryTimeoutMs.
 func (d *drill) awaitRecovery() float64 {
 	from := d.ms()
 	for d.ms()-from < recoveryTimeoutMs && d.ctx.Err() == nil {
@@ -819,6 +847,7 @@
 	return -1
 }
 
+// allReady reports whether the latest probe of every door found it ready.
 func (d *drill) allReady() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -830,6 +859,7 @@
 	return true
 }
 
+// tearDown stops all processes, relays and stand-in backends, and removes the drill's directory.
 func (d *drill) tearDown() {
 	var all []*child
 	for _, p := range append(slices.Clone(d.coordinators), d.doors...) {
@@ -847,21 +877,23 @@
 	}
 }
 
-// ---- Judging ----
+// ---- Checking ----
 
-// outagesOf makes of what was looked at the times in which a door surely was out: by plan where it was ready in this life, nobody
-// has told it to end, and it says that it can't serve; by failure from a kill, or a call to end, until it can serve again.
-func outagesOf(door int, births, ends []float64, paused []check.Interval, looks []probeResult) (all []outs.Gone, back int) {
-	life := func(at float64) (n int) {
-		for _, b := range births {
+// outagesOf derives from the probes of a door the intervals during which it certainly was out of service. An outage is planned
+// if the door answers that it is not ready although it was ready in the same incarnation and wasn't asked to terminate. It is
+// a failure from a kill or a termination signal until the door is ready again, and during a pause. Returned counts the planned
+// outages that ended.
+func outagesOf(door int, startTimes, stopTimes []float64, paused []check.Interval, probes []probeResult) (all []outs.Gone, returned int) {
+	incarnation := func(at float64) (n int) {
+		for _, b := range startTimes {
 			if b <= at {
 				n++
 			}
 		}
 		return n
 	}
-	ended := func(at float64) (n int) {
-		for _, e := range ends {
+	stopsUntil := func(at float64) (n int) {
+		for _, e := range stopTimes {
 			if e <= at {
 				n++
 			}
@@ -869,25 +901,25 @@
 		return n
 	}
 	const none = -1
-	plan, ready := none, 0 // place in all of the time that is open; life that was ready
-	for _, l := range looks {
-		now := life(l.sentAt)
+	plan, ready := none, 0 // index in all of the open planned outage; incarnation that was last seen ready
+	for _, l := range probes {
+		now := incarnation(l.sentAt)
 		switch {
 		case l.status == http.StatusOK:
 			if plan != none {
 				all[plan].To = l.sentAt
-				plan, back = none, back+1
+				plan, returned = none, returned+1
 			}
 			ready = now
-		case l.status == http.StatusServiceUnavailable && plan == none && ready == now && now == life(l.receivedAt) && ended(l.receivedAt) < now:
+		case l.status == http.StatusServiceUnavailable && plan == none && ready == now && now == incarnation(l.receivedAt) && stopsUntil(l.receivedAt) < now:
 			plan = len(all)
 			all = append(all, outs.Gone{Door: door, From: l.receivedAt, To: math.Inf(1), ByPlan: true})
 		}
 	}
-	for _, e := range ends {
+	for _, e := range stopTimes {
 		g := outs.Gone{Door: door, From: e, To: math.Inf(1)}
-		for _, l := range looks {
-			if l.sentAt > e && life(l.sentAt) > ended(e) && l.status == http.StatusOK {
+		for _, l := range probes {
+			if l.sentAt > e && incarnation(l.sentAt) > stopsUntil(e) && l.status == http.StatusOK {
 				g.To = l.sentAt
 				break
 			}
@@ -897,15 +929,15 @@
 	for _, s := range paused {
 		all = append(all, outs.Gone{Door: door, From: s.From, To: s.To})
 	}
-	return all, back
+	return all, returned
 }
 
-// requestsWhileDrained finds requests that came to a backend while it was said to be drained.
-func requestsWhileDrained(claims []drainedSpan, came map[string][]float64) (breaches []outs.Breach) {
-	for _, c := range claims {
-		for _, at := range came[c.unit] {
+// requestsWhileDrained returns a violation for each span in which a backend that was reported as drained received a request.
+func requestsWhileDrained(spans []drainedSpan, arrivals map[string][]float64) (breaches []outs.Breach) {
+	for _, c := range spans {
+		for _, at := range arrivals[c.unit] {
 			if at > c.from+inFlightGraceMs && at < c.to {
-				breaches = append(breaches, outs.Breach{Rule: RuleDrainedBackendSilent, At: at, Text: fmt.Sprintf("an operation came to %s %.0f ms after it was said to be drained", c.unit, at-c.from)})
+				breaches = append(breaches, outs.Breach{Rule: RuleDrainedBackendSilent, At: at, Text: fmt.Sprintf("an operation arrived at %s %.0f ms after it was reported as drained", c.unit, at-c.from)})
 				break
 			}
 		}
@@ -913,10 +945,11 @@
 	return breaches
 }
 
-func (d *drill) result(back float64, served []*load.Outcome) *DrillResult {
+// result checks what was recorded and returns the result of the drill.
+func (d *drill) result(recoveryMs float64, served []*load.Outcome) *DrillResult {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := &DrillResult{Seed: d.Seed, Strikes: d.injected, Calls: len(d.history), Refused: d.refused, Lost: d.lost, BackMs: back, History: d.history}
+	r := &DrillResult{Seed: d.Seed, Strikes: d.injected, Calls: len(d.history), Refused: d.refused, Lost: d.lost, BackMs: recoveryMs, History: d.history}
 	var zones []int
 	var all []outs.Gone
 	for i, p := range d.doors {
@@ -944,18 +977,18 @@
 	}
 	r.Drained = len(drained)
 	r.Breaches = append(r.Breaches, requestsWhileDrained(d.drainedSpans, d.arrivals)...)
-	if ok, says := history.Check(maxBackendsOut, d.history, linearizabilityTimeout); !ok {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleDrainsLinearizable, Text: says})
+	if ok, reason := history.Check(maxBackendsOut, d.history, linearizabilityTimeout); !ok {
+		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleDrainsLinearizable, Text: reason})
 	}
-	if back < 0 {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleDrillRecovers, At: d.ms(), Text: fmt.Sprintf("not all is back after %.0f s", recoveryTimeoutMs/msPerSecond)})
+	if recoveryMs < 0 {
+		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleDrillRecovers, At: d.ms(), Text: fmt.Sprintf("not everything is back in service after %.0f s", recoveryTimeoutMs/msPerSecond)})
 	}
 	for _, f := range d.failures {
 		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleNoUnexpectedExit, Text: f})
 	}
-	var says string
-	if r.Asked, r.Finished, says = checkFinished(served); says != "" {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleUnaffectedDoorsServe, Text: says})
+	var reason string
+	if r.Asked, r.Finished, reason = checkFinished(served); reason != "" {
+		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleUnaffectedDoorsServe, Text: reason})
 	}
 	return r
 }
