--- a/lab/procs/migration.go
+++ b/lab/procs/migration.go
@@ -18,71 +18,73 @@
 	"github.com/swifthall/swifthall/lab/outs"
 )
 
-// Migration plays docs/migration.md's move to another shape as a migration of the calendar, on real processes with clients at every
-// door: watched at one door and then at all, switched in each zone and then everywhere, cleared up. Coordinators are killed,
-// stopped and cut off meanwhile, and one of their clocks is ten minutes ahead. It judges by what doors have written down that they
-// run, and by how they answer.
+// Migration is a fault-injection test of the move to another shape of tariffs (docs/migration.md) as a migration of the
+// calendar, on real processes with clients at every door. Its three steps watch the new shape at one door and then at all,
+// switch to it in each zone and then everywhere, and clear up. In the meantime coordinators are killed, paused and cut off, and
+// the wall clock of one of them is ten minutes ahead. The checks use the configuration that each door has recorded as running,
+// and how each door answers.
 type Migration struct {
 	Seed         uint64
-	HaltAt       int // step that is halted amid its work and taken back with all before it, from 1 on; 0 for none
+	HaltAt       int // step that is halted while it runs and then rolled back with all steps before it, from 1; 0 for none
 	Doors        int
 	Coordinators int
 	Binary       string
 	Logs         string
-	Rate         float64 // requests a second at each door
-	Quiet        bool    // nothing strikes
+	Rate         float64 // requests per second to each door
+	Quiet        bool    // inject no faults
 }
 
-// MigrationSteps is how many it has.
+// MigrationSteps is the number of steps of the migration.
 const MigrationSteps = 3
 
-// MigrationResult is what a migration came to.
+// MigrationResult is the result of a migration run.
 type MigrationResult struct {
 	HaltAt                            int
 	Breaches                          []outs.Breach
-	Stage                             string // of the migration, at its end
+	Stage                             string // stage of the migration when the run ended
 	Strikes                           []string
-	TookS                             float64 // from its entry to its end
-	BackS                             float64 // of that, from the word that sent it back
-	Changes                           int     // times that a door began to run something else
+	TookS                             float64 // from entering the migration to its end, s
+	BackS                             float64 // part of TookS after the command that rolled it back, s
+	Changes                           int     // how often a door changed its running configuration
 	MostOut                           int
 	Asked, Finished, Rejected, Failed int
-	RejectedInWarmUp                  int
+	RejectedInWarmUp                  int // requests rejected before the migration, by doors that had just started
 }
 
 // Rules of a migration, besides those of a rollout.
 const (
-	RuleMigrationOutcome = "doors run and decide as the migration's end says"
-	RuleHaltHolds        = "nothing changes while it is halted"
-	RuleMigrationEnds    = "the migration ends, and leaves nothing out"
+	RuleMigrationOutcome = "doors run and decide as the outcome of the migration requires"
+	RuleHaltHolds        = "no door changes while the migration is halted"
+	RuleMigrationEnds    = "the migration ends and releases all permits"
 )
 
 const (
-	migrationTimeoutS = 240.0 // s in which a migration must have ended
-	faultIntervalMs   = 5e3   // ms between strikes, about
-	haltObservationMs = 3e3   // ms that a halted migration is looked at
-	clockAheadS       = "600" // s by which one coordinator's clock is ahead
+	migrationTimeoutS = 240.0 // s after which a migration that hasn't ended has failed
+	faultIntervalMs   = 5e3   // mean ms from the end of one fault to the next
+	haltObservationMs = 3e3   // ms for running changes to end after a halt, and ms without changes that are then checked
+	clockAheadS       = "600" // s by which one coordinator's wall clock is ahead
 )
 
-// thin is a plan whose customers are soon beyond their quota: there the two shapes decide differently.
+// thinPlanFormat formats plan thin, whose customers exhaust their quota with one request; the two shapes then decide
+// differently. Its argument is further JSON members.
 const thinPlanFormat = `{"name":"thin","rate":0.001,"depth":1,"at_once":0,"never_over_rate":0,"ceiling_burst":0,"pays":1%s}`
 
-// How a door of either shape answers three requests of a customer whose quota holds one.
+// Statuses with which a door of the old and of the new shape answers three requests of a customer whose quota holds one.
 const (
 	oldStatuses = "200 429 429"
 	newStatuses = "200 200 200"
 )
 
-// tariffsJSON words the tariffs of the old tariffsJSON, or of the new one, in which thin earns beyond its quota.
+// tariffsJSON returns the tariffs of the old shape, or of the new one, in which plan thin earns beyond its quota.
 func tariffsJSON(moved bool) string {
-	more := ""
+	earning := ""
 	if moved {
-		more = `,"beyond_earns":2,"over_cost":1`
+		earning = `,"beyond_earns":2,"over_cost":1`
 	}
-	return `[{"name":"ample","rate":1000000,"depth":1000000,"at_once":0,"never_over_rate":0,"ceiling_burst":0,"pays":1},` + fmt.Sprintf(thinPlanFormat, more) + `]`
+	return `[{"name":"ample","rate":1000000,"depth":1000000,"at_once":0,"never_over_rate":0,"ceiling_burst":0,"pays":1},` + fmt.Sprintf(thinPlanFormat, earning) + `]`
 }
 
-// Play plays the migration.
+// Run runs the migration.
 func (p Migration) Play(ctx context.Context) (*MigrationResult, error) {
 	if !(p.Rate > 0) || p.HaltAt < 0 || p.HaltAt > MigrationSteps {
 		return nil, &NameError{fmt.Sprintf("rate %g, halt at step %d", p.Rate, p.HaltAt)}
@@ -103,18 +105,18 @@
 	if err != nil {
 		return nil, err
 	}
-	over, stop := context.WithCancel(ctx)
+	running, stop := context.WithCancel(ctx)
 	defer stop()
-	var looks sync.WaitGroup
-	defer looks.Wait()
+	var probers sync.WaitGroup
+	defer probers.Wait()
 	defer stop()
 	for _, door := range d.doors {
-		looks.Go(func() { door.pollReadiness(over) })
+		probers.Go(func() { door.pollReadiness(running) })
 	}
-	enough := make(chan struct{})
-	served := startClientsUntil(ctx, d.site, doors, p.Rate, (migrationTimeoutS+60)*msPerSecond, enough)
+	stopClients := make(chan struct{})
+	served := startClientsUntil(ctx, d.site, doors, p.Rate, (migrationTimeoutS+60)*msPerSecond, stopClients)
 	err = p.runMigration(d, r)
-	close(enough)
+	close(stopClients)
 	outcomes, failed := served()
 	if err == nil {
 		err = failed
@@ -123,7 +125,7 @@
 		return nil, err
 	}
 	stop()
-	looks.Wait()
+	probers.Wait()
 	for _, o := range outcomes {
 		r.Asked, r.Finished, r.Rejected, r.Failed = r.Asked+o.Asked, r.Finished+o.Finished, r.Rejected+o.Rejected, r.Failed+o.Failed
 	}
@@ -135,67 +137,70 @@
 	return r, nil
 }
 
+// verify adds a violation to the result for each rule that was violated. Before and after are each door's statuses as
+// decisions returns them.
 func (p Migration) verify(d *drill, r *MigrationResult, before, after []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var which []outage
 	r.MostOut, which = maxConcurrentOutages(d.doors)
-	breach := func(rule, format string, args ...any) {
+	violation := func(rule, format string, args ...any) {
 		r.Breaches = append(r.Breaches, outs.Breach{Rule: rule, Text: fmt.Sprintf(format, args...)})
 	}
 	for _, f := range d.failures {
-		breach(RuleNoUnexpectedExit, "%s", f)
+		violation(RuleNoUnexpectedExit, "%s", f)
 	}
 	if r.Failed > 0 {
-		breach(RuleNoFailedOperation, "%d of %d operations", r.Failed, r.Asked)
+		violation(RuleNoFailedOperation, "%d of %d operations", r.Failed, r.Asked)
 	}
 	if float64(r.Finished) < minFinishedShare*float64(r.Asked) {
-		breach(RuleUnchangedDoorsServe, "%d of %d operations rejected", r.Rejected, r.Asked)
+		violation(RuleUnchangedDoorsServe, "%d of %d operations rejected", r.Rejected, r.Asked)
 	}
 	if r.MostOut > maxDoorsOut {
-		breach(RuleReleaseOutcome, "%d doors couldn't serve at once: %v", r.MostOut, which)
+		violation(RuleReleaseOutcome, "%d doors were not ready at the same time: %v", r.MostOut, which)
 	}
-	should := "done"
+	wantStage := "done"
 	if p.HaltAt > 0 {
-		should = "withdrawn"
+		wantStage = "withdrawn"
 	}
-	if r.Stage != should {
-		breach(RuleMigrationEnds, "%q, not %q", r.Stage, should)
+	if r.Stage != wantStage {
+		violation(RuleMigrationEnds, "stage %q instead of %q", r.Stage, wantStage)
 	}
-	wants := oldStatuses
+	wantStatuses := oldStatuses
 	if p.HaltAt == 0 {
-		wants = newStatuses
+		wantStatuses = newStatuses
 	}
 	for i, door := range d.doors {
 		if before[i] != oldStatuses {
-			breach(RuleMigrationOutcome, "%s decided %s before anything, not %s", door.name, before[i], oldStatuses)
+			violation(RuleMigrationOutcome, "%s answered %s before the migration instead of %s", door.name, before[i], oldStatuses)
 		}
-		if runs := door.configurationDigest(); (runs == "") != (p.HaltAt > 0) || after[i] != wants {
-			breach(RuleMigrationOutcome, "%s runs %q and decides %s, not %s", door.name, runs, after[i], wants)
+		if runs := door.configurationDigest(); (runs == "") != (p.HaltAt > 0) || after[i] != wantStatuses {
+			violation(RuleMigrationOutcome, "%s runs %q and answers %s instead of %s", door.name, runs, after[i], wantStatuses)
 		}
 	}
 }
 
-// configurationDigest is what a door has written down that it configurationDigest of configurations; empty for its own file.
+// configurationDigest returns the digest of the configuration that a door has recorded as running; empty for its own file.
 func (p *node) configurationDigest() string { return p.recordedReleases()["configuration"] }
 
-// decisions asks each door three times for a customer whose quota holds one request, and writes down how it answers.
+// decisions sends each door three requests of a customer whose quota holds one, and returns the statuses of each door. Customers
+// and requests differ by round.
 func (d *drill) decisions(round int) (all []string, err error) {
 	for i, p := range d.doors {
-		word := ""
+		statuses := ""
 		for n := range 3 {
 			answer, err := requestStatus(p.address, fmt.Sprintf("%016x", round<<16+i+1), fmt.Sprintf("%04x%04x%08x", round, i+1, n+1))
 			if err != nil {
-				return nil, &RigError{"asking " + p.name, err}
+				return nil, &RigError{"a connection to " + p.name, err}
 			}
-			word += answer + " "
+			statuses += answer + " "
 		}
-		all = append(all, strings.TrimSpace(word))
+		all = append(all, strings.TrimSpace(statuses))
 	}
 	return all, nil
 }
 
-// requestStatus asks a door once, of plan thin, and words its answer: its status, and whether it says when to come back.
+// requestStatus sends a door one request of plan thin and returns the HTTP status of the answer.
 func requestStatus(at, customer, id string) (string, error) {
 	nc, err := net.DialTimeout("tcp", at, clientTimeout)
 	if err != nil {
@@ -217,7 +222,7 @@
 	return fmt.Sprint(resp.StatusCode), err
 }
 
-// calendarState is the calendar as far as the rig reads it, by the command's own JSON.
+// calendarState is the part of the output of calendar --json that the rig reads.
 type calendarState struct {
 	Entries map[string]struct {
 		ID    uint64 `json:"id"`
@@ -233,6 +238,7 @@
 	} `json:"migrations"`
 }
 
+// calendar returns the state of the calendar; nil if the coordinators didn't answer.
 func (d *drill) calendar() (s *calendarState) {
 	raw, code := d.commandOutput("calendar", "--json")
 	if code != 0 || json.Unmarshal(raw, &s) != nil {
@@ -241,15 +247,16 @@
 	return s
 }
 
-// writeMigration words the migration, and gives all doors what its steps release.
+// writeMigration writes the migration's file, distributes the configurations of its steps to all doors, and returns the file's
+// path.
 func (p Migration) writeMigration(d *drill) (string, error) {
 	watch, err := json.Marshal(d.site.Config("", "", 0, p.Doors)["settings"])
 	if err != nil {
 		return "", &RigError{"a file", err}
 	}
-	with := func(tariffs string) string {
+	settingsWith := func(tariffs string) string {
 		var s map[string]json.RawMessage
-		_ = json.Unmarshal(watch, &s) // what was just written
+		_ = json.Unmarshal(watch, &s) // can't fail: it was encoded above
 		s["tariffs"] = json.RawMessage(tariffs)
 		raw, _ := json.Marshal(s)
 		return string(raw)
@@ -260,8 +267,8 @@
 		name, raw string
 		waves     []wave
 	}{
-		{"watch", `{"watch":` + with(tariffsJSON(true)) + `}`, []wave{{"count": 1, "watch_s": 5}, {"rest": true}}},
-		{"switch", `{"settings":{"tariffs":` + tariffsJSON(true) + `},"watch":` + with(tariffsJSON(false)) + `}`, []wave{{"each_zone": 1, "watch_s": 5}, {"rest": true}}},
+		{"watch", `{"watch":` + settingsWith(tariffsJSON(true)) + `}`, []wave{{"count": 1, "watch_s": 5}, {"rest": true}}},
+		{"switch", `{"settings":{"tariffs":` + tariffsJSON(true) + `},"watch":` + settingsWith(tariffsJSON(false)) + `}`, []wave{{"each_zone": 1, "watch_s": 5}, {"rest": true}}},
 		{"clear-up", `{"settings":{"tariffs":` + tariffsJSON(true) + `}}`, []wave{{"rest": true}}},
 	} {
 		digest, err := d.distribute([]byte(s.raw))
@@ -274,11 +281,12 @@
 	return d.writeConfig("migration", map[string]any{"name": "another shape", "steps": steps})
 }
 
+// minutesFromNow returns a time in UTC, as the calendar reads it.
 func minutesFromNow(from int) string {
 	return time.Now().UTC().Add(time.Duration(from) * time.Minute).Format("2006-01-02T15:04")
 }
 
-// runMigration enters the migration, strikes, halts it where it is to be, and waits for its end.
+// runMigration enters the migration, injects faults, halts and rolls back the migration if HaltAt is set, and waits for its end.
 func (p Migration) runMigration(d *drill, r *MigrationResult) error {
 	file, err := p.writeMigration(d)
 	if err != nil {
@@ -286,24 +294,24 @@
 	}
 	from := d.ms()
 	if code := d.command("migrate", file); code != 0 {
-		return &DoorsError{[]string{fmt.Sprintf("the migration was not entered: exit %d", code)}}
+		return &DoorsError{[]string{fmt.Sprintf("the migration was not accepted: exit code %d", code)}}
 	}
-	quiet, stop := context.WithCancel(d.ctx)
-	var strikes sync.WaitGroup
+	faultCtx, stop := context.WithCancel(d.ctx)
+	var injector sync.WaitGroup
 	if !p.Quiet {
-		strikes.Go(func() { r.Strikes = d.injectCoordinatorFaults(quiet) })
+		injector.Go(func() { r.Strikes = d.injectCoordinatorFaults(faultCtx) })
 	}
-	defer strikes.Wait()
+	defer injector.Wait()
 	defer stop()
-	runs := make([]string, len(d.doors))
-	var backAt float64
+	running := make([]string, len(d.doors))
+	var rolledBackAt float64
 	for halted := false; d.ms()-from < migrationTimeoutS*msPerSecond; {
 		if err := d.sleep(d.ms() + 200); err != nil {
 			return err
 		}
 		for i, door := range d.doors {
-			if now := door.configurationDigest(); now != runs[i] {
-				runs[i], r.Changes = now, r.Changes+1
+			if now := door.configurationDigest(); now != running[i] {
+				running[i], r.Changes = now, r.Changes+1
 			}
 		}
 		s := d.calendar()
@@ -314,8 +322,8 @@
 			r.Stage = m.Stage
 			if m.Stage == "done" || m.Stage == "withdrawn" {
 				r.TookS = (d.ms() - from) / msPerSecond
-				if backAt > 0 {
-					r.BackS = (d.ms() - backAt) / msPerSecond
+				if rolledBackAt > 0 {
+					r.BackS = (d.ms() - rolledBackAt) / msPerSecond
 				}
 				return d.awaitNoPermits(r)
 			}
@@ -327,13 +335,13 @@
 				continue
 			}
 			if d.command("steer", "halt", step) != 0 {
-				continue // asked again: its answer was lost, or it has ended meanwhile
+				continue // retried: the answer was lost, or the step has ended in the meantime
 			}
 			halted = true
 			if err := p.observeHalt(d, r); err != nil {
 				return err
 			}
-			backAt = d.ms()
+			rolledBackAt = d.ms()
 			for d.command("steer", "back", step) != 0 && d.ms()-from < migrationTimeoutS*msPerSecond {
 				if err := d.sleep(d.ms() + 200); err != nil {
 					return err
@@ -344,7 +352,7 @@
 	return nil
 }
 
-// awaitNoPermits waits until no permit stands: the last door's is free once it is seen back.
+// awaitNoPermits waits until no permit is held: the last one is released when its door is seen back in service.
 func (d *drill) awaitNoPermits(r *MigrationResult) error {
 	left := 0
 	for from := d.ms(); d.ms()-from < recoveryTimeoutMs; {
@@ -357,11 +365,11 @@
 			return err
 		}
 	}
-	r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleMigrationEnds, At: d.ms(), Text: fmt.Sprintf("%d permits are left", left)})
+	r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleMigrationEnds, At: d.ms(), Text: fmt.Sprintf("%d permits are still held", left)})
 	return nil
 }
 
-// runsHaltedStep tells whether a door runs what the step that is to be halted gives.
+// runsHaltedStep reports whether a door runs the configuration that the step to be halted releases.
 func (p Migration) runsHaltedStep(d *drill, door *node) bool {
 	raw, code := d.commandOutput("release", "status", "--json")
 	var all []struct{ Digest, Stage string }
@@ -371,30 +379,31 @@
 	return all[p.HaltAt-1].Digest == door.configurationDigest()
 }
 
-// observeHalt looks at a halted migration for a while: doors that have begun to change may end that, and no other begins.
+// observeHalt waits for doors to finish changes that had begun before the halt, and then checks that no further door changes.
 func (p Migration) observeHalt(d *drill, r *MigrationResult) error {
 	if err := d.sleep(d.ms() + haltObservationMs); err != nil {
 		return err
 	}
-	was := make([]string, len(d.doors))
+	before := make([]string, len(d.doors))
 	for i, door := range d.doors {
-		was[i] = door.configurationDigest()
+		before[i] = door.configurationDigest()
 	}
 	if err := d.sleep(d.ms() + haltObservationMs); err != nil {
 		return err
 	}
 	for i, door := range d.doors {
-		if now := door.configurationDigest(); now != was[i] {
-			r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleHaltHolds, At: d.ms(), Text: fmt.Sprintf("%s runs %q, before %q", door.name, now, was[i])})
+		if now := door.configurationDigest(); now != before[i] {
+			r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleHaltHolds, At: d.ms(), Text: fmt.Sprintf("%s runs %q, before it was %q", door.name, now, before[i])})
 		}
 	}
 	return nil
 }
 
-// injectCoordinatorFaults strikes coordinators one at a time until ctx ends, and leaves them well: whichever leads is killed, one is stopped, one is
-// cut off in one direction or both.
-func (d *drill) injectCoordinatorFaults(ctx context.Context) (said []string) {
-	dice := rand.New(rand.NewPCG(d.Seed, 23))
+// injectCoordinatorFaults injects one fault after the other into the coordinators until ctx ends: it kills the leader, pauses
+// one of them, or cuts one off in one direction or both. Killed and paused ones run again when it returns, while a cut
+// lasts for its full time. It returns the faults' descriptions.
+func (d *drill) injectCoordinatorFaults(ctx context.Context) (injected []string) {
+	rng := rand.New(rand.NewPCG(d.Seed, 23))
 	sleep := func(ms float64) bool {
 		select {
 		case <-time.After(time.Duration(ms * 1e6)):
@@ -403,11 +412,11 @@
 			return false
 		}
 	}
-	for sleep(faultIntervalMs * (0.5 + dice.Float64())) {
-		p := d.coordinators[dice.IntN(len(d.coordinators))]
-		long := 500 + 2500*dice.Float64()
-		kind := dice.IntN(3)
-		if kind == 0 { // whoever leads, as the rig last heard
+	for sleep(faultIntervalMs * (0.5 + rng.Float64())) {
+		p := d.coordinators[rng.IntN(len(d.coordinators))]
+		durationMs := 500 + 2500*rng.Float64()
+		kind := rng.IntN(3)
+		if kind == 0 { // the current leader, if the coordinators answer
 			if raw, code := d.commandOutput("status", "--json"); code == 0 {
 				var t struct{ Leader string }
 				if json.Unmarshal(raw, &t) == nil {
@@ -417,23 +426,23 @@
 				}
 			}
 		}
-		said = append(said, fmt.Sprintf("%.1f s %s %s for %.1f s", d.ms()/msPerSecond, []string{"kill", "pause", "cut off"}[kind], p.name, long/msPerSecond))
+		injected = append(injected, fmt.Sprintf("%.1f s %s %s for %.1f s", d.ms()/msPerSecond, []string{"kill", "pause", "cut off"}[kind], p.name, durationMs/msPerSecond))
 		switch kind {
 		case 0:
 			p.kill()
-			sleep(long)
+			sleep(durationMs)
 			if err := p.start(); err != nil {
-				d.fail("%s can't be started again: %v", p.name, err)
-				return said
+				d.fail("%s can't be restarted: %v", p.name, err)
+				return injected
 			}
 		case 1:
 			p.signal(syscall.SIGSTOP, false)
-			sleep(long)
+			sleep(durationMs)
 			p.signal(syscall.SIGCONT, false)
 		case 2:
-			d.cutLinks(p.name, d.coordinators, d.ms()+long, dice.IntN(3))
-			sleep(long)
+			d.cutLinks(p.name, d.coordinators, d.ms()+durationMs, rng.IntN(3))
+			sleep(durationMs)
 		}
 	}
-	return said
+	return injected
 }
--- a/lab/procs/rollout.go
+++ b/lab/procs/rollout.go
@@ -17,64 +17,64 @@
 	"github.com/swifthall/swifthall/lab/outs"
 )
 
-// Rollout plays a release on real processes: coordinators, doors whose listener is held, stand-in backends, and clients at
-// every door all the time.
+// Rollout is a test of one release on real processes: coordinators, doors with a releases directory, stand-in backends, and
+// clients that send requests to every door throughout.
 type Rollout struct {
 	Seed         uint64
-	Kind         string // of Rollouts
+	Kind         string // a key of RolloutKinds
 	Doors        int
 	Coordinators int
 	Binary       string
 	Logs         string
-	Rate         float64 // requests a second at each door
+	Rate         float64 // requests per second to each door
 }
 
-// Rollouts tells what each kind of release is.
+// RolloutKinds describes each kind of release.
 var Rollouts = map[string]string{
-	"none":     "no release: what service is without one",
+	"none":     "no release, as the baseline",
 	"good":     "a harmless configuration reaches all doors",
 	"program":  "the same program under another digest reaches all doors",
-	"refused":  "a configuration with a faulty key: the first door doesn't take it",
-	"crash":    "a program that ends at once: the first door doesn't take it",
-	"second":   "a program that ends at once at all doors but the first: the second wave doesn't take it",
-	"later":    "a program that serves for 3 s and ends",
-	"harmful":  "a configuration that rejects most of what comes",
-	"halted":   "a harmless configuration, halted by an operator amid the second wave, and brought back",
-	"backends": "all backends are drained, replaced and brought back, one at a time",
-	"restart":  "a harmless configuration; all coordinators are killed amid the second wave and start anew",
+	"refused":  "a configuration with an invalid key: the first door refuses it",
+	"crash":    "a program that exits at once: the release fails at the first door",
+	"second":   "a program that exits at once at all doors but the first: the release fails in the second wave",
+	"later":    "a program that serves for 3 s and then exits",
+	"harmful":  "a configuration that rejects most requests",
+	"halted":   "a harmless configuration that an operator halts during the second wave and rolls back",
+	"backends": "all backends are drained, replaced and undrained, one at a time",
+	"restart":  "a harmless configuration; all coordinators are killed during the second wave and restarted",
 }
 
-// RolloutResult is what a rollout came to.
+// RolloutResult is the result of a rollout.
 type RolloutResult struct {
 	Kind                              string
 	Breaches                          []outs.Breach
-	Stage                             string
-	Says                              string
+	Stage                             string  // last seen stage of the release
+	Says                              string  // its reason, as the coordinators report it
 	TookS                             float64 // from the start to the end of the release
-	DecidedS                          float64 // from the first door's change to the word that sends all back
-	BackS                             float64 // from that word until all is as before
-	MostOut                           int     // doors that couldn't serve at once
-	Touched                           float64 // share of requests that came to doors while they ran what was bad
-	Asked, Finished, Rejected, Failed int     // from the release's start
-	RejectedInWarmUp                  int     // rejected before it, by doors that had just started
+	DecidedS                          float64 // from the first door's change to the decision to roll back
+	BackS                             float64 // from that decision to the end of the rollback
+	MostOut                           int     // largest number of doors that were not ready at the same time
+	Touched                           float64 // time from the first door's change to the end of the rollback, s, divided by the number of doors
+	Asked, Finished, Rejected, Failed int     // requests since the start of the release
+	RejectedInWarmUp                  int     // requests rejected before it, by doors that had just started
 
-	reachedUnits map[string]bool // units of the waves that began
+	reachedUnits map[string]bool // units of the waves that have begun
 }
 
 // Rules of a rollout.
 const (
-	RuleNoFailedOperation   = "every operation gets its one final answer, and no connection is refused"
-	RuleReleaseOutcome      = "the release ends as it should"
-	RuleUnchangedDoorsServe = "doors that were not changed serve on"
+	RuleNoFailedOperation   = "every operation receives exactly one final answer, and no connection is refused"
+	RuleReleaseOutcome      = "the release ends in the expected stage"
+	RuleUnchangedDoorsServe = "doors that were not changed keep serving"
 )
 
 const (
-	rolloutTimeoutS    = 120.0 // s in which a release must have ended
-	clientTailS        = 3.0   // s that clients go on for after it
-	statusPollInterval = 200 * time.Millisecond
+	rolloutTimeoutS    = 120.0                  // s after which a release that hasn't ended has failed
+	clientTailS        = 3.0                    // s for which clients continue after the release
+	statusPollInterval = 200 * time.Millisecond // between polls of the release's status
 )
 
-// Play plays the rollout.
+// Run runs the rollout.
 func (p Rollout) Play(ctx context.Context) (*RolloutResult, error) {
 	if Rollouts[p.Kind] == "" {
 		return nil, &NameError{p.Kind}
@@ -94,23 +94,23 @@
 		return nil, err
 	}
 	d.startClock()
-	over, stop := context.WithCancel(ctx)
+	running, stop := context.WithCancel(ctx)
 	defer stop()
-	var looks sync.WaitGroup
+	var probers sync.WaitGroup
 	for _, door := range d.doors {
-		looks.Go(func() { door.pollReadiness(over) })
+		probers.Go(func() { door.pollReadiness(running) })
 	}
-	enough := make(chan struct{})
-	served := startClientsUntil(ctx, d.site, doors, p.Rate, (rolloutTimeoutS+30)*msPerSecond, enough)
+	stopClients := make(chan struct{})
+	served := startClientsUntil(ctx, d.site, doors, p.Rate, (rolloutTimeoutS+30)*msPerSecond, stopClients)
 	err = p.runRelease(d, r)
 	select {
 	case <-time.After(time.Duration(clientTailS * 1e9)):
 	case <-ctx.Done():
 	}
-	close(enough)
+	close(stopClients)
 	outcomes, failed := served()
 	stop()
-	looks.Wait()
+	probers.Wait()
 	if err == nil {
 		err = failed
 	}
@@ -130,63 +130,64 @@
 		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleNoFailedOperation, Text: fmt.Sprintf("%d of %d operations", r.Failed, r.Asked)})
 	}
 	r.checkRejections(outcomes)
-	want := map[string]string{"good": "done", "program": "done", "restart": "done", "backends": "done", "none": ""}
-	should, told := want[p.Kind]
-	if !told {
-		should = "back"
+	wantStages := map[string]string{"good": "done", "program": "done", "restart": "done", "backends": "done", "none": ""}
+	wantStage, known := wantStages[p.Kind]
+	if !known {
+		wantStage = "back"
 	}
-	if r.Stage != should {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleReleaseOutcome, Text: fmt.Sprintf("%q, not %q: %s", r.Stage, should, r.Says)})
+	if r.Stage != wantStage {
+		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleReleaseOutcome, Text: fmt.Sprintf("stage %q instead of %q: %s", r.Stage, wantStage, r.Says)})
 	}
 	return r, nil
 }
 
-// checkRejections holds service against the release. A door that no wave reached is as it was before and rejects nothing; one that was
-// changed has just started, and what starts on a crowded machine rejects a few.
-func (r *RolloutResult) checkRejections(at []*load.Outcome) {
-	breach := func(format string, args ...any) {
+// checkRejections checks that the release did not impair service where it should not. A door that no wave reached must reject
+// nothing. A changed door has just started, and on a busy machine a starting door rejects a few requests, so that only the share
+// of all requests is checked.
+func (r *RolloutResult) checkRejections(outcomes []*load.Outcome) {
+	violation := func(format string, args ...any) {
 		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleUnchangedDoorsServe, Text: fmt.Sprintf(format, args...)})
 	}
-	for i, o := range at {
-		if o.Rejected > 0 && !r.reachedUnits[Door(i)] && r.Kind != "backends" { // whose waves reach the backends of all
-			breach("%s, which no wave reached, rejected %d of %d operations", Door(i), o.Rejected, o.Asked)
+	for i, o := range outcomes {
+		if o.Rejected > 0 && !r.reachedUnits[Door(i)] && r.Kind != "backends" { // its waves reach the backends of all doors
+			violation("%s, which no wave has reached, rejected %d of %d operations", Door(i), o.Rejected, o.Asked)
 		}
 	}
 	if r.Kind != "harmful" && float64(r.Finished) < minFinishedShare*float64(r.Asked) {
-		breach("%d of %d operations rejected", r.Rejected, r.Asked)
+		violation("%d of %d operations rejected", r.Rejected, r.Asked)
 	}
 }
 
-// outage is a time in which a door couldn't serve, by looks alone.
+// outage is an interval during which a door was not ready, as seen by its probes alone.
 type outage struct {
 	name     string
 	from, to float64
-	status   int // of the first look that failed
+	status   int // of the first failed probe
 }
 
 func (e outage) String() string {
 	return fmt.Sprintf("%s from %.1f to %.1f s (%d)", e.name, e.from/msPerSecond, e.to/msPerSecond, e.status)
 }
 
-// probedOutages lists them for some doors.
+// probedOutages lists the outages of some doors that have ended.
 func probedOutages(doors []*node) (all []outage) {
 	for _, p := range doors {
-		out, is := outage{}, false
+		current, open := outage{}, false
 		for _, l := range p.probes {
-			if bad := l.status != 200; bad && !is {
-				out, is = outage{p.name, l.receivedAt, 0, l.status}, true
-			} else if !bad && is {
-				if out.to = l.sentAt; out.to > out.from {
-					all = append(all, out)
+			if failed := l.status != 200; failed && !open {
+				current, open = outage{p.name, l.receivedAt, 0, l.status}, true
+			} else if !failed && open {
+				if current.to = l.sentAt; current.to > current.from {
+					all = append(all, current)
 				}
-				is = false
+				open = false
 			}
 		}
 	}
 	return all
 }
 
-// maxConcurrentOutages is how many doors couldn't serve at once at the most, and when each of those couldn't.
+// maxConcurrentOutages returns the largest number of doors that were not ready at the same time, and their outages.
 func maxConcurrentOutages(doors []*node) (most int, which []outage) {
 	all := probedOutages(doors)
 	for _, at := range all {
@@ -203,23 +204,23 @@
 	return most, which
 }
 
-// distribute writes a file into all doors' folders, by its digest.
-func (d *drill) distribute(raw []byte) (digest string, err error) {
-	sum := sha256.Sum256(raw)
+// distribute writes a file into every door's releases directory, under its digest.
+func (d *drill) distribute(content []byte) (digest string, err error) {
+	sum := sha256.Sum256(content)
 	digest = hex.EncodeToString(sum[:])
 	for _, p := range d.doors {
-		if err := os.WriteFile(filepath.Join(p.dir, digest), raw, 0o700); err != nil {
+		if err := os.WriteFile(filepath.Join(p.dir, digest), content, 0o700); err != nil {
 			return "", &RigError{"a file", err}
 		}
 	}
 	return digest, nil
 }
 
-// payload is released, by kind.
+// payload returns what the release changes, and the file that it distributes.
 func (p Rollout) payload(d *drill) (changes string, raw []byte, err error) {
-	self := p.Binary + "-fleet"
-	script := func(others string) []byte {
-		return []byte("#!/bin/sh\ncase \"$GW_CONFIG\" in */door-000.json) exec " + self + " \"$@\";; esac\n" + others + "\n")
+	program := p.Binary + "-fleet"
+	script := func(elsewhere string) []byte {
+		return []byte("#!/bin/sh\ncase \"$GW_CONFIG\" in */door-000.json) exec " + program + " \"$@\";; esac\n" + elsewhere + "\n")
 	}
 	switch p.Kind {
 	case "refused":
@@ -227,18 +228,18 @@
 	case "harmful":
 		return "configuration", []byte(`{"settings":{"tariffs":[{"name":"ample","rate":0.01,"depth":1,"pays":1}]}}`), nil
 	case "program":
-		return "program", []byte("#!/bin/sh\nexec " + self + " \"$@\"\n"), nil
+		return "program", []byte("#!/bin/sh\nexec " + program + " \"$@\"\n"), nil
 	case "crash":
 		return "program", []byte("#!/bin/sh\nexit 3\n"), nil
 	case "second":
 		return "program", script("exit 3"), nil
 	case "later":
-		return "program", []byte("#!/bin/sh\n" + self + " \"$@\" &\nworker=$!\ntrap 'kill $worker' TERM\nsleep 3\nkill -9 $worker\nexit 7\n"), nil
+		return "program", []byte("#!/bin/sh\n" + program + " \"$@\" &\nworker=$!\ntrap 'kill $worker' TERM\nsleep 3\nkill -9 $worker\nexit 7\n"), nil
 	}
 	return "configuration", []byte(`{"pace":{"idle_client_ms":2300}}`), nil
 }
 
-// runRelease begins the runRelease, steers it as its kind says, and waits for its end.
+// runRelease starts the release, intervenes as its kind requires, and waits for its end.
 func (p Rollout) runRelease(d *drill, r *RolloutResult) error {
 	if p.Kind == "none" {
 		return d.sleep(20e3)
@@ -265,10 +266,10 @@
 	}
 	from := d.ms()
 	if code := d.command("release", "start", file); code != 0 {
-		return &DoorsError{[]string{fmt.Sprintf("the release did not start: exit %d", code)}}
+		return &DoorsError{[]string{fmt.Sprintf("the release was not accepted: exit code %d", code)}}
 	}
 	var firstAt, decidedAt float64
-	steered := false
+	intervened := false
 	replaced := map[string]bool{}
 	for d.ms()-from < rolloutTimeoutS*msPerSecond && d.ctx.Err() == nil {
 		raw, code := d.commandOutput("release", "status", "--json")
@@ -280,9 +281,9 @@
 		if code != 0 || json.Unmarshal(raw, &all) != nil || len(all) == 0 {
 			continue
 		}
-		now, one := d.ms(), all[len(all)-1]
-		r.Stage, r.Says = one.Stage, one.Says
-		for _, part := range one.Parts[:min(one.Wave+1, len(one.Parts))] {
+		now, release := d.ms(), all[len(all)-1]
+		r.Stage, r.Says = release.Stage, release.Says
+		for _, part := range release.Parts[:min(release.Wave+1, len(release.Parts))] {
 			for _, unit := range part {
 				r.reachedUnits[unit] = true
 			}
@@ -290,25 +291,25 @@
 		if firstAt == 0 && d.anyDoorRuns(digest) {
 			firstAt = now
 		}
-		if decidedAt == 0 && (one.Stage == "going back" || one.Stage == "back") {
+		if decidedAt == 0 && (release.Stage == "going back" || release.Stage == "back") {
 			decidedAt = now
 		}
 		if p.Kind == "backends" {
 			d.replaceDrained(replaced)
 		}
-		if one.Wave == 1 && !steered {
-			steered = true
+		if release.Wave == 1 && !intervened {
+			intervened = true
 			if err := p.intervene(d); err != nil {
 				return err
 			}
 		}
-		if one.Stage == "done" || one.Stage == "back" {
+		if release.Stage == "done" || release.Stage == "back" {
 			r.TookS = (now - from) / msPerSecond
 			if decidedAt > 0 {
 				r.BackS = (now - decidedAt) / msPerSecond
 				if firstAt > 0 {
 					r.DecidedS = (decidedAt - firstAt) / msPerSecond
-					r.Touched = (now - firstAt) / msPerSecond / float64(len(d.doors)) // of a second's requests at all doors, for one door
+					r.Touched = (now - firstAt) / msPerSecond / float64(len(d.doors)) // one door's share of the requests during that time
 				}
 			}
 			return nil
@@ -321,7 +322,7 @@
 	return nil
 }
 
-// replaceDrained replaces the backends that are said to be drained, as whatever runs them would.
+// replaceDrained replaces the backends that are reported as drained, as their process manager would.
 func (d *drill) replaceDrained(replaced map[string]bool) {
 	t := d.status()
 	if t == nil {
@@ -337,7 +338,7 @@
 	}
 }
 
-// doorAddresses is where each door is asked.
+// doorAddresses returns the address on which each door accepts requests, by number.
 func (d *drill) doorAddresses() map[int]string {
 	doors := map[int]string{}
 	for i, p := range d.doors {
@@ -346,7 +347,8 @@
 	return doors
 }
 
-// recordedReleases is what a door has written down that it runs, by what may change; nothing where it can't be read.
+// recordedReleases returns the digests that a door has recorded as running, by what a release can change (configuration or
+// program); nil if its record can't be read.
 func (p *node) recordedReleases() (runs map[string]string) {
 	raw, err := os.ReadFile(filepath.Join(p.dir, "runs.json"))
 	if err != nil || json.Unmarshal(raw, &runs) != nil {
@@ -355,14 +357,14 @@
 	return runs
 }
 
-// anyDoorRuns tells whether any door has written down that it runs what a digest names.
+// anyDoorRuns reports whether any door has recorded that it runs the file with a digest.
 func (d *drill) anyDoorRuns(digest string) bool {
 	return slices.ContainsFunc(d.doors, func(p *node) bool {
 		return slices.Contains(slices.Collect(maps.Values(p.recordedReleases())), digest)
 	})
 }
 
-// intervene is what befalls the release amid its second wave.
+// intervene halts and rolls back the release, or kills and restarts the coordinators, if the kind of rollout requires it.
 func (p Rollout) intervene(d *drill) error {
 	switch p.Kind {
 	case "halted":
