--- a/lab/procs/real.go
+++ b/lab/procs/real.go
@@ -29,32 +29,32 @@
 	"github.com/swifthall/swifthall/lab/stand"
 )
 
-// Real plays a plan on processes of the built program.
+// Real runs a plan on real processes of the built program.
 type Real struct {
 	Plan   *Plan
-	Binary string  // swifthall, with swifthall-fleet beside it
-	Logs   string  // folder for the processes' logs; empty for none
-	Rate   float64 // requests a second that clients ask of each door; 0 for none
-	Plain  bool    // doors without a fleet, to see what membership costs
+	Binary string  // path of swifthall; swifthall-fleet is in the same directory
+	Logs   string  // directory for the processes' logs; empty for none
+	Rate   float64 // requests per second to each door without faults; 0 for no clients
+	Plain  bool    // run doors without a fleet, as a baseline for the cost of membership
 }
 
 const (
-	maxProcesses  = 24
-	startTimeout  = 30 * time.Second // in which all doors must hold all others to be here
-	stopTimeout   = 10 * time.Second // that a process is given to end once told to
-	clientTimeout = 2 * time.Second  // that clients have for an answer
+	maxProcesses  = 24               // more would distort each other's timing on one machine
+	startTimeout  = 30 * time.Second // in which all doors must consider all others here
+	stopTimeout   = 10 * time.Second // from a termination signal until processes are killed
+	clientTimeout = 2 * time.Second  // how long clients wait for an answer
 )
 
-// rig is the processes, and the ways between them.
+// rig is the state of a run on processes: the doors and the relays on the links between them.
 type rig struct {
 	Real
 	ctx       context.Context
 	site      *stand.Site
 	dir       string
 	doors     []*process
-	namesakes []*process // further processes under doors' names
-	relays    []*relay   // by from*doors+to; nil on the diagonal
-	startMs   float64    // machine's monotonic clock at the day's start, ms; 0 while it has not begun
+	namesakes []*process // additional processes under doors' names
+	relays    []*relay   // indexed by from*doors+to; nil on the diagonal
+	startMs   float64    // monotonic clock at the start of the run; 0 before it, guarded by mu
 
 	mu            sync.Mutex
 	history       []check.Event
@@ -63,20 +63,20 @@
 	failures      []string
 	nameConflicts int
 	doorIndex     map[string]int
-	cpu, resident []float64 // by door: ms a second, MB
+	cpu, resident []float64 // of each door that wasn't restarted: processor time, ms per second, and resident memory, MB
 }
 
-// process is one door's process, over its lives.
+// process is one door's process, over all its incarnations.
 type process struct {
 	r                     *rig
 	door                  int
 	fleetAddress, address string
 	statusAddress         string
-	incarnations          int
+	incarnations          int // how often it was started
 	child
 }
 
-// monotonicMs is the machine's monotonic monotonicMs, ms, as the processes log it.
+// monotonicMs returns the machine's monotonic clock in ms, the clock that the processes log.
 func monotonicMs() float64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
@@ -85,7 +85,7 @@
 	return float64(t.Sec)*1e3 + float64(t.Nsec)/1e6
 }
 
-// Play plays the plan and judges it.
+// Run runs the plan and checks its history.
 func (p Real) Play(ctx context.Context, progress func(done float64)) (*Result, error) {
 	n := p.Plan.Fleet.Doors
 	if n > maxProcesses {
@@ -96,7 +96,7 @@
 	}
 	dir, err := os.MkdirTemp("", "procs-")
 	if err != nil {
-		return nil, &RigError{"a folder", err}
+		return nil, &RigError{"a temporary directory", err}
 	}
 	defer os.RemoveAll(dir)
 	site, err := stand.NewSite(nil)
@@ -109,11 +109,11 @@
 	for i := range n {
 		r.view[i] = make([]string, n)
 		r.doorIndex[Door(i)] = i
-		one, err := r.newProcess(i)
+		door, err := r.newProcess(i)
 		if err != nil {
 			return nil, err
 		}
-		r.doors = append(r.doors, one)
+		r.doors = append(r.doors, door)
 	}
 	if err := r.startRelays(); err != nil {
 		return nil, err
@@ -128,6 +128,7 @@
 	return r.result(served), nil
 }
 
+// newProcess allocates loopback addresses for a process under a door's name; it doesn't start it.
 func (r *rig) newProcess(door int) (*process, error) {
 	p := &process{r: r, door: door}
 	for _, at := range []*string{&p.fleetAddress, &p.address, &p.statusAddress} {
@@ -140,7 +141,7 @@
 	return p, nil
 }
 
-// ms is the day's clock; below 0 before it.
+// ms returns the time since the start of the run, in ms; negative before it.
 func (r *rig) ms() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,44 +151,44 @@
 	return monotonicMs() - r.startMs
 }
 
-// startRelays puts a relay in each directed pair. Where a second process has a door's name, names don't tell where to go, and the
-// doors reach each other as they say.
+// startRelays starts a relay on each directed link. With a second process under a door's name, names don't identify the
+// processes to route to; there are then no relays, and doors reach each other at the addresses that they announce.
 func (r *rig) startRelays() error {
 	n := r.Plan.Fleet.Doors
 	if len(r.Plan.Namesakes) > 0 || r.Plain {
 		return nil
 	}
-	cut := func(way int, at float64) bool {
-		return slices.ContainsFunc(r.Plan.Truth.Cuts, func(c check.Cut) bool { return c.Links[way] && at >= c.From && at < c.To })
+	cut := func(link int, at float64) bool {
+		return slices.ContainsFunc(r.Plan.Truth.Cuts, func(c check.Cut) bool { return c.Links[link] && at >= c.From && at < c.To })
 	}
 	for i := range n {
 		for j := range n {
 			if i == j {
 				continue
 			}
-			there, back := i*n+j, j*n+i
-			one, err := newRelay(r.doors[j].fleetAddress, r.Plan.Seed<<16+uint64(there), func() impairment {
+			forward, reverse := i*n+j, j*n+i
+			proxy, err := newRelay(r.doors[j].fleetAddress, r.Plan.Seed<<16+uint64(forward), func() impairment {
 				at := r.ms()
-				return impairment{cut: cut(there, at), loss: max(r.Plan.Net.Loss, amountAt(r.Plan.Loss, there, at)), maxDelayMs: amountAt(r.Plan.Delay, there, at),
-					duplicate: amountAt(r.Plan.Duplicate, there, at), reorder: amountAt(r.Plan.Reorder, there, at)}
-			}, func() bool { at := r.ms(); return cut(there, at) || cut(back, at) })
+				return impairment{cut: cut(forward, at), loss: max(r.Plan.Net.Loss, amountAt(r.Plan.Loss, forward, at)), maxDelayMs: amountAt(r.Plan.Delay, forward, at),
+					duplicate: amountAt(r.Plan.Duplicate, forward, at), reorder: amountAt(r.Plan.Reorder, forward, at)}
+			}, func() bool { at := r.ms(); return cut(forward, at) || cut(reverse, at) })
 			if err != nil {
 				return err
 			}
-			r.relays[there] = one
+			r.relays[forward] = proxy
 		}
 	}
 	return nil
 }
 
-// start begins a life of a process.
+// start starts an incarnation of the process.
 func (p *process) start() error {
 	r, n := p.r, p.r.Plan.Fleet.Doors
 	routes, peers := map[string]string{}, []string{}
 	for j := range n {
 		at := r.doors[j].fleetAddress
-		if one := r.relays[p.door*n+j]; one != nil {
-			at = one.address
+		if proxy := r.relays[p.door*n+j]; proxy != nil {
+			at = proxy.address
 			routes[Door(j)] = at
 		}
 		if j < seedDoors {
@@ -213,16 +214,17 @@
 	if p.ownsName() {
 		r.record(check.Event{At: monotonicMs(), Door: p.door, About: p.door, From: "born"})
 	}
-	return p.child.start(cmd, r.Logs, fmt.Sprintf("%s-%d.log", Door(p.door), p.incarnations), p.parseLine, func(says string) { r.fail("%s ended by itself: %s", Door(p.door), says) })
+	return p.child.start(cmd, r.Logs, fmt.Sprintf("%s-%d.log", Door(p.door), p.incarnations), p.parseLine, func(reason string) { r.fail("%s exited unexpectedly: %s", Door(p.door), reason) })
 }
 
-// fleetConfig words the key fleetConfig.
+// fleetConfig returns the key fleet of the process's configuration.
 func (p *process) fleetConfig(peers []string, routes map[string]string) map[string]any {
 	return map[string]any{"name": "rig", "zone": fmt.Sprint("z", p.r.Plan.Truth.Zones[p.door]), "listen": p.fleetAddress, "peers": peers, "routes": routes,
 		"status": p.statusAddress}
 }
 
-// usage is what a running process has taken so far: processor time, ms, and resident memory, MB.
+// usage returns the processor time that the running process has used so far, in ms, and its resident memory, in MB; 0 if
+// unknown.
 func (p *process) usage() (cpu, resident float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -233,22 +235,23 @@
 	if err != nil {
 		return 0, 0
 	}
-	// The name stands in brackets; state is the first field behind it, times the 12th and 13th, resident pages the 22nd.
+	// Fields are counted after the process name, which is in brackets: the state is the first, user and system time are the 12th
+	// and 13th, and the resident pages are the 22nd.
 	f := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(f) < 22 {
 		return 0, 0
 	}
-	const hz = 100 // of the kernel's clock ticks, as it tells them
+	const hz = 100 // clock ticks per second in /proc
 	user, _ := strconv.ParseFloat(f[11], 64)
 	system, _ := strconv.ParseFloat(f[12], 64)
 	pages, _ := strconv.ParseFloat(f[21], 64)
 	return (user + system) * 1e3 / hz, pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// ownsName tells whether the process is the door's, and no namesake.
+// ownsName reports whether this is the door's original process, not a second one under its name.
 func (p *process) ownsName() bool { return p.r.doors[p.door] == p }
 
-// parseLine takes one parseLine of a process's log.
+// parseLine reads one line of the process's log: changes of membership, and refused names of second processes.
 func (p *process) parseLine(raw []byte) {
 	var l struct {
 		Msg    string  `json:"msg"`
@@ -275,7 +278,7 @@
 	}
 }
 
-// record puts an event into the history, on the machine's clock so far.
+// record adds an event to the history, with a time of the machine's monotonic clock, and updates the current view.
 func (r *rig) record(e check.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -291,18 +294,19 @@
 	}
 }
 
+// fail records an unexpected exit, which the result reports as a violation.
 func (r *rig) fail(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failures = append(r.failures, fmt.Sprintf(format, args...))
 }
 
-// startDoors starts the doors that are there from the beginning, and waits until they all hold each other to be here.
+// startDoors starts the doors that run from the beginning, and waits until they all consider each other here.
 func (r *rig) startDoors() error {
-	var early []int
+	var initial []int
 	for i, p := range r.doors {
 		if r.Plan.StartMs[i] == 0 {
-			early = append(early, i)
+			initial = append(initial, i)
 			if err := p.start(); err != nil {
 				return err
 			}
@@ -311,13 +315,13 @@
 	if r.Plain {
 		return r.awaitReady()
 	}
-	patience := time.After(startTimeout)
+	timeout := time.After(startTimeout)
 	for {
 		all := true
 		r.mu.Lock()
 		failed := slices.Clone(r.failures)
-		for _, i := range early {
-			for _, j := range early {
+		for _, i := range initial {
+			for _, j := range initial {
 				all = all && r.view[i][j] == "here"
 			}
 		}
@@ -330,18 +334,18 @@
 		}
 		select {
 		case <-r.changed:
-		case <-patience:
-			return &DoorsError{[]string{"not all hold each other to be here"}}
+		case <-timeout:
+			return &DoorsError{[]string{"not all of them consider each other here"}}
 		case <-r.ctx.Done():
 			return &StoppedError{0, r.ctx.Err()}
 		}
 	}
 }
 
-// awaitReady waits until all doors without a fleet say that they can serve.
+// awaitReady waits until all doors without a fleet report that they are ready.
 func (r *rig) awaitReady() error {
 	client := http.Client{Timeout: clientTimeout}
-	for patience := time.Now().Add(startTimeout); ; {
+	for deadline := time.Now().Add(startTimeout); ; {
 		all := true
 		for _, p := range r.doors {
 			resp, err := client.Get("http://" + p.address + "/health/ready")
@@ -353,8 +357,8 @@
 		if all {
 			return nil
 		}
-		if time.Now().After(patience) {
-			return &DoorsError{[]string{"not all can serve"}}
+		if time.Now().After(deadline) {
+			return &DoorsError{[]string{"not all of them are ready"}}
 		}
 		select {
 		case <-time.After(pollInterval):
@@ -364,18 +368,18 @@
 	}
 }
 
-// run plays the faults by the clock.
+// run injects the faults at their times, and returns the outcome of each door's clients.
 func (r *rig) run(progress func(float64)) (served []*load.Outcome, err error) {
-	type what struct {
+	type step struct {
 		at float64
 		do func() error
 	}
-	var todo []what
-	add := func(at float64, do func()) { todo = append(todo, what{at, func() error { do(); return nil }}) }
+	var steps []step
+	add := func(at float64, do func()) { steps = append(steps, step{at, func() error { do(); return nil }}) }
 	end := r.Plan.Truth.EndMs
 	for i, p := range r.doors {
 		if at := r.Plan.StartMs[i]; at > 0 {
-			todo = append(todo, what{at, p.start})
+			steps = append(steps, step{at, p.start})
 		}
 		for _, s := range r.Plan.Truth.Paused[i] {
 			add(s.From, func() { p.signal(syscall.SIGSTOP, false) })
@@ -388,7 +392,7 @@
 				}
 			})
 			if s.To < end {
-				todo = append(todo, what{s.To, p.start})
+				steps = append(steps, step{s.To, p.start})
 			}
 		}
 		if at := r.Plan.Truth.LeaveAt[i]; at < end {
@@ -397,15 +401,15 @@
 	}
 	for _, s := range r.Plan.Reset {
 		add(s.From, func() {
-			for way, one := range r.relays {
-				if one != nil && s.Links[way] {
-					one.reset()
+			for link, proxy := range r.relays {
+				if proxy != nil && s.Links[link] {
+					proxy.reset()
 				}
 			}
 		})
 	}
 	for _, x := range r.Plan.Namesakes {
-		todo = append(todo, what{x.AtMs, func() error {
+		steps = append(steps, step{x.AtMs, func() error {
 			p, err := r.newProcess(x.Door)
 			if err != nil {
 				return err
@@ -414,7 +418,7 @@
 			return p.start()
 		}})
 	}
-	sort.SliceStable(todo, func(a, b int) bool { return todo[a].at < todo[b].at })
+	sort.SliceStable(steps, func(a, b int) bool { return steps[a].at < steps[b].at })
 	if _, err := warmUp(r.ctx, r.site, r.unaffectedDoors(), r.Rate); err != nil {
 		return nil, err
 	}
@@ -422,11 +426,11 @@
 	r.startMs = monotonicMs()
 	r.mu.Unlock()
 	finish := startClients(r.ctx, r.site, r.unaffectedDoors(), r.Rate, end)
-	before := make([]float64, len(r.doors))
+	cpuBefore := make([]float64, len(r.doors))
 	for i, p := range r.doors {
-		before[i], _ = p.usage()
+		cpuBefore[i], _ = p.usage()
 	}
-	for _, w := range append(todo, what{end, func() error { return nil }}) {
+	for _, w := range append(steps, step{end, func() error { return nil }}) {
 		for left := w.at - r.ms(); left > 0; left = w.at - r.ms() {
 			if progress != nil {
 				progress(min(1, r.ms()/end))
@@ -441,15 +445,16 @@
 			return nil, err
 		}
 	}
-	for i, p := range r.doors { // those that ran all through
-		if cpu, resident := p.usage(); cpu >= before[i] && resident > 0 {
-			r.cpu, r.resident = append(r.cpu, (cpu-before[i])/end*msPerSecond), append(r.resident, resident)
+	for i, p := range r.doors { // those that ran throughout
+		if cpu, resident := p.usage(); cpu >= cpuBefore[i] && resident > 0 {
+			r.cpu, r.resident = append(r.cpu, (cpu-cpuBefore[i])/end*msPerSecond), append(r.resident, resident)
 		}
 	}
 	return finish()
 }
 
-// unaffectedDoors are the doors that nothing befalls.
+// unaffectedDoors returns the addresses of the doors whose process runs without a fault, by number; none if there are no
+// clients.
 func (r *rig) unaffectedDoors() map[int]string {
 	doors := map[int]string{}
 	for i, p := range r.doors {
@@ -460,12 +465,13 @@
 	return doors
 }
 
-// startClients ask of doors for as long as the day lasts: no request waits for membership.
+// startClients starts clients that send requests to the doors for the duration of a run, as serving must not depend on
+// membership. The returned function waits for them.
 func startClients(ctx context.Context, site *stand.Site, doors map[int]string, rate, end float64) (finish func() ([]*load.Outcome, error)) {
 	return startClientsUntil(ctx, site, doors, rate, end, nil)
 }
 
-// startClientsUntil ask until they are told that it is enough, or for as long as the day lasts.
+// startClientsUntil is startClients for clients that stop once the channel enough is closed, if that is earlier.
 func startClientsUntil(ctx context.Context, site *stand.Site, doors map[int]string, rate, end float64, enough <-chan struct{}) (finish func() ([]*load.Outcome, error)) {
 	var runs []load.Run
 	for _, i := range slices.Sorted(maps.Keys(doors)) {
@@ -476,14 +482,15 @@
 	return runConcurrently(ctx, runs)
 }
 
-// clientRun is one door's clients for a time, ms.
+// clientRun returns the load of one door's clients; end is its duration in ms.
 func clientRun(site *stand.Site, at string, door int, rate, end float64) load.Run {
 	run := site.Client(at, uint64(door+1))
 	run.Rate, run.For, run.Patience = rate, time.Duration(end*1e6), clientTimeout
 	return run
 }
 
-// runConcurrently plays runs beside each other; what it returns waits for them and gives what came of each, in their order.
+// runConcurrently starts several loads at the same time. The returned function waits for them and returns the outcomes, in the
+// order of the loads, and the first error.
 func runConcurrently(ctx context.Context, runs []load.Run) (finish func() ([]*load.Outcome, error)) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
@@ -503,15 +510,16 @@
 	return func() ([]*load.Outcome, error) { group.Wait(); return all, first }
 }
 
-// Rules besides those of package check, which knows doors alone.
+// Rules of a run on processes, besides those of package check, which knows neither processes nor clients.
 const (
-	RuleDoorsServe       = "doors serve on"
-	RuleNamesakeYields   = "the second of a name stands back"
-	RuleNoUnexpectedExit = "no process ends by itself"
+	RuleDoorsServe       = "doors keep serving"
+	RuleNamesakeYields   = "a second process under a name gives up"
+	RuleNoUnexpectedExit = "no process exits unexpectedly"
 )
 
-const minFinishedShare = 0.995 // share of requests at doors that nothing befell
+const minFinishedShare = 0.995 // minimum share of requests that must finish at doors without faults
 
+// result checks the history and what clients were served.
 func (r *rig) result(served []*load.Outcome) *Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -528,43 +536,43 @@
 	for _, f := range r.failures {
 		res.Breaches = append(res.Breaches, check.Violation{Rule: RuleNoUnexpectedExit, Text: f})
 	}
-	var says string
-	if res.Asked, res.Finished, says = checkFinished(served); says != "" {
-		res.Breaches = append(res.Breaches, check.Violation{Rule: RuleDoorsServe, Text: says})
+	var reason string
+	if res.Asked, res.Finished, reason = checkFinished(served); reason != "" {
+		res.Breaches = append(res.Breaches, check.Violation{Rule: RuleDoorsServe, Text: reason})
 	}
 	res.checkNamesakes(p, r.nameConflicts)
 	res.CPU, res.Resident = check.At(r.cpu, 50), check.At(r.resident, 50)
 	datagrams := int64(0)
-	for _, one := range r.relays {
-		if one != nil {
-			datagrams += one.forwarded.Load()
+	for _, proxy := range r.relays {
+		if proxy != nil {
+			datagrams += proxy.forwarded.Load()
 		}
 	}
 	res.Messages = float64(datagrams) / float64(p.Fleet.Doors) / max(1, p.Truth.EndMs/msPerSecond)
 	return res
 }
 
-// checkFinished adds up what clients were served at doors that nothing befell; says is empty where that is enough.
-func checkFinished(all []*load.Outcome) (asked, finished int, says string) {
+// checkFinished adds up the requests to doors without faults. The reason of a violation is empty if enough of them finished.
+func checkFinished(all []*load.Outcome) (asked, finished int, reason string) {
 	for _, o := range all {
 		asked, finished = asked+o.Asked, finished+o.Finished
 	}
 	if asked > 0 && float64(finished) < minFinishedShare*float64(asked) {
-		says = fmt.Sprintf("%d of %d operations finished at doors that nothing befell", finished, asked)
+		reason = fmt.Sprintf("%d of %d operations finished at doors without faults", finished, asked)
 	}
-	return asked, finished, says
+	return asked, finished, reason
 }
 
-// stop ends all that the rig started.
+// stop stops all processes and relays.
 func (r *rig) stop() {
 	var all []*child
 	for _, p := range append(slices.Clone(r.doors), r.namesakes...) {
 		all = append(all, &p.child)
 	}
 	stopAll(all)
-	for _, one := range r.relays {
-		if one != nil {
-			one.close()
+	for _, proxy := range r.relays {
+		if proxy != nil {
+			proxy.close()
 		}
 	}
 }
--- a/lab/procs/report.go
+++ b/lab/procs/report.go
@@ -13,13 +13,13 @@
 	"github.com/swifthall/swifthall/lab/procs/check"
 )
 
-// The timeline: for each door, what each other holds of it, over the day. Of a large fleet a row is a door, and its colour what
-// most of the others hold.
+// Layout of the timeline. It shows for each door in which state every other door considered it, over the run. A small fleet has
+// a row for each pair of doors; a larger one has a row for each door, coloured by the state that most others considered it in.
 const (
-	plotWidth    = 1100.0 // px of the day
-	plotLeft     = 130.0
-	rowHeight    = 5.0
-	maxPairDoors = 16 // doors up to which each pair has a row
+	plotWidth    = 1100.0 // px
+	plotLeft     = 130.0  // px, space for the doors' names
+	rowHeight    = 5.0    // px
+	maxPairDoors = 16     // maximum number of doors for a row per pair
 )
 
 var colours = map[string]string{"here": "#4c9f70", "doubted": "#e0a030", "away": "#c0392b", "left": "#7f8c8d", "leaving": "#5dade2",
@@ -50,7 +50,7 @@
 {{end}}{{range .Labels}}<text x="{{printf "%.1f" .X}}" y="{{printf "%.1f" .Y}}">{{.Text}}</text>
 {{end}}</svg>`))
 
-// Write puts a play into a folder, which is made: result.json, schedule.toml that plays it again, and report.html.
+// Write writes a run into a directory, which it creates: result.json, report.html, and schedule.toml to repeat the run.
 func (r *Result) Write(s *Schedule, dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return &RigError{dir, err}
@@ -158,11 +158,11 @@
 	return out.Bytes(), err
 }
 
-// majority calls out with what most others held of a door, stretch by stretch.
+// majority calls out with the state in which most others considered a door, for each interval between changes of it.
 func (r *Result) majority(d int, from, to float64, out func(a, b float64, state string)) {
 	held := make([]string, r.Truth.Doors)
 	count := map[string]int{"": r.Truth.Doors - 1}
-	most, since := "", from
+	majority, since := "", from
 	for i := range r.History {
 		e := &r.History[i]
 		if e.Door == d || e.About != d && e.From != "born" {
@@ -175,16 +175,16 @@
 		count[held[e.Door]]--
 		held[e.Door] = next
 		count[next]++
-		now := most
+		now := majority
 		for s, n := range count {
-			if n > count[now] || n == count[now] && s < now && now != most {
+			if n > count[now] || n == count[now] && s < now && now != majority {
 				now = s
 			}
 		}
-		if now != most {
-			out(since, e.At, most)
-			most, since = now, e.At
+		if now != majority {
+			out(since, e.At, majority)
+			majority, since = now, e.At
 		}
 	}
-	out(since, to, most)
+	out(since, to, majority)
 }
--- a/lab/procs/virtual.go
+++ b/lab/procs/virtual.go
@@ -11,21 +11,21 @@
 	"github.com/swifthall/swifthall/members"
 )
 
-// Detector is what is played in virtual time: the module, or what it is compared with.
+// Detector is a failure detector that can run in virtual time: the module under test, or one to compare it with.
 type Detector interface {
 	Step(now float64, events ...members.Event) []members.Action
 	All() []members.Record
 }
 
-// Maker makes one door's detector; fleet lists the whole fleet, for those that must be told it.
+// DetectorFactory makes one door's detector. Fleet lists all doors, for detectors that don't discover them.
 type Maker func(self members.Peer, fleet []members.Peer, seed uint64) Detector
 
-// Module makes the module itself.
+// Module makes the membership module under test.
 func Module(self members.Peer, _ []members.Peer, seed uint64) Detector {
 	return members.New(self, seed)
 }
 
-// Result is what one play came to.
+// Result is the result of one run of a schedule.
 type Result struct {
 	Schedule string            `json:"schedule"`
 	Shows    string            `json:"shows"`
@@ -35,35 +35,36 @@
 	Doors    int               `json:"doors"`
 	Breaches []check.Violation `json:"breaches"`
 	Figures  check.Figures     `json:"figures"`
-	Messages float64           `json:"messages_per_s"` // sent by a door, a second
+	Messages float64           `json:"messages_per_s"` // sent per door and second; on processes datagrams through the relays
 	Bytes    float64           `json:"bytes_per_s"`
 	Truth    check.Truth       `json:"-"`
-	CPU      float64           `json:"cpu_ms_per_s,omitempty"` // on processes, of the middle door
+	CPU      float64           `json:"cpu_ms_per_s,omitempty"` // on processes: median over the doors
 	Resident float64           `json:"resident_mb,omitempty"`
-	Asked    int               `json:"asked,omitempty"` // on processes, of doors that nothing befell
+	Asked    int               `json:"asked,omitempty"` // on processes: requests to doors without faults
 	Finished int               `json:"finished,omitempty"`
 	History  []check.Event     `json:"history"`
 }
 
 const (
-	warmUpMs           = 8000.0 // ms before the day in which the doors find each other
-	joinRetryMs        = 1000.0 // ms between tries to find a door
-	seedDoors          = 3      // doors that all others are told of
-	maxBuffered        = 1000   // datagrams that wait for a process that is stopped; the rest is lost
-	sizeSampleInterval = 64     // one in so many messages is encoded, for the bytes
-	reorderDelayMs     = 30.0   // ms by which a reordered datagram comes later
+	warmUpMs           = 8000.0 // time before the run in which the doors find each other
+	joinRetryMs        = 1000.0 // between a door's attempts to join
+	seedDoors          = 3      // doors that are configured as peers at all others
+	maxBuffered        = 1000   // datagrams that a paused process's socket buffers; further ones are lost
+	sizeSampleInterval = 64     // every so many messages one is encoded, to estimate the bytes
+	reorderDelayMs     = 30.0   // added delay of a reordered datagram
 )
 
-// scheduled is one thing that happens.
+// scheduled is an entry of the time queue: either a function to run, or an event for one incarnation of a door.
 type scheduled struct {
 	at          float64
-	order       int
-	door        int // -1 for none
+	order       int // of entries at the same time
+	door        int // -1 for a function
 	incarnation int
 	event       members.Event
 	do          func()
 }
 
+// timeQueue is a binary heap of entries, the earliest first.
 type timeQueue []scheduled
 
 func (q *timeQueue) push(d scheduled) {
@@ -107,7 +108,7 @@
 	return d.at < o.at || d.at == o.at && d.order < o.order
 }
 
-// virtualDoor is one door's process.
+// virtualDoor is one door's simulated process.
 type virtualDoor struct {
 	peer        members.Peer
 	detector    Detector
@@ -121,7 +122,7 @@
 	last        float64
 }
 
-// simulation plays a plan in virtual time.
+// simulation is the state of a run in virtual time.
 type simulation struct {
 	*Plan
 	newDetector   Maker
@@ -138,19 +139,19 @@
 	bytes         float64
 }
 
-// Door names a door, the same in virtual time and on processes.
+// Door returns a door's name by its number. It is the same in virtual time and on processes.
 func Door(i int) string { return fmt.Sprintf("door-%03d", i) }
 
-// Play plays a plan in virtual time and judges it.
-func (p *Plan) Play(ctx context.Context, who string, make Maker) (*Result, error) {
-	w := &simulation{Plan: p, newDetector: make, rng: rand.New(rand.NewPCG(p.Seed, 7)), now: -warmUpMs, byAddress: map[string]int{}}
+// Run runs a plan in virtual time and checks its history. Who names the detector in the result.
+func (p *Plan) Play(ctx context.Context, who string, newDetector Maker) (*Result, error) {
+	w := &simulation{Plan: p, newDetector: newDetector, rng: rand.New(rand.NewPCG(p.Seed, 7)), now: -warmUpMs, byAddress: map[string]int{}}
 	for i := range p.Fleet.Doors {
 		peer := members.Peer{Name: Door(i), Address: fmt.Sprintf("10.0.%d.%d:7946", i/250, i%250), Zone: fmt.Sprint("z", p.Truth.Zones[i]), Number: i}
 		w.fleet = append(w.fleet, peer)
 		w.byAddress[peer.Address] = i
 		w.doors = append(w.doors, &virtualDoor{peer: peer})
 	}
-	for i, x := range p.Namesakes { // further processes under doors' names, at addresses of their own
+	for i, x := range p.Namesakes { // second processes under doors' names, at addresses of their own
 		peer := w.fleet[x.Door]
 		peer.Address = fmt.Sprintf("10.9.0.%d:7946", i)
 		at := len(w.doors)
@@ -196,25 +197,26 @@
 	return r, nil
 }
 
-// checkNamesakes tells of doors under others' names that did not find out.
+// checkNamesakes adds a violation if a second process under a door's name did not notice the conflict.
 func (r *Result) checkNamesakes(p *Plan, refused int) {
 	if len(p.Namesakes) > refused {
-		r.Breaches = append(r.Breaches, check.Violation{Rule: RuleNamesakeYields, Text: fmt.Sprintf("%d of %d said that their name is taken", refused, len(p.Namesakes))})
+		r.Breaches = append(r.Breaches, check.Violation{Rule: RuleNamesakeYields, Text: fmt.Sprintf("%d of %d processes reported that their name is taken", refused, len(p.Namesakes))})
 	}
 }
 
-// checkLimits are what the schedule says must hold.
+// checkLimits returns the schedule's limits for package check.
 func (p *Plan) checkLimits() check.Limits {
 	m := p.Limits
 	return check.Limits{DetectionMs: m.DetectionMs, RecoveryMs: m.RecoveryMs, AgreementMs: m.AgreementMs, ConvergenceMs: m.ConvergenceMs, SuspicionMs: m.SuspicionMs, VerdictChanges: m.VerdictChanges, AllowFalseAway: m.AllowFalseAway}
 }
 
+// runAt schedules a function.
 func (w *simulation) runAt(t float64, do func()) {
 	w.order++
 	w.queue.push(scheduled{at: t, order: w.order, door: -1, do: do})
 }
 
-// scheduleDoor puts in what befalls one door.
+// scheduleDoor schedules the start and the faults of one door.
 func (w *simulation) scheduleDoor(i int) {
 	m := w.doors[i]
 	from := -warmUpMs + w.rng.Float64()*msPerSecond
@@ -241,7 +243,7 @@
 	}
 }
 
-// record puts an event into the history; what a further process under a door's name holds is no part of it.
+// record adds an event to the history, unless it is by or about a second process under a door's name.
 func (w *simulation) record(e check.Event) {
 	if e.Door < w.Fleet.Doors && e.About < w.Fleet.Doors {
 		e.At = w.now
@@ -249,7 +251,7 @@
 	}
 }
 
-// link is the place of a directed pair in the plan; -1 where the plan does nothing to it.
+// link returns the index of a directed link in the plan; -1 for links of second processes, which have no faults.
 func (w *simulation) link(a, b int) int {
 	if n := w.Fleet.Doors; a < n && b < n {
 		return a*n + b
@@ -257,6 +259,7 @@
 	return -1
 }
 
+// start starts an incarnation of a door with a new detector.
 func (w *simulation) start(i int) {
 	m := w.doors[i]
 	m.incarnation++
@@ -268,6 +271,7 @@
 	w.join(i)
 }
 
+// resume ends a pause: the door first processes the buffered datagrams, and then a tick if it missed one.
 func (w *simulation) resume(i int) {
 	m := w.doors[i]
 	if !m.paused {
@@ -277,9 +281,9 @@
 	if !m.up {
 		return
 	}
-	waited := m.buffered
+	buffered := m.buffered
 	m.buffered = nil
-	for _, ev := range waited {
+	for _, ev := range buffered {
 		w.step(i, ev)
 	}
 	if !m.tickPending {
@@ -287,7 +291,7 @@
 	}
 }
 
-// scheduleTick has a door's scheduleTick come in time.
+// scheduleTick schedules a door's next tick.
 func (w *simulation) scheduleTick(i int) {
 	m := w.doors[i]
 	m.tickPending = true
@@ -295,9 +299,9 @@
 	w.queue.push(scheduled{at: w.now + members.TickEvery, order: w.order, door: i, incarnation: m.incarnation, event: members.Tick{}})
 }
 
-// join has a door find others through those that all are told of.
+// join has a door exchange states with a random seed door, and retries until that has succeeded once.
 func (w *simulation) join(i int) {
-	m, life := w.doors[i], w.doors[i].incarnation
+	m, incarnation := w.doors[i], w.doors[i].incarnation
 	if m.joined || !m.up {
 		return
 	}
@@ -309,26 +313,27 @@
 		}
 	}
 	w.runAt(w.now+joinRetryMs, func() {
-		if m.incarnation == life {
+		if m.incarnation == incarnation {
 			w.join(i)
 		}
 	})
 }
 
-// exchangeStates exchanges whole states over a connection: both ways must be open.
+// exchangeStates exchanges the full states of two doors as over a connection, which needs the links in both directions, and
+// calls done, unless nil, once the initiator has received the answer.
 func (w *simulation) exchangeStates(i, j int, done func()) {
 	if w.isCut(i, j) || w.isCut(j, i) {
 		return
 	}
-	mine, life := w.doors[i].detector.All(), w.doors[i].incarnation
+	states, incarnation := w.doors[i].detector.All(), w.doors[i].incarnation
 	w.runAt(w.now+w.linkDelay(i, j), func() {
 		if m := w.doors[j]; !m.up || m.paused {
 			return
 		}
 		theirs := w.doors[j].detector.All()
-		w.step(j, members.RemoteState{Records: mine})
+		w.step(j, members.RemoteState{Records: states})
 		w.runAt(w.now+w.linkDelay(j, i), func() {
-			if m := w.doors[i]; m.up && !m.paused && m.incarnation == life {
+			if m := w.doors[i]; m.up && !m.paused && m.incarnation == incarnation {
 				if done != nil {
 					done()
 				}
@@ -338,29 +343,31 @@
 	})
 }
 
+// isCut reports whether the link from a to b is cut now.
 func (w *simulation) isCut(a, b int) bool {
-	way := w.link(a, b)
+	link := w.link(a, b)
 	for i := range w.Truth.Cuts {
-		if c := &w.Truth.Cuts[i]; way >= 0 && c.Links[way] && w.now >= c.From && w.now < c.To {
+		if c := &w.Truth.Cuts[i]; link >= 0 && c.Links[link] && w.now >= c.From && w.now < c.To {
 			return true
 		}
 	}
 	return false
 }
 
+// linkDelay draws the delay of one packet, in ms.
 func (w *simulation) linkDelay(a, b int) float64 {
-	way := w.link(a, b)
+	link := w.link(a, b)
 	d := w.Net.DelayMs.At(w.rng.Float64())
 	if len(w.Delay) > 0 {
-		d += amountAt(w.Delay, way, w.now) * w.rng.Float64()
+		d += amountAt(w.Delay, link, w.now) * w.rng.Float64()
 	}
-	if len(w.Reorder) > 0 && w.rng.Float64() < amountAt(w.Reorder, way, w.now) {
+	if len(w.Reorder) > 0 && w.rng.Float64() < amountAt(w.Reorder, link, w.now) {
 		d += reorderDelayMs
 	}
 	return d
 }
 
-// step has one door take an event in, and carries its actions out.
+// step passes an event to a door's detector and carries out the actions that it returns.
 func (w *simulation) step(i int, ev members.Event) {
 	m := w.doors[i]
 	for _, a := range m.detector.Step(w.now, ev) {
@@ -386,6 +393,7 @@
 	}
 }
 
+// send delivers a message, subject to the impairments of the link.
 func (w *simulation) send(i int, s members.Send) {
 	j, ok := w.byAddress[s.To.Address]
 	if !ok {
@@ -395,12 +403,12 @@
 		raw, _ := json.Marshal(s.Message)
 		w.bytes += float64(sizeSampleInterval * len(raw))
 	}
-	way := w.link(i, j)
-	if loss := max(w.Net.Loss, amountAt(w.Loss, way, w.now)); w.isCut(i, j) || loss > 0 && w.rng.Float64() < loss {
+	link := w.link(i, j)
+	if loss := max(w.Net.Loss, amountAt(w.Loss, link, w.now)); w.isCut(i, j) || loss > 0 && w.rng.Float64() < loss {
 		return
 	}
 	copies := 1
-	if len(w.Duplicate) > 0 && w.rng.Float64() < amountAt(w.Duplicate, way, w.now) {
+	if len(w.Duplicate) > 0 && w.rng.Float64() < amountAt(w.Duplicate, link, w.now) {
 		copies = 2
 	}
 	for range copies {
@@ -409,7 +417,7 @@
 	}
 }
 
-// SortByTime puts a history in the order of time.
+// SortByTime sorts a history by time, in place and stable, and returns it.
 func SortByTime(h []check.Event) []check.Event {
 	sort.SliceStable(h, func(a, b int) bool { return h[a].At < h[b].At })
 	return h
