--- a/lab/procs/drill_test.go
+++ b/lab/procs/drill_test.go
@@ -12,7 +12,8 @@
 	"github.com/swifthall/swifthall/lab/procs/check"
 )
 
-// Real coordinators, doors and operators under drawn faults. Each drill is real time, so they run side by side.
+// Drills with real coordinators, doors and operators under random faults keep all rules. They run in parallel, as each takes
+// real time.
 func TestDrillsOnProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("real time")
@@ -25,37 +26,37 @@
 			require.NoError(t, err)
 			assert.Empty(t, r.Breaches, r.Strikes)
 			assert.Positive(t, r.Calls)
-			t.Logf("%d strikes, %d doors went and %d came back, %d calls of which %d refused and %d lost, %d times drained, all back %.0f ms; %d of %d operations",
+			t.Logf("%d faults, %d planned outages began and %d ended, %d calls of which %d refused and %d lost, %d times drained, recovered after %.0f ms; %d of %d operations",
 				len(r.Strikes), r.Went, r.Returned, r.Calls, r.Refused, r.Lost, r.Drained, r.BackMs, r.Finished, r.Asked)
 		})
 	}
 }
 
 func TestOutagesAreDerivedFromProbes(t *testing.T) {
-	at := func(status int, times ...float64) (all []probeResult) {
+	probesAt := func(status int, times ...float64) (all []probeResult) {
 		for _, x := range times {
 			all = append(all, probeResult{x, x + 2, status})
 		}
 		return all
 	}
-	var looks []probeResult
-	for _, l := range [][]probeResult{at(200, 10, 30), at(503, 50, 70), at(200, 90), at(0, 110), at(503, 210), at(200, 230), at(503, 250)} {
-		looks = append(looks, l...)
+	var probes []probeResult
+	for _, l := range [][]probeResult{probesAt(200, 10, 30), probesAt(503, 50, 70), probesAt(200, 90), probesAt(0, 110), probesAt(503, 210), probesAt(200, 230), probesAt(503, 250)} {
+		probes = append(probes, l...)
 	}
-	all, back := outagesOf(3, []float64{0, 200}, []float64{100}, []check.Interval{{From: 20, To: 25}}, looks)
-	assert.Equal(t, 1, back)
+	all, returned := outagesOf(3, []float64{0, 200}, []float64{100}, []check.Interval{{From: 20, To: 25}}, probes)
+	assert.Equal(t, 1, returned)
 	assert.Equal(t, []outs.Gone{
-		{Door: 3, From: 52, To: 90, ByPlan: true}, // it was ready, and said that it can't serve
+		{Door: 3, From: 52, To: 90, ByPlan: true}, // was ready, and then answered that it is not
 		{Door: 3, From: 252, To: math.Inf(1), ByPlan: true},
-		{Door: 3, From: 100, To: 230}, // killed: until its next life can serve; a start is no plan
+		{Door: 3, From: 100, To: 230}, // killed, until its next incarnation is ready; a starting door is no planned outage
 		{Door: 3, From: 20, To: 25},
 	}, all)
-	all, _ = outagesOf(0, []float64{0}, []float64{40}, nil, append(at(200, 10), at(503, 50)...))
-	assert.False(t, all[0].ByPlan, "it was told to end")
+	all, _ = outagesOf(0, []float64{0}, []float64{40}, nil, append(probesAt(200, 10), probesAt(503, 50)...))
+	assert.False(t, all[0].ByPlan, "it was asked to terminate")
 }
 
 func TestARequestAtADrainedBackendIsFound(t *testing.T) {
-	claims := []drainedSpan{{"b-1", 1000, 3000}}
-	assert.Empty(t, requestsWhileDrained(claims, map[string][]float64{"b-1": {900, 1000 + inFlightGraceMs, 3000}, "b-2": {2000}}))
-	assert.Equal(t, RuleDrainedBackendSilent, requestsWhileDrained(claims, map[string][]float64{"b-1": {2000}})[0].Rule)
+	spans := []drainedSpan{{"b-1", 1000, 3000}}
+	assert.Empty(t, requestsWhileDrained(spans, map[string][]float64{"b-1": {900, 1000 + inFlightGraceMs, 3000}, "b-2": {2000}}))
+	assert.Equal(t, RuleDrainedBackendSilent, requestsWhileDrained(spans, map[string][]float64{"b-1": {2000}})[0].Rule)
 }
--- a/lab/procs/real_test.go
+++ b/lab/procs/real_test.go
@@ -19,14 +19,14 @@
 	"github.com/swifthall/swifthall/lab/load"
 )
 
-// buildPrograms builds the programs once, beside each other; what it buildPrograms goes when the tests are over.
+// buildPrograms builds the programs once, into one directory that TestMain removes, and returns the path of swifthall.
 func buildPrograms(t *testing.T) string {
 	buildOnce.Do(func() {
-		made, err := os.MkdirTemp("", "swifthall-")
+		dir, err := os.MkdirTemp("", "swifthall-")
 		require.NoError(t, err)
-		out, err := exec.Command("go", "build", "-o", made, "../../cmd/swifthall", "../../cmd/swifthall-fleet", "../../cmd/swifthall-coordinate").CombinedOutput()
+		out, err := exec.Command("go", "build", "-o", dir, "../../cmd/swifthall", "../../cmd/swifthall-fleet", "../../cmd/swifthall-coordinate").CombinedOutput()
 		require.NoError(t, err, string(out))
-		buildDir = made
+		buildDir = dir
 	})
 	return filepath.Join(buildDir, "swifthall")
 }
@@ -44,7 +44,8 @@
 	os.Exit(code)
 }
 
-// On real processes: stopped, cut one way, lossy, halved, killed and back. Each day is real time, so they run side by side.
+// Schedules with pauses, one-way cuts, loss, a split, restarts and a duplicate name keep all rules on real processes. They run in
+// parallel, as each takes real time.
 func TestProcessesKeepTheSchedules(t *testing.T) {
 	if testing.Short() {
 		t.Skip("real time")
@@ -59,7 +60,7 @@
 			require.NoError(t, err)
 			assert.Empty(t, r.Breaches)
 			assert.NotEmpty(t, r.History)
-			t.Logf("known %.0f ms, back %.0f ms, one view %.0f ms, changes %d; %d of %d operations", largest(r.Figures.Known), largest(r.Figures.Back), r.Figures.One,
+			t.Logf("detected %.0f ms, recovered %.0f ms, converged %.0f ms, changes %d; %d of %d operations", largest(r.Figures.Known), largest(r.Figures.Back), r.Figures.One,
 				r.Figures.Changes, r.Finished, r.Asked)
 		})
 	}
@@ -88,7 +89,7 @@
 func TestRigRulesFindViolations(t *testing.T) {
 	s, err := Open("namesake")
 	require.NoError(t, err)
-	r := &rig{Real: Real{Plan: s.Draw(1)}, failures: []string{"door-001 ended by itself"}}
+	r := &rig{Real: Real{Plan: s.Draw(1)}, failures: []string{"door-001 exited unexpectedly"}}
 	served := []*load.Outcome{{Asked: 1000, Finished: 1000}, {Asked: 1000, Finished: 980}}
 	res := r.result(served)
 	for _, rule := range []string{RuleNoUnexpectedExit, RuleDoorsServe, RuleNamesakeYields} {
@@ -101,11 +102,11 @@
 	}
 }
 
-// A relay is what the schedules stand on: a way that is cut lets nothing through, and holds connections up in both directions.
+// All schedules on processes rely on the relay: a cut link drops datagrams, and connections stall while either direction is cut.
 func TestRelayCutsOneWayAndHoldsConnections(t *testing.T) {
-	at, err := loopback.Free()
+	free, err := loopback.Free()
 	require.NoError(t, err)
-	udp, err := net.ResolveUDPAddr("udp", at)
+	udp, err := net.ResolveUDPAddr("udp", free)
 	require.NoError(t, err)
 	server, err := net.ListenUDP("udp", udp)
 	require.NoError(t, err)
@@ -122,40 +123,40 @@
 			go func() { _, _ = io.Copy(c, c); c.Close() }()
 		}
 	}()
-	var cut, dead atomic.Bool
-	one, err := newRelay(server.LocalAddr().String(), 1, func() impairment { return impairment{cut: cut.Load()} }, dead.Load)
+	var cut, blocked atomic.Bool
+	proxy, err := newRelay(server.LocalAddr().String(), 1, func() impairment { return impairment{cut: cut.Load()} }, blocked.Load)
 	require.NoError(t, err)
-	defer one.close()
-	nc, err := net.Dial("udp", one.address)
+	defer proxy.close()
+	nc, err := net.Dial("udp", proxy.address)
 	require.NoError(t, err)
 	defer nc.Close()
-	came := func(want string) bool {
+	arrives := func(want string) bool {
 		_, _ = nc.Write([]byte(want))
 		_ = server.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 		buf := make([]byte, 64)
 		n, _, err := server.ReadFromUDP(buf)
 		return err == nil && string(buf[:n]) == want
 	}
-	assert.True(t, came("open"))
+	assert.True(t, arrives("open"))
 	cut.Store(true)
-	assert.False(t, came("cut"))
+	assert.False(t, arrives("cut"))
 	cut.Store(false)
-	assert.True(t, came("open again"))
+	assert.True(t, arrives("open again"))
 
-	dead.Store(true)
-	tcp, err := net.Dial("tcp", one.address)
+	blocked.Store(true)
+	tcp, err := net.Dial("tcp", proxy.address)
 	require.NoError(t, err)
 	defer tcp.Close()
 	_, err = tcp.Write([]byte("x"))
 	require.NoError(t, err)
 	_ = tcp.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 	_, err = tcp.Read(make([]byte, 1))
-	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "open and silent")
-	dead.Store(false)
+	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "the connection is open and transfers nothing")
+	blocked.Store(false)
 	_ = tcp.SetReadDeadline(time.Now().Add(5 * time.Second))
 	_, err = io.ReadFull(tcp, make([]byte, 1))
 	require.NoError(t, err)
-	one.reset()
+	proxy.reset()
 	_, err = tcp.Read(make([]byte, 1))
 	assert.Error(t, err)
 }
--- a/lab/procs/rollout_test.go
+++ b/lab/procs/rollout_test.go
@@ -10,7 +10,7 @@
 	"github.com/swifthall/swifthall/lab/load"
 )
 
-// Releases on real processes with clients at every door. The long ones are a command: swifthall lab rollouts.
+// Releases on real processes with clients at every door. The longer kinds run with the command swifthall lab rollouts.
 func TestRolloutsOnProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("real time")
@@ -24,14 +24,14 @@
 			assert.Empty(t, r.Breaches)
 			assert.Positive(t, r.Asked)
 			assert.LessOrEqual(t, r.MostOut, maxDoorsOut)
-			t.Logf("%s after %.1f s, decided after %.1f s, back after %.1f s; most out %d; %d operations, %d finished, %d rejected, %d failed; %d rejected cold: %s", r.Stage,
+			t.Logf("%s after %.1f s, decided after %.1f s, back after %.1f s; most out %d; %d operations, %d finished, %d rejected, %d failed; %d rejected in warm-up: %s", r.Stage,
 				r.TookS, r.DecidedS, r.BackS, r.MostOut, r.Asked, r.Finished, r.Rejected, r.Failed, r.RejectedInWarmUp, r.Says)
 		})
 	}
 }
 
 func TestUnreachedDoorMustNotReject(t *testing.T) {
-	broken := func(kind string, at ...load.Outcome) int {
+	violations := func(kind string, at ...load.Outcome) int {
 		r := &RolloutResult{Kind: kind, reachedUnits: map[string]bool{Door(0): true}}
 		var all []*load.Outcome
 		for _, o := range at {
@@ -44,13 +44,13 @@
 	fine := load.Outcome{Asked: 1000, Finished: 1000}
 	one := load.Outcome{Asked: 1000, Finished: 999, Rejected: 1}
 	most := load.Outcome{Asked: 1000, Finished: 100, Rejected: 900}
-	assert.Zero(t, broken("good", one, fine), "it had just started")
-	assert.Equal(t, 1, broken("good", most, fine))
-	assert.Zero(t, broken("harmful", most, fine), "that is the harm")
-	assert.Equal(t, 1, broken("harmful", most, one))
-	assert.Equal(t, 1, broken("crash", fine, one))
-	assert.Equal(t, 2, broken("crash", one, most))
-	assert.Zero(t, broken("backends", fine, one))
+	assert.Zero(t, violations("good", one, fine), "a changed door has just started")
+	assert.Equal(t, 1, violations("good", most, fine))
+	assert.Zero(t, violations("harmful", most, fine), "the harmful release causes these")
+	assert.Equal(t, 1, violations("harmful", most, one))
+	assert.Equal(t, 1, violations("crash", fine, one))
+	assert.Equal(t, 2, violations("crash", one, most))
+	assert.Zero(t, violations("backends", fine, one))
 }
 
 func TestUnknownRolloutKindIsAnError(t *testing.T) {
@@ -59,7 +59,7 @@
 	require.ErrorAs(t, err, &name)
 }
 
-// It once ran to its end and then fell over the clients that had never begun.
+// Guards against a rollout that runs to its end and then crashes because its clients could not be started.
 func TestRolloutWithoutClientsIsRefused(t *testing.T) {
 	_, err := Rollout{Kind: "crash", Doors: 1, Coordinators: 1}.Play(context.Background())
 	var run *load.RunError
@@ -68,12 +68,12 @@
 }
 
 func TestMaxConcurrentOutagesFromProbes(t *testing.T) {
-	of := func(from, to float64) *node {
+	doorOut := func(from, to float64) *node {
 		return &node{probes: []probeResult{{0, 1, 200}, {from - 1, from, 503}, {(from + to) / 2, (from + to) / 2, 0}, {to, to + 1, 200}}}
 	}
-	most, _ := maxConcurrentOutages([]*node{of(10, 30), of(20, 40), of(30, 50)})
+	most, _ := maxConcurrentOutages([]*node{doorOut(10, 30), doorOut(20, 40), doorOut(30, 50)})
 	assert.Equal(t, 2, most)
-	most, which := maxConcurrentOutages([]*node{of(10, 31), of(20, 40), of(30, 50)})
+	most, which := maxConcurrentOutages([]*node{doorOut(10, 31), doorOut(20, 40), doorOut(30, 50)})
 	assert.Equal(t, 3, most)
 	assert.Len(t, which, 3)
 	most, _ = maxConcurrentOutages(nil)
--- a/lab/procs/stack_test.go
+++ b/lab/procs/stack_test.go
@@ -23,13 +23,13 @@
 	"github.com/swifthall/swifthall/members"
 )
 
-// A long run of all: go test ./lab/procs -run Stack -v -seeds 5 -doors 30,100
+// Flags for longer runs: go test ./lab/procs -run Stack -v -seeds 5 -doors 30
 var (
-	seedsWanted = flag.Int("seeds", 1, "seeds of each schedule played on the whole stack")
-	doorsWanted = flag.Int("doors", 12, "doors of each schedule played on the whole stack")
+	seedsWanted = flag.Int("seeds", 1, "number of seeds of each schedule that runs on the whole stack")
+	doorsWanted = flag.Int("doors", 12, "number of doors of each schedule that runs on the whole stack")
 )
 
-// stack plays a plan with whole drivers over a network in memory, within a bubble of virtual time.
+// stack runs a plan with the complete membership drivers over an in-memory network, within a synctest bubble.
 type stack struct {
 	*Plan
 	net       *fleet.Network
@@ -40,10 +40,10 @@
 	history   []check.Event
 }
 
-// runningDoor is one running door; end stops it at once, or by plan.
+// runningDoor is one running door. stop stops it: with byPlan after it has left the fleet, otherwise at once.
 type runningDoor struct{ stop func(byPlan bool) }
 
-// starter starts a door's life; on hears what it holds of others.
+// starter starts the nth incarnation of door i; on receives each change of the state in which it considers another door.
 type starter func(s *stack, i, nth int, on func(about string, from, to string)) runningDoor
 
 func (s *stack) address(i int) string { return fmt.Sprintf("10.0.%d.%d:7946", i/200, i%200+1) }
@@ -69,7 +69,7 @@
 	return f
 }
 
-// run plays the plan and returns the history, and messages and bytes a second of a door on the quiet day before the first fault.
+// run runs the plan. It returns the history, and the packets and bytes per door and second in the time before the first fault.
 func (s *stack) run(start starter) (history []check.Event, packets, bytes float64) {
 	s.index, s.net, s.rng = map[string]int{}, fleet.NewNetwork(), rand.New(rand.NewPCG(s.Seed, 9))
 	names := map[string]int{}
@@ -78,15 +78,15 @@
 	}
 	s.startedAt = time.Now().Add(time.Duration(warmUpMs * 1e6))
 	s.net.Impair = s.impairment
-	type what struct {
+	type step struct {
 		at float64
 		do func()
 	}
-	var todo []what
-	lives := make([]*runningDoor, s.Fleet.Doors)
+	var steps []step
+	running := make([]*runningDoor, s.Fleet.Doors)
 	for i := range s.Fleet.Doors {
 		nth := 0
-		begin := func() {
+		startDoor := func() {
 			s.mu.Lock()
 			s.history = append(s.history, check.Event{At: s.ms(), Door: i, About: i, From: "born"})
 			s.mu.Unlock()
@@ -96,12 +96,12 @@
 				defer s.mu.Unlock()
 				s.history = append(s.history, check.Event{At: s.ms(), Door: i, About: names[about], From: from, To: to})
 			})
-			lives[i] = &l
+			running[i] = &l
 		}
-		end := func(byPlan bool) func() {
+		stopDoor := func(byPlan bool) func() {
 			return func() {
-				if l := lives[i]; l != nil {
-					lives[i] = nil
+				if l := running[i]; l != nil {
+					running[i] = nil
 					if byPlan {
 						go l.stop(true)
 					} else {
@@ -114,15 +114,15 @@
 		if s.StartMs[i] > 0 {
 			at = s.StartMs[i] + s.rng.Float64()*msPerSecond
 		}
-		todo = append(todo, what{at, begin})
+		steps = append(steps, step{at, startDoor})
 		for _, d := range s.Truth.Dead[i] {
-			todo = append(todo, what{d.From, end(false)})
+			steps = append(steps, step{d.From, stopDoor(false)})
 			if d.To < s.Truth.EndMs {
-				todo = append(todo, what{d.To, begin})
+				steps = append(steps, step{d.To, startDoor})
 			}
 		}
 		if s.Truth.LeaveAt[i] < s.Truth.EndMs {
-			todo = append(todo, what{s.Truth.LeaveAt[i], end(true)})
+			steps = append(steps, step{s.Truth.LeaveAt[i], stopDoor(true)})
 		}
 	}
 	var before, after fleet.Sent
@@ -134,9 +134,9 @@
 			}
 		}
 	}
-	todo = append(todo, what{-1000, sum(&before)}, what{1900, sum(&after)})
-	sort.SliceStable(todo, func(a, b int) bool { return todo[a].at < todo[b].at })
-	for _, w := range todo {
+	steps = append(steps, step{-1000, sum(&before)}, step{1900, sum(&after)})
+	sort.SliceStable(steps, func(a, b int) bool { return steps[a].at < steps[b].at })
+	for _, w := range steps {
 		time.Sleep(time.Duration((w.at - s.ms()) * 1e6))
 		w.do()
 	}
@@ -145,13 +145,13 @@
 	history = SortByTime(append([]check.Event(nil), s.history...))
 	s.mu.Unlock()
 	var group sync.WaitGroup
-	for _, l := range lives {
+	for _, l := range running {
 		if l != nil {
 			group.Go(func() { l.stop(false) })
 		}
 	}
 	group.Wait()
-	time.Sleep(time.Minute) // what the library leaves behind ends with its time-outs
+	time.Sleep(time.Minute) // goroutines that the library leaves behind end with their timeouts
 	per := 2.9 * float64(s.Fleet.Doors)
 	return history, float64(after.Packets-before.Packets) / per, float64(after.Bytes-before.Bytes) / per
 }
@@ -177,7 +177,7 @@
 	}}
 }
 
-// startMemberlist starts memberlist alone with its own defaults for a LAN: its verdicts are its own.
+// startMemberlist starts memberlist alone, with its default LAN configuration and its own failure detector.
 func startMemberlist(s *stack, i, _ int, on func(about, from, to string)) runningDoor {
 	t, err := s.net.Listen(s.address(i))
 	if err != nil {
@@ -194,7 +194,7 @@
 		panic(err)
 	}
 	done := make(chan struct{})
-	go func() { // as its pages tell: join until somebody answers
+	go func() { // as its documentation advises: join until some member answers
 		for m.NumMembers() < 2 {
 			if n, _ := m.Join([]string{s.address(0), s.address(1), s.address(2)}); n > 0 && m.NumMembers() > 1 {
 				return
@@ -235,7 +235,7 @@
 }
 func (h *eventDelegate) NotifyUpdate(*memberlist.Node) {}
 
-// runInBubble plays a plan on a whole stack in virtual time and judges it.
+// runInBubble runs a plan on a whole stack in virtual time and checks its history.
 func runInBubble(t *testing.T, p *Plan, start starter) (b []check.Violation, f check.Figures, packets, bytes float64) {
 	synctest.Test(t, func(*testing.T) {
 		s := &stack{Plan: p}
@@ -246,7 +246,7 @@
 	return b, f, packets, bytes
 }
 
-// onStack are the schedules that a bubble can play: it can't stop a process.
+// stackSchedules are the schedules that can run in a synctest bubble, which can't pause a process.
 var stackSchedules = []string{"crash", "unheard", "deaf", "half-heard", "pair", "zone-out", "zone-in", "loss", "return", "herd", "split", "start", "leave"}
 
 func TestTheStackKeepsTheSchedules(t *testing.T) {
@@ -257,7 +257,7 @@
 				p := shortSchedule(t, name, *doorsWanted).Draw(uint64(seed))
 				b, f, packets, bytes := runInBubble(t, p, startDriver)
 				assert.Empty(t, b)
-				t.Logf("%s %d doors: known %.0f ms, one view %.0f ms, changes %d, wrong %d, doubt %.0f; quiet: %.1f packets, %.0f bytes a second", name,
+				t.Logf("%s %d doors: detected %.0f ms, converged %.0f ms, changes %d, falsely away %d, suspected %.0f ms; idle: %.1f packets, %.0f bytes a second", name,
 					p.Fleet.Doors, check.At(f.Known, 99), f.One, f.Changes, f.Wrong, f.Doubt, packets, bytes)
 			})
 		}
@@ -272,7 +272,7 @@
 	require.NotEmpty(t, f.Known)
 }
 
-// TestLibraryBeside prints what the library alone does on the same schedules, for docs/members.md.
+// TestLibraryBeside prints the figures of the library alone on the same schedules, for docs/members.md.
 func TestLibraryBeside(t *testing.T) {
 	if !testing.Verbose() || *seedsWanted == 1 {
 		t.Skip("go test ./lab/procs -run LibraryBeside -v -seeds 5")
@@ -285,7 +285,7 @@
 			for _, x := range b {
 				rules[x.Rule]++
 			}
-			t.Logf("library, %s %d doors: known %.0f ms, one view %.0f ms, changes %d, wrong %d, doubt %.0f; quiet: %.1f packets, %.0f bytes a second; broken %v",
+			t.Logf("library, %s %d doors: detected %.0f ms, converged %.0f ms, changes %d, falsely away %d, suspected %.0f ms; idle: %.1f packets, %.0f bytes a second; violated %v",
 				name, p.Fleet.Doors, check.At(f.Known, 99), f.One, f.Changes, f.Wrong, f.Doubt, packets, bytes, rules)
 		}
 	}
--- a/lab/procs/virtual_test.go
+++ b/lab/procs/virtual_test.go
@@ -12,7 +12,7 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// shortSchedule opens a schedule that ships, cut down for a test of seconds.
+// shortSchedule opens a shipped schedule with at least so many doors, and shortens a long one to two minutes.
 func shortSchedule(t *testing.T, name string, doors int) *Schedule {
 	s, err := Open(name)
 	require.NoError(t, err)
@@ -43,19 +43,19 @@
 }
 
 func TestTheSameSeedGivesTheSameHistory(t *testing.T) {
-	play := func(seed uint64) *Result {
+	run := func(seed uint64) *Result {
 		r, err := shortSchedule(t, "herd", 12).Draw(seed).Play(context.Background(), "module", Module)
 		require.NoError(t, err)
 		return r
 	}
-	assert.Equal(t, play(3).History, play(3).History)
-	assert.NotEqual(t, play(3).History, play(4).History)
+	assert.Equal(t, run(3).History, run(3).History)
+	assert.NotEqual(t, run(3).History, run(4).History)
 }
 
 func TestHeartbeatsDisagreeDuringPartialCut(t *testing.T) {
 	r, err := shortSchedule(t, "half-heard", 12).Draw(1).Play(context.Background(), "heartbeats", Heartbeats)
 	require.NoError(t, err)
-	assert.True(t, hasRule(r, check.RuleAgreement), "those who hear it and those who don't hold different verdicts: %v", r.Breaches)
+	assert.True(t, hasRule(r, check.RuleAgreement), "doors that receive its heartbeats and doors that don't must disagree: %v", r.Breaches)
 }
 
 func hasRule(r *Result, rule string) bool {
--- a/lab/procs/warm_test.go
+++ b/lab/procs/warm_test.go
@@ -15,7 +15,7 @@
 	"github.com/swifthall/swifthall/lab/stand"
 )
 
-// fakeDoor answers as a door that rejects its first so many requests, and loses one where it is told to.
+// fakeDoor is an HTTP server that rejects its first requests, as many as rejects, and fails the request number loses.
 type fakeDoor struct {
 	rejects, loses int64
 	arrivals       atomic.Int64
@@ -44,7 +44,8 @@
 	return warmUp(context.Background(), site, at, 60)
 }
 
-// A rollout once failed for what doors rejected that had just started: six requests were out at each before its first answer.
+// Rejections by doors that have just started must not count against a rollout: a door with six requests in flight before its
+// first answer rejects some.
 func TestWarmUpRejectionsAreCountedSeparately(t *testing.T) {
 	t.Parallel()
 	doors := []*fakeDoor{{rejects: 7}, {}}
