--- a/lab/procs/report.go
+++ b/lab/procs/report.go
@@ -42,7 +42,7 @@
 {{if .R.Breaches}}<h2>Broken</h2><table><tr><th>rule<th>at, s<th>what</tr>{{range .R.Breaches}}<tr><td>{{.Rule}}<td>{{printf "%.1f" .At}} ms<td>{{.Text}}</tr>{{end}}</table>
 {{else}}<p>All rules kept.</p>{{end}}
 <h2>Figures</h2><table>{{range .Figures}}<tr><td>{{index . 0}}<td>{{index . 1}}</tr>{{end}}</table>
-<h2>Who held what of whom</h2>
+<h2>State of each door in the view of each other</h2>
 <p>{{range $k, $v := .Colours}}{{if $k}}<span style="background:{{$v}};padding:0 8px">&nbsp;</span> {{$k}} &nbsp; {{end}}{{end}}
 <span style="background:#000;padding:0 8px">&nbsp;</span> truly stopped or dead &nbsp; <span style="background:#26a;padding:0 8px">&nbsp;</span> a way from or to it truly cut</p>
 <svg width="{{.Wide}}" height="{{.High}}" font-family="sans-serif" font-size="10">
@@ -122,19 +122,19 @@
 			if o == d {
 				continue
 			}
-			held, since := "", from
+			state, since := "", from
 			for i := range r.History {
 				e := &r.History[i]
 				switch {
 				case e.Door == o && e.From == "born":
-					add(since, e.At, y, rowHeight-1, colours[held], fmt.Sprintf("%s held it to be %s", Door(o), held))
-					held, since = "", e.At
+					add(since, e.At, y, rowHeight-1, colours[state], fmt.Sprintf("%s considered it %s", Door(o), state))
+					state, since = "", e.At
 				case e.Door == o && e.About == d:
-					add(since, e.At, y, rowHeight-1, colours[held], fmt.Sprintf("%s held it to be %s", Door(o), held))
-					held, since = e.To, e.At
+					add(since, e.At, y, rowHeight-1, colours[state], fmt.Sprintf("%s considered it %s", Door(o), state))
+					state, since = e.To, e.At
 				}
 			}
-			add(since, to, y, rowHeight-1, colours[held], fmt.Sprintf("%s held it to be %s", Door(o), held))
+			add(since, to, y, rowHeight-1, colours[state], fmt.Sprintf("%s considered it %s", Door(o), state))
 			y += rowHeight
 		}
 		y += 4
@@ -160,7 +160,7 @@
 
 // majority calls out with the state in which most others considered a door, for each interval between changes of it.
 func (r *Result) majority(d int, from, to float64, out func(a, b float64, state string)) {
-	held := make([]string, r.Truth.Doors)
+	states := make([]string, r.Truth.Doors)
 	count := map[string]int{"": r.Truth.Doors - 1}
 	majority, since := "", from
 	for i := range r.History {
@@ -172,8 +172,8 @@
 		if e.From == "born" {
 			next = ""
 		}
-		count[held[e.Door]]--
-		held[e.Door] = next
+		count[states[e.Door]]--
+		states[e.Door] = next
 		count[next]++
 		now := majority
 		for s, n := range count {
--- a/lab/procs/schedule.go
+++ b/lab/procs/schedule.go
@@ -87,7 +87,7 @@
 // Kinds holds every kind of fault by its name in schedule files.
 var Kinds = map[string]Kind{
 	"pause":    {Unit: "minimum share of for_s", Max: 1, Description: "the process is paused (SIGSTOP); the duration is drawn for each door, between much and all of for_s"},
-	"pauses":   {Unit: "ms, maximum of a pause", Min: 1, Max: 60e3, Description: "the process is paused repeatedly for a short time, about every every_ms"},
+	"pauses":   {Unit: "ms at most per pause", Min: 1, Max: 60e3, Description: "the process is paused repeatedly for a short time, about every every_ms"},
 	"kill":     {MayBePermanent: true, Description: "the process is killed (SIGKILL), and restarted under the same name after for_s"},
 	"leave":    {Instant: true, Description: "the door is asked to leave (SIGTERM)"},
 	"late":     {Instant: true, Description: "the door is started only at at_s"},
