--- a/lab/procs/check/check.go
+++ b/lab/procs/check/check.go
@@ -42,7 +42,7 @@
 	At          float64 `json:"at_ms"`
 	Door        int     `json:"door"`  // whose view changed
 	About       int     `json:"about"` // the door that the view is of
-	From        string  `json:"from"`
+	From        string  `json:"from"`  // the previous state, as package members names it, or "born"
 	To          string  `json:"to"`
 	Incarnation uint32  `json:"life"`
 	Reason      string  `json:"why,omitempty"`
@@ -113,6 +113,7 @@
 	states [][]string // by observing door, then by observed door
 }
 
+// newView returns a view in which no door knows any other.
 func newView(n int) *view {
 	v := &view{n: n, states: make([][]string, n)}
 	for i := range v.states {
@@ -121,6 +122,7 @@
 	return v
 }
 
+// apply applies the next event of a history.
 func (v *view) apply(e *Event) {
 	if e.From == "born" { // a new process knows no other
 		clear(v.states[e.Door])
@@ -134,6 +136,7 @@
 	return state == "here" || state == "doubted" || state == "leaving"
 }
 
+// during reports whether a time lies in one of a door's intervals.
 func (t *Truth) during(of [][]Interval, d int, at float64) bool {
 	return slices.ContainsFunc(of[d], func(s Interval) bool { return s.contains(at) })
 }
@@ -293,7 +296,7 @@
 		return
 	}
 	const windowMs = 10e3
-	first := len(figures.Known)
+	countBefore := len(figures.Known)
 	for d := range t.Doors {
 		for _, s := range t.Dead[d] {
 			if s.To-s.From < windowMs {
@@ -324,7 +327,7 @@
 			}
 		}
 	}
-	if len(figures.Known) == first {
+	if len(figures.Known) == countBefore {
 		report(RuleDeathsDetected, 0, "no death was long enough, or observed by a healthy door")
 	} else if at := At(figures.Known, detectionQuantile); at > l.DetectionMs {
 		report(RuleDeathsDetected, 0, "the 99th percentile of the detection times is %.0f ms, above %.0f", at, l.DetectionMs)
@@ -383,7 +386,7 @@
 		for i := range changes {
 			changes[i] = make([]int, t.Doors)
 		}
-		agreed := c.From + l.AgreementMs
+		agreeBy := c.From + l.AgreementMs
 		checkAgreement := func(at float64) {
 			for d := range t.Doors {
 				verdict, by := "", -1
@@ -391,14 +394,14 @@
 					if _, in := t.cutShares(o, c.From, at); o == d || in > maxIncomingCut || !t.healthy(o, c.From, at) || t.cutWithin(d, o, c.From, at) && t.cutWithin(o, d, c.From, at) {
 						continue
 					}
-					is := "away"
+					current := "away"
 					if countsAsHere(v.states[o][d]) {
-						is = "here"
+						current = "here"
 					}
 					if verdict == "" {
-						verdict, by = is, o
-					} else if verdict != is {
-						report(RuleAgreement, at, "door %d: door %d considers it %s and door %d considers it %s (%s)", d, by, verdict, o, is, v.states[o][d])
+						verdict, by = current, o
+					} else if verdict != current {
+						report(RuleAgreement, at, "door %d: door %d considers it %s and door %d considers it %s (%s)", d, by, verdict, o, current, v.states[o][d])
 						return
 					}
 				}
@@ -407,9 +410,9 @@
 		checked := false
 		for i := range history {
 			e := &history[i]
-			if !checked && e.At >= agreed {
+			if !checked && e.At >= agreeBy {
 				checked = true
-				checkAgreement(agreed)
+				checkAgreement(agreeBy)
 			}
 			if e.At >= end {
 				break
@@ -430,7 +433,7 @@
 			}
 			v.apply(e)
 		}
-		if end > agreed {
+		if end > agreeBy {
 			checkAgreement(end)
 		}
 	}
--- a/lab/procs/child.go
+++ b/lab/procs/child.go
@@ -15,8 +15,8 @@
 type child struct {
 	mu           sync.Mutex
 	cmd          *exec.Cmd
-	done         chan struct{}
-	exitExpected bool // the rig stops it: an error exit is no failure
+	done         chan struct{} // closed once the current incarnation has exited
+	exitExpected bool          // the rig stops it: an error exit is no failure
 }
 
 // start starts an incarnation. onLine receives each line of its log, which is also written to a file in logDir unless that is
@@ -59,7 +59,7 @@
 
 const logDrainTimeout = time.Second // how long another process may keep a process's log open after its exit
 
-// lineSplitter is a writer that splits a process's log into lines and copies it to a file.
+// lineSplitter is a writer that splits a process's log into lines, and copies it to a file unless that is nil.
 type lineSplitter struct {
 	onLine  func([]byte)
 	log     *os.File
--- a/lab/procs/drill.go
+++ b/lab/procs/drill.go
@@ -38,7 +38,7 @@
 	Seed         uint64
 	Seconds      float64
 	Doors        int
-	Coordinators int
+	Coordinators int     // together with Doors at most maxProcesses
 	Binary       string  // path of swifthall; its other programs are in the same directory
 	Logs         string  // directory for the processes' logs; empty for none
 	Rate         float64 // requests per second to each door without faults
@@ -131,7 +131,7 @@
 	doors                []*node
 	relays               map[[2]string]*relay // by the names of the source and the target
 	coordinatorAddresses string               // as commands accept them: NAME/ADDRESS, separated by commas
-	holdListeners        bool                 // doors have a releases directory, so that releases can be rolled out to them
+	holdListeners        bool                 // doors have a releases directory: their listeners are held across restarts, so that releases can be rolled out
 
 	clockAheadS string          // s by which the last coordinator's wall clock is ahead; empty for a random offset
 	tariffs     json.RawMessage // of all doors, instead of the site's own
@@ -209,12 +209,12 @@
 		defer d.mu.Unlock()
 		return d.ms() < d.cutUntil[of]
 	}
-	one, err := newRelay(address, d.Seed, func() impairment { return impairment{cut: cut(link)} }, func() bool { return cut(link) || cut(reverse) })
+	proxy, err := newRelay(address, d.Seed, func() impairment { return impairment{cut: cut(link)} }, func() bool { return cut(link) || cut(reverse) })
 	if err != nil {
 		return "", err
 	}
-	d.relays[link] = one
-	return one.address, nil
+	d.relays[link] = proxy
+	return proxy.address, nil
 }
 
 // prepare writes all configurations, and places relays between coordinators and from doors to coordinators.
@@ -230,15 +230,15 @@
 		c := d.coordinators[len(d.coordinators)-1]
 		c.env = append(c.env, serving.WallOffsetVariable+"="+d.clockAheadS) // overrides the random offset: the last value of a variable applies
 	}
-	fleetAt := make([]string, d.Doors)
-	var seedsAt []string
-	for i := range fleetAt {
+	fleetAddresses := make([]string, d.Doors)
+	var seedPeers []string
+	for i := range fleetAddresses {
 		var err error
-		if fleetAt[i], err = loopback.Free(); err != nil {
+		if fleetAddresses[i], err = loopback.Free(); err != nil {
 			return err
 		}
 		if i < seedDoors {
-			seedsAt = append(seedsAt, Door(i)+"/"+fleetAt[i])
+			seedPeers = append(seedPeers, Door(i)+"/"+fleetAddresses[i])
 		}
 	}
 	for i := range d.Doors {
@@ -249,26 +249,26 @@
 		}
 		var coordinators []string
 		for _, c := range d.coordinators {
-			a, err := d.addRelay(p.name, c.name, c.address)
+			address, err := d.addRelay(p.name, c.name, c.address)
 			if err != nil {
 				return err
 			}
-			coordinators = append(coordinators, c.name+"/"+a)
+			coordinators = append(coordinators, c.name+"/"+address)
 		}
 		cfg := d.site.Config(p.name, p.address, i, d.Doors)
 		cfg["log"] = map[string]string{"format": "json", "level": "info"}
 		if d.tariffs != nil {
 			cfg["settings"].(map[string]any)["tariffs"] = d.tariffs
 		}
-		of := map[string]any{"name": "drill", "zone": fmt.Sprint("z", i%zoneCount), "listen": fleetAt[i], "peers": seedsAt, "coordinators": coordinators}
+		fleetSettings := map[string]any{"name": "drill", "zone": fmt.Sprint("z", i%zoneCount), "listen": fleetAddresses[i], "peers": seedPeers, "coordinators": coordinators}
 		if d.holdListeners {
 			p.dir = filepath.Join(d.dir, "releases-"+p.name)
 			if err := os.MkdirAll(p.dir, 0o700); err != nil {
 				return &RigError{"a directory for releases", err}
 			}
-			of["releases"] = p.dir
+			fleetSettings["releases"] = p.dir
 		}
-		cfg["fleet"] = of
+		cfg["fleet"] = fleetSettings
 		file, err := d.writeConfig(p.name, cfg)
 		if err != nil {
 			return err
@@ -331,7 +331,7 @@
 	if err := os.WriteFile(file, []byte(budgets), 0o600); err != nil {
 		return &RigError{"a file", err}
 	}
-	end := time.Now().Add(startTimeout)
+	deadline := time.Now().Add(startTimeout)
 	for set := false; ; {
 		if !set {
 			set = d.command("budgets", file) == 0
@@ -341,7 +341,7 @@
 		d.mu.Lock()
 		failed := slices.Clone(d.failures)
 		d.mu.Unlock()
-		if len(failed) == 0 && time.Now().After(end) {
+		if len(failed) == 0 && time.Now().After(deadline) {
 			failed = []string{"the coordinators don't count all units as in service"}
 		}
 		if len(failed) > 0 {
@@ -354,6 +354,7 @@
 	return nil
 }
 
+// backendCount returns the number of stand-in backends.
 func (d *drill) backendCount() int { return d.site.Backends() }
 
 // command runs one operator command to its end and returns its exit code.
@@ -494,31 +495,31 @@
 // faults at the same time.
 func (d *drill) drawFaults() (all []injection) {
 	rng := rand.New(rand.NewPCG(d.Seed, 22))
-	last := (d.Seconds - quietTailS) * msPerSecond
+	lastMs := (d.Seconds - quietTailS) * msPerSecond
 	add := func(at float64, description string, do func() error) {
-		all = append(all, injection{min(at, last), description, do})
+		all = append(all, injection{min(at, lastMs), description, do})
 	}
 	noError := func(do func()) func() error { return func() error { do(); return nil } }
 	if d.Strike != "" {
-		return d.drawCoordinatorLoss(last)
+		return d.drawCoordinatorLoss(lastMs)
 	}
-	allDownAt := last * (0.4 + 0.3*rng.Float64()) // when all coordinators are killed at once, in one of three drills
+	allDownAt := lastMs * (0.4 + 0.3*rng.Float64()) // when all coordinators are killed at once, in one of three drills
 	if rng.IntN(3) > 0 {
 		allDownAt = math.Inf(1)
 	}
 	for _, p := range d.coordinators {
-		if allDownAt < last {
+		if allDownAt < lastMs {
 			add(allDownAt, "kill "+p.name, noError(p.kill))
 			add(allDownAt+1500, "start "+p.name, p.start)
 		}
 	}
-	for at := firstFaultS * msPerSecond; at < last-1000; at += 400 + 1600*rng.Float64() {
+	for at := firstFaultS * msPerSecond; at < lastMs-1000; at += 400 + 1600*rng.Float64() {
 		kind := rng.IntN(11)
-		of := d.coordinators
+		targets := d.coordinators
 		if kind >= 6 {
-			of = d.doors
+			targets = d.doors
 		}
-		p := of[rng.IntN(len(of))]
+		p := targets[rng.IntN(len(targets))]
 		durationMs := (0.4 + 4.6*rng.Float64()*rng.Float64()) * msPerSecond
 		if at < p.busyUntil || kind < 6 && at+durationMs > allDownAt-500 && at < allDownAt+2500 {
 			continue
@@ -565,8 +566,8 @@
 
 // drawCoordinatorLoss returns the kills and restarts of coordinators for measurements: of one of them, of the current leader
 // every 5 s, or of all at once.
-func (d *drill) drawCoordinatorLoss(last float64) (all []injection) {
-	down := func(at, durationMs float64, description string, which func() []*node) {
+func (d *drill) drawCoordinatorLoss(lastMs float64) (all []injection) {
+	killAndRestart := func(at, durationMs float64, description string, which func() []*node) {
 		var killed []*node
 		all = append(all, injection{at, "kill " + description, func() error {
 			for _, p := range which() {
@@ -585,10 +586,10 @@
 	}
 	switch d.Strike {
 	case "one":
-		down(last*0.3, last*0.4, "one", func() []*node { return d.coordinators[:1] })
+		killAndRestart(lastMs*0.3, lastMs*0.4, "one", func() []*node { return d.coordinators[:1] })
 	case "leader":
-		for at := firstFaultS * msPerSecond; at+3000 < last; at += 5000 {
-			down(at, 2500, "the leader", func() []*node {
+		for at := firstFaultS * msPerSecond; at+3000 < lastMs; at += 5000 {
+			killAndRestart(at, 2500, "the leader", func() []*node {
 				raw, code := d.commandOutput("status", "--json")
 				var t struct{ Leader string }
 				if code != 0 || json.Unmarshal(raw, &t) != nil {
@@ -598,7 +599,7 @@
 			})
 		}
 	case "all":
-		down(last*0.3, last*0.4, "all", func() []*node { return d.coordinators })
+		killAndRestart(lastMs*0.3, lastMs*0.4, "all", func() []*node { return d.coordinators })
 	}
 	return all
 }
@@ -734,12 +735,12 @@
 // operateBackends drains and undrains random backends, as one of several concurrent operators.
 func (d *drill) operateBackends(operator int, end float64) {
 	rng := rand.New(rand.NewPCG(d.Seed, 31+uint64(operator)))
-	last := end - quietTailS*msPerSecond/2
-	for d.ms() < last && d.ctx.Err() == nil {
+	lastMs := end - quietTailS*msPerSecond/2
+	for d.ms() < lastMs && d.ctx.Err() == nil {
 		unit := fmt.Sprint("b-", rng.IntN(d.backendCount()))
 		if d.commandBackend(operator, history.Drain, unit) != exitRefused { // a drain without an answer may have taken effect
-			hold := d.ms() + 300 + 2000*rng.Float64()
-			for d.ms() < min(hold, last) && d.ctx.Err() == nil {
+			holdUntil := d.ms() + 300 + 2000*rng.Float64()
+			for d.ms() < min(holdUntil, lastMs) && d.ctx.Err() == nil {
 				d.commandBackend(operator, history.Read, unit)
 			}
 			for d.endDrained(unit); d.commandBackend(operator, history.Undrain, unit) == exitUnreachable && d.ctx.Err() == nil; {
@@ -756,8 +757,8 @@
 func (d *drill) operateDoors(end float64) {
 	rng := rand.New(rand.NewPCG(d.Seed, 41))
 	var drained []string
-	last := end - quietTailS*msPerSecond
-	for d.ms() < last && d.ctx.Err() == nil {
+	lastMs := end - quietTailS*msPerSecond
+	for d.ms() < lastMs && d.ctx.Err() == nil {
 		name := d.doors[rng.IntN(len(d.doors))].name
 		if d.command("drain", "door", name) == 0 {
 			drained = append(drained, name)
--- a/lab/procs/heartbeats.go
+++ b/lab/procs/heartbeats.go
@@ -24,6 +24,7 @@
 	return h
 }
 
+// heartbeats is the detector that Heartbeats returns.
 type heartbeats struct {
 	self         members.Peer
 	others       []members.Peer
@@ -34,8 +35,10 @@
 	started      bool
 }
 
+// All returns nothing: heartbeats exchange no states.
 func (h *heartbeats) All() []members.Record { return nil }
 
+// Step processes received heartbeats and ticks. Every message counts as a heartbeat of its sender.
 func (h *heartbeats) Step(now float64, events ...members.Event) (out []members.Action) {
 	if !h.started {
 		h.started, h.nextBeat = true, now
--- a/lab/procs/relay.go
+++ b/lab/procs/relay.go
@@ -118,6 +118,7 @@
 	}
 }
 
+// accept accepts connections until the relay is closed.
 func (r *relay) accept() {
 	for {
 		from, err := r.tcp.Accept()
@@ -201,6 +202,7 @@
 	}
 }
 
+// closeConn closes and unregisters a connection.
 func (r *relay) closeConn(c net.Conn) {
 	r.mu.Lock()
 	delete(r.conns, c)
@@ -220,6 +222,7 @@
 	}
 }
 
+// close closes the relay and all its connections, and waits for its goroutines.
 func (r *relay) close() {
 	r.mu.Lock()
 	r.closed.Store(true)
--- a/lab/procs/report.go
+++ b/lab/procs/report.go
@@ -22,15 +22,18 @@
 	maxPairDoors = 16     // maximum number of doors for a row per pair
 )
 
+// colours holds the colour of each state.
 var colours = map[string]string{"here": "#4c9f70", "doubted": "#e0a030", "away": "#c0392b", "left": "#7f8c8d", "leaving": "#5dade2",
 	"joining": "#af7ac5", "unknown": "#eeeeee", "": "#eeeeee"}
 
+// bar is a coloured interval of a row.
 type bar struct {
 	X, Y, W, H float64
 	Colour     string
 	Title      string
 }
 
+// label is a text in the timeline.
 type label struct {
 	X, Y float64
 	Text string
@@ -75,6 +78,7 @@
 	return nil
 }
 
+// html returns the report as an HTML page.
 func (r *Result) html() ([]byte, error) {
 	t := &r.Truth
 	from, to := 0.0, t.EndMs
--- a/lab/procs/schedule.go
+++ b/lab/procs/schedule.go
@@ -21,7 +21,7 @@
 // Schedule is the contents of a schedule file: a fleet, its network, the faults to inject, and the limits that must hold.
 type Schedule struct {
 	Name   string         `toml:"name"`
-	Shows  string         `toml:"shows"`
+	Shows  string         `toml:"shows"` // what the schedule demonstrates
 	Length Length         `toml:"day"`
 	Fleet  Fleet          `toml:"fleet"`
 	Net    Net            `toml:"net"`
@@ -70,7 +70,7 @@
 	OthersShare float64 `toml:"others_share"` // a share of the other doors, drawn from the seed; all if neither is given
 	Direction   string  `toml:"way"`          // for faults on links: out, in or both, from the affected doors' side; both if empty
 	Amount      float64 `toml:"much"`         // strength, in the kind's unit
-	EveryMs     float64 `toml:"every_ms"`     // mean interval of repeated pauses
+	EveryMs     float64 `toml:"every_ms"`     // mean ms between repeated pauses
 }
 
 // Kind describes a kind of fault.
@@ -144,6 +144,7 @@
 	return &scenario.KeyError{Key: key, Says: fmt.Sprintf(format, args...)}
 }
 
+// check returns an error about the first invalid key.
 func (s *Schedule) check() error {
 	switch {
 	case !(s.Length.Seconds > 0 && s.Length.Seconds <= maxLengthS):
--- a/lab/procs/virtual.go
+++ b/lab/procs/virtual.go
@@ -13,7 +13,9 @@
 
 // Detector is a failure detector that can run in virtual time: the module under test, or one to compare it with.
 type Detector interface {
+	// Step processes events at a time in ms and returns the actions to carry out.
 	Step(now float64, events ...members.Event) []members.Action
+	// All returns the full state, for an exchange with another door.
 	All() []members.Record
 }
 
@@ -28,9 +30,9 @@
 // Result is the result of one run of a schedule.
 type Result struct {
 	Schedule string            `json:"schedule"`
-	Shows    string            `json:"shows"`
-	On       string            `json:"on"`
-	Who      string            `json:"who"`
+	Shows    string            `json:"shows"` // what the schedule demonstrates
+	On       string            `json:"on"`    // "simulated" or "on processes"
+	Who      string            `json:"who"`   // the detector: "module" or "heartbeats"
 	Seed     uint64            `json:"seed"`
 	Doors    int               `json:"doors"`
 	Breaches []check.Violation `json:"breaches"`
@@ -39,8 +41,8 @@
 	Bytes    float64           `json:"bytes_per_s"`
 	Truth    check.Truth       `json:"-"`
 	CPU      float64           `json:"cpu_ms_per_s,omitempty"` // on processes: median over the doors
-	Resident float64           `json:"resident_mb,omitempty"`
-	Asked    int               `json:"asked,omitempty"` // on processes: requests to doors without faults
+	Resident float64           `json:"resident_mb,omitempty"`  // likewise
+	Asked    int               `json:"asked,omitempty"`        // on processes: requests to doors without faults
 	Finished int               `json:"finished,omitempty"`
 	History  []check.Event     `json:"history"`
 }
@@ -67,6 +69,7 @@
 // timeQueue is a binary heap of entries, the earliest first.
 type timeQueue []scheduled
 
+// push adds an entry.
 func (q *timeQueue) push(d scheduled) {
 	*q = append(*q, d)
 	h := *q
@@ -80,6 +83,7 @@
 	}
 }
 
+// pop removes and returns the earliest entry; the queue must not be empty.
 func (q *timeQueue) pop() scheduled {
 	h := *q
 	top, last := h[0], len(h)-1
@@ -104,6 +108,7 @@
 	return top
 }
 
+// before orders entries by time, and those at the same time in the order in which they were scheduled.
 func (d *scheduled) before(o *scheduled) bool {
 	return d.at < o.at || d.at == o.at && d.order < o.order
 }
@@ -198,16 +203,17 @@
 }
 
 // checkNamesakes adds a violation if a second process under a door's name did not notice the conflict.
-func (r *Result) checkNamesakes(p *Plan, refused int) {
-	if len(p.Namesakes) > refused {
-		r.Breaches = append(r.Breaches, check.Violation{Rule: RuleNamesakeYields, Text: fmt.Sprintf("%d of %d processes reported that their name is taken", refused, len(p.Namesakes))})
+func (r *Result) checkNamesakes(p *Plan, reported int) {
+	if len(p.Namesakes) > reported {
+		r.Breaches = append(r.Breaches, check.Violation{Rule: RuleNamesakeYields, Text: fmt.Sprintf("%d of %d processes reported that their name is taken", reported, len(p.Namesakes))})
 	}
 }
 
 // checkLimits returns the schedule's limits for package check.
 func (p *Plan) checkLimits() check.Limits {
-	m := p.Limits
-	return check.Limits{DetectionMs: m.DetectionMs, RecoveryMs: m.RecoveryMs, AgreementMs: m.AgreementMs, ConvergenceMs: m.ConvergenceMs, SuspicionMs: m.SuspicionMs, VerdictChanges: m.VerdictChanges, AllowFalseAway: m.AllowFalseAway}
+	limits := p.Limits
+	return check.Limits{DetectionMs: limits.DetectionMs, RecoveryMs: limits.RecoveryMs, AgreementMs: limits.AgreementMs, ConvergenceMs: limits.ConvergenceMs, SuspicionMs: limits.SuspicionMs,
+		VerdictChanges: limits.VerdictChanges, AllowFalseAway: limits.AllowFalseAway}
 }
 
 // runAt schedules a function.
