--- a/lab/procs/rollout.go
+++ b/lab/procs/rollout.go
@@ -54,7 +54,7 @@
 	DecidedS                          float64 // from the first door's change to the decision to roll back
 	BackS                             float64 // from that decision to the end of the rollback
 	MostOut                           int     // largest number of doors that were not ready at the same time
-	Touched                           float64 // time from the first door's change to the end of the rollback, s, divided by the number of doors
+	Touched                           float64 // exposure to a bad release: s from the first door's change to the end of the rollback, divided by the doors
 	Asked, Finished, Rejected, Failed int     // requests since the start of the release
 	RejectedInWarmUp                  int     // requests rejected before it, by doors that had just started
 
@@ -309,7 +309,7 @@
 				r.BackS = (now - decidedAt) / msPerSecond
 				if firstAt > 0 {
 					r.DecidedS = (decidedAt - firstAt) / msPerSecond
-					r.Touched = (now - firstAt) / msPerSecond / float64(len(d.doors)) // one door's share of the requests during that time
+					r.Touched = (now - firstAt) / msPerSecond / float64(len(d.doors)) // as if one door had run it: the seconds' worth of all doors' requests that it affected
 				}
 			}
 			return nil
