--- a/lab/command/sockets.go
+++ b/lab/command/sockets.go
@@ -9,5 +9,5 @@
 )
 
 func playOnSockets(ctx context.Context, s *scenario.Scenario, seed uint64, policy, binary, logs string, progress func(float64)) (*run.Result, error) {
-	return stand.Play{Scenario: s, Seed: seed, Policy: policy, Binary: binary, Logs: logs}.Run(ctx, progress)
+	return stand.SocketRun{Scenario: s, Seed: seed, Policy: policy, Binary: binary, Logs: logs}.Run(ctx, progress)
 }
--- a/lab/judge/rules_test.go
+++ b/lab/judge/rules_test.go
@@ -101,11 +101,11 @@
 func inTurn(c *careless, op int) int { return c.up[op%len(c.up)] }
 
 // played judges a day of a decider.
-func played(t *testing.T, more string, c careless) *judge.Judge {
+func played(t *testing.T, more string, c careless) *judge.Verifier {
 	s, err := scenario.Read([]byte(world + more))
 	require.NoError(t, err)
-	j := judge.New(model.Deal(&s))
-	maker := model.Maker{New: func(gate.Terms, uint64, model.Sight) gate.Decider { d := c; return &d }}
+	j := judge.New(model.JudgeTerms(&s))
+	maker := model.Maker{New: func(gate.Terms, uint64, model.TrueState) gate.Decider { d := c; return &d }}
 	require.NoError(t, model.New(&s, 1, maker, j).Run(context.Background(), nil))
 	return j
 }
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -88,7 +88,7 @@
 	return out
 }
 
-var ours = Maker{New: func(t gate.Terms, seed uint64, _ Sight) gate.Decider { return policy.New(t, seed) }}
+var ours = Maker{New: func(t gate.Terms, seed uint64, _ TrueState) gate.Decider { return policy.New(t, seed) }}
 
 func play(t *testing.T, s *scenario.Scenario, seed uint64, m Maker) *kept {
 	k := &kept{sum: xxhash.New()}
@@ -109,7 +109,7 @@
 
 func TestWhatIsAskedDoesNotHangOnTheDecisions(t *testing.T) {
 	s := read(t, "")
-	rejects := Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return rejecter{} }}
+	rejects := Maker{New: func(gate.Terms, uint64, TrueState) gate.Decider { return rejecter{} }}
 	assert.Equal(t, play(t, s, 1, ours).of(trace.Asked), play(t, s, 1, rejects).of(trace.Asked))
 }
 
@@ -149,7 +149,7 @@
 func TestAnAnswerAndATimeOutAtTheSameInstantAreOneEnd(t *testing.T) {
 	s := read(t, "")
 	d := &timed{ends: map[gate.Result]int{}}
-	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return d }}, &kept{})
+	w := New(s, 1, Maker{New: func(gate.Terms, uint64, TrueState) gate.Decider { return d }}, &kept{})
 	door := w.doors[0]
 	door.start(w)
 	w.now = 10
@@ -203,7 +203,7 @@
 func TestAWakeOutlivesADecisionBeforeIt(t *testing.T) {
 	s := read(t, "")
 	woken := 0.0
-	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return &sleeper{woken: &woken} }}, &kept{})
+	w := New(s, 1, Maker{New: func(gate.Terms, uint64, TrueState) gate.Decider { return &sleeper{woken: &woken} }}, &kept{})
 	d := w.doors[0]
 	d.start(w)
 	turn := func(at float64) {
@@ -242,7 +242,7 @@
 func TestTheCounterAnswersADeadCaller(t *testing.T) {
 	s := read(t, "")
 	heard := 0
-	w := New(s, 1, Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return caller{&heard} }}, &kept{})
+	w := New(s, 1, Maker{New: func(gate.Terms, uint64, TrueState) gate.Decider { return caller{&heard} }}, &kept{})
 	d := w.doors[0]
 	d.start(w)
 	d.submit(w, &Try{want: &want{units: 1, until: 5000}, until: 1000})
@@ -286,16 +286,16 @@
 	s := read(t, "\n[[fault]]\nkind = \"door_deaths\"\nat_s = 2.0\nfor_s = 1.0\nshare = 0.7")
 	s.Fleet.Doors, s.Day.TickMs = 300, 4
 	k := play(t, s, 1, ours)
-	assert.Len(t, k.of(trace.Died), 210)
-	assert.Len(t, k.of(trace.Started), 510)
+	assert.Len(t, k.of(trace.DoorDied), 210)
+	assert.Len(t, k.of(trace.DoorStarted), 510)
 	open := map[int]bool{}
 	for _, e := range k.events {
 		switch e.Kind {
 		case trace.Asked:
-			open[e.Want] = true
-		case trace.Got, trace.GaveUp:
-			assert.True(t, open[e.Want], "each want ends once")
-			delete(open, e.Want)
+			open[e.Request] = true
+		case trace.Received, trace.GaveUp:
+			assert.True(t, open[e.Request], "each want ends once")
+			delete(open, e.Request)
 		}
 	}
 	assert.Empty(t, open, "and all end")
--- a/lab/model/outer_test.go
+++ b/lab/model/outer_test.go
@@ -50,7 +50,7 @@
 
 func askedOf(k *kept) (out []trace.Event) {
 	for _, e := range k.of(trace.Asked) {
-		out = append(out, trace.Event{At: e.At, Want: e.Want, Customer: e.Customer, Plan: e.Plan, Class: e.Class, Units: e.Units})
+		out = append(out, trace.Event{At: e.At, Request: e.Request, Customer: e.Customer, Plan: e.Plan, Class: e.Class, Units: e.Units})
 	}
 	return out
 }
@@ -82,7 +82,7 @@
 			s.Faults = append(s.Faults, scenario.Fault{Kind: kind, AtS: 1, ForS: 2, Much: 1, Share: 0.5})
 		}
 	}
-	rejects := Maker{New: func(gate.Terms, uint64, Sight) gate.Decider { return rejecter{} }}
+	rejects := Maker{New: func(gate.Terms, uint64, TrueState) gate.Decider { return rejecter{} }}
 	for name, change := range map[string]func(*scenario.Scenario){
 		"steady": load("steady"), "wave": load("wave"), "ramp": load("ramp"), "bursts": load("bursts"),
 		"burst": fault("burst"), "strangers": fault("strangers"), "hot customers": fault("hot_customers"), "shift": fault("shift"),
--- a/lab/model/world.go
+++ b/lab/model/world.go
@@ -22,20 +22,20 @@
 
 // Maker makes the decider of a door's life. Where Shared is true, its deciders share state and are asked one by one.
 type Maker struct {
-	New    func(t gate.Terms, seed uint64, sight Sight) gate.Decider
+	New    func(t gate.Terms, seed uint64, sight TrueState) gate.Decider
 	Shared bool
 }
 
-// Sight is the true state, for deciders that no real door could be. Indices are the door's own.
-type Sight interface {
+// TrueState is the true state, for deciders that no real door could be. Indices are the door's own.
+type TrueState interface {
 	// Wait is the time in ms until a request of the class sent now would be answered; infinite where it would not.
-	Wait(backend, class int) float64
+	EstimateWait(backend, class int) float64
 	// Work is the mean work of a class, ms.
-	Work(class int) float64
+	MeanWork(class int) float64
 	// Take takes units from the customer's true quota, if it holds them.
-	Take(customer, plan int, units float64) bool
+	TakeQuota(customer, plan int, units float64) bool
 	// TakeLate does likewise, by what the quota truly held so many ms ago and what this door has taken since.
-	TakeLate(customer, plan int, units, lateMs float64) bool
+	TakeStaleQuota(customer, plan int, units, lateMs float64) bool
 }
 
 // Stream numbers of the world's chance; each party draws from its own, so that one's draws do not move another's.
@@ -172,7 +172,7 @@
 		}
 		w.step(&d)
 	}
-	w.tell(trace.Event{Kind: trace.Over})
+	w.tell(trace.Event{Kind: trace.Ended})
 	return nil
 }
 
@@ -425,7 +425,7 @@
 	if w.remembers(b, t) { // another has run since this one began
 		return
 	}
-	w.tell(trace.Event{Kind: trace.Ran, Want: t.want.id, Try: t.ID, Backend: b.id, Twice: len(t.want.effects) > 0})
+	w.tell(trace.Event{Kind: trace.Ran, Request: t.want.id, Try: t.ID, Backend: b.id, Twice: len(t.want.effects) > 0})
 	t.want.effects = append(t.want.effects, effect{w.group(b, p), w.now})
 }
 
--- a/lab/procs/drill.go
+++ b/lab/procs/drill.go
@@ -287,7 +287,7 @@
 }
 
 // diskFaultSetting returns the environment variable that names a coordinator's disk fault file.
-func diskFaultSetting(file string) string { return coordinator.DiskFault + "=" + file }
+func diskFaultSetting(file string) string { return coordinator.DiskFaultVariable + "=" + file }
 
 // writeConfig writes a JSON file into the drill's directory and returns its path.
 func (d *drill) writeConfig(name string, v any) (string, error) {
--- a/lab/rival/rival.go
+++ b/lab/rival/rival.go
@@ -26,17 +26,17 @@
 
 // Makers has a maker for each name.
 var Makers = map[string]model.Maker{
-	Swifthall: {New: func(t gate.Terms, seed uint64, _ model.Sight) gate.Decider { return policy.New(t, seed) }},
-	Floor: {New: func(t gate.Terms, seed uint64, _ model.Sight) gate.Decider {
+	Swifthall: {New: func(t gate.Terms, seed uint64, _ model.TrueState) gate.Decider { return policy.New(t, seed) }},
+	Floor: {New: func(t gate.Terms, seed uint64, _ model.TrueState) gate.Decider {
 		return &floor{base: newBase(t, seed)}
 	}},
-	Textbook: {New: func(t gate.Terms, seed uint64, _ model.Sight) gate.Decider {
+	Textbook: {New: func(t gate.Terms, seed uint64, _ model.TrueState) gate.Decider {
 		return &textbook{base: newBase(t, seed)}
 	}},
-	Late: {Shared: true, New: func(t gate.Terms, seed uint64, s model.Sight) gate.Decider {
+	Late: {Shared: true, New: func(t gate.Terms, seed uint64, s model.TrueState) gate.Decider {
 		return &textbook{base: newBase(t, seed), sight: s}
 	}},
-	Oracle: {Shared: true, New: func(t gate.Terms, seed uint64, s model.Sight) gate.Decider {
+	Oracle: {Shared: true, New: func(t gate.Terms, seed uint64, s model.TrueState) gate.Decider {
 		return newOracle(t, seed, s)
 	}},
 }
@@ -207,8 +207,8 @@
 type textbook struct {
 	base
 	buckets []bucket
-	retries float64     // that the budget still holds
-	sight   model.Sight // where it sees the true quotas late, in place of an even slice
+	retries float64         // that the budget still holds
+	sight   model.TrueState // where it sees the true quotas late, in place of an even slice
 }
 
 type bucket struct {
@@ -255,7 +255,7 @@
 		return 0
 	}
 	if t.sight != nil {
-		if t.sight.TakeLate(e.Customer, e.Plan, e.Units, lateSight) {
+		if t.sight.TakeStaleQuota(e.Customer, e.Plan, e.Units, lateSight) {
 			return 0
 		}
 		return e.Units / p.Rate
@@ -319,7 +319,7 @@
 // more pressed the fleet, the more gain a request must bring for its work.
 type oracle struct {
 	base
-	sight model.Sight
+	sight model.TrueState
 	ranks [][]float64 // by class and plan, of the gain for the work: 1 for the best
 }
 
@@ -328,13 +328,13 @@
 	richWait = 0.5  // and the richest: works vary, so that a mean nearer to the contract time comes late too often
 )
 
-func newOracle(t gate.Terms, seed uint64, s model.Sight) *oracle {
+func newOracle(t gate.Terms, seed uint64, s model.TrueState) *oracle {
 	o := &oracle{base: newBase(t, seed), sight: s}
 	var all []float64
 	for p := range t.Classes {
 		var row []float64
 		for q := range t.Plans {
-			row = append(row, t.Classes[p].Gain*t.Plans[q].Price/s.Work(p))
+			row = append(row, t.Classes[p].Gain*t.Plans[q].Price/s.MeanWork(p))
 		}
 		o.ranks, all = append(o.ranks, row), append(all, row...)
 	}
@@ -354,11 +354,11 @@
 		switch e := e.(type) {
 		case gate.Request:
 			op := o.arrive(now, e)
-			contract, alone := o.terms.Classes[op.class].Contract, o.sight.Work(op.class)
+			contract, alone := o.terms.Classes[op.class].Contract, o.sight.MeanWork(op.class)
 			most := max(alone, contract*(poorWait+(richWait-poorWait)*o.ranks[op.class][op.plan]))
 			if b, wait := o.best(now, op); b < 0 || now+wait > op.until || wait > most {
 				o.end(e.Op, o.terms.MaxRetryAfter)
-			} else if !o.sight.Take(e.Customer, e.Plan, e.Units) {
+			} else if !o.sight.TakeQuota(e.Customer, e.Plan, e.Units) {
 				o.end(e.Op, e.Units/max(1e-9, o.terms.Plans[e.Plan].Rate))
 			} else {
 				o.send(now, e.Op, b, 0)
@@ -387,7 +387,7 @@
 	}
 	for i := range o.listed {
 		b := o.listed[(from+i)%len(o.listed)]
-		if w := o.sight.Wait(b, op.class); w < wait && o.may(now, op, b) {
+		if w := o.sight.EstimateWait(b, op.class); w < wait && o.may(now, op, b) {
 			backend, wait = b, w
 		}
 	}
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -39,7 +39,7 @@
 	Parts    judge.Parts        `json:"parts"`
 	Score    *Score             `json:"score,omitempty"`
 	Broken   map[judge.Rule]int `json:"broken"`
-	Breaches []judge.Breach     `json:"breaches"`
+	Breaches []judge.Violation  `json:"breaches"`
 	Whole    judge.Tally        `json:"whole"`
 	Plans    []Named            `json:"plans"`
 	Classes  []Named            `json:"profiles"`
@@ -117,8 +117,8 @@
 	if !known {
 		return nil, &PolicyError{o.Policy, rival.Names}
 	}
-	deal := model.Deal(o.Scenario)
-	j, book := judge.New(deal), account.NewBook(deal)
+	deal := model.JudgeTerms(o.Scenario)
+	j, book := judge.New(deal), account.NewCollector(deal)
 	if err := model.New(o.Scenario, o.Seed, maker, both{j, book}).Run(ctx, progress); err != nil {
 		return nil, &DayError{o.Scenario.Name, err}
 	}
@@ -129,14 +129,14 @@
 
 // both hands a day's events to the judge and to the account.
 type both struct {
-	judge *judge.Judge
-	book  *account.Book
+	judge *judge.Verifier
+	book  *account.Collector
 }
 
 func (b both) Take(e *trace.Event) { b.judge.Take(e); b.book.Take(e) }
 
 // Sum puts a judged day together.
-func Sum(s *scenario.Scenario, seed uint64, policy, on string, j *judge.Judge) *Result {
+func Sum(s *scenario.Scenario, seed uint64, policy, on string, j *judge.Verifier) *Result {
 	r := &Result{Scenario: s.Name, Shows: s.Shows, On: on, Policy: policy, Seed: seed, Doors: s.Fleet.Doors, Backends: s.Fleet.Backends,
 		Length: s.Day.Seconds, Events: j.Events, Parts: j.Service.Parts(), Broken: j.Rules.Count, Breaches: j.Rules.Breaches,
 		Whole: j.Service.Whole, Costs: j.Service.Costs, Seconds: j.Service.Seconds, Faults: s.Faults}
@@ -144,7 +144,7 @@
 		r.Plans = append(r.Plans, Named{Name: p.Name, Tally: j.Service.Plans[i]})
 	}
 	for i, p := range s.Classes {
-		r.Classes = append(r.Classes, Named{Name: p.Name, Tally: j.Service.Profs[i], Latency: Quantiles(j.Service.Latency[i])})
+		r.Classes = append(r.Classes, Named{Name: p.Name, Tally: j.Service.Classes[i], Latency: Quantiles(j.Service.Latency[i])})
 	}
 	return r
 }
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -116,7 +116,7 @@
 
 func TestAHuntFindsThePlantedFaultAndCutsItDown(t *testing.T) {
 	h := Hunt{Scenario: read(t), Seed: 1, Days: 24, Most: 3, Rules: true, Only: []string{"errors", "slow", "delay"},
-		Maker: &model.Maker{New: func(terms gate.Terms, seed uint64, s model.Sight) gate.Decider {
+		Maker: &model.Maker{New: func(terms gate.Terms, seed uint64, s model.TrueState) gate.Decider {
 			return &sulky{Decider: rival.Makers[rival.Floor].New(terms, seed, s)}
 		}}}
 	h.Scenario.Plans[0].PerS = 1000
--- a/lab/stand/beside.go
+++ b/lab/stand/beside.go
@@ -25,8 +25,8 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// Beside loads a door and the standard library's reverse proxy, each on one and the same core, in turns of one run.
-type Beside struct {
+// ProxyComparison loads a door and the standard library's reverse proxy, each on one and the same core, in turns of one run.
+type ProxyComparison struct {
 	Binary string   // the door's program
 	Proxy  []string // the proxy's program with its arguments; backends' addresses follow
 	Rates  []float64
@@ -36,8 +36,8 @@
 	Knee   load.Knee // its rate, latency and steps; the rest is filled in
 }
 
-// Row is what one of the two did at one rate, over all rounds.
-type Row struct {
+// ComparisonRow is what one of the two did at one rate, over all rounds.
+type ComparisonRow struct {
 	Name    string
 	Rate    float64 // asked for
 	Served  float64 // finished a second
@@ -66,9 +66,9 @@
 }
 
 // Run plays the rounds, and searches each one's knee. tell hears each turn as it ends.
-func (b Beside) Run(ctx context.Context, tell func(name string, rate float64, o *load.Outcome)) (rows []Row, knees map[string]float64, err error) {
+func (b ProxyComparison) Run(ctx context.Context, tell func(name string, rate float64, o *load.Outcome)) (rows []ComparisonRow, knees map[string]float64, err error) {
 	ctx, stop := context.WithCancel(ctx)
-	f := &fleet{ctx: ctx, play: &Play{Scenario: &instant, Binary: b.Binary}}
+	f := &fleet{ctx: ctx, play: &SocketRun{Scenario: &instant, Binary: b.Binary}}
 	f.over.Store(true) // no world plays: the backends here answer at once
 	defer f.group.Wait()
 	defer f.close()
@@ -114,24 +114,24 @@
 		}
 	}
 	word := func(at string, seed uint64) func(int) string {
-		return load.Door{Host: at, Class: "look", Plan: "ample", Customers: besideCustomers, Wait: besideWait, Seed: seed}.Word
+		return load.DoorRequests{Host: at, Class: "look", Plan: "ample", Customers: besideCustomers, Wait: besideWait, Seed: seed}.Format
 	}
 	const patience = 5 * time.Second
 	for _, rate := range b.Rates {
-		here := make([]Row, len(targets))
+		here := make([]ComparisonRow, len(targets))
 		for round := range b.Rounds {
 			for i := range targets {
 				t := targets[(i+round)%len(targets)] // each goes first in turn
 				row := &here[(i+round)%len(targets)]
 				before := cpu(t.pid())
-				r := load.Run{Target: t.at, Rate: rate, For: b.For, Conns: b.Conns, Patience: patience, Poisson: true, Seed: uint64(round) + 1,
-					Word: word(t.at, uint64(round)+uint64(rate)<<8)}
-				o, err := r.Play(ctx, nil)
+				r := load.Run{Target: t.at, Rate: rate, Duration: b.For, Conns: b.Conns, Timeout: patience, Poisson: true, Seed: uint64(round) + 1,
+					Request: word(t.at, uint64(round)+uint64(rate)<<8)}
+				o, err := r.Execute(ctx, nil)
 				if err != nil {
 					return nil, nil, err
 				}
 				if row.Latency == nil {
-					*row = Row{Name: t.name, Rate: rate, Latency: o.Latency}
+					*row = ComparisonRow{Name: t.name, Rate: rate, Latency: o.Latency}
 				} else {
 					row.Latency.Merge(o.Latency)
 				}
@@ -148,7 +148,7 @@
 	knees = map[string]float64{}
 	for _, t := range targets {
 		k := b.Knee
-		k.Run.Target, k.Run.Conns, k.Run.For, k.Run.Patience, k.Run.Poisson, k.Run.Word = t.at, b.Conns, b.For, patience, true, word(t.at, 99)
+		k.Run.Target, k.Run.Conns, k.Run.Duration, k.Run.Timeout, k.Run.Poisson, k.Run.Request = t.at, b.Conns, b.For, patience, true, word(t.at, 99)
 		rate, _, err := k.Find(ctx, func(s load.Step) {
 			if tell != nil {
 				tell(t.name, s.Rate, s.Outcome)
@@ -163,7 +163,7 @@
 }
 
 // start starts both programs from a thread that is bound to one core, which they inherit.
-func (b Beside) start(d *door, list registry.List, backends []string) (at string, proxy *exec.Cmd, err error) {
+func (b ProxyComparison) start(d *door, list registry.List, backends []string) (at string, proxy *exec.Cmd, err error) {
 	raw, err := json.Marshal(d.config(list))
 	if err != nil {
 		return "", nil, &PartyError{"the door's configuration", "", err}
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -16,8 +16,8 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// Play is one day on sockets.
-type Play struct {
+// SocketRun is one day on sockets.
+type SocketRun struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
 	Policy   string // of embedded doors
@@ -34,7 +34,7 @@
 
 // fleet is what all parties share.
 type fleet struct {
-	play  *Play
+	play  *SocketRun
 	w     *model.World
 	doors []*door
 	ctx   context.Context
@@ -48,7 +48,7 @@
 }
 
 // Run plays the day and judges it.
-func (p Play) Run(ctx context.Context, progress func(done float64)) (*run.Result, error) {
+func (p SocketRun) Run(ctx context.Context, progress func(done float64)) (*run.Result, error) {
 	s := p.Scenario
 	most := s.Fleet.Backends
 	for _, f := range s.Faults {
@@ -75,7 +75,7 @@
 		}
 	}
 	ctx, stop := context.WithCancel(ctx)
-	j := judge.New(model.Slack(model.Deal(s)))
+	j := judge.New(model.Slack(model.JudgeTerms(s)))
 	f := &fleet{play: &p, ctx: ctx, tries: map[string]*model.Try{}, sends: map[int]int{}}
 	defer f.group.Wait()
 	defer f.close()
--- a/lab/stand/stand_test.go
+++ b/lab/stand/stand_test.go
@@ -65,7 +65,7 @@
 	s := read(t, "")
 	here, err := run.One{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Play(context.Background(), nil)
 	require.NoError(t, err)
-	there, err := Play{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Run(context.Background(), nil)
+	there, err := SocketRun{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Run(context.Background(), nil)
 	require.NoError(t, err)
 	assert.Equal(t, here.Whole.Asked, there.Whole.Asked)
 	assert.InDelta(t, here.Whole.Offered, there.Whole.Offered, 1e-6)
@@ -75,15 +75,15 @@
 }
 
 func TestDoorsThatDieNeedAProgram(t *testing.T) {
-	_, err := Play{Scenario: read(t, "\n[[fault]]\nkind = \"door_deaths\"\nat_s = 1.0\nfor_s = 1.0"), Policy: rival.Swifthall}.Run(context.Background(), nil)
+	_, err := SocketRun{Scenario: read(t, "\n[[fault]]\nkind = \"door_deaths\"\nat_s = 1.0\nfor_s = 1.0"), Policy: rival.Swifthall}.Run(context.Background(), nil)
 	assert.ErrorContains(t, err, saysEmbedded)
-	_, err = Play{Scenario: read(t, ""), Policy: rival.Oracle}.Run(context.Background(), nil)
+	_, err = SocketRun{Scenario: read(t, ""), Policy: rival.Oracle}.Run(context.Background(), nil)
 	assert.ErrorContains(t, err, "oracle")
 }
 
 func TestBackendsThatDieRefuseAndComeBack(t *testing.T) {
 	s := read(t, "\n[[fault]]\nkind = \"death\"\nat_s = 0.5\nfor_s = 1.0\nshare = 0.4")
-	r, err := Play{Scenario: s, Seed: 1, Policy: rival.Swifthall}.Run(context.Background(), nil)
+	r, err := SocketRun{Scenario: s, Seed: 1, Policy: rival.Swifthall}.Run(context.Background(), nil)
 	require.NoError(t, err)
 	assert.Zero(t, r.Broken[judge.NoneTwice])
 	assert.Zero(t, r.Broken[judge.DrainsKept])
@@ -135,7 +135,7 @@
 
 func TestAnAddressWhoseProcessEndedRefuses(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
-	f := &fleet{ctx: ctx, play: &Play{}}
+	f := &fleet{ctx: ctx, play: &SocketRun{}}
 	f.over.Store(true) // no world plays here
 	a, err := newAddress(f, 0, 0)
 	require.NoError(t, err)
