--- a/lab/procs/migration.go
+++ b/lab/procs/migration.go
@@ -18,103 +18,105 @@
 	"github.com/swifthall/swifthall/lab/outs"
 )
 
-// Migration plays docs/migration.md's move to another shape as a migration of the calendar, on real processes with clients at every
-// door: watched at one door and then at all, switched in each zone and then everywhere, cleared up. Coordinators are killed,
-// stopped and cut off meanwhile, and one of their clocks is ten minutes ahead. It judges by what doors have written down that they
-// run, and by how they answer.
+// Migration is a fault-injection test of the move to another shape of tariffs (docs/migration.md) as a migration of the
+// calendar, on real processes with clients at every door. Its three steps watch the new shape at one door and then at all,
+// switch to it in each zone and then everywhere, and clear up. In the meantime coordinators are killed, paused and cut off, and
+// the wall clock of one of them is ten minutes ahead. The checks use the configuration that each door has recorded as running,
+// and how each door answers.
 type Migration struct {
 	Seed         uint64
-	HaltAt       int // step that is halted amid its work and taken back with all before it, from 1 on; 0 for none
+	HaltAt       int // step that is halted while it runs and then rolled back with all steps before it, from 1; 0 for none
 	Doors        int
 	Coordinators int
 	Binary       string
 	Logs         string
-	Rate         float64 // requests a second at each door
-	Quiet        bool    // nothing strikes
+	Rate         float64 // requests per second to each door
+	Quiet        bool    // inject no faults
 }
 
-// MigrationSteps is how many it has.
+// MigrationSteps is the number of steps of the migration.
 const MigrationSteps = 3
 
-// MigrationResult is what a migration came to.
+// MigrationResult is the result of a migration run.
 type MigrationResult struct {
 	HaltAt                            int
 	Breaches                          []outs.Breach
-	Stage                             string // of the migration, at its end
+	Stage                             string // stage of the migration when the run ended
 	Strikes                           []string
-	TookS                             float64 // from its entry to its end
-	BackS                             float64 // of that, from the word that sent it back
-	Changes                           int     // times that a door began to run something else
+	TookS                             float64 // from entering the migration to its end, s
+	BackS                             float64 // part of TookS after the command that rolled it back, s
+	Changes                           int     // how often a door changed its running configuration
 	MostOut                           int
 	Asked, Finished, Rejected, Failed int
-	Cold                              int
+	RejectedInWarmUp                  int // requests rejected before the migration, by doors that had just started
 }
 
 // Rules of a migration, besides those of a rollout.
 const (
-	Moved   = "doors run and decide as the migration's end says"
-	Stopped = "nothing changes while it is halted"
-	EndsAll = "the migration ends, and leaves nothing out"
+	RuleMigrationOutcome = "doors run and decide as the outcome of the migration requires"
+	RuleHaltHolds        = "no door changes while the migration is halted"
+	RuleMigrationEnds    = "the migration ends and releases all permits"
 )
 
 const (
-	migrationMost = 240.0 // s in which a migration must have ended
-	strikeEvery   = 5e3   // ms between strikes, about
-	haltedFor     = 3e3   // ms that a halted migration is looked at
-	farAhead      = "600" // s by which one coordinator's clock is ahead
+	migrationTimeoutS = 240.0 // s after which a migration that hasn't ended has failed
+	faultIntervalMs   = 5e3   // mean ms from the end of one fault to the next
+	haltObservationMs = 3e3   // ms for running changes to end after a halt, and ms without changes that are then checked
+	clockAheadS       = "600" // s by which one coordinator's wall clock is ahead
 )
 
-// thin is a plan whose customers are soon beyond their quota: there the two shapes decide differently.
-const thin = `{"name":"thin","rate":0.001,"depth":1,"at_once":0,"never_over_rate":0,"ceiling_burst":0,"pays":1%s}`
+// thinPlanFormat formats plan thin, whose customers exhaust their quota with one request; the two shapes then decide
+// differently. Its argument is further JSON members.
+const thinPlanFormat = `{"name":"thin","rate":0.001,"depth":1,"at_once":0,"never_over_rate":0,"ceiling_burst":0,"pays":1%s}`
 
-// How a door of either shape answers three requests of a customer whose quota holds one.
+// Statuses with which a door of the old and of the new shape answers three requests of a customer whose quota holds one.
 const (
-	oldDecides = "200 429 429"
-	newDecides = "200 200 200"
+	oldStatuses = "200 429 429"
+	newStatuses = "200 200 200"
 )
 
-// shape words the tariffs of the old shape, or of the new one, in which thin earns beyond its quota.
-func shape(moved bool) string {
-	more := ""
+// tariffsJSON returns the tariffs of the old shape, or of the new one, in which plan thin earns beyond its quota.
+func tariffsJSON(moved bool) string {
+	earning := ""
 	if moved {
-		more = `,"beyond_earns":2,"over_cost":1`
+		earning = `,"beyond_earns":2,"over_cost":1`
 	}
-	return `[{"name":"ample","rate":1000000,"depth":1000000,"at_once":0,"never_over_rate":0,"ceiling_burst":0,"pays":1},` + fmt.Sprintf(thin, more) + `]`
+	return `[{"name":"ample","rate":1000000,"depth":1000000,"at_once":0,"never_over_rate":0,"ceiling_burst":0,"pays":1},` + fmt.Sprintf(thinPlanFormat, earning) + `]`
 }
 
-// Play plays the migration.
+// Run runs the migration.
 func (p Migration) Play(ctx context.Context) (*MigrationResult, error) {
 	if !(p.Rate > 0) || p.HaltAt < 0 || p.HaltAt > MigrationSteps {
 		return nil, &NameError{fmt.Sprintf("rate %g, halt at step %d", p.Rate, p.HaltAt)}
 	}
-	d := &drill{Drill: Drill{Seed: p.Seed, Doors: p.Doors, Coordinators: p.Coordinators, Binary: p.Binary, Logs: p.Logs}, ctx: ctx, held: true, ahead: farAhead, tariffs: json.RawMessage(shape(false))}
-	defer d.end()
-	if err := d.begin(); err != nil {
+	d := &drill{Drill: Drill{Seed: p.Seed, Doors: p.Doors, Coordinators: p.Coordinators, Binary: p.Binary, Logs: p.Logs}, ctx: ctx, holdListeners: true, clockAheadS: clockAheadS, tariffs: json.RawMessage(tariffsJSON(false))}
+	defer d.tearDown()
+	if err := d.startAll(); err != nil {
 		return nil, err
 	}
-	doors := d.served()
+	doors := d.doorAddresses()
 	r := &MigrationResult{HaltAt: p.HaltAt}
 	var err error
-	if r.Cold, err = warm(ctx, d.site, doors, p.Rate); err != nil {
+	if r.RejectedInWarmUp, err = warmUp(ctx, d.site, doors, p.Rate); err != nil {
 		return nil, err
 	}
-	d.begun()
+	d.startClock()
 	before, err := d.decisions(1)
 	if err != nil {
 		return nil, err
 	}
-	over, stop := context.WithCancel(ctx)
+	running, stop := context.WithCancel(ctx)
 	defer stop()
-	var looks sync.WaitGroup
-	defer looks.Wait()
+	var probers sync.WaitGroup
+	defer probers.Wait()
 	defer stop()
 	for _, door := range d.doors {
-		looks.Go(func() { door.probe(over) })
+		probers.Go(func() { door.pollReadiness(running) })
 	}
-	enough := make(chan struct{})
-	served := clientsUntil(ctx, d.site, doors, p.Rate, (migrationMost+60)*msPerSecond, enough)
-	err = p.move(d, r)
-	close(enough)
+	stopClients := make(chan struct{})
+	served := startClientsUntil(ctx, d.site, doors, p.Rate, (migrationTimeoutS+60)*msPerSecond, stopClients)
+	err = p.runMigration(d, r)
+	close(stopClients)
 	outcomes, failed := served()
 	if err == nil {
 		err = failed
@@ -123,7 +125,7 @@
 		return nil, err
 	}
 	stop()
-	looks.Wait()
+	probers.Wait()
 	for _, o := range outcomes {
 		r.Asked, r.Finished, r.Rejected, r.Failed = r.Asked+o.Asked, r.Finished+o.Finished, r.Rejected+o.Rejected, r.Failed+o.Failed
 	}
@@ -131,78 +133,81 @@
 	if err != nil {
 		return nil, err
 	}
-	p.judge(d, r, before, after)
+	p.verify(d, r, before, after)
 	return r, nil
 }
 
-func (p Migration) judge(d *drill, r *MigrationResult, before, after []string) {
+// verify adds a violation to the result for each rule that was violated. Before and after are each door's statuses as
+// decisions returns them.
+func (p Migration) verify(d *drill, r *MigrationResult, before, after []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var which []spell
-	r.MostOut, which = mostAtOnce(d.doors)
-	breach := func(rule, format string, args ...any) {
+	var which []outage
+	r.MostOut, which = maxConcurrentOutages(d.doors)
+	violation := func(rule, format string, args ...any) {
 		r.Breaches = append(r.Breaches, outs.Breach{Rule: rule, Text: fmt.Sprintf(format, args...)})
 	}
-	for _, f := range d.fails {
-		breach(RunsOn, "%s", f)
+	for _, f := range d.failures {
+		violation(RuleNoUnexpectedExit, "%s", f)
 	}
 	if r.Failed > 0 {
-		breach(NoneLost, "%d of %d operations", r.Failed, r.Asked)
+		violation(RuleNoFailedOperation, "%d of %d operations", r.Failed, r.Asked)
 	}
-	if float64(r.Finished) < leastServed*float64(r.Asked) {
-		breach(Unhurt, "%d of %d operations rejected", r.Rejected, r.Asked)
+	if float64(r.Finished) < minFinishedShare*float64(r.Asked) {
+		violation(RuleUnchangedDoorsServe, "%d of %d operations rejected", r.Rejected, r.Asked)
 	}
-	if r.MostOut > mostDoorsOut {
-		breach(EndsSo, "%d doors couldn't serve at once: %v", r.MostOut, which)
+	if r.MostOut > maxDoorsOut {
+		violation(RuleReleaseOutcome, "%d doors were not ready at the same time: %v", r.MostOut, which)
 	}
-	should := "done"
+	wantStage := "done"
 	if p.HaltAt > 0 {
-		should = "withdrawn"
+		wantStage = "withdrawn"
 	}
-	if r.Stage != should {
-		breach(EndsAll, "%q, not %q", r.Stage, should)
+	if r.Stage != wantStage {
+		violation(RuleMigrationEnds, "stage %q instead of %q", r.Stage, wantStage)
 	}
-	wants := oldDecides
+	wantStatuses := oldStatuses
 	if p.HaltAt == 0 {
-		wants = newDecides
+		wantStatuses = newStatuses
 	}
 	for i, door := range d.doors {
-		if before[i] != oldDecides {
-			breach(Moved, "%s decided %s before anything, not %s", door.name, before[i], oldDecides)
+		if before[i] != oldStatuses {
+			violation(RuleMigrationOutcome, "%s answered %s before the migration instead of %s", door.name, before[i], oldStatuses)
 		}
-		if runs := door.runs(); (runs == "") != (p.HaltAt > 0) || after[i] != wants {
-			breach(Moved, "%s runs %q and decides %s, not %s", door.name, runs, after[i], wants)
+		if runs := door.configurationDigest(); (runs == "") != (p.HaltAt > 0) || after[i] != wantStatuses {
+			violation(RuleMigrationOutcome, "%s runs %q and answers %s instead of %s", door.name, runs, after[i], wantStatuses)
 		}
 	}
 }
 
-// runs is what a door has written down that it runs of configurations; empty for its own file.
-func (p *party) runs() string { return p.wrote()["configuration"] }
+// configurationDigest returns the digest of the configuration that a door has recorded as running; empty for its own file.
+func (p *node) configurationDigest() string { return p.recordedReleases()["configuration"] }
 
-// decisions asks each door three times for a customer whose quota holds one request, and writes down how it answers.
+// decisions sends each door three requests of a customer whose quota holds one, and returns the statuses of each door. Customers
+// and requests differ by round.
 func (d *drill) decisions(round int) (all []string, err error) {
 	for i, p := range d.doors {
-		word := ""
+		statuses := ""
 		for n := range 3 {
-			answer, err := asked(p.serve, fmt.Sprintf("%016x", round<<16+i+1), fmt.Sprintf("%04x%04x%08x", round, i+1, n+1))
+			answer, err := requestStatus(p.address, fmt.Sprintf("%016x", round<<16+i+1), fmt.Sprintf("%04x%04x%08x", round, i+1, n+1))
 			if err != nil {
-				return nil, &RigError{"asking " + p.name, err}
+				return nil, &RigError{"a connection to " + p.name, err}
 			}
-			word += answer + " "
+			statuses += answer + " "
 		}
-		all = append(all, strings.TrimSpace(word))
+		all = append(all, strings.TrimSpace(statuses))
 	}
 	return all, nil
 }
 
-// asked asks a door once, of plan thin, and words its answer: its status, and whether it says when to come back.
-func asked(at, customer, id string) (string, error) {
-	nc, err := net.DialTimeout("tcp", at, clientsWait)
+// requestStatus sends a door one request of plan thin and returns the HTTP status of the answer.
+func requestStatus(at, customer, id string) (string, error) {
+	nc, err := net.DialTimeout("tcp", at, clientTimeout)
 	if err != nil {
 		return "", err
 	}
 	defer nc.Close()
-	if err := nc.SetDeadline(time.Now().Add(clientsWait)); err != nil {
+	if err := nc.SetDeadline(time.Now().Add(clientTimeout)); err != nil {
 		return "", err
 	}
 	if _, err := fmt.Fprintf(nc, "GET /look?key=%s HTTP/1.1\r\nHost: %s\r\nX-Txn: %s\r\nX-Tariff: thin\r\nX-Remaining: 2000m\r\nX-Weight: units=1,spread=1,first=0\r\n\r\n", customer, at, id); err != nil {
@@ -217,8 +222,8 @@
 	return fmt.Sprint(resp.StatusCode), err
 }
 
-// stood is the calendar as far as the rig reads it, by the command's own JSON.
-type stood struct {
+// calendarState is the part of the output of calendar --json that the rig reads.
+type calendarState struct {
 	Entries map[string]struct {
 		ID    uint64 `json:"id"`
 		Stage string `json:"stage"`
@@ -233,23 +238,25 @@
 	} `json:"migrations"`
 }
 
-func (d *drill) stood() (s *stood) {
-	raw, code := d.output("calendar", "--json")
+// calendar returns the state of the calendar; nil if the coordinators didn't answer.
+func (d *drill) calendar() (s *calendarState) {
+	raw, code := d.commandOutput("calendar", "--json")
 	if code != 0 || json.Unmarshal(raw, &s) != nil {
 		return nil
 	}
 	return s
 }
 
-// file words the migration, and gives all doors what its steps release.
-func (p Migration) file(d *drill) (string, error) {
+// writeMigration writes the migration's file, distributes the configurations of its steps to all doors, and returns the file's
+// path.
+func (p Migration) writeMigration(d *drill) (string, error) {
 	watch, err := json.Marshal(d.site.Config("", "", 0, p.Doors)["settings"])
 	if err != nil {
 		return "", &RigError{"a file", err}
 	}
-	with := func(tariffs string) string {
+	settingsWith := func(tariffs string) string {
 		var s map[string]json.RawMessage
-		_ = json.Unmarshal(watch, &s) // what was just written
+		_ = json.Unmarshal(watch, &s) // can't fail: it was encoded above
 		s["tariffs"] = json.RawMessage(tariffs)
 		raw, _ := json.Marshal(s)
 		return string(raw)
@@ -260,53 +267,54 @@
 		name, raw string
 		waves     []wave
 	}{
-		{"watch", `{"watch":` + with(shape(true)) + `}`, []wave{{"count": 1, "watch_s": 5}, {"rest": true}}},
-		{"switch", `{"settings":{"tariffs":` + shape(true) + `},"watch":` + with(shape(false)) + `}`, []wave{{"each_zone": 1, "watch_s": 5}, {"rest": true}}},
-		{"clear-up", `{"settings":{"tariffs":` + shape(true) + `}}`, []wave{{"rest": true}}},
+		{"watch", `{"watch":` + settingsWith(tariffsJSON(true)) + `}`, []wave{{"count": 1, "watch_s": 5}, {"rest": true}}},
+		{"switch", `{"settings":{"tariffs":` + tariffsJSON(true) + `},"watch":` + settingsWith(tariffsJSON(false)) + `}`, []wave{{"each_zone": 1, "watch_s": 5}, {"rest": true}}},
+		{"clear-up", `{"settings":{"tariffs":` + tariffsJSON(true) + `}}`, []wave{{"rest": true}}},
 	} {
-		digest, err := d.give([]byte(s.raw))
+		digest, err := d.distribute([]byte(s.raw))
 		if err != nil {
 			return "", err
 		}
-		steps = append(steps, map[string]any{"name": s.name, "kind": "migration", "from": minute(-2), "to": minute(60),
+		steps = append(steps, map[string]any{"name": s.name, "kind": "migration", "from": minutesFromNow(-2), "to": minutesFromNow(60),
 			"do": map[string]any{"release": map[string]any{"name": s.name, "changes": "configuration", "digest": digest, "waves": s.waves}}})
 	}
-	return d.write("migration", map[string]any{"name": "another shape", "steps": steps})
+	return d.writeConfig("migration", map[string]any{"name": "another shape", "steps": steps})
 }
 
-func minute(from int) string {
+// minutesFromNow returns a time in UTC, as the calendar reads it.
+func minutesFromNow(from int) string {
 	return time.Now().UTC().Add(time.Duration(from) * time.Minute).Format("2006-01-02T15:04")
 }
 
-// move enters the migration, strikes, halts it where it is to be, and waits for its end.
-func (p Migration) move(d *drill, r *MigrationResult) error {
-	file, err := p.file(d)
+// runMigration enters the migration, injects faults, halts and rolls back the migration if HaltAt is set, and waits for its end.
+func (p Migration) runMigration(d *drill, r *MigrationResult) error {
+	file, err := p.writeMigration(d)
 	if err != nil {
 		return err
 	}
 	from := d.ms()
 	if code := d.command("migrate", file); code != 0 {
-		return &DoorsError{[]string{fmt.Sprintf("the migration was not entered: exit %d", code)}}
+		return &DoorsError{[]string{fmt.Sprintf("the migration was not accepted: exit code %d", code)}}
 	}
-	quiet, stop := context.WithCancel(d.ctx)
-	var strikes sync.WaitGroup
+	faultCtx, stop := context.WithCancel(d.ctx)
+	var injector sync.WaitGroup
 	if !p.Quiet {
-		strikes.Go(func() { r.Strikes = d.strikeCoordinators(quiet) })
+		injector.Go(func() { r.Strikes = d.injectCoordinatorFaults(faultCtx) })
 	}
-	defer strikes.Wait()
+	defer injector.Wait()
 	defer stop()
-	runs := make([]string, len(d.doors))
-	var backAt float64
-	for halted := false; d.ms()-from < migrationMost*msPerSecond; {
+	running := make([]string, len(d.doors))
+	var rolledBackAt float64
+	for halted := false; d.ms()-from < migrationTimeoutS*msPerSecond; {
 		if err := d.sleep(d.ms() + 200); err != nil {
 			return err
 		}
 		for i, door := range d.doors {
-			if now := door.runs(); now != runs[i] {
-				runs[i], r.Changes = now, r.Changes+1
+			if now := door.configurationDigest(); now != running[i] {
+				running[i], r.Changes = now, r.Changes+1
 			}
 		}
-		s := d.stood()
+		s := d.calendar()
 		if s == nil || len(s.Migrations) != 1 {
 			continue
 		}
@@ -314,27 +322,27 @@
 			r.Stage = m.Stage
 			if m.Stage == "done" || m.Stage == "withdrawn" {
 				r.TookS = (d.ms() - from) / msPerSecond
-				if backAt > 0 {
-					r.BackS = (d.ms() - backAt) / msPerSecond
+				if rolledBackAt > 0 {
+					r.BackS = (d.ms() - rolledBackAt) / msPerSecond
 				}
-				return d.nothingOut(r)
+				return d.awaitNoPermits(r)
 			}
 			if p.HaltAt == 0 || halted || len(m.Steps) < p.HaltAt {
 				continue
 			}
 			step := fmt.Sprint(m.Steps[p.HaltAt-1])
-			if e := s.Entries[step]; e.Stage != "running" || !slices.ContainsFunc(d.doors, func(door *party) bool { return door.runs() != "" && p.amid(d, door) }) {
+			if e := s.Entries[step]; e.Stage != "running" || !slices.ContainsFunc(d.doors, func(door *node) bool { return door.configurationDigest() != "" && p.runsHaltedStep(d, door) }) {
 				continue
 			}
 			if d.command("steer", "halt", step) != 0 {
-				continue // asked again: its answer was lost, or it has ended meanwhile
+				continue // retried: the answer was lost, or the step has ended in the meantime
 			}
 			halted = true
-			if err := p.lookHalted(d, r); err != nil {
+			if err := p.observeHalt(d, r); err != nil {
 				return err
 			}
-			backAt = d.ms()
-			for d.command("steer", "back", step) != 0 && d.ms()-from < migrationMost*msPerSecond {
+			rolledBackAt = d.ms()
+			for d.command("steer", "back", step) != 0 && d.ms()-from < migrationTimeoutS*msPerSecond {
 				if err := d.sleep(d.ms() + 200); err != nil {
 					return err
 				}
@@ -344,10 +352,10 @@
 	return nil
 }
 
-// nothingOut waits until no permit stands: the last door's is free once it is seen back.
-func (d *drill) nothingOut(r *MigrationResult) error {
+// awaitNoPermits waits until no permit is held: the last one is released when its door is seen back in service.
+func (d *drill) awaitNoPermits(r *MigrationResult) error {
 	left := 0
-	for from := d.ms(); d.ms()-from < drillBack; {
+	for from := d.ms(); d.ms()-from < recoveryTimeoutMs; {
 		if t := d.status(); t != nil {
 			if left = len(t.Places); left == 0 {
 				return nil
@@ -357,44 +365,45 @@
 			return err
 		}
 	}
-	r.Breaches = append(r.Breaches, outs.Breach{Rule: EndsAll, At: d.ms(), Text: fmt.Sprintf("%d permits are left", left)})
+	r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleMigrationEnds, At: d.ms(), Text: fmt.Sprintf("%d permits are still held", left)})
 	return nil
 }
 
-// amid tells whether a door runs what the step that is to be halted gives.
-func (p Migration) amid(d *drill, door *party) bool {
-	raw, code := d.output("release", "status", "--json")
+// runsHaltedStep reports whether a door runs the configuration that the step to be halted releases.
+func (p Migration) runsHaltedStep(d *drill, door *node) bool {
+	raw, code := d.commandOutput("release", "status", "--json")
 	var all []struct{ Digest, Stage string }
 	if code != 0 || json.Unmarshal(raw, &all) != nil || len(all) < p.HaltAt {
 		return false
 	}
-	return all[p.HaltAt-1].Digest == door.runs()
+	return all[p.HaltAt-1].Digest == door.configurationDigest()
 }
 
-// lookHalted looks at a halted migration for a while: doors that have begun to change may end that, and no other begins.
-func (p Migration) lookHalted(d *drill, r *MigrationResult) error {
-	if err := d.sleep(d.ms() + haltedFor); err != nil {
+// observeHalt waits for doors to finish changes that had begun before the halt, and then checks that no further door changes.
+func (p Migration) observeHalt(d *drill, r *MigrationResult) error {
+	if err := d.sleep(d.ms() + haltObservationMs); err != nil {
 		return err
 	}
-	was := make([]string, len(d.doors))
+	before := make([]string, len(d.doors))
 	for i, door := range d.doors {
-		was[i] = door.runs()
+		before[i] = door.configurationDigest()
 	}
-	if err := d.sleep(d.ms() + haltedFor); err != nil {
+	if err := d.sleep(d.ms() + haltObservationMs); err != nil {
 		return err
 	}
 	for i, door := range d.doors {
-		if now := door.runs(); now != was[i] {
-			r.Breaches = append(r.Breaches, outs.Breach{Rule: Stopped, At: d.ms(), Text: fmt.Sprintf("%s runs %q, before %q", door.name, now, was[i])})
+		if now := door.configurationDigest(); now != before[i] {
+			r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleHaltHolds, At: d.ms(), Text: fmt.Sprintf("%s runs %q, before it was %q", door.name, now, before[i])})
 		}
 	}
 	return nil
 }
 
-// strikeCoordinators strikes coordinators one at a time until ctx ends, and leaves them well: whichever leads is killed, one is stopped, one is
-// cut off in one direction or both.
-func (d *drill) strikeCoordinators(ctx context.Context) (said []string) {
-	dice := rand.New(rand.NewPCG(d.Seed, 23))
+// injectCoordinatorFaults injects one fault after the other into the coordinators until ctx ends: it kills the leader, pauses
+// one of them, or cuts one off in one direction or both. Killed and paused ones run again when it returns, while a cut
+// lasts for its full time. It returns the faults' descriptions.
+func (d *drill) injectCoordinatorFaults(ctx context.Context) (injected []string) {
+	rng := rand.New(rand.NewPCG(d.Seed, 23))
 	sleep := func(ms float64) bool {
 		select {
 		case <-time.After(time.Duration(ms * 1e6)):
@@ -403,37 +412,37 @@
 			return false
 		}
 	}
-	for sleep(strikeEvery * (0.5 + dice.Float64())) {
-		p := d.coords[dice.IntN(len(d.coords))]
-		long := 500 + 2500*dice.Float64()
-		kind := dice.IntN(3)
-		if kind == 0 { // whoever leads, as the rig last heard
-			if raw, code := d.output("status", "--json"); code == 0 {
+	for sleep(faultIntervalMs * (0.5 + rng.Float64())) {
+		p := d.coordinators[rng.IntN(len(d.coordinators))]
+		durationMs := 500 + 2500*rng.Float64()
+		kind := rng.IntN(3)
+		if kind == 0 { // the current leader, if the coordinators answer
+			if raw, code := d.commandOutput("status", "--json"); code == 0 {
 				var t struct{ Leader string }
 				if json.Unmarshal(raw, &t) == nil {
-					if i := slices.IndexFunc(d.coords, func(c *party) bool { return c.name == t.Leader }); i >= 0 {
-						p = d.coords[i]
+					if i := slices.IndexFunc(d.coordinators, func(c *node) bool { return c.name == t.Leader }); i >= 0 {
+						p = d.coordinators[i]
 					}
 				}
 			}
 		}
-		said = append(said, fmt.Sprintf("%.1f s %s %s for %.1f s", d.ms()/msPerSecond, []string{"kill", "pause", "cut off"}[kind], p.name, long/msPerSecond))
+		injected = append(injected, fmt.Sprintf("%.1f s %s %s for %.1f s", d.ms()/msPerSecond, []string{"kill", "pause", "cut off"}[kind], p.name, durationMs/msPerSecond))
 		switch kind {
 		case 0:
 			p.kill()
-			sleep(long)
+			sleep(durationMs)
 			if err := p.start(); err != nil {
-				d.fail("%s can't be started again: %v", p.name, err)
-				return said
+				d.fail("%s can't be restarted: %v", p.name, err)
+				return injected
 			}
 		case 1:
 			p.signal(syscall.SIGSTOP, false)
-			sleep(long)
+			sleep(durationMs)
 			p.signal(syscall.SIGCONT, false)
 		case 2:
-			d.cut(p.name, d.coords, d.ms()+long, dice.IntN(3))
-			sleep(long)
+			d.cutLinks(p.name, d.coordinators, d.ms()+durationMs, rng.IntN(3))
+			sleep(durationMs)
 		}
 	}
-	return said
+	return injected
 }
--- a/lab/procs/relay.go
+++ b/lab/procs/relay.go
@@ -9,55 +9,56 @@
 	"time"
 )
 
-// fate is what a way does to what goes over it now.
-type fate struct {
-	cut   bool
-	loss  float64
-	delay float64 // ms at most
-	twice float64
-	late  float64
+// impairment is how a directed link currently impairs the traffic on it. Loss, duplicate and reorder are probabilities.
+type impairment struct {
+	cut        bool
+	loss       float64
+	maxDelayMs float64 // upper bound of the added delay
+	duplicate  float64
+	reorder    float64
 }
 
-// relay is the way from one process to another: the one sends to the relay's address, the other receives from it, and what
-// goes over it meets the fate of the hour. A way that is cut lets no datagram through. A connection needs both ways: while
-// either is cut it stays open and silent, and none can be made.
+// relay is a UDP and TCP proxy for the directed link from one process to another: the first sends to the relay's address, and
+// the relay forwards to the second, with the impairment that currently applies. A cut link drops all datagrams. A connection
+// needs the links in both directions: while either is cut, open connections stay open without transferring data, and new ones
+// are accepted but not connected to the target.
 type relay struct {
-	to     string // where it leads
-	at     string // where it is reached, UDP and TCP alike
-	way    func() fate
-	dead   func() bool // either way is cut
-	udp    *net.UDPConn
-	tcp    *net.TCPListener
-	mu     sync.Mutex
-	dice   *rand.Rand
-	conns  map[net.Conn]struct{}
-	over   atomic.Bool
-	done   chan struct{}
-	group  sync.WaitGroup
-	passed atomic.Int64 // datagrams
+	target    string // address to which it forwards
+	address   string // address on which it listens, for both UDP and TCP
+	impair    func() impairment
+	blocked   func() bool // reports whether the link is cut in either direction
+	udp       *net.UDPConn
+	tcp       *net.TCPListener
+	mu        sync.Mutex
+	rng       *rand.Rand
+	conns     map[net.Conn]struct{}
+	closed    atomic.Bool
+	done      chan struct{}
+	group     sync.WaitGroup
+	forwarded atomic.Int64 // datagrams, including duplicates
 }
 
 const (
-	relayTries = 32
-	relayLook  = 10 * time.Millisecond // between looks whether a way is open again
-	relayChunk = 32 << 10
+	relayPortAttempts = 32                    // attempts to find a port that is free for both protocols
+	pollInterval      = 10 * time.Millisecond // between polls of a condition: whether a link is open again, or all doors are ready
+	relayBufferSize   = 32 << 10
 )
 
-// newRelay takes a loopback port for both protocols.
-func newRelay(to string, seed uint64, way func() fate, dead func() bool) (*relay, error) {
+// newRelay starts a relay on a loopback port that is free for both UDP and TCP.
+func newRelay(to string, seed uint64, way func() impairment, dead func() bool) (*relay, error) {
 	target, err := net.ResolveUDPAddr("udp", to)
 	if err != nil {
 		return nil, &RigError{"a relay", err}
 	}
-	r := &relay{to: to, way: way, dead: dead, dice: rand.New(rand.NewPCG(seed, 3)), conns: map[net.Conn]struct{}{}, done: make(chan struct{})}
-	for range relayTries {
+	r := &relay{target: to, impair: way, blocked: dead, rng: rand.New(rand.NewPCG(seed, 3)), conns: map[net.Conn]struct{}{}, done: make(chan struct{})}
+	for range relayPortAttempts {
 		ln, e := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if e != nil {
 			return nil, &RigError{"a relay", e}
 		}
 		r.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: ln.Addr().(*net.TCPAddr).Port})
 		if err == nil {
-			r.tcp, r.at = ln, ln.Addr().String()
+			r.tcp, r.address = ln, ln.Addr().String()
 			break
 		}
 		ln.Close()
@@ -65,18 +66,20 @@
 	if r.tcp == nil {
 		return nil, &RigError{"a relay", err}
 	}
-	r.group.Go(func() { r.datagrams(target) })
+	r.group.Go(func() { r.forwardDatagrams(target) })
 	r.group.Go(r.accept)
 	return r, nil
 }
 
-func (r *relay) chance(of float64) bool {
+// happens draws an event of the given probability.
+func (r *relay) happens(probability float64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return of > 0 && r.dice.Float64() < of
+	return probability > 0 && r.rng.Float64() < probability
 }
 
-func (r *relay) datagrams(to *net.UDPAddr) {
+// forwardDatagrams forwards datagrams to the target until the relay is closed.
+func (r *relay) forwardDatagrams(to *net.UDPAddr) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, _, err := r.udp.ReadFromUDP(buf)
@@ -84,27 +87,27 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // the other process is down: its port refuses
+			continue // the target process is down and its port refuses datagrams
 		}
-		f := r.way()
-		if f.cut || r.chance(f.loss) {
+		f := r.impair()
+		if f.cut || r.happens(f.loss) {
 			continue
 		}
 		copies := 1
-		if r.chance(f.twice) {
+		if r.happens(f.duplicate) {
 			copies = 2
 		}
 		for range copies {
-			wait := f.delay
+			wait := f.maxDelayMs
 			if wait > 0 {
 				r.mu.Lock()
-				wait *= r.dice.Float64()
+				wait *= r.rng.Float64()
 				r.mu.Unlock()
 			}
-			if r.chance(f.late) {
-				wait += lateBy
+			if r.happens(f.reorder) {
+				wait += reorderDelayMs
 			}
-			r.passed.Add(1)
+			r.forwarded.Add(1)
 			if wait == 0 {
 				_, _ = r.udp.WriteToUDP(buf[:n], to)
 				continue
@@ -115,32 +118,35 @@
 	}
 }
 
+// accept accepts connections until the relay is closed.
 func (r *relay) accept() {
 	for {
 		from, err := r.tcp.Accept()
 		if err != nil {
 			return
 		}
-		r.group.Go(func() { r.connection(from) })
+		r.group.Go(func() { r.forwardConn(from) })
 	}
 }
 
-// wait holds a connection up while a way is cut, and tells whether the relay goes on.
-func (r *relay) wait() bool {
-	for r.dead() {
+// awaitOpen blocks while the link is cut in either direction, and reports whether the relay is still running.
+func (r *relay) awaitOpen() bool {
+	for r.blocked() {
 		select {
-		case <-time.After(relayLook):
+		case <-time.After(pollInterval):
 		case <-r.done:
 			return false
 		}
 	}
-	return !r.over.Load()
+	return !r.closed.Load()
 }
 
-func (r *relay) hold(c net.Conn) bool {
+// track registers a connection so that reset and close end it. It closes the connection and returns false once the relay is
+// closed.
+func (r *relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over.Load() {
+	if r.closed.Load() {
 		c.Close()
 		return false
 	}
@@ -148,37 +154,39 @@
 	return true
 }
 
-func (r *relay) connection(from net.Conn) {
-	if !r.hold(from) || !r.wait() {
+// forwardConn connects an accepted connection to the target and forwards data in both directions until both have ended.
+func (r *relay) forwardConn(from net.Conn) {
+	if !r.track(from) || !r.awaitOpen() {
 		return
 	}
-	to, err := net.DialTimeout("tcp", r.to, 2*time.Second)
+	to, err := net.DialTimeout("tcp", r.target, 2*time.Second)
 	if err != nil {
-		r.drop(from)
+		r.closeConn(from)
 		return
 	}
-	if !r.hold(to) {
-		r.drop(from)
+	if !r.track(to) {
+		r.closeConn(from)
 		return
 	}
 	var both sync.WaitGroup
 	for _, pair := range [][2]net.Conn{{from, to}, {to, from}} {
-		both.Go(func() { r.pass(pair[0], pair[1]) })
+		both.Go(func() { r.forwardStream(pair[0], pair[1]) })
 	}
 	both.Wait()
-	r.drop(from)
-	r.drop(to)
+	r.closeConn(from)
+	r.closeConn(to)
 }
 
-func (r *relay) pass(from, to net.Conn) {
-	buf := make([]byte, relayChunk)
+// forwardStream forwards one direction of a connection.
+func (r *relay) forwardStream(from, to net.Conn) {
+	buf := make([]byte, relayBufferSize)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			if !r.wait() {
+			if !r.awaitOpen() {
 				return
 			}
-			if d := r.way().delay; d > 0 {
+			if d := r.impair().maxDelayMs; d > 0 {
 				time.Sleep(time.Duration(d / 2 * 1e6))
 			}
 			if _, err := to.Write(buf[:n]); err != nil {
@@ -194,14 +202,15 @@
 	}
 }
 
-func (r *relay) drop(c net.Conn) {
+// closeConn closes and unregisters a connection.
+func (r *relay) closeConn(c net.Conn) {
 	r.mu.Lock()
 	delete(r.conns, c)
 	r.mu.Unlock()
 	c.Close()
 }
 
-// reset breaks all connections.
+// reset aborts all connections with a TCP reset.
 func (r *relay) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -213,9 +222,10 @@
 	}
 }
 
+// close closes the relay and all its connections, and waits for its goroutines.
 func (r *relay) close() {
 	r.mu.Lock()
-	r.over.Store(true)
+	r.closed.Store(true)
 	r.mu.Unlock()
 	close(r.done)
 	r.tcp.Close()
--- a/lab/procs/report.go
+++ b/lab/procs/report.go
@@ -13,24 +13,27 @@
 	"github.com/swifthall/swifthall/lab/procs/check"
 )
 
-// The timeline: for each door, what each other holds of it, over the day. Of a large fleet a row is a door, and its colour what
-// most of the others hold.
+// Layout of the timeline. It shows for each door in which state every other door considered it, over the run. A small fleet has
+// a row for each pair of doors; a larger one has a row for each door, coloured by the state that most others considered it in.
 const (
-	plotWide  = 1100.0 // px of the day
-	plotLeft  = 130.0
-	rowHigh   = 5.0
-	mostPairs = 16 // doors up to which each pair has a row
+	plotWidth    = 1100.0 // px
+	plotLeft     = 130.0  // px, space for the doors' names
+	rowHeight    = 5.0    // px
+	maxPairDoors = 16     // maximum number of doors for a row per pair
 )
 
+// colours holds the colour of each state.
 var colours = map[string]string{"here": "#4c9f70", "doubted": "#e0a030", "away": "#c0392b", "left": "#7f8c8d", "leaving": "#5dade2",
 	"joining": "#af7ac5", "unknown": "#eeeeee", "": "#eeeeee"}
 
+// bar is a coloured interval of a row.
 type bar struct {
 	X, Y, W, H float64
 	Colour     string
 	Title      string
 }
 
+// label is a text in the timeline.
 type label struct {
 	X, Y float64
 	Text string
@@ -42,7 +45,7 @@
 {{if .R.Breaches}}<h2>Broken</h2><table><tr><th>rule<th>at, s<th>what</tr>{{range .R.Breaches}}<tr><td>{{.Rule}}<td>{{printf "%.1f" .At}} ms<td>{{.Text}}</tr>{{end}}</table>
 {{else}}<p>All rules kept.</p>{{end}}
 <h2>Figures</h2><table>{{range .Figures}}<tr><td>{{index . 0}}<td>{{index . 1}}</tr>{{end}}</table>
-<h2>Who held what of whom</h2>
+<h2>State of each door in the view of each other</h2>
 <p>{{range $k, $v := .Colours}}{{if $k}}<span style="background:{{$v}};padding:0 8px">&nbsp;</span> {{$k}} &nbsp; {{end}}{{end}}
 <span style="background:#000;padding:0 8px">&nbsp;</span> truly stopped or dead &nbsp; <span style="background:#26a;padding:0 8px">&nbsp;</span> a way from or to it truly cut</p>
 <svg width="{{.Wide}}" height="{{.High}}" font-family="sans-serif" font-size="10">
@@ -50,7 +53,7 @@
 {{end}}{{range .Labels}}<text x="{{printf "%.1f" .X}}" y="{{printf "%.1f" .Y}}">{{.Text}}</text>
 {{end}}</svg>`))
 
-// Write puts a play into a folder, which is made: result.json, schedule.toml that plays it again, and report.html.
+// Write writes a run into a directory, which it creates: result.json, report.html, and schedule.toml to repeat the run.
 func (r *Result) Write(s *Schedule, dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return &RigError{dir, err}
@@ -75,13 +78,14 @@
 	return nil
 }
 
+// html returns the report as an HTML page.
 func (r *Result) html() ([]byte, error) {
 	t := &r.Truth
 	from, to := 0.0, t.EndMs
 	if len(r.History) > 0 {
 		from = min(0, r.History[0].At)
 	}
-	x := func(at float64) float64 { return plotLeft + plotWide*(min(max(at, from), to)-from)/(to-from) }
+	x := func(at float64) float64 { return plotLeft + plotWidth*(min(max(at, from), to)-from)/(to-from) }
 	var bars []bar
 	var labels []label
 	y := 14.0
@@ -97,16 +101,16 @@
 			break
 		}
 	}
-	pairs := t.Doors <= mostPairs
+	pairs := t.Doors <= maxPairDoors
 	for d := range t.Doors {
 		labels = append(labels, label{4, y + 9, fmt.Sprintf("%s (z%d)", Door(d), t.Zones[d])})
-		for _, s := range append(append([]Spell(nil), t.Paused[d]...), t.Dead[d]...) {
+		for _, s := range append(append([]Interval(nil), t.Paused[d]...), t.Dead[d]...) {
 			add(s.From, s.To, y, 3, "#000", "truly stopped or dead")
 		}
 		for i := range t.Cuts {
 			c := &t.Cuts[i]
 			for o := range t.Doors {
-				if c.Way[d*t.Doors+o] || c.Way[o*t.Doors+d] {
+				if c.Links[d*t.Doors+o] || c.Links[o*t.Doors+d] {
 					add(c.From, c.To, y+3, 2, "#26a", "a way is truly cut")
 					break
 				}
@@ -114,28 +118,28 @@
 		}
 		y += 6
 		if !pairs {
-			r.majority(d, from, to, func(a, b float64, state string) { add(a, b, y, rowHigh, colours[state], state) })
-			y += rowHigh + 2
+			r.majority(d, from, to, func(a, b float64, state string) { add(a, b, y, rowHeight, colours[state], state) })
+			y += rowHeight + 2
 			continue
 		}
 		for o := range t.Doors {
 			if o == d {
 				continue
 			}
-			held, since := "", from
+			state, since := "", from
 			for i := range r.History {
 				e := &r.History[i]
 				switch {
 				case e.Door == o && e.From == "born":
-					add(since, e.At, y, rowHigh-1, colours[held], fmt.Sprintf("%s held it to be %s", Door(o), held))
-					held, since = "", e.At
+					add(since, e.At, y, rowHeight-1, colours[state], fmt.Sprintf("%s considered it %s", Door(o), state))
+					state, since = "", e.At
 				case e.Door == o && e.About == d:
-					add(since, e.At, y, rowHigh-1, colours[held], fmt.Sprintf("%s held it to be %s", Door(o), held))
-					held, since = e.To, e.At
+					add(since, e.At, y, rowHeight-1, colours[state], fmt.Sprintf("%s considered it %s", Door(o), state))
+					state, since = e.To, e.At
 				}
 			}
-			add(since, to, y, rowHigh-1, colours[held], fmt.Sprintf("%s held it to be %s", Door(o), held))
-			y += rowHigh
+			add(since, to, y, rowHeight-1, colours[state], fmt.Sprintf("%s considered it %s", Door(o), state))
+			y += rowHeight
 		}
 		y += 4
 	}
@@ -154,15 +158,15 @@
 		Bars       []bar
 		Labels     []label
 		Wide, High float64
-	}{r, figures, colours, bars, labels, plotLeft + plotWide + 20, y + 20})
+	}{r, figures, colours, bars, labels, plotLeft + plotWidth + 20, y + 20})
 	return out.Bytes(), err
 }
 
-// majority calls out with what most others held of a door, stretch by stretch.
+// majority calls out with the state in which most others considered a door, for each interval between changes of it.
 func (r *Result) majority(d int, from, to float64, out func(a, b float64, state string)) {
-	held := make([]string, r.Truth.Doors)
+	states := make([]string, r.Truth.Doors)
 	count := map[string]int{"": r.Truth.Doors - 1}
-	most, since := "", from
+	majority, since := "", from
 	for i := range r.History {
 		e := &r.History[i]
 		if e.Door == d || e.About != d && e.From != "born" {
@@ -172,19 +176,19 @@
 		if e.From == "born" {
 			next = ""
 		}
-		count[held[e.Door]]--
-		held[e.Door] = next
+		count[states[e.Door]]--
+		states[e.Door] = next
 		count[next]++
-		now := most
+		now := majority
 		for s, n := range count {
-			if n > count[now] || n == count[now] && s < now && now != most {
+			if n > count[now] || n == count[now] && s < now && now != majority {
 				now = s
 			}
 		}
-		if now != most {
-			out(since, e.At, most)
-			most, since = now, e.At
+		if now != majority {
+			out(since, e.At, majority)
+			majority, since = now, e.At
 		}
 	}
-	out(since, to, most)
+	out(since, to, majority)
 }
