--- a/calendar/calendar.go
+++ b/calendar/calendar.go
@@ -92,8 +92,8 @@
 	Rollback       json.RawMessage `json:"rollback,omitempty"`       // its way back; none where there is none
 }
 
-// Needs is the time that it takes, its watch with it.
-func (c *Change) Needs() float64 { return float64(c.Waves)*c.WaveMs + c.SoakMs }
+// DurationMs is the time that it takes, its watch with it.
+func (c *Change) DurationMs() float64 { return float64(c.Waves)*c.WaveMs + c.SoakMs }
 
 // deadline is when it must be over: its window's end, with the lateness that it allows itself.
 func (c *Change) deadline() float64 { return c.Window.ToMs + c.LateMs }
@@ -109,16 +109,16 @@
 // Entry is a change in the calendar.
 type Entry struct {
 	Change
-	ID        uint64     `json:"id"`
-	Revision  uint64     `json:"revision"` // grows with each change by people; compare and set
-	Author    string     `json:"author"`
-	Stage     Stage      `json:"stage"`
-	Says      string     `json:"says,omitempty"` // why it stands as it does
-	Approvals []Approval `json:"approvals,omitempty"`
-	Emergency *Emergency `json:"emergency,omitempty"`
-	Wave      int        `json:"wave"`              // that are done
-	Starts    int        `json:"starts"`            // 0 or 1
-	HeldBy    uint64     `json:"held_by,omitempty"` // freeze that halted it
+	ID             uint64     `json:"id"`
+	Revision       uint64     `json:"revision"` // grows with each change by people; compare and set
+	Author         string     `json:"author"`
+	Stage          Stage      `json:"stage"`
+	Reason         string     `json:"says,omitempty"` // why it stands as it does
+	Approvals      []Approval `json:"approvals,omitempty"`
+	Emergency      *Emergency `json:"emergency,omitempty"`
+	WavesDone      int        `json:"wave"`              // that are done
+	Starts         int        `json:"starts"`            // 0 or 1
+	HaltedByFreeze uint64     `json:"held_by,omitempty"` // freeze that halted it
 
 	Migration      uint64                 `json:"migration,omitempty"`        // whose step it is
 	WasRollingBack bool                   `json:"was_rolling_back,omitempty"` // it was halted on its way back
@@ -138,18 +138,18 @@
 
 // Observation is what somebody saw of the fleet.
 type Observation struct {
-	Well bool    `json:"well"`
-	Says string  `json:"says,omitempty"`
-	AtMs float64 `json:"at_ms"`
+	Passed bool    `json:"well"`
+	Detail string  `json:"says,omitempty"`
+	AtMs   float64 `json:"at_ms"`
 }
 
 // left is the time that it takes from where it is.
-func (e *Entry) left() float64 { return float64(e.Waves-e.Wave)*e.WaveMs + e.SoakMs }
+func (e *Entry) left() float64 { return float64(e.Waves-e.WavesDone)*e.WaveMs + e.SoakMs }
 
 // unobserved is the first of some names that was not seen well since an instant; empty for none.
 func (e *Entry) unobserved(names []string, sinceMs float64) (name string, seen Observation) {
 	for _, n := range names {
-		if v := e.Observations[n]; !v.Well || v.AtMs < sinceMs {
+		if v := e.Observations[n]; !v.Passed || v.AtMs < sinceMs {
 			return n, v
 		}
 	}
@@ -173,17 +173,17 @@
 
 // Rule says how many must approve. An entry needs what every rule asks for that is of its kind and touches its subject.
 type Rule struct {
-	Kinds   []Kind   `json:"kinds,omitempty"` // empty for all
-	Subject Subject  `json:"subject"`
-	Count   int      `json:"count"`
-	Roles   []string `json:"roles,omitempty"`  // that count; empty for any
-	ForMs   float64  `json:"for_ms,omitempty"` // after which an approval lapses; 0 for the calendar's own
+	Kinds         []Kind   `json:"kinds,omitempty"` // empty for all
+	Subject       Subject  `json:"subject"`
+	Count         int      `json:"count"`
+	Roles         []string `json:"roles,omitempty"`  // that count; empty for any
+	ApprovalTTLMs float64  `json:"for_ms,omitempty"` // after which an approval lapses; 0 for the calendar's own
 }
 
 // Budget bounds how many entries of a kind may be under way at once.
 type Budget struct {
 	Kind Kind `json:"kind"`
-	Most int  `json:"most"`
+	Max  int  `json:"most"`
 }
 
 // Event is a change of an entry's stage, or of a freeze. Numbers grow by one: a receiver drops a repeat.
@@ -206,7 +206,7 @@
 type State struct {
 	NowMs        float64               `json:"now_ms"`  // agreed clock: it only grows, and stands still while nobody leads
 	WallMs       float64               `json:"wall_ms"` // agreed time: what a majority's wall clocks show; it only grows
-	Doubt        string                `json:"doubt"`   // why time stands still; empty where it doesn't, which must be written down
+	ClockProblem string                `json:"doubt"`   // why time stands still; empty where it doesn't, which must be written down
 	Size         int                   `json:"size"`    // coordinators
 	Readings     map[string]Reading    `json:"readings,omitempty"`
 	NextID       uint64                `json:"next_id"`
@@ -217,7 +217,7 @@
 	Budgets      []Budget              `json:"budgets,omitempty"`
 	Events       []Event               `json:"events,omitempty"`
 	Acknowledged uint64                `json:"acknowledged"` // number of the last event that its receiver has had
-	Number       uint64                `json:"number"`
+	LastEvent    uint64                `json:"number"`
 
 	zones Zones
 }
@@ -229,14 +229,14 @@
 
 // New returns an empty calendar: it asks for nothing and lets everything begin.
 func New() *State {
-	return &State{NextID: 1, Size: 1, Readings: map[string]Reading{}, Entries: map[uint64]*Entry{}, Freezes: map[uint64]*Freeze{}, Migrations: map[uint64]*Migration{}, Doubt: noClock}
+	return &State{NextID: 1, Size: 1, Readings: map[string]Reading{}, Entries: map[uint64]*Entry{}, Freezes: map[uint64]*Freeze{}, Migrations: map[uint64]*Migration{}, ClockProblem: noClock}
 }
 
 // InUse tells whether anybody has ever used it.
-func (s *State) InUse() bool { return s.Number > 0 }
+func (s *State) InUse() bool { return s.LastEvent > 0 }
 
-// See has the state know where units stand. It is no part of what is agreed; whoever applies commands passes what is.
-func (s *State) See(z Zones) { s.zones = z }
+// SetZones has the state know where units stand. It is no part of what is agreed; whoever applies commands passes what is.
+func (s *State) SetZones(z Zones) { s.zones = z }
 
 // Commands, beside Change's, which Plan and Edit hold.
 type (
@@ -283,7 +283,7 @@
 		Freeze
 	}
 	// Extend tells the spans of a recurring freeze further ahead.
-	Extend struct {
+	ExtendFreeze struct {
 		ID, Revision uint64
 		Spans        []Span
 		ThroughMs    float64
@@ -300,7 +300,7 @@
 		Who     string
 	}
 	// Clock tells a coordinator's wall clock, and how many coordinators there are.
-	Clock struct {
+	ReportClock struct {
 		Name   string
 		WallMs float64
 		Size   int
@@ -318,11 +318,11 @@
 	}
 	// Observe tells what was seen of what an entry wants or shows.
 	Observe struct {
-		ID   uint64
-		What string
-		Well bool
-		Says string
-		Who  string `json:",omitempty"`
+		ID     uint64
+		What   string
+		Passed bool
+		Detail string
+		Who    string `json:",omitempty"`
 	}
 	// Migrate enters a migration: steps, each after the one before.
 	Migrate struct {
@@ -331,13 +331,13 @@
 		Who   string
 	}
 	// Replace puts other steps in the place of those that have not begun.
-	Replace struct {
+	ReplaceSteps struct {
 		ID, Revision uint64
 		Steps        []Change
 		Who          string
 	}
 	// Revert takes a migration back from where it is, the newest step first.
-	Revert struct {
+	RevertMigration struct {
 		ID       uint64
 		Who, Why string
 	}
@@ -367,17 +367,17 @@
 	Restored struct{ Who string }
 )
 
-// Do takes a command in, at a reading of the agreed clock. Its number is an entry's or a freeze's, or the next wave. A command
+// Apply takes a command in, at a reading of the agreed clock. Its number is an entry's or a freeze's, or the next wave. A command
 // with an error has changed nothing but what time alone changes.
-func (s *State) Do(nowMs float64, c any) (number uint64, err error) {
-	s.Pass(nowMs)
+func (s *State) Apply(nowMs float64, c any) (number uint64, err error) {
+	s.AdvanceTo(nowMs)
 	number, err = s.do(c)
 	s.pass()
 	return number, err
 }
 
-// Pass has time pass, up to a reading of the agreed clock.
-func (s *State) Pass(nowMs float64) {
+// AdvanceTo has time pass, up to a reading of the agreed clock.
+func (s *State) AdvanceTo(nowMs float64) {
 	s.NowMs = max(s.NowMs, nowMs)
 	s.tell()
 	s.pass()
@@ -407,7 +407,7 @@
 		return s.declareEmergency(c)
 	case SetFreeze:
 		return s.setFreeze(c)
-	case Extend:
+	case ExtendFreeze:
 		return s.extend(c)
 	case Thaw:
 		f, err := s.freezeAt(c.ID, c.Revision)
@@ -423,13 +423,13 @@
 			}
 		}
 		for i, b := range c.Budgets {
-			if !slices.Contains(kinds, b.Kind) || b.Most < 1 {
+			if !slices.Contains(kinds, b.Kind) || b.Max < 1 {
 				return 0, &FormError{fmt.Sprintf("budgets[%d]", i), "a kind and at least 1 are wanted"}
 			}
 		}
 		s.Rules, s.Budgets = slices.Clone(c.Rules), slices.Clone(c.Budgets)
 		s.note(0, "rules and budgets set", c.Who, "")
-	case Clock:
+	case ReportClock:
 		return 0, s.clock(c)
 	case LeaderChanged:
 		clear(s.Readings)
@@ -442,9 +442,9 @@
 		return 0, s.observe(c)
 	case Migrate:
 		return s.migrate(c)
-	case Replace:
+	case ReplaceSteps:
 		return s.replace(c)
-	case Revert:
+	case RevertMigration:
 		return 0, s.revert(c)
 	case Halt:
 		turned := s.Entries[c.ID] != nil && s.Entries[c.ID].Stage == RollingBack
@@ -477,7 +477,7 @@
 	case RolledBack:
 		return 0, s.steer(c.ID, []Stage{RollingBack}, Withdrawn, c.Who, takenBack)
 	case Acknowledge:
-		s.Acknowledged = min(max(s.Acknowledged, c.Number), s.Number)
+		s.Acknowledged = min(max(s.Acknowledged, c.Number), s.LastEvent)
 	case Restored:
 		s.restored(c.Who)
 	default:
@@ -511,8 +511,8 @@
 }
 
 func (s *State) note(id uint64, what, who, why string) {
-	s.Number++
-	s.Events = append(s.Events, Event{s.Number, s.WallMs, id, what, who, why})
+	s.LastEvent++
+	s.Events = append(s.Events, Event{s.LastEvent, s.WallMs, id, what, who, why})
 	if n := len(s.Events); n > historyMost {
 		s.Events = slices.Delete(s.Events, 0, n-historyMost)
 	}
@@ -521,9 +521,9 @@
 // move has an entry go to another stage.
 func (s *State) move(e *Entry, to Stage, who, why string) {
 	s.note(e.ID, fmt.Sprintf("%s -> %s", e.Stage, to), who, why)
-	e.Stage, e.Says = to, why
+	e.Stage, e.Reason = to, why
 	if to != Halted {
-		e.HeldBy, e.WasRollingBack = 0, false
+		e.HaltedByFreeze, e.WasRollingBack = 0, false
 	}
 }
 
@@ -653,7 +653,7 @@
 			return &FormError{at + "kinds", fmt.Sprintf("%q is none", k)}
 		}
 	}
-	if r.Count < 1 || !(r.ForMs >= 0) {
+	if r.Count < 1 || !(r.ApprovalTTLMs >= 0) {
 		return &FormError{at + "count", "at least 1, for a time from 0 on, is wanted"}
 	}
 	return r.Subject.check(at + "subject")
@@ -681,7 +681,7 @@
 	case c.Who == "":
 		return 0, &FormError{"who", "missing"}
 	case c.Who == e.Author:
-		return 0, &OwnError{e.ID, c.Who}
+		return 0, &SelfApprovalError{e.ID, c.Who}
 	}
 	e.Approvals = slices.DeleteFunc(e.Approvals, func(a Approval) bool { return a.Who == c.Who })
 	e.Approvals = append(e.Approvals, Approval{c.Who, c.Role, c.Digest, s.WallMs})
@@ -731,7 +731,7 @@
 		if !s.asks(r, &e.Change) {
 			continue
 		}
-		last := r.ForMs
+		last := r.ApprovalTTLMs
 		if last == 0 {
 			last = approvalFor
 		}
@@ -771,7 +771,7 @@
 	if e.Stage == Approved && s.WallMs >= e.Window.FromMs {
 		s.move(e, Due, "", "")
 	}
-	if e.Stage != Running && e.HeldBy == 0 {
+	if e.Stage != Running && e.HaltedByFreeze == 0 {
 		return
 	}
 	if e.Stage == Running && e.WavesDoneMs > 0 { // it changes nothing any more: no freeze is about it
@@ -780,7 +780,7 @@
 	}
 	f := s.frozen(e, s.WallMs)
 	switch {
-	case e.Stage == Running && f != nil && f.Sends == SendsBack && len(e.Rollback) > 0:
+	case e.Stage == Running && f != nil && f.RunningPolicy == RollBackAtOnce && len(e.Rollback) > 0:
 		s.move(e, RollingBack, "", "freeze "+f.Name)
 	case e.Stage == Halted && f == nil && e.deadline()-s.WallMs >= e.left():
 		s.move(e, Running, "", "the freeze is over")
@@ -793,7 +793,7 @@
 	if e == nil {
 		return 0, &UnknownError{"entry", id}
 	}
-	if err := s.InTheWay(e); err != nil {
+	if err := s.CheckStart(e); err != nil {
 		return 0, err
 	}
 	e.Starts++
@@ -804,7 +804,7 @@
 // Startable lists the entries that are due with nothing in the way, by number: whoever leads starts the first, and asks again.
 func (s *State) Startable() (ids []uint64) {
 	for _, id := range slices.Sorted(maps.Keys(s.Entries)) {
-		if e := s.Entries[id]; e.Stage == Due && s.InTheWay(e) == nil {
+		if e := s.Entries[id]; e.Stage == Due && s.CheckStart(e) == nil {
 			ids = append(ids, id)
 		}
 	}
@@ -817,24 +817,24 @@
 	switch {
 	case e == nil:
 		return 0, &UnknownError{"entry", c.ID}
-	case e.Stage.under() && c.Wave == e.Wave || e.Stage == Done && c.Wave == e.Waves: // told twice
-	case e.Stage != Running && e.Stage != Halted, c.Wave != e.Wave+1:
+	case e.Stage.under() && c.Wave == e.WavesDone || e.Stage == Done && c.Wave == e.Waves: // told twice
+	case e.Stage != Running && e.Stage != Halted, c.Wave != e.WavesDone+1:
 		return 0, &StageError{e.ID, e.Stage, fmt.Sprintf("done with wave %d", c.Wave)}
 	default:
-		e.Wave = c.Wave
-		s.note(e.ID, fmt.Sprintf("wave %d of %d done", e.Wave, e.Waves), c.Who, "")
+		e.WavesDone = c.Wave
+		s.note(e.ID, fmt.Sprintf("wave %d of %d done", e.WavesDone, e.Waves), c.Who, "")
 	}
-	if f := s.frozen(e, s.WallMs); e.Stage == Running && e.Wave < e.Waves && f != nil {
+	if f := s.frozen(e, s.WallMs); e.Stage == Running && e.WavesDone < e.Waves && f != nil {
 		s.move(e, Halted, "", "freeze "+f.Name)
-		e.HeldBy = f.ID
+		e.HaltedByFreeze = f.ID
 	}
 	switch {
-	case e.Wave == e.Waves && e.Stage.under() && e.WavesDoneMs == 0:
+	case e.WavesDone == e.Waves && e.Stage.under() && e.WavesDoneMs == 0:
 		e.WavesDoneMs = max(1, s.WallMs)
 		maps.DeleteFunc(e.Observations, func(n string, _ Observation) bool { return slices.Contains(e.Postconditions, n) }) // it was before
 		s.soaked(e)
-	case e.Stage == Running && e.Wave < e.Waves:
-		return uint64(e.Wave + 1), nil
+	case e.Stage == Running && e.WavesDone < e.Waves:
+		return uint64(e.WavesDone + 1), nil
 	}
 	return 0, nil
 }
@@ -863,12 +863,12 @@
 	if e.Observations == nil {
 		e.Observations = map[string]Observation{}
 	}
-	e.Observations[c.What] = Observation{c.Well, c.Says, s.WallMs}
+	e.Observations[c.What] = Observation{c.Passed, c.Detail, s.WallMs}
 	if c.Who != "" { // programs look again and again
-		s.note(e.ID, fmt.Sprintf("seen %s: %t", c.What, c.Well), c.Who, c.Says)
+		s.note(e.ID, fmt.Sprintf("seen %s: %t", c.What, c.Passed), c.Who, c.Detail)
 	}
-	if e.Stage == Running && e.WavesDoneMs > 0 && !c.Well && slices.Contains(e.Postconditions, c.What) {
-		s.move(e, Halted, "", fmt.Sprintf("%s is not seen: %s", c.What, c.Says))
+	if e.Stage == Running && e.WavesDoneMs > 0 && !c.Passed && slices.Contains(e.Postconditions, c.What) {
+		s.move(e, Halted, "", fmt.Sprintf("%s is not seen: %s", c.What, c.Detail))
 	}
 	return nil
 }
--- a/calendar/calendar_test.go
+++ b/calendar/calendar_test.go
@@ -40,7 +40,7 @@
 
 func open(t *testing.T) *desk {
 	d := &desk{New(), t, noon}
-	d.See(units{})
+	d.SetZones(units{})
 	d.clocks()
 	return d
 }
@@ -48,7 +48,7 @@
 // clocks has the three tell what they show, rightly.
 func (d *desk) clocks() {
 	for i := range 3 {
-		_, err := d.Do(d.now, Clock{fmt.Sprint("c", i), d.now, 3})
+		_, err := d.Apply(d.now, ReportClock{fmt.Sprint("c", i), d.now, 3})
 		require.NoError(d.t, err)
 	}
 }
@@ -59,7 +59,7 @@
 }
 
 func (d *desk) must(c any) uint64 {
-	n, err := d.Do(d.now, c)
+	n, err := d.Apply(d.now, c)
 	require.NoError(d.t, err, "%#v", c)
 	return n
 }
@@ -67,7 +67,7 @@
 func (d *desk) refused(c any, as any) {
 	before, err := json.Marshal(d.State)
 	require.NoError(d.t, err)
-	_, err = d.Do(d.now, c)
+	_, err = d.Apply(d.now, c)
 	require.ErrorAs(d.t, err, as, "%#v", c)
 	after, _ := json.Marshal(d.State)
 	assert.JSONEq(d.t, string(before), string(after), "a command with an error has changed nothing")
@@ -87,14 +87,14 @@
 func (d *desk) stage(id uint64) Stage { return d.Entries[id].Stage }
 
 func freeze(from, to float64, sends string) Freeze {
-	return Freeze{Name: "feast", Subject: Subject{Scope: Fleet}, Spans: []Span{{noon + from, noon + to}}, Sends: sends, Who: "bea", Why: "a feast"}
+	return Freeze{Name: "feast", Subject: Subject{Scope: Fleet}, Spans: []Span{{noon + from, noon + to}}, RunningPolicy: sends, Who: "bea", Why: "a feast"}
 }
 
 func TestWhereNothingIsAskedForAChangeNeedsNobody(t *testing.T) {
 	d := open(t)
 	id := d.plan(change(hour, 2*hour))
 	assert.Equal(t, Approved, d.stage(id))
-	var early *EarlyError
+	var early *BeforeWindowError
 	d.refused(Start{id}, &early)
 	d.pass(hour)
 	assert.Equal(t, Due, d.stage(id))
@@ -115,21 +115,21 @@
 
 func TestApprovalsAreOfOthersForWhatWouldBeDone(t *testing.T) {
 	d := open(t)
-	d.must(SetRules{Who: "boss", Rules: []Rule{{Kinds: []Kind{Drain}, Subject: Subject{Scope: Zone, Names: []string{"z0"}}, Count: 2, Roles: []string{"sre", "lead"}, ForMs: day}}})
+	d.must(SetRules{Who: "boss", Rules: []Rule{{Kinds: []Kind{Drain}, Subject: Subject{Scope: Zone, Names: []string{"z0"}}, Count: 2, Roles: []string{"sre", "lead"}, ApprovalTTLMs: day}}})
 	free := d.plan(Change{Name: "b", Kind: Drain, Subject: Subject{Scope: Doors, Names: []string{"d2"}}, Window: Span{noon, noon + hour}, Waves: 1, Do: json.RawMessage(`1`)})
 	assert.Equal(t, Due, d.stage(free), "no rule is about it")
 	c := change(hour, 2*hour)
 	id := d.plan(c)
 	assert.Equal(t, Waiting, d.stage(id))
 	digest := c.Digest()
-	var own *OwnError
+	var own *SelfApprovalError
 	d.refused(Approve{id, digest, "ana", "sre"}, &own)
 	d.must(Approve{id, digest, "bea", "sre"})
 	d.must(Approve{id, digest, "bea", "lead"})
 	assert.Equal(t, Waiting, d.stage(id), "the same person counts once")
 	d.must(Approve{id, digest, "cem", "intern"})
 	var lacks *ApprovalError
-	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &lacks)
+	require.ErrorAs(t, d.CheckStart(d.Entries[id]), &lacks)
 	assert.Equal(t, ApprovalError{id, "ana", 2, 1, []string{"sre", "lead"}}, *lacks)
 	d.must(Approve{id, digest, "dan", "sre"})
 	assert.Equal(t, Approved, d.stage(id))
@@ -168,34 +168,34 @@
 	assert.Equal(t, Approved, d.stage(id))
 	d.pass(day)
 	assert.Equal(t, Waiting, d.stage(id), "approvals lapse")
-	assert.Contains(t, d.Entries[id].Says, "lapsed")
+	assert.Contains(t, d.Entries[id].Reason, "lapsed")
 }
 
 // A calendar's first use comes before its first agreed time, by a second or two: what is said then counts from then.
 func TestWhatIsSaidBeforeTheFirstAgreedTimeIsNotOf1970(t *testing.T) {
 	s := New()
-	s.See(units{})
+	s.SetZones(units{})
 	do := func(c any) {
-		_, err := s.Do(10, c)
+		_, err := s.Apply(10, c)
 		require.NoError(t, err)
 	}
 	do(SetRules{Rules: []Rule{{Subject: Subject{Scope: Fleet}, Count: 1}}, Who: "ana"})
 	do(Plan{Change: Change{Name: "x", Kind: Terms, Subject: Subject{Scope: Plans}, Window: Span{noon, noon + hour}, Waves: 1, Do: json.RawMessage(`{}`), Preconditions: []string{"quiet"}}, Who: "ana"})
 	e := s.Entries[1]
 	do(Approve{ID: 1, Digest: e.Digest(), Who: "bea"})
-	do(Observe{ID: 1, What: "quiet", Well: true})
+	do(Observe{ID: 1, What: "quiet", Passed: true})
 	for i := range 3 {
-		do(Clock{fmt.Sprint("c", i), noon, 3})
+		do(ReportClock{fmt.Sprint("c", i), noon, 3})
 	}
 	assert.Equal(t, Due, e.Stage, "the approval has not lapsed")
-	assert.NoError(t, s.InTheWay(e), "nor is what was seen old")
+	assert.NoError(t, s.CheckStart(e), "nor is what was seen old")
 	for _, ev := range s.Events {
 		assert.Equal(t, float64(noon), ev.AtMs, ev.What)
 	}
 }
 
 func TestAFreezeKeepsWhatWouldBeginAndHaltsOrSendsBackWhatRuns(t *testing.T) {
-	for sends, after := range map[string]Stage{FinishesWave: Running, SendsBack: RollingBack} {
+	for sends, after := range map[string]Stage{HaltAfterWave: Running, RollBackAtOnce: RollingBack} {
 		d := open(t)
 		id := d.plan(change(0, 3*hour))
 		other := d.plan(Change{Name: "b", Kind: Drain, Subject: Subject{Scope: Doors, Names: []string{"d2"}}, Window: Span{noon, noon + 3*hour}, Waves: 1, Do: json.RawMessage(`1`)})
@@ -206,7 +206,7 @@
 		var frozen *FrozenError
 		d.refused(Start{other}, &frozen)
 		assert.Equal(t, noon+hour, frozen.UntilMs)
-		if sends == FinishesWave {
+		if sends == HaltAfterWave {
 			assert.EqualValues(t, 0, d.must(WaveDone{ID: id, Wave: 1}))
 			assert.Equal(t, Halted, d.stage(id))
 			d.refused(Resume{id, "ana"}, &frozen)
@@ -227,14 +227,14 @@
 	d := open(t)
 	id := d.plan(change(0, hour))
 	d.must(Start{id})
-	d.must(SetFreeze{0, 0, freeze(5*min1, 55*min1, FinishesWave)})
+	d.must(SetFreeze{0, 0, freeze(5*min1, 55*min1, HaltAfterWave)})
 	d.pass(10 * min1)
 	d.must(WaveDone{ID: id, Wave: 1})
 	d.pass(45 * min1)
 	assert.Equal(t, Halted, d.stage(id), "five minutes are left, its wave takes ten")
 	d.must(RollBack{id, "ana", "too late"})
 	assert.Equal(t, RollingBack, d.stage(id), "a way back begins at any time")
-	d.must(SetFreeze{0, 0, freeze(0, day, SendsBack)})
+	d.must(SetFreeze{0, 0, freeze(0, day, RollBackAtOnce)})
 	d.pass(min1)
 	assert.Equal(t, RollingBack, d.stage(id), "and no freeze stops it")
 	d.must(RolledBack{ID: id})
@@ -246,7 +246,7 @@
 	c.Rollback = nil
 	id := d.plan(c)
 	d.must(Start{id})
-	d.must(SetFreeze{0, 0, freeze(min1, hour, SendsBack)})
+	d.must(SetFreeze{0, 0, freeze(min1, hour, RollBackAtOnce)})
 	d.pass(min1)
 	assert.Equal(t, Running, d.stage(id))
 	d.must(WaveDone{ID: id, Wave: 1})
@@ -259,8 +259,8 @@
 	d := open(t)
 	id := d.plan(change(0, 3*hour))
 	d.must(Start{id})
-	d.must(SetFreeze{0, 0, freeze(min1, hour, FinishesWave)})
-	d.must(SetFreeze{0, 0, freeze(min1, hour, SendsBack)})
+	d.must(SetFreeze{0, 0, freeze(min1, hour, HaltAfterWave)})
+	d.must(SetFreeze{0, 0, freeze(min1, hour, RollBackAtOnce)})
 	d.pass(min1)
 	assert.Equal(t, RollingBack, d.stage(id))
 }
@@ -271,12 +271,12 @@
 	d.must(Start{id})
 	d.pass(2 * hour)
 	c := change(2*hour, 3*hour)
-	assert.Equal(t, noon+2*hour+20*min1, d.Next(&c, 0, 1)[0].FromMs, "as long as its waves take, at least")
+	assert.Equal(t, noon+2*hour+20*min1, d.FindFree(&c, 0, 1)[0].FromMs, "as long as its waves take, at least")
 }
 
 func TestAnEmergencyPassesFreezesWithTwoNamesAndStaysMarked(t *testing.T) {
 	d := open(t)
-	d.must(SetFreeze{0, 0, freeze(0, day, SendsBack)})
+	d.must(SetFreeze{0, 0, freeze(0, day, RollBackAtOnce)})
 	id := d.plan(change(0, hour))
 	var form *FormError
 	d.refused(DeclareEmergency{id, Emergency{"ana", "ana", "fire"}}, &form)
@@ -308,7 +308,7 @@
 	assert.Equal(t, zone, busy.Other)
 	d.refused(Start{gone}, &busy) // nobody knows where it stands
 	d.must(Start{apart})
-	var full *FullError
+	var full *BudgetError
 	d.refused(Start{third}, &full)
 	d.must(WaveDone{ID: zone, Wave: 1})
 	d.must(WaveDone{ID: zone, Wave: 2})
@@ -317,7 +317,7 @@
 	c := change(0, 3*hour)
 	c.Kind, c.After, c.Subject = Configuration, []uint64{inIt}, Subject{Plans, []string{"basic"}}
 	then := d.plan(c)
-	var after *AfterError
+	var after *DependencyError
 	d.refused(Start{then}, &after)
 	again := d.Entries[inIt].Change
 	again.After = []uint64{then}
@@ -336,11 +336,11 @@
 		c.LateMs = late
 		id := d.plan(c)
 		d.now += 3 * hour
-		d.Do(noon+1, LeaderChanged{}) // the agreed clock stood still meanwhile
+		d.Apply(noon+1, LeaderChanged{}) // the agreed clock stood still meanwhile
 		assert.Equal(t, Approved, d.stage(id))
-		assert.NotEmpty(t, d.Doubt)
+		assert.NotEmpty(t, d.ClockProblem)
 		for i := range 2 {
-			_, err := d.Do(noon+2, Clock{fmt.Sprint("c", i), d.now, 3})
+			_, err := d.Apply(noon+2, ReportClock{fmt.Sprint("c", i), d.now, 3})
 			require.NoError(t, err)
 		}
 		assert.Equal(t, want, d.stage(id))
@@ -350,24 +350,24 @@
 func TestOneClockAheadStartsNothingEarly(t *testing.T) {
 	d := open(t)
 	id := d.plan(change(10*min1, 2*hour))
-	d.Do(d.now, LeaderChanged{})
-	d.Do(d.now, Clock{"c0", d.now + 10*min1, 3}) // it leads, and is ten minutes ahead
+	d.Apply(d.now, LeaderChanged{})
+	d.Apply(d.now, ReportClock{"c0", d.now + 10*min1, 3}) // it leads, and is ten minutes ahead
 	var doubt *ClockError
-	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &doubt)
-	d.Do(d.now, Clock{"c1", d.now, 3})
-	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &doubt, "they differ")
-	d.Do(d.now, Clock{"c2", d.now + 1000, 3})
-	var early *EarlyError
-	require.ErrorAs(t, d.InTheWay(d.Entries[id]), &early)
+	require.ErrorAs(t, d.CheckStart(d.Entries[id]), &doubt)
+	d.Apply(d.now, ReportClock{"c1", d.now, 3})
+	require.ErrorAs(t, d.CheckStart(d.Entries[id]), &doubt, "they differ")
+	d.Apply(d.now, ReportClock{"c2", d.now + 1000, 3})
+	var early *BeforeWindowError
+	require.ErrorAs(t, d.CheckStart(d.Entries[id]), &early)
 	assert.Equal(t, d.now, d.WallMs)
-	d.Do(d.now, LeaderChanged{})
+	d.Apply(d.now, LeaderChanged{})
 	for i, ahead := range []float64{8 * sec, 4 * sec, 0} {
-		d.Do(d.now, Clock{fmt.Sprint("c", i), d.now + ahead, 3})
+		d.Apply(d.now, ReportClock{fmt.Sprint("c", i), d.now + ahead, 3})
 	}
 	d.now += sec
-	d.Do(d.now, Clock{"c2", d.now, 3})
+	d.Apply(d.now, ReportClock{"c2", d.now, 3})
 	assert.Equal(t, d.now+3*sec, d.WallMs, "once two had agreed on that; from then on it goes by the earliest two")
-	assert.Empty(t, d.Doubt)
+	assert.Empty(t, d.ClockProblem)
 }
 
 func TestClocksSetBackRepeatNothing(t *testing.T) {
@@ -378,10 +378,10 @@
 	d.must(WaveDone{ID: id, Wave: 2})
 	was := d.WallMs
 	for i := range 3 {
-		d.Do(d.now+1, Clock{fmt.Sprint("c", i), noon - day, 3})
+		d.Apply(d.now+1, ReportClock{fmt.Sprint("c", i), noon - day, 3})
 	}
 	assert.Equal(t, was+1, d.WallMs, "as it was when one of three had told another")
-	assert.Contains(t, d.Doubt, "behind")
+	assert.Contains(t, d.ClockProblem, "behind")
 	assert.Equal(t, Done, d.stage(id))
 	assert.Empty(t, d.Startable())
 }
@@ -425,19 +425,19 @@
 	d.refused(struct{}{}, &form)
 	d.refused(SetRules{Rules: []Rule{{Subject: Subject{Scope: Fleet}}}}, &form)
 	assert.Equal(t, "rules[0].count", form.Key)
-	for _, f := range []Freeze{{}, freeze(hour, 0, SendsBack), freeze(0, hour, "melt")} {
+	for _, f := range []Freeze{{}, freeze(hour, 0, RollBackAtOnce), freeze(0, hour, "melt")} {
 		d.refused(SetFreeze{0, 0, f}, &form)
 	}
 	var unknown *UnknownError
-	for _, c := range []any{Start{9}, Withdraw{ID: 9}, Approve{ID: 9}, Refuse{ID: 9}, Thaw{ID: 9}, Halt{ID: 9}, RollBack{ID: 9}, Edit{ID: 9}, WaveDone{ID: 9}, DeclareEmergency{ID: 9}, Extend{ID: 9}} {
+	for _, c := range []any{Start{9}, Withdraw{ID: 9}, Approve{ID: 9}, Refuse{ID: 9}, Thaw{ID: 9}, Halt{ID: 9}, RollBack{ID: 9}, Edit{ID: 9}, WaveDone{ID: 9}, DeclareEmergency{ID: 9}, ExtendFreeze{ID: 9}} {
 		d.refused(c, &unknown)
 	}
 }
 
 func TestFreezesAreChangedByCompareAndSet(t *testing.T) {
 	d := open(t)
-	id := d.must(SetFreeze{0, 0, freeze(0, hour, SendsBack)})
-	longer := freeze(0, 2*hour, SendsBack)
+	id := d.must(SetFreeze{0, 0, freeze(0, hour, RollBackAtOnce)})
+	longer := freeze(0, 2*hour, RollBackAtOnce)
 	d.must(SetFreeze{id, 1, longer})
 	var changed *ChangedError
 	d.refused(Thaw{id, 1, "cem", ""}, &changed)
@@ -457,7 +457,7 @@
 	d.must(Acknowledge{1})
 	assert.EqualValues(t, 2, d.Acknowledged, "it never goes back")
 	d.must(Acknowledge{999})
-	assert.EqualValues(t, d.Number, d.Acknowledged)
+	assert.EqualValues(t, d.LastEvent, d.Acknowledged)
 }
 
 // What is written down and read again goes on alike: a follower that begins from a snapshot decides as the others do.
@@ -465,16 +465,16 @@
 	d := open(t)
 	d.must(SetRules{Who: "boss", Rules: []Rule{{Subject: Subject{Scope: Fleet}, Count: 1}}})
 	id := d.plan(change(hour, 4*hour))
-	d.must(SetFreeze{0, 0, freeze(2*hour, 3*hour, FinishesWave)})
+	d.must(SetFreeze{0, 0, freeze(2*hour, 3*hour, HaltAfterWave)})
 	d.must(Approve{id, d.Entries[id].Digest(), "bea", ""})
 	raw, err := json.Marshal(d.State)
 	require.NoError(t, err)
 	other := New()
 	require.NoError(t, json.Unmarshal(raw, other))
-	other.See(units{})
-	for _, c := range []any{Clock{"c0", noon + hour, 3}, Clock{"c1", noon + hour, 3}, Start{id}, WaveDone{ID: id, Wave: 1}, Clock{"c0", noon + 2*hour, 3}, Clock{"c1", noon + 2*hour, 3}, WaveDone{ID: id, Wave: 2}} {
-		n, err := d.Do(d.now+1, c)
-		m, err2 := other.Do(d.now+1, c)
+	other.SetZones(units{})
+	for _, c := range []any{ReportClock{"c0", noon + hour, 3}, ReportClock{"c1", noon + hour, 3}, Start{id}, WaveDone{ID: id, Wave: 1}, ReportClock{"c0", noon + 2*hour, 3}, ReportClock{"c1", noon + 2*hour, 3}, WaveDone{ID: id, Wave: 2}} {
+		n, err := d.Apply(d.now+1, c)
+		m, err2 := other.Apply(d.now+1, c)
 		assert.Equal(t, n, m)
 		assert.Equal(t, err, err2)
 	}
@@ -519,27 +519,27 @@
 	} {
 		in, err := time.LoadLocation(c.in)
 		require.NoError(t, err)
-		first, err := Instant(c.local, in, false)
+		first, err := ParseLocalTime(c.local, in, false)
 		require.NoError(t, err)
-		second, err := Instant(c.local, in, true)
+		second, err := ParseLocalTime(c.local, in, true)
 		require.NoError(t, err)
 		assert.Equal(t, utc(c.first), first, "%s %s", c.in, c.local)
 		assert.Equal(t, utc(c.second), second, "%s %s", c.in, c.local)
 	}
-	_, err := Instant("soon", time.UTC, false)
+	_, err := ParseLocalTime("soon", time.UTC, false)
 	assert.Error(t, err)
 
 	berlin, _ := time.LoadLocation("Europe/Berlin")
-	night := Recurrence{Begin: "2026-10-24T02:30", Minutes: 15, Every: "FREQ=DAILY;COUNT=3", In: "Europe/Berlin"}
+	night := Recurrence{Begin: "2026-10-24T02:30", Minutes: 15, RRule: "FREQ=DAILY;COUNT=3", TimeZone: "Europe/Berlin"}
 	spans, err := night.Spans(berlin, utc("2026-10-01T00:00:00Z"), utc("2026-12-01T00:00:00Z"))
 	require.NoError(t, err)
 	assert.Equal(t, []Span{{utc("2026-10-24T00:30:00Z"), utc("2026-10-24T00:45:00Z")},
 		{utc("2026-10-25T00:30:00Z"), utc("2026-10-25T01:45:00Z")}, // both of them, and what is between
 		{utc("2026-10-26T01:30:00Z"), utc("2026-10-26T01:45:00Z")}}, spans)
-	w, err := Window("2026-10-25T02:15", "2026-10-25T02:45", berlin)
+	w, err := ParseWindow("2026-10-25T02:15", "2026-10-25T02:45", berlin)
 	require.NoError(t, err)
 	assert.Greater(t, w.FromMs, w.ToMs, "as short as it can mean: nothing, and planning refuses it")
-	skipped := Recurrence{Begin: "2026-03-28T02:15", Minutes: 30, Every: "FREQ=DAILY;COUNT=2"}
+	skipped := Recurrence{Begin: "2026-03-28T02:15", Minutes: 30, RRule: "FREQ=DAILY;COUNT=2"}
 	spans, err = skipped.Spans(berlin, utc("2026-03-01T00:00:00Z"), utc("2026-04-01T00:00:00Z"))
 	require.NoError(t, err)
 	assert.Len(t, spans, 1, "of the hour that isn't, nothing")
@@ -547,30 +547,30 @@
 
 func TestRecurringFreezesAreHeldToLastWhereNobodyHasWorkedThemOut(t *testing.T) {
 	d := open(t)
-	f := freeze(0, 1, FinishesWave)
-	f.When = Recurrence{Begin: "2024-01-01T00:00", Minutes: 24 * 60, Every: "FREQ=DAILY", In: "UTC"}
-	require.NoError(t, f.Ahead(time.UTC, noon))
+	f := freeze(0, 1, HaltAfterWave)
+	f.When = Recurrence{Begin: "2024-01-01T00:00", Minutes: 24 * 60, RRule: "FREQ=DAILY", TimeZone: "UTC"}
+	require.NoError(t, f.ExpandSpans(time.UTC, noon))
 	require.Len(t, f.Spans, 1, "days without a gap are one span")
 	id := d.must(SetFreeze{0, 0, f})
 	c := change(hour, 2*hour)
-	assert.Empty(t, d.Next(&c, 0, 3), "no free hour for a year")
+	assert.Empty(t, d.FindFree(&c, 0, 3), "no free hour for a year")
 	met, instead := d.Conflicts(&c, 0, 3)
 	assert.Len(t, met, 1)
 	assert.Empty(t, instead)
-	assert.Empty(t, d.Short())
+	assert.Empty(t, d.FreezesToExtend())
 	d.now += longestFor/2 + day
-	d.Do(d.now, LeaderChanged{})
+	d.Apply(d.now, LeaderChanged{})
 	d.clocks()
-	assert.Equal(t, []uint64{id}, d.Short())
+	assert.Equal(t, []uint64{id}, d.FreezesToExtend())
 	d.now += longestFor
 	d.clocks()
 	e := &Entry{Change: c}
 	assert.NotNil(t, d.frozen(e, d.now), "past what was worked out")
-	require.NoError(t, f.Ahead(time.UTC, d.now))
-	d.must(Extend{id, 1, f.Spans, f.ThroughMs})
-	assert.Empty(t, d.Short())
-	for _, bad := range []Recurrence{{Begin: "x", Minutes: 1}, {Begin: "2026-01-01T00:00"}, {Begin: "2026-01-01T00:00", Minutes: 1, Every: "often"},
-		{Begin: "2026-01-01T00:00", Minutes: 1, Every: "FREQ=MINUTELY"}} {
+	require.NoError(t, f.ExpandSpans(time.UTC, d.now))
+	d.must(ExtendFreeze{id, 1, f.Spans, f.ThroughMs})
+	assert.Empty(t, d.FreezesToExtend())
+	for _, bad := range []Recurrence{{Begin: "x", Minutes: 1}, {Begin: "2026-01-01T00:00"}, {Begin: "2026-01-01T00:00", Minutes: 1, RRule: "often"},
+		{Begin: "2026-01-01T00:00", Minutes: 1, RRule: "FREQ=MINUTELY"}} {
 		_, err := bad.Spans(time.UTC, 0, 1)
 		var form *FormError
 		assert.ErrorAs(t, err, &form)
@@ -585,16 +585,16 @@
 	c.Subject = Subject{Scope: Zone, Names: []string{"z0"}}
 	met, instead := d.Conflicts(&c, 0, 2)
 	require.Len(t, met, 2, "its subject, and the budget")
-	assert.Contains(t, met[0].Says, "doors d0")
+	assert.Contains(t, met[0].Detail, "doors d0")
 	assert.Equal(t, []Span{{noon, noon + hour}, {noon + 2*hour, noon + longestFor}}, instead)
 	c.Window.ToMs = c.Window.FromMs + 5*min1
 	met, _ = d.Conflicts(&c, 0, 2)
-	assert.Contains(t, met[0].Says, "5 min", "its waves take twenty")
-	d.must(SetFreeze{0, 0, freeze(2*hour, 3*hour, SendsBack)})
+	assert.Contains(t, met[0].Detail, "5 min", "its waves take twenty")
+	d.must(SetFreeze{0, 0, freeze(2*hour, 3*hour, RollBackAtOnce)})
 	c.Window = Span{noon + 2*hour, noon + 3*hour + 10*min1}
 	met, instead = d.Conflicts(&c, 0, 2)
 	require.Len(t, met, 1)
-	assert.Contains(t, met[0].Says, "feast")
+	assert.Contains(t, met[0].Detail, "feast")
 	assert.Equal(t, noon+3*hour, instead[1].FromMs)
 	c.Window = Span{noon + 4*hour, noon + 5*hour}
 	met, instead = d.Conflicts(&c, 0, 2)
--- a/calendar/clock.go
+++ b/calendar/clock.go
@@ -11,7 +11,7 @@
 
 const noClock = "no majority of the coordinators has told its clock"
 
-func (s *State) clock(c Clock) error {
+func (s *State) clock(c ReportClock) error {
 	if c.Name == "" || c.Size < 1 || !(c.WallMs >= 0) {
 		return &FormError{"clock", "a name, a time and a number of coordinators are wanted"}
 	}
@@ -36,18 +36,18 @@
 		}
 		at := s.NowMs + offsets[i] // the earliest of those that agree: nothing starts early
 		if behind := s.WallMs - at; behind > apartMost {
-			s.Doubt = fmt.Sprintf("the clocks are %.0f s behind what was agreed before", behind/1000)
+			s.ClockProblem = fmt.Sprintf("the clocks are %.0f s behind what was agreed before", behind/1000)
 			return
 		}
 		if s.WallMs == 0 {
 			s.stamp(at)
 		}
-		s.WallMs, s.Doubt = max(s.WallMs, at), ""
+		s.WallMs, s.ClockProblem = max(s.WallMs, at), ""
 		return
 	}
-	s.Doubt = noClock
+	s.ClockProblem = noClock
 	if len(offsets) >= most {
-		s.Doubt = fmt.Sprintf("the coordinators' clocks differ by %.0f s", (offsets[len(offsets)-1]-offsets[0])/1000)
+		s.ClockProblem = fmt.Sprintf("the coordinators' clocks differ by %.0f s", (offsets[len(offsets)-1]-offsets[0])/1000)
 	}
 }
 
--- a/calendar/errors.go
+++ b/calendar/errors.go
@@ -80,17 +80,17 @@
 	return "It is over: plan another."
 }
 
-// OwnError is an approval of somebody's own words.
-type OwnError struct {
+// SelfApprovalError is an approval of somebody's own words.
+type SelfApprovalError struct {
 	ID  uint64
 	Who string
 }
 
-func (e *OwnError) Error() string     { return fmt.Sprintf("entry %d is %s's own", e.ID, e.Who) }
-func (e *OwnError) Kind() remedy.Kind { return remedy.Refused }
+func (e *SelfApprovalError) Error() string     { return fmt.Sprintf("entry %d is %s's own", e.ID, e.Who) }
+func (e *SelfApprovalError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says who can.
-func (e *OwnError) Remedy() string { return "Have somebody else approve it." }
+func (e *SelfApprovalError) Remedy() string { return "Have somebody else approve it." }
 
 // ApprovalError is an entry that lacks approvals.
 type ApprovalError struct {
@@ -118,9 +118,9 @@
 }
 
 // ClockError is a time on which coordinators don't agree.
-type ClockError struct{ Says string }
+type ClockError struct{ Reason string }
 
-func (e *ClockError) Error() string     { return "the time is in doubt: " + e.Says }
+func (e *ClockError) Error() string     { return "the time is in doubt: " + e.Reason }
 func (e *ClockError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says what to look at.
@@ -128,49 +128,49 @@
 	return "Set the clocks of the coordinators right; nothing begins or is missed until most agree."
 }
 
-// EarlyError is an entry whose window has not begun.
-type EarlyError struct {
+// BeforeWindowError is an entry whose window has not begun.
+type BeforeWindowError struct {
 	ID     uint64
 	FromMs float64
 }
 
-func (e *EarlyError) Error() string {
+func (e *BeforeWindowError) Error() string {
 	return fmt.Sprintf("entry %d begins from %s on", e.ID, clockOf(e.FromMs))
 }
-func (e *EarlyError) Kind() remedy.Kind { return remedy.Refused }
+func (e *BeforeWindowError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says that it waits by itself.
-func (e *EarlyError) Remedy() string { return "Wait, or have its author edit the window." }
+func (e *BeforeWindowError) Remedy() string { return "Wait, or have its author edit the window." }
 
-// ShortError is a window with too little left for an entry's waves.
-type ShortError struct {
+// WindowTooShortError is a window with too little left for an entry's waves.
+type WindowTooShortError struct {
 	ID           uint64
 	LeftMs, Want float64
 }
 
-func (e *ShortError) Error() string {
+func (e *WindowTooShortError) Error() string {
 	return fmt.Sprintf("entry %d has %s left, its waves take %s", e.ID, lasting(max(0, e.LeftMs)), lasting(e.Want))
 }
-func (e *ShortError) Kind() remedy.Kind { return remedy.Refused }
+func (e *WindowTooShortError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says who can lengthen it.
-func (e *ShortError) Remedy() string {
+func (e *WindowTooShortError) Remedy() string {
 	return "Have its author edit the window, or plan it anew; next lists free time."
 }
 
-// AfterError is an entry that waits for another.
-type AfterError struct {
+// DependencyError is an entry that waits for another.
+type DependencyError struct {
 	ID, For uint64
 	Stage   Stage
 }
 
-func (e *AfterError) Error() string {
+func (e *DependencyError) Error() string {
 	return fmt.Sprintf("entry %d waits for %d, which is %s", e.ID, e.For, e.Stage)
 }
-func (e *AfterError) Kind() remedy.Kind { return remedy.Refused }
+func (e *DependencyError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy names the other.
-func (e *AfterError) Remedy() string {
+func (e *DependencyError) Remedy() string {
 	return fmt.Sprintf("Have %d done, or edit this one so that it waits for no other.", e.For)
 }
 
@@ -212,19 +212,19 @@
 	return fmt.Sprintf("Wait for %d, or ask %s to take it back.", e.Other, e.Who)
 }
 
-// FullError is a budget that is used up.
-type FullError struct {
+// BudgetError is a budget that is used up.
+type BudgetError struct {
 	Budget Budget
 	Under  int
 }
 
-func (e *FullError) Error() string {
-	return fmt.Sprintf("%d of kind %s are under way, %d may be", e.Under, e.Budget.Kind, e.Budget.Most)
+func (e *BudgetError) Error() string {
+	return fmt.Sprintf("%d of kind %s are under way, %d may be", e.Under, e.Budget.Kind, e.Budget.Max)
 }
-func (e *FullError) Kind() remedy.Kind { return remedy.Refused }
+func (e *BudgetError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says to wait.
-func (e *FullError) Remedy() string {
+func (e *BudgetError) Remedy() string {
 	return "Wait until one of them is over, or raise the calendar's budget."
 }
 
@@ -248,7 +248,7 @@
 	if e.Observation.AtMs == 0 {
 		return fmt.Sprintf("entry %d wants %q seen, and nobody has looked", e.ID, e.What)
 	}
-	return fmt.Sprintf("entry %d wants %q seen; at %s it was well: %t %s", e.ID, e.What, clockOf(e.Observation.AtMs), e.Observation.Well, e.Observation.Says)
+	return fmt.Sprintf("entry %d wants %q seen; at %s it was well: %t %s", e.ID, e.What, clockOf(e.Observation.AtMs), e.Observation.Passed, e.Observation.Detail)
 }
 func (e *PreconditionError) Kind() remedy.Kind { return remedy.Refused }
 
@@ -257,36 +257,36 @@
 	return fmt.Sprintf("Look at %q, and tell; what was seen counts for five minutes.", e.What)
 }
 
-// BegunError is a replacement of migration steps that have begun.
-type BegunError struct {
+// StepStartedError is a replacement of migration steps that have begun.
+type StepStartedError struct {
 	ID   uint64
 	Step int
 }
 
-func (e *BegunError) Error() string {
+func (e *StepStartedError) Error() string {
 	return fmt.Sprintf("step %d of migration %d has begun, and the new one is another", e.Step+1, e.ID)
 }
-func (e *BegunError) Kind() remedy.Kind { return remedy.Refused }
+func (e *StepStartedError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says what can be replaced.
-func (e *BegunError) Remedy() string {
+func (e *StepStartedError) Remedy() string {
 	return fmt.Sprintf("Leave the first steps as they are in the calendar, or revert migration %d and plan anew.", e.ID)
 }
 
-// UnplannedError is a change that an operator gives at once, though a rule asks for approvals of such.
-type UnplannedError struct {
+// ApprovalRequiredError is a change that an operator gives at once, though a rule asks for approvals of such.
+type ApprovalRequiredError struct {
 	Of      Kind
 	Subject string
 	Count   int
 	Roles   []string
 }
 
-func (e *UnplannedError) Error() string {
+func (e *ApprovalRequiredError) Error() string {
 	return fmt.Sprintf("a %s of %s asks for %d approvals%s", e.Of, e.Subject, e.Count, ofRoles(e.Roles))
 }
-func (e *UnplannedError) Kind() remedy.Kind { return remedy.Refused }
+func (e *ApprovalRequiredError) Kind() remedy.Kind { return remedy.Refused }
 
 // Remedy says where they are given.
-func (e *UnplannedError) Remedy() string {
+func (e *ApprovalRequiredError) Remedy() string {
 	return "Plan it in the calendar with swifthall plan, and have it approved; it begins by itself then."
 }
--- a/calendar/find.go
+++ b/calendar/find.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// InTheWay is the first thing that keeps an entry from beginning now; nil where nothing does. Its remedy says who can clear it.
-func (s *State) InTheWay(e *Entry) error {
+// CheckStart is the first thing that keeps an entry from beginning now; nil where nothing does. Its remedy says who can clear it.
+func (s *State) CheckStart(e *Entry) error {
 	switch e.Stage {
 	case Drafted:
 		return &StageError{e.ID, e.Stage, "begun"}
@@ -21,18 +21,18 @@
 	default:
 		return &StageError{e.ID, e.Stage, "begun"}
 	}
-	if s.Doubt != "" {
-		return &ClockError{s.Doubt}
+	if s.ClockProblem != "" {
+		return &ClockError{s.ClockProblem}
 	}
 	if s.WallMs < e.Window.FromMs {
-		return &EarlyError{e.ID, e.Window.FromMs}
+		return &BeforeWindowError{e.ID, e.Window.FromMs}
 	}
-	if end := e.deadline(); s.WallMs+e.Needs() > end || s.WallMs >= end {
-		return &ShortError{e.ID, end - s.WallMs, e.Needs()}
+	if end := e.deadline(); s.WallMs+e.DurationMs() > end || s.WallMs >= end {
+		return &WindowTooShortError{e.ID, end - s.WallMs, e.DurationMs()}
 	}
 	for _, id := range e.After {
 		if a := s.Entries[id]; a != nil && a.Stage != Done {
-			return &AfterError{e.ID, id, a.Stage}
+			return &DependencyError{e.ID, id, a.Stage}
 		}
 	}
 	if f := s.frozen(e, s.WallMs); f != nil {
@@ -44,17 +44,17 @@
 	return s.taken(e.ID, e.Migration, &e.Change)
 }
 
-// MayBegin is the first thing that keeps a change that nobody has planned from beginning now, as an operator's own drain: a freeze,
+// CheckUnplanned is the first thing that keeps a change that nobody has planned from beginning now, as an operator's own drain: a freeze,
 // a rule that asks for approvals, an entry that has its subject, a budget. Where the calendar is empty it asks for nothing.
-func (s *State) MayBegin(k Kind, b Subject) error {
+func (s *State) CheckUnplanned(k Kind, b Subject) error {
 	c := &Change{Kind: k, Subject: b}
 	for _, id := range slices.Sorted(maps.Keys(s.Freezes)) {
 		f := s.Freezes[id]
 		if !s.applies(f, c) {
 			continue
 		}
-		if s.Doubt != "" {
-			return &ClockError{s.Doubt}
+		if s.ClockProblem != "" {
+			return &ClockError{s.ClockProblem}
 		}
 		if _, is := f.at(s.WallMs); is {
 			return &FrozenError{f.ID, f.Name, f.until(s.WallMs), f.Who}
@@ -62,7 +62,7 @@
 	}
 	for i := range s.Rules {
 		if r := &s.Rules[i]; s.asks(r, c) {
-			return &UnplannedError{k, b.String(), r.Count, r.Roles}
+			return &ApprovalRequiredError{k, b.String(), r.Count, r.Roles}
 		}
 	}
 	return s.taken(0, 0, c)
@@ -84,8 +84,8 @@
 		}
 	}
 	for _, b := range s.Budgets {
-		if b.Kind == c.Kind && under >= b.Most {
-			return &FullError{b, under}
+		if b.Kind == c.Kind && under >= b.Max {
+			return &BudgetError{b, under}
 		}
 	}
 	return nil
@@ -99,14 +99,14 @@
 
 // Conflict is something that a change meets in its window.
 type Conflict struct {
-	With uint64 // entry or freeze; 0 for none
-	Says string
+	With   uint64 // entry or freeze; 0 for none
+	Detail string
 }
 
 // Conflicts tells what a change would meet in its window, and where there would be room instead. id is its own entry; 0 for none.
 func (s *State) Conflicts(c *Change, id uint64, most int) (met []Conflict, instead []Span) {
-	if c.Needs() > c.Window.ToMs-c.Window.FromMs {
-		met = append(met, Conflict{0, fmt.Sprintf("the window is %s, its waves take %s", lasting(c.Window.ToMs-c.Window.FromMs), lasting(c.Needs()))})
+	if c.DurationMs() > c.Window.ToMs-c.Window.FromMs {
+		met = append(met, Conflict{0, fmt.Sprintf("the window is %s, its waves take %s", lasting(c.Window.ToMs-c.Window.FromMs), lasting(c.DurationMs()))})
 	}
 	for _, other := range slices.Sorted(maps.Keys(s.Entries)) {
 		o := s.Entries[other]
@@ -119,17 +119,17 @@
 		if !s.applies(f, c) {
 			continue
 		}
-		if spans := s.during(f, c.Window); len(spans) > 0 && len(gaps(spans, c.Window, c.Needs())) == 0 {
-			met = append(met, Conflict{fid, fmt.Sprintf("freeze %q leaves no %s of it", f.Name, lasting(c.Needs()))})
+		if spans := s.during(f, c.Window); len(spans) > 0 && len(gaps(spans, c.Window, c.DurationMs())) == 0 {
+			met = append(met, Conflict{fid, fmt.Sprintf("freeze %q leaves no %s of it", f.Name, lasting(c.DurationMs()))})
 		}
 	}
 	for _, b := range s.Budgets {
 		if b.Kind == c.Kind && slices.ContainsFunc(s.full(b, id), c.Window.meets) {
-			met = append(met, Conflict{0, fmt.Sprintf("%d of kind %s have part of it already, %d may be under way", b.Most, b.Kind, b.Most)})
+			met = append(met, Conflict{0, fmt.Sprintf("%d of kind %s have part of it already, %d may be under way", b.Max, b.Kind, b.Max)})
 		}
 	}
 	if len(met) > 0 {
-		instead = s.Next(c, id, most)
+		instead = s.FindFree(c, id, most)
 	}
 	return met, instead
 }
@@ -154,7 +154,7 @@
 			spans = append(spans, p)
 		}
 	}
-	if f.When.Every != "" && w.ToMs > f.ThroughMs {
+	if f.When.RRule != "" && w.ToMs > f.ThroughMs {
 		spans = append(spans, Span{f.ThroughMs, math.Inf(1)})
 	}
 	return spans
@@ -175,9 +175,9 @@
 	slices.SortFunc(edges, func(a, b edge) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.add, b.add)) })
 	n := 0
 	for _, e := range edges {
-		was := n >= b.Most
+		was := n >= b.Max
 		n += e.add
-		switch is := n >= b.Most; {
+		switch is := n >= b.Max; {
 		case is && !was:
 			spans = append(spans, Span{e.at, math.Inf(1)})
 		case was && !is:
@@ -187,9 +187,9 @@
 	return slices.DeleteFunc(spans, func(p Span) bool { return p.FromMs >= p.ToMs })
 }
 
-// Next finds free time for a change, from now on: no freeze that it must heed, nobody else on its subject, no budget used up,
+// FindFree finds free time for a change, from now on: no freeze that it must heed, nobody else on its subject, no budget used up,
 // and long enough for its waves. None means that there is none as far as is looked ahead.
-func (s *State) Next(c *Change, id uint64, most int) []Span {
+func (s *State) FindFree(c *Change, id uint64, most int) []Span {
 	ahead := Span{s.WallMs, s.WallMs + longestFor}
 	var taken []Span
 	for other, o := range s.Entries {
@@ -207,7 +207,7 @@
 			taken = append(taken, s.full(b, id)...)
 		}
 	}
-	free := gaps(taken, ahead, c.Needs())
+	free := gaps(taken, ahead, c.DurationMs())
 	return free[:min(most, len(free))]
 }
 
--- a/calendar/freeze.go
+++ b/calendar/freeze.go
@@ -13,39 +13,39 @@
 
 // What a freeze does to what is running when it begins.
 const (
-	FinishesWave = "finish wave" // the wave ends, then it is halted until the freeze is over
-	SendsBack    = "send back"   // it goes back at once; one without a way back finishes its wave
+	HaltAfterWave  = "finish wave" // the wave ends, then it is halted until the freeze is over
+	RollBackAtOnce = "send back"   // it goes back at once; one without a way back finishes its wave
 )
 
 // Freeze is when changes of some kinds on a subject don't begin. Its spans are told with it, worked out by whoever took it in:
 // coordinators whose tables of time zones differ would else disagree.
 type Freeze struct {
-	ID        uint64     `json:"id"`
-	Revision  uint64     `json:"revision"`
-	Name      string     `json:"name"`
-	Kinds     []Kind     `json:"kinds,omitempty"` // empty for all
-	Subject   Subject    `json:"subject"`
-	When      Recurrence `json:"when"`
-	Spans     []Span     `json:"spans"`      // sorted, apart
-	ThroughMs float64    `json:"through_ms"` // up to which they are worked out; a recurring freeze is held to last from there on
-	Sends     string     `json:"sends"`
-	Who       string     `json:"who"`
-	Why       string     `json:"why"`
+	ID            uint64     `json:"id"`
+	Revision      uint64     `json:"revision"`
+	Name          string     `json:"name"`
+	Kinds         []Kind     `json:"kinds,omitempty"` // empty for all
+	Subject       Subject    `json:"subject"`
+	When          Recurrence `json:"when"`
+	Spans         []Span     `json:"spans"`      // sorted, apart
+	ThroughMs     float64    `json:"through_ms"` // up to which they are worked out; a recurring freeze is held to last from there on
+	RunningPolicy string     `json:"sends"`
+	Who           string     `json:"who"`
+	Why           string     `json:"why"`
 }
 
 // Recurrence is when a freeze is, as people say it: by the clock on the wall of a place.
 type Recurrence struct {
-	Begin   string `json:"begin"`           // 2026-12-24T18:00, local
-	Minutes int    `json:"minutes"`         // by that clock, so that 18:00 to 06:00 ends at 06:00 whatever the night does
-	Every   string `json:"every,omitempty"` // as RFC 5545's RRULE, its UNTIL in local time; empty for once
-	In      string `json:"in"`              // zone by name, as Europe/Lisbon
+	Begin    string `json:"begin"`           // 2026-12-24T18:00, local
+	Minutes  int    `json:"minutes"`         // by that clock, so that 18:00 to 06:00 ends at 06:00 whatever the night does
+	RRule    string `json:"every,omitempty"` // as RFC 5545's RRULE, its UNTIL in local time; empty for once
+	TimeZone string `json:"in"`              // zone by name, as Europe/Lisbon
 }
 
 const localForm = "2006-01-02T15:04"
 
-// Instant is the instant of a local time. One that doesn't exist is the instant at which the clocks skip it. Of one that comes
+// ParseLocalTime is the instant of a local time. One that doesn't exist is the instant at which the clocks skip it. Of one that comes
 // twice it is the first or the second.
-func Instant(local string, in *time.Location, second bool) (ms float64, err error) {
+func ParseLocalTime(local string, in *time.Location, second bool) (ms float64, err error) {
 	wall, err := time.Parse(localForm, local)
 	if err != nil {
 		return 0, &FormError{"time", fmt.Sprintf("%q, one as %s is wanted", local, localForm)}
@@ -78,13 +78,13 @@
 	return float64(of[0].UnixMilli())
 }
 
-// Window is a window between two local times. It is as short as they can mean: in an hour that comes twice it begins with the
+// ParseWindow is a window between two local times. It is as short as they can mean: in an hour that comes twice it begins with the
 // second and ends with the first.
-func Window(from, to string, in *time.Location) (w Span, err error) {
-	if w.FromMs, err = Instant(from, in, true); err != nil {
+func ParseWindow(from, to string, in *time.Location) (w Span, err error) {
+	if w.FromMs, err = ParseLocalTime(from, in, true); err != nil {
 		return w, err
 	}
-	w.ToMs, err = Instant(to, in, false)
+	w.ToMs, err = ParseLocalTime(to, in, false)
 	return w, err
 }
 
@@ -100,8 +100,8 @@
 	}
 	lasts := time.Duration(r.Minutes) * time.Minute
 	begins := []time.Time{begin}
-	if r.Every != "" {
-		o, err := rrule.StrToROption(r.Every)
+	if r.RRule != "" {
+		o, err := rrule.StrToROption(r.RRule)
 		if err != nil {
 			return nil, &FormError{"when.every", err.Error()}
 		}
@@ -122,7 +122,7 @@
 			continue
 		} else if n > 0 && span.FromMs <= spans[n-1].ToMs {
 			spans[n-1].ToMs = max(spans[n-1].ToMs, span.ToMs)
-		} else if span.ToMs > fromMs && span.FromMs < throughMs || r.Every == "" {
+		} else if span.ToMs > fromMs && span.FromMs < throughMs || r.RRule == "" {
 			spans = append(spans, span)
 		}
 	}
@@ -132,8 +132,8 @@
 	return spans, nil
 }
 
-// Ahead works out a freeze's spans as far as the calendar looks.
-func (f *Freeze) Ahead(in *time.Location, nowMs float64) (err error) {
+// ExpandSpans works out a freeze's spans as far as the calendar looks.
+func (f *Freeze) ExpandSpans(in *time.Location, nowMs float64) (err error) {
 	f.ThroughMs = nowMs + longestFor
 	f.Spans, err = f.When.Spans(in, nowMs, f.ThroughMs)
 	return err
@@ -141,7 +141,7 @@
 
 // at finds the span that an instant is in.
 func (f *Freeze) at(ms float64) (Span, bool) {
-	if f.When.Every != "" && ms >= f.ThroughMs {
+	if f.When.RRule != "" && ms >= f.ThroughMs {
 		return Span{f.ThroughMs, math.Inf(1)}, true
 	}
 	i := sort.Search(len(f.Spans), func(i int) bool { return f.Spans[i].ToMs > ms })
@@ -167,7 +167,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.Freezes)) {
 		f := s.Freezes[id]
-		if _, is := f.at(ms); is && s.applies(f, &e.Change) && (found == nil || f.Sends == SendsBack && found.Sends != SendsBack) {
+		if _, is := f.at(ms); is && s.applies(f, &e.Change) && (found == nil || f.RunningPolicy == RollBackAtOnce && found.RunningPolicy != RollBackAtOnce) {
 			found = f
 		}
 	}
@@ -193,8 +193,8 @@
 		return 0, form("name", fmt.Sprintf("1 to %d bytes are wanted", nameMost))
 	case f.Who == "" || f.Why == "":
 		return 0, form("why", "a freeze needs a name and a reason")
-	case f.Sends != FinishesWave && f.Sends != SendsBack:
-		return 0, form("sends", fmt.Sprintf("%q, %q or %q is wanted", f.Sends, FinishesWave, SendsBack))
+	case f.RunningPolicy != HaltAfterWave && f.RunningPolicy != RollBackAtOnce:
+		return 0, form("sends", fmt.Sprintf("%q, %q or %q is wanted", f.RunningPolicy, HaltAfterWave, RollBackAtOnce))
 	}
 	for _, k := range f.Kinds {
 		if !slices.Contains(kinds, k) {
@@ -237,7 +237,7 @@
 	return nil
 }
 
-func (s *State) extend(c Extend) (uint64, error) {
+func (s *State) extend(c ExtendFreeze) (uint64, error) {
 	f, err := s.freezeAt(c.ID, c.Revision)
 	if err != nil {
 		return 0, err
@@ -252,10 +252,10 @@
 	return f.ID, nil
 }
 
-// Short lists the recurring freezes that are to be worked out further ahead.
-func (s *State) Short() (ids []uint64) {
+// FreezesToExtend lists the recurring freezes that are to be worked out further ahead.
+func (s *State) FreezesToExtend() (ids []uint64) {
 	for _, id := range slices.Sorted(maps.Keys(s.Freezes)) {
-		if f := s.Freezes[id]; f.When.Every != "" && f.ThroughMs-s.WallMs < longestFor/2 {
+		if f := s.Freezes[id]; f.When.RRule != "" && f.ThroughMs-s.WallMs < longestFor/2 {
 			ids = append(ids, id)
 		}
 	}
--- a/calendar/migration.go
+++ b/calendar/migration.go
@@ -13,7 +13,7 @@
 	Name     string   `json:"name"`
 	Who      string   `json:"who"`
 	Stage    Stage    `json:"stage"` // running, halted, going back, done or withdrawn
-	Says     string   `json:"says,omitempty"`
+	Reason   string   `json:"says,omitempty"`
 	Steps    []uint64 `json:"steps"` // entries
 }
 
@@ -64,7 +64,7 @@
 			return &FormError{under + "rollback", "each step of a migration has a way back"}
 		case len(c.After) > 0:
 			return &FormError{under + "after", "a step waits for the one before it"}
-		case i > 0 && c.deadline() < steps[i-1].Window.FromMs+steps[i-1].Needs()+c.Needs():
+		case i > 0 && c.deadline() < steps[i-1].Window.FromMs+steps[i-1].DurationMs()+c.DurationMs():
 			return &FormError{under + "window", "it would be over before the step before it is done"}
 		}
 	}
@@ -91,7 +91,7 @@
 }
 
 // replace takes a file in whose first steps are those that have begun, and puts its others in the place of what has not.
-func (s *State) replace(c Replace) (uint64, error) {
+func (s *State) replace(c ReplaceSteps) (uint64, error) {
 	m := s.Migrations[c.ID]
 	switch {
 	case m == nil:
@@ -112,7 +112,7 @@
 		was := s.Entries[id].Change
 		was.After = nil
 		if i >= len(c.Steps) || c.Steps[i].Digest() != was.Digest() {
-			return 0, &BegunError{m.ID, i}
+			return 0, &StepStartedError{m.ID, i}
 		}
 	}
 	if len(c.Steps) > begun {
@@ -132,7 +132,7 @@
 }
 
 // revert takes a migration back. What has not begun is withdrawn; what has goes back one after the other.
-func (s *State) revert(c Revert) error {
+func (s *State) revert(c RevertMigration) error {
 	m := s.Migrations[c.ID]
 	switch {
 	case m == nil:
@@ -153,7 +153,7 @@
 
 func (s *State) moveMigration(m *Migration, to Stage, who, why string) {
 	s.note(m.ID, fmt.Sprintf("migration %s -> %s", m.Stage, to), who, why)
-	m.Stage, m.Says = to, why
+	m.Stage, m.Reason = to, why
 }
 
 // passMigration has a migration go where its steps take it.
@@ -166,7 +166,7 @@
 			case Done:
 				done++
 			case Halted, Missed, Withdrawn, RollingBack:
-				says = fmt.Sprintf("step %d, entry %d, is %s: %s", i+1, id, e.Stage, e.Says)
+				says = fmt.Sprintf("step %d, entry %d, is %s: %s", i+1, id, e.Stage, e.Reason)
 			}
 			if says != "" {
 				break
@@ -175,7 +175,7 @@
 		switch {
 		case done == len(m.Steps):
 			s.moveMigration(m, Done, "", "")
-		case says != "" && (m.Stage == Running || m.Says != says):
+		case says != "" && (m.Stage == Running || m.Reason != says):
 			s.moveMigration(m, Halted, "", says)
 		case says == "" && m.Stage == Halted:
 			s.moveMigration(m, Running, "", "")
--- a/calendar/migration_test.go
+++ b/calendar/migration_test.go
@@ -44,9 +44,9 @@
 	d.refused(RollBack{steps[2], "ana", "by itself"}, &stage)
 	d.must(Halt{steps[2], "bea", "it looks odd"})
 	assert.Equal(t, Halted, m.Stage)
-	assert.Contains(t, m.Says, "step 3")
-	d.must(SetFreeze{0, 0, freeze(2*hour, day, SendsBack)}) // a way back is never frozen
-	d.must(Revert{id, "ana", "enough"})
+	assert.Contains(t, m.Reason, "step 3")
+	d.must(SetFreeze{0, 0, freeze(2*hour, day, RollBackAtOnce)}) // a way back is never frozen
+	d.must(RevertMigration{id, "ana", "enough"})
 	for _, i := range []int{2, 1, 0} {
 		for j, s := range steps {
 			assert.Equal(t, j == i, d.stage(s) == RollingBack, "%d while %d goes back", j, i)
@@ -60,13 +60,13 @@
 		d.must(RolledBack{ID: steps[i]})
 	}
 	assert.Equal(t, Withdrawn, m.Stage)
-	d.refused(Revert{id, "ana", "again"}, &stage)
+	d.refused(RevertMigration{id, "ana", "again"}, &stage)
 }
 
 func TestAMigrationThatIsNeverBegunIsTakenBackAtOnce(t *testing.T) {
 	d := open(t)
 	id := d.must(Migrate{"shape", three(), "ana"})
-	d.must(Revert{id, "ana", "no"})
+	d.must(RevertMigration{id, "ana", "no"})
 	assert.Equal(t, Withdrawn, d.Migrations[id].Stage)
 	assert.Equal(t, Withdrawn, d.stage(d.Migrations[id].Steps[0]))
 	assert.Empty(t, d.Startable())
@@ -84,17 +84,17 @@
 	assert.Empty(t, d.Startable(), "step 3 waits for step 2")
 
 	var changed *ChangedError
-	d.refused(Replace{id, 7, steps, "bea"}, &changed)
+	d.refused(ReplaceSteps{id, 7, steps, "bea"}, &changed)
 	later := three()
 	for i := range later[1:] {
 		later[i+1].Window = Span{noon + float64(i+3)*hour, noon + float64(i+4)*hour}
 	}
 	spoilt := append([]Change{}, later...)
 	spoilt[0].Do = json.RawMessage(`"other"`)
-	var begun *BegunError
-	d.refused(Replace{id, m.Revision, spoilt, "bea"}, &begun)
+	var begun *StepStartedError
+	d.refused(ReplaceSteps{id, m.Revision, spoilt, "bea"}, &begun)
 	assert.Equal(t, 0, begun.Step)
-	d.must(Replace{id, m.Revision, later, "bea"})
+	d.must(ReplaceSteps{id, m.Revision, later, "bea"})
 	assert.Equal(t, Running, m.Stage)
 	assert.Len(t, m.Steps, 3)
 	d.pass(hour)
@@ -112,14 +112,14 @@
 	d.pass(hour)
 	sent := m.Steps[1]
 	d.must(Start{sent})
-	fid := d.must(SetFreeze{0, 0, freeze(hour+min1, 2*hour, SendsBack)})
+	fid := d.must(SetFreeze{0, 0, freeze(hour+min1, 2*hour, RollBackAtOnce)})
 	d.pass(min1)
 	assert.Equal(t, RollingBack, d.stage(sent))
 	assert.Equal(t, Halted, m.Stage)
 	d.must(RolledBack{ID: sent})
 	assert.Equal(t, Halted, m.Stage)
 	d.must(Thaw{fid, 1, "bea", "over"})
-	d.must(Replace{id, m.Revision, three(), "ana"})
+	d.must(ReplaceSteps{id, m.Revision, three(), "ana"})
 	assert.NotContains(t, m.Steps, sent)
 	d.played(m.Steps[1])
 	d.pass(hour)
@@ -136,28 +136,28 @@
 	first := m.Steps[0]
 	var unseen *PreconditionError
 	d.refused(Start{first}, &unseen)
-	d.must(Observe{ID: first, What: "no fault", Well: true, Says: ""})
+	d.must(Observe{ID: first, What: "no fault", Passed: true, Detail: ""})
 	d.pass(sightFor + sec)
 	d.refused(Start{first}, &unseen)
-	d.must(Observe{ID: first, What: "no fault", Well: false, Says: "a key"})
+	d.must(Observe{ID: first, What: "no fault", Passed: false, Detail: "a key"})
 	d.refused(Start{first}, &unseen)
 	assert.Contains(t, unseen.Error(), "a key")
-	d.must(Observe{ID: first, What: "no fault", Well: true, Says: ""})
-	d.must(Observe{ID: first, What: "rejections as before", Well: true, Says: "too soon to tell"})
+	d.must(Observe{ID: first, What: "no fault", Passed: true, Detail: ""})
+	d.must(Observe{ID: first, What: "rejections as before", Passed: true, Detail: "too soon to tell"})
 	d.must(Start{first})
 	d.must(WaveDone{ID: first, Wave: 1})
 	d.pass(10 * min1)
 	assert.Equal(t, Running, d.stage(first), "what was seen before its last wave doesn't count")
-	d.must(Observe{ID: first, What: "rejections as before", Well: false, Says: "0.3 against 0.1"})
+	d.must(Observe{ID: first, What: "rejections as before", Passed: false, Detail: "0.3 against 0.1"})
 	assert.Equal(t, Halted, d.stage(first))
 	assert.Equal(t, Halted, m.Stage)
-	assert.Contains(t, m.Says, "0.3 against 0.1")
+	assert.Contains(t, m.Reason, "0.3 against 0.1")
 	d.must(Resume{first, "ana"})
-	d.must(Observe{ID: first, What: "rejections as before", Well: true, Says: ""})
+	d.must(Observe{ID: first, What: "rejections as before", Passed: true, Detail: ""})
 	assert.Equal(t, Done, d.stage(first))
 	assert.Equal(t, Running, m.Stage)
 	var form *FormError
-	d.refused(Observe{ID: m.Steps[1], What: "the moon", Well: true, Says: ""}, &form)
+	d.refused(Observe{ID: m.Steps[1], What: "the moon", Passed: true, Detail: ""}, &form)
 }
 
 func TestStepsAreCheckedByTheirKeys(t *testing.T) {
@@ -184,11 +184,11 @@
 	loose := d.Entries[m.Steps[1]].Change
 	loose.After = nil
 	d.refused(Edit{m.Steps[1], 1, loose, "ana", false}, &form)
-	d.refused(Replace{id, 1, nil, "ana"}, &form)
-	d.refused(Revert{id, "ana", ""}, &form)
+	d.refused(ReplaceSteps{id, 1, nil, "ana"}, &form)
+	d.refused(RevertMigration{id, "ana", ""}, &form)
 	var unknown *UnknownError
-	d.refused(Revert{99, "ana", "x"}, &unknown)
-	d.refused(Replace{99, 1, three(), "ana"}, &unknown)
+	d.refused(RevertMigration{99, "ana", "x"}, &unknown)
+	d.refused(ReplaceSteps{99, 1, three(), "ana"}, &unknown)
 }
 
 func TestAnEditDropsWhatWasObservedForSomethingElse(t *testing.T) {
@@ -196,12 +196,12 @@
 	c := change(0, hour)
 	c.Preconditions = []string{"no fault"}
 	id := d.plan(c)
-	d.must(Observe{ID: id, What: "no fault", Well: true, Says: ""})
+	d.must(Observe{ID: id, What: "no fault", Passed: true, Detail: ""})
 	c.Do = json.RawMessage(`"other"`)
 	d.must(Edit{id, 1, c, "ana", false})
 	var precondition *PreconditionError
 	d.refused(Start{id}, &precondition)
-	d.must(Observe{ID: id, What: "no fault", Well: true, Says: ""})
+	d.must(Observe{ID: id, What: "no fault", Passed: true, Detail: ""})
 	d.must(Start{id})
 }
 
@@ -215,7 +215,7 @@
 	d.must(WaveDone{ID: id, Wave: 2})
 	d.must(Halt{id, "ana", "look"})
 	d.pass(20 * min1)
-	d.must(Observe{ID: id, What: "well", Well: true, Says: ""})
+	d.must(Observe{ID: id, What: "well", Passed: true, Detail: ""})
 	assert.Equal(t, Halted, d.stage(id))
 	d.must(Resume{id, "ana"})
 	assert.Equal(t, Done, d.stage(id))
--- a/calendar/model_test.go
+++ b/calendar/model_test.go
@@ -217,12 +217,12 @@
 func begun(t *rapid.T, spoil string) *world {
 	v := &world{t: t, s: New(), spoil: spoil, agreed: 5000,
 		w: &witness{trueMs: noon, entries: map[uint64]*seen{}, freezes: map[uint64]frozenTime{}, moves: map[uint64]bool{}, stacks: map[string][]uint64{}, needed: map[Kind]int{}, most: map[Kind]int{}}}
-	v.s.See(units{})
+	v.s.SetZones(units{})
 	v.clocks()
 	return v
 }
 
-func (v *world) do(c any) (uint64, error) { return v.s.Do(v.agreed, c) }
+func (v *world) do(c any) (uint64, error) { return v.s.Apply(v.agreed, c) }
 
 func (v *world) hold(bad string, args ...any) {
 	if v.found == "" {
@@ -237,7 +237,7 @@
 		if i == 1 {
 			at += v.wrongMs
 		}
-		if _, err := v.do(Clock{fmt.Sprint("c", i), max(0, at), 3}); err != nil {
+		if _, err := v.do(ReportClock{fmt.Sprint("c", i), max(0, at), 3}); err != nil {
 			v.t.Fatal(err)
 		}
 	}
@@ -304,7 +304,7 @@
 }
 
 func (v *world) revert(id uint64) error {
-	_, err := v.do(Revert{id, "ana", "enough"})
+	_, err := v.do(RevertMigration{id, "ana", "enough"})
 	if err == nil && v.spoil == "the way back is in the wrong order" {
 		slices.Reverse(v.s.Migrations[id].Steps)
 	}
@@ -358,7 +358,7 @@
 			e := v.w.entries[id]
 			for _, n := range slices.Concat(e.wants, e.shows) {
 				well := rapid.IntRange(0, 3).Draw(v.t, "well") > 0
-				if _, err := v.do(Observe{ID: id, What: n, Well: well, Says: ""}); err == nil {
+				if _, err := v.do(Observe{ID: id, What: n, Passed: well, Detail: ""}); err == nil {
 					e.sights[n] = sight{well, v.w.trueMs}
 				}
 			}
@@ -418,7 +418,7 @@
 			e.urgent = true
 		}
 	case 9:
-		f := Freeze{Name: "f", Subject: rapid.SampledFrom(subjects).Draw(v.t, "subject"), Sends: rapid.SampledFrom([]string{FinishesWave, SendsBack}).Draw(v.t, "sends"), Who: "ana", Why: "y"}
+		f := Freeze{Name: "f", Subject: rapid.SampledFrom(subjects).Draw(v.t, "subject"), RunningPolicy: rapid.SampledFrom([]string{HaltAfterWave, RollBackAtOnce}).Draw(v.t, "sends"), Who: "ana", Why: "y"}
 		if rapid.Bool().Draw(v.t, "one kind") {
 			f.Kinds = []Kind{rapid.SampledFrom(some).Draw(v.t, "kind")}
 		}
@@ -550,7 +550,7 @@
 	}
 	for _, id := range ids {
 		if v.w.should(id) {
-			v.hold("%d could begin and doesn't: %v", id, v.s.InTheWay(v.s.Entries[id]))
+			v.hold("%d could begin and doesn't: %v", id, v.s.CheckStart(v.s.Entries[id]))
 		}
 	}
 	for _, id := range ids { // one that runs goes on or back
@@ -641,8 +641,8 @@
 	const hours = 48
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
-		s.See(units{})
-		s.Size, s.WallMs, s.Doubt = 1, noon, ""
+		s.SetZones(units{})
+		s.Size, s.WallMs, s.ClockProblem = 1, noon, ""
 		s.Readings["c0"] = Reading{noon, 0}
 		span := func() Span {
 			from := rapid.IntRange(-2, hours-1).Draw(t, "from")
@@ -697,7 +697,7 @@
 		if len(want) == 0 || want[len(want)-1].ToMs < noon+longestFor { // all is free past what is searched
 			want = append(want, Span{noon + hours*hour, noon + longestFor})
 		}
-		got := s.Next(c, 0, math.MaxInt)
+		got := s.FindFree(c, 0, math.MaxInt)
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Fatalf("%v, by search %v", got, want)
 		}
@@ -707,33 +707,33 @@
 // Ten thousand entries, a hundred of which are under way or due: what a command and a question take.
 func BenchmarkTenThousandEntries(b *testing.B) {
 	s := New()
-	s.See(units{})
-	s.Do(0, SetRules{Who: "boss", Rules: []Rule{{Subject: Subject{Scope: Fleet}, Count: 1}}, Budgets: []Budget{{Drain, 3}}})
-	s.Do(0, Clock{"c0", noon, 1})
+	s.SetZones(units{})
+	s.Apply(0, SetRules{Who: "boss", Rules: []Rule{{Subject: Subject{Scope: Fleet}, Count: 1}}, Budgets: []Budget{{Drain, 3}}})
+	s.Apply(0, ReportClock{"c0", noon, 1})
 	for i := range 10000 {
 		c := change(float64(i)*2*hour*0.9, float64(i)*2*hour*0.9+hour)
 		c.Subject = subjects[i%len(subjects)]
 		c.Window = Span{noon + float64(i%4000)*hour, noon + float64(i%4000)*hour + hour}
-		id, err := s.Do(0, Plan{Change: c, Who: "ana"})
+		id, err := s.Apply(0, Plan{Change: c, Who: "ana"})
 		require.NoError(b, err)
 		if i%2 == 0 {
-			_, err = s.Do(0, Approve{id, c.Digest(), "bea", ""})
+			_, err = s.Apply(0, Approve{id, c.Digest(), "bea", ""})
 			require.NoError(b, err)
 		}
 	}
 	for i := range 20 {
-		f := freeze(0, hour, SendsBack)
-		f.When = Recurrence{Begin: fmt.Sprintf("2024-10-%02dT02:00", i+1), Minutes: 60, Every: "FREQ=WEEKLY", In: "UTC"}
+		f := freeze(0, hour, RollBackAtOnce)
+		f.When = Recurrence{Begin: fmt.Sprintf("2024-10-%02dT02:00", i+1), Minutes: 60, RRule: "FREQ=WEEKLY", TimeZone: "UTC"}
 		f.Subject = subjects[i%len(subjects)]
-		require.NoError(b, f.Ahead(time.UTC, noon))
-		s.Do(0, SetFreeze{0, 0, f})
+		require.NoError(b, f.ExpandSpans(time.UTC, noon))
+		s.Apply(0, SetFreeze{0, 0, f})
 	}
 	c := change(0, hour)
 	now := 0.0
 	b.Run("command", func(b *testing.B) {
 		for b.Loop() {
 			now += 1
-			s.Do(now, Clock{"c0", noon + now, 1})
+			s.Apply(now, ReportClock{"c0", noon + now, 1})
 		}
 	})
 	b.Run("startable", func(b *testing.B) {
@@ -743,7 +743,7 @@
 	})
 	b.Run("next", func(b *testing.B) {
 		for b.Loop() {
-			s.Next(&c, 0, 5)
+			s.FindFree(&c, 0, 5)
 		}
 	})
 	b.Run("conflicts", func(b *testing.B) {
--- a/cmd/swifthall-coordinate/calendar.go
+++ b/cmd/swifthall-coordinate/calendar.go
@@ -187,8 +187,8 @@
 }
 
 func showCalendar(out io.Writer, s *calendar.State, subject string, throughMs float64, in *time.Location) {
-	if s.Doubt != "" && s.InUse() {
-		line(out, "TIME IS IN DOUBT, nothing begins: %s", s.Doubt)
+	if s.ClockProblem != "" && s.InUse() {
+		line(out, "TIME IS IN DOUBT, nothing begins: %s", s.ClockProblem)
 	}
 	line(out, "agreed time %s %s", shown(s.WallMs, in), in)
 	entries := slices.Collect(maps.Values(s.Entries))
@@ -207,9 +207,9 @@
 		if e.Emergency != nil {
 			mark = "EMERGENCY "
 		}
-		line(out, row, fmt.Sprintf("%d@%d", e.ID, e.Revision), stageWord(e.Stage), shown(e.Window.FromMs, in), fmt.Sprintf("%.0f", e.Needs()/60e3), fmt.Sprintf("%s%s: %s", mark, e.Name, e.Subject.String()))
-		if e.Says != "" && !over(e) {
-			line(out, "        %s", e.Says)
+		line(out, row, fmt.Sprintf("%d@%d", e.ID, e.Revision), stageWord(e.Stage), shown(e.Window.FromMs, in), fmt.Sprintf("%.0f", e.DurationMs()/60e3), fmt.Sprintf("%s%s: %s", mark, e.Name, e.Subject.String()))
+		if e.Reason != "" && !over(e) {
+			line(out, "        %s", e.Reason)
 		}
 	}
 	if !some {
@@ -218,8 +218,8 @@
 	for _, id := range slices.Sorted(maps.Keys(s.Migrations)) {
 		if m := s.Migrations[id]; throughMs < 0 || m.Stage != calendar.Done && m.Stage != calendar.Withdrawn {
 			line(out, "migration %d@%d %s, %s, entries %s", m.ID, m.Revision, m.Name, m.Stage, strings.Trim(fmt.Sprint(m.Steps), "[]"))
-			if m.Says != "" {
-				line(out, "        %s", m.Says)
+			if m.Reason != "" {
+				line(out, "        %s", m.Reason)
 			}
 		}
 	}
@@ -247,12 +247,12 @@
 func showEntry(out io.Writer, s *calendar.State, e *calendar.Entry, in *time.Location) {
 	line(out, "entry     %d@%d %s", e.ID, e.Revision, e.Name)
 	line(out, "stage     %s", e.Stage)
-	if e.Says != "" {
-		line(out, "          %s", e.Says)
+	if e.Reason != "" {
+		line(out, "          %s", e.Reason)
 	}
 	line(out, "kind      %s of %s", e.Kind, e.Subject.String())
 	line(out, "window    %s to %s %s", shown(e.Window.FromMs, in), shown(e.Window.ToMs, in), in)
-	line(out, "waves     %d of %d done, %.0f min in all", e.Wave, e.Waves, e.Needs()/60e3)
+	line(out, "waves     %d of %d done, %.0f min in all", e.WavesDone, e.Waves, e.DurationMs()/60e3)
 	line(out, "author    %s", e.Author)
 	for _, a := range e.Approvals {
 		line(out, "approved  by %s %s at %s", a.Who, a.Role, shown(a.AtMs, in))
@@ -272,7 +272,7 @@
 		for _, name := range of {
 			word := "nobody has looked"
 			if o, seen := e.Observations[name]; seen {
-				word = fmt.Sprintf("well: %t at %s %s", o.Well, shown(o.AtMs, in), o.Says)
+				word = fmt.Sprintf("well: %t at %s %s", o.Passed, shown(o.AtMs, in), o.Detail)
 			}
 			line(out, "seen      %s: %s", name, word)
 		}
@@ -291,7 +291,7 @@
 		return false, err
 	}
 	for _, m := range a.Met {
-		word := m.Says
+		word := m.Detail
 		if m.With != 0 {
 			word = fmt.Sprintf("%d: %s", m.With, word)
 		}
@@ -438,7 +438,7 @@
 				return nil, err
 			}
 			c := e.Change
-			if c.Window, err = calendar.Window(from, to, zone); err != nil {
+			if c.Window, err = calendar.ParseWindow(from, to, zone); err != nil {
 				return nil, err
 			}
 			if _, err := o.meets(cmd, &c, e.ID, zone); err != nil { // told; the start looks again
@@ -453,7 +453,7 @@
 	var what, says string
 	saw := o.onEntry("saw", "Tell what was seen of what an entry wants seen", "What was seen before an entry counts for five minutes.",
 		func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
-			return calendar.Observe{ID: e.ID, What: what, Well: !not, Says: says, Who: o.who}, nil
+			return calendar.Observe{ID: e.ID, What: what, Passed: !not, Detail: says, Who: o.who}, nil
 		})
 	saw.Flags().StringVar(&what, "what", "", "its name in the entry")
 	saw.Flags().BoolVar(&not, "not", false, "it was looked for, and isn't so")
@@ -467,12 +467,12 @@
 		}),
 		o.onEntry("back", "Have it go back; a step takes its whole migration with it", "", why(func(e *calendar.Entry, _ uint64) any {
 			if e.Migration != 0 {
-				return calendar.Revert{ID: e.Migration, Who: o.who, Why: o.why}
+				return calendar.RevertMigration{ID: e.Migration, Who: o.who, Why: o.why}
 			}
 			return calendar.RollBack{ID: e.ID, Who: o.who, Why: o.why}
 		})),
 		o.onEntry("done", "Say that people have done its next wave", "", func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
-			return calendar.WaveDone{ID: e.ID, Wave: e.Wave + 1, Who: o.who}, nil
+			return calendar.WaveDone{ID: e.ID, Wave: e.WavesDone + 1, Who: o.who}, nil
 		}),
 		o.onEntry("returned", "Say that people have taken it back", "", func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
 			return calendar.RolledBack{ID: e.ID, Who: o.who}, nil
@@ -544,7 +544,7 @@
 			if err := o.reason(); err != nil {
 				return err
 			}
-			zone, err := planfile.ZoneOf(f.When.In)
+			zone, err := planfile.ZoneOf(f.When.TimeZone)
 			if err != nil {
 				return err
 			}
@@ -552,11 +552,11 @@
 			if err != nil {
 				return err
 			}
-			z := calendar.Freeze{Name: f.Name, Kinds: f.Kinds, Subject: f.Subject, When: f.When, Sends: f.Sends, Who: o.who, Why: o.why}
-			if z.Sends == "" {
-				z.Sends = calendar.FinishesWave
+			z := calendar.Freeze{Name: f.Name, Kinds: f.Kinds, Subject: f.Subject, When: f.When, RunningPolicy: f.Sends, Who: o.who, Why: o.why}
+			if z.RunningPolicy == "" {
+				z.RunningPolicy = calendar.HaltAfterWave
 			}
-			if err := z.Ahead(zone, s.WallMs); err != nil {
+			if err := z.ExpandSpans(zone, s.WallMs); err != nil {
 				return err
 			}
 			do := calendar.SetFreeze{Freeze: z}
@@ -637,7 +637,7 @@
 				if err != nil {
 					return err
 				}
-				do = calendar.Replace{ID: id, Revision: revision, Steps: steps, Who: o.who}
+				do = calendar.ReplaceSteps{ID: id, Revision: revision, Steps: steps, Who: o.who}
 			}
 			a, err := o.command(cmd, do)
 			if err == nil {
--- a/cmd/swifthall-coordinate/calendar_test.go
+++ b/cmd/swifthall-coordinate/calendar_test.go
@@ -113,7 +113,7 @@
 	require.ErrorAs(t, err, &approval)
 	assert.Contains(t, approval.Remedy(), "lead")
 	_, err = s.as("ana", "approve", "1", "--role", "lead")
-	var own *calendar.OwnError
+	var own *calendar.SelfApprovalError
 	require.ErrorAs(t, err, &own)
 	_, err = s.as("bea", "refuse", "1")
 	require.Error(t, err, "a refusal needs a reason")
@@ -234,7 +234,7 @@
 	delete(second, "preconditions")
 	assert.Contains(t, s.ok("migrate", file(first, second), "--replace", "1@1"), "is migration 1")
 	s.until("what replaced it runs", func() bool { return strings.Contains(s.ok("calendar", "4"), "stage     running") })
-	var begun *calendar.BegunError
+	var begun *calendar.StepStartedError
 	_, err = s.as("ana", "migrate", file(second, first), "--replace", "1")
 	require.ErrorAs(t, err, &begun)
 	s.ok("steer", "back", "4", "--why", "smoke")
--- a/cmd/swifthall-coordinate/commands.go
+++ b/cmd/swifthall-coordinate/commands.go
@@ -142,7 +142,7 @@
 				return err
 			}
 			return coordinator.Run(cmd.Context(), cfg, coordinator.Options{Restore: restore, NoSync: noSync,
-				Before: coordinator.Spoiled(os.Getenv(coordinator.DiskFault)), Wrong: serving.WallClockOffset()}, log)
+				Before: coordinator.Spoiled(os.Getenv(coordinator.DiskFaultVariable)), Wrong: serving.WallClockOffset()}, log)
 		}}
 	f := cmd.Flags()
 	f.StringVar(&file, "config", "", "the coordinator's file")
--- a/coordinator/calendar.go
+++ b/coordinator/calendar.go
@@ -76,7 +76,7 @@
 }
 
 func (c *Coordinator) tellClock(v *voice) error {
-	cmd := v.command(calendar.Clock{Name: c.cfg.Name, WallMs: float64(time.Now().Add(c.wrong).UnixMilli()), Size: c.size()})
+	cmd := v.command(calendar.ReportClock{Name: c.cfg.Name, WallMs: float64(time.Now().Add(c.wrong).UnixMilli()), Size: c.size()})
 	if t := c.current(); t != nil {
 		_, err := c.commit(t, cmd)
 		return err
@@ -135,19 +135,19 @@
 			break
 		}
 	}
-	var todo []calendar.Extend
+	var todo []calendar.ExtendFreeze
 	c.fsm.read(func(s *permits.State) {
-		for _, id := range s.Calendar.Short() {
+		for _, id := range s.Calendar.FreezesToExtend() {
 			f := *s.Calendar.Freezes[id]
-			in, err := time.LoadLocation(f.When.In)
+			in, err := time.LoadLocation(f.When.TimeZone)
 			if err == nil {
-				err = f.Ahead(in, s.Calendar.WallMs)
+				err = f.ExpandSpans(in, s.Calendar.WallMs)
 			}
 			if err != nil {
 				c.log.WithError(err).WithField("freeze", f.Name).Warn("a recurring freeze can't be worked out further; it will last from where it ends")
 				continue
 			}
-			todo = append(todo, calendar.Extend{ID: id, Revision: f.Revision, Spans: f.Spans, ThroughMs: f.ThroughMs})
+			todo = append(todo, calendar.ExtendFreeze{ID: id, Revision: f.Revision, Spans: f.Spans, ThroughMs: f.ThroughMs})
 		}
 	})
 	for _, do := range todo {
@@ -190,7 +190,7 @@
 			whole.WallMs = part.WallMs
 			a.Met, a.Free = whole.Conflicts(q.Change, q.ID, q.Most)
 			if len(a.Met) == 0 {
-				a.Free = whole.Next(q.Change, q.ID, q.Most)
+				a.Free = whole.FindFree(q.Change, q.ID, q.Most)
 			}
 		}
 	}) {
--- a/coordinator/calendar_test.go
+++ b/coordinator/calendar_test.go
@@ -39,7 +39,7 @@
 // onTime has the calendar be in use, and waits until its time is agreed.
 func onTime(t *testing.T, c *client.Client) {
 	give(t, c, "first use", 1, calendar.SetRules{Who: "ana"})
-	within(t, "agreed time", func() bool { return agreed(t, c).Doubt == "" })
+	within(t, "agreed time", func() bool { return agreed(t, c).ClockProblem == "" })
 }
 
 // A coordinator of an earlier release ends itself where it meets a command that it doesn't know: nothing of the calendar is said
@@ -134,8 +134,8 @@
 	leader(t, all)
 	c := asker(all)
 	onTime(t, c)
-	a := give(t, c, "bea", 1, calendar.SetFreeze{Freeze: calendar.Freeze{Name: "nights", Subject: calendar.Subject{Scope: calendar.Fleet}, ThroughMs: wall() + 1000, Sends: calendar.FinishesWave,
-		When: calendar.Recurrence{Begin: "2026-01-01T22:00", Minutes: 60, Every: "FREQ=DAILY", In: "Europe/Lisbon"}, Who: "bea", Why: "sleep"}})
+	a := give(t, c, "bea", 1, calendar.SetFreeze{Freeze: calendar.Freeze{Name: "nights", Subject: calendar.Subject{Scope: calendar.Fleet}, ThroughMs: wall() + 1000, RunningPolicy: calendar.HaltAfterWave,
+		When: calendar.Recurrence{Begin: "2026-01-01T22:00", Minutes: 60, RRule: "FREQ=DAILY", TimeZone: "Europe/Lisbon"}, Who: "bea", Why: "sleep"}})
 	require.NoError(t, a.Err)
 	within(t, "it is worked out", func() bool { return len(agreed(t, c).Freezes[a.Number].Spans) > 300 })
 	var next client.CalendarAnswer
@@ -210,7 +210,7 @@
 	within(t, "it runs", func() bool { return agreed(t, c).Entries[id].Stage == calendar.Running })
 	assert.Len(t, status(t, c).Places, 1)
 	give(t, c, "bea", 1, calendar.SetFreeze{Freeze: calendar.Freeze{Name: "f", Subject: calendar.Subject{Scope: calendar.Fleet}, Spans: []calendar.Span{{FromMs: 0, ToMs: wall() + 3600e3}},
-		Sends: calendar.FinishesWave, Who: "bea", Why: "x"}})
+		RunningPolicy: calendar.HaltAfterWave, Who: "bea", Why: "x"}})
 	err := c.Ask(soon(t), client.MembersPath, client.Change{Add: true, Name: "c-9", Address: "127.0.0.1:1", Who: "op", Why: "x"}, &struct{}{})
 	assert.ErrorContains(t, err, `freeze`, "the coordinators are no exception")
 }
@@ -233,7 +233,7 @@
 		ch := byHand(name, wall()+3600e3, wall()+7200e3)
 		give(t, c, "plan "+name, 1, calendar.Plan{Change: ch, Who: "ana", Draft: true})
 	}
-	within(t, "all is told", func() bool { s := agreed(t, c); return s.Number > 0 && s.Acknowledged == s.Number })
+	within(t, "all is told", func() bool { s := agreed(t, c); return s.LastEvent > 0 && s.Acknowledged == s.LastEvent })
 	lines := func(file string) (numbers []uint64) {
 		raw, err := os.ReadFile(file)
 		require.NoError(t, err)
--- a/coordinator/client/client.go
+++ b/coordinator/client/client.go
@@ -261,14 +261,14 @@
 	return a, err
 }
 
-// Word says a door's word.
-func (c *Client) Word(ctx context.Context, w *permits.DoorReport) (r permits.Reply, err error) {
+// ReportDoor says a door's word.
+func (c *Client) ReportDoor(ctx context.Context, w *permits.DoorReport) (r permits.Reply, err error) {
 	err = c.Ask(ctx, WordPath, w, &r)
 	return r, err
 }
 
-// Hold says a holder's word.
-func (c *Client) Hold(ctx context.Context, h *permits.HolderReport) (g permits.Assignment, err error) {
+// ReportHolder says a holder's word.
+func (c *Client) ReportHolder(ctx context.Context, h *permits.HolderReport) (g permits.Assignment, err error) {
 	err = c.Ask(ctx, HoldPath, h, &g)
 	return g, err
 }
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -464,7 +464,7 @@
 	}
 	var err error
 	c.fsm.read(func(s *permits.State) {
-		err = s.Calendar.MayBegin(calendar.Coordinators, calendar.Subject{Scope: calendar.Fleet})
+		err = s.Calendar.CheckUnplanned(calendar.Coordinators, calendar.Subject{Scope: calendar.Fleet})
 	})
 	if err != nil {
 		return &CalendarError{err}
--- a/coordinator/coordinator_test.go
+++ b/coordinator/coordinator_test.go
@@ -149,7 +149,7 @@
 	for _, b := range []string{"b-0", "b-1"} {
 		w.Backends = append(w.Backends, permits.Sighting{Unit: permits.Unit{Kind: permits.Backend, Name: b}, Standing: permits.Ready})
 	}
-	r, err := c.Word(soon(t), &w)
+	r, err := c.ReportDoor(soon(t), &w)
 	require.NoError(t, err)
 	return r
 }
--- a/coordinator/spoil.go
+++ b/coordinator/spoil.go
@@ -9,7 +9,7 @@
 
 // DiskFault names a variable by which a rig spoils this process's disk: the file that it names holds "full", "readonly",
 // a span as "1s" that each write is to take, or nothing.
-const DiskFault = "SWIFTHALL_DISK_FAULT"
+const DiskFaultVariable = "SWIFTHALL_DISK_FAULT"
 
 // Spoiled is what happens before each write by that file; nil where none is named.
 func Spoiled(path string) func() error {
--- a/internal/doorfleet/plans.go
+++ b/internal/doorfleet/plans.go
@@ -150,7 +150,7 @@
 	var err error
 	if q.Report != nil {
 		var r permits.Reply
-		if r, err = p.client.Word(ctx, q.Report); err == nil && len(r.Withheld) == 0 {
+		if r, err = p.client.ReportDoor(ctx, q.Report); err == nil && len(r.Withheld) == 0 {
 			p.withheldKnown()
 		}
 		e = permits.Replied{Seq: q.Seq, Reply: r}
--- a/internal/holding/holding.go
+++ b/internal/holding/holding.go
@@ -530,7 +530,7 @@
 	var err error
 	if q.HolderReport != nil {
 		var g permits.Assignment
-		g, err = s.client.Hold(ctx, q.HolderReport)
+		g, err = s.client.ReportHolder(ctx, q.HolderReport)
 		e = permits.AssignmentReceived{Seq: q.Seq, Assignment: g}
 	} else {
 		var a permits.Answer
--- a/lab/account/account.go
+++ b/lab/account/account.go
@@ -46,9 +46,9 @@
 	unserved = "never answered"
 )
 
-// Book gathers a day's account from its trace.
-type Book struct {
-	deal  *judge.Deal
+// Collector gathers a day's account from its trace.
+type Collector struct {
+	deal  *judge.Params
 	doors map[int]*door
 	wants map[int]*want
 	tries map[int]*try
@@ -92,8 +92,8 @@
 	doors                        map[int]float64
 }
 
-func NewBook(d *judge.Deal) *Book {
-	return &Book{deal: d, doors: map[int]*door{}, wants: map[int]*want{}, tries: map[int]*try{}, quota: map[int]*judge.Store{}, ideal: map[int]*judge.Store{},
+func NewCollector(d *judge.Params) *Collector {
+	return &Collector{deal: d, doors: map[int]*door{}, wants: map[int]*want{}, tries: map[int]*try{}, quota: map[int]*judge.Store{}, ideal: map[int]*judge.Store{},
 		parts: map[string]*tally{}}
 }
 
@@ -105,7 +105,7 @@
 }
 
 // lose books a loss at a door.
-func (b *Book) lose(part string, gain, asked, now float64, at int) {
+func (b *Collector) lose(part string, gain, asked, now float64, at int) {
 	t := b.parts[part]
 	if t == nil {
 		t = &tally{doors: map[int]float64{}}
@@ -140,17 +140,17 @@
 }
 
 // Take takes in one event.
-func (b *Book) Take(e *trace.Event) {
+func (b *Collector) Take(e *trace.Event) {
 	switch e.Kind {
-	case trace.Started:
+	case trace.DoorStarted:
 		b.doors[e.Door] = &door{started: e.At}
 	case trace.Asked:
 		b.ask(e)
-	case trace.Taken:
-		b.tries[e.Try] = &try{want: e.Want, door: e.Door, customer: e.Customer, plan: e.Plan, units: e.Units}
+	case trace.Accepted:
+		b.tries[e.Try] = &try{want: e.Request, door: e.Door, customer: e.Customer, plan: e.Plan, units: e.Units}
 		b.tried = grow(b.tried, int(e.At/window))
 		b.tried[int(e.At/window)]++
-		if w := b.wants[e.Want]; w != nil {
+		if w := b.wants[e.Request]; w != nil {
 			w.door, w.last = e.Door, unserved
 		}
 	case trace.Sent:
@@ -162,9 +162,9 @@
 		}
 	case trace.Answered:
 		b.answered(e)
-	case trace.Left, trace.Dropped:
+	case trace.ClientLeft, trace.Dropped:
 		delete(b.tries, e.Try)
-	case trace.Died:
+	case trace.DoorDied:
 		for id, t := range b.tries {
 			if t.door == e.Door {
 				if w := b.wants[t.want]; w != nil {
@@ -173,29 +173,29 @@
 				delete(b.tries, id)
 			}
 		}
-	case trace.Got:
+	case trace.Received:
 		b.got(e)
 	case trace.GaveUp:
-		if w := b.wants[e.Want]; w != nil {
+		if w := b.wants[e.Request]; w != nil {
 			if w.inside {
 				b.lose(cmp.Or(w.last, "found no door"), w.gain, w.at, e.At, w.door)
 			}
-			delete(b.wants, e.Want)
+			delete(b.wants, e.Request)
 		}
 	case trace.Connected:
 		b.sums.conns++
-	case trace.Counted:
+	case trace.CounterCalled:
 		b.sums.calls++
 	case trace.Probed:
 		b.sums.probes++
 	}
 }
 
-func (b *Book) ask(e *trace.Event) {
+func (b *Collector) ask(e *trace.Event) {
 	b.sums.first++
 	p := &b.deal.Plans[e.Plan]
 	w := &want{at: e.At, gain: b.deal.Classes[e.Class].Gain * p.Price * e.Units, class: e.Class, door: -1}
-	b.wants[e.Want] = w
+	b.wants[e.Request] = w
 	s := b.ideal[e.Customer]
 	if s == nil {
 		s = &judge.Store{Level: p.Depth, At: e.At}
@@ -208,7 +208,7 @@
 	}
 }
 
-func (b *Book) store(t *try, at float64) *judge.Store {
+func (b *Collector) store(t *try, at float64) *judge.Store {
 	s := b.quota[t.customer]
 	if s == nil {
 		s = &judge.Store{Level: b.deal.Plans[t.plan].Depth, At: at}
@@ -217,7 +217,7 @@
 	return s
 }
 
-func (b *Book) sent(e *trace.Event) {
+func (b *Collector) sent(e *trace.Event) {
 	b.sums.sent++
 	t := b.tries[e.Try]
 	if t == nil || t.sent {
@@ -228,11 +228,11 @@
 	if s := b.store(t, e.At); p.Rate == 0 || s.Fill(e.At, p.Rate, p.Depth) >= t.units-1e-9 {
 		s.Level -= t.units
 	} else if w != nil {
-		b.lose("sent beyond the quota", b.deal.OverCost[t.plan]*w.gain, w.at, e.At, e.Door)
+		b.lose("sent beyond the quota", b.deal.OverQuotaCost[t.plan]*w.gain, w.at, e.At, e.Door)
 	}
 }
 
-func (b *Book) answered(e *trace.Event) {
+func (b *Collector) answered(e *trace.Event) {
 	t := b.tries[e.Try]
 	if t == nil {
 		return
@@ -244,7 +244,7 @@
 	p := &b.deal.Plans[t.plan]
 	at := int(e.At / window)
 	b.roomy = grow(b.roomy, at)
-	name := e.Answer.String() + ", " + e.Why.String()
+	name := e.Answer.String() + ", " + e.Cause.String()
 	if e.Answer == trace.Rejected && p.Rate > 0 && b.store(t, e.At).Fill(e.At, p.Rate, p.Depth) >= room*p.Depth {
 		b.roomy[at]++
 		name += ", with room"
@@ -254,19 +254,19 @@
 	}
 }
 
-func (b *Book) got(e *trace.Event) {
-	w := b.wants[e.Want]
+func (b *Collector) got(e *trace.Event) {
+	w := b.wants[e.Request]
 	if w == nil || e.Answer != trace.Finished {
 		return
 	}
 	if p := &b.deal.Classes[w.class]; w.inside && e.At-w.at > p.Contract {
 		b.lose("late", w.gain*(1-p.LateValue), w.at, e.At, w.door)
 	}
-	delete(b.wants, e.Want)
+	delete(b.wants, e.Request)
 }
 
 // Sum closes the book.
-func (b *Book) Sum() *Account {
+func (b *Collector) Sum() *Account {
 	a := &Account{}
 	for _, g := range b.asked {
 		a.Offered += g
--- a/lab/account/account_test.go
+++ b/lab/account/account_test.go
@@ -13,31 +13,31 @@
 )
 
 func TestEachLossIsBookedOnceUnderItsCause(t *testing.T) {
-	b := NewBook(&judge.Deal{Classes: []gate.Class{{Contract: 500, Gain: 2, LateValue: 0.25}}, Plans: []gate.Plan{{Rate: 0.001, Depth: 4, Price: 1}},
-		OverCost: []float64{1.5}})
+	b := NewCollector(&judge.Params{Classes: []gate.Class{{Contract: 500, Gain: 2, LateValue: 0.25}}, Plans: []gate.Plan{{Rate: 0.001, Depth: 4, Price: 1}},
+		OverQuotaCost: []float64{1.5}})
 	take := func(e trace.Event) { b.Take(&e) }
-	take(trace.Event{Kind: trace.Started, Door: 0})
+	take(trace.Event{Kind: trace.DoorStarted, Door: 0})
 	one := func(at float64, n int, end func()) {
-		take(trace.Event{Kind: trace.Asked, At: at, Want: n, Customer: n % 2, Units: 1})
-		take(trace.Event{Kind: trace.Taken, At: at, Want: n, Try: n, Customer: n % 2, Units: 1, Until: at + 2000})
+		take(trace.Event{Kind: trace.Asked, At: at, Request: n, Customer: n % 2, Units: 1})
+		take(trace.Event{Kind: trace.Accepted, At: at, Request: n, Try: n, Customer: n % 2, Units: 1, Deadline: at + 2000})
 		end()
 	}
 	one(0, 0, func() { // rejected though the quota is whole
-		take(trace.Event{Kind: trace.Answered, At: 5, Try: 0, Answer: trace.Rejected, Why: gate.OverQuotaShare})
-		take(trace.Event{Kind: trace.GaveUp, At: 5, Want: 0})
+		take(trace.Event{Kind: trace.Answered, At: 5, Try: 0, Answer: trace.Rejected, Cause: gate.OverQuotaShare})
+		take(trace.Event{Kind: trace.GaveUp, At: 5, Request: 0})
 	})
 	one(10, 2, func() { // late
 		take(trace.Event{Kind: trace.Sent, At: 10, Try: 2})
 		take(trace.Event{Kind: trace.Closed, At: 900, Try: 2, Result: gate.Finished})
-		take(trace.Event{Kind: trace.Got, At: 900, Want: 2, Try: 2, Answer: trace.Finished})
+		take(trace.Event{Kind: trace.Received, At: 900, Request: 2, Try: 2, Answer: trace.Finished})
 	})
 	for n := 4; n < 14; n += 2 { // five more of the same customer at once
 		one(1000, n, func() {
 			take(trace.Event{Kind: trace.Sent, At: 1000, Try: n})
-			take(trace.Event{Kind: trace.Got, At: 1010, Want: n, Try: n, Answer: trace.Finished})
+			take(trace.Event{Kind: trace.Received, At: 1010, Request: n, Try: n, Answer: trace.Finished})
 		})
 	}
-	one(12e3, 1, func() { take(trace.Event{Kind: trace.GaveUp, At: 14e3, Want: 1}) })
+	one(12e3, 1, func() { take(trace.Event{Kind: trace.GaveUp, At: 14e3, Request: 1}) })
 	a := b.Sum()
 	parts := map[string]Part{}
 	for _, p := range a.Parts {
@@ -57,9 +57,9 @@
 }
 
 func TestADoorThatDiesLosesWhatItHolds(t *testing.T) {
-	b := NewBook(&judge.Deal{Classes: []gate.Class{{Contract: 500, Gain: 1}}, Plans: []gate.Plan{{Rate: 1, Depth: 4, Price: 1}}, OverCost: []float64{1}})
-	for _, e := range []trace.Event{{Kind: trace.Started, Door: 3}, {Kind: trace.Asked, Want: 1, Units: 1}, {Kind: trace.Taken, Want: 1, Try: 1, Door: 3, Units: 1},
-		{Kind: trace.Died, At: 10, Door: 3}, {Kind: trace.GaveUp, At: 20, Want: 1}} {
+	b := NewCollector(&judge.Params{Classes: []gate.Class{{Contract: 500, Gain: 1}}, Plans: []gate.Plan{{Rate: 1, Depth: 4, Price: 1}}, OverQuotaCost: []float64{1}})
+	for _, e := range []trace.Event{{Kind: trace.DoorStarted, Door: 3}, {Kind: trace.Asked, Request: 1, Units: 1}, {Kind: trace.Accepted, Request: 1, Try: 1, Door: 3, Units: 1},
+		{Kind: trace.DoorDied, At: 10, Door: 3}, {Kind: trace.GaveUp, At: 20, Request: 1}} {
 		b.Take(&e)
 	}
 	require.Len(t, b.Sum().Parts, 1)
--- a/lab/command/load.go
+++ b/lab/command/load.go
@@ -29,7 +29,7 @@
 func loads() *cobra.Command {
 	var r load.Run
 	var k load.Knee
-	var d load.Door
+	var d load.DoorRequests
 	var path, hist string
 	var knee, anywhere bool
 	cmd := &cobra.Command{Use: "load", Short: "Load a door, or any HTTP/1.1 server, open-loop: at a fixed rate, or up to its knee", Args: cobra.NoArgs,
@@ -40,15 +40,15 @@
 				return err
 			}
 			d.Host, d.Seed = r.Target, r.Seed
-			if r.Word = d.Word; path != "" {
-				r.Word = load.Get(r.Target, path)
+			if r.Request = d.Format; path != "" {
+				r.Request = load.Get(r.Target, path)
 			}
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			defer t.Flush()
 			head := "asked/s\tfinished/s\trejected\tfailed\tp50\tp99\tp99.9\tmost\ttool late by\t"
 			line := func(rate float64, o *load.Outcome) string {
 				return fmt.Sprintf("%.0f\t%.0f\t%d\t%d\t%v\t%v\t%v\t%v\t%v\t", rate, o.Rate(), o.Rejected, o.Failed, o.At(50), o.At(99), o.At(99.9),
-					o.At(100), o.Behind.Round(time.Microsecond))
+					o.At(100), o.MaxLag.Round(time.Microsecond))
 			}
 			if knee {
 				k.Run = r
@@ -71,7 +71,7 @@
 				return nil
 			}
 			tell, end := bar(cmd, r.Target)
-			o, err := r.Play(cmd.Context(), func(done float64) { tell(done, 1) })
+			o, err := r.Execute(cmd.Context(), func(done float64) { tell(done, 1) })
 			end()
 			if err != nil {
 				return err
@@ -94,14 +94,14 @@
 	f.StringVar(&r.Target, "target", "127.0.0.1:8000", "host:port")
 	f.BoolVar(&anywhere, "anywhere", false, "load a machine other than this one")
 	f.Float64Var(&r.Rate, "rate", 100, "operations a second; with --knee, where the search begins")
-	f.DurationVar(&r.For, "for", 10*time.Second, "how long, of one step with --knee")
+	f.DurationVar(&r.Duration, "for", 10*time.Second, "how long, of one step with --knee")
 	f.IntVar(&r.Conns, "conns", 64, "connections at most")
 	f.BoolVar(&r.Poisson, "poisson", true, "random gaps in place of even ones")
-	f.DurationVar(&r.Patience, "patience", 5*time.Second, "after which an operation has failed")
+	f.DurationVar(&r.Timeout, "patience", 5*time.Second, "after which an operation has failed")
 	f.Uint64Var(&r.Seed, "seed", 1, "of gaps, customers and ids")
 	f.BoolVar(&knee, "knee", false, "search the highest rate that holds")
 	f.DurationVar(&k.P99, "p99", 100*time.Millisecond, "that a rate must keep")
-	f.Float64Var(&k.Least, "least", 0.99, "share of the operations that must be finished")
+	f.Float64Var(&k.MinFinished, "least", 0.99, "share of the operations that must be finished")
 	f.IntVar(&k.Steps, "steps", 5, "halvings of the gap")
 	f.StringVar(&d.Class, "profile", "look", "of the operations")
 	f.StringVar(&d.Plan, "plan", "basic", "of the customers")
@@ -151,7 +151,7 @@
 	f.IntVar(&b.Rounds, "rounds", 3, "turns of each at each rate")
 	f.IntVar(&b.Conns, "conns", 64, "connections at most")
 	f.DurationVar(&b.Knee.P99, "p99", 20*time.Millisecond, "that the knee must keep")
-	f.Float64Var(&b.Knee.Least, "least", 0.99, "share that must be finished at the knee")
+	f.Float64Var(&b.Knee.MinFinished, "least", 0.99, "share that must be finished at the knee")
 	f.IntVar(&b.Knee.Steps, "steps", 5, "halvings of the gap at the knee")
 	f.Float64Var(&b.Knee.Run.Rate, "from", 1000, "rate where the search for the knee begins")
 	return cmd
--- a/lab/judge/rules.go
+++ b/lab/judge/rules.go
@@ -24,39 +24,39 @@
 // AllRules lists them in the order of their numbers.
 var AllRules = []Rule{NoneLost, NoneTwice, DrainsKept, ColdSpared, CeilingKept}
 
-// Breach is one broken rule.
-type Breach struct {
+// Violation is one broken rule.
+type Violation struct {
 	Rule Rule    `json:"rule"`
 	At   float64 `json:"at_ms"`
 	Door int     `json:"door"`
 	Text string  `json:"text"`
 }
 
-// Deal is what the checkers and the service need to know of a day.
-type Deal struct {
-	Classes        []gate.Class
-	Plans          []gate.Plan
-	OverCost       []float64 // by plan
-	CeilingSlack   []float64 // by plan, units
-	MaxAttempts    int
-	Hedging        bool
-	AnswerSlack    float64 // ms
-	DrainGrace     float64 // ms
-	FallMultiple   float64
-	FallWindow     float64 // ms
-	Slack          float64 // ms by which every limit of time is longer, as on sockets
-	CeilingSlackMs float64 // of the ceiling's rate, by which its slack is wider, as on sockets
-	Seconds        float64
-	Goal           Goal
-	Prices         Prices
+// Params is what the checkers and the service need to know of a day.
+type Params struct {
+	Classes          []gate.Class
+	Plans            []gate.Plan
+	OverQuotaCost    []float64 // by plan
+	CeilingSlack     []float64 // by plan, units
+	MaxAttempts      int
+	Hedging          bool
+	AnswerSlack      float64 // ms
+	DrainGrace       float64 // ms
+	OverloadMultiple float64
+	OverloadWindow   float64 // ms
+	Slack            float64 // ms by which every limit of time is longer, as on sockets
+	CeilingSlackMs   float64 // of the ceiling's rate, by which its slack is wider, as on sockets
+	Seconds          float64
+	Goal             Goal
+	Prices           Prices
 }
 
 const mostBreaches = 20 // of a rule that are kept; the rest is counted
 
 // Rules checks all five.
 type Rules struct {
-	deal     *Deal
-	Breaches []Breach
+	deal     *Params
+	Breaches []Violation
 	Count    map[Rule]int
 
 	tries    map[int]*try
@@ -102,14 +102,14 @@
 	return s.Level
 }
 
-func NewRules(d *Deal) *Rules {
-	return &Rules{deal: d, Breaches: []Breach{}, Count: map[Rule]int{}, tries: map[int]*try{}, told: map[pair]telling{},
+func NewRules(d *Params) *Rules {
+	return &Rules{deal: d, Breaches: []Violation{}, Count: map[Rule]int{}, tries: map[int]*try{}, told: map[pair]telling{},
 		cold: map[int]*trace.ColdBudget{}, fallen: map[int]bool{}, ceilings: map[int]*Store{}}
 }
 
 func (r *Rules) breach(rule Rule, e *trace.Event, format string, args ...any) {
 	if r.Count[rule]++; r.Count[rule] <= mostBreaches {
-		r.Breaches = append(r.Breaches, Breach{rule, e.At, e.Door, fmt.Sprintf(format, args...)})
+		r.Breaches = append(r.Breaches, Violation{rule, e.At, e.Door, fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -124,9 +124,9 @@
 			func(p int) float64 { return r.deal.Plans[p].CeilingDepth })
 	}
 	switch e.Kind {
-	case trace.Taken:
+	case trace.Accepted:
 		t := r.fresh()
-		t.door, t.customer, t.plan, t.class, t.units, t.until = e.Door, e.Customer, e.Plan, e.Class, e.Units, e.Until
+		t.door, t.customer, t.plan, t.class, t.units, t.until = e.Door, e.Customer, e.Plan, e.Class, e.Units, e.Deadline
 		if r.tries[e.Try] != nil {
 			r.breach(NoneLost, e, "try %d taken twice", e.Try)
 		}
@@ -134,8 +134,8 @@
 	case trace.Sent:
 		r.sent(e)
 	case trace.Closed:
-		if t := r.tries[e.Try]; t != nil && t.door == e.Door && e.Number < len(t.sends) {
-			t.sends[e.Number].closed, t.sends[e.Number].never = true, e.Result.NeverRan()
+		if t := r.tries[e.Try]; t != nil && t.door == e.Door && e.Attempt < len(t.sends) {
+			t.sends[e.Attempt].closed, t.sends[e.Attempt].never = true, e.Result.NeverRan()
 		}
 	case trace.Answered:
 		r.answered(e)
@@ -144,14 +144,14 @@
 			r.breach(NoneLost, e, "the connection of try %d was ended without an answer", e.Try)
 			r.drop(e.Try)
 		}
-	case trace.Left:
+	case trace.ClientLeft:
 		if t := r.tries[e.Try]; t != nil {
 			if e.At > t.until+r.deal.AnswerSlack+r.deal.Slack {
 				r.breach(NoneLost, e, "try %d was not answered while its client waited", e.Try)
 			}
 			r.drop(e.Try)
 		}
-	case trace.Died:
+	case trace.DoorDied:
 		for id, t := range r.tries {
 			if t.door == e.Door {
 				r.drop(id)
@@ -162,19 +162,19 @@
 				delete(r.told, p)
 			}
 		}
-	case trace.Told:
+	case trace.StatusSeen:
 		if e.Status == gate.Up {
 			delete(r.told, pair{e.Door, e.Backend})
 		} else if was, known := r.told[pair{e.Door, e.Backend}]; !known || was.status == gate.Up {
 			r.told[pair{e.Door, e.Backend}] = telling{e.Status, e.At}
 		}
-	case trace.Began:
+	case trace.BackendStarted:
 		delete(r.fallen, e.Backend)
-		r.cold[e.Backend] = &trace.ColdBudget{Capacity: e.Work, From: e.Cold, Span: e.Span, Began: e.At,
-			Multiple: r.deal.FallMultiple, Window: r.deal.FallWindow}
-	case trace.Came:
+		r.cold[e.Backend] = &trace.ColdBudget{Capacity: e.Work, ColdShare: e.ColdShare, WarmupTime: e.WarmupTime, StartedAt: e.At,
+			Multiple: r.deal.OverloadMultiple, Window: r.deal.OverloadWindow}
+	case trace.Arrived:
 		r.came(e)
-	case trace.Over:
+	case trace.Ended:
 		r.overdue(e)
 	}
 }
@@ -318,11 +318,11 @@
 		delete(r.cold, e.Backend)
 		return
 	}
-	over, knowing := c.Take(e.At, e.Work, e.Told)
+	over, knowing := c.Add(e.At, e.Work, e.KnowsStart)
 	if over {
 		r.fallen[e.Backend] = true
 	}
 	if over && knowing {
-		r.breach(ColdSpared, e, "backend %d pushed over %.0f ms after its start", e.Backend, e.At-c.Began)
+		r.breach(ColdSpared, e, "backend %d pushed over %.0f ms after its start", e.Backend, e.At-c.StartedAt)
 	}
 }
--- a/lab/judge/rules_test.go
+++ b/lab/judge/rules_test.go
@@ -101,7 +101,7 @@
 func inTurn(c *careless, op int) int { return c.up[op%len(c.up)] }
 
 // played judges a day of a decider.
-func played(t *testing.T, more string, c careless) *judge.Judge {
+func played(t *testing.T, more string, c careless) *judge.Verifier {
 	s, err := scenario.Read([]byte(world + more))
 	require.NoError(t, err)
 	j := judge.New(model.Deal(&s))
--- a/lab/judge/service.go
+++ b/lab/judge/service.go
@@ -64,10 +64,10 @@
 
 // Service measures G.
 type Service struct {
-	deal    *Deal
+	deal    *Params
 	Seconds []Second
 	Plans   []Tally
-	Profs   []Tally
+	Classes []Tally
 	Whole   Tally
 	Costs   Costs
 	Latency []*hdrhistogram.Histogram // by class, of requests answered well, in µs
@@ -107,8 +107,8 @@
 	thinWindow = 0.2 // share of the mean offer under which a window is too thin to be the worst
 )
 
-func NewService(d *Deal) *Service {
-	s := &Service{deal: d, Plans: make([]Tally, len(d.Plans)), Profs: make([]Tally, len(d.Classes)),
+func NewService(d *Params) *Service {
+	s := &Service{deal: d, Plans: make([]Tally, len(d.Plans)), Classes: make([]Tally, len(d.Classes)),
 		wants: map[int]*want{}, tries: map[int]*sold{}, ideal: map[int]*Store{}, quota: map[int]*quota{},
 		recent: hdrhistogram.New(1, histMost, 2)}
 	for range d.Classes {
@@ -127,7 +127,7 @@
 
 // tallies are those that a request counts in.
 func (s *Service) tallies(w *want) [4]*Tally {
-	return [4]*Tally{&s.Whole, &s.Plans[w.plan], &s.Profs[w.class], &s.second(w.at).Tally}
+	return [4]*Tally{&s.Whole, &s.Plans[w.plan], &s.Classes[w.class], &s.second(w.at).Tally}
 }
 
 func fresh[T any](spare *[]*T) *T {
@@ -145,48 +145,48 @@
 	switch e.Kind {
 	case trace.Asked:
 		s.asked(e)
-	case trace.Taken:
+	case trace.Accepted:
 		s.Costs.Tries++
 		t := fresh(&s.spareT)
-		t.want, t.door, t.customer, t.plan = e.Want, e.Door, e.Customer, e.Plan
-		t.units, t.taken, t.until = e.Units, e.At, e.Until
+		t.want, t.door, t.customer, t.plan = e.Request, e.Door, e.Customer, e.Plan
+		t.units, t.taken, t.until = e.Units, e.At, e.Deadline
 		s.tries[e.Try] = t
 	case trace.Sent:
 		s.sent(e)
-	case trace.Came:
+	case trace.Arrived:
 		if t := s.tries[e.Try]; t != nil {
 			t.came = true
 		}
 	case trace.Closed:
 		if t := s.tries[e.Try]; t != nil {
-			s.close(t, e.Number)
+			s.close(t, e.Attempt)
 		}
 	case trace.Answered:
 		s.answered(e)
-	case trace.Got:
+	case trace.Received:
 		s.got(e)
 	case trace.GaveUp:
-		if w := s.wants[e.Want]; w != nil {
+		if w := s.wants[e.Request]; w != nil {
 			for _, t := range s.tallies(w) {
 				t.Unserved++
 			}
-			s.forget(e.Want, w)
+			s.forget(e.Request, w)
 		}
-	case trace.Left, trace.Dropped:
+	case trace.ClientLeft, trace.Dropped:
 		s.end(e.Try)
-	case trace.Died:
+	case trace.DoorDied:
 		for id, t := range s.tries {
 			if t.door == e.Door {
 				s.end(id)
 			}
 		}
-	case trace.Counted:
+	case trace.CounterCalled:
 		s.Costs.CounterCalls++
 	case trace.Probed:
 		s.Costs.Probes++
 	case trace.Connected:
 		s.Costs.Connections++
-	case trace.Fell:
+	case trace.Collapsed:
 		s.Costs.Fallen++
 	case trace.Wasted:
 		s.Costs.WastedMs += e.Work
@@ -196,7 +196,7 @@
 		if e.Twice {
 			s.Costs.EffectsTwice++
 		}
-	case trace.Over:
+	case trace.Ended:
 		s.roll(len(s.Seconds) + 1)
 		for id, w := range s.wants {
 			for _, t := range s.tallies(w) {
@@ -218,7 +218,7 @@
 	w := fresh(&s.spareW)
 	w.at, w.customer, w.plan, w.class = e.At, e.Customer, e.Plan, e.Class
 	w.worth = s.deal.Classes[e.Class].Gain * p.Price * e.Units
-	s.wants[e.Want] = w
+	s.wants[e.Request] = w
 	b := s.ideal[e.Customer]
 	if b == nil {
 		b = &Store{Level: p.Depth, At: e.At, plan: e.Plan}
@@ -264,13 +264,13 @@
 			q.Level -= t.units
 		} else {
 			s.Costs.BeyondUnits += t.units
-			s.charge(t.want, s.deal.OverCost[t.plan], true)
+			s.charge(t.want, s.deal.OverQuotaCost[t.plan], true)
 		}
 	}
 	if t.out == nil {
 		t.out = map[int]struct{}{}
 	}
-	t.out[e.Number] = struct{}{}
+	t.out[e.Attempt] = struct{}{}
 	q.out++
 }
 
@@ -340,7 +340,7 @@
 }
 
 func (s *Service) got(e *trace.Event) {
-	t, w := s.tries[e.Try], s.wants[e.Want]
+	t, w := s.tries[e.Try], s.wants[e.Request]
 	if e.Answer != trace.Finished || w == nil {
 		return
 	}
@@ -365,7 +365,7 @@
 			ta.Late++
 		}
 	}
-	s.forget(e.Want, w)
+	s.forget(e.Request, w)
 	s.end(e.Try)
 }
 
@@ -416,8 +416,8 @@
 			p.WorstWindow, p.WorstAt = share, at
 		}
 	}
-	for i := range s.Profs {
-		p.WorstClass = min(p.WorstClass, s.Profs[i].share())
+	for i := range s.Classes {
+		p.WorstClass = min(p.WorstClass, s.Classes[i].share())
 	}
 	for i := range s.Plans {
 		p.WorstPlan = min(p.WorstPlan, s.Plans[i].share())
@@ -431,16 +431,16 @@
 	return p
 }
 
-// Judge is both.
-type Judge struct {
+// Verifier is both.
+type Verifier struct {
 	Rules   *Rules
 	Service *Service
 	Events  int
 }
 
-func New(d *Deal) *Judge { return &Judge{Rules: NewRules(d), Service: NewService(d)} }
+func New(d *Params) *Verifier { return &Verifier{Rules: NewRules(d), Service: NewService(d)} }
 
-func (j *Judge) Take(e *trace.Event) {
+func (j *Verifier) Take(e *trace.Event) {
 	j.Events++
 	j.Rules.Take(e)
 	j.Service.Take(e)
--- a/lab/load/errors.go
+++ b/lab/load/errors.go
@@ -8,20 +8,20 @@
 
 // RunError is a run that can't be played as it was told.
 type RunError struct {
-	What  string // that is wrong, with its value
-	Says  string
-	Cause error
+	Parameter string // that is wrong, with its value
+	Reason    string
+	Cause     error
 }
 
 func (e *RunError) Error() string {
-	return "load: " + e.What + ": " + remedy.WithCause(e.Says, e.Cause)
+	return "load: " + e.Parameter + ": " + remedy.WithCause(e.Reason, e.Cause)
 }
 func (e *RunError) Unwrap() error     { return e.Cause }
 func (e *RunError) Kind() remedy.Kind { return remedy.Usage }
 
 // Remedy names the figure.
 func (e *RunError) Remedy() string {
-	return fmt.Sprintf("Give another figure for %s; swifthall lab load --help lists the flags.", e.What)
+	return fmt.Sprintf("Give another figure for %s; swifthall lab load --help lists the flags.", e.Parameter)
 }
 
 // StoppedError is a run that was ended before its time.
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -23,25 +23,25 @@
 type Run struct {
 	Target   string             // host:port
 	Rate     float64            // requests a second
-	For      time.Duration      // of sending
+	Duration time.Duration      // of sending
 	Conns    int                // connections at most; what finds none free waits, and its latency grows
 	Poisson  bool               // random gaps in place of even ones
 	Seed     uint64             // of the gaps
-	Word     func(i int) string // the bytes of request i
-	Patience time.Duration      // after which a request counts as failed
-	Enough   <-chan struct{}    // closed to have no more requests begin before the time is over; nil for none
+	Request  func(i int) string // the bytes of request i
+	Timeout  time.Duration      // after which a request counts as failed
+	Stop     <-chan struct{}    // closed to have no more requests begin before the time is over; nil for none
 }
 
 // Outcome is what came of a run. Latencies are µs from the intended start, of all that was answered 200.
 type Outcome struct {
 	Asked, Finished, Rejected, Failed int
-	Took                              time.Duration
+	Elapsed                           time.Duration
 	Latency                           *hdrhistogram.Histogram
-	Behind                            time.Duration // how late the tool itself was at the worst in handing out a request
+	MaxLag                            time.Duration // how late the tool itself was at the worst in handing out a request
 }
 
 // Rate is what was finished a second.
-func (o *Outcome) Rate() float64 { return float64(o.Finished) / o.Took.Seconds() }
+func (o *Outcome) Rate() float64 { return float64(o.Finished) / o.Elapsed.Seconds() }
 
 // At is a quantile of the latency.
 func (o *Outcome) At(q float64) time.Duration {
@@ -59,18 +59,18 @@
 func (r *Run) check() error {
 	switch {
 	case !(r.Rate > 0 && r.Rate <= mostRate):
-		return &RunError{What: fmt.Sprintf("rate %g", r.Rate), Says: fmt.Sprintf("above 0 and up to %g is wanted", mostRate)}
-	case r.For <= 0:
-		return &RunError{What: fmt.Sprintf("length %v", r.For), Says: "above 0 is wanted"}
-	case r.Rate*r.For.Seconds() > mostAsked:
-		return &RunError{What: fmt.Sprintf("rate %g for %v", r.Rate, r.For), Says: fmt.Sprintf("over %g operations", float64(mostAsked))}
+		return &RunError{Parameter: fmt.Sprintf("rate %g", r.Rate), Reason: fmt.Sprintf("above 0 and up to %g is wanted", mostRate)}
+	case r.Duration <= 0:
+		return &RunError{Parameter: fmt.Sprintf("length %v", r.Duration), Reason: "above 0 is wanted"}
+	case r.Rate*r.Duration.Seconds() > mostAsked:
+		return &RunError{Parameter: fmt.Sprintf("rate %g for %v", r.Rate, r.Duration), Reason: fmt.Sprintf("over %g operations", float64(mostAsked))}
 	case r.Conns < 1 || r.Conns > mostConns:
-		return &RunError{What: fmt.Sprintf("%d connections", r.Conns), Says: fmt.Sprintf("1 to %d are wanted", mostConns)}
-	case r.Patience <= 0:
-		return &RunError{What: fmt.Sprintf("patience %v", r.Patience), Says: "above 0 is wanted"}
+		return &RunError{Parameter: fmt.Sprintf("%d connections", r.Conns), Reason: fmt.Sprintf("1 to %d are wanted", mostConns)}
+	case r.Timeout <= 0:
+		return &RunError{Parameter: fmt.Sprintf("patience %v", r.Timeout), Reason: "above 0 is wanted"}
 	}
 	if _, _, err := net.SplitHostPort(r.Target); err != nil {
-		return &RunError{What: fmt.Sprintf("target %q", r.Target), Cause: err}
+		return &RunError{Parameter: fmt.Sprintf("target %q", r.Target), Cause: err}
 	}
 	return nil
 }
@@ -87,13 +87,13 @@
 	latency                    *hdrhistogram.Histogram
 }
 
-// Play plays the run. progress hears how much of it is over, 0 to 1.
-func (r *Run) Play(ctx context.Context, progress func(done float64)) (*Outcome, error) {
+// Execute plays the run. progress hears how much of it is over, 0 to 1.
+func (r *Run) Execute(ctx context.Context, progress func(done float64)) (*Outcome, error) {
 	if err := r.check(); err != nil {
 		return nil, err
 	}
 	// All that will be due fits in, so that handing out never waits for a connection.
-	dues := make(chan due, int(r.Rate*r.For.Seconds()*1.5)+1000)
+	dues := make(chan due, int(r.Rate*r.Duration.Seconds()*1.5)+1000)
 	tallies := make([]tally, r.Conns)
 	var busy atomic.Int64
 	var group sync.WaitGroup
@@ -103,7 +103,7 @@
 	dice := rand.New(rand.NewPCG(r.Seed, 0))
 	at := began
 	started := 0
-	for at.Sub(began) < r.For && ctx.Err() == nil && !r.enough() {
+	for at.Sub(began) < r.Duration && ctx.Err() == nil && !r.enough() {
 		if wait := time.Until(at); wait > 0 {
 			time.Sleep(wait)
 		} else {
@@ -125,12 +125,12 @@
 			at = began.Add(time.Duration(float64(asked) * gap * float64(time.Second)))
 		}
 		if progress != nil {
-			progress(min(1, float64(at.Sub(began))/float64(r.For)))
+			progress(min(1, float64(at.Sub(began))/float64(r.Duration)))
 		}
 	}
 	close(dues)
 	group.Wait()
-	o := &Outcome{Asked: asked, Took: time.Since(began), Latency: hdrhistogram.New(1, histMost, histDigits), Behind: behind}
+	o := &Outcome{Asked: asked, Elapsed: time.Since(began), Latency: hdrhistogram.New(1, histMost, histDigits), MaxLag: behind}
 	for i := range tallies[:started] {
 		t := &tallies[i]
 		o.Finished, o.Rejected, o.Failed = o.Finished+t.finished, o.Rejected+t.rejected, o.Failed+t.failed
@@ -144,7 +144,7 @@
 
 func (r *Run) enough() bool {
 	select {
-	case <-r.Enough:
+	case <-r.Stop:
 		return true
 	default:
 		return false
@@ -171,7 +171,7 @@
 		for attempt := 0; attempt < 2 && err != nil; attempt++ {
 			used := nc != nil
 			if !used {
-				if nc, err = net.DialTimeout("tcp", r.Target, r.Patience); err != nil {
+				if nc, err = net.DialTimeout("tcp", r.Target, r.Timeout); err != nil {
 					break
 				}
 				in = bufio.NewReader(nc)
@@ -203,10 +203,10 @@
 }
 
 func (r *Run) one(nc net.Conn, in *bufio.Reader, d due) (status int, last bool, err error) {
-	if err := nc.SetDeadline(d.at.Add(r.Patience)); err != nil {
+	if err := nc.SetDeadline(d.at.Add(r.Timeout)); err != nil {
 		return 0, false, err
 	}
-	if _, err := io.WriteString(nc, r.Word(d.number)); err != nil {
+	if _, err := io.WriteString(nc, r.Request(d.number)); err != nil {
 		return 0, false, errCrossed
 	}
 	if _, err := in.Peek(1); err != nil {
@@ -229,10 +229,10 @@
 
 // Knee searches the highest rate at which a run holds.
 type Knee struct {
-	Run                 // of one step; its rate is where the search begins
-	P99   time.Duration // latency that a rate must keep
-	Least float64       // share of the requests that must be finished
-	Steps int           // of the bisection
+	Run                       // of one step; its rate is where the search begins
+	P99         time.Duration // latency that a rate must keep
+	MinFinished float64       // share of the requests that must be finished
+	Steps       int           // of the bisection
 }
 
 // Step is one rate that was tried.
@@ -249,7 +249,7 @@
 
 // holds tells whether an outcome is good enough. A run in which the tool itself was late says nothing good of a rate.
 func (k *Knee) holds(o *Outcome) bool {
-	return float64(o.Finished) >= k.Least*float64(o.Asked) && o.At(99) <= k.P99
+	return float64(o.Finished) >= k.MinFinished*float64(o.Asked) && o.At(99) <= k.P99
 }
 
 // Find raises the rate until it no longer holds, and halves the gap from there. It returns the highest rate that held, 0
@@ -259,7 +259,7 @@
 	try := func(rate float64) (bool, error) {
 		r := k.Run
 		r.Rate = rate
-		o, err := r.Play(ctx, nil)
+		o, err := r.Execute(ctx, nil)
 		if err != nil {
 			return false, err
 		}
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -32,8 +32,8 @@
 			w.WriteHeader(http.StatusBadGateway)
 		}
 	})
-	r := Run{Target: to, Rate: 400, For: 500 * time.Millisecond, Conns: 8, Word: get, Patience: 5 * time.Second, Poisson: true, Seed: 1}
-	o, err := r.Play(context.Background(), nil)
+	r := Run{Target: to, Rate: 400, Duration: 500 * time.Millisecond, Conns: 8, Request: get, Timeout: 5 * time.Second, Poisson: true, Seed: 1}
+	o, err := r.Execute(context.Background(), nil)
 	require.NoError(t, err)
 	assert.Equal(t, o.Asked, o.Finished+o.Rejected+o.Failed)
 	assert.Equal(t, int64(o.Finished), o.Latency.TotalCount())
@@ -52,8 +52,8 @@
 		}
 		<-release
 	})
-	r := Run{Target: to, Rate: 100, For: 300 * time.Millisecond, Conns: 1, Word: get, Patience: 10 * time.Second}
-	o, err := r.Play(context.Background(), nil)
+	r := Run{Target: to, Rate: 100, Duration: 300 * time.Millisecond, Conns: 1, Request: get, Timeout: 10 * time.Second}
+	o, err := r.Execute(context.Background(), nil)
 	require.NoError(t, err)
 	require.Equal(t, o.Asked, o.Finished)
 	// All 30 were due within the stall, on the one connection that it held up: none of them can have been quick.
@@ -65,16 +65,16 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ln.Close()
-	r := Run{Target: ln.Addr().String(), Rate: 50, For: 100 * time.Millisecond, Conns: 2, Word: get, Patience: time.Second}
-	o, err := r.Play(context.Background(), nil)
+	r := Run{Target: ln.Addr().String(), Rate: 50, Duration: 100 * time.Millisecond, Conns: 2, Request: get, Timeout: time.Second}
+	o, err := r.Execute(context.Background(), nil)
 	require.NoError(t, err)
 	assert.Equal(t, o.Asked, o.Failed)
 }
 
 func TestAClosedConnectionIsNoFailure(t *testing.T) {
 	to := target(t, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Connection", "close") })
-	r := Run{Target: to, Rate: 100, For: 300 * time.Millisecond, Conns: 2, Word: get, Patience: 5 * time.Second}
-	o, err := r.Play(context.Background(), nil)
+	r := Run{Target: to, Rate: 100, Duration: 300 * time.Millisecond, Conns: 2, Request: get, Timeout: 5 * time.Second}
+	o, err := r.Execute(context.Background(), nil)
 	require.NoError(t, err)
 	assert.Equal(t, o.Asked, o.Finished)
 }
@@ -88,8 +88,8 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	k := Knee{Run: Run{Target: to, Rate: 100, For: 200 * time.Millisecond, Conns: 16, Word: get, Patience: 5 * time.Second},
-		P99: 10 * time.Second, Least: 1, Steps: 2}
+	k := Knee{Run: Run{Target: to, Rate: 100, Duration: 200 * time.Millisecond, Conns: 16, Request: get, Timeout: 5 * time.Second},
+		P99: 10 * time.Second, MinFinished: 1, Steps: 2}
 	rate, steps, err := k.Find(context.Background(), nil)
 	require.NoError(t, err)
 	for _, s := range steps {
@@ -103,14 +103,14 @@
 }
 
 func TestWhatCannotBeAskedIsSaid(t *testing.T) {
-	good := Run{Target: "127.0.0.1:1", Rate: 1, For: time.Second, Conns: 1, Word: get, Patience: time.Second}
+	good := Run{Target: "127.0.0.1:1", Rate: 1, Duration: time.Second, Conns: 1, Request: get, Timeout: time.Second}
 	for says, spoil := range map[string]func(*Run){
-		"rate": func(r *Run) { r.Rate = 0 }, "length": func(r *Run) { r.For = 0 }, "connections": func(r *Run) { r.Conns = 0 },
-		"patience": func(r *Run) { r.Patience = 0 }, "target": func(r *Run) { r.Target = "nowhere" },
+		"rate": func(r *Run) { r.Rate = 0 }, "length": func(r *Run) { r.Duration = 0 }, "connections": func(r *Run) { r.Conns = 0 },
+		"patience": func(r *Run) { r.Timeout = 0 }, "target": func(r *Run) { r.Target = "nowhere" },
 	} {
 		r := good
 		spoil(&r)
-		_, err := r.Play(context.Background(), nil)
+		_, err := r.Execute(context.Background(), nil)
 		assert.ErrorContains(t, err, says, fmt.Sprint(r.Rate))
 	}
 }
--- a/lab/load/word.go
+++ b/lab/load/word.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 )
 
-// Door words requests as the platform's clients do.
-type Door struct {
+// DoorRequests words requests as the platform's clients do.
+type DoorRequests struct {
 	Host      string
 	Class     string
 	Plan      string
@@ -16,8 +16,8 @@
 	Seed      uint64 // of the customers and of the ids
 }
 
-// Word returns the bytes of request i, and keeps to itself no state that calls share.
-func (d Door) Word(i int) string {
+// Format returns the bytes of request i, and keeps to itself no state that calls share.
+func (d DoorRequests) Format(i int) string {
 	dice := rand.New(rand.NewPCG(d.Seed, uint64(i)))
 	customer, id := dice.IntN(max(1, d.Customers)), dice.Uint64()
 	method, rest, body := "GET", "", ""
--- a/lab/model/backend.go
+++ b/lab/model/backend.go
@@ -114,7 +114,7 @@
 	}
 	speed := b.speed
 	if b.budget != nil {
-		speed *= b.budget.Now(now) / b.budget.Capacity
+		speed *= b.budget.CapacityAt(now) / b.budget.Capacity
 	}
 	for _, h := range b.hurts {
 		if h.fault.Kind == "slow" {
@@ -157,11 +157,11 @@
 	if j.opened {
 		j.work += b.machine.HandshakeMs
 	}
-	w.tell(trace.Event{Kind: trace.Came, Try: t.ID, Door: t.Door, Number: j.Number, Backend: b.id, Work: j.work, Told: w.knows(t.Door, b)})
+	w.tell(trace.Event{Kind: trace.Arrived, Try: t.ID, Door: t.Door, Attempt: j.Number, Backend: b.id, Work: j.work, KnowsStart: w.knows(t.Door, b)})
 	if b.budget != nil && !b.fallen {
 		if !b.budget.Cold(w.now) {
 			b.budget = nil
-		} else if over, _ := b.budget.Take(w.now, j.work, w.knows(t.Door, b)); over {
+		} else if over, _ := b.budget.Add(w.now, j.work, w.knows(t.Door, b)); over {
 			b.topple(w)
 			return
 		}
@@ -296,7 +296,7 @@
 func (b *backend) topple(w *World) {
 	b.settle(w.now)
 	b.fallen = true
-	w.tell(trace.Event{Kind: trace.Fell, Backend: b.id})
+	w.tell(trace.Event{Kind: trace.Collapsed, Backend: b.id})
 	b.plan(w)
 }
 
@@ -304,9 +304,9 @@
 func (b *backend) start(w *World) {
 	b.up, b.since, b.status = true, w.now, gate.Up
 	b.at = w.now
-	b.budget = &trace.ColdBudget{Capacity: b.capacity(), From: b.machine.ColdFrom, Span: b.machine.ColdS * 1000, Began: w.now,
+	b.budget = &trace.ColdBudget{Capacity: b.capacity(), ColdShare: b.machine.ColdFrom, WarmupTime: b.machine.ColdS * 1000, StartedAt: w.now,
 		Multiple: w.s.Rules.FallMultiple, Window: w.s.Rules.FallMs}
-	w.tell(trace.Event{Kind: trace.Began, Backend: b.id, Work: b.capacity(), Cold: b.machine.ColdFrom, Span: b.machine.ColdS * 1000})
+	w.tell(trace.Event{Kind: trace.BackendStarted, Backend: b.id, Work: b.capacity(), ColdShare: b.machine.ColdFrom, WarmupTime: b.machine.ColdS * 1000})
 	w.at(w.now+refreshEvery, due{kind: dueRefresh, n: b.id, m: b.life})
 	w.process(b)
 }
--- a/lab/model/clients.go
+++ b/lab/model/clients.go
@@ -334,7 +334,7 @@
 		until: at + c.s.Classes[class].OuterMs}
 	c.nextWant++
 	w.waiting++
-	w.sink.Take(&trace.Event{Kind: trace.Asked, At: at, Want: n.id, Customer: customer, Plan: k.plan, Class: class, Units: units})
+	w.sink.Take(&trace.Event{Kind: trace.Asked, At: at, Request: n.id, Customer: customer, Plan: k.plan, Class: class, Units: units})
 	c.try(w, n, false)
 }
 
@@ -411,7 +411,7 @@
 	}
 	t.over = true
 	if t.answer == trace.Finished {
-		w.tell(trace.Event{Kind: trace.Got, Want: t.want.id, Try: t.ID, Answer: t.answer})
+		w.tell(trace.Event{Kind: trace.Received, Request: t.want.id, Try: t.ID, Answer: t.answer})
 		w.waiting--
 		return
 	}
@@ -466,7 +466,7 @@
 
 func (c *clients) giveUp(w *World, n *want) {
 	w.waiting--
-	w.tell(trace.Event{Kind: trace.GaveUp, Want: n.id})
+	w.tell(trace.Event{Kind: trace.GaveUp, Request: n.id})
 }
 
 // word puts a try in the terms of the decisions.
--- a/lab/model/counter.go
+++ b/lab/model/counter.go
@@ -51,7 +51,7 @@
 // call makes a call from a door. The counter stands in zone 0.
 func (w *World) call(d *door, a gate.Count) {
 	k := &call{door: d.id, life: d.life, name: name{d.customers.ID(a.Customer), a.Epoch}, add: a.Add, keep: a.TTL, at: w.now}
-	w.tell(trace.Event{Kind: trace.Counted, Door: d.id})
+	w.tell(trace.Event{Kind: trace.CounterCalled, Door: d.id})
 	if _, down := w.hurting("counter_down"); down {
 		w.reply(k, w.way(d.zone, 0)+w.way(0, d.zone), gate.Unreachable)
 		return
--- a/lab/model/deal.go
+++ b/lab/model/deal.go
@@ -33,13 +33,13 @@
 }
 
 // Deal is what the judge is told of the scenario.
-func Deal(s *scenario.Scenario) *judge.Deal {
+func Deal(s *scenario.Scenario) *judge.Params {
 	t := Terms(s, 0)
-	d := &judge.Deal{Classes: t.Classes, Plans: t.Plans, MaxAttempts: t.MaxAttempts, Hedging: t.Hedging,
-		AnswerSlack: s.Rules.AnswerSlackMs, DrainGrace: s.Rules.DrainGraceMs, FallMultiple: s.Rules.FallMultiple,
-		FallWindow: s.Rules.FallMs, Seconds: s.Day.Seconds, Goal: judge.Goal(s.Goal), Prices: judge.Prices(s.Prices)}
+	d := &judge.Params{Classes: t.Classes, Plans: t.Plans, MaxAttempts: t.MaxAttempts, Hedging: t.Hedging,
+		AnswerSlack: s.Rules.AnswerSlackMs, DrainGrace: s.Rules.DrainGraceMs, OverloadMultiple: s.Rules.FallMultiple,
+		OverloadWindow: s.Rules.FallMs, Seconds: s.Day.Seconds, Goal: judge.Goal(s.Goal), Prices: judge.Prices(s.Prices)}
 	for _, p := range s.Plans {
-		d.OverCost, d.CeilingSlack = append(d.OverCost, p.OverCost), append(d.CeilingSlack, p.CeilingSlack)
+		d.OverQuotaCost, d.CeilingSlack = append(d.OverQuotaCost, p.OverCost), append(d.CeilingSlack, p.CeilingSlack)
 	}
 	return d
 }
@@ -63,7 +63,7 @@
 	mean := w.s.Classes[class].WorkMs
 	now := b.capacity()
 	if b.budget != nil {
-		now = b.budget.Now(w.now)
+		now = b.budget.CapacityAt(w.now)
 		if now*w.s.Rules.FallMs < mean*coldWorks {
 			return math.Inf(1)
 		}
--- a/lab/model/discovery.go
+++ b/lab/model/discovery.go
@@ -114,7 +114,7 @@
 		for i := range d.told {
 			if t := &d.told[i]; t.known && !named[i] && t.status != gate.Gone {
 				t.status = gate.Gone
-				w.tell(trace.Event{Kind: trace.Told, Door: d.id, Backend: i, Status: gate.Gone})
+				w.tell(trace.Event{Kind: trace.StatusSeen, Door: d.id, Backend: i, Status: gate.Gone})
 			}
 		}
 	}
@@ -124,6 +124,6 @@
 			d.idle = append(d.idle, idleConns{})
 		}
 		d.told[l.backend] = telling{true, l.status, l.since}
-		w.tell(trace.Event{Kind: trace.Told, Door: d.id, Backend: l.backend, Status: l.status})
+		w.tell(trace.Event{Kind: trace.StatusSeen, Door: d.id, Backend: l.backend, Status: l.status})
 	}
 }
--- a/lab/model/door.go
+++ b/lab/model/door.go
@@ -90,7 +90,7 @@
 	if d.outer != nil {
 		d.life++
 		d.up, d.leaving, d.tracking = true, false, true
-		w.tell(trace.Event{Kind: trace.Started, Door: d.id})
+		w.tell(trace.Event{Kind: trace.DoorStarted, Door: d.id})
 		d.note(w, known)
 		d.outer.Start(lines(w, known))
 		w.pass(d, w.whole())
@@ -106,7 +106,7 @@
 	seed := chance(w.seed, chanceDoors<<16|uint64(d.id)<<32|uint64(d.life)).Uint64()
 	d.decider = w.maker.New(Terms(w.s, d.id), seed, sight{w, d})
 	d.tracking = !w.s.Discovery.Ask
-	w.tell(trace.Event{Kind: trace.Started, Door: d.id})
+	w.tell(trace.Event{Kind: trace.DoorStarted, Door: d.id})
 	d.listed = append(d.listed, known)
 	w.moved(d)
 	if w.s.Fleet.MembersMs > 0 && d.life > 1 {
@@ -124,7 +124,7 @@
 		return
 	}
 	d.up, d.diedAt = false, w.now
-	w.tell(trace.Event{Kind: trace.Died, Door: d.id})
+	w.tell(trace.Event{Kind: trace.DoorDied, Door: d.id})
 	w.moved(d)
 	if d.outer != nil {
 		d.outer.Kill()
@@ -202,8 +202,8 @@
 func (w *World) taken(d *door, t *Try) {
 	k := &w.clients.customers[t.want.customer]
 	t.taken = true
-	w.tell(trace.Event{Kind: trace.Taken, Try: t.ID, Want: t.want.id, Door: d.id, Customer: t.want.customer, Plan: k.plan, Class: t.Class,
-		Units: t.want.units, Until: t.until})
+	w.tell(trace.Event{Kind: trace.Accepted, Try: t.ID, Request: t.want.id, Door: d.id, Customer: t.want.customer, Plan: k.plan, Class: t.Class,
+		Units: t.want.units, Deadline: t.until})
 }
 
 // leave is the news that a client has left.
@@ -211,7 +211,7 @@
 	if !t.taken || t.life != d.life || !d.up {
 		return
 	}
-	w.tell(trace.Event{Kind: trace.Left, Try: t.ID, Door: d.id})
+	w.tell(trace.Event{Kind: trace.ClientLeft, Try: t.ID, Door: d.id})
 	if t.answered {
 		return
 	}
@@ -311,7 +311,7 @@
 		if e.result == gate.Finished && !o.over {
 			d.answer(w, t.slot, trace.Finished, 0, gate.Unspecified)
 		}
-		w.tell(trace.Event{Kind: trace.Closed, Try: t.ID, Door: d.id, Number: e.job.Number, Backend: e.job.Backend, Result: e.result})
+		w.tell(trace.Event{Kind: trace.Closed, Try: t.ID, Door: d.id, Attempt: e.job.Number, Backend: e.job.Backend, Result: e.result})
 		b, _ := d.names.Find(e.job.Backend)
 		d.events = append(d.events, gate.AttemptEnded{Op: t.slot, Attempt: e.job.Number, Backend: b, Result: e.result, Latency: e.took,
 			Answered: o.over, MeteredUse: e.use, Queue: -1})
@@ -394,7 +394,7 @@
 		return
 	}
 	t := o.try
-	w.tell(trace.Event{Kind: trace.Answered, Try: t.ID, Door: d.id, Answer: a, Why: why})
+	w.tell(trace.Event{Kind: trace.Answered, Try: t.ID, Door: d.id, Answer: a, Cause: why})
 	t.answered, o.over = true, true
 	t.answer, t.retryAfter = a, retryAfter
 	d.closing = append(d.closing, slot)
@@ -411,7 +411,7 @@
 	t := o.try
 	b := w.backends[d.names.ID(a.Backend)]
 	j := &Job{Try: t, Number: len(o.jobs), Backend: b.id, at: w.now, by: a.StartBy, life: b.life, caller: d}
-	w.tell(trace.Event{Kind: trace.Sent, Try: t.ID, Door: d.id, Number: j.Number, Backend: b.id, Zone: b.zone, Cell: b.cell, Crosses: b.zone != d.zone})
+	w.tell(trace.Event{Kind: trace.Sent, Try: t.ID, Door: d.id, Attempt: j.Number, Backend: b.id, Zone: b.zone, Cell: b.cell, Crosses: b.zone != d.zone})
 	if j.Number == 0 {
 		w.meter.add(w, t.want.customer, t.want.units)
 	}
--- a/lab/model/faults.go
+++ b/lab/model/faults.go
@@ -57,19 +57,19 @@
 
 func (w *World) strike(h *hurt) {
 	f := h.fault
-	switch scenario.Kinds[f.Kind].Whom {
-	case scenario.Backends:
+	switch scenario.Kinds[f.Kind].Target {
+	case scenario.TargetBackends:
 		h.whom = w.pick(len(w.backends), f.Share, func(i int) bool {
 			b := w.backends[i]
 			return b.listed && b.status == gate.Up && b.up && (f.Zone == nil || b.zone == *f.Zone)
 		})
 		w.strikeBackends(h)
-	case scenario.Doors:
+	case scenario.TargetDoors:
 		h.whom = w.pick(len(w.doors), f.Share, func(i int) bool {
 			return w.doors[i].up && (f.Zone == nil || w.doors[i].zone == *f.Zone)
 		})
 		w.strikeDoors(h)
-	case scenario.Clientele:
+	case scenario.TargetClients:
 		w.clients.strike(w, h, f.AtS*1000)
 	default:
 		if f.Kind == "counter_empty" {
@@ -138,8 +138,8 @@
 func (w *World) relieve(h *hurt) {
 	f := h.fault
 	for _, i := range h.whom {
-		switch scenario.Kinds[f.Kind].Whom {
-		case scenario.Backends:
+		switch scenario.Kinds[f.Kind].Target {
+		case scenario.TargetBackends:
 			b := w.backends[i]
 			b.settle(w.now)
 			b.hurts = slices.DeleteFunc(slices.Clone(b.hurts), func(x *hurt) bool { return x == h })
@@ -156,7 +156,7 @@
 			case "hang": // those that hung are cut loose, and nothing comes of them
 			}
 			b.plan(w)
-		case scenario.Doors:
+		case scenario.TargetDoors:
 			if f.Kind == "door_deaths" {
 				w.doors[i].start(w)
 			}
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -286,16 +286,16 @@
 	s := read(t, "\n[[fault]]\nkind = \"door_deaths\"\nat_s = 2.0\nfor_s = 1.0\nshare = 0.7")
 	s.Fleet.Doors, s.Day.TickMs = 300, 4
 	k := play(t, s, 1, ours)
-	assert.Len(t, k.of(trace.Died), 210)
-	assert.Len(t, k.of(trace.Started), 510)
+	assert.Len(t, k.of(trace.DoorDied), 210)
+	assert.Len(t, k.of(trace.DoorStarted), 510)
 	open := map[int]bool{}
 	for _, e := range k.events {
 		switch e.Kind {
 		case trace.Asked:
-			open[e.Want] = true
-		case trace.Got, trace.GaveUp:
-			assert.True(t, open[e.Want], "each want ends once")
-			delete(open, e.Want)
+			open[e.Request] = true
+		case trace.Received, trace.GaveUp:
+			assert.True(t, open[e.Request], "each want ends once")
+			delete(open, e.Request)
 		}
 	}
 	assert.Empty(t, open, "and all end")
--- a/lab/model/outer.go
+++ b/lab/model/outer.go
@@ -82,7 +82,7 @@
 }
 
 // Slack widens a judge's limits as the platform's pages do for sockets.
-func Slack(d *judge.Deal) *judge.Deal {
+func Slack(d *judge.Params) *judge.Params {
 	const onSockets, ceiling = 50, 150 // ms
 	d.Slack, d.CeilingSlackMs = onSockets, ceiling
 	return d
@@ -153,7 +153,7 @@
 			return behind, &StoppedError{w.now / 1000, ctx.Err()}
 		}
 	}
-	w.tell(trace.Event{Kind: trace.Over})
+	w.tell(trace.Event{Kind: trace.Ended})
 	return behind, nil
 }
 
@@ -171,7 +171,7 @@
 func (w *World) Crossed(t *Try) {
 	if t.taken && !t.answered {
 		t.taken = false
-		w.tell(trace.Event{Kind: trace.Left, Try: t.ID, Door: t.Door})
+		w.tell(trace.Event{Kind: trace.ClientLeft, Try: t.ID, Door: t.Door})
 	}
 }
 
@@ -210,7 +210,7 @@
 	}
 	j.handed = true
 	w.backends[j.Backend].owed--
-	w.tell(trace.Event{Kind: trace.Closed, Try: j.Try.ID, Door: o.door, Number: j.Number, Backend: j.Backend, Result: r})
+	w.tell(trace.Event{Kind: trace.Closed, Try: j.Try.ID, Door: o.door, Attempt: j.Number, Backend: j.Backend, Result: r})
 	plan := w.clients.customers[j.Try.want.customer].plan
 	o.reply(r, w.meter.use(w, j.Try.want.customer, w.s.Plans[plan].PerS/1000))
 }
@@ -222,7 +222,7 @@
 		w.Taken(t)
 	}
 	j := &Job{Try: t, Number: number, Backend: backend, at: w.now, life: b.life, opened: connected, caller: outCaller{door, reply}}
-	w.tell(trace.Event{Kind: trace.Sent, Try: t.ID, Door: door, Number: number, Backend: backend, Zone: b.zone, Cell: b.cell,
+	w.tell(trace.Event{Kind: trace.Sent, Try: t.ID, Door: door, Attempt: number, Backend: backend, Zone: b.zone, Cell: b.cell,
 		Crosses: b.zone != w.doors[door].zone})
 	if number == 0 {
 		w.meter.add(w, t.want.customer, t.want.units)
@@ -240,7 +240,7 @@
 	j.handed = true
 	b := w.backends[j.Backend]
 	b.owed--
-	w.tell(trace.Event{Kind: trace.Closed, Try: j.Try.ID, Door: j.Try.Door, Number: j.Number, Backend: b.id, Result: gate.Cancelled})
+	w.tell(trace.Event{Kind: trace.Closed, Try: j.Try.ID, Door: j.Try.Door, Attempt: j.Number, Backend: b.id, Result: gate.Cancelled})
 	b.drop(w, j)
 }
 
@@ -272,7 +272,7 @@
 
 // OutCall is a call of the counter from outside; reply is called once, unless the call or its answer is lost.
 func (w *World) OutCall(door int, id string, add, keep float64, reply func(r gate.Result, total float64)) {
-	w.tell(trace.Event{Kind: trace.Counted, Door: door})
+	w.tell(trace.Event{Kind: trace.CounterCalled, Door: door})
 	if _, down := w.hurting("counter_down"); down || w.cut(w.doors[door].zone, 0) {
 		return
 	}
--- a/lab/model/outer_test.go
+++ b/lab/model/outer_test.go
@@ -50,7 +50,7 @@
 
 func askedOf(k *kept) (out []trace.Event) {
 	for _, e := range k.of(trace.Asked) {
-		out = append(out, trace.Event{At: e.At, Want: e.Want, Customer: e.Customer, Plan: e.Plan, Class: e.Class, Units: e.Units})
+		out = append(out, trace.Event{At: e.At, Request: e.Request, Customer: e.Customer, Plan: e.Plan, Class: e.Class, Units: e.Units})
 	}
 	return out
 }
--- a/lab/model/world.go
+++ b/lab/model/world.go
@@ -172,7 +172,7 @@
 		}
 		w.step(&d)
 	}
-	w.tell(trace.Event{Kind: trace.Over})
+	w.tell(trace.Event{Kind: trace.Ended})
 	return nil
 }
 
@@ -425,7 +425,7 @@
 	if w.remembers(b, t) { // another has run since this one began
 		return
 	}
-	w.tell(trace.Event{Kind: trace.Ran, Want: t.want.id, Try: t.ID, Backend: b.id, Twice: len(t.want.effects) > 0})
+	w.tell(trace.Event{Kind: trace.Ran, Request: t.want.id, Try: t.ID, Backend: b.id, Twice: len(t.want.effects) > 0})
 	t.want.effects = append(t.want.effects, effect{w.group(b, p), w.now})
 }
 
--- a/lab/procs/coordinators.go
+++ b/lab/procs/coordinators.go
@@ -107,7 +107,7 @@
 			for err == nil {
 				if time.Since(reportedAt) > reportInterval {
 					reportedAt = time.Now()
-					_, err = own.Word(running, &permits.DoorReport{Caller: caller, Seq: nextSeq(), Sighting: permits.Sighting{Unit: unit, Standing: permits.Ready, Incarnation: begun.Number, Process: 1}})
+					_, err = own.ReportDoor(running, &permits.DoorReport{Caller: caller, Seq: nextSeq(), Sighting: permits.Sighting{Unit: unit, Standing: permits.Ready, Incarnation: begun.Number, Process: 1}})
 					continue
 				}
 				began := time.Now()
--- a/lab/procs/drill.go
+++ b/lab/procs/drill.go
@@ -142,7 +142,7 @@
 	injected     []string              // descriptions of the injected faults
 	arrivals     map[string][]float64  // times of requests, by backend
 	drainedSpans []drainedSpan
-	halts        []outs.Stop
+	halts        []outs.HaltPeriod
 	history      []history.Op
 	refused      int
 	lost         int
@@ -287,7 +287,7 @@
 }
 
 // diskFaultSetting returns the environment variable that names a coordinator's disk fault file.
-func diskFaultSetting(file string) string { return coordinator.DiskFault + "=" + file }
+func diskFaultSetting(file string) string { return coordinator.DiskFaultVariable + "=" + file }
 
 // writeConfig writes a JSON file into the drill's directory and returns its path.
 func (d *drill) writeConfig(name string, v any) (string, error) {
@@ -787,7 +787,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.halts = append(d.halts, outs.Stop{From: from, To: to})
+	d.halts = append(d.halts, outs.HaltPeriod{From: from, To: to})
 }
 
 // pollReadiness probes whether a door is ready, every probeIntervalMs until ctx ends.
@@ -884,7 +884,7 @@
 // if the door answers that it is not ready although it was ready in the same incarnation and wasn't asked to terminate. It is
 // a failure from a kill or a termination signal until the door is ready again, and during a pause. Returned counts the planned
 // outages that ended.
-func outagesOf(door int, startTimes, stopTimes []float64, paused []check.Interval, probes []probeResult) (all []outs.Gone, returned int) {
+func outagesOf(door int, startTimes, stopTimes []float64, paused []check.Interval, probes []probeResult) (all []outs.Outage, returned int) {
 	incarnation := func(at float64) (n int) {
 		for _, b := range startTimes {
 			if b <= at {
@@ -914,11 +914,11 @@
 			ready = now
 		case l.status == http.StatusServiceUnavailable && plan == none && ready == now && now == incarnation(l.receivedAt) && stopsUntil(l.receivedAt) < now:
 			plan = len(all)
-			all = append(all, outs.Gone{Door: door, From: l.receivedAt, To: math.Inf(1), ByPlan: true})
+			all = append(all, outs.Outage{Door: door, From: l.receivedAt, To: math.Inf(1), Planned: true})
 		}
 	}
 	for _, e := range stopTimes {
-		g := outs.Gone{Door: door, From: e, To: math.Inf(1)}
+		g := outs.Outage{Door: door, From: e, To: math.Inf(1)}
 		for _, l := range probes {
 			if l.sentAt > e && incarnation(l.sentAt) > stopsUntil(e) && l.status == http.StatusOK {
 				g.To = l.sentAt
@@ -928,7 +928,7 @@
 		all = append(all, g)
 	}
 	for _, s := range paused {
-		all = append(all, outs.Gone{Door: door, From: s.From, To: s.To})
+		all = append(all, outs.Outage{Door: door, From: s.From, To: s.To})
 	}
 	return all, returned
 }
@@ -952,7 +952,7 @@
 	defer d.mu.Unlock()
 	r := &DrillResult{Seed: d.Seed, Strikes: d.injected, Calls: len(d.history), Refused: d.refused, Lost: d.lost, BackMs: recoveryMs, History: d.history}
 	var zones []int
-	var all []outs.Gone
+	var all []outs.Outage
 	for i, p := range d.doors {
 		zones = append(zones, i%zoneCount)
 		g, n := outagesOf(i, p.startTimes, p.stopTimes, p.paused, p.probes)
@@ -960,7 +960,7 @@
 		all = append(all, g...)
 	}
 	for _, g := range all {
-		if g.ByPlan {
+		if g.Planned {
 			r.Went++
 			for _, s := range d.halts {
 				if g.From > s.From && g.From < s.To {
@@ -969,7 +969,7 @@
 			}
 		}
 	}
-	r.Breaches = outs.Judge(zones, all, d.halts, []outs.Bound{{MostOut: maxDoorsOut}, {EachZone: true, MostOut: maxZoneDoorsOut}})
+	r.Breaches = outs.CheckOutages(zones, all, d.halts, []outs.BudgetLimit{{MostOut: maxDoorsOut}, {EachZone: true, MostOut: maxZoneDoorsOut}})
 	var drained []drainedSpan
 	for _, c := range d.drainedSpans {
 		if len(drained) == 0 || drained[len(drained)-1].unit != c.unit || drained[len(drained)-1].to != c.to {
--- a/lab/procs/drill_test.go
+++ b/lab/procs/drill_test.go
@@ -45,14 +45,14 @@
 	}
 	all, returned := outagesOf(3, []float64{0, 200}, []float64{100}, []check.Interval{{From: 20, To: 25}}, probes)
 	assert.Equal(t, 1, returned)
-	assert.Equal(t, []outs.Gone{
-		{Door: 3, From: 52, To: 90, ByPlan: true}, // was ready, and then answered that it is not
-		{Door: 3, From: 252, To: math.Inf(1), ByPlan: true},
+	assert.Equal(t, []outs.Outage{
+		{Door: 3, From: 52, To: 90, Planned: true}, // was ready, and then answered that it is not
+		{Door: 3, From: 252, To: math.Inf(1), Planned: true},
 		{Door: 3, From: 100, To: 230}, // killed, until its next incarnation is ready; a starting door is no planned outage
 		{Door: 3, From: 20, To: 25},
 	}, all)
 	all, _ = outagesOf(0, []float64{0}, []float64{40}, nil, append(probesAt(200, 10), probesAt(503, 50)...))
-	assert.False(t, all[0].ByPlan, "it was asked to terminate")
+	assert.False(t, all[0].Planned, "it was asked to terminate")
 }
 
 func TestARequestAtADrainedBackendIsFound(t *testing.T) {
--- a/lab/procs/real.go
+++ b/lab/procs/real.go
@@ -476,7 +476,7 @@
 	var runs []load.Run
 	for _, i := range slices.Sorted(maps.Keys(doors)) {
 		run := clientRun(site, doors[i], i, rate, end)
-		run.Enough = enough
+		run.Stop = enough
 		runs = append(runs, run)
 	}
 	return runConcurrently(ctx, runs)
@@ -485,7 +485,7 @@
 // clientRun returns the load of one door's clients; end is its duration in ms.
 func clientRun(site *stand.Site, at string, door int, rate, end float64) load.Run {
 	run := site.Client(at, uint64(door+1))
-	run.Rate, run.For, run.Patience = rate, time.Duration(end*1e6), clientTimeout
+	run.Rate, run.Duration, run.Timeout = rate, time.Duration(end*1e6), clientTimeout
 	return run
 }
 
@@ -498,7 +498,7 @@
 	all := make([]*load.Outcome, len(runs))
 	for i, run := range runs {
 		group.Go(func() {
-			o, err := run.Play(ctx, nil)
+			o, err := run.Execute(ctx, nil)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil && first == nil {
--- a/lab/procs/rollout.go
+++ b/lab/procs/rollout.go
@@ -80,7 +80,7 @@
 		return nil, &NameError{p.Kind}
 	}
 	if !(p.Rate > 0) {
-		return nil, &load.RunError{What: fmt.Sprintf("rate %g", p.Rate), Says: "must be above 0"}
+		return nil, &load.RunError{Parameter: fmt.Sprintf("rate %g", p.Rate), Reason: "must be above 0"}
 	}
 	d := &drill{Drill: Drill{Seed: p.Seed, Doors: p.Doors, Coordinators: p.Coordinators, Binary: p.Binary, Logs: p.Logs}, ctx: ctx, holdListeners: true}
 	defer d.tearDown()
--- a/lab/procs/schedule.go
+++ b/lab/procs/schedule.go
@@ -105,7 +105,7 @@
 var shippedSchedules embed.FS
 
 // Names lists the shipped schedules.
-func Names() []string { return scenario.Shipped(shippedSchedules, "schedules") }
+func Names() []string { return scenario.EmbeddedNames(shippedSchedules, "schedules") }
 
 // Open reads a schedule file, or the shipped schedule of that name if there is no such file.
 func Open(name string) (*Schedule, error) {
@@ -141,7 +141,7 @@
 
 // keyError returns an error about one key of a schedule file.
 func keyError(key, format string, args ...any) error {
-	return &scenario.KeyError{Key: key, Says: fmt.Sprintf(format, args...)}
+	return &scenario.KeyError{Key: key, Reason: fmt.Sprintf(format, args...)}
 }
 
 // check returns an error about the first invalid key.
--- a/lab/run/rolls_test.go
+++ b/lab/run/rolls_test.go
@@ -19,7 +19,7 @@
 
 // rolled follows who is out: doors that are down, and backends that are cold.
 type rolled struct {
-	judge *judge.Judge
+	judge *judge.Verifier
 	edges []edge
 	down  map[int]bool
 }
@@ -33,14 +33,14 @@
 func (r *rolled) Take(e *trace.Event) {
 	r.judge.Take(e)
 	switch {
-	case e.Kind == trace.Died:
+	case e.Kind == trace.DoorDied:
 		r.down[e.Door] = true
 		r.edges = append(r.edges, edge{e.At, true, 1})
-	case e.Kind == trace.Started && r.down[e.Door]:
+	case e.Kind == trace.DoorStarted && r.down[e.Door]:
 		delete(r.down, e.Door)
 		r.edges = append(r.edges, edge{e.At, true, -1})
-	case e.Kind == trace.Began && e.At > 0:
-		r.edges = append(r.edges, edge{e.At, false, 1}, edge{e.At + e.Span, false, -1})
+	case e.Kind == trace.BackendStarted && e.At > 0:
+		r.edges = append(r.edges, edge{e.At, false, 1}, edge{e.At + e.WarmupTime, false, -1})
 	}
 }
 
@@ -94,9 +94,9 @@
 				deal := model.Deal(s)
 				r := &rolled{judge: judge.New(deal), down: map[int]bool{}}
 				require.NoError(t, model.New(s, seed+1, rival.Makers[rival.Swifthall], r).Run(context.Background(), nil))
-				res := Sum(s, seed+1, rival.Swifthall, Simulated, r.judge)
+				res := NewResult(s, seed+1, rival.Swifthall, Simulated, r.judge)
 				assert.Empty(t, res.Broken)
-				n, from, to := r.sums(scenario.Kinds[s.Faults[w.which].Kind].Whom == scenario.Doors)
+				n, from, to := r.sums(scenario.Kinds[s.Faults[w.which].Kind].Target == scenario.TargetDoors)
 				g, took, most = g+res.Whole.Earned/res.Whole.Offered/seeds, took+(to-from)/1e3/seeds, max(most, n)
 			}
 			how := "fixed batches"
--- a/lab/stand/beside.go
+++ b/lab/stand/beside.go
@@ -114,7 +114,7 @@
 		}
 	}
 	word := func(at string, seed uint64) func(int) string {
-		return load.Door{Host: at, Class: "look", Plan: "ample", Customers: besideCustomers, Wait: besideWait, Seed: seed}.Word
+		return load.DoorRequests{Host: at, Class: "look", Plan: "ample", Customers: besideCustomers, Wait: besideWait, Seed: seed}.Format
 	}
 	const patience = 5 * time.Second
 	for _, rate := range b.Rates {
@@ -124,9 +124,9 @@
 				t := targets[(i+round)%len(targets)] // each goes first in turn
 				row := &here[(i+round)%len(targets)]
 				before := cpu(t.pid())
-				r := load.Run{Target: t.at, Rate: rate, For: b.For, Conns: b.Conns, Patience: patience, Poisson: true, Seed: uint64(round) + 1,
-					Word: word(t.at, uint64(round)+uint64(rate)<<8)}
-				o, err := r.Play(ctx, nil)
+				r := load.Run{Target: t.at, Rate: rate, Duration: b.For, Conns: b.Conns, Timeout: patience, Poisson: true, Seed: uint64(round) + 1,
+					Request: word(t.at, uint64(round)+uint64(rate)<<8)}
+				o, err := r.Execute(ctx, nil)
 				if err != nil {
 					return nil, nil, err
 				}
@@ -148,7 +148,7 @@
 	knees = map[string]float64{}
 	for _, t := range targets {
 		k := b.Knee
-		k.Run.Target, k.Run.Conns, k.Run.For, k.Run.Patience, k.Run.Poisson, k.Run.Word = t.at, b.Conns, b.For, patience, true, word(t.at, 99)
+		k.Run.Target, k.Run.Conns, k.Run.Duration, k.Run.Timeout, k.Run.Poisson, k.Run.Request = t.at, b.Conns, b.For, patience, true, word(t.at, 99)
 		rate, _, err := k.Find(ctx, func(s load.Step) {
 			if tell != nil {
 				tell(t.name, s.Rate, s.Outcome)
--- a/lab/stand/site.go
+++ b/lab/stand/site.go
@@ -83,7 +83,7 @@
 // Client is load on one door of the site.
 func (s *Site) Client(target string, seed uint64) load.Run {
 	return load.Run{Target: target, Conns: 8, Poisson: true, Seed: seed,
-		Word: load.Door{Host: target, Class: "look", Plan: "ample", Customers: 50, Wait: besideWait, Seed: seed}.Word}
+		Request: load.DoorRequests{Host: target, Class: "look", Plan: "ample", Customers: 50, Wait: besideWait, Seed: seed}.Format}
 }
 
 // Close ends all of it.
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := run.Sum(s, p.Seed, p.Policy, run.OnSockets, j)
+	r := run.NewResult(s, p.Seed, p.Policy, run.OnSockets, j)
 	r.Behind = behind
 	for _, d := range f.doors {
 		if err := d.fault.Load(); err != nil {
--- a/lab/stand/stand_test.go
+++ b/lab/stand/stand_test.go
@@ -63,7 +63,7 @@
 func TestOneScenarioIsAskedAlikeSimulatedAndOnSockets(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	s := read(t, "")
-	here, err := run.One{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Play(context.Background(), nil)
+	here, err := run.Spec{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Run(context.Background(), nil)
 	require.NoError(t, err)
 	there, err := Play{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Run(context.Background(), nil)
 	require.NoError(t, err)
--- a/permits/calendar.go
+++ b/permits/calendar.go
@@ -217,16 +217,16 @@
 
 // applyToCalendar passes a command to the calendar and copies the resulting events to the audit log.
 func (s *State) applyToCalendar(do any) (uint64, error) {
-	before := s.Calendar.Number
-	number, err := s.Calendar.Do(s.NowMs, do)
+	before := s.Calendar.LastEvent
+	number, err := s.Calendar.Apply(s.NowMs, do)
 	s.auditEvents(before)
 	return number, err
 }
 
 // advanceCalendar advances the calendar to the current time, so that the checks that follow see its current stages.
 func (s *State) advanceCalendar() {
-	before := s.Calendar.Number
-	s.Calendar.Pass(s.NowMs)
+	before := s.Calendar.LastEvent
+	s.Calendar.AdvanceTo(s.NowMs)
 	s.auditEvents(before)
 }
 
@@ -246,7 +246,7 @@
 		return []keyedChange{{"", &d.Change}}
 	case calendar.Migrate:
 		steps = d.Steps
-	case calendar.Replace:
+	case calendar.ReplaceSteps:
 		steps = d.Steps
 	}
 	for i := range steps {
@@ -258,7 +258,7 @@
 // auditEvents copies the calendar's events after a number to the audit log, so that one log has all operator actions.
 func (s *State) auditEvents(after uint64) {
 	events := s.Calendar.Events
-	for _, e := range events[max(0, len(events)-int(s.Calendar.Number-after)):] {
+	for _, e := range events[max(0, len(events)-int(s.Calendar.LastEvent-after)):] {
 		s.audit(0, fmt.Sprintf("calendar %d: %s", e.ID, e.What), e.Who, e.Why)
 	}
 }
@@ -270,7 +270,7 @@
 	if e == nil {
 		return Answer{Err: &calendar.UnknownError{What: "entry", ID: d.ID}}
 	}
-	if err := s.Calendar.InTheWay(e); err != nil {
+	if err := s.Calendar.CheckStart(e); err != nil {
 		return Answer{Err: err}
 	}
 	do, err := ReadAction(e.Do)
@@ -323,7 +323,7 @@
 	if e == nil {
 		return &calendar.UnknownError{What: "entry", ID: id}
 	}
-	if err := s.Calendar.InTheWay(e); err != nil {
+	if err := s.Calendar.CheckStart(e); err != nil {
 		return err
 	}
 	do, err := ReadAction(e.Do)
@@ -348,7 +348,7 @@
 // checkUnplanned returns what in the calendar keeps a change without an entry from starting now.
 func (s *State) checkUnplanned(k calendar.Kind, b calendar.Subject) error {
 	s.advanceCalendar()
-	return s.Calendar.MayBegin(k, b)
+	return s.Calendar.CheckUnplanned(k, b)
 }
 
 // routeToEntry checks an operator's release command against the calendar. A release that an entry has started is resumed and
@@ -434,9 +434,9 @@
 	r := s.Release.ByNumber(run.Release)
 	who := fmt.Sprintf("calendar %d", e.ID)
 	steer := func(to string) bool {
-		_, note, err := s.Release.Apply(release.Steer{Name: r.Name, To: to, Who: who, Why: e.Says}, s.unitsOf(Door), s.unitsOf(Backend))
+		_, note, err := s.Release.Apply(release.Steer{Name: r.Name, To: to, Who: who, Why: e.Reason}, s.unitsOf(Door), s.unitsOf(Backend))
 		if err == nil {
-			s.audit(0, note, who, e.Says)
+			s.audit(0, note, who, e.Reason)
 		}
 		return err == nil
 	}
@@ -452,8 +452,8 @@
 			return steer(release.ToResume)
 		case r.Stage == release.Halted:
 			return s.tryCalendar(calendar.Halt{ID: e.ID, Who: "release " + r.Name, Why: r.Reason})
-		case e.Wave < r.Wave || r.Stage == release.Done && e.Wave < e.Waves:
-			return s.tryCalendar(calendar.WaveDone{ID: e.ID, Wave: e.Wave + 1})
+		case e.WavesDone < r.Wave || r.Stage == release.Done && e.WavesDone < e.Waves:
+			return s.tryCalendar(calendar.WaveDone{ID: e.ID, Wave: e.WavesDone + 1})
 		}
 	case calendar.Halted:
 		if !gone && r.Stage == release.Running {
@@ -504,14 +504,14 @@
 	switch durationMs := do.Drain.ForS * 1e3; e.Stage {
 	case calendar.Running:
 		switch {
-		case e.Wave == e.Waves:
+		case e.WavesDone == e.Waves:
 		case durationMs > 0 && s.Calendar.WallMs >= run.AtMs+durationMs && undrain("its time is over"):
 			return true
 		case durationMs > 0 && remaining == 0, durationMs == 0 && (drained || remaining == 0):
 			return s.tryCalendar(calendar.WaveDone{ID: e.ID, Wave: 1})
 		}
 	case calendar.RollingBack:
-		if undrain(e.Says) {
+		if undrain(e.Reason) {
 			return true
 		}
 		if remaining == 0 {
--- a/permits/calendar_test.go
+++ b/permits/calendar_test.go
@@ -21,7 +21,7 @@
 // reportClocks establishes agreed time: three coordinators report their wall clocks, which show wallStartMs plus the state's clock.
 func (s *site) reportClocks() {
 	for i := range 3 {
-		s.do(fmt.Sprint("clock", i), calendar.Clock{Name: fmt.Sprint("c", i), WallMs: wallStartMs + s.now, Size: 3})
+		s.do(fmt.Sprint("clock", i), calendar.ReportClock{Name: fmt.Sprint("c", i), WallMs: wallStartMs + s.now, Size: 3})
 	}
 }
 
@@ -138,7 +138,7 @@
 	assert.Equal(t, fmt.Sprint("calendar ", id), r.Who)
 	s.installVersions(0)
 	require.NoError(t, s.recordVerdict(0, release.GoOn))
-	assert.Equal(t, 1, s.Calendar.Entries[id].Wave)
+	assert.Equal(t, 1, s.Calendar.Entries[id].WavesDone)
 	s.installVersions(1, 2, 3)
 	require.NoError(t, s.recordVerdict(1, release.GoOn))
 	assert.Equal(t, calendar.Done, s.stage(id))
@@ -151,7 +151,7 @@
 	s := newSite(4)
 	id := s.planChange(t, releaseChange("r"))
 	s.startDueEntries(t)
-	freeze := calendar.Freeze{Name: "evening", Subject: calendar.Subject{Scope: calendar.Fleet}, Spans: []calendar.Span{window(60e3, 10*60e3)}, Sends: calendar.FinishesWave, Who: "bea", Why: "match"}
+	freeze := calendar.Freeze{Name: "evening", Subject: calendar.Subject{Scope: calendar.Fleet}, Spans: []calendar.Span{window(60e3, 10*60e3)}, RunningPolicy: calendar.HaltAfterWave, Who: "bea", Why: "match"}
 	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: freeze}).Err)
 	s.advanceTime(60e3)
 	assert.Equal(t, calendar.Running, s.stage(id))
@@ -186,7 +186,7 @@
 	id := s.planChange(t, releaseChange("r"))
 	s.startDueEntries(t)
 	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "evening", Subject: calendar.Subject{Scope: calendar.Fleet},
-		Spans: []calendar.Span{window(60e3, 10*60e3)}, Sends: calendar.FinishesWave, Who: "bea", Why: "match"}}).Err)
+		Spans: []calendar.Span{window(60e3, 10*60e3)}, RunningPolicy: calendar.HaltAfterWave, Who: "bea", Why: "match"}}).Err)
 	s.advanceTime(60e3)
 	s.installVersions(0)
 	require.NoError(t, s.recordVerdict(0, release.GoOn))
@@ -202,7 +202,7 @@
 	s.startDueEntries(t)
 	s.installVersions(0)
 	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "now", Subject: calendar.Subject{Scope: calendar.Doors}, Spans: []calendar.Span{window(0, hourMs)},
-		Sends: calendar.SendsBack, Who: "bea", Why: "fire"}}).Err)
+		RunningPolicy: calendar.RollBackAtOnce, Who: "bea", Why: "fire"}}).Err)
 	assert.Equal(t, calendar.RollingBack, s.stage(id))
 	r := s.Release.Find("r")
 	assert.Equal(t, release.RollingBack, r.Stage)
@@ -225,7 +225,7 @@
 	s.startDueEntries(t)
 	require.NoError(t, s.do("leader", release.RecordVerdict{Number: 2, Wave: 0, Verdict: release.Verdict{Outcome: release.Stop, Why: "odd"}}).Err)
 	assert.Equal(t, calendar.Halted, s.stage(id))
-	assert.Equal(t, "odd", s.Calendar.Entries[id].Says)
+	assert.Equal(t, "odd", s.Calendar.Entries[id].Reason)
 	require.NoError(t, s.do("op", release.Steer{Name: "r2", To: release.ToBack, Who: "cai", Why: "enough"}).Err)
 	assert.Equal(t, calendar.Withdrawn, s.stage(id), "no door had the version")
 	assert.Equal(t, release.RolledBack, s.Release.Find("r2").Stage)
@@ -246,12 +246,12 @@
 	plan := release.Plan{Name: "r", Changes: release.Configuration, Digest: otherDigest, Waves: []release.Wave{{Rest: true}}}
 	rules := calendar.SetRules{Rules: []calendar.Rule{{Kinds: []calendar.Kind{calendar.Configuration}, Subject: calendar.Subject{Scope: calendar.Doors}, Count: 1, Roles: []string{"lead"}}}, Who: "bea"}
 	require.NoError(t, s.do("bea", rules).Err)
-	var unplanned *calendar.UnplannedError
+	var unplanned *calendar.ApprovalRequiredError
 	require.ErrorAs(t, s.do("op", release.Start{Plan: plan, Who: "op"}).Err, &unplanned)
 	assert.Contains(t, unplanned.Remedy(), "plan")
 	require.NoError(t, s.do("bea", calendar.SetRules{Who: "bea"}).Err)
 	freeze := calendar.Freeze{Name: "all", Kinds: []calendar.Kind{calendar.Drain}, Subject: calendar.Subject{Scope: calendar.Backends}, Spans: []calendar.Span{window(0, hourMs)},
-		Sends: calendar.FinishesWave, Who: "bea", Why: "match"}
+		RunningPolicy: calendar.HaltAfterWave, Who: "bea", Why: "match"}
 	a := s.do("bea", calendar.SetFreeze{Freeze: freeze})
 	require.NoError(t, a.Err)
 	var clock *calendar.ClockError
@@ -295,7 +295,7 @@
 	assert.Equal(t, m.Steps[2:], s.startDueEntries(t))
 	held, _ := s.Withheld()
 	assert.Equal(t, []string{"b0", "b1"}, held)
-	require.NoError(t, s.do("ana", calendar.Revert{ID: m.ID, Who: "ana", Why: "smoke"}).Err)
+	require.NoError(t, s.do("ana", calendar.RevertMigration{ID: m.ID, Who: "ana", Why: "smoke"}).Err)
 	held, _ = s.Withheld()
 	assert.Equal(t, []string{"b0"}, held, "the latest step first")
 	assert.Equal(t, calendar.Done, s.stage(m.Steps[1]))
@@ -366,7 +366,7 @@
 	s.State = again // a coordinator that restarts from its snapshot
 	s.installVersions(0)
 	require.NoError(t, s.recordVerdict(0, release.GoOn))
-	assert.Equal(t, 1, s.Calendar.Entries[id].Wave)
+	assert.Equal(t, 1, s.Calendar.Entries[id].WavesDone)
 	s.do("c3", calendar.Restored{Who: "cai"})
 	assert.Equal(t, calendar.Halted, s.stage(id), "after a restore nothing continues without an operator")
 	assert.Equal(t, release.Halted, s.Release.Find("r").Stage)
@@ -383,7 +383,7 @@
 	for i := range 3 {
 		s.Calendar.Readings[fmt.Sprint("c", i)] = calendar.Reading{OffsetMs: wallStartMs, AtMs: s.now - 20e3}
 	}
-	var short *calendar.ShortError
+	var short *calendar.WindowTooShortError
 	require.ErrorAs(t, s.do("leader", calendar.Start{ID: id}).Err, &short)
 	assert.Empty(t, s.Permits)
 	assert.Empty(t, s.Runs)
@@ -400,7 +400,7 @@
 	var unknown *UnknownError
 	require.ErrorAs(t, s.StartObstacle(id), &unknown)
 	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "z1", Subject: calendar.Subject{Scope: calendar.Zone, Names: []string{"z1"}}, Spans: []calendar.Span{window(0, hourMs)},
-		Sends: calendar.FinishesWave, Who: "bea", Why: "x"}}).Err)
+		RunningPolicy: calendar.HaltAfterWave, Who: "bea", Why: "x"}}).Err)
 	var frozen *calendar.FrozenError
 	require.ErrorAs(t, s.StartObstacle(id), &frozen)
 	b1 := s.planChange(t, drainChange(Backend, "b1", 0))
@@ -476,7 +476,7 @@
 	s := newSiteWithBackends(3)
 	s.reportClocks()
 	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "f", Subject: calendar.Subject{Scope: calendar.Fleet}, Spans: []calendar.Span{window(1000, hourMs)},
-		Sends: calendar.FinishesWave, Who: "bea", Why: "x"}}).Err)
+		RunningPolicy: calendar.HaltAfterWave, Who: "bea", Why: "x"}}).Err)
 	s.now += 1500
 	var frozen *calendar.FrozenError
 	require.ErrorAs(t, s.do("op", Drain{Kind: Backend, Name: "b0", Who: "op", Why: "x"}).Err, &frozen)
@@ -595,7 +595,7 @@
 	s := newSite(2)
 	s.reportClocks()
 	require.NoError(t, s.do("bea", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "daily", Subject: calendar.Subject{Scope: calendar.Fleet}, ThroughMs: wallStartMs - 1,
-		When: calendar.Recurrence{Begin: "2026-01-01T00:00", Minutes: 1, Every: "FREQ=DAILY", In: "UTC"}, Sends: calendar.FinishesWave, Who: "bea", Why: "x"}}).Err)
+		When: calendar.Recurrence{Begin: "2026-01-01T00:00", Minutes: 1, RRule: "FREQ=DAILY", TimeZone: "UTC"}, RunningPolicy: calendar.HaltAfterWave, Who: "bea", Why: "x"}}).Err)
 	a := s.do("op", Drain{Kind: Door, Name: "d0", Who: "op", Why: "x"})
 	require.ErrorAs(t, a.Err, &endless, "a recurring freeze is in force beyond the time for which it was expanded")
 	_, err := json.Marshal(a)
@@ -633,11 +633,11 @@
 			case 5:
 				s.do("op", calendar.RollBack{ID: id, Who: "op", Why: "x"})
 			case 6:
-				s.do("op", calendar.Revert{ID: id, Who: "op", Why: "x"})
+				s.do("op", calendar.RevertMigration{ID: id, Who: "op", Why: "x"})
 			case 7:
 				s.do("op", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "f", Subject: calendar.Subject{Scope: calendar.Fleet},
 					Spans: []calendar.Span{window(s.now, s.now+rapid.Float64Range(1, 200e3).Draw(t, "long"))}, Who: "bea", Why: "x",
-					Sends: rapid.SampledFrom([]string{calendar.FinishesWave, calendar.SendsBack}).Draw(t, "sends")}})
+					RunningPolicy: rapid.SampledFrom([]string{calendar.HaltAfterWave, calendar.RollBackAtOnce}).Draw(t, "sends")}})
 			case 8:
 				_, change := s.Withheld()
 				for i := range 4 {
--- a/permits/permits.go
+++ b/permits/permits.go
@@ -68,7 +68,7 @@
 func New() *State {
 	s := &State{Next: 1, Units: map[string]*UnitState{}, Permits: map[uint64]*Permit{}, Callers: map[string]*LastCommand{}, LastMs: map[string]float64{}, Release: release.New(),
 		Calendar: calendar.New(), Runs: map[uint64]*Run{}}
-	s.Calendar.See(s)
+	s.Calendar.SetZones(s)
 	return s
 }
 
@@ -127,8 +127,8 @@
 		}
 		s.tryCalendar(calendar.LeaderChanged{})
 		s.audit(0, "leads: "+d.Name, d.Name, "")
-	case calendar.Plan, calendar.Edit, calendar.Approve, calendar.Refuse, calendar.Withdraw, calendar.DeclareEmergency, calendar.SetFreeze, calendar.Extend, calendar.Thaw,
-		calendar.SetRules, calendar.Clock, calendar.Start, calendar.WaveDone, calendar.Observe, calendar.Migrate, calendar.Replace, calendar.Revert, calendar.Halt, calendar.Resume,
+	case calendar.Plan, calendar.Edit, calendar.Approve, calendar.Refuse, calendar.Withdraw, calendar.DeclareEmergency, calendar.SetFreeze, calendar.ExtendFreeze, calendar.Thaw,
+		calendar.SetRules, calendar.ReportClock, calendar.Start, calendar.WaveDone, calendar.Observe, calendar.Migrate, calendar.ReplaceSteps, calendar.RevertMigration, calendar.Halt, calendar.Resume,
 		calendar.RollBack, calendar.RolledBack, calendar.Acknowledge, calendar.Restored:
 		return s.applyCalendarCommand(c)
 	case release.Start, release.ReportVersions, release.RecordVerdict, release.Steer:
--- a/permits/planfile/planfile.go
+++ b/permits/planfile/planfile.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return c, err
 	}
-	if c.Window, err = calendar.Window(f.From, f.To, zone); err != nil {
+	if c.Window, err = calendar.ParseWindow(f.From, f.To, zone); err != nil {
 		return c, err
 	}
 	permits.Complete(&c)
--- a/release/release.go
+++ b/release/release.go
@@ -30,11 +30,11 @@
 	// its doors.
 	Supersedes string `json:"over"`
 	// Limits are the differences from the unchanged doors at which the release rolls back.
-	Limits Limits `json:"ends"`
+	Limits Ends `json:"ends"`
 }
 
-// Limits is by how much the changed doors may be worse than the others before a release rolls back; 0 selects the default.
-type Limits struct {
+// Ends is by how much the changed doors may be worse than the others before a release rolls back; 0 selects the default.
+type Ends struct {
 	Requests float64 `json:"operations,omitempty"` // additional share of requests that are late, failed or rejected
 	Latency  float64 `json:"latency,omitempty"`    // increase as a share of the others' latency
 	Memory   float64 `json:"memory,omitempty"`     // increase as a share of the others' memory
--- a/release/verdict.go
+++ b/release/verdict.go
@@ -60,7 +60,7 @@
 // make it wrong.
 type Comparison struct {
 	watchMs     float64
-	limits      Limits
+	limits      Ends
 	began       float64 // clock from which requests count; below 0 before settled
 	settled     float64 // clock at which all new processes have settled
 	doors       map[string]*doorCounts
@@ -81,12 +81,12 @@
 
 // NewComparison returns the comparison of a wave that was complete at the clock now and is observed for watchMs.
 func NewComparison(now, watchMs float64) *Comparison {
-	return (&Comparison{watchMs: watchMs, began: -1, settled: now + settleMs, doors: map[string]*doorCounts{}}).WithLimits(Limits{})
+	return (&Comparison{watchMs: watchMs, began: -1, settled: now + settleMs, doors: map[string]*doorCounts{}}).WithLimits(Ends{})
 }
 
 // WithLimits replaces the default limits by those that aren't 0.
-func (c *Comparison) WithLimits(e Limits) *Comparison {
-	c.limits = Limits{cmp.Or(e.Requests, requestMargin), cmp.Or(e.Latency, latencyMargin), cmp.Or(e.Memory, memoryMargin)}
+func (c *Comparison) WithLimits(e Ends) *Comparison {
+	c.limits = Ends{cmp.Or(e.Requests, requestMargin), cmp.Or(e.Latency, latencyMargin), cmp.Or(e.Memory, memoryMargin)}
 	return c
 }
 
--- a/release/verdict_test.go
+++ b/release/verdict_test.go
@@ -98,6 +98,6 @@
 	}
 	v := runComparison(NewComparison(0, 30e3), 0, 200e3, 12, 3, worse)
 	assert.Equal(t, GoBack, v.Outcome)
-	v = runComparison(NewComparison(0, 30e3).WithLimits(Limits{Requests: 0.3}), 0, 200e3, 12, 3, worse)
+	v = runComparison(NewComparison(0, 30e3).WithLimits(Ends{Requests: 0.3}), 0, 200e3, 12, 3, worse)
 	assert.Equal(t, GoOn, v.Outcome, v.Why)
 }
