--- a/lab/procs/check/check.go
+++ b/lab/procs/check/check.go
@@ -80,16 +80,16 @@
 
 // Figures are the measurements that Verify takes from a history.
 type Figures struct {
-	Known   []float64 `json:"known_ms"` // from a death until it was detected, for each healthy door; Never where it was not
-	Back    []float64 `json:"back_ms"`  // from the end of a pause until the member was considered here, for each door; Never where it was not
-	One     float64   `json:"one_ms"`   // from the end of the last fault until all views were correct; -1 if they never were
-	Changes int       `json:"changes"`  // largest number of changes of one verdict during a cut
-	Wrong   int       `json:"wrong"`    // verdicts "away" on healthy, reachable members
-	Doubt   float64   `json:"doubt_ms"` // from the start of a cut until a partially cut member was first suspected; -1 for never
+	DetectionMs    []float64 `json:"known_ms"` // from a death until it was detected, for each healthy door; Never where it was not
+	RecoveryMs     []float64 `json:"back_ms"`  // from the end of a pause until the member was considered here, for each door; Never where it was not
+	ConvergenceMs  float64   `json:"one_ms"`   // from the end of the last fault until all views were correct; -1 if they never were
+	VerdictChanges int       `json:"changes"`  // largest number of changes of one verdict during a cut
+	FalseAway      int       `json:"wrong"`    // verdicts "away" on healthy, reachable members
+	SuspicionMs    float64   `json:"doubt_ms"` // from the start of a cut until a partially cut member was first suspected; -1 for never
 }
 
-// At returns the given percentile, 0 to 100, of some figures, and 0 if there are none.
-func At(of []float64, q float64) float64 {
+// Quantile returns the given percentile, 0 to 100, of some figures, and 0 if there are none.
+func Quantile(of []float64, q float64) float64 {
 	if len(of) == 0 {
 		return 0
 	}
@@ -220,7 +220,7 @@
 
 // Verify checks a history, sorted by time, against the ground truth.
 func Verify(t *Truth, history []Event, l Limits) (breaches []Violation, figures Figures) {
-	figures.One, figures.Doubt = -1, -1
+	figures.ConvergenceMs, figures.SuspicionMs = -1, -1
 	report := func(rule string, at float64, format string, args ...any) {
 		breaches = append(breaches, Violation{rule, at, fmt.Sprintf(format, args...)})
 	}
@@ -263,7 +263,7 @@
 		if out, in := t.cutShares(e.Door, from, e.At); max(out, in) > minPartialCut {
 			continue
 		}
-		figures.Wrong++
+		figures.FalseAway++
 		report(e, "was healthy and reachable")
 	}
 }
@@ -296,7 +296,7 @@
 		return
 	}
 	const windowMs = 10e3
-	countBefore := len(figures.Known)
+	countBefore := len(figures.DetectionMs)
 	for d := range t.Doors {
 		for _, s := range t.Dead[d] {
 			if s.To-s.From < windowMs {
@@ -322,14 +322,14 @@
 			}
 			for o := range t.Doors {
 				if o != d && t.healthy(o, max(0, s.From-settleMs), s.From+windowMs) && !t.cutWithin(d, o, s.From, s.From+windowMs) && countsAsHere(v.states[o][d]) {
-					figures.Known = append(figures.Known, detectedAfter[o])
+					figures.DetectionMs = append(figures.DetectionMs, detectedAfter[o])
 				}
 			}
 		}
 	}
-	if len(figures.Known) == countBefore {
+	if len(figures.DetectionMs) == countBefore {
 		report(RuleDeathsDetected, 0, "no death was long enough, or observed by a healthy door")
-	} else if at := At(figures.Known, detectionQuantile); at > l.DetectionMs {
+	} else if at := Quantile(figures.DetectionMs, detectionQuantile); at > l.DetectionMs {
 		report(RuleDeathsDetected, 0, "the 99th percentile of the detection times is %.0f ms, above %.0f", at, l.DetectionMs)
 	}
 }
@@ -364,7 +364,7 @@
 				if !countsAsHere(v.states[o][d]) {
 					recoveredAfter[o] = Never
 				}
-				if figures.Back = append(figures.Back, recoveredAfter[o]); recoveredAfter[o] > l.RecoveryMs {
+				if figures.RecoveryMs = append(figures.RecoveryMs, recoveredAfter[o]); recoveredAfter[o] > l.RecoveryMs {
 					report(RulePausedRecover, s.To, "door %d considered door %d here again %.0f ms after the end of its pause, above %.0f", o, d, recoveredAfter[o], l.RecoveryMs)
 				}
 			}
@@ -419,13 +419,13 @@
 			}
 			if e.At > c.From && e.Door != e.About {
 				if e.To == "doubted" || e.To == "away" {
-					if out, in := t.cutShares(e.About, c.From, e.At); max(out, in) >= minPartialCut && figures.Doubt < 0 {
-						figures.Doubt = e.At - c.From
+					if out, in := t.cutShares(e.About, c.From, e.At); max(out, in) >= minPartialCut && figures.SuspicionMs < 0 {
+						figures.SuspicionMs = e.At - c.From
 					}
 				}
 				if a, b := countsAsHere(e.From), countsAsHere(e.To); a != b && e.From != "unknown" && t.healthy(e.About, c.From, e.At) && t.healthy(e.Door, c.From, e.At) {
 					changes[e.Door][e.About]++
-					figures.Changes = max(figures.Changes, changes[e.Door][e.About])
+					figures.VerdictChanges = max(figures.VerdictChanges, changes[e.Door][e.About])
 					if limit := max(1, l.VerdictChanges); changes[e.Door][e.About] == limit+1 {
 						report(RuleStableVerdict, e.At, "door %d changed its verdict on door %d more than %d times during a cut", e.Door, e.About, limit)
 					}
@@ -437,8 +437,8 @@
 			checkAgreement(end)
 		}
 	}
-	if l.SuspicionMs > 0 && (figures.Doubt < 0 || figures.Doubt > l.SuspicionMs) {
-		report(RulePartialCutSuspected, 0, "a partially cut member was first suspected after %.0f ms (-1: never), above %.0f", figures.Doubt, l.SuspicionMs)
+	if l.SuspicionMs > 0 && (figures.SuspicionMs < 0 || figures.SuspicionMs > l.SuspicionMs) {
+		report(RulePartialCutSuspected, 0, "a partially cut member was first suspected after %.0f ms (-1: never), above %.0f", figures.SuspicionMs, l.SuspicionMs)
 	}
 }
 
@@ -502,9 +502,9 @@
 			convergedAfter = e.At - faultsEnd
 		}
 	}
-	figures.One = convergedAfter
+	figures.ConvergenceMs = convergedAfter
 	if math.IsInf(convergedAfter, 1) {
-		figures.One = -1
+		figures.ConvergenceMs = -1
 	}
 	if convergedAfter > l.ConvergenceMs {
 		for o := range t.Doors {
--- a/lab/procs/check/check_test.go
+++ b/lab/procs/check/check_test.go
@@ -53,7 +53,7 @@
 	truth, h := healthyFleet()
 	b, f := Verify(truth, h, Limits{ConvergenceMs: 5000})
 	assert.Empty(t, b)
-	assert.Equal(t, 0.0, f.One)
+	assert.Equal(t, 0.0, f.ConvergenceMs)
 }
 
 func TestFalseAwayVerdictIsFound(t *testing.T) {
@@ -61,7 +61,7 @@
 	h = append(h, Event{At: 9000, Door: 2, About: 1, From: "here", To: "away"}, Event{At: 9500, Door: 2, About: 1, From: "away", To: "here"})
 	b, f := Verify(truth, h, Limits{})
 	assert.Equal(t, []string{RuleNoFalseAway}, violatedRules(b))
-	assert.Equal(t, 1, f.Wrong)
+	assert.Equal(t, 1, f.FalseAway)
 	truth.Paused[1] = []Interval{{From: 7000, To: 9100}}
 	b, _ = Verify(truth, h, Limits{})
 	assert.Empty(t, b, "a pause of more than a second explains the verdict")
@@ -72,7 +72,7 @@
 	truth.Dead[1] = []Interval{{From: 10e3, To: Never}}
 	b, f := Verify(truth, fromAllOthers(h, 12e3, 1, "here", "away"), deathLimits)
 	assert.Empty(t, b)
-	assert.Equal(t, 2000.0, At(f.Known, 99))
+	assert.Equal(t, 2000.0, Quantile(f.DetectionMs, 99))
 	late := append(fromAllOthers(h, 12e3, 1, "here", "away")[:len(h)+2], Event{At: 15e3, Door: 3, About: 1, From: "here", To: "away"})
 	b, _ = Verify(truth, late, deathLimits)
 	assert.Contains(t, violatedRules(b), RuleDeathsDetected)
@@ -101,7 +101,7 @@
 	flapping := append(append([]Event{}, h...), Event{At: 20e3, Door: 0, About: 1, From: "away", To: "here"}, Event{At: 21e3, Door: 0, About: 1, From: "here", To: "away"})
 	b, f := Verify(truth, back(flapping), generalLimits)
 	assert.Contains(t, violatedRules(b), RuleStableVerdict)
-	assert.Equal(t, 3, f.Changes)
+	assert.Equal(t, 3, f.VerdictChanges)
 	b, _ = Verify(truth, back(h[:len(h)-1]), generalLimits)
 	assert.Contains(t, violatedRules(b), RuleAgreement)
 }
@@ -114,7 +114,7 @@
 	assert.Contains(t, violatedRules(b), RulePartialCutSuspected)
 	b, f := Verify(truth, fromAllOthers(h, 12e3, 1, "here", "doubted"), partialCutLimits)
 	assert.Empty(t, b)
-	assert.Equal(t, 2000.0, f.Doubt)
+	assert.Equal(t, 2000.0, f.SuspicionMs)
 }
 
 func TestLateOrMissingConvergenceIsFound(t *testing.T) {
@@ -127,7 +127,7 @@
 	assert.Contains(t, violatedRules(b), RuleConvergence)
 	b, f := Verify(truth, h, Limits{ConvergenceMs: 5000})
 	assert.Contains(t, violatedRules(b), RuleConvergence)
-	assert.Equal(t, -1.0, f.One)
+	assert.Equal(t, -1.0, f.ConvergenceMs)
 }
 
 func TestResurrectedMemberIsFound(t *testing.T) {
--- a/lab/procs/coordinators.go
+++ b/lab/procs/coordinators.go
@@ -20,7 +20,7 @@
 
 // CoordinatorBenchmark measures coordinator processes on this machine: the throughput and latency of permits, and the time of
 // a failover.
-type Pace struct {
+type CoordinatorBenchmark struct {
 	Coordinators int
 	Callers      int // concurrent callers, each with a unit of its own
 	Seconds      float64
@@ -31,10 +31,10 @@
 }
 
 // CoordinatorBenchmarkResult holds the measurements. Times are ms.
-type PaceResult struct {
-	Permits  float64 // granted per second
-	P50, P99 float64
-	Leader   []float64 // per kill of a leader: time until the first command was answered
+type CoordinatorBenchmarkResult struct {
+	Permits    float64 // granted per second
+	P50, P99   float64
+	FailoverMs []float64 // per kill of a leader: time until the first command was answered
 }
 
 const (
@@ -43,7 +43,7 @@
 )
 
 // Measure starts the coordinators, runs the measurements and stops the coordinators again.
-func (p Pace) Measure(ctx context.Context) (*PaceResult, error) {
+func (p CoordinatorBenchmark) Measure(ctx context.Context) (*CoordinatorBenchmarkResult, error) {
 	d := &drill{Drill: Drill{Coordinators: p.Coordinators, Binary: p.Binary, Logs: p.Logs}, ctx: ctx}
 	defer d.tearDown()
 	if err := d.setUp(); err != nil {
@@ -64,7 +64,7 @@
 	for _, c := range d.coordinators {
 		addresses = append(addresses, config.NamedAddress{Name: c.name, Address: c.address})
 	}
-	r := &PaceResult{}
+	r := &CoordinatorBenchmarkResult{}
 	if err := p.measurePermits(ctx, addresses, r); err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 }
 
 // measurePermits has all callers request and withdraw permits as fast as they are answered.
-func (p Pace) measurePermits(ctx context.Context, addresses []config.NamedAddress, r *PaceResult) error {
+func (p CoordinatorBenchmark) measurePermits(ctx context.Context, addresses []config.NamedAddress, r *CoordinatorBenchmarkResult) error {
 	c := client.New(addresses)
 	defer c.Close()
 	starting, stop := context.WithTimeout(ctx, startTimeout)
@@ -151,7 +151,7 @@
 }
 
 // measureFailover kills the current leader, measures the time until a command is answered again, and restarts the killed one.
-func (d *drill) measureFailover(ctx context.Context, addresses []config.NamedAddress, round int, r *PaceResult) error {
+func (d *drill) measureFailover(ctx context.Context, addresses []config.NamedAddress, round int, r *CoordinatorBenchmarkResult) error {
 	c := client.New(addresses)
 	defer c.Close()
 	within, stop := context.WithTimeout(ctx, startTimeout)
@@ -171,7 +171,7 @@
 	if _, err := c.Command(within, permits.Command{Caller: fmt.Sprint("after-", round), Seq: 1, Do: permits.Note{What: "the leader was killed"}}); err != nil {
 		return err
 	}
-	r.Leader = append(r.Leader, float64(time.Since(killedAt))/1e6)
+	r.FailoverMs = append(r.FailoverMs, float64(time.Since(killedAt))/1e6)
 	return d.coordinators[i].start()
 }
 
--- a/lab/procs/drill.go
+++ b/lab/procs/drill.go
@@ -35,14 +35,14 @@
 // coordinators and doors. It checks what was observed from outside: what operators were answered and when, whether each door
 // reported that it is ready, and which requests each backend received.
 type Drill struct {
-	Seed         uint64
-	Seconds      float64
-	Doors        int
-	Coordinators int     // together with Doors at most maxProcesses
-	Binary       string  // path of swifthall; its other programs are in the same directory
-	Logs         string  // directory for the processes' logs; empty for none
-	Rate         float64 // requests per second to each door without faults
-	Strike       string  // none, one, leader or all: which coordinators are killed, for measurements; empty for random faults
+	Seed            uint64
+	Seconds         float64
+	Doors           int
+	Coordinators    int     // together with Doors at most maxProcesses
+	Binary          string  // path of swifthall; its other programs are in the same directory
+	Logs            string  // directory for the processes' logs; empty for none
+	Rate            float64 // requests per second to each door without faults
+	CoordinatorLoss string  // none, one, leader or all: which coordinators are killed, for measurements; empty for random faults
 }
 
 // Rules of a drill, besides those of package outs and RuleNoUnexpectedExit.
@@ -74,8 +74,8 @@
 // DrillResult is the result of a drill. It is encoded to JSON under the names in the tags, or the fields' own.
 type DrillResult struct {
 	Seed            uint64
-	Breaches        []outs.Breach `json:"Breaches"`
-	Strikes         []string      `json:"Strikes"` // the injected faults, in order of time
+	Violations      []outs.Breach `json:"Breaches"`
+	Faults          []string      `json:"Strikes"` // the injected faults, in order of time
 	Went, Returned  int           // planned outages of doors that began, and that ended
 	Calls           int           // operations on backends by operators
 	Drained         int           // how often a backend was reported as drained
@@ -155,7 +155,7 @@
 func (d *drill) startClock() { d.startBits.Store(math.Float64bits(monotonicMs())) }
 
 // Run runs the drill.
-func (p Drill) Play(ctx context.Context) (*DrillResult, error) {
+func (p Drill) Run(ctx context.Context) (*DrillResult, error) {
 	if n := p.Doors + p.Coordinators; n > maxProcesses {
 		return nil, &ProcessLimitError{n}
 	}
@@ -500,7 +500,7 @@
 		all = append(all, injection{min(at, lastMs), description, do})
 	}
 	noError := func(do func()) func() error { return func() error { do(); return nil } }
-	if d.Strike != "" {
+	if d.CoordinatorLoss != "" {
 		return d.drawCoordinatorLoss(lastMs)
 	}
 	allDownAt := lastMs * (0.4 + 0.3*rng.Float64()) // when all coordinators are killed at once, in one of three drills
@@ -584,7 +584,7 @@
 			return nil
 		}})
 	}
-	switch d.Strike {
+	switch d.CoordinatorLoss {
 	case "one":
 		killAndRestart(lastMs*0.3, lastMs*0.4, "one", func() []*node { return d.coordinators[:1] })
 	case "leader":
@@ -950,7 +950,7 @@
 func (d *drill) result(recoveryMs float64, served []*load.Outcome) *DrillResult {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := &DrillResult{Seed: d.Seed, Strikes: d.injected, Calls: len(d.history), Refused: d.refused, Lost: d.lost, BackMs: recoveryMs, History: d.history}
+	r := &DrillResult{Seed: d.Seed, Faults: d.injected, Calls: len(d.history), Refused: d.refused, Lost: d.lost, BackMs: recoveryMs, History: d.history}
 	var zones []int
 	var all []outs.Outage
 	for i, p := range d.doors {
@@ -969,7 +969,7 @@
 			}
 		}
 	}
-	r.Breaches = outs.CheckOutages(zones, all, d.halts, []outs.BudgetLimit{{MostOut: maxDoorsOut}, {EachZone: true, MostOut: maxZoneDoorsOut}})
+	r.Violations = outs.CheckOutages(zones, all, d.halts, []outs.BudgetLimit{{MostOut: maxDoorsOut}, {EachZone: true, MostOut: maxZoneDoorsOut}})
 	var drained []drainedSpan
 	for _, c := range d.drainedSpans {
 		if len(drained) == 0 || drained[len(drained)-1].unit != c.unit || drained[len(drained)-1].to != c.to {
@@ -977,19 +977,19 @@
 		}
 	}
 	r.Drained = len(drained)
-	r.Breaches = append(r.Breaches, requestsWhileDrained(d.drainedSpans, d.arrivals)...)
+	r.Violations = append(r.Violations, requestsWhileDrained(d.drainedSpans, d.arrivals)...)
 	if ok, reason := history.Check(maxBackendsOut, d.history, linearizabilityTimeout); !ok {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleDrainsLinearizable, Text: reason})
+		r.Violations = append(r.Violations, outs.Breach{Rule: RuleDrainsLinearizable, Text: reason})
 	}
 	if recoveryMs < 0 {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleDrillRecovers, At: d.ms(), Text: fmt.Sprintf("not everything is back in service after %.0f s", recoveryTimeoutMs/msPerSecond)})
+		r.Violations = append(r.Violations, outs.Breach{Rule: RuleDrillRecovers, At: d.ms(), Text: fmt.Sprintf("not everything is back in service after %.0f s", recoveryTimeoutMs/msPerSecond)})
 	}
 	for _, f := range d.failures {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleNoUnexpectedExit, Text: f})
+		r.Violations = append(r.Violations, outs.Breach{Rule: RuleNoUnexpectedExit, Text: f})
 	}
 	var reason string
 	if r.Asked, r.Finished, reason = checkFinished(served); reason != "" {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleUnaffectedDoorsServe, Text: reason})
+		r.Violations = append(r.Violations, outs.Breach{Rule: RuleUnaffectedDoorsServe, Text: reason})
 	}
 	return r
 }
--- a/lab/procs/migration.go
+++ b/lab/procs/migration.go
@@ -31,7 +31,7 @@
 	Binary       string
 	Logs         string
 	Rate         float64 // requests per second to each door
-	Quiet        bool    // inject no faults
+	NoFaults     bool    // inject no faults
 }
 
 // MigrationSteps is the number of steps of the migration.
@@ -40,9 +40,9 @@
 // MigrationResult is the result of a migration run.
 type MigrationResult struct {
 	HaltAt                            int
-	Breaches                          []outs.Breach
+	Violations                        []outs.Breach
 	Stage                             string // stage of the migration when the run ended
-	Strikes                           []string
+	Faults                            []string
 	TookS                             float64 // from entering the migration to its end, s
 	BackS                             float64 // part of TookS after the command that rolled it back, s
 	Changes                           int     // how often a door changed its running configuration
@@ -85,7 +85,7 @@
 }
 
 // Run runs the migration.
-func (p Migration) Play(ctx context.Context) (*MigrationResult, error) {
+func (p Migration) Run(ctx context.Context) (*MigrationResult, error) {
 	if !(p.Rate > 0) || p.HaltAt < 0 || p.HaltAt > MigrationSteps {
 		return nil, &NameError{fmt.Sprintf("rate %g, halt at step %d", p.Rate, p.HaltAt)}
 	}
@@ -145,7 +145,7 @@
 	var which []outage
 	r.MostOut, which = maxConcurrentOutages(d.doors)
 	violation := func(rule, format string, args ...any) {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: rule, Text: fmt.Sprintf(format, args...)})
+		r.Violations = append(r.Violations, outs.Breach{Rule: rule, Text: fmt.Sprintf(format, args...)})
 	}
 	for _, f := range d.failures {
 		violation(RuleNoUnexpectedExit, "%s", f)
@@ -298,8 +298,8 @@
 	}
 	faultCtx, stop := context.WithCancel(d.ctx)
 	var injector sync.WaitGroup
-	if !p.Quiet {
-		injector.Go(func() { r.Strikes = d.injectCoordinatorFaults(faultCtx) })
+	if !p.NoFaults {
+		injector.Go(func() { r.Faults = d.injectCoordinatorFaults(faultCtx) })
 	}
 	defer injector.Wait()
 	defer stop()
@@ -365,7 +365,7 @@
 			return err
 		}
 	}
-	r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleMigrationEnds, At: d.ms(), Text: fmt.Sprintf("%d permits are still held", left)})
+	r.Violations = append(r.Violations, outs.Breach{Rule: RuleMigrationEnds, At: d.ms(), Text: fmt.Sprintf("%d permits are still held", left)})
 	return nil
 }
 
@@ -393,7 +393,7 @@
 	}
 	for i, door := range d.doors {
 		if now := door.configurationDigest(); now != before[i] {
-			r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleHaltHolds, At: d.ms(), Text: fmt.Sprintf("%s runs %q, before it was %q", door.name, now, before[i])})
+			r.Violations = append(r.Violations, outs.Breach{Rule: RuleHaltHolds, At: d.ms(), Text: fmt.Sprintf("%s runs %q, before it was %q", door.name, now, before[i])})
 		}
 	}
 	return nil
--- a/lab/procs/real.go
+++ b/lab/procs/real.go
@@ -31,11 +31,11 @@
 
 // Real runs a plan on real processes of the built program.
 type Real struct {
-	Plan   *Plan
-	Binary string  // path of swifthall; swifthall-fleet is in the same directory
-	Logs   string  // directory for the processes' logs; empty for none
-	Rate   float64 // requests per second to each door without faults; 0 for no clients
-	Plain  bool    // run doors without a fleet, as a baseline for the cost of membership
+	Plan    *Plan
+	Binary  string  // path of swifthall; swifthall-fleet is in the same directory
+	Logs    string  // directory for the processes' logs; empty for none
+	Rate    float64 // requests per second to each door without faults; 0 for no clients
+	NoFleet bool    // run doors without a fleet, as a baseline for the cost of membership
 }
 
 const (
@@ -86,7 +86,7 @@
 }
 
 // Run runs the plan and checks its history.
-func (p Real) Play(ctx context.Context, progress func(done float64)) (*Result, error) {
+func (p Real) Run(ctx context.Context, progress func(done float64)) (*Result, error) {
 	n := p.Plan.Fleet.Doors
 	if n > maxProcesses {
 		return nil, &ProcessLimitError{n}
@@ -155,7 +155,7 @@
 // processes to route to; there are then no relays, and doors reach each other at the addresses that they announce.
 func (r *rig) startRelays() error {
 	n := r.Plan.Fleet.Doors
-	if len(r.Plan.Namesakes) > 0 || r.Plain {
+	if len(r.Plan.Namesakes) > 0 || r.NoFleet {
 		return nil
 	}
 	cut := func(link int, at float64) bool {
@@ -197,7 +197,7 @@
 	}
 	cfg := r.site.Config(Door(p.door), p.address, p.door, n)
 	cfg["log"] = map[string]string{"format": "json", "level": "info"}
-	if !r.Plain {
+	if !r.NoFleet {
 		cfg["fleet"] = p.fleetConfig(peers, routes)
 	}
 	raw, err := json.Marshal(cfg)
@@ -312,7 +312,7 @@
 			}
 		}
 	}
-	if r.Plain {
+	if r.NoFleet {
 		return r.awaitReady()
 	}
 	timeout := time.After(startTimeout)
@@ -530,18 +530,18 @@
 	}
 	p := r.Plan
 	res := &Result{Schedule: p.Name, Shows: p.Shows, On: "on processes", Who: "module", Seed: p.Seed, Doors: p.Fleet.Doors, Truth: p.Truth, History: SortByTime(history)}
-	if !r.Plain {
-		res.Breaches, res.Figures = check.Verify(&p.Truth, res.History, p.checkLimits())
+	if !r.NoFleet {
+		res.Violations, res.Figures = check.Verify(&p.Truth, res.History, p.checkLimits())
 	}
 	for _, f := range r.failures {
-		res.Breaches = append(res.Breaches, check.Violation{Rule: RuleNoUnexpectedExit, Text: f})
+		res.Violations = append(res.Violations, check.Violation{Rule: RuleNoUnexpectedExit, Text: f})
 	}
 	var reason string
 	if res.Asked, res.Finished, reason = checkFinished(served); reason != "" {
-		res.Breaches = append(res.Breaches, check.Violation{Rule: RuleDoorsServe, Text: reason})
+		res.Violations = append(res.Violations, check.Violation{Rule: RuleDoorsServe, Text: reason})
 	}
 	res.checkNamesakes(p, r.nameConflicts)
-	res.CPU, res.Resident = check.At(r.cpu, 50), check.At(r.resident, 50)
+	res.CPU, res.Resident = check.Quantile(r.cpu, 50), check.Quantile(r.resident, 50)
 	datagrams := int64(0)
 	for _, proxy := range r.relays {
 		if proxy != nil {
--- a/lab/procs/rollout.go
+++ b/lab/procs/rollout.go
@@ -30,7 +30,7 @@
 }
 
 // RolloutKinds describes each kind of release.
-var Rollouts = map[string]string{
+var RolloutKinds = map[string]string{
 	"none":     "no release, as the baseline",
 	"good":     "a harmless configuration reaches all doors",
 	"program":  "the same program under another digest reaches all doors",
@@ -47,14 +47,14 @@
 // RolloutResult is the result of a rollout.
 type RolloutResult struct {
 	Kind                              string
-	Breaches                          []outs.Breach
+	Violations                        []outs.Breach
 	Stage                             string  // last seen stage of the release
-	Says                              string  // its reason, as the coordinators report it
+	Reason                            string  // its reason, as the coordinators report it
 	TookS                             float64 // from the start to the end of the release
 	DecidedS                          float64 // from the first door's change to the decision to roll back
 	BackS                             float64 // from that decision to the end of the rollback
 	MostOut                           int     // largest number of doors that were not ready at the same time
-	Touched                           float64 // exposure to a bad release: s from the first door's change to the end of the rollback, divided by the doors
+	ExposureS                         float64 // exposure to a bad release: s from the first door's change to the end of the rollback, divided by the doors
 	Asked, Finished, Rejected, Failed int     // requests since the start of the release
 	RejectedInWarmUp                  int     // requests rejected before it, by doors that had just started
 
@@ -75,8 +75,8 @@
 )
 
 // Run runs the rollout.
-func (p Rollout) Play(ctx context.Context) (*RolloutResult, error) {
-	if Rollouts[p.Kind] == "" {
+func (p Rollout) Run(ctx context.Context) (*RolloutResult, error) {
+	if RolloutKinds[p.Kind] == "" {
 		return nil, &NameError{p.Kind}
 	}
 	if !(p.Rate > 0) {
@@ -124,10 +124,10 @@
 	defer d.mu.Unlock()
 	r.MostOut, _ = maxConcurrentOutages(d.doors)
 	for _, f := range d.failures {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleNoUnexpectedExit, Text: f})
+		r.Violations = append(r.Violations, outs.Breach{Rule: RuleNoUnexpectedExit, Text: f})
 	}
 	if r.Failed > 0 {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleNoFailedOperation, Text: fmt.Sprintf("%d of %d operations", r.Failed, r.Asked)})
+		r.Violations = append(r.Violations, outs.Breach{Rule: RuleNoFailedOperation, Text: fmt.Sprintf("%d of %d operations", r.Failed, r.Asked)})
 	}
 	r.checkRejections(outcomes)
 	wantStages := map[string]string{"good": "done", "program": "done", "restart": "done", "backends": "done", "none": ""}
@@ -136,7 +136,7 @@
 		wantStage = "back"
 	}
 	if r.Stage != wantStage {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleReleaseOutcome, Text: fmt.Sprintf("stage %q instead of %q: %s", r.Stage, wantStage, r.Says)})
+		r.Violations = append(r.Violations, outs.Breach{Rule: RuleReleaseOutcome, Text: fmt.Sprintf("stage %q instead of %q: %s", r.Stage, wantStage, r.Reason)})
 	}
 	return r, nil
 }
@@ -146,7 +146,7 @@
 // of all requests is checked.
 func (r *RolloutResult) checkRejections(outcomes []*load.Outcome) {
 	violation := func(format string, args ...any) {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: RuleUnchangedDoorsServe, Text: fmt.Sprintf(format, args...)})
+		r.Violations = append(r.Violations, outs.Breach{Rule: RuleUnchangedDoorsServe, Text: fmt.Sprintf(format, args...)})
 	}
 	for i, o := range outcomes {
 		if o.Rejected > 0 && !r.reachedUnits[Door(i)] && r.Kind != "backends" { // its waves reach the backends of all doors
@@ -282,7 +282,7 @@
 			continue
 		}
 		now, release := d.ms(), all[len(all)-1]
-		r.Stage, r.Says = release.Stage, release.Says
+		r.Stage, r.Reason = release.Stage, release.Says
 		for _, part := range release.Parts[:min(release.Wave+1, len(release.Parts))] {
 			for _, unit := range part {
 				r.reachedUnits[unit] = true
@@ -309,7 +309,7 @@
 				r.BackS = (now - decidedAt) / msPerSecond
 				if firstAt > 0 {
 					r.DecidedS = (decidedAt - firstAt) / msPerSecond
-					r.Touched = (now - firstAt) / msPerSecond / float64(len(d.doors)) // as if one door had run it: the seconds' worth of all doors' requests that it affected
+					r.ExposureS = (now - firstAt) / msPerSecond / float64(len(d.doors)) // as if one door had run it: the seconds' worth of all doors' requests that it affected
 				}
 			}
 			return nil
--- a/lab/procs/stack_test.go
+++ b/lab/procs/stack_test.go
@@ -258,7 +258,7 @@
 				b, f, packets, bytes := runInBubble(t, p, startDriver)
 				assert.Empty(t, b)
 				t.Logf("%s %d doors: detected %.0f ms, converged %.0f ms, changes %d, falsely away %d, suspected %.0f ms; idle: %.1f packets, %.0f bytes a second", name,
-					p.Fleet.Doors, check.At(f.Known, 99), f.One, f.Changes, f.Wrong, f.Doubt, packets, bytes)
+					p.Fleet.Doors, check.Quantile(f.DetectionMs, 99), f.ConvergenceMs, f.VerdictChanges, f.FalseAway, f.SuspicionMs, packets, bytes)
 			})
 		}
 	}
@@ -266,10 +266,10 @@
 
 func TestMemberlistMissesPartialCutAndDetectsLate(t *testing.T) {
 	b, f, _, _ := runInBubble(t, shortSchedule(t, "half-heard", 12).Draw(0), startMemberlist)
-	assert.True(t, hasRule(&Result{Breaches: b}, check.RulePartialCutSuspected), "%v %v", b, f)
+	assert.True(t, hasRule(&Result{Violations: b}, check.RulePartialCutSuspected), "%v %v", b, f)
 	b, f, _, _ = runInBubble(t, shortSchedule(t, "crash", 12).Draw(0), startMemberlist)
-	assert.True(t, hasRule(&Result{Breaches: b}, check.RuleDeathsDetected), "%v", b)
-	require.NotEmpty(t, f.Known)
+	assert.True(t, hasRule(&Result{Violations: b}, check.RuleDeathsDetected), "%v", b)
+	require.NotEmpty(t, f.DetectionMs)
 }
 
 // TestLibraryBeside prints the figures of the library alone on the same schedules, for docs/members.md.
@@ -286,7 +286,7 @@
 				rules[x.Rule]++
 			}
 			t.Logf("library, %s %d doors: detected %.0f ms, converged %.0f ms, changes %d, falsely away %d, suspected %.0f ms; idle: %.1f packets, %.0f bytes a second; violated %v",
-				name, p.Fleet.Doors, check.At(f.Known, 99), f.One, f.Changes, f.Wrong, f.Doubt, packets, bytes, rules)
+				name, p.Fleet.Doors, check.Quantile(f.DetectionMs, 99), f.ConvergenceMs, f.VerdictChanges, f.FalseAway, f.SuspicionMs, packets, bytes, rules)
 		}
 	}
 }
--- a/lab/procs/virtual.go
+++ b/lab/procs/virtual.go
@@ -20,7 +20,7 @@
 }
 
 // DetectorFactory makes one door's detector. Fleet lists all doors, for detectors that don't discover them.
-type Maker func(self members.Peer, fleet []members.Peer, seed uint64) Detector
+type DetectorFactory func(self members.Peer, fleet []members.Peer, seed uint64) Detector
 
 // Module makes the membership module under test.
 func Module(self members.Peer, _ []members.Peer, seed uint64) Detector {
@@ -29,22 +29,22 @@
 
 // Result is the result of one run of a schedule.
 type Result struct {
-	Schedule string            `json:"schedule"`
-	Shows    string            `json:"shows"` // what the schedule demonstrates
-	On       string            `json:"on"`    // "simulated" or "on processes"
-	Who      string            `json:"who"`   // the detector: "module" or "heartbeats"
-	Seed     uint64            `json:"seed"`
-	Doors    int               `json:"doors"`
-	Breaches []check.Violation `json:"breaches"`
-	Figures  check.Figures     `json:"figures"`
-	Messages float64           `json:"messages_per_s"` // sent per door and second; on processes datagrams through the relays
-	Bytes    float64           `json:"bytes_per_s"`
-	Truth    check.Truth       `json:"-"`
-	CPU      float64           `json:"cpu_ms_per_s,omitempty"` // on processes: median over the doors
-	Resident float64           `json:"resident_mb,omitempty"`  // likewise
-	Asked    int               `json:"asked,omitempty"`        // on processes: requests to doors without faults
-	Finished int               `json:"finished,omitempty"`
-	History  []check.Event     `json:"history"`
+	Schedule   string            `json:"schedule"`
+	Shows      string            `json:"shows"` // what the schedule demonstrates
+	On         string            `json:"on"`    // "simulated" or "on processes"
+	Who        string            `json:"who"`   // the detector: "module" or "heartbeats"
+	Seed       uint64            `json:"seed"`
+	Doors      int               `json:"doors"`
+	Violations []check.Violation `json:"breaches"`
+	Figures    check.Figures     `json:"figures"`
+	Messages   float64           `json:"messages_per_s"` // sent per door and second; on processes datagrams through the relays
+	Bytes      float64           `json:"bytes_per_s"`
+	Truth      check.Truth       `json:"-"`
+	CPU        float64           `json:"cpu_ms_per_s,omitempty"` // on processes: median over the doors
+	Resident   float64           `json:"resident_mb,omitempty"`  // likewise
+	Asked      int               `json:"asked,omitempty"`        // on processes: requests to doors without faults
+	Finished   int               `json:"finished,omitempty"`
+	History    []check.Event     `json:"history"`
 }
 
 const (
@@ -130,7 +130,7 @@
 // simulation is the state of a run in virtual time.
 type simulation struct {
 	*Plan
-	newDetector   Maker
+	newDetector   DetectorFactory
 	queue         timeQueue
 	now           float64
 	order         int
@@ -148,7 +148,7 @@
 func Door(i int) string { return fmt.Sprintf("door-%03d", i) }
 
 // Run runs a plan in virtual time and checks its history. Who names the detector in the result.
-func (p *Plan) Play(ctx context.Context, who string, newDetector Maker) (*Result, error) {
+func (p *Plan) Run(ctx context.Context, who string, newDetector DetectorFactory) (*Result, error) {
 	w := &simulation{Plan: p, newDetector: newDetector, rng: rand.New(rand.NewPCG(p.Seed, 7)), now: -warmUpMs, byAddress: map[string]int{}}
 	for i := range p.Fleet.Doors {
 		peer := members.Peer{Name: Door(i), Address: fmt.Sprintf("10.0.%d.%d:7946", i/250, i%250), Zone: fmt.Sprint("z", p.Truth.Zones[i]), Number: i}
@@ -197,7 +197,7 @@
 	seconds := (end + warmUpMs) / msPerSecond * float64(p.Fleet.Doors)
 	r := &Result{Schedule: p.Name, Shows: p.Shows, On: "simulated", Who: who, Seed: p.Seed, Doors: p.Fleet.Doors, Truth: p.Truth, History: w.history,
 		Messages: float64(w.messages) / seconds, Bytes: w.bytes / seconds}
-	r.Breaches, r.Figures = check.Verify(&p.Truth, r.History, p.checkLimits())
+	r.Violations, r.Figures = check.Verify(&p.Truth, r.History, p.checkLimits())
 	r.checkNamesakes(p, w.nameConflicts)
 	return r, nil
 }
@@ -205,7 +205,7 @@
 // checkNamesakes adds a violation if a second process under a door's name did not notice the conflict.
 func (r *Result) checkNamesakes(p *Plan, reported int) {
 	if len(p.Namesakes) > reported {
-		r.Breaches = append(r.Breaches, check.Violation{Rule: RuleNamesakeYields, Text: fmt.Sprintf("%d of %d processes reported that their name is taken", reported, len(p.Namesakes))})
+		r.Violations = append(r.Violations, check.Violation{Rule: RuleNamesakeYields, Text: fmt.Sprintf("%d of %d processes reported that their name is taken", reported, len(p.Namesakes))})
 	}
 }
 
--- a/lab/procs/virtual_test.go
+++ b/lab/procs/virtual_test.go
@@ -32,9 +32,9 @@
 			for _, doors := range []int{12, 40} {
 				t.Run(fmt.Sprint(name, "/", doors, "/", seed), func(t *testing.T) {
 					t.Parallel()
-					r, err := shortSchedule(t, name, doors).Draw(seed).Play(context.Background(), "module", Module)
+					r, err := shortSchedule(t, name, doors).Draw(seed).Run(context.Background(), "module", Module)
 					require.NoError(t, err)
-					assert.Empty(t, r.Breaches)
+					assert.Empty(t, r.Violations)
 					assert.NotEmpty(t, r.History)
 				})
 			}
@@ -44,7 +44,7 @@
 
 func TestTheSameSeedGivesTheSameHistory(t *testing.T) {
 	run := func(seed uint64) *Result {
-		r, err := shortSchedule(t, "herd", 12).Draw(seed).Play(context.Background(), "module", Module)
+		r, err := shortSchedule(t, "herd", 12).Draw(seed).Run(context.Background(), "module", Module)
 		require.NoError(t, err)
 		return r
 	}
@@ -53,13 +53,13 @@
 }
 
 func TestHeartbeatsDisagreeDuringPartialCut(t *testing.T) {
-	r, err := shortSchedule(t, "half-heard", 12).Draw(1).Play(context.Background(), "heartbeats", Heartbeats)
+	r, err := shortSchedule(t, "half-heard", 12).Draw(1).Run(context.Background(), "heartbeats", Heartbeats)
 	require.NoError(t, err)
-	assert.True(t, hasRule(r, check.RuleAgreement), "doors that receive its heartbeats and doors that don't must disagree: %v", r.Breaches)
+	assert.True(t, hasRule(r, check.RuleAgreement), "doors that receive its heartbeats and doors that don't must disagree: %v", r.Violations)
 }
 
 func hasRule(r *Result, rule string) bool {
-	for _, b := range r.Breaches {
+	for _, b := range r.Violations {
 		if b.Rule == rule {
 			return true
 		}
