--- a/lab/procs/check/check.go
+++ b/lab/procs/check/check.go
@@ -68,14 +68,14 @@
 
 // Names of the rules, as violations report them.
 const (
-	RuleNoFalseAway         = "no healthy member considered away"
-	RuleDeathsDetected      = "deaths detected in time"
-	RulePausedRecover       = "paused members recover in time"
-	RuleStableVerdict       = "verdicts stable during a cut"
-	RuleAgreement           = "doors that receive agree during a cut"
-	RuleConvergence         = "all views converge"
-	RuleNoResurrection      = "no dead member considered here again"
-	RulePartialCutSuspected = "partially cut member suspected in time"
+	RuleNoFalseAway         = "nobody wrongly away"
+	RuleDeathsDetected      = "deaths known"
+	RulePausedRecover       = "the paused back"
+	RuleStableVerdict       = "one change of verdict"
+	RuleAgreement           = "one verdict at all that hear"
+	RuleConvergence         = "one view"
+	RuleNoResurrection      = "nobody raised from the dead"
+	RulePartialCutSuspected = "not blind to a cut"
 )
 
 // Figures are the measurements that Verify takes from a history.
--- a/lab/procs/drill.go
+++ b/lab/procs/drill.go
@@ -47,10 +47,10 @@
 
 // Rules of a drill, besides those of package outs and RuleNoUnexpectedExit.
 const (
-	RuleDrainsLinearizable   = "drains are linearizable"
-	RuleDrainedBackendSilent = "a backend reported as drained receives no new requests"
-	RuleDrillRecovers        = "everything is back in service after the faults"
-	RuleUnaffectedDoorsServe = "doors without faults keep serving"
+	RuleDrainsLinearizable   = "drains are as one would have answered them"
+	RuleDrainedBackendSilent = "a backend said to be drained gets nothing new"
+	RuleDrillRecovers        = "all is back once the faults are over"
+	RuleUnaffectedDoorsServe = "doors that nothing befalls serve on"
 )
 
 // Timing and budgets of a drill.
--- a/lab/procs/migration.go
+++ b/lab/procs/migration.go
@@ -53,9 +53,9 @@
 
 // Rules of a migration, besides those of a rollout.
 const (
-	RuleMigrationOutcome = "doors run and decide as the outcome of the migration requires"
-	RuleHaltHolds        = "no door changes while the migration is halted"
-	RuleMigrationEnds    = "the migration ends and releases all permits"
+	RuleMigrationOutcome = "doors run and decide as the migration's end says"
+	RuleHaltHolds        = "nothing changes while it is halted"
+	RuleMigrationEnds    = "the migration ends, and leaves nothing out"
 )
 
 const (
--- a/lab/procs/real.go
+++ b/lab/procs/real.go
@@ -512,9 +512,9 @@
 
 // Rules of a run on processes, besides those of package check, which knows neither processes nor clients.
 const (
-	RuleDoorsServe       = "doors keep serving"
-	RuleNamesakeYields   = "a second process under a name gives up"
-	RuleNoUnexpectedExit = "no process exits unexpectedly"
+	RuleDoorsServe       = "doors serve on"
+	RuleNamesakeYields   = "the second of a name stands back"
+	RuleNoUnexpectedExit = "no process ends by itself"
 )
 
 const minFinishedShare = 0.995 // minimum share of requests that must finish at doors without faults
--- a/lab/procs/rollout.go
+++ b/lab/procs/rollout.go
@@ -63,9 +63,9 @@
 
 // Rules of a rollout.
 const (
-	RuleNoFailedOperation   = "every operation receives exactly one final answer, and no connection is refused"
-	RuleReleaseOutcome      = "the release ends in the expected stage"
-	RuleUnchangedDoorsServe = "doors that were not changed keep serving"
+	RuleNoFailedOperation   = "every operation gets its one final answer, and no connection is refused"
+	RuleReleaseOutcome      = "the release ends as it should"
+	RuleUnchangedDoorsServe = "doors that were not changed serve on"
 )
 
 const (
