--- a/gate/gate.go
+++ b/gate/gate.go
@@ -2,7 +2,7 @@
 // terms of a door, the events that the driver reports, and the actions that it carries out. It knows no wire format.
 //
 // Times are milliseconds with fractions, on the driver's clock. Requests, backends, customers, classes, plans, zones
-// and cells are small dense indices assigned by the driver.
+// and cells are small dense indices assigned by the driver; Op is the index of a request.
 package gate
 
 // Decider makes the decisions of one door. Decide takes the clock and the events of one batch, in order, and
@@ -85,8 +85,8 @@
 	MustSubscribe     bool    // fleet list updates come only after a SubscribeFleet action
 	ColdCapacity      float64 // lower bound of the capacity share with which a backend starts, 0 to 1
 	WarmupTime        float64 // time after which a started backend is warm at the latest, ms
-	OverloadMultiple  float64 // a cold backend is overloaded by more than this multiple of its present capacity
-	OverloadWindow    float64 // for this long, ms
+	OverloadMultiple  float64 // multiple of its present capacity above which a cold backend collapses
+	OverloadWindow    float64 // time for which a load above OverloadMultiple makes it collapse, ms
 }
 
 // Event is one of the event types below.
@@ -259,7 +259,8 @@
 	return [...]string{"sent_beyond", "not_counted", "other_advice", "no_copy", "no_further"}[d]
 }
 
-// Differs reports one such decision. It is for statistics only: drivers count it and must not act on it.
+// Differs reports one decision that the terms under comparison would have made differently. It is for statistics only:
+// drivers count it and must not act on it.
 type Differs struct{ Kind Difference }
 
 // Log adds a line to the driver's report.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -28,7 +28,7 @@
 	// Share of the contract time by which latency may exceed its baseline without any hold.
 	latencyMargin = 0.2
 
-	// Drain times that must fit into the time left of a held request; slow requests take far longer than the mean.
+	// Drain times that must be left to a request after its hold; slow requests take far longer than the mean.
 	tailFactor = 5.0
 
 	// Standard deviations of the requests in flight (Poisson) or of a mean latency that are treated as noise.
@@ -99,7 +99,7 @@
 	// Share of the door's even split of the units last seen free that one counter call asks for.
 	counterBatchShare = 0.5
 
-	// Share of the local depth above which a customer's units are added with a later counter call.
+	// Share of its depth that must stay in the local bucket after a request whose units are added with a later counter call.
 	lazyCountLevel = 0.6
 
 	// Additive increase of the share of counter calls made, after each answer.
@@ -615,7 +615,8 @@
 }
 
 // recordMeteredUse applies a meter report on a customer. What this door sent recently is subtracted; the rest is
-// the other doors' use.
+// the other doors' use. While the reports show the whole bucket empty, the doors' quota shares add up to more than
+// the quota, and this door's share is scaled down.
 func (d *Door) recordMeteredUse(k *bucket, use float64) {
 	p := &d.terms.Plans[k.plan]
 	if use < 0 || p.Rate == 0 || d.terms.MeterPeriod == 0 {
@@ -672,7 +673,7 @@
 	n := float64(d.inFlight[class])
 	contract := d.terms.Classes[class].Contract
 	if l.smoothed < l.baseline+latencyMargin*contract && !d.fleetSilent(class) {
-		n = max(0, n-float64(l.late)) // those that return are fast: the answers of these are lost
+		n = max(0, n-float64(l.late)) // answers that arrive are fast, so those of late attempts are lost, not delayed
 	}
 	total := 0
 	for _, inFlight := range d.inFlight {
@@ -689,8 +690,8 @@
 	return 1 / d.baseline(class)
 }
 
-// fleetSilent reports whether no backend has answered for longer than the contract time. Then requests in flight
-// point to neither single broken backends nor lost answers.
+// fleetSilent reports whether no backend has answered for longer than the contract time. Requests in flight are then
+// taken for a problem of the whole fleet, not of single broken backends or lost answers.
 func (d *Door) fleetSilent(class int) bool {
 	return d.now > d.answeredAt+d.terms.Classes[class].Contract
 }
@@ -810,8 +811,9 @@
 	return healthy * d.capacityShare(b) * f.weight[b] / f.latencyRatio[b] / load
 }
 
-// eligible reports whether a request may go to a backend: it is listed and not draining, has cold budget left, and for
-// a keyed request that may have run it lies in the same group and within the deduplication window.
+// eligible reports whether a request may go to a backend: it is listed and not draining, and has cold budget left. A
+// keyed request that may have run goes only to the same group, within the deduplication window; a non-idempotent one
+// goes to no backend.
 func (d *Door) eligible(o *request, b int) bool {
 	f, p := &d.fleet, &d.terms.Classes[o.class]
 	if !f.up[b] || !d.hasColdBudget(o, b) {
@@ -865,10 +867,10 @@
 	return min(1, d.terms.ColdCapacity+(1-d.terms.ColdCapacity)*age)
 }
 
-// hasColdBudget limits what is sent to a cold backend, window by window, to this door's share of the load that would
-// overload it, estimated from the work that warm backends of the same weight receive. A budget below one request is
-// rounded up or down at random, so that the budgets of any number of doors add up. A door that has just started sends
-// nothing to cold backends for one window.
+// hasColdBudget reports whether a backend may receive another request. What is sent to a cold one is limited, window by
+// window, to this door's share of the load that would make it collapse, estimated from the work that warm backends of
+// the same weight receive. A budget below one request is rounded up or down at random, so that the budgets of any
+// number of doors add up. A door that has just started sends nothing to cold backends for one window.
 func (d *Door) hasColdBudget(o *request, b int) bool {
 	warm := d.capacityShare(b)
 	if warm >= 1 {
@@ -885,8 +887,9 @@
 	return f.coldLeft[b] > 0 && d.now > d.startedAt+d.terms.OverloadWindow
 }
 
-// updateWarmWorkRate returns the rate of work that this door sends to a warm backend of b's weight; when none is warm, the
-// last known rate. Without that, a fleet that has lost all its warm backends would get a budget by the number of doors.
+// updateWarmWorkRate updates and returns the rate of work that this door sends to a warm backend of b's weight; when none
+// is warm, it returns the last known rate. Without that, a fleet that has lost all its warm backends would get a budget
+// by the number of doors.
 func (d *Door) updateWarmWorkRate(b int) float64 {
 	f := &d.fleet
 	weight := 0.0
@@ -1011,7 +1014,7 @@
 		l.smoothed += ewmaWeight * (d.terms.Classes[o.class].Contract - l.smoothed)
 	case gate.TimedOut, gate.Cancelled:
 		// Only a lower bound of the latency is known. Where clients leave an overloaded fleet unanswered, the remaining
-		// answers are the fast ones. Lost answers are partly counted in as well, below the margin.
+		// answers are the fast ones. Some lost answers are counted as well, which latencyMargin absorbs.
 		if l := &d.latencies[o.class]; e.Latency > l.smoothed && (!f.ejected(b, o.class) || d.fleetSilent(o.class)) {
 			l.smoothed += ewmaWeight * (min(e.Latency, d.terms.Classes[o.class].Contract) - l.smoothed)
 		}
@@ -1108,8 +1111,9 @@
 }
 
 // updateExcessAge sums by how much attempts in flight are older than the smoothed latency. One past the contract time is
-// late already and not counted: where answers are lost it would look like backlog until the client leaves. Attempts
-// at an ejected backend are not counted either: one silent backend does not mean an overloaded fleet.
+// late already, and counted only while the whole fleet is silent: where answers are lost it would look like backlog
+// until the client leaves. Other attempts at an ejected backend are not counted: one silent backend does not mean an
+// overloaded fleet.
 func (d *Door) updateExcessAge() {
 	for p := range d.latencies {
 		d.latencies[p].late, d.latencies[p].excessAge = 0, 0
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -1056,13 +1056,13 @@
 		events := []gate.Event{newRequest(n, n%4, n%2)}
 		for i := range alone.requests { // earlier attempts are answered, some with errors
 			for s := range alone.requests[i].attempts {
-				if tr := &alone.requests[i].attempts[s]; tr.inFlight() && now-tr.sentAt > 120 {
+				if att := &alone.requests[i].attempts[s]; att.inFlight() && now-att.sentAt > 120 {
 					how := gate.Finished
 					if i%7 == 0 {
 						how = gate.Errored
 					}
-					events = append(events, gate.AttemptEnded{Op: i, Attempt: s, Backend: tr.backend, Result: how,
-						Latency: now - tr.sentAt, Answered: how == gate.Finished, MeteredUse: 0.1, Queue: -1})
+					events = append(events, gate.AttemptEnded{Op: i, Attempt: s, Backend: att.backend, Result: how,
+						Latency: now - att.sentAt, Answered: how == gate.Finished, MeteredUse: 0.1, Queue: -1})
 				}
 			}
 		}
--- a/policy/state.go
+++ b/policy/state.go
@@ -27,7 +27,7 @@
 	answered // the client has its answer, or has left
 )
 
-// attempt is one attempt of a request. The difference between wanted and the flags that follow is emitted.
+// attempt is one attempt of a request. emitActions emits the difference between wanted and the flags after it.
 type attempt struct {
 	backend   int
 	sentAt    float64
@@ -44,7 +44,7 @@
 // request is the state of one request. Its slot may be reused once it is over with nothing in flight.
 type request struct {
 	class, plan, customer       int
-	units, charge               float64
+	units, charge               float64 // units; the charge for them, in units of the whole quota
 	arrivedAt, deadline         float64 // arrival and the client's deadline, ms
 	held                        bool    // waiting for release
 	counterGranted              bool    // the counter has granted its units
@@ -72,7 +72,7 @@
 	reservedCharge    float64      // charges of held requests, units of the whole quota
 	reservedUnits     float64      // units of held requests
 	blockedUntil      float64      // clock until which the counter has no capacity, ms
-	blockedUnits      float64      // for requests of this many units or more
+	blockedUnits      float64      // units from which on a request is blocked until blockedUntil
 	filledAt          float64      // clock of the last refill, ms
 	demand            float64      // units requested here, averaged, units/ms
 	othersUse         float64      // use by other doors as last reported, units/ms
@@ -115,13 +115,13 @@
 	callPending   bool    // a call is in flight
 	available     float64 // units last seen free on the counter
 	initialLevel  float64 // units free when the window began
-	seenAt        float64 // clock of available, ms
+	seenAt        float64 // clock at which available was seen, ms
 	overflow      float64 // refilled units that the full bucket could not hold in this window
 	refillRate    float64 // refill in the window, units/ms; by the even split where the level at its start is unknown
 	surplus       float64 // units added to the total but not granted; the next call subtracts them
 	pendingUnits  float64 // units sent and not added to the total yet
 	askedUnits    float64 // units that the call in flight asks for
-	requiredUnits float64 // of these, for the request that caused the call
+	requiredUnits float64 // units of the request that caused the latest call
 	retryAt       float64 // clock before which no call is made, ms
 }
 
@@ -137,17 +137,17 @@
 	suspicions    [][]suspicion // by class, then backend; the last row is for backends as a whole
 	latencyRatio  []float64     // its latency relative to the fleet's
 	fullUntil     [][]float64   // by backend and plan: clock until which it is avoided after a refusal, ms
-	fullBackoff   [][]float64   // by backend and plan: length of that backoff, ms
+	fullBackoff   [][]float64   // by backend and plan: length of the backoff after a refusal, ms
 	queueLen      []float64     // smoothed number of requests waiting, as reported
 	warmWork      float64       // work sent to warm backends, decaying, ms of work
-	warmWorkAt    float64       // clock of that figure, ms
-	warmWorkRate  float64       // last known rate of that work for a warm backend of weight 1, ms of work per ms
+	warmWorkAt    float64       // clock up to which warmWork has decayed, ms
+	warmWorkRate  float64       // last known rate of work sent to a warm backend of weight 1, ms of work per ms
 	coldLeft      []int         // requests that a cold backend may still receive in its window
-	coldWindowEnd []float64     // end of that window, ms
+	coldWindowEnd []float64     // end of the window of coldLeft, ms
 	ringPosition  []float64     // position on the ring that all doors share, 0 to 1
 	ringOrder     []int         // listed backends from this door's position on the ring on; its subset comes first
 	sendRate      float64       // attempts per ms, averaged
-	sendRateAt    float64       // clock of that figure, ms
+	sendRateAt    float64       // clock up to which sendRate has decayed, ms
 }
 
 // suspicion is the sequential test of one backend, for one class or as a whole.
@@ -155,7 +155,7 @@
 	evidence      float64 // log-likelihood ratio that the backend is broken, nats
 	ejected       bool    // the test has ended against the backend
 	probeAt       float64 // earliest next ejection probe, ms
-	probeInterval float64 // time from that probe to the next, ms
+	probeInterval float64 // time from the probe due at probeAt to the next, ms
 }
 
 // resetBackend drops the evidence and statistics of a backend's previous process.
@@ -248,15 +248,15 @@
 func newRandomSource(seed uint64) randomSource { return randomSource{rand.New(rand.NewPCG(seed, 0))} }
 
 // uniform returns a random number in [0, 1).
-func (d *randomSource) uniform() float64 { return d.pcg.Float64() }
+func (r *randomSource) uniform() float64 { return r.pcg.Float64() }
 
 // weightedIndex returns a random index with probability proportional to its weight, or -1 if all weights are 0.
-func (d *randomSource) weightedIndex(weights []float64) int {
+func (r *randomSource) weightedIndex(weights []float64) int {
 	sum, last := 0.0, -1
 	for _, w := range weights {
 		sum += w
 	}
-	x := d.uniform() * sum
+	x := r.uniform() * sum
 	for i, w := range weights {
 		if w > 0 {
 			last = i
@@ -283,12 +283,12 @@
 	buckets           []bucket
 	fleet             fleet
 	latencies         []latencyStats
-	inFlight          []int   // attempts in flight, by class
-	timerSet          bool    // a gate.SetTimer is pending
-	tickedAt          float64 // time of the latest tick
-	changed           []int
+	inFlight          []int         // attempts in flight, by class
+	timerSet          bool          // a gate.SetTimer is pending
+	tickedAt          float64       // time of the latest tick
+	changed           []int         // requests that changed in this batch
 	mustSubscribe     bool          // the fleet list must be subscribed to again
-	subscribeAt       float64       // not before this time
+	subscribeAt       float64       // earliest time of the next subscription to the fleet list
 	freedIndices      []gate.Action // actions that free indices, to be emitted
 	counterCalls      []gate.Action // counter calls to be emitted
 	sweptAt           float64       // time of the latest search for idle buckets
@@ -297,10 +297,10 @@
 	meanGain          float64       // smoothed gain of a request
 	answeredAt        float64       // time of the latest good answer, of any class
 	callShare         float64       // share of requests for which the counter is called
-	answeredCallShare float64       // that share at the counter's latest answer
-	missedCalls       int           // calls without an answer since then
-	callShareCutAt    float64       // time of the latest decrease of that share
-	callsScarceAt     float64       // time of the latest decrease below reserveCallsBelow
+	answeredCallShare float64       // callShare at the counter's latest answer
+	missedCalls       int           // counter calls without an answer since its latest one
+	callShareCutAt    float64       // time of the latest decrease of callShare
+	callsScarceAt     float64       // time of the latest decrease of callShare to below reserveCallsBelow
 	actions           []gate.Action
 }
 
