--- a/frontdoor/backend.go
+++ b/frontdoor/backend.go
@@ -82,34 +82,34 @@
 
 // begin claims an attempt for writing and marks its answer as pending. It reports false if the connection has ended, if bytes have
 // arrived since the previous answer, which must not be taken for the next one, or if the attempt has been dropped.
-func (l *backendConn) begin(att *attempt) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.dead || l.raw != nil && !sockio.IsIdle(l.raw) {
+func (conn *backendConn) begin(att *attempt) bool {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.dead || conn.raw != nil && !sockio.IsIdle(conn.raw) {
 		return false
 	}
-	l.answerPending = att.stage.CompareAndSwap(stageWaiting, stageWriting)
-	return l.answerPending
+	conn.answerPending = att.stage.CompareAndSwap(stageWaiting, stageWriting)
+	return conn.answerPending
 }
 
 // receive reads once and reports whether an answer was pending at that time. Reading and checking happen under the same lock as
 // begin: bytes read before begin are no part of the answer to the attempt that it starts.
-func (l *backendConn) receive(p []byte) (n int, answerPending bool, err error) {
-	if l.raw == nil {
-		n, err = sockio.Read(l.nc, p)
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		l.dead = l.dead || !l.answerPending
-		return n, l.answerPending, err
+func (conn *backendConn) receive(p []byte) (n int, answerPending bool, err error) {
+	if conn.raw == nil {
+		n, err = sockio.Read(conn.nc, p)
+		conn.mu.Lock()
+		defer conn.mu.Unlock()
+		conn.dead = conn.dead || !conn.answerPending
+		return n, conn.answerPending, err
 	}
 	var readErr error
-	err = l.raw.Read(func(fd uintptr) bool {
-		l.mu.Lock()
-		defer l.mu.Unlock()
+	err = conn.raw.Read(func(fd uintptr) bool {
+		conn.mu.Lock()
+		defer conn.mu.Unlock()
 		n, readErr = sockio.ReadFD(fd, p)
-		answerPending = l.answerPending
+		answerPending = conn.answerPending
 		done := readErr != syscall.EAGAIN
-		l.dead = l.dead || done && !answerPending // begin cannot see the bytes that were read here
+		conn.dead = conn.dead || done && !answerPending // begin cannot see the bytes that were read here
 		return done
 	})
 	switch {
@@ -124,39 +124,39 @@
 }
 
 // answerReceived records that the pending answer has been received.
-func (l *backendConn) answerReceived() {
-	l.mu.Lock()
-	l.answerPending = false
-	l.mu.Unlock()
+func (conn *backendConn) answerReceived() {
+	conn.mu.Lock()
+	conn.answerPending = false
+	conn.mu.Unlock()
 }
 
 // close ends the connection in any state, also while it is being dialled.
-func (l *backendConn) close() {
-	l.mu.Lock()
-	l.dead = true
-	nc := l.nc
-	l.mu.Unlock()
-	l.cancel()
+func (conn *backendConn) close() {
+	conn.mu.Lock()
+	conn.dead = true
+	nc := conn.nc
+	conn.mu.Unlock()
+	conn.cancel()
 	if nc != nil {
 		nc.Close()
 	}
 }
 
 // dial establishes the connection. If that fails or comes too late, it returns the attempt's outcome.
-func (l *backendConn) dial(ctx context.Context) (up bool, how outcome) {
-	nc, err := l.c.dial(ctx, l.addr)
+func (conn *backendConn) dial(ctx context.Context) (up bool, how outcome) {
+	nc, err := conn.c.dial(ctx, conn.addr)
 	if err != nil {
 		return false, dialOutcome(err)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.dead {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.dead {
 		nc.Close()
 		return false, outcomeNoConnection
 	}
-	l.nc = nc
+	conn.nc = nc
 	if sc, ok := nc.(syscall.Conn); ok {
-		l.raw, _ = sc.SyscallConn()
+		conn.raw, _ = sc.SyscallConn()
 	}
 	return true, outcomeOK
 }
@@ -170,59 +170,59 @@
 }
 
 // run dials, writes the first attempt and reads answers until the connection ends.
-func (l *backendConn) run(ctx context.Context, first *attempt, msg []byte) {
-	defer l.c.budget.release()
-	defer l.cancel()
-	if up, how := l.dial(ctx); !up {
-		l.c.post(connClosed{l, how})
+func (conn *backendConn) run(ctx context.Context, first *attempt, msg []byte) {
+	defer conn.c.budget.release()
+	defer conn.cancel()
+	if up, how := conn.dial(ctx); !up {
+		conn.c.post(connClosed{conn, how})
 		return
 	}
-	defer l.nc.Close()
-	l.writeAttempt(first, msg)
-	l.c.post(connClosed{l, l.readAnswers()})
+	defer conn.nc.Close()
+	conn.writeAttempt(first, msg)
+	conn.c.post(connClosed{conn, conn.readAnswers()})
 }
 
 // writeAttempt writes an attempt, unless it has been dropped or the connection is no longer usable.
-func (l *backendConn) writeAttempt(att *attempt, msg []byte) {
+func (conn *backendConn) writeAttempt(att *attempt, msg []byte) {
 	defer func() { pool.Put(msg) }()
-	l.writeInProgress.Store(true)
-	defer l.writeInProgress.Store(false)
+	conn.writeInProgress.Store(true)
+	defer conn.writeInProgress.Store(false)
 	// Dialling may have taken long, or the process may have been suspended. An attempt past its time would run for nobody, or run
 	// twice at a backend that may have forgotten the request's key.
-	if att.tooLate(l.c.clock.now()) && att.stage.CompareAndSwap(stageWaiting, stageDropped) {
-		l.c.post(attemptTooLate{att})
+	if att.tooLate(conn.c.clock.now()) && att.stage.CompareAndSwap(stageWaiting, stageDropped) {
+		conn.c.post(attemptTooLate{att})
 		return
 	}
 	if att.client.peerClosed() {
 		return // the client's reader is about to report this, and the event loop then drops the attempt
 	}
-	if !l.begin(att) {
+	if !conn.begin(att) {
 		if att.stage.Load() == stageWaiting {
-			l.nc.Close() // the event loop then launches the attempt on another connection
+			conn.nc.Close() // the event loop then launches the attempt on another connection
 		}
 		return
 	}
-	n, err := l.writeMessage(att, &msg)
+	n, err := conn.writeMessage(att, &msg)
 	if err != nil {
 		if n < len(msg) {
 			att.stage.Store(stageBroken)
 		}
-		l.nc.Close()
+		conn.nc.Close()
 	}
 }
 
 // writeMessage writes an attempt's message. The remaining time in its header is computed right before the first byte is written.
-func (l *backendConn) writeMessage(att *attempt, msg *[]byte) (n int, err error) {
+func (conn *backendConn) writeMessage(att *attempt, msg *[]byte) (n int, err error) {
 	for {
-		*msg = http1.SetRemaining(*msg, att.deadline-l.c.clock.now())
-		n, err = sockio.Write(l.nc, *msg, time.Now().Add(maxRemainingAge))
-		if n > 0 || !sockio.IsTransient(err) || att.tooLate(l.c.clock.now()) {
+		*msg = http1.SetRemaining(*msg, att.deadline-conn.c.clock.now())
+		n, err = sockio.Write(conn.nc, *msg, time.Now().Add(maxRemainingAge))
+		if n > 0 || !sockio.IsTransient(err) || att.tooLate(conn.c.clock.now()) {
 			break
 		}
 	}
 	if sockio.IsTransient(err) {
 		var rest int
-		rest, err = sockio.Write(l.nc, (*msg)[n:], time.Now().Add(duration(att.deadline-l.c.clock.now())))
+		rest, err = sockio.Write(conn.nc, (*msg)[n:], time.Now().Add(duration(att.deadline-conn.c.clock.now())))
 		n += rest
 	}
 	return n, err
@@ -230,20 +230,20 @@
 
 // readAnswers posts answers to the event loop until the connection ends, and returns the outcome of an attempt that is then still
 // in progress.
-func (l *backendConn) readAnswers() outcome {
+func (conn *backendConn) readAnswers() outcome {
 	var in http1.ResponseReader
 	defer in.Drop()
 	buf := pool.Get()[:pool.Size]
 	defer pool.Put(buf)
 	for {
-		n, answerPending, err := l.receive(buf)
+		n, answerPending, err := conn.receive(buf)
 		if err != nil {
 			return outcomeBroken
 		}
 		if !answerPending {
 			return outcomeMalformed // a second answer would be taken for the next attempt's
 		}
-		at := l.c.clock.now()
+		at := conn.c.clock.now()
 		used, whole, err := in.Feed(buf[:n])
 		if err != nil {
 			return outcomeMalformed
@@ -251,11 +251,11 @@
 		if !whole {
 			continue
 		}
-		l.answerReceived()
+		conn.answerReceived()
 		a := in.Take()
 		a.Close = a.Close || used < n // extra bytes after an answer belong to no attempt
 		last := a.Close
-		l.c.post(answerArrived{l, a, at})
+		conn.c.post(answerArrived{conn, a, at})
 		if last {
 			return outcomeMalformed
 		}
@@ -294,9 +294,9 @@
 	c.launch(att)
 }
 
-// takeIdle removes and returns the most recently used connection that has been idle since before a clock, nil if there is none. The
-// pause matters as a backend may send a second answer shortly after the first: on a connection that already carries the next
-// attempt, it would be taken for that attempt's answer.
+// takeIdle removes and returns the most recently used connection among those idle since the given clock or longer, nil if there
+// is none. The pause matters as a backend may send a second answer shortly after the first: on a connection that already carries
+// the next attempt, it would be taken for that attempt's answer.
 func (b *backend) takeIdle(before float64) *backendConn {
 	for i := len(b.idle) - 1; i >= 0; i-- {
 		if conn := b.idle[i]; conn.idleSince <= before {
@@ -385,8 +385,8 @@
 	}
 }
 
-// attemptTooLate reports that an attempt's connection was established too late for it to begin. The connection is closed too: its
-// backend may be going down, and a later attempt should use a connection known to work.
+// attemptTooLate reports that an attempt's connection was established too late for it to begin. The connection is closed too: it
+// may be about to break, and a later attempt should use a connection known to work.
 type attemptTooLate struct{ attempt *attempt }
 
 func (e attemptTooLate) handle(c *core) {
--- a/frontdoor/budget.go
+++ b/frontdoor/budget.go
@@ -7,7 +7,7 @@
 // is available again.
 const (
 	clientReserveDivisor = 4                                       // clients leave 1/4 of the sockets to backends, counter and discovery
-	maxBackendReserve    = 2*counterConnections + watchConnections // of those, left by backends to counter and discovery
+	maxBackendReserve    = 2*counterConnections + watchConnections // most sockets that backends leave to counter and discovery
 	watchConnections     = 2                                       // fleet watches that overlap: one that is ending, and the next
 )
 
--- a/frontdoor/core.go
+++ b/frontdoor/core.go
@@ -39,10 +39,10 @@
 type backend struct {
 	id           string
 	addr         string
-	status       gate.Status // on the list
-	processStart wallTime    // start of its process, as listed; 0 is long ago
-	startedAt    float64     // the same on the door's clock, ms; 0 is long ago
-	size         float64
+	status       gate.Status    // on the list
+	processStart wallTime       // start of its process, as listed; 0 is long ago
+	startedAt    float64        // the same on the door's clock, ms; 0 is long ago
+	size         float64        // relative capacity, as listed; gate.Entry.Weight
 	eligible     bool           // new attempts may be sent to it: up on the list, and not withheld
 	counts       Counts         // of attempts that ended
 	idle         []*backendConn // most recently used last
@@ -134,25 +134,25 @@
 
 // gateRequest validates a request and converts it to the decider's form, except for the indices that the event loop assigns.
 func (c *core) gateRequest(msg *http1.Request) (ev gate.Request, err error) {
-	d := &c.cfg.Settings
-	class, known := d.Classes[msg.Class]
+	settings := &c.cfg.Settings
+	class, known := settings.Classes[msg.Class]
 	if !known {
 		return ev, &http1.RequestError{Status: http.StatusNotFound, Text: "profile"}
 	}
-	plan, known := d.Plans[msg.Plan]
+	plan, known := settings.Plans[msg.Plan]
 	switch {
 	case !known:
 		return ev, &http1.RequestError{Status: http.StatusBadRequest, Text: "plan"}
-	case (msg.Method == http.MethodGet) != (d.Terms.Classes[class].Semantics == gate.Idempotent):
+	case (msg.Method == http.MethodGet) != (settings.Terms.Classes[class].Semantics == gate.Idempotent):
 		return ev, &http1.RequestError{Status: http.StatusMethodNotAllowed, Text: "method"}
 	case msg.Method == http.MethodGet && len(msg.Body) > 0:
 		return ev, &http1.RequestError{Status: http.StatusBadRequest, Text: "body"}
-	case d.Terms.Classes[class].Semantics == gate.Keyed && msg.IdempotencyKey == "":
+	case settings.Terms.Classes[class].Semantics == gate.Keyed && msg.IdempotencyKey == "":
 		return ev, &http1.RequestError{Status: http.StatusBadRequest, Text: "no mark"}
-	case msg.First >= d.Terms.Doors || msg.Spread > d.Terms.Doors || d.MaxUnits > 0 && msg.Units > d.MaxUnits:
+	case msg.First >= settings.Terms.Doors || msg.Spread > settings.Terms.Doors || settings.MaxUnits > 0 && msg.Units > settings.MaxUnits:
 		return ev, &http1.RequestError{Status: http.StatusBadRequest, Text: "weight"}
 	}
-	return gate.Request{Class: class, Plan: plan, TTL: min(msg.TTL, d.MaxWait), Units: msg.Units, ClientRetry: msg.Repeat,
+	return gate.Request{Class: class, Plan: plan, TTL: min(msg.TTL, settings.MaxWait), Units: msg.Units, ClientRetry: msg.Repeat,
 		FirstDoor: msg.First, Spread: msg.Spread, Phase: index.Phase(msg.Customer)}, nil
 }
 
@@ -303,7 +303,7 @@
 		e.cl.hasRequested = true
 		c.activeClients++
 	}
-	if _, open := c.requestIDs[e.msg.ID]; open { // a backend could not tell the two apart, nor the decider their ends
+	if _, open := c.requestIDs[e.msg.ID]; open { // a backend could not tell the two apart, nor the decider their results
 		e.cl.idleSince = c.clock.now()
 		e.msg.Free()
 		go e.cl.answer(http1.AppendResponse(pool.Get(), http.StatusConflict, 0, nil, e.msg.Close), e.msg.Close)
--- a/frontdoor/counter.go
+++ b/frontdoor/counter.go
@@ -26,42 +26,42 @@
 	done      bool    // its connection has no answer pending for it
 }
 
-// expire first reports a timeout of the call. If the answer is still pending after Pace.DeadCounter, it closes the connection:
+// expire first reports a timeout of the call. If the answer is still pending after Pace.CounterStall, it closes the connection:
 // no read ever fails on a connection whose peer has become unreachable.
-func (k *counterCall) expire(c *core) {
-	switch dead := k.startedAt + c.cfg.Pace.CounterStall; {
-	case k.done:
+func (call *counterCall) expire(c *core) {
+	switch dead := call.startedAt + c.cfg.Pace.CounterStall; {
+	case call.done:
 	case c.now < dead:
-		c.reportCall(k, outcomeTimeout, 0)
-		c.timeouts.add(dead, k)
+		c.reportCall(call, outcomeTimeout, 0)
+		c.timeouts.add(dead, call)
 	default:
-		c.reportCall(k, outcomeTimeout, 0)
-		k.conn.disconnect()
+		c.reportCall(call, outcomeTimeout, 0)
+		call.conn.disconnect()
 	}
 }
 
 // reportCall reports the result of a call to the decider, once.
-func (c *core) reportCall(k *counterCall, how outcome, total float64) {
-	if k.reported {
+func (c *core) reportCall(call *counterCall, how outcome, total float64) {
+	if call.reported {
 		return
 	}
-	k.reported = true
-	if customer, known := c.customers.Find(k.customer); known {
-		c.pending = append(c.pending, gate.Counted{Customer: customer, Epoch: k.epoch, Result: how.result(), Total: total})
+	call.reported = true
+	if customer, known := c.customers.Find(call.customer); known {
+		c.pending = append(c.pending, gate.Counted{Customer: customer, Epoch: call.epoch, Result: how.result(), Total: total})
 	}
 }
 
 // callCounter makes a call over the connection with the fewest outstanding calls.
 func (c *core) callCounter(a gate.Count) {
-	k := &counterCall{customer: c.customers.ID(a.Customer), epoch: a.Epoch, add: a.Add, ttl: a.TTL, startedAt: c.now}
+	call := &counterCall{customer: c.customers.ID(a.Customer), epoch: a.Epoch, add: a.Add, ttl: a.TTL, startedAt: c.now}
 	for _, conn := range c.counterConns {
-		if k.conn == nil || conn.outstanding < k.conn.outstanding {
-			k.conn = conn
+		if call.conn == nil || conn.outstanding < call.conn.outstanding {
+			call.conn = conn
 		}
 	}
-	k.conn.outstanding++
-	c.timeouts.add(k.startedAt+c.cfg.Settings.CounterTimeout, k)
-	k.conn.enqueue(k)
+	call.conn.outstanding++
+	c.timeouts.add(call.startedAt+c.cfg.Settings.CounterTimeout, call)
+	call.conn.enqueue(call)
 }
 
 // callEnded reports that a call has ended on its connection.
@@ -95,9 +95,9 @@
 }
 
 // stopIfUnused stops a connection that has been replaced and has no outstanding calls.
-func (k *counterConn) stopIfUnused() {
-	if k.replaced && k.outstanding == 0 {
-		k.stop()
+func (conn *counterConn) stopIfUnused() {
+	if conn.replaced && conn.outstanding == 0 {
+		conn.stop()
 	}
 }
 
@@ -123,47 +123,47 @@
 }
 
 // enqueue queues a call and wakes the writer.
-func (k *counterConn) enqueue(call *counterCall) {
-	k.mu.Lock()
-	k.queue = append(k.queue, call)
-	k.mu.Unlock()
+func (conn *counterConn) enqueue(call *counterCall) {
+	conn.mu.Lock()
+	conn.queue = append(conn.queue, call)
+	conn.mu.Unlock()
 	select {
-	case k.wake <- struct{}{}:
+	case conn.wake <- struct{}{}:
 	default:
 	}
 }
 
 // disconnect closes the connection, if it is established.
-func (k *counterConn) disconnect() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.nc != nil {
-		k.nc.Close()
+func (conn *counterConn) disconnect() {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.nc != nil {
+		conn.nc.Close()
 	}
 }
 
 // run writes queued calls, dialling as needed, until ctx ends.
-func (k *counterConn) run(ctx context.Context) {
-	defer context.AfterFunc(ctx, k.disconnect)()
+func (conn *counterConn) run(ctx context.Context) {
+	defer context.AfterFunc(ctx, conn.disconnect)()
 	for ctx.Err() == nil {
 		select {
-		case <-k.wake:
+		case <-conn.wake:
 		case <-ctx.Done():
 			return
 		}
-		nc, how := k.connect(ctx)
-		calls, late, up := k.takeQueued(nc)
-		k.endCalls(late, outcomeTimeoutUnsent)
+		nc, how := conn.connect(ctx)
+		calls, late, up := conn.takeQueued(nc)
+		conn.endCalls(late, outcomeTimeoutUnsent)
 		if !up {
-			k.endCalls(calls, how.asUnsent())
-			sleepMs(ctx, k.c.cfg.Pace.Redial)
+			conn.endCalls(calls, how.asUnsent())
+			sleepMs(ctx, conn.c.cfg.Pace.Redial)
 			continue
 		}
 		msg := pool.Get()
 		for _, call := range calls {
 			msg = resp.AppendTally(msg, counterKey(call), call.add, call.ttl)
 		}
-		if _, err := sockio.Write(nc, msg, time.Now().Add(duration(k.c.cfg.Settings.CounterTimeout))); err != nil {
+		if _, err := sockio.Write(nc, msg, time.Now().Add(duration(conn.c.cfg.Settings.CounterTimeout))); err != nil {
 			nc.Close() // the reading goroutine ends the calls
 		}
 		pool.Put(msg)
@@ -174,21 +174,21 @@
 // their units must not be added. up reports whether nc is still the connection; only then are the other calls registered as
 // awaiting a reply. If nc ended after it was looked up, its reader has already ended the calls on it: calls registered later
 // would never end, and replies on the next connection would be matched to them, giving one customer the total of another.
-func (k *counterConn) takeQueued(nc net.Conn) (calls, late []*counterCall, up bool) {
-	oldest := k.c.clock.now() - k.c.cfg.Settings.CounterTimeout
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	up = nc != nil && k.nc == nc
-	for _, call := range k.queue {
+func (conn *counterConn) takeQueued(nc net.Conn) (calls, late []*counterCall, up bool) {
+	oldest := conn.c.clock.now() - conn.c.cfg.Settings.CounterTimeout
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	up = nc != nil && conn.nc == nc
+	for _, call := range conn.queue {
 		if call.startedAt < oldest {
 			late = append(late, call)
 		} else {
 			calls = append(calls, call)
 		}
 	}
-	k.queue = nil
+	conn.queue = nil
 	if up {
-		k.awaitingReply = append(k.awaitingReply, calls...)
+		conn.awaitingReply = append(conn.awaitingReply, calls...)
 	}
 	return calls, late, up
 }
@@ -199,41 +199,41 @@
 }
 
 // current returns the connection, nil if there is none.
-func (k *counterConn) current() net.Conn {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.nc
+func (conn *counterConn) current() net.Conn {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	return conn.nc
 }
 
 // connect returns the connection, and dials if there is none.
-func (k *counterConn) connect(ctx context.Context) (net.Conn, outcome) {
-	if nc := k.current(); nc != nil {
+func (conn *counterConn) connect(ctx context.Context) (net.Conn, outcome) {
+	if nc := conn.current(); nc != nil {
 		return nc, outcomeOK
 	}
-	if !k.c.budget.acquire(0) {
+	if !conn.c.budget.acquire(0) {
 		return nil, outcomeNoSocket
 	}
-	nc, err := k.c.dial(ctx, k.addr)
+	nc, err := conn.c.dial(ctx, conn.addr)
 	if err != nil {
-		k.c.budget.release()
+		conn.c.budget.release()
 		return nil, dialOutcome(err)
 	}
-	k.mu.Lock()
-	k.nc = nc
-	k.mu.Unlock()
-	go k.read(nc)
+	conn.mu.Lock()
+	conn.nc = nc
+	conn.mu.Unlock()
+	go conn.read(nc)
 	return nc, outcomeOK
 }
 
-func (k *counterConn) endCalls(calls []*counterCall, how outcome) {
+func (conn *counterConn) endCalls(calls []*counterCall, how outcome) {
 	for _, call := range calls {
-		k.c.post(callEnded{call, how, 0})
+		conn.c.post(callEnded{call, how, 0})
 	}
 }
 
 // read reads replies, each for the oldest call, until the connection ends, and then ends the calls left.
-func (k *counterConn) read(nc net.Conn) {
-	defer k.c.budget.release()
+func (conn *counterConn) read(nc net.Conn) {
+	defer conn.c.budget.release()
 	var in resp.Replies
 	buf := pool.Get()[:pool.Size]
 	defer pool.Put(buf)
@@ -241,34 +241,34 @@
 	for err == nil && parseErr == nil {
 		var n int
 		n, err = sockio.Read(nc, buf)
-		parseErr = in.Feed(buf[:n], k.handleReply)
+		parseErr = in.Feed(buf[:n], conn.handleReply)
 	}
 	nc.Close()
-	k.mu.Lock()
-	calls := k.awaitingReply
-	k.nc, k.awaitingReply = nil, nil
-	k.mu.Unlock()
+	conn.mu.Lock()
+	calls := conn.awaitingReply
+	conn.nc, conn.awaitingReply = nil, nil
+	conn.mu.Unlock()
 	if parseErr != nil && len(calls) > 0 { // the malformed reply was the oldest call's; the calls behind it may have been added
-		k.endCalls(calls[:1], outcomeMalformed)
+		conn.endCalls(calls[:1], outcomeMalformed)
 		calls = calls[1:]
 	}
-	k.endCalls(calls, outcomeBroken)
+	conn.endCalls(calls, outcomeBroken)
 }
 
 // handleReply ends the oldest call with a reply.
-func (k *counterConn) handleReply(r resp.Reply) error {
-	k.mu.Lock()
-	if len(k.awaitingReply) == 0 {
-		k.mu.Unlock()
+func (conn *counterConn) handleReply(r resp.Reply) error {
+	conn.mu.Lock()
+	if len(conn.awaitingReply) == 0 {
+		conn.mu.Unlock()
 		return errUnexpectedReply
 	}
-	call := k.awaitingReply[0]
-	k.awaitingReply = k.awaitingReply[1:]
-	k.mu.Unlock()
+	call := conn.awaitingReply[0]
+	conn.awaitingReply = conn.awaitingReply[1:]
+	conn.mu.Unlock()
 	how := outcomeOK
 	if r.Busy || r.ErrorText != "" {
 		how = outcomeTurnedAway
 	}
-	k.c.post(callEnded{call, how, r.Total})
+	conn.c.post(callEnded{call, how, r.Total})
 	return nil
 }
--- a/frontdoor/errors.go
+++ b/frontdoor/errors.go
@@ -35,9 +35,9 @@
 }
 
 // LinkError is the reason why a connection to discovery or to the counter is closed. The door logs it and dials again.
-type LinkError struct{ Says string }
+type LinkError struct{ Reason string }
 
-func (e *LinkError) Error() string     { return e.Says }
+func (e *LinkError) Error() string     { return e.Reason }
 func (e *LinkError) Kind() remedy.Kind { return remedy.Unreachable }
 
 // Remedy names the settings to check if the error persists; the door dials again by itself.
--- a/frontdoor/failure_test.go
+++ b/frontdoor/failure_test.go
@@ -52,13 +52,13 @@
 	nc.Close()
 }
 
-// writeEndlessly returns a function that writes text repeatedly until a write fails, and adds the bytes written to taken.
-func writeEndlessly(text string, taken *atomic.Int64) func(net.Conn) {
+// writeEndlessly returns a function that writes text repeatedly until a write fails, and adds the number of bytes to written.
+func writeEndlessly(text string, written *atomic.Int64) func(net.Conn) {
 	return func(nc net.Conn) {
 		chunk := strings.Repeat(text, 1+4096/len(text))
 		for {
 			n, err := io.WriteString(nc, chunk)
-			if taken.Add(int64(n)); err != nil {
+			if written.Add(int64(n)); err != nil {
 				return
 			}
 		}
@@ -151,7 +151,7 @@
 )
 
 // failures returns the ways in which an answer can fail. In all of them but "turned away" the backend has run the request.
-func failures(taken *atomic.Int64) map[string]failure {
+func failures(written *atomic.Int64) map[string]failure {
 	return map[string]failure{
 		"an error status":             {writeThen("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", hang), true, true},
 		"turned away":                 {writeThen("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", hang), false, true},
@@ -166,11 +166,11 @@
 		"a chunk cut short":           {writeThen("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n50\r\nwrong", resetConn), true, false},
 		"no length, then a reset":     {writeThen("HTTP/1.1 200 OK\r\n\r\nwrong", resetConn), true, false},
 		"no HTTP":                     {writeThen("\x00\x01\x02 nonsense\r\n\r\n", hang), true, false},
-		"an endless header":           {writeThen("HTTP/1.1 200 OK\r\n", writeEndlessly("X-More: and more\r\n", taken)), true, false},
-		"an endless body":             {writeThen("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", writeEndlessly("4\r\nmore\r\n", taken)), true, false},
-		"an endless trailer":          {writeThen("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", writeEndlessly("X-More: and more\r\n", taken)), true, false},
-		"endless 100 Continue":        {writeThen("", writeEndlessly("HTTP/1.1 100 Continue\r\n\r\n", taken)), true, false},
-		"a body over the limit":       {writeThen("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", writeEndlessly("more", taken)), true, false},
+		"an endless header":           {writeThen("HTTP/1.1 200 OK\r\n", writeEndlessly("X-More: and more\r\n", written)), true, false},
+		"an endless body":             {writeThen("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", writeEndlessly("4\r\nmore\r\n", written)), true, false},
+		"an endless trailer":          {writeThen("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", writeEndlessly("X-More: and more\r\n", written)), true, false},
+		"endless 100 Continue":        {writeThen("", writeEndlessly("HTTP/1.1 100 Continue\r\n\r\n", written)), true, false},
+		"a body over the limit":       {writeThen("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", writeEndlessly("more", written)), true, false},
 	}
 }
 
@@ -267,13 +267,13 @@
 		for name := range failures(nil) {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				var taken atomic.Int64
-				status, body, took, rec := runWithFailure(t, request, failures(&taken)[name])
+				var written atomic.Int64
+				status, body, took, rec := runWithFailure(t, request, failures(&written)[name])
 				rec.mu.Lock()
 				defer rec.mu.Unlock()
 				assert.False(t, rec.reused, "the connection is not used again")
 				assert.Less(t, took, maxAnswerTime)
-				assert.Less(t, taken.Load(), int64(64<<20))
+				assert.Less(t, written.Load(), int64(64<<20))
 				assert.Equal(t, "200 ok", fmt.Sprint(status, " ", body), "also if the door cannot notice the failure: it sends a hedge")
 			})
 		}
--- a/frontdoor/fleet.go
+++ b/frontdoor/fleet.go
@@ -15,10 +15,10 @@
 	"github.com/swifthall/swifthall/internal/sockio"
 )
 
-// fleetUpdate is a change of the fleet list, received by the watch of that number.
+// fleetUpdate reports a change of the fleet list that a watch received.
 type fleetUpdate struct {
 	list         registry.List
-	watch        int
+	watch        int     // number of the watch
 	lastReceived float64 // clock at which a watch had last received anything before this list began, ms; 0 is never
 }
 
@@ -156,8 +156,9 @@
 }
 
 // runWatch keeps a watch of the fleet list until ctx ends. If the connection breaks, falls silent or is accepted but never
-// answered, it dials again and resumes from the last version received; config.Pace bounds how long that takes. Discovery sends
-// what it knows at once: a door that has waited for the connect timeout becomes ready with the list it was configured with.
+// answered, it dials again and resumes from the last version received; config.Pace bounds how long that takes, whatever failed
+// before. Discovery sends what it knows at once: a door that has waited for the connect timeout becomes ready with the list it was
+// configured with.
 func (c *core) runWatch(ctx context.Context, addr string, version int64, number int) {
 	defer time.AfterFunc(duration(c.cfg.Settings.ConnectTimeout), func() { c.post(discoveryAttempted{}) }).Stop()
 	healthy, random := true, rand.New(rand.NewPCG(c.cfg.Seed, uint64(number)))
--- a/frontdoor/frontdoor.go
+++ b/frontdoor/frontdoor.go
@@ -23,7 +23,7 @@
 // Door is one front door.
 type Door struct{ core *core }
 
-// New returns a door that serves by a decider. The door owns the decider from then on.
+// New returns a door that carries out the actions of a decider. The door owns the decider from then on.
 func New(cfg config.Door, decider gate.Decider, log logrus.FieldLogger) *Door {
 	return &Door{core: newCore(cfg, decider, log)}
 }
@@ -71,7 +71,7 @@
 // Open requests and calls go on, and the present fleet list stays in use until the new discovery has sent one.
 func (d *Door) Reload(cfg config.Door) { d.core.post(reloadRequest{cfg.Discovery, cfg.Counter}) }
 
-// SetMembers reports which doors of the fleet are here, as far as is known. It may be called at any time, or never: no request
+// SetMembers reports which doors of the fleet are present, as far as is known. It may be called at any time, or never: no request
 // waits for it.
 func (d *Door) SetMembers(e gate.DoorsUpdate) { d.core.post(membersUpdate(e)) }
 
--- a/frontdoor/guard.go
+++ b/frontdoor/guard.go
@@ -15,12 +15,12 @@
 
 const (
 	startWithoutClient invariant = iota // an attempt for a request that has been answered or whose client has gone
-	startTooLate                        // an attempt after the deadline of the request or the end of the door
+	startTooLate                        // an attempt after the request's deadline, which shutdown may have limited
 	startAtIneligible                   // an attempt to a backend that drains, is gone or is withheld
 	repeatUnsafe                        // a second attempt of a non-idempotent request that may have run
 	repeatPastWindow                    // a repeat of a keyed request where the first attempt's key may be forgotten
 	closeUnanswered                     // a connection closed by the door while a request on it has no answer
-	openPastShutdown                    // a request without an answer after the end of the door's shutdown
+	openPastShutdown                    // a request without an answer when Shutdown.AnswersOverdue reports true
 	invariants                          // number of invariants
 )
 
--- a/frontdoor/interleaving_test.go
+++ b/frontdoor/interleaving_test.go
@@ -479,7 +479,7 @@
 // eventFunc is an event that calls a function in the event loop.
 type eventFunc func(*core)
 
-func (n eventFunc) handle(c *core) { n(c) }
+func (f eventFunc) handle(c *core) { f(c) }
 
 // A wake-up of the reader is not cancelled by a read deadline that the reader sets at the same moment.
 func TestWakeIsNotCancelledByReadDeadline(t *testing.T) {
--- a/frontdoor/maintenance.go
+++ b/frontdoor/maintenance.go
@@ -44,7 +44,7 @@
 // SetOutOfService takes the door out of service, or brings it back. Out of service, the door is not ready, closes each connection
 // with its next answer, and serves the requests that still arrive. It goes out only before until: a process that was suspended in
 // between does not act on an outdated request. done is called with whether the change was made, and must not block.
-func (d *Door) SetOutOfService(out bool, until time.Time, done func(taken bool)) {
+func (d *Door) SetOutOfService(out bool, until time.Time, done func(applied bool)) {
 	d.core.post(outOfServiceRequest{out, until, done})
 }
 
@@ -55,12 +55,12 @@
 }
 
 func (r outOfServiceRequest) handle(c *core) {
-	taken := !c.shuttingDown && (!r.out || time.Now().Before(r.until))
-	if taken {
+	applied := !c.shuttingDown && (!r.out || time.Now().Before(r.until))
+	if applied {
 		c.outOfService, c.sweepAt = r.out, 0
 		c.updateReady()
 	}
-	r.done(taken)
+	r.done(applied)
 }
 
 // Done returns a channel that is closed once the door has answered all accepted requests and sends nothing more.
@@ -72,11 +72,11 @@
 // BackendSnapshot is the state of one backend on the door's list.
 type BackendSnapshot struct {
 	ID, Zone string
-	Size     float64
-	Up       bool // up on the list; a withheld backend may be
-	Warm     bool // it has run for at least Terms.ColdFor
-	Started  float64
-	Counts   Counts // of this door's attempts to the backend
+	Size     float64 // relative capacity, as listed
+	Up       bool    // up on the list; a withheld backend may be
+	Warm     bool    // it has run for at least Terms.WarmupTime
+	Started  float64 // start of its process, as listed, Unix ms; 0 is long ago
+	Counts   Counts  // of this door's attempts to the backend
 }
 
 // Snapshot is the state of a door.
--- a/frontdoor/maintenance_test.go
+++ b/frontdoor/maintenance_test.go
@@ -43,9 +43,9 @@
 	c, _ := newTestCore(t)
 	discoveryAttempted{}.handle(c)
 	assert.True(t, c.ready.Load())
-	taken := []bool{}
+	applied := []bool{}
 	setOutOfService := func(out bool, until time.Time) {
-		outOfServiceRequest{out, until, func(ok bool) { taken = append(taken, ok) }}.handle(c)
+		outOfServiceRequest{out, until, func(ok bool) { applied = append(applied, ok) }}.handle(c)
 	}
 	setOutOfService(true, time.Now().Add(-time.Millisecond))
 	assert.True(t, c.ready.Load(), "the request came too late")
@@ -58,7 +58,7 @@
 	assert.True(t, c.ready.Load())
 	c.beginShutdown()
 	setOutOfService(true, time.Now().Add(time.Minute))
-	assert.Equal(t, []bool{false, true, true, false}, taken)
+	assert.Equal(t, []bool{false, true, true, false}, applied)
 }
 
 func TestRequestCounts(t *testing.T) {
