--- a/frontdoor/core.go
+++ b/frontdoor/core.go
@@ -42,7 +42,7 @@
 	status       gate.Status    // on the list
 	processStart wallTime       // start of its process, as listed; 0 is long ago
 	startedAt    float64        // the same on the door's clock, ms; 0 is long ago
-	size         float64        // relative capacity, as listed; gate.Entry.Weight
+	weight       float64        // capacity relative to other backends, as listed
 	eligible     bool           // new attempts may be sent to it: up on the list, and not withheld
 	counts       Counts         // of attempts that ended
 	idle         []*backendConn // most recently used last
--- a/frontdoor/fleet.go
+++ b/frontdoor/fleet.go
@@ -39,7 +39,7 @@
 		}
 		b := &c.backends[i]
 		c.setProcessStart(b, wallTime(e.Started), u.lastReceived)
-		b.id, b.status, b.size, b.listed = e.ID, e.Status(), e.Size, true
+		b.id, b.status, b.weight, b.listed = e.ID, e.Status(), e.Size, true
 		b.zone, b.cell = c.zones.Add(e.Zone), c.cells.Add(e.Cell)
 		if e.Addr != "" {
 			b.addr = e.Addr
@@ -75,7 +75,7 @@
 		status = gate.Draining
 	}
 	b.eligible = status == gate.Up
-	return gate.Entry{Backend: i, Zone: b.zone, Cell: b.cell, Status: status, StartedAt: b.startedAt, Weight: b.size, RingPosition: index.NamePhase(b.id)}
+	return gate.Entry{Backend: i, Zone: b.zone, Cell: b.cell, Status: status, StartedAt: b.startedAt, Weight: b.weight, RingPosition: index.NamePhase(b.id)}
 }
 
 // fleetChanged withdraws connections to backends that are no longer eligible and reports the change to the decider.
--- a/frontdoor/maintenance.go
+++ b/frontdoor/maintenance.go
@@ -72,7 +72,7 @@
 // BackendSnapshot is the state of one backend on the door's list.
 type BackendSnapshot struct {
 	ID, Zone string
-	Size     float64 // relative capacity, as listed
+	Size     float64 // capacity relative to other backends, as listed
 	Up       bool    // up on the list; a withheld backend may be
 	Warm     bool    // it has run for at least Terms.WarmupTime
 	Started  float64 // start of its process, as listed, Unix ms; 0 is long ago
@@ -104,7 +104,7 @@
 	now := c.clock.now()
 	for i := range c.backends {
 		if b := &c.backends[i]; b.listed {
-			t.Backends = append(t.Backends, BackendSnapshot{b.id, c.zones.ID(b.zone), b.size, b.status == gate.Up, now-b.startedAt >= c.cfg.Settings.Terms.WarmupTime, float64(b.processStart), b.counts})
+			t.Backends = append(t.Backends, BackendSnapshot{b.id, c.zones.ID(b.zone), b.weight, b.status == gate.Up, now-b.startedAt >= c.cfg.Settings.Terms.WarmupTime, float64(b.processStart), b.counts})
 		}
 	}
 	r <- t
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -86,7 +86,7 @@
 	ColdCapacity      float64 // lower bound of the capacity share with which a backend starts, 0 to 1
 	WarmupTime        float64 // time after which a started backend is warm at the latest, ms
 	OverloadMultiple  float64 // multiple of its present capacity above which a cold backend collapses
-	OverloadWindow    float64 // time for which a load above OverloadMultiple makes it collapse, ms
+	OverloadWindow    float64 // time after which a load above OverloadMultiple makes a cold backend collapse, ms
 }
 
 // Event is one of the event types below.
--- a/policy/state.go
+++ b/policy/state.go
@@ -60,7 +60,7 @@
 	inChanged                   bool // listed in Door.changed
 }
 
-// bucket is the state of one customer at this door: its token bucket, its use and its part of the counter.
+// bucket is the state of one customer at this door: its token bucket, its use and this door's state of its counter.
 type bucket struct {
 	known             bool
 	plan              int
