--- a/frontdoor/fleet.go
+++ b/frontdoor/fleet.go
@@ -15,10 +15,10 @@
 	"github.com/swifthall/swifthall/internal/sockio"
 )
 
-// fleetUpdate is a change of the fleet list, received by the watch of that number.
+// fleetUpdate reports a change of the fleet list that a watch received.
 type fleetUpdate struct {
 	list         registry.List
-	watch        int
+	watch        int     // number of the watch
 	lastReceived float64 // clock at which a watch had last received anything before this list began, ms; 0 is never
 }
 
@@ -39,7 +39,7 @@
 		}
 		b := &c.backends[i]
 		c.setProcessStart(b, wallTime(e.Started), u.lastReceived)
-		b.id, b.status, b.size, b.listed = e.ID, e.Status(), e.Size, true
+		b.id, b.status, b.weight, b.listed = e.ID, e.Status(), e.Size, true
 		b.zone, b.cell = c.zones.Add(e.Zone), c.cells.Add(e.Cell)
 		if e.Addr != "" {
 			b.addr = e.Addr
@@ -75,7 +75,7 @@
 		status = gate.Draining
 	}
 	b.eligible = status == gate.Up
-	return gate.Entry{Backend: i, Zone: b.zone, Cell: b.cell, Status: status, StartedAt: b.startedAt, Weight: b.size, RingPosition: index.NamePhase(b.id)}
+	return gate.Entry{Backend: i, Zone: b.zone, Cell: b.cell, Status: status, StartedAt: b.startedAt, Weight: b.weight, RingPosition: index.NamePhase(b.id)}
 }
 
 // fleetChanged withdraws connections to backends that are no longer eligible and reports the change to the decider.
@@ -156,8 +156,9 @@
 }
 
 // runWatch keeps a watch of the fleet list until ctx ends. If the connection breaks, falls silent or is accepted but never
-// answered, it dials again and resumes from the last version received; config.Pace bounds how long that takes. Discovery sends
-// what it knows at once: a door that has waited for the connect timeout becomes ready with the list it was configured with.
+// answered, it dials again and resumes from the last version received; config.Pace bounds how long that takes, whatever failed
+// before. Discovery sends what it knows at once: a door that has waited for the connect timeout becomes ready with the list it was
+// configured with.
 func (c *core) runWatch(ctx context.Context, addr string, version int64, number int) {
 	defer time.AfterFunc(duration(c.cfg.Settings.ConnectTimeout), func() { c.post(discoveryAttempted{}) }).Stop()
 	healthy, random := true, rand.New(rand.NewPCG(c.cfg.Seed, uint64(number)))
