--- a/internal/doorfleet/doorfleet.go
+++ b/internal/doorfleet/doorfleet.go
@@ -43,9 +43,9 @@
 	if f == nil {
 		return nil
 	}
-	if wrong := serving.WallClockOffset(); wrong != 0 {
+	if offset := serving.WallClockOffset(); offset != 0 {
 		if logger, ok := l.(*logrus.Logger); ok {
-			logger.AddHook(clockOffset(wrong))
+			logger.AddHook(clockOffset(offset))
 		}
 	}
 	withheldKnown := func() {}
@@ -77,11 +77,11 @@
 	}
 	failed := make(chan error, 1)
 	if f.Status != "" {
-		var served admin.Plans
+		var plans admin.Plans
 		if driver != nil {
-			served = driver
+			plans = driver
 		}
-		go func() { failed <- admin.Serve(detached, f.Status, d.View, served) }()
+		go func() { failed <- admin.Serve(detached, f.Status, d.View, plans) }()
 	}
 	for {
 		select {
--- a/internal/doorfleet/plans.go
+++ b/internal/doorfleet/plans.go
@@ -23,19 +23,19 @@
 
 const (
 	holdTimeout      = time.Second            // for which a starting door waits for the withheld backends; a healthy coordinator answers sooner
-	requestTimeout   = 2 * time.Second        // limit of a request to the coordinators; the keeper repeats it earlier
-	pollInterval     = 200 * time.Millisecond // between reports of the door's state to the keeper
+	requestTimeout   = 2 * time.Second        // limit of a request to the coordinators; the agent repeats it earlier
+	pollInterval     = 200 * time.Millisecond // between reports of the door's state to the agent
 	endReportTimeout = 700 * time.Millisecond // in which a door that has ended reports that to the coordinators
-	eventQueueSize   = 64                     // events queued for the keeper
+	eventQueueSize   = 64                     // events queued for the agent, which repeats requests whose answer is lost
 )
 
 // Messages of the log lines for a planned step of the door; the lines have the machine's monotonic clock at the step.
 const (
-	WentAside = "aside"
-	CameBack  = "back"
+	WentOut  = "aside"
+	CameBack = "back"
 )
 
-// planDriver is the driver of a permits.Keeper: it exchanges messages with the coordinators and carries out the orders that
+// planDriver is the driver of a permits.DoorAgent: it exchanges messages with the coordinators and carries out the orders that
 // the fleet agreed on. No request waits for it.
 type planDriver struct {
 	door          *frontdoor.Door
@@ -50,7 +50,7 @@
 	endReported   chan struct{} // closed once a coordinator has acknowledged that the door has ended
 
 	mu          sync.Mutex // protects what follows
-	keeper      *permits.DoorAgent
+	agent       *permits.DoorAgent
 	answeredAt  time.Time // of the latest answer of a coordinator
 	unreachable bool      // logged that no coordinator answers
 }
@@ -76,16 +76,16 @@
 	}
 	p := &planDriver{door: door, client: client.New(all), view: view, log: l, began: time.Now(), answeredAt: time.Now(), events: make(chan any, eventQueueSize), ctx: ctx,
 		process: rand.Uint64(), withheldKnown: withheldKnown, endReported: make(chan struct{}),
-		keeper: permits.NewDoorAgent(permits.Unit{Kind: permits.Door, Name: cfg.Name, Zone: cfg.Fleet.Zone, Size: 1}, func() uint64 { return rand.Uint64()>>1 | 1 })}
+		agent: permits.NewDoorAgent(permits.Unit{Kind: permits.Door, Name: cfg.Name, Zone: cfg.Fleet.Zone, Size: 1}, func() uint64 { return rand.Uint64()>>1 | 1 })}
 	go p.run()
 	go p.poll()
 	return p
 }
 
-// now returns the keeper's clock, ms since the start.
+// now returns the agent's clock, ms since the start.
 func (p *planDriver) now() float64 { return float64(time.Since(p.began)) / float64(time.Millisecond) }
 
-// post queues an event for the keeper, and waits while the queue is full.
+// post queues an event for the agent, and waits while the queue is full.
 func (p *planDriver) post(e any) {
 	select {
 	case p.events <- e:
@@ -93,7 +93,7 @@
 	}
 }
 
-// run is the goroutine that owns the keeper.
+// run is the goroutine that owns the agent.
 func (p *planDriver) run() {
 	tick := time.NewTicker(permits.TickEvery * time.Millisecond)
 	defer tick.Stop()
@@ -106,7 +106,7 @@
 		case e = <-p.events:
 		}
 		p.mu.Lock()
-		do := p.keeper.Step(p.now(), e)
+		do := p.agent.Step(p.now(), e)
 		p.mu.Unlock()
 		for _, a := range do {
 			p.act(a)
@@ -114,7 +114,7 @@
 	}
 }
 
-// act carries out an action of the keeper.
+// act carries out an action of the agent.
 func (p *planDriver) act(a any) {
 	switch a := a.(type) {
 	case permits.Post:
@@ -127,16 +127,16 @@
 		})
 	case permits.SetOut:
 		at := p.began.Add(time.Duration(a.UntilMs * float64(time.Millisecond)))
-		p.door.SetOutOfService(a.Out, at, func(taken bool) {
-			if taken {
+		p.door.SetOutOfService(a.Out, at, func(done bool) {
+			if done {
 				message := CameBack
 				if a.Out {
-					message = WentAside
+					message = WentOut
 				}
 				p.log.WithFields(logrus.Fields{fields.Number: a.Number, fields.Why: a.Why, fields.Clock: fleet.Monotonic()}).Info(message)
 			}
 			if a.Out {
-				go p.post(permits.SetOutDone{Done: taken})
+				go p.post(permits.SetOutDone{Done: done})
 			}
 		})
 	}
@@ -196,7 +196,7 @@
 	}
 }
 
-// poll posts the door's state and what it observes of others to the keeper, at every pollInterval.
+// poll posts the door's state and what it observes of others to the agent, at every pollInterval.
 func (p *planDriver) poll() {
 	t := time.NewTicker(pollInterval)
 	defer t.Stop()
@@ -253,9 +253,9 @@
 func (p *planDriver) Plan() (of admin.Plan) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	of.Number, of.Out = p.keeper.Out()
-	of.Withheld = append([]string{}, p.keeper.Withheld()...)
-	if o := p.keeper.Order(); o != nil {
+	of.Number, of.Out = p.agent.Out()
+	of.Withheld = append([]string{}, p.agent.Withheld()...)
+	if o := p.agent.Order(); o != nil {
 		of.Number, of.Who, of.Why = o.Number, o.Who, o.Why
 	}
 	of.SilentMs = float64(time.Since(p.answeredAt)) / float64(time.Millisecond)
--- a/internal/holding/concurrency_test.go
+++ b/internal/holding/concurrency_test.go
@@ -98,7 +98,7 @@
 func supervised(t *testing.T) (s *supervisor, stop func(), processes <-chan *process) {
 	s = newSupervisor(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	s.ctx, s.events = ctx, make(chan any, eventQueueLen)
+	s.ctx, s.events = ctx, make(chan any, eventQueueSize)
 	s.started = time.Now()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/holding/holding.go
+++ b/internal/holding/holding.go
@@ -43,12 +43,12 @@
 
 	readyTimeout       = 20 * time.Second       // until a new process must be ready; discovery may take some seconds
 	startRetryFor      = 3 * time.Second        // for which transient errors during a start are retried
-	stopTimeout        = 30 * time.Second       // until a process that was told to stop is killed; longer than any request takes
+	stopTimeout        = 30 * time.Second       // until a process that was sent SIGTERM is killed; longer than any request takes
 	probation          = 60 * time.Second       // after a change, during which an exit of the process is attributed to the change
 	minRestartPause    = 200 * time.Millisecond // between attempts to restart a process that exited; doubles with each failure
 	maxRestartPause    = 5 * time.Second        // limit on that pause
 	coordinatorTimeout = 2 * time.Second        // of a call to the coordinators
-	eventQueueLen      = 16                     // events queued for the changer, which repeats calls whose answer is lost
+	eventQueueSize     = 16                     // events queued for the release agent, which repeats calls whose answer is lost
 	maxArtifactBytes   = 512 << 20              // limit on the size of a released file
 	filePerm           = 0o600
 	execPerm           = 0o700
@@ -100,7 +100,7 @@
 
 // Run supervises the door until ctx ends, and returns once all of its processes have exited.
 func Run(ctx context.Context, cfg config.Door, base string, log logrus.FieldLogger) error {
-	s := &supervisor{cfg: cfg, dir: cfg.Fleet.Releases, baseFile: base, log: log, started: time.Now(), events: make(chan any, eventQueueLen), ctx: ctx, failed: map[string]string{},
+	s := &supervisor{cfg: cfg, dir: cfg.Fleet.Releases, baseFile: base, log: log, started: time.Now(), events: make(chan any, eventQueueSize), ctx: ctx, failed: map[string]string{},
 		workers: map[*worker]bool{}, write: writeAtomic}
 	var err error
 	if s.runs, err = retry.Within(ctx, startRetryFor, s.openState); err != nil {
@@ -130,7 +130,7 @@
 		return err
 	}
 	over := make(chan struct{})
-	go func() { defer close(over); s.runChanger() }()
+	go func() { defer close(over); s.runReleaseAgent() }()
 	<-ctx.Done()
 	s.shutdown()
 	<-over
@@ -469,7 +469,7 @@
 
 // ---- Changes ----
 
-// reportState notifies the changer of what runs.
+// reportState notifies the release agent of what runs.
 func (s *supervisor) reportState() {
 	s.mu.Lock()
 	e := permits.VersionsChanged{Runs: maps.Clone(s.runs), Failed: maps.Clone(s.failed)}
@@ -477,7 +477,7 @@
 	s.post(e)
 }
 
-// post queues an event for the changer.
+// post queues an event for the release agent.
 func (s *supervisor) post(e any) {
 	select {
 	case s.events <- e:
@@ -488,8 +488,8 @@
 // now returns the time since the start in ms.
 func (s *supervisor) now() float64 { return float64(time.Since(s.started)) / float64(time.Millisecond) }
 
-// runChanger drives the changer until ctx ends: it passes events to it and performs its actions.
-func (s *supervisor) runChanger() {
+// runReleaseAgent drives the door's permits.ReleaseAgent until ctx ends: it passes events to it and performs its actions.
+func (s *supervisor) runReleaseAgent() {
 	var all []config.NamedAddress
 	for _, c := range s.cfg.Fleet.Coordinators {
 		if n, err := config.ParseNamedAddress(c); err == nil {
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -35,7 +35,7 @@
 // Companion runs beside a serving door until ctx ends. It may delay its return to send its last messages.
 type Companion func(ctx context.Context, cfg config.Door, door *frontdoor.Door, log logrus.FieldLogger) error
 
-// Door runs one front door until it is told to stop. before is called with the configuration and may replace the process by
+// Door runs one front door until it receives SIGTERM or an interrupt. before is called with the configuration and may replace the process by
 // another program. The companion is started with the door; if it fails, the door goes on serving. Both may be nil.
 func Door(l LogFlags, before func(config.Door) error, companion Companion) error {
 	hup := make(chan os.Signal, 1)
--- a/members/fuzz_test.go
+++ b/members/fuzz_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// FuzzAnyMessage checks that no message makes a door fail or hold itself to be away.
+// FuzzAnyMessage checks that no message makes a door fail or consider itself away.
 func FuzzAnyMessage(f *testing.F) {
 	for _, m := range []Message{
 		{Kind: Ping, From: peer(3), Incarnation: 1, State: Here, Seq: 7, AckedIncarnation: 1},
--- a/members/members.go
+++ b/members/members.go
@@ -180,7 +180,7 @@
 		m.started, m.clock = true, now
 	}
 	// A late step means that this process was suspended, not that all others stopped answering: only maxStepMs of the gap
-	// counts as active time. Otherwise a door would hold all others to be away after a pause of its own.
+	// counts as active time. Otherwise a door would consider all others away after a suspension of its own.
 	dt := max(0, now-m.clock)
 	m.paused += max(0, dt-maxStepMs)
 	m.activeTime += min(dt, maxStepMs)
@@ -443,7 +443,7 @@
 	return m.cachedDigest
 }
 
-// reply sends a message to a member. If this door holds it to be away, the message includes that record, so that the
+// reply sends a message to a member. If this door considers it away, the message includes that record, so that the
 // member can refute it.
 func (m *Member) reply(to int, out *Message) {
 	if k := &m.members[to]; k.State == Away || k.contested {
@@ -1225,7 +1225,7 @@
 type Row struct {
 	Peer
 	State       State
-	Incarnation uint32  // incarnation
+	Incarnation uint32
 	Since       float64 // ms in that state
 	Suspicions  int     // observers that suspect the member
 	Observers   int     // observers of the member
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -63,10 +63,10 @@
 func everyone(int) bool { return true }
 
 // gossipedVotes returns a message with the votes of some observers on a door.
-func gossipedVotes(about int, says Observation, by ...int) Event {
+func gossipedVotes(about int, observation Observation, by ...int) Event {
 	r := hereRecord(about)
 	for _, b := range by {
-		r.Votes = append(r.Votes, Vote{By: peer(b).Name, Seq: 1 << 20, Observation: says})
+		r.Votes = append(r.Votes, Vote{By: peer(b).Name, Seq: 1 << 20, Observation: observation})
 	}
 	return Received{&Message{Kind: Gossip, From: peer(by[0]), Incarnation: 1, State: Here, Records: []Record{r}}}
 }
--- a/members/types.go
+++ b/members/types.go
@@ -76,7 +76,7 @@
 // all states of an earlier one.
 type Record struct {
 	Peer
-	Incarnation uint32  `json:"l"` // incarnation, raised only by the member itself
+	Incarnation uint32  `json:"l"` // raised only by the member itself
 	State       State   `json:"s"`
 	Age         float64 `json:"t"` // ms since the state was reached
 	Votes       []Vote  `json:"v,omitempty"`
@@ -139,9 +139,9 @@
 type Changed struct {
 	Peer
 	From, To    State
-	Incarnation uint32 // incarnation
+	Incarnation uint32
 	Suspicions  int    // observers known to suspect the member
-	Reason      string // reason, for logs
+	Reason      string // for logs
 }
 
 // NameConflict reports that this door can't be a member because another door has its name; a nil Err, that it can again.
--- a/permits/calendar.go
+++ b/permits/calendar.go
@@ -17,6 +17,9 @@
 // therefore never leaves an entry half started.
 
 // Action is the content of an entry's keys "do" and "rollback". Exactly one field is set.
+//
+// The errors of decoding it contain the names of Go types and are replicated as answers. Renaming Action or a type that it reaches
+// (DrainAction, release.Plan, release.Wave, release.Ends) would therefore change answers.
 type Action struct {
 	Drain   *DrainAction  `json:"drain,omitempty"`
 	Release *release.Plan `json:"release,omitempty"`
@@ -352,8 +355,8 @@
 }
 
 // routeToEntry checks an operator's release command against the calendar. A release that an entry has started is resumed and
-// rolled back through its entry; own reports that the entry has handled the command.
-func (s *State) routeToEntry(do any) (own bool, err error) {
+// rolled back through its entry; handled reports that the entry has handled the command.
+func (s *State) routeToEntry(do any) (handled bool, err error) {
 	switch d := do.(type) {
 	case release.Start:
 		return false, s.checkUnplanned(releaseKind(&d.Plan), releaseSubject(&d.Plan))
@@ -418,6 +421,7 @@
 	return err == nil
 }
 
+// advanceEntry does one step of an entry and reports whether it did, so that another may follow.
 func (s *State) advanceEntry(e *calendar.Entry, run *Run) (moved bool) {
 	was := run.LastStage
 	run.LastStage = e.Stage
@@ -430,6 +434,8 @@
 	return false // manual work: operators report its progress
 }
 
+// advanceRelease does one step of an entry and its release: progress and failures of the release are passed to the entry, halts,
+// resumes and rollbacks of the entry to the release. was is the stage in which the entry was last seen here.
 func (s *State) advanceRelease(e *calendar.Entry, run *Run, was calendar.Stage) bool {
 	r := s.Release.ByNumber(run.Release)
 	who := fmt.Sprintf("calendar %d", e.ID)
@@ -488,6 +494,7 @@
 	return ended
 }
 
+// advanceDrain does one step of an entry and its drain.
 func (s *State) advanceDrain(e *calendar.Entry, run *Run) bool {
 	do, err := ReadAction(e.Do)
 	if err != nil || do.Drain == nil {
--- a/permits/calendar_test.go
+++ b/permits/calendar_test.go
@@ -61,8 +61,8 @@
 // startDueEntries starts all entries that may start, as the leader does.
 func (s *site) startDueEntries(t *testing.T) (ids []uint64) {
 	for {
-		id, any := s.NextStart()
-		if !any {
+		id, found := s.NextStart()
+		if !found {
 			return ids
 		}
 		require.NoError(t, s.do("leader", calendar.Start{ID: id}).Err)
@@ -85,8 +85,8 @@
 	}
 }
 
-func (s *site) recordVerdict(wave int, says release.Outcome) error {
-	return s.do("leader", release.RecordVerdict{Number: 1, Wave: wave, Verdict: release.Verdict{Outcome: says, Why: "seen"}}).Err
+func (s *site) recordVerdict(wave int, outcome release.Outcome) error {
+	return s.do("leader", release.RecordVerdict{Number: 1, Wave: wave, Verdict: release.Verdict{Outcome: outcome, Why: "seen"}}).Err
 }
 
 func TestEntryRunsItsDrain(t *testing.T) {
@@ -196,7 +196,7 @@
 	assert.Equal(t, release.Running, s.Release.Find("r").Stage)
 }
 
-func TestFreezeThatSendsBackRollsReleaseBack(t *testing.T) {
+func TestFreezeWithRollBackPolicyRollsReleaseBack(t *testing.T) {
 	s := newSite(4)
 	id := s.planChange(t, releaseChange("r"))
 	s.startDueEntries(t)
@@ -276,9 +276,9 @@
 func TestRevertedMigrationUndrainsInReverseOrder(t *testing.T) {
 	s := newSiteWithBackends(3)
 	s.do("op", SetBudgets{Budgets: []Budget{{Kind: Door, MaxOut: 2}, {Kind: Backend, MaxOut: 3}}})
-	hand := calendar.Change{Name: "cable", Kind: calendar.MigrationStep, Subject: drainSubject(Backend, "b0"), Window: window(0, hourMs), Waves: 1,
+	manual := calendar.Change{Name: "cable", Kind: calendar.MigrationStep, Subject: drainSubject(Backend, "b0"), Window: window(0, hourMs), Waves: 1,
 		Do: json.RawMessage(`{"manual":"move the cable"}`), Rollback: json.RawMessage(`{"manual":"move it back"}`)}
-	a := s.do("ana", calendar.Migrate{Name: "move", Steps: []calendar.Change{drainChange(Backend, "b0", 0), hand, drainChange(Backend, "b1", 0)}, Who: "ana"})
+	a := s.do("ana", calendar.Migrate{Name: "move", Steps: []calendar.Change{drainChange(Backend, "b0", 0), manual, drainChange(Backend, "b1", 0)}, Who: "ana"})
 	require.NoError(t, a.Err)
 	s.reportClocks()
 	m := s.Calendar.Migrations[a.Number]
@@ -317,9 +317,9 @@
 // A drain that is a step of a migration lasts until the migration is done; then its unit comes back.
 func TestMigrationDrainsEndWhenItIsDone(t *testing.T) {
 	s := newSiteWithBackends(3)
-	hand := calendar.Change{Name: "cable", Kind: calendar.MigrationStep, Subject: drainSubject(Backend, "b0"), Window: window(0, hourMs), Waves: 1,
+	manual := calendar.Change{Name: "cable", Kind: calendar.MigrationStep, Subject: drainSubject(Backend, "b0"), Window: window(0, hourMs), Waves: 1,
 		Do: json.RawMessage(`{"manual":"move the cable"}`), Rollback: json.RawMessage(`{"manual":"move it back"}`)}
-	a := s.do("ana", calendar.Migrate{Name: "move", Steps: []calendar.Change{drainChange(Backend, "b0", 0), hand}, Who: "ana"})
+	a := s.do("ana", calendar.Migrate{Name: "move", Steps: []calendar.Change{drainChange(Backend, "b0", 0), manual}, Who: "ana"})
 	require.NoError(t, a.Err)
 	s.reportClocks()
 	s.startDueEntries(t)
@@ -344,8 +344,8 @@
 	s := newSite(4)
 	id := s.planChange(t, releaseChange("r"))
 	s.do("c1", Leadership{Name: "c1", Epoch: 1})
-	_, any := s.NextStart()
-	assert.False(t, any, "earlier clock readings are invalid under a new leader")
+	_, found := s.NextStart()
+	assert.False(t, found, "earlier clock readings are invalid under a new leader")
 	for i := range 4 {
 		s.recordSighting(i, Ready, 1)
 	}
@@ -377,8 +377,8 @@
 func TestDelayedStartIsCheckedAtItsOwnTime(t *testing.T) {
 	s := newSiteWithBackends(3)
 	id := s.planChange(t, drainChange(Backend, "b0", 0))
-	_, any := s.NextStart()
-	require.True(t, any)
+	_, found := s.NextStart()
+	require.True(t, found)
 	s.now += hourMs - 10e3 // the command was delayed; clock readings count for 30 s
 	for i := range 3 {
 		s.Calendar.Readings[fmt.Sprint("c", i)] = calendar.Reading{OffsetMs: wallStartMs, AtMs: s.now - 20e3}
@@ -426,7 +426,7 @@
 
 func TestChangeActionIsValidated(t *testing.T) {
 	s := newSiteWithBackends(4)
-	for key, turn := range map[string]func(c *calendar.Change){
+	for key, invalidate := range map[string]func(c *calendar.Change){
 		"do":         func(c *calendar.Change) { c.Do = json.RawMessage(`{"drain":{"kind":"door","name":"d0"},"manual":"x"}`) },
 		"do ":        func(c *calendar.Change) { c.Do = json.RawMessage(`{"dance":true}`) },
 		"do  ":       func(c *calendar.Change) { c.Do = json.RawMessage(`{"undo":true}`) },
@@ -443,7 +443,7 @@
 		"subject  ":  func(c *calendar.Change) { c.Subject = calendar.Subject{Scope: calendar.Zone, Names: []string{"z1"}} },
 	} {
 		c := drainChange(Door, "d0", 0)
-		turn(&c)
+		invalidate(&c)
 		var form *calendar.FormError
 		require.ErrorAs(t, s.do("ana", calendar.Plan{Change: c, Who: "ana"}).Err, &form, key)
 		assert.Equal(t, strings.TrimSpace(key), form.Key)
@@ -511,18 +511,18 @@
 	s.do("c", Leadership{Name: "c", Epoch: 1})
 	s.advanceTime(2 * hourMs)
 	s.do("op", Drain{Kind: Door, Name: "d1", Who: "op", Why: "x"})
-	var told []string
+	var audited []string
 	for _, l := range s.Audit {
 		if strings.HasPrefix(l.What, "calendar ") {
-			told = append(told, l.What)
+			audited = append(audited, l.What)
 		}
 	}
 	var happened []string
 	for _, e := range s.Calendar.Events {
 		happened = append(happened, fmt.Sprintf("calendar %d: %s", e.ID, e.What))
 	}
-	assert.Equal(t, happened, told)
-	assert.Contains(t, told, "calendar 2: due -> missed")
+	assert.Equal(t, happened, audited)
+	assert.Contains(t, audited, "calendar 2: due -> missed")
 }
 
 func TestCompleteDerivesOmittedValues(t *testing.T) {
@@ -612,7 +612,7 @@
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			id := rapid.Uint64Range(1, s.Calendar.NextID).Draw(t, "id")
 			b := rapid.SampledFrom([]string{"b0", "b1", "b2"}).Draw(t, "backend")
-			switch rapid.IntRange(0, 13).Draw(t, "what") {
+			switch rapid.IntRange(0, 13).Draw(t, "action") {
 			case 0:
 				c := drainChange(Backend, b, rapid.SampledFrom([]float64{0, 60e3}).Draw(t, "for"))
 				c.Window = window(s.now, s.now+hourMs)
@@ -636,8 +636,8 @@
 				s.do("op", calendar.RevertMigration{ID: id, Who: "op", Why: "x"})
 			case 7:
 				s.do("op", calendar.SetFreeze{Freeze: calendar.Freeze{Name: "f", Subject: calendar.Subject{Scope: calendar.Fleet},
-					Spans: []calendar.Span{window(s.now, s.now+rapid.Float64Range(1, 200e3).Draw(t, "long"))}, Who: "bea", Why: "x",
-					RunningPolicy: rapid.SampledFrom([]string{calendar.HaltAfterWave, calendar.RollBackAtOnce}).Draw(t, "sends")}})
+					Spans: []calendar.Span{window(s.now, s.now+rapid.Float64Range(1, 200e3).Draw(t, "duration"))}, Who: "bea", Why: "x",
+					RunningPolicy: rapid.SampledFrom([]string{calendar.HaltAfterWave, calendar.RollBackAtOnce}).Draw(t, "policy")}})
 			case 8:
 				_, change := s.Withheld()
 				for i := range 4 {
@@ -651,7 +651,7 @@
 			case 10:
 				if n := len(s.Release.All); n > 0 {
 					r := s.Release.All[n-1]
-					s.do("leader", release.RecordVerdict{Number: r.Number, Wave: r.Wave, Verdict: release.Verdict{Outcome: rapid.SampledFrom([]release.Outcome{release.GoOn, release.GoOn, release.Stop, release.GoBack}).Draw(t, "says")}})
+					s.do("leader", release.RecordVerdict{Number: r.Number, Wave: r.Wave, Verdict: release.Verdict{Outcome: rapid.SampledFrom([]release.Outcome{release.GoOn, release.GoOn, release.Stop, release.GoBack}).Draw(t, "outcome")}})
 				}
 			case 11:
 				s.do("op", Drain{Kind: Backend, Name: b, Who: "op", Why: "x"})
@@ -664,7 +664,7 @@
 				}
 			}
 			s.advanceTime(rapid.Float64Range(0, 90e3).Draw(t, "later"))
-			if next, any := s.NextStart(); any {
+			if next, found := s.NextStart(); found {
 				require.NoError(t, s.do("leader", calendar.Start{ID: next}).Err, "an entry without an obstacle must start")
 			}
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
--- a/permits/collector.go
+++ b/permits/collector.go
@@ -79,8 +79,8 @@
 
 // Record stores a report and reports whether it was accepted. A report that is older than the stored one, or from an earlier
 // incarnation, is ignored. The list of backends is kept until the door sends another.
-func (w *ReportCollector) Record(now float64, report DoorReport) bool {
-	if old := w.reports[report.Name]; old != nil {
+func (c *ReportCollector) Record(now float64, report DoorReport) bool {
+	if old := c.reports[report.Name]; old != nil {
 		if report.Incarnation < old.Incarnation || report.Process == old.Process && report.Seq <= old.Seq {
 			return false
 		}
@@ -91,18 +91,18 @@
 			report.Backends, report.Sent = old.Backends, old.Sent
 		}
 	}
-	if w.reports[report.Name] == nil {
-		i, _ := slices.BinarySearch(w.doors, report.Name)
-		w.doors = slices.Insert(w.doors, i, report.Name)
+	if c.reports[report.Name] == nil {
+		i, _ := slices.BinarySearch(c.doors, report.Name)
+		c.doors = slices.Insert(c.doors, i, report.Name)
 	}
-	w.reports[report.Name] = &receivedReport{report, now}
+	c.reports[report.Name] = &receivedReport{report, now}
 	return true
 }
 
-// recentDoors lists up to most doors whose latest report still counts.
-func (w *ReportCollector) recentDoors(now float64, most int) (names []string) {
-	for _, n := range w.doors {
-		if h := w.reports[n]; len(names) < most && now-h.at <= reportTTLMs && h.Standing != Ended {
+// recentDoors lists up to limit doors whose latest report still counts.
+func (c *ReportCollector) recentDoors(now float64, limit int) (names []string) {
+	for _, n := range c.doors {
+		if latest := c.reports[n]; len(names) < limit && now-latest.at <= reportTTLMs && latest.Standing != Ended {
 			names = append(names, n)
 		}
 	}
@@ -110,39 +110,39 @@
 }
 
 // WantsBackends reports whether a door is to include its list of backends in its reports.
-func (w *ReportCollector) WantsBackends(now float64, name string) bool {
-	return slices.Contains(w.recentDoors(now, maxBackendReporters), name)
+func (c *ReportCollector) WantsBackends(now float64, name string) bool {
+	return slices.Contains(c.recentDoors(now, maxBackendReporters), name)
 }
 
 // Sightings derives the standing of all units from recent reports. A door has the standing that it reports, unless most of the
 // others consider it away; a door without a recent report is listed only if they do. A backend has the standing that most lists
 // give it.
-func (w *ReportCollector) Sightings(now float64) (all []Sighting) {
-	recent := w.recentDoors(now, len(w.doors))
+func (c *ReportCollector) Sightings(now float64) (all []Sighting) {
+	recent := c.recentDoors(now, len(c.doors))
 	away := map[string]int{}
 	lists := map[string][]Sighting{}
 	for _, n := range recent {
-		for _, other := range w.reports[n].Away {
+		for _, other := range c.reports[n].Away {
 			if other != n {
 				away[other]++
 			}
 		}
 	}
 	for _, n := range recent[:min(maxBackendReporters, len(recent))] {
-		for _, b := range w.reports[n].Backends {
+		for _, b := range c.reports[n].Backends {
 			lists[b.Name] = append(lists[b.Name], b)
 		}
 	}
-	for _, n := range w.doors {
-		h := w.reports[n]
-		s := h.Sighting
+	for _, n := range c.doors {
+		latest := c.reports[n]
+		s := latest.Sighting
 		others := len(recent)
 		if _, is := slices.BinarySearch(recent, n); is {
 			others--
-		} else if h.Standing != Ended && 2*away[n] <= others {
+		} else if latest.Standing != Ended && 2*away[n] <= others {
 			continue // its standing is unknown
 		}
-		if 2*away[n] > others && others > 0 && h.Standing != Ended {
+		if 2*away[n] > others && others > 0 && latest.Standing != Ended {
 			s.Standing = Failed
 		}
 		all = append(all, s)
@@ -168,13 +168,13 @@
 
 // ChangedSightings lists the sightings to replicate: those that have changed, and every resendAfterMs the unchanged ones.
 // Replicating all of them twice a second would dominate the coordinators' writes.
-func (w *ReportCollector) ChangedSightings(now float64) (news []Sighting) {
-	for _, s := range w.Sightings(now) {
+func (c *ReportCollector) ChangedSightings(now float64) (news []Sighting) {
+	for _, s := range c.Sightings(now) {
 		k := unitKey(s.Kind, s.Name)
-		if t, known := w.sent[k]; known && t.Sighting == s && now-t.at < resendAfterMs {
+		if t, known := c.sent[k]; known && t.Sighting == s && now-t.at < resendAfterMs {
 			continue
 		}
-		w.sent[k] = sentSighting{s, now}
+		c.sent[k] = sentSighting{s, now}
 		news = append(news, s)
 	}
 	return news
@@ -182,34 +182,34 @@
 
 // Needs lists the commands that a report requires immediately rather than with the next round of sightings: for a permit that the
 // door doesn't intend to use, for drains that were ended at the door, and for a changed standing.
-func (s *State) Needs(w *DoorReport) (do []any) {
-	u := s.Units[unitKey(w.Kind, w.Name)]
-	if u == nil || w.Incarnation != u.Incarnation {
+func (s *State) Needs(report *DoorReport) (do []any) {
+	u := s.Units[unitKey(report.Kind, report.Name)]
+	if u == nil || report.Incarnation != u.Incarnation {
 		return nil // the reply has it register, or the report is of an earlier incarnation
 	}
-	for _, n := range w.Undone {
+	for _, n := range report.Undone {
 		if p := s.Permits[n]; p != nil && p.Order && !p.Over {
-			if p.Of != "" && p.Unit.Kind != w.Kind {
+			if p.Of != "" && p.Unit.Kind != report.Kind {
 				continue
 			}
-			do = append(do, Undrain{p.Unit.Kind, p.Unit.Name, w.Name, "ended at the door itself"})
+			do = append(do, Undrain{p.Unit.Kind, p.Unit.Name, report.Name, "ended at the door itself"})
 		}
 	}
-	p := s.permitOf(w.Kind, w.Name)
-	if p != nil && p.Caller == w.Caller && p.Number != w.Holds || u.Standing != w.Standing || u.Did < w.Did && s.Change == w.Did {
-		do = append(do, SelfReport{w.Sighting, w.Holds})
+	p := s.permitOf(report.Kind, report.Name)
+	if p != nil && p.Caller == report.Caller && p.Number != report.Holds || u.Standing != report.Standing || u.Did < report.Did && s.Change == report.Did {
+		do = append(do, SelfReport{report.Sighting, report.Holds})
 	}
 	return do
 }
 
 // Reply returns the answer to a door's report.
-func (s *State) Reply(w *DoorReport, full bool) Reply {
+func (s *State) Reply(report *DoorReport, full bool) Reply {
 	r := Reply{Full: full, Epoch: s.Epoch}
-	if u := s.Units[unitKey(w.Kind, w.Name)]; u != nil {
+	if u := s.Units[unitKey(report.Kind, report.Name)]; u != nil {
 		r.Incarnation = u.Incarnation
 	}
 	r.Withheld, r.Change = s.Withheld()
-	if p := s.permitOf(w.Kind, w.Name); p != nil && p.Order && !p.Over {
+	if p := s.permitOf(report.Kind, report.Name); p != nil && p.Order && !p.Over {
 		r.Order = &Order{p.Number, p.Who, p.Why}
 	}
 	return r
@@ -217,46 +217,46 @@
 
 // Verdicts compares, for each running release whose current wave is complete, the changed doors with the others, and lists the
 // verdicts that end a wave. Counts from before the comparison are its baseline.
-func (w *ReportCollector) Verdicts(now float64, s *release.State) (verdicts []release.RecordVerdict) {
-	for n := range w.comparisons {
+func (c *ReportCollector) Verdicts(now float64, s *release.State) (verdicts []release.RecordVerdict) {
+	for n := range c.comparisons {
 		if !slices.ContainsFunc(s.All, func(r *release.Release) bool { return r.Number == n && r.Stage == release.Running }) {
-			delete(w.comparisons, n)
+			delete(c.comparisons, n)
 		}
 	}
 	for _, r := range s.All {
 		if r.Stage != release.Running || !s.WaveComplete(r) {
-			delete(w.comparisons, r.Number)
+			delete(c.comparisons, r.Number)
 			continue
 		}
-		j := w.comparisons[r.Number]
-		if j == nil || j.wave != r.Wave {
-			j = &waveComparison{r.Wave, now, release.NewComparison(now, r.Waves[r.Wave].WatchS*1e3).WithLimits(r.Limits)}
-			w.comparisons[r.Number] = j
+		current := c.comparisons[r.Number]
+		if current == nil || current.wave != r.Wave {
+			current = &waveComparison{r.Wave, now, release.NewComparison(now, r.Waves[r.Wave].WatchS*1e3).WithLimits(r.Limits)}
+			c.comparisons[r.Number] = current
 		}
 		if r.Changes == release.Backends { // each pair of a reporting door and a backend is one item of the comparison
-			for _, name := range w.recentDoors(now, maxBackendReporters) {
-				for _, b := range slices.Sorted(maps.Keys(w.reports[name].Sent)) {
-					j.comparison.Record(now, b+" as "+name+" sees it", s.Changed(r, b), w.reports[name].Sent[b])
+			for _, name := range c.recentDoors(now, maxBackendReporters) {
+				for _, b := range slices.Sorted(maps.Keys(c.reports[name].Sent)) {
+					current.comparison.Record(now, b+" as "+name+" sees it", s.Changed(r, b), c.reports[name].Sent[b])
 				}
 			}
-			if v := j.comparison.Evaluate(now); v.Outcome != release.Wait {
+			if v := current.comparison.Evaluate(now); v.Outcome != release.Wait {
 				verdicts = append(verdicts, release.RecordVerdict{Number: r.Number, Wave: r.Wave, Verdict: v})
 			}
 			continue
 		}
-		for _, name := range w.recentDoors(now, len(w.doors)) {
-			if h := w.reports[name]; h.Counts != nil {
-				j.comparison.Record(now, name, s.Changed(r, name), *h.Counts)
+		for _, name := range c.recentDoors(now, len(c.doors)) {
+			if latest := c.reports[name]; latest.Counts != nil {
+				current.comparison.Record(now, name, s.Changed(r, name), *latest.Counts)
 			}
 		}
 		for _, part := range r.UnitsByWave[:r.Wave+1] {
 			for _, name := range part {
-				if h := w.reports[name]; now-j.began > lostAfterMs && (h == nil || now-h.at > lostAfterMs) {
-					j.comparison.RecordFailure(name, "it isn't heard of any more")
+				if latest := c.reports[name]; now-current.began > lostAfterMs && (latest == nil || now-latest.at > lostAfterMs) {
+					current.comparison.RecordFailure(name, "it isn't heard of any more")
 				}
 			}
 		}
-		if v := j.comparison.Evaluate(now); v.Outcome != release.Wait {
+		if v := current.comparison.Evaluate(now); v.Outcome != release.Wait {
 			verdicts = append(verdicts, release.RecordVerdict{Number: r.Number, Wave: r.Wave, Verdict: v})
 		}
 	}
--- a/permits/door_agent.go
+++ b/permits/door_agent.go
@@ -122,109 +122,109 @@
 }
 
 // Out reports whether the door is out by a drain, and the number of its permit.
-func (k *DoorAgent) Out() (number uint64, is bool) { return k.holder.Number, k.stage == outOfService }
+func (a *DoorAgent) Out() (number uint64, is bool) { return a.holder.Number, a.stage == outOfService }
 
 // Withheld lists the backends that the door has to withhold.
-func (k *DoorAgent) Withheld() []string { return k.withheld }
+func (a *DoorAgent) Withheld() []string { return a.withheld }
 
 // Order returns the drain that is in force for the door; nil for none.
-func (k *DoorAgent) Order() *Order { return k.order }
+func (a *DoorAgent) Order() *Order { return a.order }
 
-func (k *DoorAgent) caller() string { return CallerName(k.unit.Name, k.process) }
+func (a *DoorAgent) caller() string { return CallerName(a.unit.Name, a.process) }
 
 // Step processes an event and returns the resulting actions.
-func (k *DoorAgent) Step(now float64, e any) (do []any) {
+func (a *DoorAgent) Step(now float64, e any) (do []any) {
 	switch e := e.(type) {
 	case Replied:
-		if w := k.complete(e.Seq); w != nil && w.Report != nil {
-			do = append(do, k.handleReply(w.Report, &e.Reply)...)
+		if w := a.complete(e.Seq); w != nil && w.Report != nil {
+			do = append(do, a.handleReply(w.Report, &e.Reply)...)
 		}
 	case Answered:
-		if w := k.complete(e.Seq); w != nil {
-			k.handleAnswer(now, w, e)
+		if w := a.complete(e.Seq); w != nil {
+			a.handleAnswer(now, w, e)
 		}
 	case Unanswered: // poll sends the post again after retryAfterMs
 	case DoorStatus:
-		if k.ready != e.Ready || !slices.Equal(k.away, e.Away) {
-			k.dirty = true
+		if a.ready != e.Ready || !slices.Equal(a.away, e.Away) {
+			a.dirty = true
 		}
-		k.ready, k.away, k.backends, k.counts, k.byBackend = e.Ready, e.Away, e.Backends, e.Counts, e.ByBackend
+		a.ready, a.away, a.backends, a.counts, a.byBackend = e.Ready, e.Away, e.Backends, e.Counts, e.ByBackend
 	case WithholdApplied:
-		if e.Change > k.applied {
-			k.applied, k.dirty = e.Change, true
+		if e.Change > a.applied {
+			a.applied, a.dirty = e.Change, true
 		}
 	case SetOutDone:
-		if k.stage == goingOut {
-			if k.stage = serving; e.Done {
-				k.stage, k.dirty = outOfService, true
+		if a.stage == goingOut {
+			if a.stage = serving; e.Done {
+				a.stage, a.dirty = outOfService, true
 			}
 		}
 	case EndByHand:
-		if k.order != nil {
-			k.endedByHand = append(k.endedByHand, k.order.Number)
+		if a.order != nil {
+			a.endedByHand = append(a.endedByHand, a.order.Number)
 		}
-		k.order, k.dirty = nil, true
-		if len(k.withheld) > 0 {
-			k.withheld = nil
+		a.order, a.dirty = nil, true
+		if len(a.withheld) > 0 {
+			a.withheld = nil
 			do = append(do, Withhold{nil, 0})
 		}
 	case Terminating:
-		if k.stage != terminated {
-			k.stage, k.dirty, k.lastReportMs = terminating, true, 0
+		if a.stage != terminated {
+			a.stage, a.dirty, a.lastReportMs = terminating, true, 0
 		}
 	case Terminated:
-		k.stage, k.dirty, k.lastReportMs = terminated, true, 0
+		a.stage, a.dirty, a.lastReportMs = terminated, true, 0
 	}
-	return append(do, k.act(now)...)
+	return append(do, a.act(now)...)
 }
 
 // handleReply applies the reply to a report.
-func (k *DoorAgent) handleReply(sent *DoorReport, r *Reply) (do []any) {
-	if r.Incarnation != k.incarnation { // another process of this name has registered, or the coordinators have lost their state
-		k.incarnation = 0
+func (a *DoorAgent) handleReply(sent *DoorReport, r *Reply) (do []any) {
+	if r.Incarnation != a.incarnation { // another process of this name has registered, or the coordinators have lost their state
+		a.incarnation = 0
 		return nil
 	}
-	k.sendBackends = r.Full
-	k.endedByHand = slices.DeleteFunc(k.endedByHand, func(n uint64) bool { return slices.Contains(sent.Undone, n) })
-	if k.order = r.Order; k.order != nil && (k.stage >= terminating || slices.Contains(k.endedByHand, k.order.Number)) {
-		k.order = nil
+	a.sendBackends = r.Full
+	a.endedByHand = slices.DeleteFunc(a.endedByHand, func(n uint64) bool { return slices.Contains(sent.Undone, n) })
+	if a.order = r.Order; a.order != nil && (a.stage >= terminating || slices.Contains(a.endedByHand, a.order.Number)) {
+		a.order = nil
 	}
-	if r.Epoch != k.epoch { // a new state, as after the loss of all coordinators: earlier changes don't count
-		k.epoch, k.change, k.applied, k.withheld = r.Epoch, 0, 0, nil
-	} else if r.Change < k.change {
+	if r.Epoch != a.epoch { // a new state, as after the loss of all coordinators: earlier changes don't count
+		a.epoch, a.change, a.applied, a.withheld = r.Epoch, 0, 0, nil
+	} else if r.Change < a.change {
 		return nil
 	}
-	if r.Change > k.change || !slices.Equal(r.Withheld, k.withheld) {
-		k.change, k.withheld = r.Change, r.Withheld
+	if r.Change > a.change || !slices.Equal(r.Withheld, a.withheld) {
+		a.change, a.withheld = r.Change, r.Withheld
 		do = append(do, Withhold{slices.Clone(r.Withheld), r.Change})
 	}
 	return do
 }
 
-func (k *DoorAgent) handleAnswer(now float64, sent *Post, e Answered) {
+func (a *DoorAgent) handleAnswer(now float64, sent *Post, e Answered) {
 	if _, began := sent.Do.(Begin); began {
 		if e.Answer.Err == nil {
-			k.incarnation = e.Answer.Number
+			a.incarnation = e.Answer.Number
 		}
-		k.dirty = true
+		a.dirty = true
 		return
 	}
-	k.holder.Answered(e.Seq, e.Answer)
+	a.holder.Answered(e.Seq, e.Answer)
 	if e.Answer.Err != nil {
-		k.holder.Drop()
-		k.retryAtMs, k.dirty = now+denialBackoffMs, true
+		a.holder.Drop()
+		a.retryAtMs, a.dirty = now+denialBackoffMs, true
 	}
 }
 
 // act returns the next actions for the agent's state, with at most one new post.
-func (k *DoorAgent) act(now float64) (do []any) {
-	if k.stage == outOfService && k.order == nil { // the return to service needs no permit and waits for no answer
-		k.stage, k.dirty = serving, true
-		k.holder.Drop()
-		k.process, k.incarnation = k.newProcess(), 0
-		return []any{SetOut{Out: false}, k.post(now, k.holder.NextSeq(), nil, Begin{k.unit, k.process})}
+func (a *DoorAgent) act(now float64) (do []any) {
+	if a.stage == outOfService && a.order == nil { // the return to service needs no permit and waits for no answer
+		a.stage, a.dirty = serving, true
+		a.holder.Drop()
+		a.process, a.incarnation = a.newProcess(), 0
+		return []any{SetOut{Out: false}, a.post(now, a.holder.NextSeq(), nil, Begin{a.unit, a.process})}
 	}
-	resend, abandoned, busy := k.poll(now)
+	resend, abandoned, busy := a.poll(now)
 	switch {
 	case resend != nil:
 		return []any{*resend}
@@ -232,60 +232,60 @@
 		return nil
 	case abandoned != nil:
 		if _, command := abandoned.Do.(Begin); !command && abandoned.Report == nil {
-			k.holder.Drop()
-			k.retryAtMs = now + denialBackoffMs
+			a.holder.Drop()
+			a.retryAtMs = now + denialBackoffMs
 		}
-		k.dirty = true
+		a.dirty = true
 	}
-	if k.incarnation == 0 && k.stage < terminating {
-		return []any{k.post(now, k.holder.NextSeq(), nil, Begin{k.unit, k.process})}
+	if a.incarnation == 0 && a.stage < terminating {
+		return []any{a.post(now, a.holder.NextSeq(), nil, Begin{a.unit, a.process})}
 	}
 	switch {
-	case k.stage == serving && k.holder.Number != 0 && k.order == nil: // the drain ended before the door went out
-		k.holder.Drop()
-		k.dirty = true
-	case k.stage == serving && k.order != nil && k.ready && now >= k.retryAtMs && k.incarnation != 0:
-		if k.holder.Number != 0 && !k.holder.Fresh(now) {
-			k.holder.Drop()
+	case a.stage == serving && a.holder.Number != 0 && a.order == nil: // the drain ended before the door went out
+		a.holder.Drop()
+		a.dirty = true
+	case a.stage == serving && a.order != nil && a.ready && now >= a.retryAtMs && a.incarnation != 0:
+		if a.holder.Number != 0 && !a.holder.Fresh(now) {
+			a.holder.Drop()
 		}
 		switch {
-		case k.holder.Number == 0:
-			return []any{k.post(now, k.holder.RequestSent(now, permitHoldMs), nil, RequestPermit{Unit: k.unit.Name, Kind: k.unit.Kind, Who: k.order.Who, Why: k.order.Why, HoldMs: permitHoldMs})}
-		case k.holder.MayGo(now):
-			k.stage = goingOut
-			return []any{SetOut{true, k.holder.Deadline(), k.holder.Number, k.order.Why}}
+		case a.holder.Number == 0:
+			return []any{a.post(now, a.holder.RequestSent(now, permitHoldMs), nil, RequestPermit{Unit: a.unit.Name, Kind: a.unit.Kind, Who: a.order.Who, Why: a.order.Why, HoldMs: permitHoldMs})}
+		case a.holder.MayGo(now):
+			a.stage = goingOut
+			return []any{SetOut{true, a.holder.Deadline(), a.holder.Number, a.order.Why}}
 		default:
-			return []any{k.post(now, k.holder.ConfirmSent(now), nil, Confirm{k.holder.Number, k.incarnation, k.process})}
+			return []any{a.post(now, a.holder.ConfirmSent(now), nil, Confirm{a.holder.Number, a.incarnation, a.process})}
 		}
 	}
-	if since := now - k.lastReportMs; k.incarnation != 0 && (since >= reportEveryMs || k.dirty && since >= minReportGapMs) {
-		k.lastReportMs, k.dirty = now, false
-		return []any{k.post(now, k.holder.NextSeq(), k.report(), nil)}
+	if since := now - a.lastReportMs; a.incarnation != 0 && (since >= reportEveryMs || a.dirty && since >= minReportGapMs) {
+		a.lastReportMs, a.dirty = now, false
+		return []any{a.post(now, a.holder.NextSeq(), a.report(), nil)}
 	}
 	return nil
 }
 
-func (k *DoorAgent) post(now float64, seq uint64, w *DoorReport, command any) Post {
-	if w != nil {
-		w.Seq = seq
+func (a *DoorAgent) post(now float64, seq uint64, report *DoorReport, command any) Post {
+	if report != nil {
+		report.Seq = seq
 	}
-	return k.send(now, Post{Seq: seq, Caller: k.caller(), Report: w, Do: command})
+	return a.send(now, Post{Seq: seq, Caller: a.caller(), Report: report, Do: command})
 }
 
 // report returns the door's next report.
-func (k *DoorAgent) report() *DoorReport {
-	s := Sighting{Unit: k.unit, Incarnation: k.incarnation, Process: k.process, Did: k.applied, Standing: Starting}
+func (a *DoorAgent) report() *DoorReport {
+	s := Sighting{Unit: a.unit, Incarnation: a.incarnation, Process: a.process, Did: a.applied, Standing: Starting}
 	switch {
-	case k.stage == terminated:
+	case a.stage == terminated:
 		s.Standing = Ended
-	case k.stage == terminating:
+	case a.stage == terminating:
 		s.Standing = Failed
-	case k.stage == serving && k.ready:
+	case a.stage == serving && a.ready:
 		s.Standing = Ready
 	}
-	w := &DoorReport{Caller: k.caller(), Sighting: s, Holds: k.holder.Number, Away: k.away, Undone: slices.Clone(k.endedByHand), Counts: k.counts}
-	if k.sendBackends {
-		w.Backends, w.Sent = k.backends, k.byBackend
+	r := &DoorReport{Caller: a.caller(), Sighting: s, Holds: a.holder.Number, Away: a.away, Undone: slices.Clone(a.endedByHand), Counts: a.counts}
+	if a.sendBackends {
+		r.Backends, r.Sent = a.backends, a.byBackend
 	}
-	return w
+	return r
 }
--- a/permits/drains.go
+++ b/permits/drains.go
@@ -19,6 +19,7 @@
 	return all
 }
 
+// budgetsJSON encodes budgets for the audit log and for messages.
 func budgetsJSON(budgets []Budget) string {
 	raw, _ := json.Marshal(budgets)
 	return string(raw)
@@ -38,6 +39,7 @@
 	return Answer{Number: u.Incarnation}
 }
 
+// drain orders a unit or a zone out of service, or returns what denies it.
 func (s *State) drain(c *Command, d Drain) Answer {
 	if d.Kind == Zone {
 		return s.drainZone(c, d)
@@ -166,6 +168,7 @@
 	return out
 }
 
+// undrain ends the drain of a unit, or all those that the drain of a zone ordered.
 func (s *State) undrain(d Undrain) Answer {
 	var drains []*Permit
 	for _, p := range s.sortedPermits() {
--- a/permits/drains_test.go
+++ b/permits/drains_test.go
@@ -68,15 +68,15 @@
 func TestDrainedDoorGoesOutOnlyAfterConfirm(t *testing.T) {
 	s := newSite(8)
 	n := s.do("op", Drain{Kind: Door, Name: "d0", Who: "ana"}).Number
-	assert.Error(t, s.ask(2).Err, "the drain occupies the place")
-	assert.Equal(t, n, s.ask(0).Number, "the permit of its drain")
+	assert.Error(t, s.requestFor(2).Err, "the drain occupies the place")
+	assert.Equal(t, n, s.requestFor(0).Number, "the permit of its drain")
 	require.NoError(t, s.confirm(0, n).Err)
 	s.do("d0", SelfReport{sighting(0, Starting, 1), n})
 	s.recordSighting(0, Ready, 2)
 	assert.Len(t, s.Permits, 1, "a restart during the drain doesn't end it")
 	s.do("d0", SelfReport{sighting(0, Ready, 2), 0})
 	assert.Equal(t, Granted, s.Permits[n].Stage, "it reports that it doesn't use the permit; the drain stays in force")
-	require.NoError(t, s.ask(0).Err)
+	require.NoError(t, s.requestFor(0).Err)
 	require.NoError(t, s.do("d0", Confirm{n, 2, 200}).Err)
 	require.NoError(t, s.do("op", Undrain{Door, "d0", "ana", ""}).Err)
 	assert.Error(t, s.do("d0", Confirm{n, 2, 200}).Err, "the drain has ended")
@@ -94,7 +94,7 @@
 func TestDrainEndsByWallClockAndFreesNoPlace(t *testing.T) {
 	s := newSite(4)
 	n := s.do("op", Drain{Kind: Door, Name: "d0", UntilMs: 5000}).Number
-	require.NoError(t, s.ask(0).Err)
+	require.NoError(t, s.requestFor(0).Err)
 	require.NoError(t, s.confirm(0, n).Err)
 	s.Apply(Command{Caller: "x", Seq: 1, WallMs: 4999, Do: RecordSightings{}})
 	assert.False(t, s.Permits[n].Over)
@@ -105,8 +105,8 @@
 
 func TestUnconfirmedPermitExpiresAfterItsHold(t *testing.T) {
 	s := newSite(8)
-	n := s.ask(0).Number
-	went := s.ask(1).Number
+	n := s.requestFor(0).Number
+	went := s.requestFor(1).Number
 	require.NoError(t, s.confirm(1, went).Err)
 	s.now += 10e3 // exactly its hold
 	s.recordSighting(2, Ready, 1)
@@ -132,8 +132,8 @@
 		assert.Equal(t, []string{"z0"}, denied.Blocked)
 	}
 	assert.Len(t, s.Permits, 3, "no part of the denied drain remains")
-	assert.Error(t, s.ask(1).Err, "the budget of the fleet is used up")
-	require.NoError(t, s.ask(0).Err)
+	assert.Error(t, s.requestFor(1).Err, "the budget of the fleet is used up")
+	require.NoError(t, s.requestFor(0).Err)
 	require.NoError(t, s.confirm(0, first.Number+1).Err, "checked against the budget of zones, not that of doors")
 	require.NoError(t, s.do("op", Undrain{Zone, "z0", "ana", ""}).Err)
 	assert.Len(t, s.Permits, 2, "d2 never confirmed")
@@ -154,11 +154,11 @@
 	s := newSite(8)
 	s.do("c2", Leadership{"c2", "", 9})
 	assert.EqualValues(t, 9, s.Epoch)
-	assert.Error(t, s.ask(1).Err)
+	assert.Error(t, s.requestFor(1).Err)
 	for i := range 8 {
 		s.recordSighting(i, Ready, 1)
 	}
-	require.NoError(t, s.ask(1).Err)
+	require.NoError(t, s.requestFor(1).Err)
 	s.do("c3", Leadership{"c3", "", 10})
 	assert.EqualValues(t, 9, s.Epoch)
 }
@@ -177,9 +177,9 @@
 
 func TestDryRunOfDrainChangesNothing(t *testing.T) {
 	s := newSiteWithBackends(4)
-	would, err := s.DryRun(Backend, "b0")
+	units, err := s.DryRun(Backend, "b0")
 	require.NoError(t, err)
-	assert.Equal(t, []string{"backend/b0"}, would)
+	assert.Equal(t, []string{"backend/b0"}, units)
 	s.do("op", Halt{Who: "ana", Why: "errors"})
 	_, err = s.DryRun(Backend, "b0")
 	var halted *HaltedError
@@ -217,8 +217,8 @@
 	for i := 1; i < 5; i++ {
 		w.Record(6000, doorReport(i, 3))
 	}
-	_, told := standings(w.Sightings(6000))["d0"]
-	assert.False(t, told, "without recent reports its standing is unknown")
+	_, known := standings(w.Sightings(6000))["d0"]
+	assert.False(t, known, "without recent reports its standing is unknown")
 }
 
 func TestUnchangedSightingsAreResentPeriodically(t *testing.T) {
--- a/permits/encode_test.go
+++ b/permits/encode_test.go
@@ -21,15 +21,15 @@
 	caller := rapid.SampledFrom([]string{"d0", "d1", "d2", "op", "watch"}).Draw(t, "caller")
 	number := rapid.Uint64Range(0, 6).Draw(t, "number")
 	how := Standing(rapid.IntRange(0, 3).Draw(t, "standing"))
-	life := rapid.Uint64Range(1, 3).Draw(t, "life")
+	incarnation := rapid.Uint64Range(1, 3).Draw(t, "incarnation")
 	do := rapid.SampledFrom([]any{
 		SetBudgets{Budgets: []Budget{{Kind: Door, MaxOut: 2}, {Kind: Door, Zone: EachZone, MaxOut: 1, MinGapMs: 10}, {Kind: Zone, MaxOut: 1}}},
-		Begin{unit(i), life}, Drain{Door, unit(i).Name, "op", "why", float64(n), 0}, Undrain{Door, unit(i).Name, "op", "why"}, Drain{Zone, "z1", "op", "why", 0, 0}, Undrain{Zone, "z1", "op", ""},
+		Begin{unit(i), incarnation}, Drain{Door, unit(i).Name, "op", "why", float64(n), 0}, Undrain{Door, unit(i).Name, "op", "why"}, Drain{Zone, "z1", "op", "why", 0, 0}, Undrain{Zone, "z1", "op", ""},
 		Leadership{"c1", "a", 7}, release.ReportVersions{Door: unit(i).Name, Runs: release.Versions{release.Program: "x"}},
 		release.Start{Plan: release.Plan{Name: "r", Changes: release.Program, Digest: strings.Repeat("0", 64), Waves: []release.Wave{{Rest: true}}}, Who: "op"},
 		release.RecordVerdict{Number: 1, Verdict: release.Verdict{Outcome: release.GoOn}}, release.Steer{Name: "r", To: release.ToBack, Who: "op"}, Forget{Door, unit(i).Name, "op", "gone"},
-		RecordSightings{[]Sighting{sighting(i, how, life)}}, RecordSightings{[]Sighting{sighting(0, Ready, 1), sighting(1, Ready, 1), sighting(2, Ready, 1), sighting(3, Ready, 1)}},
-		SelfReport{sighting(i, how, life), number}, RequestPermit{unit(i).Name, Door, "op", "why", 50, uint64(i % 2)}, Confirm{number, life, life * 100}, Withdraw{number},
+		RecordSightings{[]Sighting{sighting(i, how, incarnation)}}, RecordSightings{[]Sighting{sighting(0, Ready, 1), sighting(1, Ready, 1), sighting(2, Ready, 1), sighting(3, Ready, 1)}},
+		SelfReport{sighting(i, how, incarnation), number}, RequestPermit{unit(i).Name, Door, "op", "why", 50, uint64(i % 2)}, Confirm{number, incarnation, incarnation * 100}, Withdraw{number},
 		calendar.ReportClock{Name: fmt.Sprint("c", i%3), WallMs: wallStartMs + float64(n), Size: 3}, calendar.Plan{Change: drainChange(Door, unit(i).Name, float64(i%2)*5), Who: "ana"},
 		calendar.Plan{Change: releaseChange("r"), Who: "ana"}, calendar.Start{ID: number}, calendar.Halt{ID: number, Who: "op", Why: "x"}, calendar.Resume{ID: number, Who: "op"},
 		calendar.RollBack{ID: number, Who: "op", Why: "x"}, calendar.Withdraw{ID: number, Revision: 1, Who: "op"}, calendar.SetRules{Rules: []calendar.Rule{{Subject: calendar.Subject{Scope: calendar.Doors}, Count: 1}}, Who: "bea"},
@@ -57,10 +57,10 @@
 			assert.Equal(t, c, read)
 			mine, theirs := a.Apply(c), b.Apply(read)
 			assert.Equal(t, mine, theirs)
-			word, err := json.Marshal(mine)
+			encoded, err := json.Marshal(mine)
 			require.NoError(t, err)
 			var again Answer
-			require.NoError(t, json.Unmarshal(word, &again))
+			require.NoError(t, json.Unmarshal(encoded, &again))
 			assert.Equal(t, mine, again)
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 { // one of them restarts from its snapshot
 				var disk bytes.Buffer
@@ -88,18 +88,18 @@
 	s := newSite(3)
 	var disk bytes.Buffer
 	require.NoError(t, s.Save(&disk))
-	whole := disk.String()
-	_, err := Load(strings.NewReader(whole))
+	saved := disk.String()
+	_, err := Load(strings.NewReader(saved))
 	require.NoError(t, err)
 	var newer *VersionError
-	_, err = Load(strings.NewReader(strings.Replace(whole, `"version":2`, `"version":3`, 1)))
+	_, err = Load(strings.NewReader(strings.Replace(saved, `"version":2`, `"version":3`, 1)))
 	require.ErrorAs(t, err, &newer)
 	assert.Contains(t, newer.Remedy(), "newer release")
 	var damaged *ChecksumError
-	_, err = Load(strings.NewReader(strings.Replace(whole, `"Next":1`, `"Next":7`, 1)))
+	_, err = Load(strings.NewReader(strings.Replace(saved, `"Next":1`, `"Next":7`, 1)))
 	require.ErrorAs(t, err, &damaged)
 	var form *FormatError
-	_, err = Load(strings.NewReader(whole[:len(whole)/2]))
+	_, err = Load(strings.NewReader(saved[:len(saved)/2]))
 	require.ErrorAs(t, err, &form)
 	for _, bad := range []string{`{"do":{"is":"dance"}}`, `{"do":{"is":"denied","of":{}}}`, `{"do":{"is":"ask","of":3}}`, `[]`} {
 		var c Command
--- a/permits/permits.go
+++ b/permits/permits.go
@@ -58,7 +58,7 @@
 type AuditEntry struct {
 	AtMs   float64
 	WallMs float64
-	Number uint64
+	Number uint64 // of the permit; 0 for none
 	What   string
 	Who    string
 	Why    string
@@ -72,6 +72,7 @@
 	return s
 }
 
+// unitKey returns the key of a unit in maps: its kind and name. With a zone in place of the name it is a key of State.LastMs.
 func unitKey(k Kind, name string) string { return string(k) + "/" + name }
 
 // Apply executes a command. The same commands in the same order produce the same state and answers on every coordinator.
@@ -90,6 +91,7 @@
 	return a
 }
 
+// execute carries out a command that isn't a retry, at the state's current time.
 func (s *State) execute(c *Command) Answer {
 	switch d := c.Do.(type) {
 	case SetBudgets:
@@ -132,7 +134,7 @@
 		calendar.RollBack, calendar.RolledBack, calendar.Acknowledge, calendar.Restored:
 		return s.applyCalendarCommand(c)
 	case release.Start, release.ReportVersions, release.RecordVerdict, release.Steer:
-		if own, err := s.routeToEntry(d); own || err != nil {
+		if handled, err := s.routeToEntry(d); handled || err != nil {
 			return Answer{Err: err}
 		}
 		n, note, err := s.Release.Apply(d, s.unitsOf(Door), s.unitsOf(Backend))
@@ -195,6 +197,7 @@
 	return Answer{}
 }
 
+// audit adds an entry to the audit log; number is that of the permit, 0 for none.
 func (s *State) audit(number uint64, what, who, why string) {
 	s.Audit = append(s.Audit, AuditEntry{s.NowMs, s.WallMs, number, what, who, why})
 	if n := len(s.Audit); n > maxAuditEntries {
@@ -257,6 +260,7 @@
 	maps.DeleteFunc(s.Callers, func(_ string, l *LastCommand) bool { return s.NowMs-l.AtMs > callerTTLMs })
 }
 
+// requestPermit grants a permit, or returns what denies it. A door that is being drained receives the permit of its drain.
 func (s *State) requestPermit(c *Command, d RequestPermit) Answer {
 	u := s.Units[unitKey(d.Kind, d.Unit)]
 	if u == nil {
@@ -416,6 +420,7 @@
 	return nil
 }
 
+// orNone returns the names, or "none" in their place if there are none, for DeniedError.Blocked.
 func orNone(names []string) []string {
 	if len(names) == 0 {
 		return []string{"none"}
--- a/permits/release_agent.go
+++ b/permits/release_agent.go
@@ -69,89 +69,89 @@
 }
 
 // Step processes an event and returns the resulting actions.
-func (c *ReleaseAgent) Step(now float64, e any) []any {
+func (a *ReleaseAgent) Step(now float64, e any) []any {
 	switch e := e.(type) {
 	case AssignmentReceived:
-		if w := c.complete(e.Seq); w != nil && w.HolderReport != nil {
-			c.target = nil
-			if e.Assignment.Release != 0 && c.versions[e.Assignment.Changes] != e.Assignment.Digest {
-				c.target = &e.Assignment
+		if w := a.complete(e.Seq); w != nil && w.HolderReport != nil {
+			a.target = nil
+			if e.Assignment.Release != 0 && a.versions[e.Assignment.Changes] != e.Assignment.Digest {
+				a.target = &e.Assignment
 			}
 		}
 	case Answered:
-		if w := c.complete(e.Seq); w != nil {
-			c.handleAnswer(now, w, e)
+		if w := a.complete(e.Seq); w != nil {
+			a.handleAnswer(now, w, e)
 		}
 	case VersionsChanged:
-		if c.applying && (c.target == nil || e.Runs[c.target.Changes] != c.target.Digest) {
-			c.returnNumber = c.holder.Number // the previous process keeps serving, so the permit can be returned
+		if a.applying && (a.target == nil || e.Runs[a.target.Changes] != a.target.Digest) {
+			a.returnNumber = a.holder.Number // the previous process keeps serving, so the permit can be returned
 		}
-		if c.applying {
-			c.holder.Drop()
+		if a.applying {
+			a.holder.Drop()
 		}
-		c.applying, c.dirty, c.target = false, true, nil
-		c.versions, c.failed = maps.Clone(e.Runs), maps.Clone(e.Failed)
+		a.applying, a.dirty, a.target = false, true, nil
+		a.versions, a.failed = maps.Clone(e.Runs), maps.Clone(e.Failed)
 	}
-	return c.act(now)
+	return a.act(now)
 }
 
-func (c *ReleaseAgent) handleAnswer(now float64, sent *Post, e Answered) {
+func (a *ReleaseAgent) handleAnswer(now float64, sent *Post, e Answered) {
 	if w, is := sent.Do.(Withdraw); is {
-		if c.returnNumber == w.Number {
-			c.returnNumber = 0
+		if a.returnNumber == w.Number {
+			a.returnNumber = 0
 		}
 		return
 	}
-	c.holder.Answered(e.Seq, e.Answer)
+	a.holder.Answered(e.Seq, e.Answer)
 	if e.Answer.Err != nil {
-		c.abandon(now)
+		a.abandon(now)
 	}
 }
 
 // abandon gives up the current step; a permit that was granted is returned.
-func (c *ReleaseAgent) abandon(now float64) {
-	if c.holder.Number != 0 {
-		c.returnNumber = c.holder.Number
+func (a *ReleaseAgent) abandon(now float64) {
+	if a.holder.Number != 0 {
+		a.returnNumber = a.holder.Number
 	}
-	c.holder.Drop()
-	c.retryAtMs, c.dirty = now+denialBackoffMs, true
+	a.holder.Drop()
+	a.retryAtMs, a.dirty = now+denialBackoffMs, true
 }
 
-func (c *ReleaseAgent) act(now float64) []any {
-	resend, abandoned, busy := c.poll(now)
+func (a *ReleaseAgent) act(now float64) []any {
+	resend, abandoned, busy := a.poll(now)
 	switch {
 	case resend != nil:
 		return []any{*resend}
-	case busy, c.applying:
+	case busy, a.applying:
 		return nil
 	case abandoned != nil && abandoned.HolderReport == nil:
-		c.abandon(now)
+		a.abandon(now)
 	}
-	post := func(seq uint64, do any) []any { return []any{c.send(now, Post{Seq: seq, Caller: c.caller, Do: do})} }
+	post := func(seq uint64, do any) []any { return []any{a.send(now, Post{Seq: seq, Caller: a.caller, Do: do})} }
 	switch {
-	case c.returnNumber != 0:
-		return post(c.holder.NextSeq(), Withdraw{c.returnNumber})
-	case c.target == nil && c.holder.Number != 0: // the assignment was withdrawn
-		c.abandon(now)
-	case c.target != nil && now >= c.retryAtMs:
-		if c.holder.Number != 0 && !c.holder.Fresh(now) {
-			c.abandon(now)
+	case a.returnNumber != 0:
+		return post(a.holder.NextSeq(), Withdraw{a.returnNumber})
+	case a.target == nil && a.holder.Number != 0: // the assignment was withdrawn
+		a.abandon(now)
+	case a.target != nil && now >= a.retryAtMs:
+		if a.holder.Number != 0 && !a.holder.Fresh(now) {
+			a.abandon(now)
 			break
 		}
 		switch {
-		case c.holder.Number == 0:
-			return post(c.holder.RequestSent(now, permitHoldMs), RequestPermit{Unit: c.door, Kind: Door, Who: "release " + c.target.Name, Why: c.target.Changes, HoldMs: permitHoldMs, Release: c.target.Release})
-		case c.holder.MayGo(now):
-			c.applying = true
-			return []any{ApplyRelease{*c.target, c.holder.Deadline()}}
+		case a.holder.Number == 0:
+			return post(a.holder.RequestSent(now, permitHoldMs), RequestPermit{Unit: a.door, Kind: Door, Who: "release " + a.target.Name, Why: a.target.Changes, HoldMs: permitHoldMs, Release: a.target.Release})
+		case a.holder.MayGo(now):
+			a.applying = true
+			return []any{ApplyRelease{*a.target, a.holder.Deadline()}}
 		default:
-			return post(c.holder.ConfirmSent(now), Confirm{Number: c.holder.Number})
+			return post(a.holder.ConfirmSent(now), Confirm{Number: a.holder.Number})
 		}
 	}
-	if since := now - c.lastReportMs; since >= reportEveryMs || c.dirty && since >= minReportGapMs {
-		c.lastReportMs, c.dirty = now, false
-		seq := c.holder.NextSeq()
-		return []any{c.send(now, Post{Seq: seq, Caller: c.caller, HolderReport: &HolderReport{c.caller, seq, c.door, maps.Clone(c.versions), maps.Clone(c.failed)}})}
+	if since := now - a.lastReportMs; since >= reportEveryMs || a.dirty && since >= minReportGapMs {
+		a.lastReportMs, a.dirty = now, false
+		seq := a.holder.NextSeq()
+		return []any{a.send(now, Post{Seq: seq, Caller: a.caller, HolderReport: &HolderReport{a.caller, seq, a.door, maps.Clone(a.versions), maps.Clone(a.failed)}})}
 	}
 	return nil
 }
--- a/permits/release_agent_test.go
+++ b/permits/release_agent_test.go
@@ -100,18 +100,18 @@
 	s := newSite(8)
 	startRelease(s, "d0")
 	n := s.Release.Find("r1").Number
-	ask := RequestPermit{Unit: "d0", Kind: Door, HoldMs: 1e4, Release: n}
-	p := s.do("h", ask)
+	request := RequestPermit{Unit: "d0", Kind: Door, HoldMs: 1e4, Release: n}
+	p := s.do("h", request)
 	require.NoError(t, p.Err)
 	s.do("op", release.Steer{Name: "r1", To: release.ToHalt, Who: "ana"})
 	var stage *release.StageError
 	require.ErrorAs(t, s.do("h", Confirm{Number: p.Number}).Err, &stage)
 	s.do("h", Withdraw{p.Number})
-	require.ErrorAs(t, s.do("h", ask).Err, &stage)
+	require.ErrorAs(t, s.do("h", request).Err, &stage)
 	s.do("op", Halt{Who: "bea"})
 	s.do("op", release.Steer{Name: "r1", To: release.ToResume, Who: "ana"})
 	var halted *HaltedError
-	require.ErrorAs(t, s.do("h", ask).Err, &halted)
+	require.ErrorAs(t, s.do("h", request).Err, &halted)
 }
 
 func TestFailedDoorsRollBackWithoutBudget(t *testing.T) {
@@ -142,7 +142,7 @@
 	}
 	require.NoError(t, s.do("op", release.Steer{Name: s.Release.All[0].Name, To: release.ToBack, Who: "op", Why: "x"}).Err)
 	s.do("c2", Leadership{Name: "c2", Epoch: 1})
-	asks := func() (granted int) {
+	requestAll := func() (granted int) {
 		for i := range 6 {
 			if a := s.do(unit(i).Name+"/h", RequestPermit{Unit: unit(i).Name, Kind: Door, Who: "release", HoldMs: 10e3, Release: number}); a.Err == nil {
 				granted++
@@ -151,11 +151,11 @@
 		return granted
 	}
 	require.Equal(t, release.RollingBack, s.Release.All[0].Stage)
-	assert.Zero(t, asks())
+	assert.Zero(t, requestAll())
 	for i := range 6 {
 		s.recordSighting(i, Ready, 1)
 	}
-	assert.Positive(t, asks())
+	assert.Positive(t, requestAll())
 	out := 0
 	for _, u := range s.Units {
 		if s.Out(u) {
--- a/release/release.go
+++ b/release/release.go
@@ -34,6 +34,7 @@
 }
 
 // Ends is by how much the changed doors may be worse than the others before a release rolls back; 0 selects the default.
+// Ends, Plan and Wave keep their names: errors of decoding contain them and are replicated as answers.
 type Ends struct {
 	Requests float64 `json:"operations,omitempty"` // additional share of requests that are late, failed or rejected
 	Latency  float64 `json:"latency,omitempty"`    // increase as a share of the others' latency
@@ -277,7 +278,8 @@
 	return r.Number, nil
 }
 
-// advance ends the rollbacks that are complete and runs the waiting releases whose doors are free.
+// advance ends the rollbacks that are complete and runs the waiting releases whose doors are free. of holds the known doors under
+// false and the known backends under true.
 func (s *State) advance(of map[bool][]Door) {
 	for _, r := range s.All {
 		if r.Stage == RollingBack && r.Changes == Backends { // a replaced backend can't be restored from here: the release's drains end and no further ones begin
--- a/store/storetest/storetest.go
+++ b/store/storetest/storetest.go
@@ -39,9 +39,9 @@
 // Run tests a store.
 func Run(t *testing.T, k Config) {
 	for _, c := range []struct {
-		name string
-		test func(t *testing.T, k Config)
-		only bool
+		name    string
+		test    func(t *testing.T, k Config)
+		applies bool // to the tested store
 	}{
 		{"log entries and bounds", testLog, true},
 		{"deleting entries from either end", testDeleteRange, true},
@@ -52,7 +52,7 @@
 		{"reopening", testReopen, k.Durable},
 		{"a torn write leaves the state before or after it", testTornWrites, k.File != ""},
 	} {
-		if c.only {
+		if c.applies {
 			t.Run(c.name, func(t *testing.T) { c.test(t, k) })
 		}
 	}
