--- a/internal/doorfleet/doorfleet.go
+++ b/internal/doorfleet/doorfleet.go
@@ -142,23 +142,23 @@
 // GateDoors converts the view of the members for the gate; doors is the number of doors in the fleet. Doors that were never
 // members count as here, as all doors do without membership: only a former member can be known to be gone.
 func GateDoors(rows []members.Row, doors int) gate.DoorsUpdate {
-	e := gate.DoorsUpdate{Present: make([]bool, doors)}
-	for i := range e.Present {
-		e.Present[i] = true
+	update := gate.DoorsUpdate{Present: make([]bool, doors)}
+	for i := range update.Present {
+		update.Present[i] = true
 	}
 	numbered := func(r *members.Row) bool { return r.Number >= 0 && r.Number < doors }
 	for i := range rows {
 		if r := &rows[i]; numbered(r) && (r.State == members.Away || r.State == members.Left) {
-			e.Present[r.Number] = false
+			update.Present[r.Number] = false
 		}
 	}
 	for i := range rows {
 		if r := &rows[i]; r.State == members.Here || r.State == members.Suspect || r.State == members.Leaving {
-			e.PresentCount++
+			update.PresentCount++
 			if numbered(r) { // also if an earlier door of that number is gone
-				e.Present[r.Number] = true
+				update.Present[r.Number] = true
 			}
 		}
 	}
-	return e
+	return update
 }
--- a/internal/holding/holding.go
+++ b/internal/holding/holding.go
@@ -129,11 +129,11 @@
 	if err := s.startFirst(); err != nil {
 		return err
 	}
-	over := make(chan struct{})
-	go func() { defer close(over); s.runReleaseAgent() }()
+	agentDone := make(chan struct{})
+	go func() { defer close(agentDone); s.runReleaseAgent() }()
 	<-ctx.Done()
 	s.shutdown()
-	<-over
+	<-agentDone
 	return nil
 }
 
@@ -264,16 +264,16 @@
 		}
 	}
 	if d := runs[release.Configuration]; d != "" {
-		over, err := s.artifact(d)
+		overlay, err := s.artifact(d)
 		if err != nil {
 			return "", "", err
 		}
 		var raw, top []byte
 		if raw, err = os.ReadFile(s.baseFile); err == nil {
-			top, err = os.ReadFile(over)
+			top, err = os.ReadFile(overlay)
 		}
 		if err != nil {
-			return "", "", &DigestError{over, "", err}
+			return "", "", &DigestError{overlay, "", err}
 		}
 		if raw, err = config.Overlay(raw, top); err != nil {
 			return "", "", err
--- a/internal/serving/process_test.go
+++ b/internal/serving/process_test.go
@@ -240,25 +240,25 @@
 			listing(backend)(nc)
 		}
 	}
-	all, crowd := *restarts, 30
-	if all == 0 {
-		all, crowd = 6, 3
+	total, concurrent := *restarts, 30
+	if total == 0 {
+		total, concurrent = 6, 3
 	}
 	for _, c := range []struct {
 		name      string
 		discovery func(string) func(net.Conn)
 		at        int // number of processes started at once
 		n         int
-	}{{"up, singly", listing, 1, all}, {"up, at once", listing, crowd, all}, {"slow, at once", slowly, crowd, all},
-		{"down for 8 s, at once", nil, crowd, all}} {
+	}{{"up, singly", listing, 1, total}, {"up, at once", listing, concurrent, total}, {"slow, at once", slowly, concurrent, total},
+		{"down for 8 s, at once", nil, concurrent, total}} {
 		t.Run(c.name, func(t *testing.T) {
 			var took []time.Duration
 			for len(took) < c.n {
-				with := c.discovery
-				if with == nil {
-					with = after(down)
+				discovery := c.discovery
+				if discovery == nil {
+					discovery = after(down)
 				}
-				p := newEnvironment(t, with)
+				p := newEnvironment(t, discovery)
 				var mu sync.Mutex
 				var wait sync.WaitGroup
 				for range min(c.at, c.n-len(took)) {
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -82,10 +82,10 @@
 	if companion == nil {
 		return door.Serve(ctx)
 	}
-	over := make(chan struct{})
+	companionDone := make(chan struct{})
 	running, end := context.WithCancel(ctx)
 	go func() {
-		defer close(over)
+		defer close(companionDone)
 		if err := companion(running, cfg, door, log); err != nil {
 			entry := log.WithError(err)
 			for _, what := range remedy.Of(err) {
@@ -96,6 +96,6 @@
 	}()
 	err = door.Serve(ctx)
 	end()
-	<-over
+	<-companionDone
 	return err
 }
--- a/permits/collector.go
+++ b/permits/collector.go
@@ -23,9 +23,9 @@
 
 // Reply is the answer to a DoorReport.
 type Reply struct {
-	Epoch       uint64   `json:"epoch"`
-	Incarnation uint64   `json:"life"` // registered incarnation of the door; if it differs from the report's, the door registers again
-	Change      uint64   `json:"change"`
+	Epoch       uint64   `json:"epoch"`  // of the coordinators' state
+	Incarnation uint64   `json:"life"`   // registered incarnation of the door; if it differs from the report's, the door registers again
+	Change      uint64   `json:"change"` // to which the list of withheld backends belongs
 	Withheld    []string `json:"withheld,omitempty"`
 	Order       *Order   `json:"order,omitempty"` // drain of this door, if any
 	Full        bool     `json:"full,omitempty"`  // the next report is to include the list of backends
--- a/permits/permits.go
+++ b/permits/permits.go
@@ -317,10 +317,10 @@
 }
 
 // unitsOf lists all known units of a kind for the release state machine, sorted by name.
-func (s *State) unitsOf(of Kind) (all []release.Door) {
+func (s *State) unitsOf(of Kind) (all []release.Unit) {
 	for _, k := range slices.Sorted(maps.Keys(s.Units)) {
 		if u := s.Units[k]; u.Kind == of {
-			all = append(all, release.Door{Name: u.Name, Zone: u.Zone})
+			all = append(all, release.Unit{Name: u.Name, Zone: u.Zone})
 		}
 	}
 	return all
--- a/permits/release_agent.go
+++ b/permits/release_agent.go
@@ -6,8 +6,8 @@
 	"github.com/swifthall/swifthall/release"
 )
 
-// HolderReport is the report of the process that holds a door's listener: which versions the door runs, and which it failed to
-// install.
+// HolderReport is the report of the process that holds a door's listener, which is its supervisor (package holding): which versions
+// the door runs, and which it failed to install.
 type HolderReport struct {
 	Caller string            `json:"caller"`
 	Seq    uint64            `json:"seq"`
--- a/release/release.go
+++ b/release/release.go
@@ -115,7 +115,7 @@
 	Halted      Stage = "halted"
 	RollingBack Stage = "going back"
 	Done        Stage = "done"
-	RolledBack  Stage = "back" // all doors run their previous version again
+	RolledBack  Stage = "back" // all doors run their previous version again; a release of backends has only ended its drains
 	Replaced    Stage = "replaced"
 )
 
@@ -133,8 +133,8 @@
 	Failed      map[string]string `json:"failed,omitempty"` // doors that failed to install it, with the reason
 }
 
-// Door is a door or a backend that a release may change.
-type Door struct {
+// Unit is a door or a backend that a release may change.
+type Unit struct {
 	Name string
 	Zone string
 }
@@ -192,8 +192,8 @@
 	return r.Stage == Running || r.Stage == Halted || r.Stage == RollingBack
 }
 
-// doors lists the doors or backends of all waves.
-func (r *Release) doors() (all []string) {
+// units lists the doors or backends of all waves.
+func (r *Release) units() (all []string) {
 	for _, part := range r.UnitsByWave {
 		all = append(all, part...)
 	}
@@ -211,9 +211,9 @@
 }
 
 // LiveReleaseOf returns the live release of a kind of change that controls a door or backend; nil for none.
-func (s *State) LiveReleaseOf(door, changes string) *Release {
+func (s *State) LiveReleaseOf(unit, changes string) *Release {
 	for _, r := range s.All {
-		if r.Live() && r.Changes == changes && slices.Contains(r.doors(), door) {
+		if r.Live() && r.Changes == changes && slices.Contains(r.units(), unit) {
 			return r
 		}
 	}
@@ -226,8 +226,8 @@
 
 // Apply executes a command. doors and backends are all known ones, sorted by name. note is the text for the audit log; empty for
 // none.
-func (s *State) Apply(command any, doors, backends []Door) (number uint64, note string, err error) {
-	of := map[bool][]Door{false: doors, true: backends}
+func (s *State) Apply(command any, doors, backends []Unit) (number uint64, note string, err error) {
+	of := map[bool][]Unit{false: doors, true: backends}
 	switch c := command.(type) {
 	case Start:
 		number, err = s.start(c, of[c.Plan.Changes == Backends])
@@ -246,7 +246,7 @@
 	return number, note, nil
 }
 
-func (s *State) start(c Start, doors []Door) (uint64, error) {
+func (s *State) start(c Start, units []Unit) (uint64, error) {
 	if err := c.Plan.Check(); err != nil {
 		return 0, err
 	}
@@ -254,7 +254,7 @@
 		return 0, &NameError{c.Plan.Name, old.Stage}
 	}
 	for _, name := range c.Plan.Doors {
-		if !slices.ContainsFunc(doors, func(d Door) bool { return d.Name == name }) {
+		if !slices.ContainsFunc(units, func(d Unit) bool { return d.Name == name }) {
 			return 0, &PlanError{Key: "doors", Says: fmt.Sprintf("%q is not known", name)}
 		}
 	}
@@ -278,14 +278,14 @@
 	return r.Number, nil
 }
 
-// advance ends the rollbacks that are complete and runs the waiting releases whose doors are free. of holds the known doors under
+// advance ends the rollbacks that are complete and runs the waiting releases whose units are free. of holds the known doors under
 // false and the known backends under true.
-func (s *State) advance(of map[bool][]Door) {
+func (s *State) advance(of map[bool][]Unit) {
 	for _, r := range s.All {
 		if r.Stage == RollingBack && r.Changes == Backends { // a replaced backend can't be restored from here: the release's drains end and no further ones begin
 			r.Stage = RolledBack
 		}
-		if r.Stage == RollingBack && !slices.ContainsFunc(r.doors(), func(d string) bool { return s.versionOf(d, r.Changes) != r.Previous[d] }) {
+		if r.Stage == RollingBack && !slices.ContainsFunc(r.units(), func(d string) bool { return s.versionOf(d, r.Changes) != r.Previous[d] }) {
 			r.Stage = RolledBack
 		}
 	}
@@ -293,7 +293,7 @@
 		if r.Stage != Waiting {
 			continue
 		}
-		var units []Door
+		var units []Unit
 		for _, d := range of[r.Changes == Backends] {
 			if len(r.Doors) == 0 || slices.Contains(r.Doors, d.Name) {
 				units = append(units, d)
@@ -307,7 +307,7 @@
 			old = s.Find(r.Supersedes)
 		}
 		free := !slices.ContainsFunc(s.All, func(o *Release) bool {
-			return o != r && o != old && o.Live() && (o.Changes == Backends) == (r.Changes == Backends) && slices.ContainsFunc(units, func(d Door) bool { return slices.Contains(o.doors(), d.Name) })
+			return o != r && o != old && o.Live() && (o.Changes == Backends) == (r.Changes == Backends) && slices.ContainsFunc(units, func(d Unit) bool { return slices.Contains(o.units(), d.Name) })
 		})
 		if !free {
 			continue
@@ -321,7 +321,7 @@
 			if r.Changes == Backends {
 				continue
 			}
-			if old != nil && old.Changes == r.Changes && slices.Contains(old.doors(), d.Name) {
+			if old != nil && old.Changes == r.Changes && slices.Contains(old.units(), d.Name) {
 				r.Previous[d.Name] = old.Previous[d.Name] // rolls back past the superseded release, which never passed
 			}
 		}
@@ -329,17 +329,17 @@
 }
 
 // versionOf returns the digest that a door runs, or the process of a backend.
-func (s *State) versionOf(door, changes string) string {
+func (s *State) versionOf(unit, changes string) string {
 	if changes == Backends {
-		return s.Seen[door]
+		return s.Seen[unit]
 	}
-	return s.Runs[door][changes]
+	return s.Runs[unit][changes]
 }
 
-// assignWaves assigns doors to waves. Each wave takes doors from the zones in turn, so that it doesn't concentrate on one zone.
-func assignWaves(waves []Wave, doors []Door) (all [][]string) {
+// assignWaves assigns units to waves. Each wave takes units from the zones in turn, so that it doesn't concentrate on one zone.
+func assignWaves(waves []Wave, units []Unit) (all [][]string) {
 	byZone := map[string][]string{}
-	for _, d := range doors {
+	for _, d := range units {
 		byZone[d.Zone] = append(byZone[d.Zone], d.Name)
 	}
 	zones := slices.Sorted(maps.Keys(byZone))
@@ -361,14 +361,14 @@
 		var part []string
 		switch {
 		case w.Rest:
-			part = take(len(doors))
+			part = take(len(units))
 		case w.EachZone > 0:
 			for _, z := range zones {
 				n := min(w.EachZone, len(byZone[z]))
 				part, byZone[z] = append(part, byZone[z][:n]...), byZone[z][n:]
 			}
 		case w.Share > 0:
-			part = take(max(1, int(w.Share*float64(len(doors))+0.5)))
+			part = take(max(1, int(w.Share*float64(len(units))+0.5)))
 		default:
 			part = take(w.Count)
 		}
@@ -386,7 +386,7 @@
 	}
 	for _, r := range s.All {
 		why, failed := c.Failed[r.Digest]
-		if !failed || !r.Live() || r.Stage == RollingBack || !slices.Contains(r.doors(), c.Door) || r.Failed[c.Door] != "" {
+		if !failed || !r.Live() || r.Stage == RollingBack || !slices.Contains(r.units(), c.Door) || r.Failed[c.Door] != "" {
 			continue
 		}
 		// If one door fails to install the version, the release rolls back: no further door gets it, and those that run it return
@@ -450,7 +450,7 @@
 			r.Stage = RolledBack
 			break
 		}
-		if r.Stage == Done && slices.ContainsFunc(r.doors(), func(d string) bool { return s.LiveReleaseOf(d, r.Changes) != nil }) {
+		if r.Stage == Done && slices.ContainsFunc(r.units(), func(d string) bool { return s.LiveReleaseOf(d, r.Changes) != nil }) {
 			return "", &StageError{c.Name, r.Stage, c.To}
 		}
 		r.Stage = RollingBack
--- a/release/release_test.go
+++ b/release/release_test.go
@@ -19,9 +19,9 @@
 }
 
 // nineDoors returns nine doors in three zones.
-func nineDoors() (all []Door) {
+func nineDoors() (all []Unit) {
 	for i := range 9 {
-		all = append(all, Door{fmt.Sprint("d", i), fmt.Sprint("z", i%3)})
+		all = append(all, Unit{fmt.Sprint("d", i), fmt.Sprint("z", i%3)})
 	}
 	return all
 }
