--- a/fleet/transport.go
+++ b/fleet/transport.go
@@ -101,7 +101,7 @@
 	f := s.impair(a.Addr)
 	if f.Lost {
 		time.Sleep(timeout)
-		return nil, &net.OpError{Op: "dial", Net: "impaired", Err: os.ErrDeadlineExceeded}
+		return nil, &net.OpError{Op: "dial", Net: "spoiled", Err: os.ErrDeadlineExceeded}
 	}
 	time.Sleep(min(f.Delay, timeout))
 	return s.NodeAwareTransport.DialAddressTimeout(a, timeout)
