--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,5 +1,5 @@
 // Package admin serves the status of a running door as JSON over HTTP on a loopback address, and contains the client. The only
-// change that it allows is to end an order that the door received by plan.
+// change that it allows is to end an order that the door received from the coordinators.
 package admin
 
 import (
@@ -69,7 +69,7 @@
 	return m
 }
 
-// Paths that concern the orders a door has received by plan.
+// Paths that concern the orders a door has received from the coordinators, such as to drain.
 const (
 	PlanPath = "/plan"
 	BackPath = "/back" // POST: the door returns to service even if no coordinator can be reached
@@ -77,11 +77,11 @@
 
 // Plan describes the orders that a door has received.
 type Plan struct {
-	Out      bool     `json:"out"` // the door is out of service by order
-	Number   uint64   `json:"number,omitempty"`
+	Out      bool     `json:"out"`              // the door is out of service by order
+	Number   uint64   `json:"number,omitempty"` // of its permit
 	Who      string   `json:"who,omitempty"`
 	Why      string   `json:"why,omitempty"`
-	Withheld []string `json:"withheld"`
+	Withheld []string `json:"withheld"`  // backends to which the door sends nothing by order
 	SilentMs float64  `json:"silent_ms"` // time since a coordinator last answered
 }
 
--- a/calendar/calendar.go
+++ b/calendar/calendar.go
@@ -40,11 +40,11 @@
 	Approved    Stage = "approved"
 	Due         Stage = "due" // the window is open; the entry starts as soon as nothing blocks it
 	Running     Stage = "running"
-	Halted      Stage = "halted" // at the end of a wave
+	Halted      Stage = "halted" // no further wave starts; a soak does not end, a rollback is paused
 	RollingBack Stage = "going back"
 	Done        Stage = "done"
-	Missed      Stage = "missed" // the deadline passed before the entry could start
-	Withdrawn   Stage = "withdrawn"
+	Missed      Stage = "missed"    // the deadline passed before the entry could start
+	Withdrawn   Stage = "withdrawn" // ended before it started, or rolled back
 )
 
 // notStarted reports whether an entry in this stage has yet to start.
@@ -209,11 +209,11 @@
 
 // State is the calendar that the coordinators agree on.
 type State struct {
-	NowMs        float64               `json:"now_ms"`  // agreed clock, ms; never decreases, and stands still while there is no leader
-	WallMs       float64               `json:"wall_ms"` // agreed time, ms since 1970: what a majority's wall clocks show; never decreases
-	ClockProblem string                `json:"doubt"`   // why the agreed time stands still; empty if it advances, and encoded even then
-	Size         int                   `json:"size"`    // number of coordinators
-	Readings     map[string]Reading    `json:"readings,omitempty"`
+	NowMs        float64               `json:"now_ms"`             // agreed clock, ms; never decreases, and stands still while there is no leader
+	WallMs       float64               `json:"wall_ms"`            // agreed time, ms since 1970: what a majority's wall clocks show; never decreases
+	ClockProblem string                `json:"doubt"`              // why the agreed time stands still; empty if it advances, and encoded even then
+	Size         int                   `json:"size"`               // number of coordinators
+	Readings     map[string]Reading    `json:"readings,omitempty"` // latest one of each coordinator, by its name
 	NextID       uint64                `json:"next_id"`
 	Entries      map[uint64]*Entry     `json:"entries"`
 	Freezes      map[uint64]*Freeze    `json:"freezes"`
@@ -224,7 +224,7 @@
 	Acknowledged uint64                `json:"acknowledged"` // number of the last event that its receiver has acknowledged
 	LastEvent    uint64                `json:"number"`       // number of the last event
 
-	zones Zones
+	zones Zones // if nil, the zone of every unit is unknown
 }
 
 // Zones maps units to zones.
@@ -538,7 +538,7 @@
 	}
 }
 
-// transition moves an entry that is in one of the stages in from to another stage.
+// transition moves an entry to another stage. Its present stage must be one of those in from.
 func (s *State) transition(id uint64, from []Stage, to Stage, who, why string) error {
 	e := s.Entries[id]
 	if e == nil {
--- a/calendar/errors.go
+++ b/calendar/errors.go
@@ -283,7 +283,7 @@
 
 // ApprovalRequiredError is a change outside the calendar, for which a rule requires approvals.
 type ApprovalRequiredError struct {
-	Of      Kind
+	Of      Kind // of the change
 	Subject string
 	Count   int      // approvals required
 	Roles   []string // roles whose approvals count; empty for any
--- a/calendar/find.go
+++ b/calendar/find.go
@@ -105,9 +105,9 @@
 	Detail string `json:"Says"`
 }
 
-// Conflicts lists what would block a change during its window and, if anything does, up to most spans that are free instead. id is the
-// change's own entry, 0 for none.
-func (s *State) Conflicts(c *Change, id uint64, most int) (conflicts []Conflict, free []Span) {
+// Conflicts lists what would block a change during its window and, if anything does, at most maxFree spans that are free instead. id is
+// the change's own entry, 0 for none.
+func (s *State) Conflicts(c *Change, id uint64, maxFree int) (conflicts []Conflict, free []Span) {
 	if c.DurationMs() > c.Window.ToMs-c.Window.FromMs {
 		conflicts = append(conflicts, Conflict{0, fmt.Sprintf("the window is %s, the change takes %s", formatDuration(c.Window.ToMs-c.Window.FromMs), formatDuration(c.DurationMs()))})
 	}
@@ -132,7 +132,7 @@
 		}
 	}
 	if len(conflicts) > 0 {
-		free = s.FindFree(c, id, most)
+		free = s.FindFree(c, id, maxFree)
 	}
 	return conflicts, free
 }
@@ -190,9 +190,10 @@
 	return slices.DeleteFunc(spans, func(p Span) bool { return p.FromMs >= p.ToMs })
 }
 
-// FindFree lists up to most spans, from now on, in which a change could run: no freeze applies, no other entry holds its subject, its
-// budgets are not used up, and there is time for all of it. It returns none if there is none within the horizon.
-func (s *State) FindFree(c *Change, id uint64, most int) []Span {
+// FindFree lists at most maxFree spans, from now on, in which a change could run: no freeze applies, no other entry holds its subject, its
+// budgets are not used up, and there is time for all of it. It looks no further ahead than the horizon. id is the change's own entry, 0
+// for none.
+func (s *State) FindFree(c *Change, id uint64, maxFree int) []Span {
 	ahead := Span{s.WallMs, s.WallMs + horizonMs}
 	var taken []Span
 	for other, o := range s.Entries {
@@ -211,15 +212,15 @@
 		}
 	}
 	free := gaps(taken, ahead, c.DurationMs())
-	return free[:min(most, len(free))]
+	return free[:min(maxFree, len(free))]
 }
 
-// gaps lists the parts of a span that no taken span covers, in pieces of least ms or more.
-func gaps(taken []Span, in Span, least float64) (free []Span) {
+// gaps lists the parts of a span that no taken span covers and that last at least minMs.
+func gaps(taken []Span, in Span, minMs float64) (free []Span) {
 	slices.SortFunc(taken, func(a, b Span) int { return cmp.Compare(a.FromMs, b.FromMs) })
 	at := in.FromMs
 	add := func(to float64) {
-		if to = min(to, in.ToMs); to > at && to-at >= least {
+		if to = min(to, in.ToMs); to > at && to-at >= minMs {
 			free = append(free, Span{at, to})
 		}
 	}
--- a/cmd/swifthall-coordinate/calendar.go
+++ b/cmd/swifthall-coordinate/calendar.go
@@ -74,9 +74,9 @@
 	return e, revision, s, nil
 }
 
-// resolveRevision parses 7@3. If the revision is missing, it queries the calendar and returns that of now, which returns 0 for an
+// resolveRevision parses 7@3. If the revision is missing, it queries the calendar and returns the result of current, which is 0 for an
 // unknown number.
-func (o *operator) resolveRevision(cmd *cobra.Command, text string, now func(s *calendar.State, id uint64) uint64) (id, revision uint64, err error) {
+func (o *operator) resolveRevision(cmd *cobra.Command, text string, current func(s *calendar.State, id uint64) uint64) (id, revision uint64, err error) {
 	if id, revision, err = parseNumber(text); err != nil || revision != 0 {
 		return id, revision, err
 	}
@@ -84,7 +84,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	return id, now(s, id), nil
+	return id, current(s, id), nil
 }
 
 // freezeRevision returns the revision of a freeze; 0 if it doesn't exist.
@@ -280,9 +280,9 @@
 	}
 	for _, of := range [][]string{e.Preconditions, e.Postconditions} {
 		for _, name := range of {
-			status := "nobody has looked"
+			status := "not observed yet"
 			if o, seen := e.Observations[name]; seen {
-				status = fmt.Sprintf("well: %t at %s %s", o.Passed, formatTime(o.AtMs, in), o.Detail)
+				status = fmt.Sprintf("passed: %t at %s %s", o.Passed, formatTime(o.AtMs, in), o.Detail)
 			}
 			printLine(out, "seen      %s: %s", name, status)
 		}
@@ -464,14 +464,14 @@
 	move.Flags().StringVar(&to, "to", "", "local time")
 	move.Flags().StringVar(&in, "in", "", "time zone name; default UTC")
 	var failed bool
-	var what, says string
+	var what, detail string
 	saw := o.entryCommand("saw", "Report whether a condition of an entry was observed", "An observation of a precondition is valid for five minutes.",
 		func(_ *cobra.Command, e *calendar.Entry, _ uint64) (any, error) {
-			return calendar.Observe{ID: e.ID, What: what, Passed: !failed, Detail: says, Who: o.who}, nil
+			return calendar.Observe{ID: e.ID, What: what, Passed: !failed, Detail: detail, Who: o.who}, nil
 		})
 	saw.Flags().StringVar(&what, "what", "", "name of the condition in the entry")
 	saw.Flags().BoolVar(&failed, "not", false, "the condition was checked and does not hold")
-	saw.Flags().StringVar(&says, "says", "", "details of the observation")
+	saw.Flags().StringVar(&detail, "says", "", "details of the observation")
 	steer := &cobra.Command{Use: "steer", Short: "Halt, resume or roll back a running entry, or report manual progress", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	steer.AddCommand(
--- a/cmd/swifthall-coordinate/calendar_test.go
+++ b/cmd/swifthall-coordinate/calendar_test.go
@@ -128,8 +128,8 @@
 	assert.Contains(t, s.ok("steer", "done", "1"), "entry 1 is done")
 	history := s.ok("history", "1")
 	assert.NotContains(t, history, "1970", "not even for an event of the first second")
-	for _, word := range []string{"planned: gold to 40 a second, ana", "approval, bea: lead", "due -> running", "wave 1 of 1 done, ana", "running -> done"} {
-		assert.Contains(t, history, word)
+	for _, text := range []string{"planned: gold to 40 a second, ana", "approval, bea: lead", "due -> running", "wave 1 of 1 done, ana", "running -> done"} {
+		assert.Contains(t, history, text)
 	}
 	var event calendar.Event
 	require.NoError(t, json.Unmarshal([]byte(strings.SplitN(s.ok("history", "--json"), "\n", 2)[0]), &event))
@@ -179,8 +179,8 @@
 	s.ok("plan", s.file("a.json", entry("a", "gold", time.Hour, 3*time.Hour)))
 	second := s.file("b.json", entry("b", "gold", 2*time.Hour, 4*time.Hour))
 	out, err := s.as("bea", "plan", second)
-	var meets *ConflictError
-	require.ErrorAs(t, err, &meets)
+	var conflict *ConflictError
+	require.ErrorAs(t, err, &conflict)
 	assert.Contains(t, out, "in the way  1: ")
 	assert.Contains(t, out, "free        ")
 	assert.Contains(t, s.ok("next", second), "free        ")
@@ -195,7 +195,7 @@
 	assert.Contains(t, out, "Europe/Lisbon")
 	third := s.file("c.json", entry("c", "silver", -2*time.Minute, 10*time.Hour))
 	out, err = s.as("ana", "plan", third)
-	require.ErrorAs(t, err, &meets)
+	require.ErrorAs(t, err, &conflict)
 	assert.Contains(t, out, "nights")
 	s.ok("plan", third, "--anyway")
 	s.eventually("agreed time", func() bool { return !strings.Contains(s.ok("calendar"), "DOUBT") })
@@ -238,9 +238,9 @@
 	delete(second, "preconditions")
 	assert.Contains(t, s.ok("migrate", file(first, second), "--replace", "1@1"), "is migration 1")
 	s.eventually("its replacement runs", func() bool { return strings.Contains(s.ok("calendar", "4"), "stage     running") })
-	var begun *calendar.StepStartedError
+	var started *calendar.StepStartedError
 	_, err = s.as("ana", "migrate", file(second, first), "--replace", "1")
-	require.ErrorAs(t, err, &begun)
+	require.ErrorAs(t, err, &started)
 	s.ok("steer", "back", "4", "--why", "smoke")
 	assert.Contains(t, s.ok("calendar"), "migration 1@2 m, going back")
 	s.ok("steer", "returned", "4")
--- a/cmd/swifthall-coordinate/commands.go
+++ b/cmd/swifthall-coordinate/commands.go
@@ -217,7 +217,7 @@
 		return err
 	}
 	for _, w := range t.Units {
-		fmt.Fprintln(cmd.OutOrStdout(), "would go:", w)
+		fmt.Fprintln(cmd.OutOrStdout(), "would go out:", w)
 	}
 	if t.Answer.Err != nil {
 		return t.Answer.Err
@@ -363,14 +363,14 @@
 func printStatus(out io.Writer, st client.Status) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer t.Flush()
-	source := "as a majority has it"
+	source := "confirmed by a majority"
 	if !st.Current {
-		source = "as it last heard; " + strings.TrimSuffix("leader "+st.Leader, "leader ")
+		source = "as it last received it; " + strings.TrimSuffix("leader "+st.Leader, "leader ")
 		if st.Leader == "" {
-			source = fmt.Sprintf("as it last heard: no leader for %.0f s; docs/coordinators.md tells what to do", st.Hint.LeaderSilentMs/1e3)
+			source = fmt.Sprintf("as it last received it: no leader for %.0f s; see docs/coordinators.md", st.Hint.LeaderSilentMs/1e3)
 		}
 	}
-	fmt.Fprintf(t, "fleet %s, told by %s, %s\n", st.Fleet, st.Self, source)
+	fmt.Fprintf(t, "fleet %s, reported by %s, %s\n", st.Fleet, st.Self, source)
 	for _, m := range st.Members {
 		state := "answers"
 		if m.SilentMs > 0 {
--- a/cmd/swifthall-coordinate/release.go
+++ b/cmd/swifthall-coordinate/release.go
@@ -136,7 +136,7 @@
 	}
 	for _, r := range st.Releases {
 		for d, why := range r.Failed {
-			fmt.Fprintf(t, "%s: %s could not take it: %s\n", r.Name, d, strings.TrimSpace(why))
+			fmt.Fprintf(t, "%s: %s could not install it: %s\n", r.Name, d, strings.TrimSpace(why))
 		}
 	}
 }
--- a/cmd/swifthall/commands.go
+++ b/cmd/swifthall/commands.go
@@ -30,7 +30,7 @@
 		&cobra.Command{Use: "lab", Short: "The laboratory: play, list, compare, sweep, hunt, load", DisableFlagParsing: true,
 			Long: "Starts swifthall-lab, a separate program that must be in the directory of this one or in PATH.",
 			RunE: func(_ *cobra.Command, args []string) error { return execProgram(labProgram, args...) }},
-		&cobra.Command{Use: "rehearse", Short: "Play a migration on the site's scenario, simulated, and tell what it would cost", DisableFlagParsing: true,
+		&cobra.Command{Use: "rehearse", Short: "Simulate a migration on the site's scenario and report what it would cost", DisableFlagParsing: true,
 			Long: "Starts swifthall-lab, which must be in the directory of this program or in PATH; swifthall rehearse --help lists the flags.",
 			RunE: func(_ *cobra.Command, args []string) error {
 				return execProgram(labProgram, append([]string{"rehearse"}, args...)...)
--- a/config/config.go
+++ b/config/config.go
@@ -39,7 +39,7 @@
 const (
 	MaxRedialFactor   = 5   // the pause between failed dials doubles up to this multiple of Redial
 	maxDiscoveryDelay = 6e3 // ms after which the door is expected to know a published change
-	maxFirstByte      = 1e3 // ms; a working agent answers at once, a slower one is down and the next dial may reach it
+	maxFirstByte      = 1e3 // ms; a working discovery server answers at once, a slower one is down and the next dial may reach it
 	minFirstByte      = 100 // ms; less would abandon responses that are on their way
 )
 
--- a/coordinator/calendar.go
+++ b/coordinator/calendar.go
@@ -250,11 +250,11 @@
 	c.log.WithFields(logrus.Fields{"event": e.Number, "entry": e.ID, "who": e.Who, "why": e.Why}).Info("calendar: " + e.What)
 	line, _ := json.Marshal(e) // can't fail: an event consists of numbers and strings
 	for _, receiver := range []struct {
-		name string
-		tell func([]byte) error
+		name    string
+		deliver func([]byte) error
 	}{{"file", c.appendToFile}, {"hook", c.runHook}} {
 		for try := 1; ; try++ {
-			err := receiver.tell(line)
+			err := receiver.deliver(line)
 			if err == nil {
 				break
 			}
--- a/coordinator/calendar_test.go
+++ b/coordinator/calendar_test.go
@@ -110,7 +110,7 @@
 	eventually(t, "it is due", func() bool { return calendarState(t, c).Entries[id].Stage != calendar.Approved })
 	all[0].stop()
 	waitLeader(t, all[1:])
-	eventually(t, "it has begun", func() bool { return calendarState(t, c).Entries[id].Stage == calendar.Running })
+	eventually(t, "it has started", func() bool { return calendarState(t, c).Entries[id].Stage == calendar.Running })
 	s := calendarState(t, c)
 	assert.GreaterOrEqual(t, wallMs(), due)
 	require.Len(t, startTimes(s)[id], 1)
--- a/coordinator/client/client.go
+++ b/coordinator/client/client.go
@@ -112,10 +112,10 @@
 
 // CalendarAnswer is the answer to a CalendarQuery.
 type CalendarAnswer struct {
-	Calendar  json.RawMessage     `json:"calendar"` // a calendar.State
-	Obstacle  permits.Answer      `json:"in_the_way"`
-	Conflicts []calendar.Conflict `json:"met,omitempty"`
-	Free      []calendar.Span     `json:"free,omitempty"`
+	Calendar  json.RawMessage     `json:"calendar"`       // a calendar.State
+	Obstacle  permits.Answer      `json:"in_the_way"`     // its Err is the first error that keeps the entry from starting; nil for none
+	Conflicts []calendar.Conflict `json:"met,omitempty"`  // what blocks the change during its window
+	Free      []calendar.Span     `json:"free,omitempty"` // windows in which the change could run
 }
 
 const (
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -38,7 +38,7 @@
 	snapshotInterval   = 20 * time.Second       // between checks whether a snapshot is due
 	snapshotThreshold  = 2048                   // log entries since the last snapshot after which the next is due
 	applyTimeout       = 2 * time.Second        // for which a command may wait to be accepted by raft; also limits the transport's I/O
-	sightingInterval   = 500 * time.Millisecond // between rounds of the leader
+	roundInterval      = 500 * time.Millisecond // between rounds of the leader
 	membershipTimeout  = 5 * time.Second        // of a change of the set of coordinators
 	slowWriteThreshold = 300 * time.Millisecond // a leader with slower writes delays all commands
 	maxSlowWrites      = 3                      // consecutive slow writes after which the leader transfers its leadership
@@ -161,7 +161,7 @@
 			leads := c.term != nil
 			c.mu.Unlock()
 			if leads {
-				c.log.Warn("the disk is slow; another coordinator is to lead")
+				c.log.Warn("the disk is slow; transferring the leadership to another coordinator")
 				_ = c.raft.LeadershipTransfer().Error()
 			}
 		}()
@@ -197,10 +197,10 @@
 }
 
 // watchLeadership runs until the coordinator is closed. When it becomes leader it begins a term, during which it runs a round at
-// every sightingInterval.
+// every roundInterval.
 func (c *Coordinator) watchLeadership() {
 	leaderChanges := c.raft.LeaderCh()
-	tick := time.NewTicker(sightingInterval)
+	tick := time.NewTicker(roundInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -59,7 +59,8 @@
 
 var scanners = sync.Pool{New: func() any { return &scanner{buf: bufio.NewReader(nil)} }}
 
-// parse checks a head and parses it with net/http, which must consume all of it.
+// parse checks a head and parses it with net/http, which must consume all of it. coded reports whether the head names a transfer
+// coding.
 func parse[T any](raw []byte, read func(*bufio.Reader) (T, error)) (m T, coded bool, err error) {
 	if coded, err = strict(raw); err != nil {
 		return m, coded, err
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -28,9 +28,9 @@
 	Plan               string
 	Customer           uint64
 	TTL                float64 // time that the client waits, in ms
-	Units              float64
-	First, Spread      int
-	Repeat             bool
+	Units              float64 // units of the request, an estimate if the backend reports others
+	First, Spread      int     // the customer's requests come through Spread doors from number First on
+	Repeat             bool    // the client marked the request as a repeat
 	Body               []byte
 	Close              bool // the client closes the connection after this request
 }
--- a/internal/wire/door.go
+++ b/internal/wire/door.go
@@ -12,13 +12,13 @@
 // door holds the decider of one door and maps the ids of the protocol to the indices that the decider uses.
 type door struct {
 	decider                                gate.Decider
-	pending                                []gate.Event
+	pending                                []gate.Event // events of the present batch
 	settings                               config.Settings
 	ops, backends, customers, zones, cells index.Table[string]
-	outstanding                            []int  // number of outstanding attempts, by request
-	finished                               []bool // the final outcome is known, by request
-	counts                                 map[uint64]*pendingCount
-	releasable                             []int // requests whose index may be released at the end of the batch
+	outstanding                            []int                    // number of outstanding attempts, by request
+	finished                               []bool                   // the final outcome is known, by request
+	counts                                 map[uint64]*pendingCount // unanswered calls, by the key of the shared counter
+	releasable                             []int                    // requests whose index may be released at the end of the batch
 }
 
 func newDoor(settings config.Settings) *door {
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -19,7 +19,7 @@
 	log        io.Writer
 	newDecider func(gate.Terms, uint64) gate.Decider
 	doors      map[int]*door
-	unknown    map[string]bool
+	unknown    map[string]bool // names of unknown events that were reported on log
 }
 
 // NewHost returns a host that creates a decider for each door that is started and writes warnings to log.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -109,7 +109,7 @@
 	assert.JSONEq(t, `{"parts":[{"door_id":3,"out":[{"GIVE_IN":{"body_text":"panic: broken"}}]}]}`, out)
 }
 
-// Settings and results with estimated units, plans that earn beyond their quota, and load reports.
+// Estimated units, the terms of plans that earn beyond their quota and load reports are decoded from settings and results.
 func TestReportsAndEstimatedUnitsAreDecoded(t *testing.T) {
 	born := strings.Replace(strings.Replace(born, `"rate":2.0`, `"rate":2.0,"beyond_earns":0.3,"over_cost":1.2`, 1), `"profiles"`,
 		`"reporting":{"how":"inline","names":["recent_ms","utilization","backlog"]},"profiles"`, 1)
