--- a/admin/admin.go
+++ b/admin/admin.go
@@ -176,7 +176,7 @@
 		fmt.Fprintf(t, "no member: %s\nto do: %s\n", m.Refused, m.Remedy)
 	}
 	if m.AloneMs > 3000 && len(m.Members) > 1 {
-		fmt.Fprintf(t, "this door has received no message from another member for %s\n", span(m.AloneMs))
+		fmt.Fprintf(t, "this door has received no message from another member for %s\n", formatDuration(m.AloneMs))
 	}
 	fmt.Fprintln(t, "name\tzone\tstate\tsince\tseen by\tlife\trelease\tround trip\taddress")
 	for _, r := range m.Members {
@@ -186,11 +186,11 @@
 		} else if r.RoundTripMs > 0 {
 			roundTrip = fmt.Sprintf("%.1f ms", r.RoundTripMs)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d of %d\t%d\t%s\t%s\t%s\n", r.Name, r.Zone, r.State, span(r.SinceMs), r.SeenBy, r.Observers, r.Incarnation, r.Release, roundTrip, r.Address)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d of %d\t%d\t%s\t%s\t%s\n", r.Name, r.Zone, r.State, formatDuration(r.SinceMs), r.SeenBy, r.Observers, r.Incarnation, r.Release, roundTrip, r.Address)
 	}
 }
 
-// span formats a duration in ms for people.
-func span(ms float64) string {
+// formatDuration formats a duration in ms, rounded to 0.1 s.
+func formatDuration(ms float64) string {
 	return time.Duration(ms * float64(time.Millisecond)).Round(100 * time.Millisecond).String()
 }
