--- a/lab/command/command.go
+++ b/lab/command/command.go
@@ -87,7 +87,7 @@
 			}
 			tell, end := bar(cmd, s.Name)
 			began := time.Now()
-			day := run.One{Scenario: s, Seed: seed, Policy: policy}
+			day := run.Spec{Scenario: s, Seed: seed, Policy: policy}
 			var r *run.Result
 			switch progress := func(done float64) { tell(done, 1) }; {
 			case on == "sockets":
@@ -95,7 +95,7 @@
 			case on != "sim":
 				err = &FlagError{Flag: fmt.Sprintf("--on %q", on), Says: "sim or sockets is wanted"}
 			case alone:
-				r, err = day.Play(cmd.Context(), progress)
+				r, err = day.Run(cmd.Context(), progress)
 			default:
 				r, err = day.Marked(cmd.Context(), progress)
 			}
@@ -184,7 +184,7 @@
 			slices.Sort(kinds)
 			for _, name := range kinds {
 				k := scenario.Kinds[name]
-				fmt.Fprintf(t, "%s\t%s\t%s\t\t%s\n", name, k.Whom, k.Unit, k.Says)
+				fmt.Fprintf(t, "%s\t%s\t%s\t\t%s\n", name, k.Target, k.Unit, k.Says)
 			}
 			return nil
 		}}
--- a/lab/model/faults.go
+++ b/lab/model/faults.go
@@ -58,19 +58,19 @@
 // injectFault applies the beginning of a fault to its targets.
 func (sim *Simulation) injectFault(af *activeFault) {
 	f := af.spec
-	switch scenario.Kinds[f.Kind].Whom {
-	case scenario.Backends:
+	switch scenario.Kinds[f.Kind].Target {
+	case scenario.TargetBackends:
 		af.targets = sim.pickTargets(len(sim.backends), f.Share, func(i int) bool {
 			b := sim.backends[i]
 			return b.listed && b.status == gate.Up && b.up && (f.Zone == nil || b.zone == *f.Zone)
 		})
 		sim.injectBackendFault(af)
-	case scenario.Doors:
+	case scenario.TargetDoors:
 		af.targets = sim.pickTargets(len(sim.doors), f.Share, func(i int) bool {
 			return sim.doors[i].up && (f.Zone == nil || sim.doors[i].zone == *f.Zone)
 		})
 		sim.injectDoorFault(af)
-	case scenario.Clientele:
+	case scenario.TargetClients:
 		sim.clients.injectFault(sim, af, f.AtS*1000)
 	default:
 		if f.Kind == "counter_empty" {
@@ -143,8 +143,8 @@
 func (sim *Simulation) endFault(af *activeFault) {
 	f := af.spec
 	for _, i := range af.targets {
-		switch scenario.Kinds[f.Kind].Whom {
-		case scenario.Backends:
+		switch scenario.Kinds[f.Kind].Target {
+		case scenario.TargetBackends:
 			b := sim.backends[i]
 			b.advance(sim.now)
 			b.faults = slices.DeleteFunc(slices.Clone(b.faults), func(x *activeFault) bool { return x == af })
@@ -161,7 +161,7 @@
 			case "hang": // requests that hung stay unanswered
 			}
 			b.scheduleFinish(sim)
-		case scenario.Doors:
+		case scenario.TargetDoors:
 			if f.Kind == "door_deaths" {
 				sim.doors[i].start(sim)
 			}
--- a/lab/outs/check.go
+++ b/lab/outs/check.go
@@ -7,22 +7,22 @@
 	"sort"
 )
 
-// Bound is what must hold of a scope: all doors, or those of each zone.
-type Bound struct {
+// BudgetLimit is what must hold of a scope: all doors, or those of each zone.
+type BudgetLimit struct {
 	EachZone bool
 	MostOut  int
 }
 
-// Gone is a time in which a door was truly out.
-type Gone struct {
-	Door   int
-	From   float64
-	To     float64 // when it was ready and warm again; +Inf for never
-	ByPlan bool
+// Outage is a time in which a door was truly out.
+type Outage struct {
+	Door    int
+	From    float64
+	To      float64 // when it was ready and warm again; +Inf for never
+	Planned bool
 }
 
-// Stop is a time in which nothing may go out.
-type Stop struct{ From, To float64 }
+// HaltPeriod is a time in which nothing may go out.
+type HaltPeriod struct{ From, To float64 }
 
 // Breach is one thing that must not be.
 type Breach struct {
@@ -43,12 +43,12 @@
 	haltFor  = 1000.0 // ms after which a halt holds
 )
 
-// Judge holds what truly happened against the bounds. It knows no permit and asks nobody.
-func Judge(zones []int, gone []Gone, stops []Stop, bounds []Bound) (breaches []Breach) {
+// CheckOutages holds what truly happened against the bounds. It knows no permit and asks nobody.
+func CheckOutages(zones []int, gone []Outage, stops []HaltPeriod, bounds []BudgetLimit) (breaches []Breach) {
 	sort.SliceStable(gone, func(a, b int) bool { return gone[a].From < gone[b].From })
 	for i := range gone {
 		g := &gone[i]
-		if !g.ByPlan {
+		if !g.Planned {
 			continue
 		}
 		for _, s := range stops {
@@ -63,7 +63,7 @@
 				if o.From > g.From || o.To <= g.From || b.EachZone && zones[o.Door] != zones[g.Door] {
 					continue
 				}
-				if o.ByPlan {
+				if o.Planned {
 					plan[o.Door], all[o.Door] = true, true
 				} else if g.From-o.From > foundFor {
 					all[o.Door] = true
--- a/lab/outs/fleet.go
+++ b/lab/outs/fleet.go
@@ -62,8 +62,8 @@
 	agenda
 	m     Machine
 	doors []*door
-	gone  []Gone
-	stops []Stop
+	gone  []Outage
+	stops []HaltPeriod
 	r     Result
 	seq   map[string]uint64
 	zones []int
@@ -73,7 +73,7 @@
 func (f Fleet) Play() Result {
 	w := &world{Fleet: f, m: f.Make(), agenda: agenda{dice: rand.New(rand.NewPCG(f.Seed, 5))}, seq: map[string]uint64{}}
 	most, zone := 1+w.dice.IntN(max(1, f.Doors/10)), 1+w.dice.IntN(max(1, f.Doors/20))
-	bounds := []Bound{{false, most}, {true, zone}}
+	bounds := []BudgetLimit{{false, most}, {true, zone}}
 	w.command("operator", permits.SetBudgets{Budgets: []permits.Budget{{Kind: permits.Door, MaxOut: most}, {Kind: permits.Door, Zone: permits.EachZone, MaxOut: zone}}}, nil)
 	for i := range f.Doors {
 		d := &door{zone: i % 3, up: true, ready: true, life: 1, process: uint64(i)<<20 + 1, changed: -60e3, open: nobody}
@@ -93,7 +93,7 @@
 	}
 	halt := w.between(f.Ms/3, f.Ms/2)
 	w.at(halt, func() {
-		w.command("operator", permits.Halt{Who: "operator", Why: "drawn"}, func(permits.Answer) { w.stops = append(w.stops, Stop{w.now, math.Inf(1)}) })
+		w.command("operator", permits.Halt{Who: "operator", Why: "drawn"}, func(permits.Answer) { w.stops = append(w.stops, HaltPeriod{w.now, math.Inf(1)}) })
 	})
 	w.at(halt+8e3, func() {
 		w.command("operator", permits.Resume{Who: "operator"}, nil)
@@ -102,7 +102,7 @@
 		}
 	})
 	w.run(f.Ms)
-	w.r.Breaches = Judge(w.zones, w.gone, w.stops, bounds)
+	w.r.Breaches = CheckOutages(w.zones, w.gone, w.stops, bounds)
 	return w.r
 }
 
@@ -294,7 +294,7 @@
 	}
 	d.up, d.ready, d.changed, d.busy = false, false, w.now, false
 	d.open = len(w.gone)
-	w.gone = append(w.gone, Gone{i, w.now, math.Inf(1), byPlan})
+	w.gone = append(w.gone, Outage{i, w.now, math.Inf(1), byPlan})
 	long := w.between(500, 6000)
 	if !byPlan {
 		long = w.between(3000, 25000)
--- a/lab/outs/orders.go
+++ b/lab/outs/orders.go
@@ -80,8 +80,8 @@
 	seq     uint64
 	doors   []*keeper
 	zones   []int
-	gone    []Gone
-	stops   []Stop
+	gone    []Outage
+	stops   []HaltPeriod
 	r       OrdersResult
 	outAt   map[string]float64 // backends that are surely out, by operators' answers
 	fresh   uint64
@@ -129,11 +129,11 @@
 	})
 	w.at(halt, func() {
 		w.command(permits.Halt{Who: "operator", Why: "drawn"})
-		w.stops = append(w.stops, Stop{w.now, halt + 8e3})
+		w.stops = append(w.stops, HaltPeriod{w.now, halt + 8e3})
 	})
 	w.at(halt+8e3, func() { w.command(permits.Resume{Who: "operator"}) })
 	w.run(o.Ms)
-	w.r.Breaches = append(w.r.Breaches, Judge(w.zones, w.gone, w.stops, []Bound{{false, most}, {true, zone}})...)
+	w.r.Breaches = append(w.r.Breaches, CheckOutages(w.zones, w.gone, w.stops, []BudgetLimit{{false, most}, {true, zone}})...)
 	return w.r
 }
 
@@ -285,7 +285,7 @@
 		w.r.Went++
 		if d.open == nobody {
 			d.open = len(w.gone)
-			w.gone = append(w.gone, Gone{d.number, w.now, math.Inf(1), true})
+			w.gone = append(w.gone, Outage{d.number, w.now, math.Inf(1), true})
 		}
 	}
 	w.step(d, permits.SetOutDone{Done: taken})
@@ -342,7 +342,7 @@
 	}
 	life := d.life
 	d.failed = len(w.gone)
-	w.gone = append(w.gone, Gone{d.number, w.now, math.Inf(1), false})
+	w.gone = append(w.gone, Outage{d.number, w.now, math.Inf(1), false})
 	w.r.Failed++
 	w.at(w.now+last, func() {
 		if !d.up || d.life != life {
--- a/lab/outs/orders_test.go
+++ b/lab/outs/orders_test.go
@@ -61,7 +61,7 @@
 type hasty struct{ *permits.State }
 
 func (m hasty) Waiting(p *permits.Permit) []string {
-	all := m.State.Waiting(p)
+	all := m.State.UnconfirmedDoors(p)
 	return all[:max(0, len(all)-2)]
 }
 
@@ -69,7 +69,7 @@
 type careless struct{ *permits.State }
 
 func (m careless) Waiting(p *permits.Permit) (all []string) {
-	for _, n := range m.State.Waiting(p) {
+	for _, n := range m.State.UnconfirmedDoors(p) {
 		if u := m.Units["door/"+n]; u != nil && m.NowMs-u.AtMs < 3000 {
 			all = append(all, n)
 		}
--- a/lab/procs/drill_test.go
+++ b/lab/procs/drill_test.go
@@ -21,12 +21,12 @@
 	for seed := uint64(1); seed <= 2; seed++ {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			r, err := Drill{Seed: seed, Seconds: 14, Doors: 6, Coordinators: 3, Binary: binary, Rate: 20}.Play(context.Background())
+			r, err := Drill{Seed: seed, Seconds: 14, Doors: 6, Coordinators: 3, Binary: binary, Rate: 20}.Run(context.Background())
 			require.NoError(t, err)
-			assert.Empty(t, r.Breaches, r.Strikes)
+			assert.Empty(t, r.Violations, r.Faults)
 			assert.Positive(t, r.Calls)
 			t.Logf("%d strikes, %d doors went and %d came back, %d calls of which %d refused and %d lost, %d times drained, all back %.0f ms; %d of %d operations",
-				len(r.Strikes), r.Went, r.Returned, r.Calls, r.Refused, r.Lost, r.Drained, r.BackMs, r.Finished, r.Asked)
+				len(r.Faults), r.Went, r.Returned, r.Calls, r.Refused, r.Lost, r.Drained, r.BackMs, r.Finished, r.Asked)
 		})
 	}
 }
@@ -44,14 +44,14 @@
 	}
 	all, back := gone(3, []float64{0, 200}, []float64{100}, []check.Spell{{From: 20, To: 25}}, looks)
 	assert.Equal(t, 1, back)
-	assert.Equal(t, []outs.Gone{
-		{Door: 3, From: 52, To: 90, ByPlan: true}, // it was ready, and said that it can't serve
-		{Door: 3, From: 252, To: math.Inf(1), ByPlan: true},
+	assert.Equal(t, []outs.Outage{
+		{Door: 3, From: 52, To: 90, Planned: true}, // it was ready, and said that it can't serve
+		{Door: 3, From: 252, To: math.Inf(1), Planned: true},
 		{Door: 3, From: 100, To: 230}, // killed: until its next life can serve; a start is no plan
 		{Door: 3, From: 20, To: 25},
 	}, all)
 	all, _ = gone(0, []float64{0}, []float64{40}, nil, append(at(200, 10), at(503, 50)...))
-	assert.False(t, all[0].ByPlan, "it was told to end")
+	assert.False(t, all[0].Planned, "it was told to end")
 }
 
 func TestARequestAtADrainedBackendIsFound(t *testing.T) {
--- a/lab/procs/schedule.go
+++ b/lab/procs/schedule.go
@@ -103,7 +103,7 @@
 var files embed.FS
 
 // Names lists the schedules that ship.
-func Names() []string { return scenario.Shipped(files, "schedules") }
+func Names() []string { return scenario.EmbeddedNames(files, "schedules") }
 
 // Open reads a schedule file, or one that ships where there is no such file.
 func Open(name string) (*Schedule, error) {
@@ -138,7 +138,7 @@
 )
 
 func bad(key, format string, args ...any) error {
-	return &scenario.KeyError{Key: key, Says: fmt.Sprintf(format, args...)}
+	return &scenario.KeyError{Key: key, Reason: fmt.Sprintf(format, args...)}
 }
 
 func (s *Schedule) check() error {
--- a/lab/rehearse/rehearse.go
+++ b/lab/rehearse/rehearse.go
@@ -120,14 +120,14 @@
 		rows, days = append(rows, row), append(days, []scenario.Fault{*step.Fault})
 	}
 	rows, days = append(rows, Row{Name: "all", Says: "one after the other"}), append(days, all)
-	var ones []run.One
+	var ones []run.Spec
 	for _, faults := range days {
 		with, err := with(s, faults)
 		if err != nil {
 			return nil, err
 		}
 		for _, seed := range seeds {
-			ones = append(ones, run.One{Scenario: with, Seed: seed, Policy: rival.Swifthall})
+			ones = append(ones, run.Spec{Scenario: with, Seed: seed, Policy: rival.Swifthall})
 		}
 	}
 	results, err := run.All(ctx, ones, jobs, nil)
--- a/lab/run/hunt.go
+++ b/lab/run/hunt.go
@@ -120,8 +120,8 @@
 		k := scenario.Kinds[name]
 		switch {
 		case len(h.Only) > 0 && !slices.Contains(h.Only, name):
-		case k.Whom == scenario.Counters && !h.Scenario.Counter.On:
-		case k.Whom == scenario.Meters && h.Scenario.Meter.PeriodMs == 0:
+		case k.Target == scenario.TargetCounter && !h.Scenario.Counter.On:
+		case k.Target == scenario.TargetMeter && h.Scenario.Meter.PeriodMs == 0:
 		case name == "zone_cut" && h.Scenario.Fleet.Zones < 2:
 		default:
 			kinds = append(kinds, name)
@@ -169,8 +169,8 @@
 		span := worth[name]
 		f.Much = round(max(k.Least, min(k.Most, span[0]+(span[1]-span[0])*dice.Float64())))
 	}
-	switch k.Whom {
-	case scenario.Backends, scenario.Doors:
+	switch k.Target {
+	case scenario.TargetBackends, scenario.TargetDoors:
 		f.Share = round(0.05 + 0.6*dice.Float64())
 	}
 	if name == "zone_loss" || name == "zone_cut" {
@@ -211,11 +211,11 @@
 
 // play plays candidates, with the oracle beside each where what is lost counts.
 func (h *Hunt) play(ctx context.Context, cs []*candidate) error {
-	var days []One
+	var days []Spec
 	for _, c := range cs {
-		days = append(days, One{Scenario: c.sc, Seed: c.seed, Policy: h.Policy, Maker: h.Maker})
+		days = append(days, Spec{Scenario: c.sc, Seed: c.seed, Policy: h.Policy, Maker: h.Maker})
 		if !h.Rules {
-			days = append(days, One{Scenario: c.sc, Seed: c.seed, Policy: rival.Oracle})
+			days = append(days, Spec{Scenario: c.sc, Seed: c.seed, Policy: rival.Oracle})
 		}
 	}
 	results, err := All(ctx, days, h.Jobs, nil)
--- a/lab/run/quotas_test.go
+++ b/lab/run/quotas_test.go
@@ -23,7 +23,7 @@
 				s, err := scenarios.Open("fleet-calm")
 				require.NoError(t, err)
 				s.Fleet.Doors, s.Fleet.Backends = doors, doors*6/10
-				r, err := One{Scenario: &s, Seed: 1, Policy: policy}.Play(t.Context(), nil)
+				r, err := Spec{Scenario: &s, Seed: 1, Policy: policy}.Run(t.Context(), nil)
 				require.NoError(t, err)
 				costs[policy] = r.Whole.Over / r.Whole.Offered
 			}
@@ -41,7 +41,7 @@
 	s.Fleet.Doors, s.Fleet.Backends = 12, 7
 	beyond := map[string]float64{}
 	for _, policy := range []string{rival.Oracle, rival.Late} {
-		r, err := One{Scenario: &s, Seed: 1, Policy: policy}.Play(t.Context(), nil)
+		r, err := Spec{Scenario: &s, Seed: 1, Policy: policy}.Run(t.Context(), nil)
 		require.NoError(t, err)
 		beyond[policy] = r.Costs.BeyondUnits / r.Costs.SentUnits
 	}
--- a/lab/run/rolls_test.go
+++ b/lab/run/rolls_test.go
@@ -94,9 +94,9 @@
 				deal := model.JudgeTerms(s)
 				r := &rolled{judge: judge.New(deal), down: map[int]bool{}}
 				require.NoError(t, model.New(s, seed+1, rival.Makers[rival.Swifthall], r).Run(context.Background(), nil))
-				res := Sum(s, seed+1, rival.Swifthall, Simulated, r.judge)
+				res := NewResult(s, seed+1, rival.Swifthall, Simulated, r.judge)
 				assert.Empty(t, res.Broken)
-				n, from, to := r.sums(scenario.Kinds[s.Faults[w.which].Kind].Whom == scenario.Doors)
+				n, from, to := r.sums(scenario.Kinds[s.Faults[w.which].Kind].Target == scenario.TargetDoors)
 				g, took, most = g+res.Whole.Earned/res.Whole.Offered/seeds, took+(to-from)/1e3/seeds, max(most, n)
 			}
 			how := "fixed batches"
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -100,16 +100,16 @@
 	return ""
 }
 
-// One is one day to be played.
-type One struct {
+// Spec is one day to be played.
+type Spec struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
 	Policy   string
 	Maker    *model.Maker // in place of the one that Policy names
 }
 
-// Play plays one day in virtual time.
-func (o One) Play(ctx context.Context, progress func(float64)) (*Result, error) {
+// Run plays one day in virtual time.
+func (o Spec) Run(ctx context.Context, progress func(float64)) (*Result, error) {
 	maker, known := rival.Makers[o.Policy]
 	if o.Maker != nil {
 		maker, known = *o.Maker, true
@@ -122,7 +122,7 @@
 	if err := model.New(o.Scenario, o.Seed, maker, both{j, book}).Run(ctx, progress); err != nil {
 		return nil, &DayError{o.Scenario.Name, err}
 	}
-	r := Sum(o.Scenario, o.Seed, o.Policy, Simulated, j)
+	r := NewResult(o.Scenario, o.Seed, o.Policy, Simulated, j)
 	r.Account = book.Sum()
 	return r, nil
 }
@@ -135,8 +135,8 @@
 
 func (b both) Take(e *trace.Event) { b.judge.Take(e); b.book.Take(e) }
 
-// Sum puts a judged day together.
-func Sum(s *scenario.Scenario, seed uint64, policy, on string, j *judge.Verifier) *Result {
+// NewResult puts a judged day together.
+func NewResult(s *scenario.Scenario, seed uint64, policy, on string, j *judge.Verifier) *Result {
 	r := &Result{Scenario: s.Name, Shows: s.Shows, On: on, Policy: policy, Seed: seed, Doors: s.Fleet.Doors, Backends: s.Fleet.Backends,
 		Length: s.Day.Seconds, Events: j.Events, Parts: j.Service.Parts(), Broken: j.Rules.Count, Breaches: j.Rules.Violations,
 		Whole: j.Service.Whole, Costs: j.Service.Costs, Seconds: j.Service.Seconds, Faults: s.Faults}
@@ -156,8 +156,8 @@
 }
 
 // Marked plays a day and, beside it, the floor, the textbook and the oracle, and scores the day between them.
-func (o One) Marked(ctx context.Context, progress func(float64)) (*Result, error) {
-	days := []One{o, o, o, o}
+func (o Spec) Marked(ctx context.Context, progress func(float64)) (*Result, error) {
+	days := []Spec{o, o, o, o}
 	for i, name := range []string{rival.Floor, rival.Textbook, rival.Oracle} {
 		days[i+1].Policy, days[i+1].Maker = name, nil
 	}
@@ -184,7 +184,7 @@
 }
 
 // All plays days side by side, at most so many at once (0 for one a core), and returns their results in order.
-func All(ctx context.Context, days []One, most int, progress func(i int, done float64)) ([]*Result, error) {
+func All(ctx context.Context, days []Spec, most int, progress func(i int, done float64)) ([]*Result, error) {
 	if most <= 0 {
 		most = runtime.GOMAXPROCS(0)
 	}
@@ -197,7 +197,7 @@
 		group.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			r, err := d.Play(ctx, func(done float64) {
+			r, err := d.Run(ctx, func(done float64) {
 				if progress != nil {
 					progress(i, done)
 				}
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -45,7 +45,7 @@
 func TestTheSameSeedGivesTheSameBytes(t *testing.T) {
 	var last []byte
 	for range 3 {
-		r, err := One{Scenario: read(t), Seed: 5, Policy: rival.Swifthall}.Marked(context.Background(), nil)
+		r, err := Spec{Scenario: read(t), Seed: 5, Policy: rival.Swifthall}.Marked(context.Background(), nil)
 		require.NoError(t, err)
 		raw, err := json.Marshal(r)
 		require.NoError(t, err)
@@ -61,7 +61,7 @@
 	assert.InDelta(t, 0.5, Place(0.5, false, 0.1, 0.9), 1e-9)
 	assert.InDelta(t, 0.8, Place(0.93, false, 0.94, 0.95), 1e-9, "marks close together")
 	assert.Zero(t, Place(0.9, true, 0.1, 0.9), "a rule broke")
-	r, err := One{Scenario: read(t), Seed: 1, Policy: rival.Oracle}.Marked(context.Background(), nil)
+	r, err := Spec{Scenario: read(t), Seed: 1, Policy: rival.Oracle}.Marked(context.Background(), nil)
 	require.NoError(t, err)
 	assert.Greater(t, r.Score.Oracle, r.Score.Floor)
 	assert.Equal(t, 1.0, r.Score.Value, "the oracle against itself")
@@ -134,6 +134,6 @@
 func TestAStoppedRunSaysSo(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
-	_, err := One{Scenario: read(t), Seed: 1, Policy: rival.Swifthall}.Play(ctx, nil)
+	_, err := Spec{Scenario: read(t), Seed: 1, Policy: rival.Swifthall}.Run(ctx, nil)
 	assert.ErrorIs(t, err, context.Canceled)
 }
--- a/lab/run/sweep.go
+++ b/lab/run/sweep.go
@@ -76,7 +76,7 @@
 
 // Play plays all days of the sweep.
 func (s *Sweep) Play(ctx context.Context, progress func(done, all float64)) ([]*Cell, error) {
-	var days []One
+	var days []Spec
 	var cells []*Cell
 	values := s.Values
 	if s.Key == "" {
@@ -93,7 +93,7 @@
 		for _, p := range s.Policies {
 			cells = append(cells, &Cell{Value: v, Policy: p})
 			for _, seed := range s.Seeds {
-				days = append(days, One{Scenario: &sc, Seed: seed, Policy: p})
+				days = append(days, Spec{Scenario: &sc, Seed: seed, Policy: p})
 			}
 		}
 	}
--- a/lab/scenario/errors.go
+++ b/lab/scenario/errors.go
@@ -8,14 +8,14 @@
 
 // KeyError is a key of a scenario whose value can't be, or that nothing reads.
 type KeyError struct {
-	Key   string // as in fault[0].at_s; empty where the file can't be read as TOML
-	Line  int    // 0 where not told
-	Says  string
-	Cause error
+	Key    string // as in fault[0].at_s; empty where the file can't be read as TOML
+	Line   int    // 0 where not told
+	Reason string
+	Cause  error
 }
 
 func (e *KeyError) Error() string {
-	text := remedy.WithCause(e.Says, e.Cause)
+	text := remedy.WithCause(e.Reason, e.Cause)
 	switch {
 	case e.Key != "" && e.Line > 0:
 		return fmt.Sprintf("key %q: %s (line %d)", e.Key, text, e.Line)
--- a/lab/scenario/faults.go
+++ b/lab/scenario/faults.go
@@ -23,18 +23,18 @@
 
 // Whom a kind strikes. Two faults may contradict each other only where they strike the same.
 const (
-	Backends  = "backends"
-	Doors     = "doors"
-	Network   = "network"
-	Discovers = "discovery"
-	Counters  = "counter"
-	Meters    = "meter"
-	Clientele = "clients"
+	TargetBackends  = "backends"
+	TargetDoors     = "doors"
+	TargetNetwork   = "network"
+	TargetDiscovery = "discovery"
+	TargetCounter   = "counter"
+	TargetMeter     = "meter"
+	TargetClients   = "clients"
 )
 
 // Kind describes a kind of fault.
 type Kind struct {
-	Whom    string
+	Target  string
 	Unit    string   // of much; empty where it has none
 	Least   float64  // of much
 	Most    float64  // of much
@@ -45,43 +45,43 @@
 
 // Kinds lists every kind of fault by its name.
 var Kinds = map[string]Kind{
-	"hang":          {Whom: Backends, Says: "takes operations and answers none"},
-	"silence":       {Whom: Backends, Versus: []string{"death", "refuse"}, Says: "the machine vanishes: nothing comes back, connections stay open"},
-	"death":         {Whom: Backends, Versus: []string{"silence", "refuse", "replace"}, Says: "the process dies and starts again, cold, when the time is over"},
-	"refuse":        {Whom: Backends, Versus: []string{"silence", "death"}, Says: "new connections are refused"},
-	"pauses":        {Whom: Backends, Unit: "ms of a pause", Least: 1, Most: 60e3, Says: "stops for a while, every every_ms"},
-	"slow":          {Whom: Backends, Unit: "times slower", Least: 1, Most: 1000, Says: "works slower"},
-	"errors":        {Whom: Backends, Unit: "chance", Most: 1, Says: "answers with an error"},
-	"resets":        {Whom: Backends, Unit: "chance", Most: 1, Says: "the connection is reset under an operation that has run"},
-	"spoilt":        {Whom: Backends, Unit: "chance", Most: 1, Says: "answers with what cannot be read"},
-	"lost_answers":  {Whom: Backends, Unit: "chance", Most: 1, Says: "the answer never arrives"},
-	"full":          {Whom: Backends, Unit: "chance", Most: 1, Says: "turns operations away"},
-	"few_conns":     {Whom: Backends, Unit: "connections", Least: 1, Most: 1e6, Says: "holds only so many connections"},
-	"forget_tokens": {Whom: Backends, Unit: "ms before the window ends", Most: 60e3, Says: "forgets the marks of tokened operations too early"},
-	"replace":       {Whom: Backends, Unit: "s of a drain", Most: 600, Versus: []string{"death"}, Says: "replaced in batches: drained, gone, a cold successor"},
-	"zone_loss":     {Whom: Backends, Versus: []string{"zone_cut"}, Says: "all backends of a zone die and come back cold"},
-	"zone_cut":      {Whom: Network, Versus: []string{"zone_loss"}, Says: "a zone is cut off from the others"},
-	"delay":         {Whom: Network, Unit: "ms", Most: 60e3, Says: "every way takes longer"},
-	"loss":          {Whom: Network, Unit: "chance", Most: 1, Says: "answers are lost on the way"},
-	"door_deaths":   {Whom: Doors, Versus: []string{"door_roll"}, Says: "doors are killed at once and start again when the time is over"},
-	"door_roll":     {Whom: Doors, Unit: "s down", Most: 600, Versus: []string{"door_deaths"}, Says: "doors are restarted in batches"},
-	"list_late":     {Whom: Discovers, Unit: "ms", Most: 600e3, Versus: []string{"list_silent"}, Says: "changes of the list come later"},
-	"list_silent":   {Whom: Discovers, Versus: []string{"list_late"}, Says: "no change of the list comes until the time is over"},
-	"counter_down":  {Whom: Counters, Versus: []string{"counter_late", "counter_wrong", "counter_split", "counter_busy"}, Says: "calls find no connection"},
-	"counter_late":  {Whom: Counters, Unit: "ms", Most: 600e3, Versus: []string{"counter_down"}, Says: "answers come later; the callers may have given up"},
-	"counter_lost":  {Whom: Counters, Unit: "chance", Most: 1, Says: "answers are lost, what they added is not"},
-	"counter_busy":  {Whom: Counters, Unit: "chance", Most: 1, Versus: []string{"counter_down"}, Says: "calls are turned away"},
-	"counter_wrong": {Whom: Counters, Unit: "times", Most: 1000, Versus: []string{"counter_down"}, Says: "totals are told that many times too large"},
-	"counter_split": {Whom: Counters, Versus: []string{"counter_down"}, Says: "even and odd doors see a counter of their own; the even one's totals stay"},
-	"counter_empty": {Whom: Counters, Instant: true, Says: "replaced by one that starts at nothing"},
-	"meter_late":    {Whom: Meters, Unit: "ms", Most: 600e3, Says: "use is told later"},
-	"burst":         {Whom: Clientele, Unit: "times", Most: 100, Says: "that many times the load comes on top"},
-	"hot_customers": {Whom: Clientele, Unit: "share of the load on top", Most: 100, Says: "three customers ask far more"},
-	"gather":        {Whom: Clientele, Unit: "share of the operations", Most: 1, Says: "operations gather on each customer's busiest door"},
-	"shift":         {Whom: Clientele, Instant: true, Says: "a share of the customers moves to others of its doors at once"},
-	"strangers":     {Whom: Clientele, Unit: "share of the load on top", Most: 100, Says: "customers that come once and never again"},
-	"storm":         {Whom: Clientele, Unit: "retries", Least: 1, Most: 20, Says: "clients retry that many times, at once"},
-	"leave_early":   {Whom: Clientele, Unit: "share of the tries", Most: 1, Says: "clients leave before they are answered"},
+	"hang":          {Target: TargetBackends, Says: "takes operations and answers none"},
+	"silence":       {Target: TargetBackends, Versus: []string{"death", "refuse"}, Says: "the machine vanishes: nothing comes back, connections stay open"},
+	"death":         {Target: TargetBackends, Versus: []string{"silence", "refuse", "replace"}, Says: "the process dies and starts again, cold, when the time is over"},
+	"refuse":        {Target: TargetBackends, Versus: []string{"silence", "death"}, Says: "new connections are refused"},
+	"pauses":        {Target: TargetBackends, Unit: "ms of a pause", Least: 1, Most: 60e3, Says: "stops for a while, every every_ms"},
+	"slow":          {Target: TargetBackends, Unit: "times slower", Least: 1, Most: 1000, Says: "works slower"},
+	"errors":        {Target: TargetBackends, Unit: "chance", Most: 1, Says: "answers with an error"},
+	"resets":        {Target: TargetBackends, Unit: "chance", Most: 1, Says: "the connection is reset under an operation that has run"},
+	"spoilt":        {Target: TargetBackends, Unit: "chance", Most: 1, Says: "answers with what cannot be read"},
+	"lost_answers":  {Target: TargetBackends, Unit: "chance", Most: 1, Says: "the answer never arrives"},
+	"full":          {Target: TargetBackends, Unit: "chance", Most: 1, Says: "turns operations away"},
+	"few_conns":     {Target: TargetBackends, Unit: "connections", Least: 1, Most: 1e6, Says: "holds only so many connections"},
+	"forget_tokens": {Target: TargetBackends, Unit: "ms before the window ends", Most: 60e3, Says: "forgets the marks of tokened operations too early"},
+	"replace":       {Target: TargetBackends, Unit: "s of a drain", Most: 600, Versus: []string{"death"}, Says: "replaced in batches: drained, gone, a cold successor"},
+	"zone_loss":     {Target: TargetBackends, Versus: []string{"zone_cut"}, Says: "all backends of a zone die and come back cold"},
+	"zone_cut":      {Target: TargetNetwork, Versus: []string{"zone_loss"}, Says: "a zone is cut off from the others"},
+	"delay":         {Target: TargetNetwork, Unit: "ms", Most: 60e3, Says: "every way takes longer"},
+	"loss":          {Target: TargetNetwork, Unit: "chance", Most: 1, Says: "answers are lost on the way"},
+	"door_deaths":   {Target: TargetDoors, Versus: []string{"door_roll"}, Says: "doors are killed at once and start again when the time is over"},
+	"door_roll":     {Target: TargetDoors, Unit: "s down", Most: 600, Versus: []string{"door_deaths"}, Says: "doors are restarted in batches"},
+	"list_late":     {Target: TargetDiscovery, Unit: "ms", Most: 600e3, Versus: []string{"list_silent"}, Says: "changes of the list come later"},
+	"list_silent":   {Target: TargetDiscovery, Versus: []string{"list_late"}, Says: "no change of the list comes until the time is over"},
+	"counter_down":  {Target: TargetCounter, Versus: []string{"counter_late", "counter_wrong", "counter_split", "counter_busy"}, Says: "calls find no connection"},
+	"counter_late":  {Target: TargetCounter, Unit: "ms", Most: 600e3, Versus: []string{"counter_down"}, Says: "answers come later; the callers may have given up"},
+	"counter_lost":  {Target: TargetCounter, Unit: "chance", Most: 1, Says: "answers are lost, what they added is not"},
+	"counter_busy":  {Target: TargetCounter, Unit: "chance", Most: 1, Versus: []string{"counter_down"}, Says: "calls are turned away"},
+	"counter_wrong": {Target: TargetCounter, Unit: "times", Most: 1000, Versus: []string{"counter_down"}, Says: "totals are told that many times too large"},
+	"counter_split": {Target: TargetCounter, Versus: []string{"counter_down"}, Says: "even and odd doors see a counter of their own; the even one's totals stay"},
+	"counter_empty": {Target: TargetCounter, Instant: true, Says: "replaced by one that starts at nothing"},
+	"meter_late":    {Target: TargetMeter, Unit: "ms", Most: 600e3, Says: "use is told later"},
+	"burst":         {Target: TargetClients, Unit: "times", Most: 100, Says: "that many times the load comes on top"},
+	"hot_customers": {Target: TargetClients, Unit: "share of the load on top", Most: 100, Says: "three customers ask far more"},
+	"gather":        {Target: TargetClients, Unit: "share of the operations", Most: 1, Says: "operations gather on each customer's busiest door"},
+	"shift":         {Target: TargetClients, Instant: true, Says: "a share of the customers moves to others of its doors at once"},
+	"strangers":     {Target: TargetClients, Unit: "share of the load on top", Most: 100, Says: "customers that come once and never again"},
+	"storm":         {Target: TargetClients, Unit: "retries", Least: 1, Most: 20, Says: "clients retry that many times, at once"},
+	"leave_early":   {Target: TargetClients, Unit: "share of the tries", Most: 1, Says: "clients leave before they are answered"},
 }
 
 // End is when the fault is over, s.
@@ -127,9 +127,9 @@
 			return fault(under+"batches", "%d", f.Batches)
 		case f.MostOut < 0 || f.MostOut > 0 && f.Kind != "replace" && f.Kind != "door_roll":
 			return fault(under+"most_out", "%d for a fault of kind %s", f.MostOut, f.Kind)
-		case k.Whom == Counters && !s.Counter.On:
+		case k.Target == TargetCounter && !s.Counter.On:
 			return fault(under+"kind", "%s, though counter.on is false", f.Kind)
-		case k.Whom == Meters && s.Meter.PeriodMs == 0:
+		case k.Target == TargetMeter && s.Meter.PeriodMs == 0:
 			return fault(under+"kind", "%s, though meter.period_ms is 0", f.Kind)
 		case f.Class != "" && !slices.ContainsFunc(s.Classes, func(p Class) bool { return p.Name == f.Class }):
 			return fault(under+"profile", "%q is no profile", f.Class)
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -238,8 +238,8 @@
 	return nil
 }
 
-// Shipped lists the files of a folder that is compiled in, without their ending.
-func Shipped(files embed.FS, dir string) []string {
+// EmbeddedNames lists the files of a folder that is compiled in, without their ending.
+func EmbeddedNames(files embed.FS, dir string) []string {
 	entries, err := files.ReadDir(dir)
 	if err != nil {
 		panic(err) // the folder is compiled in
@@ -287,7 +287,7 @@
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		e := strict.Errors[0]
 		row, _ := e.Position()
-		return &KeyError{Key: strings.Join(e.Key(), "."), Line: row, Says: "unknown"}
+		return &KeyError{Key: strings.Join(e.Key(), "."), Line: row, Reason: "unknown"}
 	}
 	var wrong *toml.DecodeError
 	if errors.As(err, &wrong) {
@@ -553,7 +553,7 @@
 }
 
 func fault(key, format string, args ...any) error {
-	return &KeyError{Key: key, Says: fmt.Sprintf(format, args...)}
+	return &KeyError{Key: key, Reason: fmt.Sprintf(format, args...)}
 }
 
 func oneOf(key, word string, words ...string) error {
--- a/lab/scenarios/scenarios.go
+++ b/lab/scenarios/scenarios.go
@@ -14,7 +14,7 @@
 var files embed.FS
 
 // Names lists them.
-func Names() []string { return scenario.Shipped(files, ".") }
+func Names() []string { return scenario.EmbeddedNames(files, ".") }
 
 // Open reads a scenario file, or one that ships where there is no such file.
 func Open(name string) (scenario.Scenario, error) {
--- a/lab/scenarios/scenarios_test.go
+++ b/lab/scenarios/scenarios_test.go
@@ -24,7 +24,7 @@
 			if s.Day.Seconds > 60 {
 				s.Day.Seconds, s.Faults = 60, nil
 			}
-			r, err := run.One{Scenario: &s, Seed: 7, Policy: rival.Swifthall}.Play(context.Background(), nil)
+			r, err := run.Spec{Scenario: &s, Seed: 7, Policy: rival.Swifthall}.Run(context.Background(), nil)
 			require.NoError(t, err)
 			assert.Empty(t, r.Breaches)
 			assert.Greater(t, r.Parts.G, 0.3)
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := run.Sum(s, p.Seed, p.Policy, run.OnSockets, j)
+	r := run.NewResult(s, p.Seed, p.Policy, run.OnSockets, j)
 	r.Behind = behind
 	for _, d := range tb.doors {
 		if err := d.err.Load(); err != nil {
--- a/lab/stand/stand_test.go
+++ b/lab/stand/stand_test.go
@@ -63,7 +63,7 @@
 func TestSimulatedAndSocketRunsMakeSameRequests(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	s := read(t, "")
-	simulated, err := run.One{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Play(context.Background(), nil)
+	simulated, err := run.Spec{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Run(context.Background(), nil)
 	require.NoError(t, err)
 	onSockets, err := SocketRun{Scenario: s, Seed: 2, Policy: rival.Swifthall}.Run(context.Background(), nil)
 	require.NoError(t, err)
