--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -161,7 +161,7 @@
 			leads := c.term != nil
 			c.mu.Unlock()
 			if leads {
-				c.log.Warn("the disk is slow; transferring the leadership to another coordinator")
+				c.log.Warn("the disk is slow; another coordinator is to lead")
 				_ = c.raft.LeadershipTransfer().Error()
 			}
 		}()
