--- a/calendar/errors.go
+++ b/calendar/errors.go
@@ -110,7 +110,7 @@
 
 // Remedy says whose approvals are missing.
 func (e *ApprovalError) Remedy() string {
-	return fmt.Sprintf("Have %d more people%s approve it, other than %s.", e.Count-e.Have, roleSuffix(e.Roles), e.Author)
+	return fmt.Sprintf("Have it approved by %d more%s, other than %s.", e.Count-e.Have, roleSuffix(e.Roles), e.Author)
 }
 
 // roleSuffix lists roles for a message; it is empty for none.
