--- a/lab/cold/cold_test.go
+++ b/lab/cold/cold_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// The planted bug is a door that takes a cold backend for warm; the checker finds it.
+// The planted bug is a door that treats a cold backend as warm.
 func TestPlantedBugIsFound(t *testing.T) {
 	for _, doors := range []int{6, 300} {
 		s := runAll(func(seed uint64) Simulation { return newSimulation(doors, 30, seed) }, func(d *Simulation) func(int, uint64) gate.Decider {
--- a/lab/command/command.go
+++ b/lab/command/command.go
@@ -87,7 +87,7 @@
 			}
 			update, finish := progressBar(cmd, s.Name)
 			began := time.Now()
-			day := run.Spec{Scenario: s, Seed: seed, Policy: policy}
+			spec := run.Spec{Scenario: s, Seed: seed, Policy: policy}
 			var r *run.Result
 			switch progress := func(done float64) { update(done, 1) }; {
 			case on == "sockets":
@@ -95,9 +95,9 @@
 			case on != "sim":
 				err = &FlagError{Flag: fmt.Sprintf("--on %q", on), Reason: "must be sim or sockets"}
 			case alone:
-				r, err = day.Run(cmd.Context(), progress)
+				r, err = spec.Run(cmd.Context(), progress)
 			default:
-				r, err = day.RunScored(cmd.Context(), progress)
+				r, err = spec.RunScored(cmd.Context(), progress)
 			}
 			finish()
 			if err != nil {
--- a/lab/command/errors.go
+++ b/lab/command/errors.go
@@ -11,7 +11,7 @@
 type BrokenError struct {
 	Rule  judge.Rule
 	Times int    // 0 if not counted
-	First string // description of the first breach
+	First string // description of the first violation
 }
 
 func (e *BrokenError) Error() string {
@@ -22,7 +22,7 @@
 }
 func (e *BrokenError) Kind() remedy.Kind { return remedy.Refused }
 
-// Remedy names where the breaches are listed.
+// Remedy names where the violations are listed.
 func (e *BrokenError) Remedy() string {
 	return "\"breaches\" in result.json lists when and where; the same seed reproduces it."
 }
--- a/lab/command/procs.go
+++ b/lab/command/procs.go
@@ -78,7 +78,7 @@
 				*procs.Result
 				took time.Duration
 			}
-			play := func(p *procs.Plan, ctx context.Context) (t timed, err error) {
+			runPlan := func(p *procs.Plan, ctx context.Context) (t timed, err error) {
 				began := time.Now()
 				if on == "sim" {
 					t.Result, err = p.Play(ctx, who, makers[who])
@@ -91,7 +91,7 @@
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "schedule\tdoors\tseed\tbroken\twrongly away\tchanges\tknown p99, ms\tback, ms\tone view, ms\tdoubted, ms\tmessages/s\tbytes/s\tCPU ms/s\tresident MB\ttook")
 			var broken *procs.Result
-			err := runParallel(cmd.Context(), specs, jobs, play, func(p *procs.Plan, r timed) error {
+			err := runParallel(cmd.Context(), specs, jobs, runPlan, func(p *procs.Plan, r timed) error {
 				f := &r.Figures
 				if len(r.Breaches) > 0 && broken == nil {
 					broken = r.Result
--- a/lab/judge/rules.go
+++ b/lab/judge/rules.go
@@ -132,7 +132,7 @@
 		t := r.newTry()
 		t.door, t.customer, t.plan, t.class, t.units, t.deadline = e.Door, e.Customer, e.Plan, e.Class, e.Units, e.Deadline
 		if r.tries[e.Try] != nil {
-			r.report(NoneLost, e, "try %d taken twice", e.Try)
+			r.report(NoneLost, e, "try %d accepted twice", e.Try)
 		}
 		r.tries[e.Try] = t
 	case trace.Sent:
--- a/lab/judge/rules_test.go
+++ b/lab/judge/rules_test.go
@@ -104,7 +104,7 @@
 func verified(t *testing.T, extra string, c careless) *judge.Verifier {
 	s, err := scenario.Read([]byte(scenarioText + extra))
 	require.NoError(t, err)
-	j := judge.New(model.JudgeTerms(&s))
+	j := judge.New(model.JudgeParams(&s))
 	maker := model.Maker{New: func(gate.Terms, uint64, model.TrueState) gate.Decider { d := c; return &d }}
 	require.NoError(t, model.New(&s, 1, maker, j).Run(context.Background(), nil))
 	return j
--- a/lab/model/clients.go
+++ b/lab/model/clients.go
@@ -28,7 +28,7 @@
 	request           *clientRequest
 	madeAt, deadline  float64 // ms
 	retry             bool    // not the first try of the request
-	taken             bool    // the door has accepted it
+	accepted          bool    // the door has accepted it
 	answered          bool    // the door has sent the final answer or learned that the client left
 	over              bool    // the client has the answer or has given the try up
 	incarnation, slot int     // incarnation of the door that holds it, and its index in door.ops
--- a/lab/model/door.go
+++ b/lab/model/door.go
@@ -197,22 +197,22 @@
 		d.external.Submit(t)
 		return
 	}
-	sim.markTaken(d, t)
+	sim.markAccepted(d, t)
 	d.submitted = append(d.submitted, t)
 	d.scheduleDecision(sim, sim.now)
 }
 
-// markTaken records that the door has accepted a try and must answer it.
-func (sim *Simulation) markTaken(d *door, t *Try) {
+// markAccepted records that the door has accepted a try and must answer it.
+func (sim *Simulation) markAccepted(d *door, t *Try) {
 	k := &sim.clients.customers[t.request.customer]
-	t.taken = true
+	t.accepted = true
 	sim.emit(trace.Event{Kind: trace.Accepted, Try: t.ID, Request: t.request.id, Door: d.id, Customer: t.request.customer,
 		Plan: k.plan, Class: t.Class, Units: t.request.units, Deadline: t.deadline})
 }
 
 // clientLeft handles the departure of a client.
 func (d *door) clientLeft(sim *Simulation, t *Try) {
-	if !t.taken || t.incarnation != d.incarnation || !d.up {
+	if !t.accepted || t.incarnation != d.incarnation || !d.up {
 		return
 	}
 	sim.emit(trace.Event{Kind: trace.ClientLeft, Try: t.ID, Door: d.id})
--- a/lab/model/external.go
+++ b/lab/model/external.go
@@ -82,7 +82,7 @@
 	return sim
 }
 
-// WithSocketSlack widens the limits that the judge checks for runs on sockets, by the amounts that the platform's documentation allows.
+// WithSocketSlack widens the limits that are checked for runs on sockets, by the amounts that the platform's documentation allows.
 func WithSocketSlack(d *judge.Params) *judge.Params {
 	const answerSlack, ceilingSlack = 50, 150 // ms
 	d.Slack, d.CeilingSlackMs = answerSlack, ceilingSlack
@@ -137,7 +137,7 @@
 			sim.dispatch(&e)
 			now = clock()
 		}
-		if sim.loadEnded = sim.now >= end; sim.loadEnded && (sim.openRequests == 0 || sim.now > end+drainTime) {
+		if sim.loadEnded = sim.now >= end; sim.loadEnded && (sim.openRequests == 0 || sim.now > end+maxTailTime) {
 			break
 		}
 		if progress != nil {
@@ -163,24 +163,24 @@
 // Now returns the clock of the run, ms.
 func (sim *Simulation) Now() float64 { return sim.now }
 
-// TryTaken reports that the last byte of a try was written to an accepted connection of its door.
-func (sim *Simulation) TryTaken(t *Try) {
-	if d := sim.doors[t.Door]; d.up && d.incarnation == t.incarnation && !t.over && !t.taken {
-		sim.markTaken(d, t)
+// TryAccepted reports that the last byte of a try was written to an accepted connection of its door.
+func (sim *Simulation) TryAccepted(t *Try) {
+	if d := sim.doors[t.Door]; d.up && d.incarnation == t.incarnation && !t.over && !t.accepted {
+		sim.markAccepted(d, t)
 	}
 }
 
 // TryNotRead reports that the door closed the connection before it read the try.
 func (sim *Simulation) TryNotRead(t *Try) {
-	if t.taken && !t.answered {
-		t.taken = false
+	if t.accepted && !t.answered {
+		t.accepted = false
 		sim.emit(trace.Event{Kind: trace.ClientLeft, Try: t.ID, Door: t.Door})
 	}
 }
 
 // TryAnswered reports that the client has received a complete final answer.
 func (sim *Simulation) TryAnswered(t *Try, a trace.Answer, retryAfter float64) {
-	if t.taken && !t.answered {
+	if t.accepted && !t.answered {
 		sim.emit(trace.Event{Kind: trace.Answered, Try: t.ID, Door: t.Door, Answer: a})
 	}
 	t.answered, t.answer, t.retryAfter = true, a, retryAfter
@@ -196,7 +196,7 @@
 	if t.over {
 		return
 	}
-	if d := sim.doors[t.Door]; t.taken && d.up && d.incarnation == t.incarnation && !t.answered {
+	if d := sim.doors[t.Door]; t.accepted && d.up && d.incarnation == t.incarnation && !t.answered {
 		sim.emit(trace.Event{Kind: trace.Dropped, Try: t.ID, Door: t.Door})
 	}
 	sim.clients.connectionLost(sim, t)
@@ -224,8 +224,8 @@
 // stays silent.
 func (sim *Simulation) AttemptArrived(door, backend int, t *Try, number int, newConn bool, reply func(r gate.Result, use float64)) *Job {
 	b := sim.backends[backend]
-	if !t.taken { // TryTaken is posted by another goroutine and may come later
-		sim.TryTaken(t)
+	if !t.accepted { // TryAccepted is posted by another goroutine and may come later
+		sim.TryAccepted(t)
 	}
 	j := &Job{Try: t, Number: number, Backend: backend, sentAt: sim.now, incarnation: b.incarnation, newConn: newConn,
 		caller: externalCaller{door, reply}}
--- a/lab/model/simulation.go
+++ b/lab/model/simulation.go
@@ -26,7 +26,7 @@
 // Maker creates a decider for each incarnation of a door. If Shared is set, the deciders share state and are called one at
 // a time.
 type Maker struct {
-	New    func(t gate.Terms, seed uint64, sight TrueState) gate.Decider
+	New    func(t gate.Terms, seed uint64, truth TrueState) gate.Decider
 	Shared bool
 }
 
@@ -145,7 +145,7 @@
 }
 
 const (
-	drainTime     = 120e3 // ms from the end of the load after which a run ends even with open requests
+	maxTailTime   = 120e3 // ms from the end of the load after which a run ends even with open requests
 	stepsPerCheck = 4096  // steps between checks of the context
 	sweepInterval = 1000  // ms
 )
@@ -167,7 +167,7 @@
 		sim.now = e.at
 		if sim.now >= end {
 			sim.loadEnded = true
-			if sim.openRequests == 0 || sim.now > end+drainTime {
+			if sim.openRequests == 0 || sim.now > end+maxTailTime {
 				break
 			}
 		}
--- a/lab/model/terms.go
+++ b/lab/model/terms.go
@@ -8,7 +8,7 @@
 	"github.com/swifthall/swifthall/lab/scenario"
 )
 
-// semantics and scopes map the names in scenario files.
+// semantics and scopes map the names in scenario files to the values of package gate.
 var semantics = map[string]gate.Semantics{"replayable": gate.Idempotent, "tokened": gate.Keyed, "single-use": gate.NonIdempotent}
 
 var scopes = map[string]gate.Scope{"all": gate.ScopeAll, "zone": gate.ScopeZone, "cell": gate.ScopeCell}
@@ -33,8 +33,8 @@
 	return t
 }
 
-// JudgeTerms returns what the judge needs to know of the scenario.
-func JudgeTerms(s *scenario.Scenario) *judge.Params {
+// JudgeParams returns the parameters with which package judge checks and scores a run of the scenario.
+func JudgeParams(s *scenario.Scenario) *judge.Params {
 	t := Terms(s, 0)
 	d := &judge.Params{Classes: t.Classes, Plans: t.Plans, MaxAttempts: t.MaxAttempts, Hedging: t.Hedging,
 		AnswerSlack: s.Rules.AnswerSlackMs, DrainGrace: s.Rules.DrainGraceMs, OverloadMultiple: s.Rules.FallMultiple,
@@ -93,7 +93,7 @@
 
 // TakeStaleQuota implements TrueState.
 func (s doorView) TakeStaleQuota(customer, plan int, units, lateMs float64) bool {
-	return s.sim.quotas.takeLate(s.sim, s.d.id, s.d.customers.ID(customer), plan, units, lateMs)
+	return s.sim.quotas.takeStale(s.sim, s.d.id, s.d.customers.ID(customer), plan, units, lateMs)
 }
 
 // trueQuotas holds the customers' true quotas, for deciders that use TrueState. They are kept apart from what real doors know.
@@ -141,8 +141,9 @@
 	return sufficient
 }
 
-// takeLate takes units by the quota as it was lateMs ago, less what the door itself sufficient taken since.
-func (t *trueQuotas) takeLate(sim *Simulation, door, customer, plan int, units, lateMs float64) bool {
+// takeStale takes units by the quota as it was lateMs ago, less what the door itself has taken since, and
+// reports whether it held them.
+func (t *trueQuotas) takeStale(sim *Simulation, door, customer, plan int, units, lateMs float64) bool {
 	p := &sim.s.Plans[plan]
 	if t.stale == nil {
 		t.stale = map[int]*staleQuota{}
--- a/lab/outs/history/history.go
+++ b/lab/outs/history/history.go
@@ -1,6 +1,6 @@
-// Package history checks what operators were told about drains for linearizability: the calls and answers must be explainable by a
-// single state that executes one command at a time. It knows the calls with the true times of call and answer, and nothing of
-// permits. The check itself is done by anishathalye/porcupine.
+// Package history checks the answers that operators received about drains for linearizability: the calls and answers must be
+// explainable by a single state that executes one command at a time. It knows the calls with the true times of call and answer,
+// and nothing of permits. The check itself is done by anishathalye/porcupine.
 package history
 
 import (
@@ -115,7 +115,7 @@
 
 // Check reports whether the history is linearizable with a budget of so many units. ok is false if it is not, or if that can't be
 // determined in the given time; detail explains the result.
-func Check(budget int, ops []Op, patience time.Duration) (ok bool, detail string) {
+func Check(budget int, ops []Op, timeout time.Duration) (ok bool, detail string) {
 	sort.SliceStable(ops, func(a, b int) bool { return ops[a].From < ops[b].From })
 	last := 0.0
 	for _, op := range ops {
@@ -138,11 +138,11 @@
 			return next
 		},
 	}
-	switch porcupine.CheckOperationsTimeout(model.ToModel(), all, patience) {
+	switch porcupine.CheckOperationsTimeout(model.ToModel(), all, timeout) {
 	case porcupine.Ok:
 		return true, fmt.Sprintf("%d calls are linearizable", len(ops))
 	case porcupine.Unknown:
-		return false, fmt.Sprintf("%d calls: undetermined after %v", len(ops), patience)
+		return false, fmt.Sprintf("%d calls: undetermined after %v", len(ops), timeout)
 	}
 	return false, fmt.Sprintf("%d calls are not linearizable", len(ops))
 }
--- a/lab/outs/releases_test.go
+++ b/lab/outs/releases_test.go
@@ -18,7 +18,7 @@
 // evaluateReleases simulates releases, half of them harmless, and counts false halts and missed defects.
 func evaluateReleases(t *testing.T, n int, rule func(now, watch float64) Evaluator) (falseHalts, missed int) {
 	type one struct {
-		harm string
+		defect string
 		ReleaseResult
 	}
 	all := make([]one, n)
@@ -28,11 +28,11 @@
 		group.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			harm := ""
+			defect := ""
 			if i%2 == 1 {
-				harm = Defects[i/2%len(Defects)]
+				defect = Defects[i/2%len(Defects)]
 			}
-			all[i] = one{harm, ReleaseSimulation{uint64(i), harm}.Run(rule)}
+			all[i] = one{defect, ReleaseSimulation{uint64(i), defect}.Run(rule)}
 		})
 	}
 	group.Wait()
@@ -40,13 +40,13 @@
 	misses := map[string]int{}
 	for _, o := range all {
 		switch {
-		case o.harm == "" && o.Stopped:
+		case o.defect == "" && o.Stopped:
 			falseHalts++
-		case o.harm != "" && !o.Stopped:
+		case o.defect != "" && !o.Stopped:
 			missed++
-			misses[o.harm]++
-		case o.harm != "":
-			times[o.harm], reached[o.harm] = append(times[o.harm], o.AtS), append(reached[o.harm], o.ChangedShare)
+			misses[o.defect]++
+		case o.defect != "":
+			times[o.defect], reached[o.defect] = append(times[o.defect], o.AtS), append(reached[o.defect], o.ChangedShare)
 		}
 	}
 	for _, h := range Defects {
@@ -58,7 +58,7 @@
 			t.Logf("%-8s found 0, missed %d", h, misses[h])
 		}
 	}
-	t.Logf("%d releases: %d false halts of %d harmless, %d missed of %d harmful", n, falseHalts, (n+1)/2, missed, n/2)
+	t.Logf("%d releases: %d false halts of %d harmless, %d missed of %d defective", n, falseHalts, (n+1)/2, missed, n/2)
 	return falseHalts, missed
 }
 
--- a/lab/rival/rival.go
+++ b/lab/rival/rival.go
@@ -34,7 +34,7 @@
 		return &textbook{base: newBase(t, seed)}
 	}},
 	Late: {Shared: true, New: func(t gate.Terms, seed uint64, s model.TrueState) gate.Decider {
-		return &textbook{base: newBase(t, seed), sight: s}
+		return &textbook{base: newBase(t, seed), trueState: s}
 	}},
 	Oracle: {Shared: true, New: func(t gate.Terms, seed uint64, s model.TrueState) gate.Decider {
 		return newOracle(t, seed, s)
@@ -213,7 +213,7 @@
 	base
 	buckets     []bucket
 	retryBudget float64         // tokens left in the retry budget
-	sight       model.TrueState // if set, the true quotas are checked, with delay, instead of an equal share
+	trueState   model.TrueState // if set, the true quotas are checked, with delay, instead of an equal share
 }
 
 // bucket is a customer's token bucket.
@@ -260,8 +260,8 @@
 	if p.Rate == 0 {
 		return 0
 	}
-	if t.sight != nil {
-		if t.sight.TakeStaleQuota(e.Customer, e.Plan, e.Units, quotaDelayMs) {
+	if t.trueState != nil {
+		if t.trueState.TakeStaleQuota(e.Customer, e.Plan, e.Units, quotaDelayMs) {
 			return 0
 		}
 		return e.Units / p.Rate
@@ -328,8 +328,8 @@
 // the queues, the more gain a request must bring for its work to be admitted.
 type oracle struct {
 	base
-	sight model.TrueState
-	ranks [][]float64 // rank of a class and plan by gain per work; 1 for the highest
+	trueState model.TrueState
+	ranks     [][]float64 // rank of a class and plan by gain per work; 1 for the highest
 }
 
 const (
@@ -339,7 +339,7 @@
 
 // newOracle ranks all pairs of class and plan by their gain per work.
 func newOracle(t gate.Terms, seed uint64, s model.TrueState) *oracle {
-	o := &oracle{base: newBase(t, seed), sight: s}
+	o := &oracle{base: newBase(t, seed), trueState: s}
 	var all []float64
 	for p := range t.Classes {
 		var row []float64
@@ -364,11 +364,11 @@
 		switch e := e.(type) {
 		case gate.Request:
 			op := o.addRequest(now, e)
-			contract, alone := o.terms.Classes[op.class].Contract, o.sight.MeanWork(op.class)
+			contract, alone := o.terms.Classes[op.class].Contract, o.trueState.MeanWork(op.class)
 			maxWait := max(alone, contract*(lowestRankWait+(highestRankWait-lowestRankWait)*o.ranks[op.class][op.plan]))
 			if b, wait := o.fastestBackend(now, op); b < 0 || now+wait > op.deadline || wait > maxWait {
 				o.giveUp(e.Op, o.terms.MaxRetryAfter)
-			} else if !o.sight.TakeQuota(e.Customer, e.Plan, e.Units) {
+			} else if !o.trueState.TakeQuota(e.Customer, e.Plan, e.Units) {
 				o.giveUp(e.Op, e.Units/max(1e-9, o.terms.Plans[e.Plan].Rate))
 			} else {
 				o.send(now, e.Op, b, 0)
@@ -397,7 +397,7 @@
 	}
 	for i := range o.listed {
 		b := o.listed[(from+i)%len(o.listed)]
-		if w := o.sight.EstimateWait(b, op.class); w < wait && o.mayAttempt(now, op, b) {
+		if w := o.trueState.EstimateWait(b, op.class); w < wait && o.mayAttempt(now, op, b) {
 			backend, wait = b, w
 		}
 	}
--- a/lab/run/rolls_test.go
+++ b/lab/run/rolls_test.go
@@ -19,7 +19,7 @@
 
 // outageRecorder records when units are out: doors that are down, and backends that are cold.
 type outageRecorder struct {
-	judge       *judge.Verifier
+	verifier    *judge.Verifier
 	transitions []transition
 	down        map[int]bool
 }
@@ -31,7 +31,7 @@
 }
 
 func (r *outageRecorder) Take(e *trace.Event) {
-	r.judge.Take(e)
+	r.verifier.Take(e)
 	switch {
 	case e.Kind == trace.DoorDied:
 		r.down[e.Door] = true
@@ -91,10 +91,10 @@
 					require.NoError(t, err)
 					s = &next
 				}
-				deal := model.JudgeTerms(s)
-				r := &outageRecorder{judge: judge.New(deal), down: map[int]bool{}}
+				params := model.JudgeParams(s)
+				r := &outageRecorder{verifier: judge.New(params), down: map[int]bool{}}
 				require.NoError(t, model.New(s, seed+1, rival.Makers[rival.Swifthall], r).Run(context.Background(), nil))
-				res := NewResult(s, seed+1, rival.Swifthall, Simulated, r.judge)
+				res := NewResult(s, seed+1, rival.Swifthall, Simulated, r.verifier)
 				assert.Empty(t, res.Broken)
 				n, from, to := r.summarize(scenario.Kinds[s.Faults[w.faultIndex].Kind].Target == scenario.TargetDoors)
 				g, took, maxOut = g+res.Whole.Earned/res.Whole.Offered/seeds, took+(to-from)/1e3/seeds, max(maxOut, n)
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -119,25 +119,25 @@
 	if !known {
 		return nil, &PolicyError{o.Policy, rival.Names}
 	}
-	deal := model.JudgeTerms(o.Scenario)
-	j, book := judge.New(deal), account.NewCollector(deal)
-	if err := model.New(o.Scenario, o.Seed, maker, observers{j, book}).Run(ctx, progress); err != nil {
+	params := model.JudgeParams(o.Scenario)
+	verifier, collector := judge.New(params), account.NewCollector(params)
+	if err := model.New(o.Scenario, o.Seed, maker, observers{verifier, collector}).Run(ctx, progress); err != nil {
 		return nil, &RunError{o.Scenario.Name, err}
 	}
-	r := NewResult(o.Scenario, o.Seed, o.Policy, Simulated, j)
-	r.Account = book.Sum()
+	r := NewResult(o.Scenario, o.Seed, o.Policy, Simulated, verifier)
+	r.Account = collector.Sum()
 	return r, nil
 }
 
-// observers passes the events of a run to the judge and to the account.
+// observers passes the events of a run to its verifier and to the collector of its account.
 type observers struct {
-	judge *judge.Verifier
-	book  *account.Collector
+	verifier  *judge.Verifier
+	collector *account.Collector
 }
 
-func (b observers) Take(e *trace.Event) { b.judge.Take(e); b.book.Take(e) }
+func (b observers) Take(e *trace.Event) { b.verifier.Take(e); b.collector.Take(e) }
 
-// NewResult builds the result of a run from its judge.
+// NewResult builds the result of a run from its verifier.
 func NewResult(s *scenario.Scenario, seed uint64, policy, on string, j *judge.Verifier) *Result {
 	r := &Result{Scenario: s.Name, Shows: s.Shows, On: on, Policy: policy, Seed: seed, Doors: s.Fleet.Doors, Backends: s.Fleet.Backends,
 		Length: s.Day.Seconds, Events: j.Events, Parts: j.Service.Parts(), Broken: j.Rules.Count, Breaches: j.Rules.Violations,
--- a/lab/scenario/faults.go
+++ b/lab/scenario/faults.go
@@ -10,15 +10,15 @@
 // Fault is one entry of the fault schedule: which kind of fault is injected, when, into which targets and how strongly.
 type Fault struct {
 	Kind    string  `toml:"kind"`
-	AtS     float64 `toml:"at_s"`
-	ForS    float64 `toml:"for_s"`
-	Share   float64 `toml:"share"`   // of the possible targets
-	Zone    *int    `toml:"zone"`    // only targets of this zone
-	Class   string  `toml:"profile"` // only requests of this class
-	Much    float64 `toml:"much"`    // strength, in the unit of the kind
-	EveryMs float64 `toml:"every_ms"`
+	AtS     float64 `toml:"at_s"`     // start
+	ForS    float64 `toml:"for_s"`    // duration; 0 for instant kinds
+	Share   float64 `toml:"share"`    // of the possible targets
+	Zone    *int    `toml:"zone"`     // only targets of this zone
+	Class   string  `toml:"profile"`  // only requests of this class
+	Much    float64 `toml:"much"`     // strength, in the unit of the kind
+	EveryMs float64 `toml:"every_ms"` // of pauses: time from the start of one to the start of the next
 	Batches int     `toml:"batches"`  // number of batches, for kinds that work in batches
-	MostOut int     `toml:"most_out"` // for kinds that work in batches: replaces batches by the clock; a unit goes as soon as fewer than this are out, that is not yet ready and warm again
+	MostOut int     `toml:"most_out"` // for kinds that work in batches: instead of fixed batches, the next target goes out as soon as fewer than this are out; one is out until it, or its successor, is ready and warm
 }
 
 // Targets of the kinds of fault. Two faults can conflict only if they have the same target.
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -48,7 +48,7 @@
 	Faults    []Fault   `toml:"fault"`
 }
 
-// Day sets how long requests arrive, and how often a door handles the events that have arrived.
+// Day sets the length of a run, which is how long requests arrive, and how often a door handles the events that have arrived.
 type Day struct {
 	Seconds float64 `toml:"seconds"`
 	TickMs  float64 `toml:"tick_ms"` // interval at which a door handles its events
@@ -59,7 +59,7 @@
 	Doors    int `toml:"doors"`
 	Backends int `toml:"backends"`
 	Zones    int `toml:"zones"`
-	CellSize int `toml:"cell_size"`
+	CellSize int `toml:"cell_size"` // number of backends in a cell
 
 	MembersMs float64 `toml:"members_ms"` // delay until every door knows that another door has come or gone; 0 for never
 }
@@ -195,9 +195,9 @@
 	AnswerSlackMs float64 `toml:"answer_slack_ms"` // tolerated delay of an answer beyond the deadline
 	DrainGraceMs  float64 `toml:"drain_grace_ms"`  // after a door is notified of a drain, how long it may still send
 	FallMultiple  float64 `toml:"fall_multiple"`   // multiple of its present capacity above which a cold backend is overloaded
-	FallMs        float64 `toml:"fall_ms"`         // for how long
-	ColdFrom      float64 `toml:"cold_from"`       // announced to the doors; 0 for the lowest of the machines
-	ColdS         float64 `toml:"cold_s"`          // announced to the doors; 0 for the longest of the machines
+	FallMs        float64 `toml:"fall_ms"`         // window over which that load is measured
+	ColdFrom      float64 `toml:"cold_from"`       // Machine.ColdFrom as announced to the doors; 0 for the lowest of the machines
+	ColdS         float64 `toml:"cold_s"`          // Machine.ColdS as announced to the doors; 0 for the longest of the machines
 }
 
 // Goal holds the weights of the parts of G.
@@ -215,7 +215,7 @@
 	Cross     float64 `toml:"cross"`     // attempts to another zone
 	Waste     float64 `toml:"waste"`     // work whose answer nobody received
 	Handshake float64 `toml:"handshake"` // new connections
-	HeldBack  float64 `toml:"held_back"` // share of the gain, for a request given up after half of its time without having been sent
+	HeldBack  float64 `toml:"held_back"` // share of the gain, for a try rejected or failed after half of its time without an attempt at a backend
 }
 
 // Read decodes a scenario, applies the defaults and validates it.
--- a/lab/soak/discovery.go
+++ b/lab/soak/discovery.go
@@ -184,14 +184,14 @@
 	}
 	after := d.rig.now()
 	d.mu.Lock()
-	muted := d.inactive
+	inactive := d.inactive
 	d.mu.Unlock()
 	for _, instance := range l.Instances {
 		notification := Notification{Door: d.door, Backend: d.rig.backendNumber(instance.ID), At: after}
 		switch {
 		case instance.Lifecycle == ready:
 			notification.At, notification.Ready = before, true
-		case muted:
+		case inactive:
 			continue // the door may follow the other agent by now
 		}
 		d.rig.history.addNotification(notification)
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -69,7 +69,7 @@
 	for _, q := range r.Requests {
 		ends[q.End]++
 	}
-	t.Logf("seed %d: %d requests, %d answered, %d cut, %d left; %d attempts, %d processes, longest stall of the rig %v", cfg.Seed,
+	t.Logf("seed %d: %d requests, %d answered, %d closed without an answer, %d closed by the client; %d attempts, %d processes, longest stall of the rig %v", cfg.Seed,
 		len(r.Requests), ends[Answered], ends[ConnClosed], ends[ClientClosed], len(r.Arrivals), len(r.Incarnations), longestRigStall(r.Stalls))
 	return r
 }
--- a/lab/stand/backend.go
+++ b/lab/stand/backend.go
@@ -103,7 +103,7 @@
 	use    float64
 }
 
-const maxBody = 64 << 10 // most bytes of a request
+const maxBody = 64 << 10 // maximum number of bytes read of a request's body
 
 // serveConn serves one connection. It is reset if the backend does not accept it.
 func (bl *backendListener) serveConn(nc net.Conn) {
--- a/lab/stand/beside.go
+++ b/lab/stand/beside.go
@@ -115,7 +115,7 @@
 			return nil, nil, &ComponentError{fmt.Sprintf("%s on core %d", t.name, core), "", err}
 		}
 	}
-	word := func(addr string, seed uint64) func(int) string {
+	requestsTo := func(addr string, seed uint64) func(int) string {
 		return load.DoorRequests{Host: addr, Class: "look", Plan: "ample", Customers: comparedCustomers, Wait: clientTimeoutMs, Seed: seed}.Format
 	}
 	const timeout = 5 * time.Second
@@ -127,7 +127,7 @@
 				row := &rateRows[(i+round)%len(targets)]
 				before := cpuTime(t.pid())
 				r := load.Run{Target: t.addr, Rate: rate, Duration: b.For, Conns: b.Conns, Timeout: timeout, Poisson: true, Seed: uint64(round) + 1,
-					Request: word(t.addr, uint64(round)+uint64(rate)<<8)}
+					Request: requestsTo(t.addr, uint64(round)+uint64(rate)<<8)}
 				o, err := r.Execute(ctx, nil)
 				if err != nil {
 					return nil, nil, err
@@ -150,7 +150,7 @@
 	knees = map[string]float64{}
 	for _, t := range targets {
 		k := b.Knee
-		k.Run.Target, k.Run.Conns, k.Run.Duration, k.Run.Timeout, k.Run.Poisson, k.Run.Request = t.addr, b.Conns, b.For, timeout, true, word(t.addr, 99)
+		k.Run.Target, k.Run.Conns, k.Run.Duration, k.Run.Timeout, k.Run.Poisson, k.Run.Request = t.addr, b.Conns, b.For, timeout, true, requestsTo(t.addr, 99)
 		rate, _, err := k.Find(ctx, func(s load.Step) {
 			if report != nil {
 				report(t.name, s.Rate, s.Outcome)
--- a/lab/stand/client.go
+++ b/lab/stand/client.go
@@ -119,7 +119,7 @@
 			return
 		}
 		reused := k.reused
-		c.tb.post(func() { c.tb.sim.TryTaken(t) })
+		c.tb.post(func() { c.tb.sim.TryAccepted(t) })
 		again := c.readAnswer(ctx, t, k, reused)
 		unwatch()
 		if !again {
--- a/lab/stand/stand.go
+++ b/lab/stand/stand.go
@@ -47,7 +47,7 @@
 	over     atomic.Bool // set when no run is in progress
 }
 
-// Run runs the scenario and returns the result of the judge.
+// Run runs the scenario and returns its result, with the limits of the checks widened for sockets.
 func (p SocketRun) Run(ctx context.Context, progress func(done float64)) (*run.Result, error) {
 	s := p.Scenario
 	maxBackends := s.Fleet.Backends
@@ -78,7 +78,7 @@
 		}
 	}
 	ctx, stop := context.WithCancel(ctx)
-	j := judge.New(model.WithSocketSlack(model.JudgeTerms(s)))
+	j := judge.New(model.WithSocketSlack(model.JudgeParams(s)))
 	tb := &testbed{cfg: &p, ctx: ctx, tries: map[string]*model.Try{}, attempts: map[int]int{}}
 	defer tb.group.Wait()
 	defer tb.close()
