--- a/lab/cold/cold_test.go
+++ b/lab/cold/cold_test.go
@@ -33,15 +33,16 @@
 	first                            string
 }
 
-func runAll(of func(seed uint64) Simulation, with func(*Simulation) func(int, uint64) gate.Decider) (all summary) {
+// runAll runs a simulation of each seed in parallel, with the deciders that newDecider returns for it.
+func runAll(newSim func(seed uint64) Simulation, newDecider func(*Simulation) func(int, uint64) gate.Decider) (all summary) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	next := make(chan uint64)
 	for range runtime.GOMAXPROCS(0) {
 		wait.Go(func() {
 			for seed := range next {
-				d, c := of(seed), Checker{}
-				d.Run(&c, with(&d))
+				d, c := newSim(seed), Checker{}
+				d.Run(&c, newDecider(&d))
 				mu.Lock()
 				all.starts, all.excesses = all.starts+c.ColdStarts, all.excesses+len(c.Excesses)
 				all.share, all.over = max(all.share, c.MaxShare), max(all.over, c.MaxOver)
--- a/lab/command/drills.go
+++ b/lab/command/drills.go
@@ -221,7 +221,7 @@
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "seed\thalted at\tbroken\tended\ttook, s\tback after, s\tstrikes\tchanges\tmost out\toperations\tfinished\trejected\tfailed")
 			var broken *procs.MigrationResult
-			var of procs.Migration
+			var brokenSpec procs.Migration
 			err := runParallel(cmd.Context(), specs, jobs, procs.Migration.Play, func(one procs.Migration, r *procs.MigrationResult) error {
 				fmt.Fprintf(t, "%d\t%d\t%d\t%s\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", one.Seed, r.HaltAt, len(r.Breaches), r.Stage, r.TookS, r.BackS, len(r.Strikes), r.Changes, r.MostOut,
 					r.Asked, r.Finished, r.Rejected, r.Failed)
@@ -229,7 +229,7 @@
 					fmt.Fprintf(cmd.ErrOrStderr(), "seed %d, halted at %d: %s: %s\n", one.Seed, r.HaltAt, b.Rule, b.Text)
 				}
 				if len(r.Breaches) > 0 && broken == nil {
-					broken, of = r, one
+					broken, brokenSpec = r, one
 				}
 				return nil
 			})
@@ -239,7 +239,7 @@
 			}
 			if broken != nil {
 				b := broken.Breaches[0]
-				return &ScheduleError{fmt.Sprintf("migration halted at %d", broken.HaltAt), of.Seed, b.Rule, len(broken.Breaches), b.Text}
+				return &ScheduleError{fmt.Sprintf("migration halted at %d", broken.HaltAt), brokenSpec.Seed, b.Rule, len(broken.Breaches), b.Text}
 			}
 			return nil
 		}}
--- a/lab/outs/releases.go
+++ b/lab/outs/releases.go
@@ -15,9 +15,9 @@
 	Defect string // one of Defects; empty for a harmless release
 }
 
-// Defects lists the kinds of defects that a release can have. A changed door has a larger share of late requests (share; little: only
-// slightly larger; loaded: only under high load; late: only after 600 s), a higher latency, more failed requests (scraps), a crash
-// some time after the change, or growing memory.
+// Defects lists the kinds of defects that a release can have. A changed door has a larger share of late requests ("share"), or only a
+// slightly larger one ("little"), or a larger one only under high load ("loaded") or only after 600 s ("late"); a higher latency
+// ("latency"); more failed requests ("scraps"); a crash some time after the change ("crash"); or growing memory ("memory").
 var Defects = []string{"share", "little", "latency", "scraps", "crash", "memory", "loaded", "late"}
 
 // ReleaseResult is the outcome of one release.
