--- a/cmd/swifthall-coordinate/calendar.go
+++ b/cmd/swifthall-coordinate/calendar.go
@@ -569,7 +569,7 @@
 			if err != nil {
 				return err
 			}
-			z := calendar.Freeze{Name: f.Name, Kinds: f.Kinds, Subject: f.Subject, When: f.When, RunningPolicy: f.Sends, Who: o.who, Why: o.why}
+			z := calendar.Freeze{Name: f.Name, Kinds: f.Kinds, Subject: f.Subject, When: f.When, RunningPolicy: f.RunningPolicy, Who: o.who, Why: o.why}
 			if z.RunningPolicy == "" {
 				z.RunningPolicy = calendar.HaltAfterWave
 			}
--- a/cmd/swifthall-coordinate/calendar_test.go
+++ b/cmd/swifthall-coordinate/calendar_test.go
@@ -96,7 +96,7 @@
 func entry(name, subject string, fromIn, toIn time.Duration) map[string]any {
 	now := time.Now().UTC()
 	return map[string]any{"name": name, "kind": "terms", "subject": map[string]any{"scope": "plans", "names": []string{subject}},
-		"from": now.Add(fromIn).Format(planfile.LocalForm), "to": now.Add(toIn).Format(planfile.LocalForm), "wave_s": 30,
+		"from": now.Add(fromIn).Format(planfile.LocalLayout), "to": now.Add(toIn).Format(planfile.LocalLayout), "wave_s": 30,
 		"do": map[string]any{"manual": "set the rate"}, "rollback": map[string]any{"manual": "set it back"}}
 }
 
@@ -188,7 +188,7 @@
 	require.NoError(t, err)
 	assert.Contains(t, out, "is entry 2")
 	now := time.Now().UTC()
-	freeze := map[string]any{"name": "nights", "subject": map[string]any{"scope": "plans"}, "when": map[string]any{"begin": now.Add(-time.Hour).Format(planfile.LocalForm), "minutes": 24*60 - 1, "every": "FREQ=DAILY", "in": "UTC"}}
+	freeze := map[string]any{"name": "nights", "subject": map[string]any{"scope": "plans"}, "when": map[string]any{"begin": now.Add(-time.Hour).Format(planfile.LocalLayout), "minutes": 24*60 - 1, "every": "FREQ=DAILY", "in": "UTC"}}
 	assert.Contains(t, s.ok("freeze", s.file("f.json", freeze), "--why", "sleep"), "is freeze 3, 4")
 	out = s.ok("calendar", "--week", "--in", "Europe/Lisbon")
 	assert.Contains(t, out, "freeze 3@1 ")
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -318,7 +318,7 @@
 	c.mu.Unlock()
 	if accepted {
 		var commands []any
-		c.fsm.read(func(s *permits.State) { commands = s.Needs(report) })
+		c.fsm.read(func(s *permits.State) { commands = s.DoorCommands(report) })
 		for i, do := range commands {
 			cmd := permits.Command{Caller: report.Caller, Seq: report.Seq, Do: do}
 			if _, own := do.(permits.SelfReport); !own {
@@ -434,7 +434,7 @@
 		for _, n := range slices.Sorted(maps.Keys(s.Permits)) {
 			p := client.Permit{Permit: *s.Permits[n]}
 			if p.Order && p.Unit.Kind == permits.Backend {
-				p.Waiting = s.Waiting(s.Permits[n])
+				p.Waiting = s.UnconfirmedDoors(s.Permits[n])
 			}
 			p.Drained = s.Drained(s.Permits[n])
 			st.Permits = append(st.Permits, p)
--- a/frontdoor/fleet.go
+++ b/frontdoor/fleet.go
@@ -39,7 +39,7 @@
 		}
 		b := &c.backends[i]
 		c.setProcessStart(b, wallTime(e.Started), u.lastReceived)
-		b.id, b.status, b.size, b.listed = e.ID, e.Status(), e.Size, true
+		b.id, b.status, b.size, b.listed = e.ID, e.Status(), e.Weight, true
 		b.zone, b.cell = c.zones.Add(e.Zone), c.cells.Add(e.Cell)
 		if e.Addr != "" {
 			b.addr = e.Addr
--- a/frontdoor/maintenance.go
+++ b/frontdoor/maintenance.go
@@ -72,7 +72,7 @@
 // BackendSnapshot is the state of one backend on the door's list.
 type BackendSnapshot struct {
 	ID, Zone string
-	Size     float64
+	Weight   float64
 	Up       bool // up on the list; a withheld backend may be
 	Warm     bool // it has run for at least Terms.ColdFor
 	Started  float64
--- a/internal/doorfleet/plans.go
+++ b/internal/doorfleet/plans.go
@@ -213,7 +213,7 @@
 		*s.Counts = toCounts(n)
 		s.Counts.Process, s.Counts.MemoryMB = p.process, residentMB()
 		for _, b := range status.Backends {
-			g := permits.Sighting{Unit: permits.Unit{Kind: permits.Backend, Name: b.ID, Zone: b.Zone, Size: b.Size}, Standing: permits.Failed, Process: uint64(max(0, b.Started))}
+			g := permits.Sighting{Unit: permits.Unit{Kind: permits.Backend, Name: b.ID, Zone: b.Zone, Size: b.Weight}, Standing: permits.Failed, Process: uint64(max(0, b.Started))}
 			switch {
 			case b.Up && b.Warm:
 				g.Standing = permits.Ready
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -62,7 +62,7 @@
 	})
 }
 
-func FuzzAnswers(f *testing.F) {
+func FuzzResponses(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nX-Allowance-Used: 31.5\r\nContent-Length: 2\r\n\r\nhi"))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, p []byte) {
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -21,7 +21,7 @@
 	Zone    string  `json:"zone"`
 	Cell    int64   `json:"cell"`
 	State   string  `json:"lifecycle"`
-	Size    float64 `json:"weight"`
+	Weight  float64 `json:"weight"`
 	Started float64 `json:"startedAtMs"`
 }
 
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -32,7 +32,7 @@
 		}
 		require.Len(t, got, 2)
 		assert.Equal(t, List{Version: 41, Whole: true, Backends: []Entry{
-			{ID: "s-1", Addr: "10.1.0.18:8000", Zone: "a", Cell: 3, State: "Ready", Size: 1}}}, got[0])
+			{ID: "s-1", Addr: "10.1.0.18:8000", Zone: "a", Cell: 3, State: "Ready", Weight: 1}}}, got[0])
 		assert.Equal(t, int64(43), got[1].Version)
 		assert.Equal(t, gate.Draining, got[1].Backends[0].Status())
 	}
--- a/lab/command/drills.go
+++ b/lab/command/drills.go
@@ -58,16 +58,16 @@
 			fmt.Fprintln(t, "seed\tbroken\tstrikes\twent\tcame back\tcalls\trefused\tlost\tdrained\tafter a halt, ms\tall back, ms\toperations\tfinished")
 			var sum procs.DrillResult
 			var broken *procs.DrillResult
-			err := runParallel(cmd.Context(), specs, jobs, procs.Drill.Play, func(p procs.Drill, r *procs.DrillResult) error {
-				fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%d\n", r.Seed, len(r.Breaches), len(r.Strikes), r.Went, r.Returned, r.Calls,
+			err := runParallel(cmd.Context(), specs, jobs, procs.Drill.Run, func(p procs.Drill, r *procs.DrillResult) error {
+				fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%d\n", r.Seed, len(r.Violations), len(r.Faults), r.Went, r.Returned, r.Calls,
 					r.Refused, r.Lost, r.Drained, r.HaltMs, r.BackMs, r.Asked, r.Finished)
-				for _, b := range r.Breaches {
+				for _, b := range r.Violations {
 					fmt.Fprintf(cmd.ErrOrStderr(), "seed %d: %s: %.0f ms: %s\n", r.Seed, b.Rule, b.At, b.Text)
 				}
-				if len(r.Breaches) > 0 && broken == nil {
+				if len(r.Violations) > 0 && broken == nil {
 					broken = r
 				}
-				sum.Went, sum.Calls, sum.Drained, sum.Breaches = sum.Went+r.Went, sum.Calls+r.Calls, sum.Drained+r.Drained, append(sum.Breaches, r.Breaches...)
+				sum.Went, sum.Calls, sum.Drained, sum.Violations = sum.Went+r.Went, sum.Calls+r.Calls, sum.Drained+r.Drained, append(sum.Violations, r.Violations...)
 				if out == "" {
 					return nil
 				}
@@ -84,10 +84,10 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d drills: %d doors went, %d calls, %d times drained, %d breaches\n", seeds, sum.Went, sum.Calls, sum.Drained, len(sum.Breaches))
+			fmt.Fprintf(cmd.OutOrStdout(), "%d drills: %d doors went, %d calls, %d times drained, %d breaches\n", seeds, sum.Went, sum.Calls, sum.Drained, len(sum.Violations))
 			if broken != nil {
-				b := broken.Breaches[0]
-				return &ScheduleError{"drill", broken.Seed, b.Rule, len(broken.Breaches), b.Text}
+				b := broken.Violations[0]
+				return &ScheduleError{"drill", broken.Seed, b.Rule, len(broken.Violations), b.Text}
 			}
 			return nil
 		}}
@@ -98,7 +98,7 @@
 	f.IntVar(&d.Doors, "doors", 8, "number of doors")
 	f.IntVar(&d.Coordinators, "coordinators", 3, "number of coordinators")
 	f.Float64Var(&d.Rate, "rate", 20, "requests per second that clients send to each door without a fault")
-	f.StringVar(&d.Strike, "strike", "", "none, one, leader or all: which coordinators are lost, in place of faults drawn from the seed")
+	f.StringVar(&d.CoordinatorLoss, "strike", "", "none, one, leader or all: which coordinators are lost, in place of faults drawn from the seed")
 	f.StringVar(&d.Binary, "door", "", "the program; by default swifthall next to this program")
 	f.StringVar(&out, "out", "", "directory for logs and results")
 	f.IntVar(&jobs, "jobs", 1, "parallel drills")
@@ -106,7 +106,7 @@
 }
 
 func coordinatorsCommand() *cobra.Command {
-	var p procs.Pace
+	var p procs.CoordinatorBenchmark
 	cmd := &cobra.Command{Use: "coordinators", Short: "Measure coordinators: permits per second, and the time until a new leader takes over", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := defaultBinary(&p.Binary); err != nil {
@@ -117,7 +117,7 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%d coordinators, %d callers: %.0f permits/s, p50 %.1f ms, p99 %.1f ms; another leads after %.0f ms (median), %.0f ms (most of %d)\n",
-				p.Coordinators, p.Callers, r.Permits, r.P50, r.P99, check.At(r.Leader, 50), check.At(r.Leader, 100), len(r.Leader))
+				p.Coordinators, p.Callers, r.Permits, r.P50, r.P99, check.Quantile(r.FailoverMs, 50), check.Quantile(r.FailoverMs, 100), len(r.FailoverMs))
 			return nil
 		}}
 	f := cmd.Flags()
@@ -141,7 +141,7 @@
 				return err
 			}
 			if len(args) == 0 {
-				args = slices.Sorted(maps.Keys(procs.Rollouts))
+				args = slices.Sorted(maps.Keys(procs.RolloutKinds))
 			}
 			var specs []procs.Rollout
 			for _, kind := range args {
@@ -158,13 +158,13 @@
 			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "release\tbroken\tended\ttook, s\tdecided after, s\tback after, s\tmost out\ttouched, door-s/doors\toperations\tfinished\trejected\tfailed\tsays")
 			var broken *procs.RolloutResult
-			err := runParallel(cmd.Context(), specs, jobs, procs.Rollout.Play, func(_ procs.Rollout, r *procs.RolloutResult) error {
-				fmt.Fprintf(t, "%s\t%d\t%s\t%.1f\t%.1f\t%.1f\t%d\t%.2f\t%d\t%d\t%d\t%d\t%s\n", r.Kind, len(r.Breaches), r.Stage, r.TookS, r.DecidedS, r.BackS, r.MostOut, r.Touched,
-					r.Asked, r.Finished, r.Rejected, r.Failed, r.Says)
-				for _, b := range r.Breaches {
+			err := runParallel(cmd.Context(), specs, jobs, procs.Rollout.Run, func(_ procs.Rollout, r *procs.RolloutResult) error {
+				fmt.Fprintf(t, "%s\t%d\t%s\t%.1f\t%.1f\t%.1f\t%d\t%.2f\t%d\t%d\t%d\t%d\t%s\n", r.Kind, len(r.Violations), r.Stage, r.TookS, r.DecidedS, r.BackS, r.MostOut, r.ExposureS,
+					r.Asked, r.Finished, r.Rejected, r.Failed, r.Reason)
+				for _, b := range r.Violations {
 					fmt.Fprintf(cmd.ErrOrStderr(), "%s: %s: %s\n", r.Kind, b.Rule, b.Text)
 				}
-				if len(r.Breaches) > 0 && broken == nil {
+				if len(r.Violations) > 0 && broken == nil {
 					broken = r
 				}
 				return nil
@@ -174,8 +174,8 @@
 				return err
 			}
 			if broken != nil {
-				b := broken.Breaches[0]
-				return &ScheduleError{broken.Kind, p.Seed, b.Rule, len(broken.Breaches), b.Text}
+				b := broken.Violations[0]
+				return &ScheduleError{broken.Kind, p.Seed, b.Rule, len(broken.Violations), b.Text}
 			}
 			return nil
 		}}
@@ -222,13 +222,13 @@
 			fmt.Fprintln(t, "seed\thalted at\tbroken\tended\ttook, s\tback after, s\tstrikes\tchanges\tmost out\toperations\tfinished\trejected\tfailed")
 			var broken *procs.MigrationResult
 			var brokenSpec procs.Migration
-			err := runParallel(cmd.Context(), specs, jobs, procs.Migration.Play, func(one procs.Migration, r *procs.MigrationResult) error {
-				fmt.Fprintf(t, "%d\t%d\t%d\t%s\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", one.Seed, r.HaltAt, len(r.Breaches), r.Stage, r.TookS, r.BackS, len(r.Strikes), r.Changes, r.MostOut,
+			err := runParallel(cmd.Context(), specs, jobs, procs.Migration.Run, func(one procs.Migration, r *procs.MigrationResult) error {
+				fmt.Fprintf(t, "%d\t%d\t%d\t%s\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", one.Seed, r.HaltAt, len(r.Violations), r.Stage, r.TookS, r.BackS, len(r.Faults), r.Changes, r.MostOut,
 					r.Asked, r.Finished, r.Rejected, r.Failed)
-				for _, b := range r.Breaches {
+				for _, b := range r.Violations {
 					fmt.Fprintf(cmd.ErrOrStderr(), "seed %d, halted at %d: %s: %s\n", one.Seed, r.HaltAt, b.Rule, b.Text)
 				}
-				if len(r.Breaches) > 0 && broken == nil {
+				if len(r.Violations) > 0 && broken == nil {
 					broken, brokenSpec = r, one
 				}
 				return nil
@@ -238,8 +238,8 @@
 				return err
 			}
 			if broken != nil {
-				b := broken.Breaches[0]
-				return &ScheduleError{fmt.Sprintf("migration halted at %d", broken.HaltAt), brokenSpec.Seed, b.Rule, len(broken.Breaches), b.Text}
+				b := broken.Violations[0]
+				return &ScheduleError{fmt.Sprintf("migration halted at %d", broken.HaltAt), brokenSpec.Seed, b.Rule, len(broken.Violations), b.Text}
 			}
 			return nil
 		}}
@@ -250,7 +250,7 @@
 	f.IntVar(&p.Doors, "doors", 6, "number of doors")
 	f.IntVar(&p.Coordinators, "coordinators", 3, "number of coordinators")
 	f.Float64Var(&p.Rate, "rate", 60, "requests per second that clients send to each door")
-	f.BoolVar(&p.Quiet, "quiet", false, "without faults")
+	f.BoolVar(&p.NoFaults, "quiet", false, "without faults")
 	f.StringVar(&p.Binary, "door", "", "the program; by default swifthall next to this program")
 	f.StringVar(&p.Logs, "logs", "", "directory for logs")
 	f.IntVar(&jobs, "jobs", 1, "parallel runs")
--- a/lab/command/procs.go
+++ b/lab/command/procs.go
@@ -40,7 +40,7 @@
 			if seeds < 1 {
 				return &FlagError{Flag: fmt.Sprintf("--seeds %d", seeds), Reason: "must be at least one"}
 			}
-			makers := map[string]procs.Maker{"module": procs.Module, "heartbeats": procs.Heartbeats}
+			makers := map[string]procs.DetectorFactory{"module": procs.Module, "heartbeats": procs.Heartbeats}
 			if makers[who] == nil || on == "processes" && who != "module" {
 				return &FlagError{Flag: fmt.Sprintf("--who %q", who), Reason: "must be module or, with --on sim, heartbeats"}
 			}
@@ -81,9 +81,9 @@
 			runPlan := func(p *procs.Plan, ctx context.Context) (t timed, err error) {
 				began := time.Now()
 				if on == "sim" {
-					t.Result, err = p.Play(ctx, who, makers[who])
+					t.Result, err = p.Run(ctx, who, makers[who])
 				} else {
-					t.Result, err = procs.Real{Plan: p, Binary: door, Logs: logs, Rate: rate, Plain: plain}.Play(ctx, nil)
+					t.Result, err = procs.Real{Plan: p, Binary: door, Logs: logs, Rate: rate, NoFleet: plain}.Run(ctx, nil)
 				}
 				t.took = time.Since(began)
 				return t, err
@@ -93,11 +93,11 @@
 			var broken *procs.Result
 			err := runParallel(cmd.Context(), specs, jobs, runPlan, func(p *procs.Plan, r timed) error {
 				f := &r.Figures
-				if len(r.Breaches) > 0 && broken == nil {
+				if len(r.Violations) > 0 && broken == nil {
 					broken = r.Result
 				}
-				fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.0f\t%.1f\t%.1f\t%v\n", r.Schedule, r.Doors, r.Seed, len(r.Breaches), f.Wrong, f.Changes,
-					check.At(f.Known, 99), check.At(f.Back, 100), f.One, f.Doubt, r.Messages, r.Bytes, r.CPU, r.Resident, r.took.Round(100*time.Millisecond))
+				fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.0f\t%.1f\t%.1f\t%v\n", r.Schedule, r.Doors, r.Seed, len(r.Violations), f.FalseAway, f.VerdictChanges,
+					check.Quantile(f.DetectionMs, 99), check.Quantile(f.RecoveryMs, 100), f.ConvergenceMs, f.SuspicionMs, r.Messages, r.Bytes, r.CPU, r.Resident, r.took.Round(100*time.Millisecond))
 				if out == "" {
 					return nil
 				}
@@ -108,8 +108,8 @@
 				return err
 			}
 			if broken != nil {
-				b := broken.Breaches[0]
-				return &ScheduleError{broken.Schedule, broken.Seed, b.Rule, len(broken.Breaches), b.Text}
+				b := broken.Violations[0]
+				return &ScheduleError{broken.Schedule, broken.Seed, b.Rule, len(broken.Violations), b.Text}
 			}
 			return nil
 		}}
--- a/lab/outs/drains.go
+++ b/lab/outs/drains.go
@@ -25,8 +25,8 @@
 type ReplicatedState interface {
 	Machine
 	Withheld() (names []string, change uint64)
-	Waiting(p *permits.Permit) []string
-	Needs(w *permits.DoorReport) []any
+	UnconfirmedDoors(p *permits.Permit) []string
+	DoorCommands(w *permits.DoorReport) []any
 	Reply(w *permits.DoorReport, full bool) permits.Reply
 	Places() map[uint64]*permits.Permit
 }
@@ -177,7 +177,7 @@
 		w.applyAsLeader(permits.RecordSightings{Sightings: w.collector.ChangedSightings(w.now)})
 	}
 	for _, p := range w.machine.Places() {
-		if p.Unit.Kind != permits.Backend || !p.Order || p.Over || len(w.machine.Waiting(p)) > 0 {
+		if p.Unit.Kind != permits.Backend || !p.Order || p.Over || len(w.machine.UnconfirmedDoors(p)) > 0 {
 			continue
 		}
 		w.result.Drained++
@@ -329,7 +329,7 @@
 		return permits.Answered{Seq: q.Seq, Answer: w.apply(q.Caller, q.Seq, q.Do)}, true
 	}
 	if w.collector.Record(w.now, *q.Report) {
-		for i, do := range w.machine.Needs(q.Report) {
+		for i, do := range w.machine.DoorCommands(q.Report) {
 			caller := q.Caller
 			if _, own := do.(permits.SelfReport); !own {
 				caller = fmt.Sprint(caller, "/hand/", i)
--- a/lab/outs/drains_test.go
+++ b/lab/outs/drains_test.go
@@ -60,16 +60,16 @@
 // earlyDrained reports a backend as drained while up to two doors have not confirmed.
 type earlyDrained struct{ *permits.State }
 
-func (m earlyDrained) Waiting(p *permits.Permit) []string {
-	all := m.State.Waiting(p)
+func (m earlyDrained) UnconfirmedDoors(p *permits.Permit) []string {
+	all := m.State.UnconfirmedDoors(p)
 	return all[:max(0, len(all)-2)]
 }
 
 // awayCountsAsEnded treats a door that was not seen for 3 s as ended.
 type awayCountsAsEnded struct{ *permits.State }
 
-func (m awayCountsAsEnded) Waiting(p *permits.Permit) (all []string) {
-	for _, n := range m.State.Waiting(p) {
+func (m awayCountsAsEnded) UnconfirmedDoors(p *permits.Permit) (all []string) {
+	for _, n := range m.State.UnconfirmedDoors(p) {
 		if u := m.Units["door/"+n]; u != nil && m.NowMs-u.AtMs < 3000 {
 			all = append(all, n)
 		}
--- a/lab/procs/check/check.go
+++ b/lab/procs/check/check.go
@@ -75,16 +75,16 @@
 
 // Figures are what was measured on the way.
 type Figures struct {
-	Known   []float64 `json:"known_ms"` // of a death, at each door
-	Back    []float64 `json:"back_ms"`  // of waking, at each door
-	One     float64   `json:"one_ms"`   // from the last fault's end to one view; -1 where it never came
-	Changes int       `json:"changes"`  // most of one verdict during a cut
-	Wrong   int       `json:"wrong"`    // healthy members held to be away
-	Doubt   float64   `json:"doubt_ms"` // from a cut's beginning to the first doubt of one cut off in part; -1 for none
+	DetectionMs    []float64 `json:"known_ms"` // of a death, at each door
+	RecoveryMs     []float64 `json:"back_ms"`  // of waking, at each door
+	ConvergenceMs  float64   `json:"one_ms"`   // from the last fault's end to one view; -1 where it never came
+	VerdictChanges int       `json:"changes"`  // most of one verdict during a cut
+	FalseAway      int       `json:"wrong"`    // healthy members held to be away
+	SuspicionMs    float64   `json:"doubt_ms"` // from a cut's beginning to the first doubt of one cut off in part; -1 for none
 }
 
-// At returns a quantile, 0 to 100, of some figures; 0 of none.
-func At(of []float64, q float64) float64 {
+// Quantile returns a quantile, 0 to 100, of some figures; 0 of none.
+func Quantile(of []float64, q float64) float64 {
 	if len(of) == 0 {
 		return 0
 	}
@@ -209,7 +209,7 @@
 
 // Judge holds a history, in the order of time, against the truth.
 func Judge(t *Truth, history []Event, l Limits) (breaches []Breach, f Figures) {
-	f.One, f.Doubt = -1, -1
+	f.ConvergenceMs, f.SuspicionMs = -1, -1
 	add := func(rule string, at float64, format string, args ...any) {
 		breaches = append(breaches, Breach{rule, at, fmt.Sprintf(format, args...)})
 	}
@@ -251,7 +251,7 @@
 		if out, in := t.cutOff(e.Door, from, e.At); max(out, in) > partLeast {
 			continue
 		}
-		f.Wrong++
+		f.FalseAway++
 		tell(e, "was well and reachable")
 	}
 }
@@ -284,7 +284,7 @@
 		return
 	}
 	const look = 10e3
-	first := len(f.Known)
+	first := len(f.DetectionMs)
 	for d := range t.Doors {
 		for _, s := range t.Dead[d] {
 			if s.To-s.From < look {
@@ -310,14 +310,14 @@
 			}
 			for o := range t.Doors {
 				if o != d && t.well(o, max(0, s.From-aftermath), s.From+look) && !t.cut(d, o, s.From, s.From+look) && stands(v.at[o][d]) {
-					f.Known = append(f.Known, told[o])
+					f.DetectionMs = append(f.DetectionMs, told[o])
 				}
 			}
 		}
 	}
-	if len(f.Known) == first {
+	if len(f.DetectionMs) == first {
 		add(Known, 0, "no death was long enough, or seen by a door that was well")
-	} else if at := At(f.Known, quantile); at > l.KnownMs {
+	} else if at := Quantile(f.DetectionMs, quantile); at > l.KnownMs {
 		add(Known, 0, "99 in 100 are known after %.0f ms, over %.0f", at, l.KnownMs)
 	}
 }
@@ -352,7 +352,7 @@
 				if !stands(v.at[o][d]) {
 					late[o] = Never
 				}
-				if f.Back = append(f.Back, late[o]); late[o] > l.BackMs {
+				if f.RecoveryMs = append(f.RecoveryMs, late[o]); late[o] > l.BackMs {
 					add(Back, s.To, "door %d held door %d to be here again %.0f ms after it woke, over %.0f", o, d, late[o], l.BackMs)
 				}
 			}
@@ -406,13 +406,13 @@
 			}
 			if e.At > c.From && e.Door != e.About {
 				if e.To == "doubted" || e.To == "away" {
-					if out, in := t.cutOff(e.About, c.From, e.At); max(out, in) >= partLeast && f.Doubt < 0 {
-						f.Doubt = e.At - c.From
+					if out, in := t.cutOff(e.About, c.From, e.At); max(out, in) >= partLeast && f.SuspicionMs < 0 {
+						f.SuspicionMs = e.At - c.From
 					}
 				}
 				if a, b := stands(e.From), stands(e.To); a != b && e.From != "unknown" && t.well(e.About, c.From, e.At) && t.well(e.Door, c.From, e.At) {
 					changes[e.Door][e.About]++
-					f.Changes = max(f.Changes, changes[e.Door][e.About])
+					f.VerdictChanges = max(f.VerdictChanges, changes[e.Door][e.About])
 					if most := max(1, l.Changes); changes[e.Door][e.About] == most+1 {
 						add(OneChange, e.At, "door %d changed its verdict on door %d more than %d times during one cut", e.Door, e.About, most)
 					}
@@ -424,8 +424,8 @@
 			differ(end)
 		}
 	}
-	if l.DoubtMs > 0 && (f.Doubt < 0 || f.Doubt > l.DoubtMs) {
-		add(Doubted, 0, "one cut off in part was first doubted after %.0f ms (-1: never), over %.0f", f.Doubt, l.DoubtMs)
+	if l.DoubtMs > 0 && (f.SuspicionMs < 0 || f.SuspicionMs > l.DoubtMs) {
+		add(Doubted, 0, "one cut off in part was first doubted after %.0f ms (-1: never), over %.0f", f.SuspicionMs, l.DoubtMs)
 	}
 }
 
@@ -488,9 +488,9 @@
 			one = e.At - last
 		}
 	}
-	f.One = one
+	f.ConvergenceMs = one
 	if math.IsInf(one, 1) {
-		f.One = -1
+		f.ConvergenceMs = -1
 	}
 	if one > l.OneMs {
 		for o := range t.Doors {
--- a/lab/procs/check/check_test.go
+++ b/lab/procs/check/check_test.go
@@ -53,7 +53,7 @@
 	truth, h := quiet()
 	b, f := Judge(truth, h, Limits{OneMs: 5000})
 	assert.Empty(t, b)
-	assert.Equal(t, 0.0, f.One)
+	assert.Equal(t, 0.0, f.ConvergenceMs)
 }
 
 func TestAHealthyDoorHeldToBeAwayIsFound(t *testing.T) {
@@ -61,7 +61,7 @@
 	h = append(h, Event{At: 9000, Door: 2, About: 1, From: "here", To: "away"}, Event{At: 9500, Door: 2, About: 1, From: "away", To: "here"})
 	b, f := Judge(truth, h, Limits{})
 	assert.Equal(t, []string{WronglyAway}, rules(b))
-	assert.Equal(t, 1, f.Wrong)
+	assert.Equal(t, 1, f.FalseAway)
 	truth.Paused[1] = []Spell{{From: 7000, To: 9100}}
 	b, _ = Judge(truth, h, Limits{})
 	assert.Empty(t, b, "it was stopped for over a second")
@@ -72,7 +72,7 @@
 	truth.Dead[1] = []Spell{{From: 10e3, To: Never}}
 	b, f := Judge(truth, all(h, 12e3, 1, "here", "away"), deaths)
 	assert.Empty(t, b)
-	assert.Equal(t, 2000.0, At(f.Known, 99))
+	assert.Equal(t, 2000.0, Quantile(f.DetectionMs, 99))
 	late := append(all(h, 12e3, 1, "here", "away")[:len(h)+2], Event{At: 15e3, Door: 3, About: 1, From: "here", To: "away"})
 	b, _ = Judge(truth, late, deaths)
 	assert.Contains(t, rules(b), Known)
@@ -101,7 +101,7 @@
 	turned := append(append([]Event{}, h...), Event{At: 20e3, Door: 0, About: 1, From: "away", To: "here"}, Event{At: 21e3, Door: 0, About: 1, From: "here", To: "away"})
 	b, f := Judge(truth, back(turned), limits)
 	assert.Contains(t, rules(b), OneChange)
-	assert.Equal(t, 3, f.Changes)
+	assert.Equal(t, 3, f.VerdictChanges)
 	b, _ = Judge(truth, back(h[:len(h)-1]), limits)
 	assert.Contains(t, rules(b), Agree)
 }
@@ -114,7 +114,7 @@
 	assert.Contains(t, rules(b), Doubted)
 	b, f := Judge(truth, all(h, 12e3, 1, "here", "doubted"), must)
 	assert.Empty(t, b)
-	assert.Equal(t, 2000.0, f.Doubt)
+	assert.Equal(t, 2000.0, f.SuspicionMs)
 }
 
 func TestTwoViewsAfterTheLastFaultAreFound(t *testing.T) {
@@ -127,7 +127,7 @@
 	assert.Contains(t, rules(b), OneView)
 	b, f := Judge(truth, h, Limits{OneMs: 5000})
 	assert.Contains(t, rules(b), OneView)
-	assert.Equal(t, -1.0, f.One)
+	assert.Equal(t, -1.0, f.ConvergenceMs)
 }
 
 func TestTheDeadRaisedAreFound(t *testing.T) {
--- a/lab/procs/coordinators.go
+++ b/lab/procs/coordinators.go
@@ -18,9 +18,9 @@
 	"github.com/swifthall/swifthall/permits"
 )
 
-// Pace measures coordinators as processes on this machine: permits a second, how long one takes, and how long it is until
+// CoordinatorBenchmark measures coordinators as processes on this machine: permits a second, how long one takes, and how long it is until
 // another leads.
-type Pace struct {
+type CoordinatorBenchmark struct {
 	Coordinators int
 	Callers      int // that ask at once; each for a unit of its own
 	Seconds      float64
@@ -30,11 +30,11 @@
 	Logs         string
 }
 
-// PaceResult is what was measured. Times are ms.
-type PaceResult struct {
-	Permits  float64 // a second
-	P50, P99 float64
-	Leader   []float64 // from a kill to the first command that is answered
+// CoordinatorBenchmarkResult is what was measured. Times are ms.
+type CoordinatorBenchmarkResult struct {
+	Permits    float64 // a second
+	P50, P99   float64
+	FailoverMs []float64 // from a kill to the first command that is answered
 }
 
 const (
@@ -43,7 +43,7 @@
 )
 
 // Measure measures.
-func (p Pace) Measure(ctx context.Context) (*PaceResult, error) {
+func (p CoordinatorBenchmark) Measure(ctx context.Context) (*CoordinatorBenchmarkResult, error) {
 	d := &drill{Drill: Drill{Coordinators: p.Coordinators, Binary: p.Binary, Logs: p.Logs}, ctx: ctx}
 	defer d.end()
 	if err := d.open(); err != nil {
@@ -64,7 +64,7 @@
 	for _, c := range d.coords {
 		all = append(all, config.NamedAddress{Name: c.name, Address: c.serve})
 	}
-	r := &PaceResult{}
+	r := &CoordinatorBenchmarkResult{}
 	if err := p.permits(ctx, all, r); err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 }
 
 // permits has callers ask for permits and give them back, as fast as they are answered.
-func (p Pace) permits(ctx context.Context, all []config.NamedAddress, r *PaceResult) error {
+func (p CoordinatorBenchmark) permits(ctx context.Context, all []config.NamedAddress, r *CoordinatorBenchmarkResult) error {
 	c := client.New(all)
 	defer c.Close()
 	starting, stop := context.WithTimeout(ctx, startMost)
@@ -151,7 +151,7 @@
 }
 
 // kill kills whichever leads, and measures until a command is answered again.
-func (d *drill) kill(ctx context.Context, all []config.NamedAddress, round int, r *PaceResult) error {
+func (d *drill) kill(ctx context.Context, all []config.NamedAddress, round int, r *CoordinatorBenchmarkResult) error {
 	c := client.New(all)
 	defer c.Close()
 	within, stop := context.WithTimeout(ctx, startMost)
@@ -171,7 +171,7 @@
 	if _, err := c.Command(within, permits.Command{Caller: fmt.Sprint("after-", round), Seq: 1, Do: permits.Note{What: "a leader was killed"}}); err != nil {
 		return err
 	}
-	r.Leader = append(r.Leader, float64(time.Since(began))/1e6)
+	r.FailoverMs = append(r.FailoverMs, float64(time.Since(began))/1e6)
 	return d.coords[i].start()
 }
 
--- a/lab/procs/drill.go
+++ b/lab/procs/drill.go
@@ -34,14 +34,14 @@
 // commands by the program's own command line, while a schedule drawn from the seed strikes coordinators and doors. It judges by
 // what truly was: what operators were answered and when, whether each door said that it can serve, which backend got what.
 type Drill struct {
-	Seed         uint64
-	Seconds      float64
-	Doors        int
-	Coordinators int
-	Binary       string // swifthall, with its other programs beside it
-	Logs         string
-	Rate         float64 // requests a second that clients ask of each door that nothing befalls
-	Strike       string  // strikes drawn where empty; none, one, leader or all: coordinators lost, for measurements
+	Seed            uint64
+	Seconds         float64
+	Doors           int
+	Coordinators    int
+	Binary          string // swifthall, with its other programs beside it
+	Logs            string
+	Rate            float64 // requests a second that clients ask of each door that nothing befalls
+	CoordinatorLoss string  // strikes drawn where empty; none, one, leader or all: coordinators lost, for measurements
 }
 
 // Rules of a drill, besides those of outs and of the rig.
@@ -73,8 +73,8 @@
 // DrillResult is what a drill came to.
 type DrillResult struct {
 	Seed            uint64
-	Breaches        []outs.Breach
-	Strikes         []string // what struck whom, in order
+	Violations      []outs.Breach
+	Faults          []string // what struck whom, in order
 	Went, Returned  int      // doors that went aside and came back
 	Calls           int      // of operators about backends
 	Drained         int      // times that a backend was said to be drained
@@ -151,8 +151,8 @@
 // begun has the day's clock begin now.
 func (d *drill) begun() { d.zero.Store(math.Float64bits(clock())) }
 
-// Play plays the drill.
-func (p Drill) Play(ctx context.Context) (*DrillResult, error) {
+// Run plays the drill.
+func (p Drill) Run(ctx context.Context) (*DrillResult, error) {
 	if n := p.Doors + p.Coordinators; n > mostProcesses {
 		return nil, &CrowdError{n}
 	}
@@ -480,7 +480,7 @@
 	last := (d.Seconds - drillQuiet) * msPerSecond
 	add := func(at float64, says string, do func() error) { all = append(all, strike{min(at, last), says, do}) }
 	quick := func(do func()) func() error { return func() error { do(); return nil } }
-	if d.Strike != "" {
+	if d.CoordinatorLoss != "" {
 		return d.drawn(last)
 	}
 	together := last * (0.4 + 0.3*dice.Float64()) // all coordinators at once, in one of three drills
@@ -563,7 +563,7 @@
 			return nil
 		}})
 	}
-	switch d.Strike {
+	switch d.CoordinatorLoss {
 	case "one":
 		down(last*0.3, last*0.4, "one", func() []*party { return d.coords[:1] })
 	case "leader":
@@ -916,7 +916,7 @@
 func (d *drill) result(back float64, served []*load.Outcome) *DrillResult {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := &DrillResult{Seed: d.Seed, Strikes: d.strikes, Calls: len(d.history), Refused: d.refused, Lost: d.lost, BackMs: back, History: d.history}
+	r := &DrillResult{Seed: d.Seed, Faults: d.strikes, Calls: len(d.history), Refused: d.refused, Lost: d.lost, BackMs: back, History: d.history}
 	var zones []int
 	var all []outs.Outage
 	for i, p := range d.doors {
@@ -935,7 +935,7 @@
 			}
 		}
 	}
-	r.Breaches = outs.CheckOutages(zones, all, d.stops, []outs.BudgetLimit{{MostOut: mostDoorsOut}, {EachZone: true, MostOut: mostZoneOut}})
+	r.Violations = outs.CheckOutages(zones, all, d.stops, []outs.BudgetLimit{{MostOut: mostDoorsOut}, {EachZone: true, MostOut: mostZoneOut}})
 	var drained []claim
 	for _, c := range d.claims {
 		if len(drained) == 0 || drained[len(drained)-1].unit != c.unit || drained[len(drained)-1].to != c.to {
@@ -943,19 +943,19 @@
 		}
 	}
 	r.Drained = len(drained)
-	r.Breaches = append(r.Breaches, silent(d.claims, d.came)...)
+	r.Violations = append(r.Violations, silent(d.claims, d.came)...)
 	if ok, says := history.Check(mostBackOut, d.history, checkFor); !ok {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: AsOne, Text: says})
+		r.Violations = append(r.Violations, outs.Breach{Rule: AsOne, Text: says})
 	}
 	if back < 0 {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: AllBack, At: d.ms(), Text: fmt.Sprintf("not all is back after %.0f s", drillBack/msPerSecond)})
+		r.Violations = append(r.Violations, outs.Breach{Rule: AllBack, At: d.ms(), Text: fmt.Sprintf("not all is back after %.0f s", drillBack/msPerSecond)})
 	}
 	for _, f := range d.fails {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: RunsOn, Text: f})
+		r.Violations = append(r.Violations, outs.Breach{Rule: RunsOn, Text: f})
 	}
 	var says string
 	if r.Asked, r.Finished, says = servedOn(served); says != "" {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: Finished, Text: says})
+		r.Violations = append(r.Violations, outs.Breach{Rule: Finished, Text: says})
 	}
 	return r
 }
--- a/lab/procs/drill_test.go
+++ b/lab/procs/drill_test.go
@@ -21,12 +21,12 @@
 	for seed := uint64(1); seed <= 2; seed++ {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			r, err := Drill{Seed: seed, Seconds: 14, Doors: 6, Coordinators: 3, Binary: binary, Rate: 20}.Play(context.Background())
+			r, err := Drill{Seed: seed, Seconds: 14, Doors: 6, Coordinators: 3, Binary: binary, Rate: 20}.Run(context.Background())
 			require.NoError(t, err)
-			assert.Empty(t, r.Breaches, r.Strikes)
+			assert.Empty(t, r.Violations, r.Faults)
 			assert.Positive(t, r.Calls)
 			t.Logf("%d strikes, %d doors went and %d came back, %d calls of which %d refused and %d lost, %d times drained, all back %.0f ms; %d of %d operations",
-				len(r.Strikes), r.Went, r.Returned, r.Calls, r.Refused, r.Lost, r.Drained, r.BackMs, r.Finished, r.Asked)
+				len(r.Faults), r.Went, r.Returned, r.Calls, r.Refused, r.Lost, r.Drained, r.BackMs, r.Finished, r.Asked)
 		})
 	}
 }
--- a/lab/procs/migration.go
+++ b/lab/procs/migration.go
@@ -30,7 +30,7 @@
 	Binary       string
 	Logs         string
 	Rate         float64 // requests a second at each door
-	Quiet        bool    // nothing strikes
+	NoFaults     bool    // nothing strikes
 }
 
 // MigrationSteps is how many it has.
@@ -39,9 +39,9 @@
 // MigrationResult is what a migration came to.
 type MigrationResult struct {
 	HaltAt                            int
-	Breaches                          []outs.Breach
+	Violations                        []outs.Breach
 	Stage                             string // of the migration, at its end
-	Strikes                           []string
+	Faults                            []string
 	TookS                             float64 // from its entry to its end
 	BackS                             float64 // of that, from the word that sent it back
 	Changes                           int     // times that a door began to run something else
@@ -82,8 +82,8 @@
 	return `[{"name":"ample","rate":1000000,"depth":1000000,"at_once":0,"never_over_rate":0,"ceiling_burst":0,"pays":1},` + fmt.Sprintf(thin, more) + `]`
 }
 
-// Play plays the migration.
-func (p Migration) Play(ctx context.Context) (*MigrationResult, error) {
+// Run plays the migration.
+func (p Migration) Run(ctx context.Context) (*MigrationResult, error) {
 	if !(p.Rate > 0) || p.HaltAt < 0 || p.HaltAt > MigrationSteps {
 		return nil, &NameError{fmt.Sprintf("rate %g, halt at step %d", p.Rate, p.HaltAt)}
 	}
@@ -141,7 +141,7 @@
 	var which []spell
 	r.MostOut, which = mostAtOnce(d.doors)
 	breach := func(rule, format string, args ...any) {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: rule, Text: fmt.Sprintf(format, args...)})
+		r.Violations = append(r.Violations, outs.Breach{Rule: rule, Text: fmt.Sprintf(format, args...)})
 	}
 	for _, f := range d.fails {
 		breach(RunsOn, "%s", f)
@@ -290,8 +290,8 @@
 	}
 	quiet, stop := context.WithCancel(d.ctx)
 	var strikes sync.WaitGroup
-	if !p.Quiet {
-		strikes.Go(func() { r.Strikes = d.strikeCoordinators(quiet) })
+	if !p.NoFaults {
+		strikes.Go(func() { r.Faults = d.strikeCoordinators(quiet) })
 	}
 	defer strikes.Wait()
 	defer stop()
@@ -357,7 +357,7 @@
 			return err
 		}
 	}
-	r.Breaches = append(r.Breaches, outs.Breach{Rule: EndsAll, At: d.ms(), Text: fmt.Sprintf("%d permits are left", left)})
+	r.Violations = append(r.Violations, outs.Breach{Rule: EndsAll, At: d.ms(), Text: fmt.Sprintf("%d permits are left", left)})
 	return nil
 }
 
@@ -385,7 +385,7 @@
 	}
 	for i, door := range d.doors {
 		if now := door.runs(); now != was[i] {
-			r.Breaches = append(r.Breaches, outs.Breach{Rule: Stopped, At: d.ms(), Text: fmt.Sprintf("%s runs %q, before %q", door.name, now, was[i])})
+			r.Violations = append(r.Violations, outs.Breach{Rule: Stopped, At: d.ms(), Text: fmt.Sprintf("%s runs %q, before %q", door.name, now, was[i])})
 		}
 	}
 	return nil
--- a/lab/procs/migration_test.go
+++ b/lab/procs/migration_test.go
@@ -17,13 +17,13 @@
 		t.Skip("real time")
 	}
 	t.Parallel()
-	r, err := Migration{Seed: 1, HaltAt: 2, Doors: 4, Coordinators: 3, Binary: built(t), Rate: 60}.Play(context.Background())
+	r, err := Migration{Seed: 1, HaltAt: 2, Doors: 4, Coordinators: 3, Binary: built(t), Rate: 60}.Run(context.Background())
 	require.NoError(t, err)
-	assert.Empty(t, r.Breaches)
+	assert.Empty(t, r.Violations)
 	assert.Positive(t, r.Asked)
 	assert.GreaterOrEqual(t, r.Changes, 2*4, "each door was changed, and changed back")
 	t.Logf("%s after %.1f s, back after %.1f s; %d strikes, %d changes, most out %d; %d operations, %d finished, %d rejected, %d failed; %d rejected cold", r.Stage, r.TookS, r.BackS,
-		len(r.Strikes), r.Changes, r.MostOut, r.Asked, r.Finished, r.Rejected, r.Failed, r.Cold)
+		len(r.Faults), r.Changes, r.MostOut, r.Asked, r.Finished, r.Rejected, r.Failed, r.Cold)
 }
 
 // Each fault that a migration could have is found by what the rig looks at.
@@ -60,12 +60,12 @@
 	} {
 		Migration{HaltAt: c.haltAt}.judge(c.d, &c.r, c.before, c.after)
 		var rules []string
-		for _, b := range c.r.Breaches {
+		for _, b := range c.r.Violations {
 			rules = append(rules, b.Rule)
 		}
 		assert.Equal(t, c.rules, rules, name)
 	}
-	_, err := Migration{HaltAt: 9, Rate: 1}.Play(context.Background())
+	_, err := Migration{HaltAt: 9, Rate: 1}.Run(context.Background())
 	var wrong *NameError
 	assert.ErrorAs(t, err, &wrong)
 }
--- a/lab/procs/real.go
+++ b/lab/procs/real.go
@@ -31,11 +31,11 @@
 
 // Real plays a plan on processes of the built program.
 type Real struct {
-	Plan   *Plan
-	Binary string  // swifthall, with swifthall-fleet beside it
-	Logs   string  // folder for the processes' logs; empty for none
-	Rate   float64 // requests a second that clients ask of each door; 0 for none
-	Plain  bool    // doors without a fleet, to see what membership costs
+	Plan    *Plan
+	Binary  string  // swifthall, with swifthall-fleet beside it
+	Logs    string  // folder for the processes' logs; empty for none
+	Rate    float64 // requests a second that clients ask of each door; 0 for none
+	NoFleet bool    // doors without a fleet, to see what membership costs
 }
 
 const (
@@ -85,8 +85,8 @@
 	return float64(t.Sec)*1e3 + float64(t.Nsec)/1e6
 }
 
-// Play plays the plan and judges it.
-func (p Real) Play(ctx context.Context, progress func(done float64)) (*Result, error) {
+// Run plays the plan and judges it.
+func (p Real) Run(ctx context.Context, progress func(done float64)) (*Result, error) {
 	n := p.Plan.Fleet.Doors
 	if n > mostProcesses {
 		return nil, &CrowdError{n}
@@ -154,7 +154,7 @@
 // doors reach each other as they say.
 func (r *rig) ways() error {
 	n := r.Plan.Fleet.Doors
-	if len(r.Plan.Names) > 0 || r.Plain {
+	if len(r.Plan.Names) > 0 || r.NoFleet {
 		return nil
 	}
 	cut := func(way int, at float64) bool {
@@ -196,7 +196,7 @@
 	}
 	cfg := r.site.Config(Door(p.door), p.serve, p.door, n)
 	cfg["log"] = map[string]string{"format": "json", "level": "info"}
-	if !r.Plain {
+	if !r.NoFleet {
 		cfg["fleet"] = p.fleet(peers, routes)
 	}
 	raw, err := json.Marshal(cfg)
@@ -308,7 +308,7 @@
 			}
 		}
 	}
-	if r.Plain {
+	if r.NoFleet {
 		return r.ready()
 	}
 	patience := time.After(startMost)
@@ -522,18 +522,18 @@
 	}
 	p := r.Plan
 	res := &Result{Schedule: p.Name, Shows: p.Shows, On: "on processes", Who: "module", Seed: p.Seed, Doors: p.Fleet.Doors, Truth: p.Truth, History: Sorted(history)}
-	if !r.Plain {
-		res.Breaches, res.Figures = check.Judge(&p.Truth, res.History, p.Limits())
+	if !r.NoFleet {
+		res.Violations, res.Figures = check.Judge(&p.Truth, res.History, p.Limits())
 	}
 	for _, f := range r.fails {
-		res.Breaches = append(res.Breaches, check.Breach{Rule: RunsOn, Text: f})
+		res.Violations = append(res.Violations, check.Breach{Rule: RunsOn, Text: f})
 	}
 	var says string
 	if res.Asked, res.Finished, says = servedOn(served); says != "" {
-		res.Breaches = append(res.Breaches, check.Breach{Rule: ServedOn, Text: says})
+		res.Violations = append(res.Violations, check.Breach{Rule: ServedOn, Text: says})
 	}
 	res.standBack(p, r.refused)
-	res.CPU, res.Resident = check.At(r.cpu, 50), check.At(r.resident, 50)
+	res.CPU, res.Resident = check.Quantile(r.cpu, 50), check.Quantile(r.resident, 50)
 	datagrams := int64(0)
 	for _, one := range r.relays {
 		if one != nil {
--- a/lab/procs/real_test.go
+++ b/lab/procs/real_test.go
@@ -55,12 +55,12 @@
 			t.Parallel()
 			s, err := Open(name)
 			require.NoError(t, err)
-			r, err := Real{Plan: s.Draw(1), Binary: binary, Rate: 20}.Play(context.Background(), nil)
+			r, err := Real{Plan: s.Draw(1), Binary: binary, Rate: 20}.Run(context.Background(), nil)
 			require.NoError(t, err)
-			assert.Empty(t, r.Breaches)
+			assert.Empty(t, r.Violations)
 			assert.NotEmpty(t, r.History)
-			t.Logf("known %.0f ms, back %.0f ms, one view %.0f ms, changes %d; %d of %d operations", largest(r.Figures.Known), largest(r.Figures.Back), r.Figures.One,
-				r.Figures.Changes, r.Finished, r.Asked)
+			t.Logf("known %.0f ms, back %.0f ms, one view %.0f ms, changes %d; %d of %d operations", largest(r.Figures.DetectionMs), largest(r.Figures.RecoveryMs), r.Figures.ConvergenceMs,
+				r.Figures.VerdictChanges, r.Finished, r.Asked)
 		})
 	}
 }
@@ -75,12 +75,12 @@
 func TestARigThatCantPlaySaysWhatToDo(t *testing.T) {
 	s, err := Open("calm")
 	require.NoError(t, err)
-	_, err = Real{Plan: s.Draw(1), Binary: "/nowhere/swifthall"}.Play(context.Background(), nil)
+	_, err = Real{Plan: s.Draw(1), Binary: "/nowhere/swifthall"}.Run(context.Background(), nil)
 	var rig *RigError
 	require.ErrorAs(t, err, &rig)
 	assert.Contains(t, rig.Remedy(), "go build")
 	s.Fleet.Doors = 300
-	_, err = Real{Plan: s.Draw(1)}.Play(context.Background(), nil)
+	_, err = Real{Plan: s.Draw(1)}.Run(context.Background(), nil)
 	var crowd *CrowdError
 	assert.ErrorAs(t, err, &crowd)
 }
--- a/lab/procs/report.go
+++ b/lab/procs/report.go
@@ -140,10 +140,10 @@
 		y += 4
 	}
 	f := &r.Figures
-	figures := [][2]string{{"healthy doors held to be away", fmt.Sprint(f.Wrong)}, {"most changes of one verdict during a cut", fmt.Sprint(f.Changes)},
-		{"deaths known, 99 in 100 within", fmt.Sprintf("%.0f ms of %d", check.At(f.Known, 99), len(f.Known))},
-		{"the paused back, all within", fmt.Sprintf("%.0f ms of %d", check.At(f.Back, 100), len(f.Back))},
-		{"one view after the last fault", fmt.Sprintf("%.0f ms (-1: never)", f.One)},
+	figures := [][2]string{{"healthy doors held to be away", fmt.Sprint(f.FalseAway)}, {"most changes of one verdict during a cut", fmt.Sprint(f.VerdictChanges)},
+		{"deaths known, 99 in 100 within", fmt.Sprintf("%.0f ms of %d", check.Quantile(f.DetectionMs, 99), len(f.DetectionMs))},
+		{"the paused back, all within", fmt.Sprintf("%.0f ms of %d", check.Quantile(f.RecoveryMs, 100), len(f.RecoveryMs))},
+		{"one view after the last fault", fmt.Sprintf("%.0f ms (-1: never)", f.ConvergenceMs)},
 		{"messages a second of a door", fmt.Sprintf("%.1f", r.Messages)}, {"bytes a second of a door", fmt.Sprintf("%.0f", r.Bytes)},
 		{"operations finished at doors that nothing befell", fmt.Sprintf("%d of %d", r.Finished, r.Asked)}}
 	var out bytes.Buffer
--- a/lab/procs/rollout.go
+++ b/lab/procs/rollout.go
@@ -30,7 +30,7 @@
 }
 
 // Rollouts tells what each kind of release is.
-var Rollouts = map[string]string{
+var RolloutKinds = map[string]string{
 	"none":     "no release: what service is without one",
 	"good":     "a harmless configuration reaches all doors",
 	"program":  "the same program under another digest reaches all doors",
@@ -47,14 +47,14 @@
 // RolloutResult is what a rollout came to.
 type RolloutResult struct {
 	Kind                              string
-	Breaches                          []outs.Breach
+	Violations                        []outs.Breach
 	Stage                             string
-	Says                              string
+	Reason                            string
 	TookS                             float64 // from the start to the end of the release
 	DecidedS                          float64 // from the first door's change to the word that sends all back
 	BackS                             float64 // from that word until all is as before
 	MostOut                           int     // doors that couldn't serve at once
-	Touched                           float64 // share of requests that came to doors while they ran what was bad
+	ExposureS                         float64 // share of requests that came to doors while they ran what was bad
 	Asked, Finished, Rejected, Failed int     // from the release's start
 	Cold                              int     // rejected before it, by doors that had just started
 
@@ -74,9 +74,9 @@
 	slowestPoll = 200 * time.Millisecond
 )
 
-// Play plays the rollout.
-func (p Rollout) Play(ctx context.Context) (*RolloutResult, error) {
-	if Rollouts[p.Kind] == "" {
+// Run plays the rollout.
+func (p Rollout) Run(ctx context.Context) (*RolloutResult, error) {
+	if RolloutKinds[p.Kind] == "" {
 		return nil, &NameError{p.Kind}
 	}
 	if !(p.Rate > 0) {
@@ -124,10 +124,10 @@
 	defer d.mu.Unlock()
 	r.MostOut, _ = mostAtOnce(d.doors)
 	for _, f := range d.fails {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: RunsOn, Text: f})
+		r.Violations = append(r.Violations, outs.Breach{Rule: RunsOn, Text: f})
 	}
 	if r.Failed > 0 {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: NoneLost, Text: fmt.Sprintf("%d of %d operations", r.Failed, r.Asked)})
+		r.Violations = append(r.Violations, outs.Breach{Rule: NoneLost, Text: fmt.Sprintf("%d of %d operations", r.Failed, r.Asked)})
 	}
 	r.unhurt(outcomes)
 	want := map[string]string{"good": "done", "program": "done", "restart": "done", "backends": "done", "none": ""}
@@ -136,7 +136,7 @@
 		should = "back"
 	}
 	if r.Stage != should {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: EndsSo, Text: fmt.Sprintf("%q, not %q: %s", r.Stage, should, r.Says)})
+		r.Violations = append(r.Violations, outs.Breach{Rule: EndsSo, Text: fmt.Sprintf("%q, not %q: %s", r.Stage, should, r.Reason)})
 	}
 	return r, nil
 }
@@ -145,7 +145,7 @@
 // changed has just started, and what starts on a crowded machine rejects a few.
 func (r *RolloutResult) unhurt(at []*load.Outcome) {
 	breach := func(format string, args ...any) {
-		r.Breaches = append(r.Breaches, outs.Breach{Rule: Unhurt, Text: fmt.Sprintf(format, args...)})
+		r.Violations = append(r.Violations, outs.Breach{Rule: Unhurt, Text: fmt.Sprintf(format, args...)})
 	}
 	for i, o := range at {
 		if o.Rejected > 0 && !r.reached[Door(i)] && r.Kind != "backends" { // whose waves reach the backends of all
@@ -281,7 +281,7 @@
 			continue
 		}
 		now, one := d.ms(), all[len(all)-1]
-		r.Stage, r.Says = one.Stage, one.Says
+		r.Stage, r.Reason = one.Stage, one.Says
 		for _, part := range one.Parts[:min(one.Wave+1, len(one.Parts))] {
 			for _, unit := range part {
 				r.reached[unit] = true
@@ -308,7 +308,7 @@
 				r.BackS = (now - decidedAt) / msPerSecond
 				if firstAt > 0 {
 					r.DecidedS = (decidedAt - firstAt) / msPerSecond
-					r.Touched = (now - firstAt) / msPerSecond / float64(len(d.doors)) // of a second's requests at all doors, for one door
+					r.ExposureS = (now - firstAt) / msPerSecond / float64(len(d.doors)) // of a second's requests at all doors, for one door
 				}
 			}
 			return nil
--- a/lab/procs/rollout_test.go
+++ b/lab/procs/rollout_test.go
@@ -19,13 +19,13 @@
 	for kind, doors := range map[string]int{"good": 4, "refused": 4, "crash": 4, "later": 4, "harmful": 4} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			r, err := Rollout{Seed: 1, Kind: kind, Doors: doors, Coordinators: 3, Binary: binary, Rate: 60}.Play(context.Background())
+			r, err := Rollout{Seed: 1, Kind: kind, Doors: doors, Coordinators: 3, Binary: binary, Rate: 60}.Run(context.Background())
 			require.NoError(t, err)
-			assert.Empty(t, r.Breaches)
+			assert.Empty(t, r.Violations)
 			assert.Positive(t, r.Asked)
 			assert.LessOrEqual(t, r.MostOut, mostDoorsOut)
 			t.Logf("%s after %.1f s, decided after %.1f s, back after %.1f s; most out %d; %d operations, %d finished, %d rejected, %d failed; %d rejected cold: %s", r.Stage,
-				r.TookS, r.DecidedS, r.BackS, r.MostOut, r.Asked, r.Finished, r.Rejected, r.Failed, r.Cold, r.Says)
+				r.TookS, r.DecidedS, r.BackS, r.MostOut, r.Asked, r.Finished, r.Rejected, r.Failed, r.Cold, r.Reason)
 		})
 	}
 }
@@ -39,7 +39,7 @@
 			r.Asked, r.Finished, r.Rejected = r.Asked+o.Asked, r.Finished+o.Finished, r.Rejected+o.Rejected
 		}
 		r.unhurt(all)
-		return len(r.Breaches)
+		return len(r.Violations)
 	}
 	fine := load.Outcome{Asked: 1000, Finished: 1000}
 	one := load.Outcome{Asked: 1000, Finished: 999, Rejected: 1}
@@ -54,14 +54,14 @@
 }
 
 func TestARolloutNobodyKnowsIsNamed(t *testing.T) {
-	_, err := Rollout{Kind: "sideways"}.Play(context.Background())
+	_, err := Rollout{Kind: "sideways"}.Run(context.Background())
 	var name *NameError
 	require.ErrorAs(t, err, &name)
 }
 
 // It once ran to its end and then fell over the clients that had never begun.
 func TestARolloutWithoutClientsDoesNotBegin(t *testing.T) {
-	_, err := Rollout{Kind: "crash", Doors: 1, Coordinators: 1}.Play(context.Background())
+	_, err := Rollout{Kind: "crash", Doors: 1, Coordinators: 1}.Run(context.Background())
 	var run *load.RunError
 	require.ErrorAs(t, err, &run)
 	assert.Contains(t, err.Error(), "rate 0")
--- a/lab/procs/stack_test.go
+++ b/lab/procs/stack_test.go
@@ -258,7 +258,7 @@
 				b, f, packets, bytes := bubbled(t, p, driven)
 				assert.Empty(t, b)
 				t.Logf("%s %d doors: known %.0f ms, one view %.0f ms, changes %d, wrong %d, doubt %.0f; quiet: %.1f packets, %.0f bytes a second", name,
-					p.Fleet.Doors, check.At(f.Known, 99), f.One, f.Changes, f.Wrong, f.Doubt, packets, bytes)
+					p.Fleet.Doors, check.Quantile(f.DetectionMs, 99), f.ConvergenceMs, f.VerdictChanges, f.FalseAway, f.SuspicionMs, packets, bytes)
 			})
 		}
 	}
@@ -266,10 +266,10 @@
 
 func TestTheLibrarysOwnDetectorIsBlindToHalfACutAndLate(t *testing.T) {
 	b, f, _, _ := bubbled(t, small(t, "half-heard", 12).Draw(0), library)
-	assert.True(t, hasRule(&Result{Breaches: b}, check.Doubted), "%v %v", b, f)
+	assert.True(t, hasRule(&Result{Violations: b}, check.Doubted), "%v %v", b, f)
 	b, f, _, _ = bubbled(t, small(t, "crash", 12).Draw(0), library)
-	assert.True(t, hasRule(&Result{Breaches: b}, check.Known), "%v", b)
-	require.NotEmpty(t, f.Known)
+	assert.True(t, hasRule(&Result{Violations: b}, check.Known), "%v", b)
+	require.NotEmpty(t, f.DetectionMs)
 }
 
 // TestLibraryBeside prints what the library alone does on the same schedules, for docs/members.md.
@@ -286,7 +286,7 @@
 				rules[x.Rule]++
 			}
 			t.Logf("library, %s %d doors: known %.0f ms, one view %.0f ms, changes %d, wrong %d, doubt %.0f; quiet: %.1f packets, %.0f bytes a second; broken %v",
-				name, p.Fleet.Doors, check.At(f.Known, 99), f.One, f.Changes, f.Wrong, f.Doubt, packets, bytes, rules)
+				name, p.Fleet.Doors, check.Quantile(f.DetectionMs, 99), f.ConvergenceMs, f.VerdictChanges, f.FalseAway, f.SuspicionMs, packets, bytes, rules)
 		}
 	}
 }
--- a/lab/procs/virtual.go
+++ b/lab/procs/virtual.go
@@ -17,8 +17,8 @@
 	All() []members.Record
 }
 
-// Maker makes one door's detector; fleet lists the whole fleet, for those that must be told it.
-type Maker func(self members.Peer, fleet []members.Peer, seed uint64) Detector
+// DetectorFactory makes one door's detector; fleet lists the whole fleet, for those that must be told it.
+type DetectorFactory func(self members.Peer, fleet []members.Peer, seed uint64) Detector
 
 // Module makes the module itself.
 func Module(self members.Peer, _ []members.Peer, seed uint64) Detector {
@@ -27,22 +27,22 @@
 
 // Result is what one play came to.
 type Result struct {
-	Schedule string         `json:"schedule"`
-	Shows    string         `json:"shows"`
-	On       string         `json:"on"`
-	Who      string         `json:"who"`
-	Seed     uint64         `json:"seed"`
-	Doors    int            `json:"doors"`
-	Breaches []check.Breach `json:"breaches"`
-	Figures  check.Figures  `json:"figures"`
-	Messages float64        `json:"messages_per_s"` // sent by a door, a second
-	Bytes    float64        `json:"bytes_per_s"`
-	Truth    check.Truth    `json:"-"`
-	CPU      float64        `json:"cpu_ms_per_s,omitempty"` // on processes, of the middle door
-	Resident float64        `json:"resident_mb,omitempty"`
-	Asked    int            `json:"asked,omitempty"` // on processes, of doors that nothing befell
-	Finished int            `json:"finished,omitempty"`
-	History  []check.Event  `json:"history"`
+	Schedule   string         `json:"schedule"`
+	Shows      string         `json:"shows"`
+	On         string         `json:"on"`
+	Who        string         `json:"who"`
+	Seed       uint64         `json:"seed"`
+	Doors      int            `json:"doors"`
+	Violations []check.Breach `json:"breaches"`
+	Figures    check.Figures  `json:"figures"`
+	Messages   float64        `json:"messages_per_s"` // sent by a door, a second
+	Bytes      float64        `json:"bytes_per_s"`
+	Truth      check.Truth    `json:"-"`
+	CPU        float64        `json:"cpu_ms_per_s,omitempty"` // on processes, of the middle door
+	Resident   float64        `json:"resident_mb,omitempty"`
+	Asked      int            `json:"asked,omitempty"` // on processes, of doors that nothing befell
+	Finished   int            `json:"finished,omitempty"`
+	History    []check.Event  `json:"history"`
 }
 
 const (
@@ -122,7 +122,7 @@
 // world plays a plan in virtual time.
 type world struct {
 	*Plan
-	make     Maker
+	make     DetectorFactory
 	q        queue
 	now      float64
 	order    int
@@ -139,8 +139,8 @@
 // Door names a door, the same in virtual time and on processes.
 func Door(i int) string { return fmt.Sprintf("door-%03d", i) }
 
-// Play plays a plan in virtual time and judges it.
-func (p *Plan) Play(ctx context.Context, who string, make Maker) (*Result, error) {
+// Run plays a plan in virtual time and judges it.
+func (p *Plan) Run(ctx context.Context, who string, make DetectorFactory) (*Result, error) {
 	w := &world{Plan: p, make: make, dice: rand.New(rand.NewPCG(p.Seed, 7)), now: -warmup, index: map[string]int{}}
 	for i := range p.Fleet.Doors {
 		peer := members.Peer{Name: Door(i), Address: fmt.Sprintf("10.0.%d.%d:7946", i/250, i%250), Zone: fmt.Sprint("z", p.Truth.Zones[i]), Number: i}
@@ -189,7 +189,7 @@
 	seconds := (end + warmup) / msPerSecond * float64(p.Fleet.Doors)
 	r := &Result{Schedule: p.Name, Shows: p.Shows, On: "simulated", Who: who, Seed: p.Seed, Doors: p.Fleet.Doors, Truth: p.Truth, History: w.history,
 		Messages: float64(w.messages) / seconds, Bytes: w.bytes / seconds}
-	r.Breaches, r.Figures = check.Judge(&p.Truth, r.History, p.Limits())
+	r.Violations, r.Figures = check.Judge(&p.Truth, r.History, p.Limits())
 	r.standBack(p, w.refused)
 	return r, nil
 }
@@ -197,7 +197,7 @@
 // standBack tells of doors under others' names that did not find out.
 func (r *Result) standBack(p *Plan, refused int) {
 	if len(p.Names) > refused {
-		r.Breaches = append(r.Breaches, check.Breach{Rule: StandBack, Text: fmt.Sprintf("%d of %d said that their name is taken", refused, len(p.Names))})
+		r.Violations = append(r.Violations, check.Breach{Rule: StandBack, Text: fmt.Sprintf("%d of %d said that their name is taken", refused, len(p.Names))})
 	}
 }
 
--- a/lab/procs/virtual_test.go
+++ b/lab/procs/virtual_test.go
@@ -32,9 +32,9 @@
 			for _, doors := range []int{12, 40} {
 				t.Run(fmt.Sprint(name, "/", doors, "/", seed), func(t *testing.T) {
 					t.Parallel()
-					r, err := small(t, name, doors).Draw(seed).Play(context.Background(), "module", Module)
+					r, err := small(t, name, doors).Draw(seed).Run(context.Background(), "module", Module)
 					require.NoError(t, err)
-					assert.Empty(t, r.Breaches)
+					assert.Empty(t, r.Violations)
 					assert.NotEmpty(t, r.History)
 				})
 			}
@@ -44,7 +44,7 @@
 
 func TestTheSameSeedGivesTheSameHistory(t *testing.T) {
 	play := func(seed uint64) *Result {
-		r, err := small(t, "herd", 12).Draw(seed).Play(context.Background(), "module", Module)
+		r, err := small(t, "herd", 12).Draw(seed).Run(context.Background(), "module", Module)
 		require.NoError(t, err)
 		return r
 	}
@@ -53,13 +53,13 @@
 }
 
 func TestPlainHeartbeatsTakeThePausedForDeadAndAlternate(t *testing.T) {
-	r, err := small(t, "half-heard", 12).Draw(1).Play(context.Background(), "heartbeats", Heartbeats)
+	r, err := small(t, "half-heard", 12).Draw(1).Run(context.Background(), "heartbeats", Heartbeats)
 	require.NoError(t, err)
-	assert.True(t, hasRule(r, check.Agree), "those who hear it and those who don't hold different verdicts: %v", r.Breaches)
+	assert.True(t, hasRule(r, check.Agree), "those who hear it and those who don't hold different verdicts: %v", r.Violations)
 }
 
 func hasRule(r *Result, rule string) bool {
-	for _, b := range r.Breaches {
+	for _, b := range r.Violations {
 		if b.Rule == rule {
 			return true
 		}
--- a/lab/stand/beside.go
+++ b/lab/stand/beside.go
@@ -87,7 +87,7 @@
 		tb.spawn(func() { _ = srv.Serve(ln) })
 		tb.onClose(func() { srv.Close() })
 		addrs = append(addrs, ln.Addr().String())
-		entries = append(entries, registry.Entry{ID: fmt.Sprintf("b-%d", i), Addr: addrs[i], Zone: "z", State: "Ready", Size: 1})
+		entries = append(entries, registry.Entry{ID: fmt.Sprintf("b-%d", i), Addr: addrs[i], Zone: "z", State: "Ready", Weight: 1})
 		states = append(states, model.BackendEntry{Backend: i})
 	}
 	d, err := newDoor(tb, 0)
--- a/lab/stand/door.go
+++ b/lab/stand/door.go
@@ -94,7 +94,7 @@
 			d.backends = append(d.backends, a)
 		}
 		e := registry.Entry{ID: fmt.Sprintf("b-%d", l.Backend), Addr: d.backends[l.Backend].addr, Zone: fmt.Sprintf("z%d", l.Zone),
-			Cell: int64(l.Cell), State: wireStates[l.Status], Size: 1}
+			Cell: int64(l.Cell), State: wireStates[l.Status], Weight: 1}
 		if l.StartedAt >= 0 {
 			e.Started = float64(time.Now().UnixMilli()) - (d.tb.sim.Now() - l.StartedAt)
 		}
--- a/lab/stand/site.go
+++ b/lab/stand/site.go
@@ -43,7 +43,7 @@
 			s.Close()
 			return nil, err
 		}
-		entries = append(entries, registry.Entry{ID: id, Addr: addr, Zone: "z", State: "Ready", Size: 1})
+		entries = append(entries, registry.Entry{ID: id, Addr: addr, Zone: "z", State: "Ready", Weight: 1})
 		states = append(states, model.BackendEntry{Backend: i})
 	}
 	agent.publish(true, entries, states)
--- a/permits/calendar.go
+++ b/permits/calendar.go
@@ -382,7 +382,7 @@
 		return false
 	}
 	if p.Unit.Kind == Backend {
-		return len(s.Waiting(p)) == 0
+		return len(s.UnconfirmedDoors(p)) == 0
 	}
 	u := s.Units[unitKey(p.Unit.Kind, p.Unit.Name)]
 	return p.Stage == Out && u != nil && u.Standing != Ready
--- a/permits/collector.go
+++ b/permits/collector.go
@@ -180,9 +180,9 @@
 	return news
 }
 
-// Needs lists the commands that a report requires immediately rather than with the next round of sightings: for a permit that the
+// DoorCommands lists the commands that a report requires immediately rather than with the next round of sightings: for a permit that the
 // door doesn't intend to use, for drains that were ended at the door, and for a changed standing.
-func (s *State) Needs(w *DoorReport) (do []any) {
+func (s *State) DoorCommands(w *DoorReport) (do []any) {
 	u := s.Units[unitKey(w.Kind, w.Name)]
 	if u == nil || w.Incarnation != u.Incarnation {
 		return nil // the reply has it register, or the report is of an earlier incarnation
--- a/permits/drains.go
+++ b/permits/drains.go
@@ -247,9 +247,9 @@
 	return names, s.Change
 }
 
-// Waiting lists the doors that may still send to a drained backend: all that have not confirmed the change, reachable or not,
+// UnconfirmedDoors lists the doors that may still send to a drained backend: all that have not confirmed the change, reachable or not,
 // except those that reported their own termination.
-func (s *State) Waiting(p *Permit) (doors []string) {
+func (s *State) UnconfirmedDoors(p *Permit) (doors []string) {
 	for _, k := range slices.Sorted(maps.Keys(s.Units)) {
 		if u := s.Units[k]; u.Kind == Door && u.Did < p.Change && u.Standing != Ended {
 			doors = append(doors, u.Name)
--- a/permits/drains_test.go
+++ b/permits/drains_test.go
@@ -37,14 +37,14 @@
 	require.NoError(t, a.Err)
 	held, change := s.Withheld()
 	assert.Equal(t, []string{"b0"}, held)
-	assert.Equal(t, []string{"d0", "d1", "d2"}, s.Waiting(s.Permits[a.Number]))
+	assert.Equal(t, []string{"d0", "d1", "d2"}, s.UnconfirmedDoors(s.Permits[a.Number]))
 	s.confirmChange(0, change)
 	s.confirmChange(1, change)
-	assert.Equal(t, []string{"d2"}, s.Waiting(s.Permits[a.Number]))
+	assert.Equal(t, []string{"d2"}, s.UnconfirmedDoors(s.Permits[a.Number]))
 	s.recordSighting(2, Failed, 1)
-	assert.Equal(t, []string{"d2"}, s.Waiting(s.Permits[a.Number]), "a failed door may still send")
+	assert.Equal(t, []string{"d2"}, s.UnconfirmedDoors(s.Permits[a.Number]), "a failed door may still send")
 	s.recordSighting(2, Ended, 1)
-	assert.Empty(t, s.Waiting(s.Permits[a.Number]), "it reported its own termination")
+	assert.Empty(t, s.UnconfirmedDoors(s.Permits[a.Number]), "it reported its own termination")
 	var denied *DeniedError
 	require.ErrorAs(t, s.do("op", Drain{Kind: Backend, Name: "b1", Who: "bea"}).Err, &denied)
 	assert.Equal(t, []string{"b0"}, denied.Blocked)
@@ -277,7 +277,7 @@
 				todo = append(todo, k.Step(k.now, Answered{a.Seq, k.s.Apply(Command{Caller: a.Caller, Seq: a.Seq, AtMs: k.now, Do: a.Do})})...)
 				continue
 			}
-			for _, do := range k.s.Needs(a.Report) {
+			for _, do := range k.s.DoorCommands(a.Report) {
 				k.s.Apply(Command{Caller: a.Caller, Seq: a.Seq, AtMs: k.now, Do: do})
 			}
 			todo = append(todo, k.Step(k.now, Replied{a.Seq, k.s.Reply(a.Report, true)})...)
--- a/permits/planfile/planfile.go
+++ b/permits/planfile/planfile.go
@@ -14,7 +14,7 @@
 )
 
 // LocalForm is the layout of local times.
-const LocalForm = "2006-01-02T15:04"
+const LocalLayout = "2006-01-02T15:04"
 
 // Entry is the file format of a change, with local times and durations in seconds. Kind, Subject, Waves, WaveS and Rollback are
 // derived from Do if they are left out.
@@ -45,11 +45,11 @@
 
 // Freeze is the file format of a freeze.
 type Freeze struct {
-	Name    string              `json:"name"`
-	Kinds   []calendar.Kind     `json:"kinds,omitempty"`
-	Subject calendar.Subject    `json:"subject"`
-	When    calendar.Recurrence `json:"when"`
-	Sends   string              `json:"sends,omitempty"` // "finish wave" if empty
+	Name          string              `json:"name"`
+	Kinds         []calendar.Kind     `json:"kinds,omitempty"`
+	Subject       calendar.Subject    `json:"subject"`
+	When          calendar.Recurrence `json:"when"`
+	RunningPolicy string              `json:"sends,omitempty"` // "finish wave" if empty
 }
 
 // Rules is the file format of the calendar's rules and budgets, which replaces all of them.
