--- a/lab/outs/check.go
+++ b/lab/outs/check.go
@@ -24,8 +24,8 @@
 // HaltPeriod is a period in which no door may go out.
 type HaltPeriod struct{ From, To float64 }
 
-// Breach is one violation of a rule.
-type Breach struct {
+// Violation is one violation of a rule.
+type Violation struct {
 	Rule string
 	At   float64
 	Text string
@@ -46,7 +46,7 @@
 
 // CheckOutages compares the real outages with the limits and the halt periods, and returns every violation. It knows nothing of
 // permits. A planned outage counts at once, a failure only after detectionGraceMs.
-func CheckOutages(zones []int, gone []Outage, stops []HaltPeriod, bounds []BudgetLimit) (breaches []Breach) {
+func CheckOutages(zones []int, gone []Outage, stops []HaltPeriod, bounds []BudgetLimit) (breaches []Violation) {
 	sort.SliceStable(gone, func(a, b int) bool { return gone[a].From < gone[b].From })
 	for i := range gone {
 		g := &gone[i]
@@ -55,7 +55,7 @@
 		}
 		for _, s := range stops {
 			if g.From > s.From+haltGraceMs && g.From < s.To {
-				breaches = append(breaches, Breach{NoneAfterHalt, g.From, fmt.Sprintf("door %d went out %.0f ms after a halt", g.Door, g.From-s.From)})
+				breaches = append(breaches, Violation{NoneAfterHalt, g.From, fmt.Sprintf("door %d went out %.0f ms after a halt", g.Door, g.From-s.From)})
 			}
 		}
 		for _, b := range bounds {
@@ -72,9 +72,9 @@
 				}
 			}
 			if len(plan) > b.MostOut {
-				breaches = append(breaches, Breach{PlannedWithinBudget, g.From, fmt.Sprintf("%d doors out by plan, %d may be (each zone: %v)", len(plan), b.MostOut, b.EachZone)})
+				breaches = append(breaches, Violation{PlannedWithinBudget, g.From, fmt.Sprintf("%d doors out by plan, %d may be (each zone: %v)", len(plan), b.MostOut, b.EachZone)})
 			} else if len(all) > b.MostOut {
-				breaches = append(breaches, Breach{NoneBeyondBudget, g.From, fmt.Sprintf("door %d let out as number %d with failures, %d may be (each zone: %v)", g.Door, len(all), b.MostOut, b.EachZone)})
+				breaches = append(breaches, Violation{NoneBeyondBudget, g.From, fmt.Sprintf("door %d let out as number %d with failures, %d may be (each zone: %v)", g.Door, len(all), b.MostOut, b.EachZone)})
 			}
 		}
 	}
--- a/lab/outs/drains.go
+++ b/lab/outs/drains.go
@@ -136,7 +136,7 @@
 	})
 	w.at(halt+8e3, func() { w.applyAsOperator(permits.Resume{Who: "operator"}) })
 	w.runUntil(o.DurationMs)
-	w.result.Breaches = append(w.result.Breaches, CheckOutages(w.zones, w.outages, w.halts, []BudgetLimit{{false, maxOut}, {true, maxPerZone}})...)
+	w.result.Violations = append(w.result.Violations, CheckOutages(w.zones, w.outages, w.halts, []BudgetLimit{{false, maxOut}, {true, maxPerZone}})...)
 	return w.result
 }
 
@@ -183,7 +183,7 @@
 		w.result.Drained++
 		for _, d := range w.doors { // the real state, whatever the coordinators believe
 			if d.up && d.answered && !d.withheld[p.Unit.Name] { // a door without any answer so far is unknown to the coordinators
-				w.result.Breaches = append(w.result.Breaches, Breach{NoSendsToDrained, w.now, fmt.Sprintf("door %d may send to %s", d.number, p.Unit.Name)})
+				w.result.Violations = append(w.result.Violations, Violation{NoSendsToDrained, w.now, fmt.Sprintf("door %d may send to %s", d.number, p.Unit.Name)})
 			}
 		}
 	}
@@ -411,7 +411,7 @@
 	}
 	w.result.History = append(w.result.History, op)
 	if w.drainedAt[unit] = w.now; len(w.drainedAt) > backendBudget {
-		w.result.Breaches = append(w.result.Breaches, Breach{BackendsWithinBudget, w.now, fmt.Sprintf("%d backends are out", len(w.drainedAt))})
+		w.result.Violations = append(w.result.Violations, Violation{BackendsWithinBudget, w.now, fmt.Sprintf("%d backends are out", len(w.drainedAt))})
 	}
 	var read func()
 	read = func() {
--- a/lab/outs/drains_test.go
+++ b/lab/outs/drains_test.go
@@ -30,11 +30,11 @@
 			defer func() { <-slots }()
 			r := DrainSimulation{Seed: uint64(i), Doors: sizes[i%len(sizes)], Backends: 6, DurationMs: 60e3, NewState: make}.Run()
 			if ok, detail := history.Check(backendBudget, r.History, 20*time.Second); !ok {
-				r.Breaches = append(r.Breaches, Breach{linearizable, 0, detail})
+				r.Violations = append(r.Violations, Violation{linearizable, 0, detail})
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			sum.Breaches = append(sum.Breaches, r.Breaches...)
+			sum.Violations = append(sum.Violations, r.Violations...)
 			sum.WentOut, sum.Denied, sum.Failed, sum.Commands = sum.WentOut+r.WentOut, sum.Denied+r.Denied, sum.Failed+r.Failed, sum.Commands+r.Commands
 			sum.Drained, sum.Returned, sum.History = sum.Drained+r.Drained, sum.Returned+r.Returned, append(sum.History, r.History...)
 		})
@@ -49,12 +49,12 @@
 		n, sizes = 500, allSizes
 	}
 	r := runDrains(n, sizes, func() ReplicatedState { return permits.New() })
-	assert.Empty(t, r.Breaches)
+	assert.Empty(t, r.Violations)
 	assert.Greater(t, r.WentOut, n, "doors go out")
 	assert.Greater(t, r.Returned, n, "doors come back")
 	assert.Greater(t, r.Drained, n)
 	t.Logf("%d fleets: doors went out %d times and came back %d times, %d failed, backends were observed drained %d times, %d drains denied, %d calls about backends, %d commands, %d breaches",
-		n, r.WentOut, r.Returned, r.Failed, r.Drained, r.Denied, len(r.History), r.Commands, len(r.Breaches))
+		n, r.WentOut, r.Returned, r.Failed, r.Drained, r.Denied, len(r.History), r.Commands, len(r.Violations))
 }
 
 // earlyDrained reports a backend as drained while up to two doors have not confirmed.
--- a/lab/outs/restarts.go
+++ b/lab/outs/restarts.go
@@ -24,11 +24,11 @@
 
 // Result is the outcome of one simulated run.
 type Result struct {
-	Breaches []Breach
-	WentOut  int // planned outages
-	Denied   int
-	Failed   int
-	Commands int
+	Violations []Violation
+	WentOut    int // planned outages
+	Denied     int
+	Failed     int
+	Commands   int
 }
 
 // Parameters of a run; each door plans several restarts.
@@ -104,7 +104,7 @@
 		}
 	})
 	w.runUntil(f.DurationMs)
-	w.result.Breaches = CheckOutages(w.zones, w.outages, w.halts, bounds)
+	w.result.Violations = CheckOutages(w.zones, w.outages, w.halts, bounds)
 	return w.result
 }
 
--- a/lab/outs/restarts_test.go
+++ b/lab/outs/restarts_test.go
@@ -23,7 +23,7 @@
 			r := RestartSimulation{Seed: uint64(i), Doors: []int{10, 20, 40, 100, 300}[min(4, i%20/4)], DurationMs: 60e3, NewMachine: make}.Run()
 			mu.Lock()
 			defer mu.Unlock()
-			sum.Breaches = append(sum.Breaches, r.Breaches...)
+			sum.Violations = append(sum.Violations, r.Violations...)
 			sum.WentOut, sum.Denied, sum.Failed, sum.Commands = sum.WentOut+r.WentOut, sum.Denied+r.Denied, sum.Failed+r.Failed, sum.Commands+r.Commands
 		})
 	}
@@ -39,10 +39,10 @@
 		n = 500
 	}
 	r := runRestarts(n, newMachine)
-	assert.Empty(t, r.Breaches)
+	assert.Empty(t, r.Violations)
 	assert.Greater(t, r.WentOut, 5*n, "doors go out")
 	assert.Greater(t, r.Denied, n)
-	t.Logf("%d fleets: %d went out by plan, %d denied, %d failed, %d commands, %d breaches", n, r.WentOut, r.Denied, r.Failed, r.Commands, len(r.Breaches))
+	t.Logf("%d fleets: %d went out by plan, %d denied, %d failed, %d commands, %d breaches", n, r.WentOut, r.Denied, r.Failed, r.Commands, len(r.Violations))
 }
 
 // expiringPermits frees places by timeout: a planted bug.
@@ -112,7 +112,7 @@
 
 func countByRule(r Result) map[string]int {
 	n := map[string]int{}
-	for _, b := range r.Breaches {
+	for _, b := range r.Violations {
 		n[b.Rule]++
 	}
 	return n
--- a/lab/procs/drill.go
+++ b/lab/procs/drill.go
@@ -74,15 +74,15 @@
 // DrillResult is the result of a drill. It is encoded to JSON under the names in the tags, or the fields' own.
 type DrillResult struct {
 	Seed            uint64
-	Violations      []outs.Breach `json:"Breaches"`
-	Faults          []string      `json:"Strikes"` // the injected faults, in order of time
-	Went, Returned  int           // planned outages of doors that began, and that ended
-	Calls           int           // operations on backends by operators
-	Drained         int           // how often a backend was reported as drained
-	Refused, Lost   int           // operations that were refused, or received no answer
-	Asked, Finished int           // requests to doors without faults
-	BackMs          float64       // time after the end until everything was back in service; below 0 if it never was
-	HaltMs          float64       // longest time from the answer to a halt until a planned outage began
+	Violations      []outs.Violation `json:"Breaches"`
+	Faults          []string         `json:"Strikes"` // the injected faults, in order of time
+	Went, Returned  int              // planned outages of doors that began, and that ended
+	Calls           int              // operations on backends by operators
+	Drained         int              // how often a backend was reported as drained
+	Refused, Lost   int              // operations that were refused, or received no answer
+	Asked, Finished int              // requests to doors without faults
+	BackMs          float64          // time after the end until everything was back in service; below 0 if it never was
+	HaltMs          float64          // longest time from the answer to a halt until a planned outage began
 	History         []history.Op
 }
 
@@ -934,11 +934,11 @@
 }
 
 // requestsWhileDrained returns a violation for each span in which a backend that was reported as drained received a request.
-func requestsWhileDrained(spans []drainedSpan, arrivals map[string][]float64) (breaches []outs.Breach) {
+func requestsWhileDrained(spans []drainedSpan, arrivals map[string][]float64) (breaches []outs.Violation) {
 	for _, c := range spans {
 		for _, at := range arrivals[c.unit] {
 			if at > c.from+inFlightGraceMs && at < c.to {
-				breaches = append(breaches, outs.Breach{Rule: RuleDrainedBackendSilent, At: at, Text: fmt.Sprintf("an operation arrived at %s %.0f ms after it was reported as drained", c.unit, at-c.from)})
+				breaches = append(breaches, outs.Violation{Rule: RuleDrainedBackendSilent, At: at, Text: fmt.Sprintf("an operation arrived at %s %.0f ms after it was reported as drained", c.unit, at-c.from)})
 				break
 			}
 		}
@@ -979,17 +979,17 @@
 	r.Drained = len(drained)
 	r.Violations = append(r.Violations, requestsWhileDrained(d.drainedSpans, d.arrivals)...)
 	if ok, reason := history.Check(maxBackendsOut, d.history, linearizabilityTimeout); !ok {
-		r.Violations = append(r.Violations, outs.Breach{Rule: RuleDrainsLinearizable, Text: reason})
+		r.Violations = append(r.Violations, outs.Violation{Rule: RuleDrainsLinearizable, Text: reason})
 	}
 	if recoveryMs < 0 {
-		r.Violations = append(r.Violations, outs.Breach{Rule: RuleDrillRecovers, At: d.ms(), Text: fmt.Sprintf("not everything is back in service after %.0f s", recoveryTimeoutMs/msPerSecond)})
+		r.Violations = append(r.Violations, outs.Violation{Rule: RuleDrillRecovers, At: d.ms(), Text: fmt.Sprintf("not everything is back in service after %.0f s", recoveryTimeoutMs/msPerSecond)})
 	}
 	for _, f := range d.failures {
-		r.Violations = append(r.Violations, outs.Breach{Rule: RuleNoUnexpectedExit, Text: f})
+		r.Violations = append(r.Violations, outs.Violation{Rule: RuleNoUnexpectedExit, Text: f})
 	}
 	var reason string
 	if r.Asked, r.Finished, reason = checkFinished(served); reason != "" {
-		r.Violations = append(r.Violations, outs.Breach{Rule: RuleUnaffectedDoorsServe, Text: reason})
+		r.Violations = append(r.Violations, outs.Violation{Rule: RuleUnaffectedDoorsServe, Text: reason})
 	}
 	return r
 }
--- a/lab/procs/migration.go
+++ b/lab/procs/migration.go
@@ -40,7 +40,7 @@
 // MigrationResult is the result of a migration run.
 type MigrationResult struct {
 	HaltAt                            int
-	Violations                        []outs.Breach
+	Violations                        []outs.Violation
 	Stage                             string // stage of the migration when the run ended
 	Faults                            []string
 	TookS                             float64 // from entering the migration to its end, s
@@ -145,7 +145,7 @@
 	var which []outage
 	r.MostOut, which = maxConcurrentOutages(d.doors)
 	violation := func(rule, format string, args ...any) {
-		r.Violations = append(r.Violations, outs.Breach{Rule: rule, Text: fmt.Sprintf(format, args...)})
+		r.Violations = append(r.Violations, outs.Violation{Rule: rule, Text: fmt.Sprintf(format, args...)})
 	}
 	for _, f := range d.failures {
 		violation(RuleNoUnexpectedExit, "%s", f)
@@ -365,7 +365,7 @@
 			return err
 		}
 	}
-	r.Violations = append(r.Violations, outs.Breach{Rule: RuleMigrationEnds, At: d.ms(), Text: fmt.Sprintf("%d permits are still held", left)})
+	r.Violations = append(r.Violations, outs.Violation{Rule: RuleMigrationEnds, At: d.ms(), Text: fmt.Sprintf("%d permits are still held", left)})
 	return nil
 }
 
@@ -393,7 +393,7 @@
 	}
 	for i, door := range d.doors {
 		if now := door.configurationDigest(); now != before[i] {
-			r.Violations = append(r.Violations, outs.Breach{Rule: RuleHaltHolds, At: d.ms(), Text: fmt.Sprintf("%s runs %q, before it was %q", door.name, now, before[i])})
+			r.Violations = append(r.Violations, outs.Violation{Rule: RuleHaltHolds, At: d.ms(), Text: fmt.Sprintf("%s runs %q, before it was %q", door.name, now, before[i])})
 		}
 	}
 	return nil
--- a/lab/procs/rollout.go
+++ b/lab/procs/rollout.go
@@ -47,7 +47,7 @@
 // RolloutResult is the result of a rollout.
 type RolloutResult struct {
 	Kind                              string
-	Violations                        []outs.Breach
+	Violations                        []outs.Violation
 	Stage                             string  // last seen stage of the release
 	Reason                            string  // its reason, as the coordinators report it
 	TookS                             float64 // from the start to the end of the release
@@ -124,10 +124,10 @@
 	defer d.mu.Unlock()
 	r.MostOut, _ = maxConcurrentOutages(d.doors)
 	for _, f := range d.failures {
-		r.Violations = append(r.Violations, outs.Breach{Rule: RuleNoUnexpectedExit, Text: f})
+		r.Violations = append(r.Violations, outs.Violation{Rule: RuleNoUnexpectedExit, Text: f})
 	}
 	if r.Failed > 0 {
-		r.Violations = append(r.Violations, outs.Breach{Rule: RuleNoFailedOperation, Text: fmt.Sprintf("%d of %d operations", r.Failed, r.Asked)})
+		r.Violations = append(r.Violations, outs.Violation{Rule: RuleNoFailedOperation, Text: fmt.Sprintf("%d of %d operations", r.Failed, r.Asked)})
 	}
 	r.checkRejections(outcomes)
 	wantStages := map[string]string{"good": "done", "program": "done", "restart": "done", "backends": "done", "none": ""}
@@ -136,7 +136,7 @@
 		wantStage = "back"
 	}
 	if r.Stage != wantStage {
-		r.Violations = append(r.Violations, outs.Breach{Rule: RuleReleaseOutcome, Text: fmt.Sprintf("stage %q instead of %q: %s", r.Stage, wantStage, r.Reason)})
+		r.Violations = append(r.Violations, outs.Violation{Rule: RuleReleaseOutcome, Text: fmt.Sprintf("stage %q instead of %q: %s", r.Stage, wantStage, r.Reason)})
 	}
 	return r, nil
 }
@@ -146,7 +146,7 @@
 // of all requests is checked.
 func (r *RolloutResult) checkRejections(outcomes []*load.Outcome) {
 	violation := func(format string, args ...any) {
-		r.Violations = append(r.Violations, outs.Breach{Rule: RuleUnchangedDoorsServe, Text: fmt.Sprintf(format, args...)})
+		r.Violations = append(r.Violations, outs.Violation{Rule: RuleUnchangedDoorsServe, Text: fmt.Sprintf(format, args...)})
 	}
 	for i, o := range outcomes {
 		if o.Rejected > 0 && !r.reachedUnits[Door(i)] && r.Kind != "backends" { // its waves reach the backends of all doors
