--- a/lab/procs/check/check.go
+++ b/lab/procs/check/check.go
@@ -100,10 +100,10 @@
 
 const (
 	longPauseMs       = 1000.0 // a member that was paused for longer than this, in ms, may be considered away
-	settleMs          = 4000.0 // so may one during this time, in ms, after a long pause, a death or a cut: updates still propagate
+	settleMs          = 4000.0 // ms after a long pause, a death or a cut in which a member may be considered away: updates still propagate
 	maxIncomingCut    = 0.5    // a door with a larger share of its incoming links cut doesn't count as one that can receive
 	minPartialCut     = 0.3    // share of a member's links, in either direction, from which it counts as partially cut
-	maxPartialCut     = 0.7    // share at which it may be considered away
+	maxPartialCut     = 0.7    // share of a member's links, in either direction, from which it may be considered away; no check uses it
 	detectionQuantile = 99.0   // percentile of the detection times that is checked
 )
 
@@ -174,8 +174,8 @@
 	return false
 }
 
-// cutShares is the share of the other doors that are up to which a door could not send (out), or from which it
-// could not receive (in), at any time within an interval.
+// cutShares returns the shares of the other running doors to which the links from a door (out), or from which the links to it
+// (in), were cut at any time within an interval.
 func (t *Truth) cutShares(d int, from, to float64) (out, in float64) {
 	n := 0.0
 	for o := range t.Doors {
@@ -196,7 +196,7 @@
 	return out / n, in / n
 }
 
-// lastFaultEnd returns the time at which the last fault ended.
+// lastFaultEnd returns the last time at which a fault ended, or began if it is permanent. A leave and a late start are faults.
 func (t *Truth) lastFaultEnd() (last float64) {
 	include := func(at float64) {
 		if !math.IsInf(at, 1) {
@@ -219,10 +219,10 @@
 }
 
 // Verify checks a history, sorted by time, against the ground truth.
-func Verify(t *Truth, history []Event, l Limits) (breaches []Violation, figures Figures) {
+func Verify(t *Truth, history []Event, l Limits) (violations []Violation, figures Figures) {
 	figures.ConvergenceMs, figures.SuspicionMs = -1, -1
 	report := func(rule string, at float64, format string, args ...any) {
-		breaches = append(breaches, Violation{rule, at, fmt.Sprintf(format, args...)})
+		violations = append(violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 	}
 	checkFalseAway(t, history, &figures, func(e *Event, reason string) {
 		if !l.AllowFalseAway {
@@ -236,7 +236,7 @@
 	checkRecovery(t, history, l, &figures, report)
 	checkCuts(t, history, l, &figures, report)
 	checkConvergence(t, history, l, &figures, report)
-	return breaches, figures
+	return violations, figures
 }
 
 // reportFunc records a violation of a rule.
@@ -268,7 +268,7 @@
 	}
 }
 
-// checkResurrection finds dead members that a door considered away or left and later here again.
+// checkResurrection finds dead members that a door considered away or left, and later joining or here again.
 func checkResurrection(t *Truth, history []Event, report func(*Event)) {
 	for i := range history {
 		e := &history[i]
@@ -295,7 +295,7 @@
 	if l.DetectionMs == 0 {
 		return
 	}
-	const windowMs = 10e3
+	const windowMs = 10e3 // ms after a death in which its detection is awaited
 	countBefore := len(figures.DetectionMs)
 	for d := range t.Doors {
 		for _, s := range t.Dead[d] {
@@ -339,7 +339,7 @@
 	if l.RecoveryMs == 0 {
 		return
 	}
-	const windowMs = 10e3
+	const windowMs = 10e3 // ms after a pause in which the recovery is awaited
 	for d := range t.Doors {
 		for _, s := range t.Paused[d] {
 			if s.To-s.From <= longPauseMs || s.To+windowMs > t.EndMs {
--- a/lab/procs/check/check_test.go
+++ b/lab/procs/check/check_test.go
@@ -29,8 +29,8 @@
 	return h
 }
 
-func violatedRules(breaches []Violation) (names []string) {
-	for _, b := range breaches {
+func violatedRules(violations []Violation) (names []string) {
+	for _, b := range violations {
 		names = append(names, b.Rule)
 	}
 	return names
@@ -41,6 +41,7 @@
 	deathLimits   = Limits{DetectionMs: 3000, ConvergenceMs: 5000}
 )
 
+// links returns the links between n doors as a Cut holds them, with the given ones, each from one door to another, cut.
 func links(n int, pairs ...[2]int) []bool {
 	w := make([]bool, n*n)
 	for _, p := range pairs {
--- a/lab/procs/coordinators.go
+++ b/lab/procs/coordinators.go
@@ -32,14 +32,14 @@
 
 // CoordinatorBenchmarkResult holds the measurements. Times are ms.
 type CoordinatorBenchmarkResult struct {
-	Permits    float64 // granted per second
-	P50, P99   float64
+	Permits    float64   // granted per second
+	P50, P99   float64   // percentiles of the time from requesting a permit to its grant
 	FailoverMs []float64 // per kill of a leader: time until the first command was answered
 }
 
 const (
-	maxLatencyUs   = int64(time.Minute / time.Microsecond)
-	reportInterval = 400 * time.Millisecond // between a caller's reports that its unit is ready
+	maxLatencyUs   = int64(time.Minute / time.Microsecond) // longest latency that the histogram can hold
+	reportInterval = 400 * time.Millisecond                // between a caller's reports that its unit is ready
 )
 
 // Measure starts the coordinators, runs the measurements and stops the coordinators again.
@@ -102,20 +102,20 @@
 			caller, seq := permits.CallerName(Door(i), uint64(i+1)), uint64(0)
 			unit := permits.Unit{Kind: permits.Door, Name: Door(i), Size: 1}
 			nextSeq := func() uint64 { seq++; return seq }
-			begun, err := command(running, own, caller, nextSeq(), permits.Begin{Unit: unit, Process: 1})
+			beginAnswer, err := command(running, own, caller, nextSeq(), permits.Begin{Unit: unit, Process: 1})
 			reportedAt := time.Time{}
 			for err == nil {
 				if time.Since(reportedAt) > reportInterval {
 					reportedAt = time.Now()
-					_, err = own.ReportDoor(running, &permits.DoorReport{Caller: caller, Seq: nextSeq(), Sighting: permits.Sighting{Unit: unit, Standing: permits.Ready, Incarnation: begun.Number, Process: 1}})
+					_, err = own.ReportDoor(running, &permits.DoorReport{Caller: caller, Seq: nextSeq(), Sighting: permits.Sighting{Unit: unit, Standing: permits.Ready, Incarnation: beginAnswer.Number, Process: 1}})
 					continue
 				}
-				began := time.Now()
+				requestedAt := time.Now()
 				var answer permits.Answer
 				if answer, err = command(running, own, caller, nextSeq(), permits.RequestPermit{Unit: unit.Name, Kind: unit.Kind, Who: "rig", Why: "pace", HoldMs: 1e4}); err != nil || answer.Err != nil {
 					continue // refused: the unit hasn't been seen ready yet
 				}
-				tookUs := time.Since(began).Microseconds()
+				tookUs := time.Since(requestedAt).Microseconds()
 				if counting.Load() {
 					mu.Lock()
 					_ = latency.RecordValue(tookUs)
--- a/lab/procs/drill.go
+++ b/lab/procs/drill.go
@@ -392,10 +392,10 @@
 		Kind, Name string
 		Out        bool `json:"out"`
 	} `json:"units"`
-	Places []struct {
+	Places []struct { // the permits
 		Unit    struct{ Kind, Name string }
-		Over    bool
-		Drained bool `json:"drained"`
+		Over    bool // the drain has ended; the unit is to come back
+		Drained bool `json:"drained"` // the drain is complete
 	} `json:"places"`
 }
 
@@ -934,16 +934,16 @@
 }
 
 // requestsWhileDrained returns a violation for each span in which a backend that was reported as drained received a request.
-func requestsWhileDrained(spans []drainedSpan, arrivals map[string][]float64) (breaches []outs.Violation) {
+func requestsWhileDrained(spans []drainedSpan, arrivals map[string][]float64) (violations []outs.Violation) {
 	for _, c := range spans {
 		for _, at := range arrivals[c.unit] {
 			if at > c.from+inFlightGraceMs && at < c.to {
-				breaches = append(breaches, outs.Violation{Rule: RuleDrainedBackendSilent, At: at, Text: fmt.Sprintf("an operation arrived at %s %.0f ms after it was reported as drained", c.unit, at-c.from)})
+				violations = append(violations, outs.Violation{Rule: RuleDrainedBackendSilent, At: at, Text: fmt.Sprintf("an operation arrived at %s %.0f ms after it was reported as drained", c.unit, at-c.from)})
 				break
 			}
 		}
 	}
-	return breaches
+	return violations
 }
 
 // result checks what was recorded and returns the result of the drill.
--- a/lab/procs/migration.go
+++ b/lab/procs/migration.go
@@ -61,7 +61,7 @@
 const (
 	migrationTimeoutS = 240.0 // s after which a migration that hasn't ended has failed
 	faultIntervalMs   = 5e3   // mean ms from the end of one fault to the next
-	haltObservationMs = 3e3   // ms for running changes to end after a halt, and ms without changes that are then checked
+	haltObservationMs = 3e3   // ms in which running changes may still end after a halt; in as many ms after that, no door may change
 	clockAheadS       = "600" // s by which one coordinator's wall clock is ahead
 )
 
@@ -76,9 +76,9 @@
 )
 
 // tariffsJSON returns the tariffs of the old shape, or of the new one, in which plan thin earns beyond its quota.
-func tariffsJSON(moved bool) string {
+func tariffsJSON(newShape bool) string {
 	earning := ""
-	if moved {
+	if newShape {
 		earning = `,"beyond_earns":2,"over_cost":1`
 	}
 	return `[{"name":"ample","rate":1000000,"depth":1000000,"at_once":0,"never_over_rate":0,"ceiling_burst":0,"pays":1},` + fmt.Sprintf(thinPlanFormat, earning) + `]`
--- a/lab/procs/real.go
+++ b/lab/procs/real.go
@@ -40,7 +40,7 @@
 
 const (
 	maxProcesses  = 24               // more would distort each other's timing on one machine
-	startTimeout  = 30 * time.Second // in which all doors must consider all others here
+	startTimeout  = 30 * time.Second // in which all processes must start and find each other
 	stopTimeout   = 10 * time.Second // from a termination signal until processes are killed
 	clientTimeout = 2 * time.Second  // how long clients wait for an answer
 )
@@ -146,7 +146,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.startMs == 0 {
-		return -warmUpMs
+		return -joinPhaseMs
 	}
 	return monotonicMs() - r.startMs
 }
@@ -254,13 +254,13 @@
 // parseLine reads one line of the process's log: changes of membership, and refused names of second processes.
 func (p *process) parseLine(raw []byte) {
 	var l struct {
-		Msg    string  `json:"msg"`
-		Member string  `json:"member"`
-		From   string  `json:"from"`
-		To     string  `json:"to"`
-		Life   uint32  `json:"life"`
-		Why    string  `json:"why"`
-		Clock  float64 `json:"clock_ms"`
+		Msg         string  `json:"msg"`
+		Member      string  `json:"member"`
+		From        string  `json:"from"`
+		To          string  `json:"to"`
+		Incarnation uint32  `json:"life"`
+		Reason      string  `json:"why"`
+		Clock       float64 `json:"clock_ms"`
 	}
 	if !bytes.Contains(raw, []byte(`"`+fields.Clock+`"`)) && !bytes.Contains(raw, []byte("no member")) || json.Unmarshal(raw, &l) != nil {
 		return
@@ -274,7 +274,7 @@
 		return
 	}
 	if about, ok := p.r.doorIndex[l.Member]; ok && l.Msg == fleet.MemberChanged {
-		p.r.record(check.Event{At: l.Clock, Door: p.door, About: about, From: l.From, To: l.To, Incarnation: l.Life, Reason: l.Why})
+		p.r.record(check.Event{At: l.Clock, Door: p.door, About: about, From: l.From, To: l.To, Incarnation: l.Incarnation, Reason: l.Reason})
 	}
 }
 
@@ -471,12 +471,12 @@
 	return startClientsUntil(ctx, site, doors, rate, end, nil)
 }
 
-// startClientsUntil is startClients for clients that stop once the channel enough is closed, if that is earlier.
-func startClientsUntil(ctx context.Context, site *stand.Site, doors map[int]string, rate, end float64, enough <-chan struct{}) (finish func() ([]*load.Outcome, error)) {
+// startClientsUntil is like startClients, but the clients stop once the channel stop is closed, if that is earlier.
+func startClientsUntil(ctx context.Context, site *stand.Site, doors map[int]string, rate, end float64, stop <-chan struct{}) (finish func() ([]*load.Outcome, error)) {
 	var runs []load.Run
 	for _, i := range slices.Sorted(maps.Keys(doors)) {
 		run := clientRun(site, doors[i], i, rate, end)
-		run.Stop = enough
+		run.Stop = stop
 		runs = append(runs, run)
 	}
 	return runConcurrently(ctx, runs)
@@ -519,7 +519,7 @@
 
 const minFinishedShare = 0.995 // minimum share of requests that must finish at doors without faults
 
-// result checks the history and what clients were served.
+// result checks the history and the outcomes of the clients' requests, and returns the result of the run.
 func (r *rig) result(served []*load.Outcome) *Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/procs/real_test.go
+++ b/lab/procs/real_test.go
@@ -82,8 +82,8 @@
 	assert.Contains(t, rig.Remedy(), "go build")
 	s.Fleet.Doors = 300
 	_, err = Real{Plan: s.Draw(1)}.Run(context.Background(), nil)
-	var crowd *ProcessLimitError
-	assert.ErrorAs(t, err, &crowd)
+	var limit *ProcessLimitError
+	assert.ErrorAs(t, err, &limit)
 }
 
 func TestRigRulesFindViolations(t *testing.T) {
--- a/lab/procs/relay.go
+++ b/lab/procs/relay.go
@@ -41,16 +41,17 @@
 const (
 	relayPortAttempts = 32                    // attempts to find a port that is free for both protocols
 	pollInterval      = 10 * time.Millisecond // between polls of a condition: whether a link is open again, or all doors are ready
-	relayBufferSize   = 32 << 10
+	relayBufferSize   = 32 << 10              // bytes, for one direction of a connection
 )
 
-// newRelay starts a relay on a loopback port that is free for both UDP and TCP.
-func newRelay(to string, seed uint64, way func() impairment, dead func() bool) (*relay, error) {
+// newRelay starts a relay to an address, on a loopback port that is free for both UDP and TCP. The seed is that of its random
+// choices.
+func newRelay(to string, seed uint64, impair func() impairment, blocked func() bool) (*relay, error) {
 	target, err := net.ResolveUDPAddr("udp", to)
 	if err != nil {
 		return nil, &RigError{"a relay", err}
 	}
-	r := &relay{target: to, impair: way, blocked: dead, rng: rand.New(rand.NewPCG(seed, 3)), conns: map[net.Conn]struct{}{}, done: make(chan struct{})}
+	r := &relay{target: to, impair: impair, blocked: blocked, rng: rand.New(rand.NewPCG(seed, 3)), conns: map[net.Conn]struct{}{}, done: make(chan struct{})}
 	for range relayPortAttempts {
 		ln, e := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if e != nil {
@@ -187,7 +188,7 @@
 				return
 			}
 			if d := r.impair().maxDelayMs; d > 0 {
-				time.Sleep(time.Duration(d / 2 * 1e6))
+				time.Sleep(time.Duration(d / 2 * 1e6)) // the mean of the delays that datagrams get
 			}
 			if _, err := to.Write(buf[:n]); err != nil {
 				break
--- a/lab/procs/report.go
+++ b/lab/procs/report.go
@@ -39,10 +39,11 @@
 	Text string
 }
 
+// page is the template of report.html.
 var page = template.Must(template.New("page").Parse(`<!doctype html><meta charset="utf-8"><title>{{.R.Schedule}}</title>
 <style>body{font:14px sans-serif;margin:2em;max-width:1300px}table{border-collapse:collapse}td,th{padding:2px 10px;text-align:left}</style>
 <h1>{{.R.Schedule}}, seed {{.R.Seed}}, {{.R.Doors}} doors, {{.R.On}} ({{.R.Who}})</h1><p>{{.R.Shows}}</p>
-{{if .R.Breaches}}<h2>Broken</h2><table><tr><th>rule<th>at, s<th>what</tr>{{range .R.Breaches}}<tr><td>{{.Rule}}<td>{{printf "%.1f" .At}} ms<td>{{.Text}}</tr>{{end}}</table>
+{{if .R.Violations}}<h2>Broken</h2><table><tr><th>rule<th>at, s<th>what</tr>{{range .R.Violations}}<tr><td>{{.Rule}}<td>{{printf "%.1f" .At}} ms<td>{{.Text}}</tr>{{end}}</table>
 {{else}}<p>All rules kept.</p>{{end}}
 <h2>Figures</h2><table>{{range .Figures}}<tr><td>{{index . 0}}<td>{{index . 1}}</tr>{{end}}</table>
 <h2>State of each door in the view of each other</h2>
--- a/lab/procs/stack_test.go
+++ b/lab/procs/stack_test.go
@@ -52,18 +52,18 @@
 
 func (s *stack) impairment(from, to string) fleet.Impairment {
 	at := s.ms()
-	way := s.index[from]*s.Fleet.Doors + s.index[to]
+	link := s.index[from]*s.Fleet.Doors + s.index[to]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := fleet.Impairment{Delay: time.Duration((s.Net.DelayMs.At(s.rng.Float64()) + amountAt(s.Delay, way, at)*s.rng.Float64()) * 1e6)}
+	f := fleet.Impairment{Delay: time.Duration((s.Net.DelayMs.At(s.rng.Float64()) + amountAt(s.Delay, link, at)*s.rng.Float64()) * 1e6)}
 	for i := range s.Truth.Cuts {
-		if c := &s.Truth.Cuts[i]; c.Links[way] && at >= c.From && at < c.To {
+		if c := &s.Truth.Cuts[i]; c.Links[link] && at >= c.From && at < c.To {
 			f.Lost = true
 		}
 	}
-	f.Lost = f.Lost || s.rng.Float64() < max(s.Net.Loss, amountAt(s.Loss, way, at))
-	f.Duplicated = s.rng.Float64() < amountAt(s.Duplicate, way, at)
-	if s.rng.Float64() < amountAt(s.Reorder, way, at) {
+	f.Lost = f.Lost || s.rng.Float64() < max(s.Net.Loss, amountAt(s.Loss, link, at))
+	f.Duplicated = s.rng.Float64() < amountAt(s.Duplicate, link, at)
+	if s.rng.Float64() < amountAt(s.Reorder, link, at) {
 		f.Delay += time.Duration(reorderDelayMs * 1e6)
 	}
 	return f
@@ -76,7 +76,7 @@
 	for i := range s.Fleet.Doors {
 		s.index[s.address(i)], names[Door(i)] = i, i
 	}
-	s.startedAt = time.Now().Add(time.Duration(warmUpMs * 1e6))
+	s.startedAt = time.Now().Add(time.Duration(joinPhaseMs * 1e6))
 	s.net.Impair = s.impairment
 	type step struct {
 		at float64
@@ -110,7 +110,7 @@
 				}
 			}
 		}
-		at := -warmUpMs + s.rng.Float64()*msPerSecond
+		at := -joinPhaseMs + s.rng.Float64()*msPerSecond
 		if s.StartMs[i] > 0 {
 			at = s.StartMs[i] + s.rng.Float64()*msPerSecond
 		}
@@ -156,7 +156,7 @@
 	return history, float64(after.Packets-before.Packets) / per, float64(after.Bytes-before.Bytes) / per
 }
 
-// startDriver starts the project's driver.
+// startDriver starts the project's membership driver.
 func startDriver(s *stack, i, nth int, on func(about, from, to string)) runningDoor {
 	t, err := s.net.Listen(s.address(i))
 	if err != nil {
@@ -215,6 +215,7 @@
 	}}
 }
 
+// eventDelegate passes on the events of memberlist as changes of state.
 type eventDelegate struct {
 	on   func(about, from, to string)
 	self string
--- a/lab/procs/virtual.go
+++ b/lab/procs/virtual.go
@@ -48,18 +48,18 @@
 }
 
 const (
-	warmUpMs           = 8000.0 // time before the run in which the doors find each other
+	joinPhaseMs        = 8000.0 // time before the run in which the doors find each other
 	joinRetryMs        = 1000.0 // between a door's attempts to join
 	seedDoors          = 3      // doors that are configured as peers at all others
 	maxBuffered        = 1000   // datagrams that a paused process's socket buffers; further ones are lost
-	sizeSampleInterval = 64     // every so many messages one is encoded, to estimate the bytes
+	sizeSampleInterval = 64     // one in so many messages is encoded, to estimate the bytes sent
 	reorderDelayMs     = 30.0   // added delay of a reordered datagram
 )
 
 // scheduled is an entry of the time queue: either a function to run, or an event for one incarnation of a door.
 type scheduled struct {
 	at          float64
-	order       int // of entries at the same time
+	order       int // in which entries were scheduled
 	door        int // -1 for a function
 	incarnation int
 	event       members.Event
@@ -120,10 +120,10 @@
 	up          bool
 	paused      bool
 	incarnation int
-	buffered    []members.Event
+	buffered    []members.Event // received while paused
 	tickAt      float64
 	tickPending bool
-	joined      bool
+	joined      bool // has exchanged states with a seed door in this incarnation
 	last        float64
 }
 
@@ -133,7 +133,7 @@
 	newDetector   DetectorFactory
 	queue         timeQueue
 	now           float64
-	order         int
+	order         int // of the last scheduled entry
 	rng           *rand.Rand
 	doors         []*virtualDoor
 	fleet         []members.Peer
@@ -141,7 +141,7 @@
 	history       []check.Event
 	nameConflicts int
 	messages      int
-	bytes         float64
+	bytes         float64 // estimated from a sample of the messages
 }
 
 // Door returns a door's name by its number. It is the same in virtual time and on processes.
@@ -149,7 +149,7 @@
 
 // Run runs a plan in virtual time and checks its history. Who names the detector in the result.
 func (p *Plan) Run(ctx context.Context, who string, newDetector DetectorFactory) (*Result, error) {
-	w := &simulation{Plan: p, newDetector: newDetector, rng: rand.New(rand.NewPCG(p.Seed, 7)), now: -warmUpMs, byAddress: map[string]int{}}
+	w := &simulation{Plan: p, newDetector: newDetector, rng: rand.New(rand.NewPCG(p.Seed, 7)), now: -joinPhaseMs, byAddress: map[string]int{}}
 	for i := range p.Fleet.Doors {
 		peer := members.Peer{Name: Door(i), Address: fmt.Sprintf("10.0.%d.%d:7946", i/250, i%250), Zone: fmt.Sprint("z", p.Truth.Zones[i]), Number: i}
 		w.fleet = append(w.fleet, peer)
@@ -194,7 +194,7 @@
 			w.step(d.door, d.event)
 		}
 	}
-	seconds := (end + warmUpMs) / msPerSecond * float64(p.Fleet.Doors)
+	seconds := (end + joinPhaseMs) / msPerSecond * float64(p.Fleet.Doors)
 	r := &Result{Schedule: p.Name, Shows: p.Shows, On: "simulated", Who: who, Seed: p.Seed, Doors: p.Fleet.Doors, Truth: p.Truth, History: w.history,
 		Messages: float64(w.messages) / seconds, Bytes: w.bytes / seconds}
 	r.Violations, r.Figures = check.Verify(&p.Truth, r.History, p.checkLimits())
@@ -225,7 +225,7 @@
 // scheduleDoor schedules the start and the faults of one door.
 func (w *simulation) scheduleDoor(i int) {
 	m := w.doors[i]
-	from := -warmUpMs + w.rng.Float64()*msPerSecond
+	from := -joinPhaseMs + w.rng.Float64()*msPerSecond
 	if w.StartMs[i] > 0 {
 		from = w.StartMs[i] + w.rng.Float64()*msPerSecond
 	}
--- a/lab/procs/warm_test.go
+++ b/lab/procs/warm_test.go
@@ -15,18 +15,18 @@
 	"github.com/swifthall/swifthall/lab/stand"
 )
 
-// fakeDoor is an HTTP server that rejects its first requests, as many as rejects, and fails the request number loses.
+// fakeDoor is an HTTP server that rejects its first rejectFirst requests and answers number failNth with an internal error.
 type fakeDoor struct {
-	rejects, loses int64
-	arrivals       atomic.Int64
+	rejectFirst, failNth int64
+	arrivals             atomic.Int64
 }
 
 func (d *fakeDoor) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	switch n := d.arrivals.Add(1); {
-	case n == d.loses:
+	case n == d.failNth:
 		w.WriteHeader(http.StatusInternalServerError)
-	case n <= d.rejects:
+	case n <= d.rejectFirst:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
@@ -48,7 +48,7 @@
 // first answer rejects some.
 func TestWarmUpRejectionsAreCountedSeparately(t *testing.T) {
 	t.Parallel()
-	doors := []*fakeDoor{{rejects: 7}, {}}
+	doors := []*fakeDoor{{rejectFirst: 7}, {}}
 	rejected, err := runWarmUp(t, doors...)
 	require.NoError(t, err)
 	assert.Equal(t, 7, rejected)
@@ -59,7 +59,7 @@
 
 func TestDoorFailingWarmUpIsAnError(t *testing.T) {
 	t.Parallel()
-	for name, d := range map[string]*fakeDoor{"loses one": {loses: 20}, "rejects most": {rejects: 1e6}} {
+	for name, d := range map[string]*fakeDoor{"fails one": {failNth: 20}, "rejects most": {rejectFirst: 1e6}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			_, err := runWarmUp(t, d)
