--- a/lab/procs/rollout.go
+++ b/lab/procs/rollout.go
@@ -309,7 +309,7 @@
 				r.BackS = (now - decidedAt) / msPerSecond
 				if firstAt > 0 {
 					r.DecidedS = (decidedAt - firstAt) / msPerSecond
-					r.ExposureS = (now - firstAt) / msPerSecond / float64(len(d.doors)) // as if one door had run it: the seconds' worth of all doors' requests that it affected
+					r.ExposureS = (now - firstAt) / msPerSecond / float64(len(d.doors)) // seconds of all doors' requests that a single door receives in that time
 				}
 			}
 			return nil
