--- a/lab/procs/report.go
+++ b/lab/procs/report.go
@@ -39,6 +39,7 @@
 	Text string
 }
 
+// page is the template of report.html.
 var page = template.Must(template.New("page").Parse(`<!doctype html><meta charset="utf-8"><title>{{.R.Schedule}}</title>
 <style>body{font:14px sans-serif;margin:2em;max-width:1300px}table{border-collapse:collapse}td,th{padding:2px 10px;text-align:left}</style>
 <h1>{{.R.Schedule}}, seed {{.R.Seed}}, {{.R.Doors}} doors, {{.R.On}} ({{.R.Who}})</h1><p>{{.R.Shows}}</p>
