--- a/permits/planfile/planfile.go
+++ b/permits/planfile/planfile.go
@@ -13,7 +13,7 @@
 	"github.com/swifthall/swifthall/permits"
 )
 
-// LocalForm is the layout of local times.
+// LocalLayout is the layout of local times.
 const LocalLayout = "2006-01-02T15:04"
 
 // Entry is the file format of a change, with local times and durations in seconds. Kind, Subject, Waves, WaveS and Rollback are
